--- /dev/null
+++ b/detector/detector_test.go
@@ -0,0 +1,534 @@
+package detector
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	_ "ravenport/internal/testseed"
+)
+
+const (
+	testInterval = time.Second
+	testStep     = 50 * time.Millisecond
+	testTimeout  = time.Second
+)
+
+// controller is one simulated controller with its detector.
+type controller struct {
+	name        string
+	detector    *Detector
+	beatAt      time.Time
+	pausedUntil time.Time
+	dead        bool
+	history     []Change
+}
+
+// delivery is a message or a probe's answer on its way.
+type delivery struct {
+	at  time.Time
+	act func(now time.Time)
+}
+
+// network is a set of controllers on one virtual clock.
+type network struct {
+	now         time.Time
+	controllers []*controller
+	queue       []delivery
+	delay       func(from, to string) (time.Duration, bool) // false: lost
+	missPaused  bool                                        // what comes to a paused controller is lost, as calls are that time out
+}
+
+func newNetwork(n int) *network {
+	w := &network{now: time.Unix(1000, 0), delay: func(string, string) (time.Duration, bool) { return 5 * time.Millisecond, true }}
+	var names []string
+	for i := range n {
+		names = append(names, fmt.Sprintf("n-%d", i))
+	}
+	for i, name := range names {
+		cfg := Config{Self: name, Members: names, Interval: testInterval, SuspectMin: 2500 * time.Millisecond, SuspectMax: 8 * time.Second,
+			DeclareAfter: 5 * time.Second, ProbeTimeout: testTimeout}
+		d, err := New(cfg, w.now)
+		if err != nil {
+			panic(err)
+		}
+		d.SetProcess(uint64(i + 1))
+		for k, other := range names {
+			d.SetLease(w.now, other, uint64(k+1))
+		}
+		w.controllers = append(w.controllers, &controller{name: name, detector: d, beatAt: w.now.Add(time.Duration(i) * 100 * time.Millisecond)})
+	}
+	return w
+}
+
+func (w *network) stopped(c *controller) bool { return c.dead || w.now.Before(c.pausedUntil) }
+
+// send lets something happen at another controller; what comes while it is paused
+// happens when it goes on.
+func (w *network) send(from, to *controller, act func(now time.Time)) {
+	d, arrives := w.delay(from.name, to.name)
+	if !arrives {
+		return
+	}
+	w.queue = append(w.queue, delivery{w.now.Add(d), func(now time.Time) {
+		if to.dead || w.missPaused && now.Before(to.pausedUntil) {
+			return
+		}
+		if now.Before(to.pausedUntil) {
+			w.queue = append(w.queue, delivery{to.pausedUntil, act})
+			return
+		}
+		act(now)
+	}})
+}
+
+// beat sends a heartbeat to everybody, whose answers are heartbeats as well.
+func (w *network) beat(c *controller) {
+	m := c.detector.Beat()
+	for _, to := range w.controllers {
+		if to == c {
+			continue
+		}
+		w.send(c, to, func(now time.Time) {
+			_ = to.detector.Receive(now, m)
+			answer := to.detector.Beat()
+			w.send(to, c, func(now time.Time) { _ = c.detector.Receive(now, answer) })
+		})
+	}
+}
+
+// probe carries out a probe; without an answer in time it fails.
+func (w *network) probe(c *controller, p Probe) {
+	answered := false
+	w.queue = append(w.queue, delivery{w.now.Add(testTimeout), func(now time.Time) {
+		if !answered && !w.stopped(c) {
+			c.detector.Probed(now, p, nil)
+		}
+	}})
+	ask := func(asker *controller, tell func(now time.Time, h Heartbeat)) {
+		target := w.find(p.Target)
+		w.send(asker, target, func(time.Time) {
+			h := target.detector.Beat().Heartbeat
+			w.send(target, asker, func(now time.Time) { tell(now, h) })
+		})
+	}
+	done := func(now time.Time, h Heartbeat) { answered = true; c.detector.Probed(now, p, &h) }
+	if p.Via == "" {
+		ask(c, done)
+		return
+	}
+	via := w.find(p.Via)
+	w.send(c, via, func(time.Time) {
+		ask(via, func(_ time.Time, h Heartbeat) { w.send(via, c, func(now time.Time) { done(now, h) }) })
+	})
+}
+
+func (w *network) find(name string) *controller {
+	return w.controllers[slices.IndexFunc(w.controllers, func(c *controller) bool { return c.name == name })]
+}
+
+// run lets time pass.
+func (w *network) run(d time.Duration) {
+	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(testStep) {
+		due := slices.Collect(func(yield func(delivery) bool) {
+			for _, x := range w.queue {
+				if !x.at.After(w.now) && !yield(x) {
+					return
+				}
+			}
+		})
+		w.queue = slices.DeleteFunc(w.queue, func(x delivery) bool { return !x.at.After(w.now) })
+		for _, x := range due {
+			x.act(w.now)
+		}
+		for _, c := range w.controllers {
+			if w.stopped(c) {
+				continue
+			}
+			if !w.now.Before(c.detector.Next()) {
+				for _, p := range c.detector.Tick(w.now) {
+					w.probe(c, p)
+				}
+				c.history = append(c.history, c.detector.Changes()...)
+			}
+			if c.detector.BeatDue() || !w.now.Before(c.beatAt) {
+				c.beatAt = w.now.Add(testInterval)
+				w.beat(c)
+			}
+		}
+	}
+}
+
+// went says whether an observer ever took a controller for this.
+func (c *controller) went(node string, to State) bool {
+	return slices.ContainsFunc(c.history, func(x Change) bool { return x.Node == node && x.To == to })
+}
+
+func (c *controller) state(now time.Time, node string) State {
+	for _, v := range c.detector.Views(now) {
+		if v.Node == node {
+			return v.State
+		}
+	}
+	return ""
+}
+
+// A live controller whose messages are delayed within a bound is never suspected,
+// let alone declared failed, however the delays fall; observers that stand still
+// for a while accuse nobody for it, either.
+func TestLiveControllerIsNeverSuspected(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		n := rapid.SampledFrom([]int{3, 5, 9}).Draw(t, "controllers")
+		w := newNetwork(n)
+		w.delay = func(string, string) (time.Duration, bool) {
+			return time.Duration(rapid.IntRange(1, 400).Draw(t, "delay")) * time.Millisecond, true
+		}
+		w.missPaused = rapid.Bool().Draw(t, "what comes in a pause is lost")
+		w.run(3 * time.Second)
+		observer := w.controllers[rapid.IntRange(0, n-1).Draw(t, "observer")]
+		for range rapid.IntRange(0, 2).Draw(t, "pauses") {
+			pause := time.Duration(rapid.IntRange(200, 20000).Draw(t, "pause")) * time.Millisecond
+			observer.pausedUntil = w.now.Add(pause)
+			w.run(pause + 4*time.Second)
+		}
+		w.run(10 * time.Second)
+		for _, node := range w.controllers {
+			if node != observer && observer.went(node.name, Suspect) {
+				t.Errorf("%s, which was late itself, suspected %s: %+v", observer.name, node.name, observer.history)
+			}
+			for _, c := range w.controllers {
+				if c == observer || c == node {
+					continue
+				}
+				if node != observer && c.went(node.name, Suspect) || c.went(node.name, Failed) {
+					t.Errorf("%s accused %s: %+v", c.name, node.name, c.history)
+				}
+			}
+		}
+	})
+}
+
+// A controller whose work stands still is declared failed by every other one within
+// a bounded time, whether or not its heartbeats still come, and never by fewer than
+// a majority.
+func TestFailedControllerIsDeclaredInTime(t *testing.T) {
+	const bound = 25 * time.Second
+	// The silence may have begun an interval before the links went down.
+	const beforeDeclaration = 5*time.Second - testInterval - 200*time.Millisecond
+	rapid.Check(t, func(t *rapid.T) {
+		n := rapid.SampledFrom([]int{3, 5, 9}).Draw(t, "controllers")
+		w := newNetwork(n)
+		w.run(5 * time.Second)
+		failed := w.controllers[rapid.IntRange(0, n-1).Draw(t, "failed")]
+		kind := rapid.SampledFrom([]Evidence{Stalled, Unserved}).Draw(t, "kind")
+		if kind == Stalled {
+			failed.detector.SetStalled([]string{"owner of a"})
+		} else {
+			w.delay = func(from, to string) (time.Duration, bool) {
+				return 5 * time.Millisecond, from != failed.name && to != failed.name
+			}
+			for _, c := range w.controllers {
+				c.detector.SetUnserved(w.now, failed.name, rapid.Bool().Draw(t, "sees its workers") || c == w.controllers[0] || c == w.controllers[1])
+			}
+		}
+		w.run(beforeDeclaration)
+		for _, c := range w.controllers {
+			if c.went(failed.name, Failed) {
+				t.Errorf("%s: declared before its time by %s", kind, c.name)
+			}
+		}
+		w.run(bound - 4500*time.Millisecond)
+		for _, c := range w.controllers {
+			if c != failed && (c.state(w.now, failed.name) != Failed || len(c.detector.Proposals(w.now)) != 1) {
+				t.Errorf("%s: %s is %s for %s", kind, failed.name, c.state(w.now, failed.name), c.name)
+			}
+		}
+	})
+}
+
+// Evidence that is gone counts no more, not even for a controller that was declared
+// failed on it: who returns before it was replaced is left alone.
+func TestReturnWithdrawsProposal(t *testing.T) {
+	w := newNetwork(3)
+	w.run(3 * time.Second)
+	unserved := func(is bool) {
+		for _, c := range w.controllers[:2] {
+			c.detector.SetUnserved(w.now, "n-2", is)
+		}
+		w.run(9 * time.Second)
+	}
+	unserved(true)
+	if d := w.controllers[0].detector; len(d.Proposals(w.now)) != 1 {
+		t.Fatalf("not proposed: %+v", d.Views(w.now))
+	}
+	w.controllers[1].detector.SetUnserved(w.now, "n-2", false)
+	w.run(3 * time.Second)
+	if d := w.controllers[0].detector; len(d.Proposals(w.now)) != 0 {
+		t.Errorf("proposed without a majority: %+v", d.Views(w.now))
+	}
+	unserved(false)
+	if d := w.controllers[0].detector; len(d.Proposals(w.now)) != 0 || w.controllers[0].state(w.now, "n-2") != Alive {
+		t.Errorf("still held against it: %+v", d.Views(w.now))
+	}
+}
+
+// An observer that stood still does not count that time against others.
+func TestPauseDoesNotAgeEvidence(t *testing.T) {
+	w := newNetwork(3)
+	w.missPaused = true
+	w.run(3 * time.Second)
+	observer := w.controllers[0]
+	for _, c := range w.controllers[:2] {
+		c.detector.SetUnserved(w.now, "n-2", true)
+	}
+	w.run(2 * time.Second)
+	observer.pausedUntil = w.now.Add(8 * time.Second)
+	w.run(10 * time.Second)
+	if observer.went("n-2", Failed) {
+		t.Errorf("declared on evidence that it had for 4 s: %+v", observer.history)
+	}
+	if other := w.controllers[1]; !other.went("n-2", Suspect) {
+		t.Errorf("the other one suspects nobody: %+v", other.history)
+	}
+}
+
+// An observer that hears nobody doubts itself, and stops doubting when it hears
+// others again.
+func TestLonelyObserverDoubtsItself(t *testing.T) {
+	w := newNetwork(5)
+	w.run(5 * time.Second)
+	bound := func() time.Duration { return w.controllers[0].detector.Views(w.now)[0].Bound }
+	usual := bound()
+	w.delay = func(from, to string) (time.Duration, bool) {
+		return 5 * time.Millisecond, from != "n-0" && to != "n-0"
+	}
+	w.run(20 * time.Second)
+	if bound() < 4*usual {
+		t.Errorf("alone for 20 s it would suspect after %s, before after %s", bound(), usual)
+	}
+	w.delay = func(string, string) (time.Duration, bool) { return 5 * time.Millisecond, true }
+	w.run(20 * time.Second)
+	if bound() > usual {
+		t.Errorf("among others again it suspects only after %s", bound())
+	}
+}
+
+// However many controllers of a minority hold whatever against a live one, and
+// however many cannot reach it, it is not declared failed without a majority that
+// knows something of its work.
+func TestNobodyIsDeclaredWithoutMajorityAndWork(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		n := rapid.SampledFrom([]int{3, 5, 9}).Draw(t, "controllers")
+		w := newNetwork(n)
+		w.run(5 * time.Second)
+		target := w.controllers[n-1]
+		minority := n / 2
+		onlyLinks := rapid.Bool().Draw(t, "only links")
+		if onlyLinks { // everybody loses it, nobody has seen its work
+			w.delay = func(from, to string) (time.Duration, bool) {
+				return 5 * time.Millisecond, from != target.name && to != target.name
+			}
+		} else {
+			for _, c := range w.controllers[:minority] {
+				c.detector.SetUnserved(w.now, target.name, true)
+			}
+		}
+		w.run(40 * time.Second)
+		for _, c := range w.controllers[:n-1] {
+			if c.went(target.name, Failed) || len(c.detector.Proposals(w.now)) > 0 {
+				t.Errorf("only links %v: %s declared it: %+v", onlyLinks, c.name, c.history)
+			}
+			if onlyLinks && c.state(w.now, target.name) != Suspect {
+				t.Errorf("%s does not suspect a controller that nobody reaches", c.name)
+			}
+		}
+	})
+}
+
+// A link that is down while another controller still reaches the silent one raises
+// no suspicion.
+func TestIndirectProbePreventsSuspicion(t *testing.T) {
+	w := newNetwork(3)
+	w.run(5 * time.Second)
+	w.delay = func(from, to string) (time.Duration, bool) {
+		cut := from == "n-0" && to == "n-2" || from == "n-2" && to == "n-0"
+		return 5 * time.Millisecond, !cut
+	}
+	w.run(60 * time.Second)
+	if w.controllers[0].went("n-2", Suspect) || w.controllers[2].went("n-0", Suspect) {
+		t.Errorf("suspected across a link that is down: %+v, %+v", w.controllers[0].history, w.controllers[2].history)
+	}
+	if v := w.controllers[0].detector.Views(w.now); v[1].SilentFor > 8*time.Second {
+		t.Errorf("no probe proved it: %+v", v[1])
+	}
+}
+
+// Whatever the losses were, once messages come through again no suspicion of
+// silence stays, and a suspicion that was refuted is gone before.
+func TestRefutedSuspicionIsGone(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		n := rapid.SampledFrom([]int{3, 5}).Draw(t, "controllers")
+		w := newNetwork(n)
+		w.run(5 * time.Second)
+		loss := rapid.IntRange(10, 100).Draw(t, "loss")
+		w.delay = func(string, string) (time.Duration, bool) {
+			return time.Duration(rapid.IntRange(1, 3000).Draw(t, "delay")) * time.Millisecond, rapid.IntRange(1, 100).Draw(t, "lost") > loss
+		}
+		w.run(time.Duration(rapid.IntRange(5, 30).Draw(t, "seconds")) * time.Second)
+		w.delay = func(string, string) (time.Duration, bool) { return 5 * time.Millisecond, true }
+		w.run(5 * time.Second)
+		for _, c := range w.controllers {
+			for _, v := range c.detector.Views(w.now) {
+				if v.State != Alive || len(v.Accusers) > 0 {
+					t.Errorf("%s still holds against %s: %+v", c.name, v.Node, v)
+				}
+			}
+		}
+	})
+}
+
+// A suspect that hears of it raises its refutation, and an accusation from before
+// counts no more, even where it is repeated.
+func TestSuspectRefutes(t *testing.T) {
+	w := newNetwork(3)
+	w.run(3 * time.Second)
+	suspect, accuser, third := w.controllers[0].detector, w.controllers[1].detector, w.controllers[2].detector
+	accusation := Accusation{Node: "n-0", Process: 1, Evidence: []Evidence{Unreachable}}
+	m := accuser.Beat()
+	m.Accusations = []Accusation{accusation}
+	if err := suspect.Receive(w.now, m); err != nil || !suspect.BeatDue() {
+		t.Fatalf("err %v, refutes at once: %v", err, suspect.BeatDue())
+	}
+	if err := third.Receive(w.now, suspect.Beat()); err != nil {
+		t.Fatal(err)
+	}
+	m = accuser.Beat()
+	m.Accusations = []Accusation{accusation}
+	if err := third.Receive(w.now, m); err != nil {
+		t.Fatal(err)
+	}
+	if v := third.Views(w.now)[0]; v.Refutation != 1 || len(v.Accusers) != 0 {
+		t.Errorf("the refuted accusation counts: %+v", v)
+	}
+	m.Heartbeat.Sequence++
+	m.Accusations[0].Evidence = []Evidence{Unserved}
+	if err := third.Receive(w.now, m); err != nil {
+		t.Fatal(err)
+	}
+	if v := third.Views(w.now)[0]; len(v.Accusers) != 1 {
+		t.Errorf("evidence about work was refuted by a word: %+v", v)
+	}
+}
+
+// Heartbeats of an earlier process, doubled and late ones prove nothing, and the end
+// of a lease decides at once.
+func TestOldProcessProvesNothing(t *testing.T) {
+	w := newNetwork(3)
+	w.run(3 * time.Second)
+	d := w.controllers[0].detector
+	old := w.controllers[1].detector.Beat()
+	for _, copies := range []int{1, 2} {
+		if err := d.Receive(w.now, old); err != nil {
+			t.Fatal(copies, err)
+		}
+	}
+	copied := w.now.Add(2 * time.Second)
+	if err := d.Receive(copied, old); err != nil || d.Views(copied)[0].SilentFor < 2*time.Second {
+		t.Errorf("a copy counted as a heartbeat: %v, %+v", err, d.Views(copied)[0])
+	}
+	d.SetLease(w.now, "n-1", 0)
+	d.Tick(w.now)
+	if s := w.controllers[0].state(w.now, "n-1"); s != Failed {
+		t.Errorf("without its lease it is %s", s)
+	}
+	d.SetLease(w.now, "n-1", 77)
+	old.Heartbeat.Sequence += 10
+	if err := d.Receive(w.now, old); err != nil {
+		t.Fatal(err)
+	}
+	d.Tick(w.now)
+	if v := d.Views(w.now)[0]; v.State != Unmonitored || v.Process != 77 {
+		t.Errorf("a late heartbeat of the old process counted: %+v", v)
+	}
+	fresh := Message{Node: "n-1", Heartbeat: Heartbeat{Process: 77, Sequence: 1}}
+	if err := d.Receive(w.now, fresh); err != nil {
+		t.Fatal(err)
+	}
+	if err := d.Receive(w.now, old); err != nil {
+		t.Fatal(err)
+	}
+	d.Tick(w.now)
+	if v := d.Views(w.now)[0]; v.State != Alive || v.Process != 77 {
+		t.Errorf("the new process is %+v", v)
+	}
+}
+
+// A process that is heard before the state service shows its lease, and again after
+// one between them, is monitored.
+func TestProcessHeardBeforeItsLease(t *testing.T) {
+	w := newNetwork(3)
+	d := w.controllers[0].detector
+	if err := d.Receive(w.now, Message{Node: "n-1", Heartbeat: Heartbeat{Process: 9, Sequence: 1}}); err != nil {
+		t.Fatal(err)
+	}
+	d.SetLease(w.now, "n-1", 8)
+	d.SetLease(w.now, "n-1", 9)
+	if err := d.Receive(w.now, Message{Node: "n-1", Heartbeat: Heartbeat{Process: 9, Sequence: 2}}); err != nil {
+		t.Fatal(err)
+	}
+	d.Tick(w.now)
+	if v := d.Views(w.now)[0]; v.State != Alive || v.Process != 9 {
+		t.Errorf("%+v", v)
+	}
+}
+
+// Messages of strangers and malformed ones are refused with an error of their kind.
+func TestBadMessagesAreDropped(t *testing.T) {
+	d := newNetwork(3).controllers[0].detector
+	now := time.Unix(1000, 0)
+	many := make([]Accusation, 4)
+	for name, c := range map[string]struct {
+		m    Message
+		want error
+	}{
+		"stranger":                {Message{Node: "x", Heartbeat: Heartbeat{Process: 1}}, ErrUnknownNode},
+		"itself":                  {Message{Node: "n-0", Heartbeat: Heartbeat{Process: 1}}, ErrUnknownNode},
+		"more accusations":        {Message{Node: "n-1", Heartbeat: Heartbeat{Process: 1}, Accusations: many}, ErrMalformed},
+		"accusation of nothing":   {Message{Node: "n-1", Heartbeat: Heartbeat{Process: 1}, Accusations: []Accusation{{Node: "n-2", Process: 3}}}, ErrMalformed},
+		"many stalled actors":     {Message{Node: "n-1", Heartbeat: Heartbeat{Process: 1, Stalled: make([]string, 65)}}, ErrMalformed},
+		"an actor's name is long": {Message{Node: "n-1", Heartbeat: Heartbeat{Process: 1, Stalled: []string{string(make([]byte, 129))}}}, ErrMalformed},
+	} {
+		if err := d.Receive(now, c.m); !errors.Is(err, c.want) {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+	if v := d.Views(now); v[0].Process != 2 || v[0].State != Unmonitored {
+		t.Errorf("a dropped message left a trace: %+v", v[0])
+	}
+}
+
+// A configuration that cannot work is refused.
+func TestConfigIsChecked(t *testing.T) {
+	good := Config{Self: "a", Members: []string{"a", "b"}, Interval: 1, SuspectMin: 2, SuspectMax: 3, DeclareAfter: 4, ProbeTimeout: 1}
+	if err := good.Check(); err != nil {
+		t.Fatal(err)
+	}
+	for name, spoil := range map[string]func(*Config){
+		"not a member":                           func(c *Config) { c.Self = "x" },
+		"no interval":                            func(c *Config) { c.Interval = 0 },
+		"no timeout":                             func(c *Config) { c.ProbeTimeout = 0 },
+		"suspicion as soon as a heartbeat":       func(c *Config) { c.SuspectMin = 1 },
+		"bounds crossed":                         func(c *Config) { c.SuspectMax = 1 },
+		"declaration not later than a suspicion": func(c *Config) { c.DeclareAfter = 2 },
+	} {
+		c := good
+		spoil(&c)
+		if _, err := New(c, time.Now()); !errors.Is(err, ErrConfig) {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+}
