--- a/constants/constants.go
+++ b/constants/constants.go
@@ -142,6 +142,10 @@
 	// CutPause is how long a controller that gave a part up because its
 	// machines could not reach it is not given it back.
 	CutPause = 45 * time.Second
+	// TakeoverGap is the least time between two orphaned shards that one controller
+	// takes over where failure detection is on: the first one's claim is known to
+	// all by then, and ranks it behind others for the next.
+	TakeoverGap = 500 * time.Millisecond
 	// PeersAway is when a controller that heard from no other one, though some
 	// are alive, takes itself for cut off.
 	PeersAway = 3 * time.Second
--- /dev/null
+++ b/history/file.go
@@ -0,0 +1,148 @@
+package history
+
+import (
+	"errors"
+	"fmt"
+	"io/fs"
+	"os"
+	"slices"
+)
+
+// damagedSuffix is added to the name of a damaged file, which is kept beside the
+// new one.
+const damagedSuffix = ".damaged"
+
+// Damage says up to where a file could be read, and why no further.
+type Damage struct {
+	Path   string
+	Offset int // bytes that are sound
+	Events int // events read from them
+	Cause  error
+}
+
+func (d *Damage) Error() string {
+	return fmt.Sprintf("history: %s is damaged after %d bytes (%d events read): %v", d.Path, d.Offset, d.Events, d.Cause)
+}
+
+func (d *Damage) Unwrap() error { return d.Cause }
+
+// File appends events to a history. It is used by one goroutine.
+type File struct {
+	path   string
+	limit  int
+	codec  *codec
+	events []Event // the latest, at most twice the limit
+}
+
+// Open opens or creates a history that keeps at least the latest limit events. If
+// the file is damaged, its sound part is kept, the file itself is put aside, and the
+// error is a *Damage beside a File that can be used.
+func Open(path string, limit int) (*File, error) {
+	c, err := newCodec()
+	if err != nil {
+		return nil, err
+	}
+	f := &File{path: path, limit: max(limit, 1), codec: c}
+	events, err := f.read()
+	var damage *Damage
+	if err != nil && !errors.As(err, &damage) {
+		c.close()
+		return nil, err
+	}
+	f.events = latest(events, f.limit)
+	if damage != nil {
+		if err := os.Rename(path, path+damagedSuffix); err != nil {
+			c.close()
+			return nil, fmt.Errorf("history: putting a damaged file aside: %w", err)
+		}
+	}
+	if err := f.rewrite(); err != nil {
+		c.close()
+		return nil, err
+	}
+	if damage != nil {
+		return f, damage
+	}
+	return f, nil
+}
+
+// Read reads the events of a history. A damaged one gives those before the damage
+// and a *Damage.
+func Read(path string) ([]Event, error) {
+	c, err := newCodec()
+	if err != nil {
+		return nil, err
+	}
+	defer c.close()
+	if _, err := os.Stat(path); err != nil {
+		return nil, fmt.Errorf("history: %w", err)
+	}
+	return (&File{path: path, codec: c}).read()
+}
+
+// read reads the file; a missing one is empty.
+func (f *File) read() ([]Event, error) {
+	data, err := os.ReadFile(f.path)
+	if errors.Is(err, fs.ErrNotExist) {
+		return nil, nil
+	}
+	if err != nil {
+		return nil, fmt.Errorf("history: %w", err)
+	}
+	events, intact, cause := f.codec.parse(data)
+	if cause != nil {
+		return events, &Damage{Path: f.path, Offset: intact, Events: len(events), Cause: cause}
+	}
+	return events, nil
+}
+
+// Append adds events to the file. Once it holds twice the limit it is written anew
+// with the latest.
+func (f *File) Append(events ...Event) error {
+	f.events = append(f.events, events...)
+	if len(f.events) > 2*f.limit {
+		f.events = latest(f.events, f.limit)
+		return f.rewrite()
+	}
+	frame, err := f.codec.appendFrame(nil, events)
+	if err != nil {
+		return err
+	}
+	file, err := os.OpenFile(f.path, os.O_APPEND|os.O_WRONLY, 0o600)
+	if err != nil {
+		return fmt.Errorf("history: %w", err)
+	}
+	_, err = file.Write(frame)
+	if err := errors.Join(err, file.Close()); err != nil {
+		return fmt.Errorf("history: %w", err)
+	}
+	return nil
+}
+
+// Latest returns up to n of the latest events, oldest first.
+func (f *File) Latest(n int) []Event { return slices.Clone(latest(f.events, n)) }
+
+// Close frees what the file uses.
+func (f *File) Close() { f.codec.close() }
+
+// rewrite replaces the file by one with the events that are kept. Whoever reads it
+// meanwhile sees the one or the other.
+func (f *File) rewrite() error {
+	data := []byte(magic)
+	if len(f.events) > 0 {
+		var err error
+		if data, err = f.codec.appendFrame(data, f.events); err != nil {
+			return err
+		}
+	}
+	temporary := f.path + ".new"
+	if err := os.WriteFile(temporary, data, 0o600); err != nil {
+		return fmt.Errorf("history: %w", err)
+	}
+	if err := os.Rename(temporary, f.path); err != nil {
+		return fmt.Errorf("history: %w", err)
+	}
+	return nil
+}
+
+func latest(events []Event, n int) []Event { return events[max(0, len(events)-n):] }
--- /dev/null
+++ b/history/history_test.go
@@ -0,0 +1,164 @@
+package history
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	_ "ravenport/internal/testseed"
+)
+
+func event(i int) Event {
+	return Event{At: time.Unix(int64(i), 0).UTC(), Observer: "n-0", Node: fmt.Sprintf("n-%d", i%5), Process: uint64(i) + 1, From: "alive", To: "suspect",
+		Evidence: []string{"unserved"}, Accusers: []string{"n-0", "n-1"}}
+}
+
+func write(t *testing.T, path string, limit, n int) {
+	t.Helper()
+	f, err := Open(path, limit)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer f.Close()
+	for i := range n {
+		if err := f.Append(event(i)); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// Everything that was appended is read again in order, over restarts; only the
+// latest are kept, in a file whose size has a bound.
+func TestHistoryIsKeptWithinItsLimit(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "members")
+	const limit = 50
+	largest := int64(0)
+	for i := range 10 * limit {
+		f, err := Open(path, limit)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := f.Append(event(i)); err != nil {
+			t.Fatal(err)
+		}
+		if got := f.Latest(1); len(got) != 1 || !reflect.DeepEqual(got[0], event(i)) {
+			t.Fatalf("the latest of %d is %v", i, got)
+		}
+		f.Close()
+		info, err := os.Stat(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		largest = max(largest, info.Size())
+	}
+	events, err := Read(path)
+	if err != nil || len(events) < limit || len(events) > 2*limit {
+		t.Fatalf("%d events, %v", len(events), err)
+	}
+	for i, e := range events {
+		if want := event(10*limit - len(events) + i); !reflect.DeepEqual(e, want) {
+			t.Fatalf("event %d is %v, not %v", i, e, want)
+		}
+	}
+	if largest > 2*limit*200 {
+		t.Errorf("the file grew to %d bytes", largest)
+	}
+}
+
+// A torn file, and one with any byte changed, is read up to the damage, says so, is
+// put aside, and goes on to be written.
+func TestDamagedHistoryIsReadUpToTheDamage(t *testing.T) {
+	dir := t.TempDir()
+	whole := filepath.Join(dir, "whole")
+	const n = 20
+	write(t, whole, n, n)
+	data, err := os.ReadFile(whole)
+	if err != nil {
+		t.Fatal(err)
+	}
+	found := map[error]bool{}
+	rapid.Check(t, func(t *rapid.T) {
+		path := filepath.Join(dir, "damaged")
+		spoilt := append([]byte(nil), data...)
+		at := rapid.IntRange(0, len(data)-1).Draw(t, "at")
+		if rapid.Bool().Draw(t, "torn") {
+			spoilt = spoilt[:at]
+		} else {
+			spoilt[at] ^= byte(rapid.IntRange(1, 255).Draw(t, "flip"))
+		}
+		if err := os.WriteFile(path, spoilt, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		events, err := Read(path)
+		var damage *Damage
+		if err != nil && !errors.As(err, &damage) {
+			t.Fatal(err)
+		}
+		for i, e := range events {
+			if !reflect.DeepEqual(e, event(i)) {
+				t.Fatalf("event %d was read as %v", i, e)
+			}
+		}
+		if damage == nil && len(spoilt) == len(data) {
+			t.Fatal("a changed byte was not noticed")
+		}
+		if damage != nil {
+			found[damage.Cause] = true
+			if damage.Events != len(events) || damage.Offset > len(spoilt) {
+				t.Fatalf("%+v with %d events", damage, len(events))
+			}
+		}
+		f, err := Open(path, n)
+		if f == nil {
+			t.Fatal(err)
+		}
+		defer f.Close()
+		if (err != nil) != (damage != nil) {
+			t.Fatalf("opened with %v, read with %v", err, damage)
+		}
+		if err := f.Append(event(len(events))); err != nil {
+			t.Fatal(err)
+		}
+		again, err := Read(path)
+		if err != nil || len(again) != min(len(events), n)+1 {
+			t.Fatalf("%d events after %d, %v", len(again), len(events), err)
+		}
+	})
+	huge := append([]byte(magic), 0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0)
+	if err := os.WriteFile(whole, huge, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := Read(whole); !errors.Is(err, errLength) {
+		t.Errorf("an impossible length: %v", err)
+	}
+	for _, cause := range []error{errMagic, errTorn, errChecksum} {
+		if !found[cause] {
+			t.Errorf("never brought about: %v", cause)
+		}
+	}
+}
+
+// Reading what is not there is an error; opening it makes it.
+func TestMissingHistory(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "members")
+	if _, err := Read(path); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("%v", err)
+	}
+	write(t, path, 5, 0)
+	if events, err := Read(path); err != nil || len(events) != 0 {
+		t.Errorf("%v, %v", events, err)
+	}
+	if _, err := Open(filepath.Join(path, "below a file"), 5); err == nil {
+		t.Error("a file below a file was opened")
+	}
+	if line := event(3).String(); !strings.Contains(line, "n-3 alive -> suspect") || !strings.Contains(line, "evidence=unserved") {
+		t.Error(line)
+	}
+}
--- a/member/core.go
+++ b/member/core.go
@@ -8,11 +8,12 @@
 
 	"ravenport/constants"
 	"ravenport/state"
+	"ravenport/takeover"
 	"ravenport/wire"
 )
 
 // Controller is one of the deployment's controllers.
-type Controller struct{ Name, Zone string }
+type Controller = takeover.Controller
 
 // Core mirrors the terms and the live controllers.
 type Core struct {
@@ -26,10 +27,15 @@
 	packs       map[string]bool // controllers seen to read packed records
 
 	secondPartWait time.Duration // how long another part is left vacant by an owner
+
+	detection   bool // controllers whose lease lives may be revoked
+	revocations map[string]revocation
+	pace        takeover.Pace
 }
 
 type node struct {
 	incarnation, version uint64
+	life                 time.Duration // of its lease, if it heeds revocations
 	since                time.Time
 }
 
@@ -42,7 +48,7 @@
 // New makes the core of the controller named me.
 func New(me string, controllers []Controller, parts []string, now time.Time) *Core {
 	c := &Core{me: me, controllers: slices.Clone(controllers), parts: parts, started: now,
-		nodes: map[string]node{}, terms: map[string]term{}, vacantSince: map[string]time.Time{}, packs: map[string]bool{}}
+		nodes: map[string]node{}, terms: map[string]term{}, vacantSince: map[string]time.Time{}, packs: map[string]bool{}, revocations: map[string]revocation{}}
 	slices.SortFunc(c.controllers, func(a, b Controller) int {
 		if a.Name < b.Name {
 			return -1
@@ -63,12 +69,14 @@
 	switch r := ch.Record.(type) {
 	case *state.Node:
 		old, ok := c.nodes[r.Name]
-		n := node{incarnation: r.Incarnation, version: ch.Version, since: now}
+		n := node{incarnation: r.Incarnation, version: ch.Version, life: time.Duration(r.LifeMS) * time.Millisecond, since: now}
 		if ok && old.incarnation == r.Incarnation {
 			n.since = old.since
 		}
 		c.nodes[r.Name] = n
 		c.packs[r.Name] = c.packs[r.Name] || r.Packs
+	case *state.Revocation:
+		c.revocations[r.Node] = revocation{*r, ch.Version, now}
 	case *state.Term:
 		c.terms[ch.Key] = term{*r, ch.Version, now}
 	case nil:
@@ -130,44 +138,33 @@
 	return out
 }
 
-// order lists the controllers by their fitness to hold key: a part's own zone
-// first; the leader, where possible, on a controller that is no part's first
-// choice, so that one failure costs one role. What is left is spread by name.
-func (c *Core) order(key string) []Controller {
-	first := map[string]bool{}
-	for _, p := range c.parts {
-		for _, k := range c.controllers {
-			if k.Zone == p {
-				first[k.Name] = true
-				break
-			}
-		}
+// order lists the controllers by their fitness to hold key.
+func (c *Core) order(now time.Time, key string) []Controller {
+	fleet := takeover.Fleet{Controllers: c.controllers, Zones: c.parts}
+	if c.detection {
+		fleet.Shards = c.ownedBy
+		fleet.Last = func(name string) bool { return c.recentlyRevoked(now, name) }
 	}
-	out := slices.Clone(c.controllers)
 	if key == state.KeyLeader {
-		slices.SortStableFunc(out, func(a, b Controller) int { return rank(first[a.Name]) - rank(first[b.Name]) })
-		return out
+		return fleet.Order(takeover.Term{Leader: true})
 	}
-	i := slices.IndexFunc(c.parts, func(p string) bool { return state.KeyPart(p) == key })
-	// Rotated, so that two orphaned parts go to different controllers.
-	out = append(out[i%len(out):], out[:i%len(out)]...)
-	slices.SortStableFunc(out, func(a, b Controller) int {
-		if d := rank(a.Zone != c.parts[i]) - rank(b.Zone != c.parts[i]); d != 0 {
-			return d
-		}
-		if a.Zone == c.parts[i] { // in its zone, by name
-			return rank(!first[a.Name]) - rank(!first[b.Name])
+	for _, zone := range c.parts {
+		if state.KeyPart(zone) == key {
+			return fleet.Order(takeover.Term{Zone: zone})
 		}
-		return rank(first[a.Name]) - rank(first[b.Name])
-	})
-	return out
+	}
+	return nil
 }
 
-func rank(b bool) int {
-	if b {
-		return 1
+// ownedBy counts the shards that a controller owns.
+func (c *Core) ownedBy(name string) int {
+	owned := 0
+	for _, zone := range c.parts {
+		if holder, held := c.Holder(state.KeyPart(zone)); held && holder == name {
+			owned++
+		}
 	}
-	return 0
+	return owned
 }
 
 // Step returns the claims to make now. mine is this process's incarnation;
@@ -180,7 +177,7 @@
 	var out []Claim
 	owner := c.ownsPart()
 	for _, key := range c.keys() {
-		if holder, held := c.Holder(key); held {
+		if holder, held := c.Holder(key); held && !c.outlived(now, key) {
 			delete(c.vacantSince, key)
 			if holder == c.me {
 				if cl, ok := c.handBack(now, key); ok {
@@ -196,9 +193,15 @@
 		if part && owner && now.Sub(c.vacantSince[key]) < c.secondPartWait {
 			continue
 		}
+		if part && !c.pace.Ready(now) {
+			continue
+		}
 		if cl, ok := c.claim(now, key, me); ok {
 			out = append(out, cl)
 			owner = owner || part
+			if part {
+				c.pace.Took(now)
+			}
 		}
 	}
 	return out
@@ -215,26 +218,19 @@
 }
 
 func (c *Core) claim(now time.Time, key string, me node) (Claim, bool) {
-	position, missing := 0, false
-	for _, k := range c.order(key) {
-		if k.Name == c.me {
-			break
-		}
-		if c.Alive(k.Name) {
-			position++
-		} else {
-			missing = true
-		}
-	}
+	position, missing := takeover.Position(c.order(now, key), c.me, c.candidate)
 	if now.Sub(c.vacantSince[key]) < time.Duration(position)*constants.ClaimStep {
 		return Claim{}, false
 	}
 	if missing && now.Sub(c.started) < constants.FirstClaimWait {
 		return Claim{}, false
 	}
-	return c.ClaimOf(key, c.me, me.incarnation, me.version), true
+	return c.claimOf(key, c.me, me.incarnation, me.version, c.outlived(now, key)), true
 }
 
+// candidate says whether a controller may claim terms.
+func (c *Core) candidate(name string) bool { return c.Alive(name) && !c.Revoked(name) }
+
 // ClaimOf makes the transaction that gives key to a controller. It holds only
 // while the new holder's key stands and the old one's is as known.
 func (c *Core) ClaimOf(key, to string, incarnation, version uint64) Claim {
@@ -251,6 +247,8 @@
 	if t.version != 0 && t.Node != to {
 		if _, alive := c.nodes[t.Node]; !alive {
 			txn.If = append(txn.If, wire.Condition{Key: state.KeyNode(t.Node), Version: 0})
+		} else if r, ok := c.revocationOf(t.Term); ok {
+			txn.If = append(txn.If, wire.Condition{Key: state.KeyRevoked(t.Node), Version: r.version})
 		}
 	}
 	return Claim{Key: key, To: to, Txn: txn}
@@ -264,8 +262,8 @@
 	if t := c.terms[key]; key == state.KeyLeader && t.Cut && now.Sub(t.since) < constants.CutPause {
 		return Claim{}, false
 	}
-	for _, k := range c.order(key) {
-		if n, ok := c.nodes[k.Name]; ok && k.Name != c.me {
+	for _, k := range c.order(now, key) {
+		if n, ok := c.nodes[k.Name]; ok && k.Name != c.me && !c.Revoked(k.Name) {
 			cl := c.claimOf(key, k.Name, n.incarnation, n.version, true)
 			return cl, true
 		}
@@ -282,12 +280,12 @@
 	if t := c.terms[key]; t.Cut && now.Sub(t.since) < constants.CutPause {
 		return Claim{}, false
 	}
-	for _, k := range c.order(key) {
+	for _, k := range c.order(now, key) {
 		if k.Name == c.me {
 			return Claim{}, false
 		}
 		n, ok := c.nodes[k.Name]
-		if !ok || now.Sub(n.since) < constants.HandBackAfter {
+		if !ok || c.Revoked(k.Name) || now.Sub(n.since) < constants.HandBackAfter {
 			continue
 		}
 		// Only its own zone is worth a second disturbance.
--- a/member/core_test.go
+++ b/member/core_test.go
@@ -12,7 +12,7 @@
 	"ravenport/state"
 )
 
-var three = []Controller{{"n-0", "a"}, {"n-1", "b"}, {"n-2", "a"}}
+var three = []Controller{{Name: "n-0", Zone: "a"}, {Name: "n-1", Zone: "b"}, {Name: "n-2", Zone: "a"}}
 
 // sim is a state service shared by three cores.
 type sim struct {
--- /dev/null
+++ b/member/revocation_test.go
@@ -0,0 +1,177 @@
+package member
+
+import (
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"ravenport/constants"
+	"ravenport/state"
+)
+
+// detecting is three controllers with failure detection that are up; n-1 owns the
+// shard of b, n-2 that of a.
+func detecting(now time.Time, life time.Duration) *sim {
+	s := &sim{keys: map[string]state.Change{}, inc: []uint64{1, 2, 3}}
+	for _, k := range three {
+		c := New(k.Name, three, []string{"a", "b"}, now.Add(-time.Minute))
+		c.EnableDetection()
+		s.cores = append(s.cores, c)
+	}
+	for i, k := range three {
+		s.set(now, state.KeyNode(k.Name), &state.Node{Name: k.Name, Incarnation: uint64(i + 1), LifeMS: life.Milliseconds()})
+	}
+	s.set(now, state.KeyPart("a"), &state.Term{Part: "a", Node: "n-2", Incarnation: 3, Number: 4})
+	s.set(now, state.KeyPart("b"), &state.Term{Part: "b", Node: "n-1", Incarnation: 2, Number: 4})
+	s.set(now, state.KeyLeader, &state.Term{Node: "n-2", Incarnation: 3, Number: 4})
+	return s
+}
+
+// revoke writes the revocation that a core asks for; each core sees it after its lag.
+func (s *sim) revoke(now time.Time, by int, r state.Revocation, lag []time.Duration) bool {
+	txn, ok := s.cores[by].Revoke(r)
+	if !ok {
+		return false
+	}
+	for _, c := range txn.If {
+		if s.keys[c.Key].Version != c.Version {
+			return false
+		}
+	}
+	rec, err := state.Decode(txn.Then[0].Put, txn.Then[0].Value)
+	if err != nil {
+		panic(err)
+	}
+	s.version++
+	ch := state.Change{Key: txn.Then[0].Put, Version: s.version, Record: rec}
+	s.keys[ch.Key] = ch
+	for i, c := range s.cores {
+		c.Apply(now.Add(lag[i]), ch)
+	}
+	return true
+}
+
+// Nobody takes a revoked holder's term before its authority has ended, however late
+// the holder hears of the revocation, whatever its clock does within its bound and
+// however its reads of the revision fell; and in bounded time somebody does.
+func TestRevokedHolderIsOutlived(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		life := time.Duration(rapid.IntRange(2000, 10000).Draw(t, "life ms")) * time.Millisecond
+		now := time.Unix(1000, 0)
+		s := detecting(now, life)
+		lag := make([]time.Duration, 3)
+		for i := range lag {
+			lag[i] = time.Duration(rapid.IntRange(0, 2000).Draw(t, "lag ms")) * time.Millisecond
+		}
+		if !s.revoke(now, 0, state.Revocation{Node: "n-1", Incarnation: 2}, lag) {
+			t.Fatal("not revoked")
+		}
+		// The holder's last read of the revision that did not show the revocation was
+		// sent before it was written. Its clock may be slow by the protocol's bound.
+		drift := float64(rapid.IntRange(-5, 5).Draw(t, "drift")) / 10000
+		lastRead := now.Add(-time.Duration(rapid.IntRange(0, 1000).Draw(t, "last read ms")) * time.Millisecond)
+		authority := time.Duration(float64(life)*(1-constants.ClockDrift)) - constants.AuthorityMargin
+		ends := lastRead.Add(time.Duration(float64(authority) / (1 + drift)))
+		key, taken := state.KeyPart("b"), time.Duration(0)
+		for at := time.Duration(0); at < life+6*time.Second && taken == 0; at += 50 * time.Millisecond {
+			for _, i := range []int{0, 2} {
+				for _, cl := range s.cores[i].Step(now.Add(at), s.inc[i], true) {
+					if cl.Key != key || cl.To == "n-1" || !s.try(now.Add(at), cl) {
+						continue
+					}
+					taken = at
+					if now.Add(at).Before(ends) {
+						t.Fatalf("taken after %s, %s before the holder's authority ended", at, ends.Sub(now.Add(at)))
+					}
+				}
+			}
+		}
+		if taken == 0 {
+			t.Fatal("nobody took the term over")
+		}
+	})
+}
+
+// Only a registered process that heeds revocations is revoked, once, by one that is
+// registered itself; a revocation says nothing of the next process of its name.
+func TestWhoIsRevoked(t *testing.T) {
+	now, none := time.Unix(1000, 0), make([]time.Duration, 3)
+	s := detecting(now, 3*time.Second)
+	target := state.Revocation{Node: "n-1", Incarnation: 2}
+	for name, r := range map[string]state.Revocation{
+		"another process": {Node: "n-1", Incarnation: 9},
+		"a stranger":      {Node: "n-7", Incarnation: 2},
+		"itself":          {Node: "n-0", Incarnation: 1},
+	} {
+		if _, ok := s.cores[0].Revoke(r); ok {
+			t.Errorf("%s is revoked", name)
+		}
+	}
+	s.set(now, state.KeyNode("n-2"), &state.Node{Name: "n-2", Incarnation: 3})
+	if _, ok := s.cores[0].Revoke(state.Revocation{Node: "n-2", Incarnation: 3}); ok {
+		t.Error("a process that does not heed revocations is revoked")
+	}
+	late, _ := s.cores[2].Revoke(target)
+	if !s.revoke(now, 0, target, none) || s.revoke(now, 0, target, none) {
+		t.Error("it is not revoked just once")
+	}
+	if late.If[0].Version == s.keys[state.KeyRevoked("n-1")].Version {
+		t.Error("a second revocation, decided at the same time, would be written")
+	}
+	if c := s.cores[2]; !c.Revoked("n-1") || c.outlived(now.Add(2*time.Second), state.KeyPart("b")) {
+		t.Error("a revoked holder is outlived before its lease would have ended")
+	}
+	s.set(now, state.KeyNode("n-1"), &state.Node{Name: "n-1", Incarnation: 5, LifeMS: 3000})
+	s.set(now, state.KeyPart("b"), &state.Term{Part: "b", Node: "n-1", Incarnation: 5, Number: 6})
+	if c := s.cores[2]; c.Revoked("n-1") || c.outlived(now.Add(time.Hour), state.KeyPart("b")) {
+		t.Error("the revocation counts against the next process")
+	}
+	order := s.cores[0].order(now.Add(time.Second), state.KeyPart("b"))
+	if order[2].Name != "n-1" {
+		t.Errorf("a controller that was revoked a moment ago is asked before others: %v", order)
+	}
+	if order = s.cores[0].order(now.Add(constants.CutPause), state.KeyPart("b")); order[0].Name != "n-1" {
+		t.Errorf("its own zone's controller is not trusted again: %v", order)
+	}
+}
+
+// Without detection here the core is what it was: a revocation changes nothing.
+func TestRevocationWithoutDetectionChangesNothing(t *testing.T) {
+	now := time.Unix(1000, 0)
+	s := detecting(now, 3*time.Second)
+	plain := New("n-0", three, []string{"a", "b"}, now.Add(-time.Minute))
+	for _, ch := range s.keys {
+		plain.Apply(now, ch)
+	}
+	s.cores = append(s.cores, plain)
+	if !s.revoke(now, 0, state.Revocation{Node: "n-1", Incarnation: 2}, make([]time.Duration, 4)) {
+		t.Fatal("not revoked")
+	}
+	for at := time.Duration(0); at < time.Minute; at += time.Second {
+		for _, cl := range plain.Step(now.Add(at), 1, true) {
+			if cl.Key != state.KeyLeader {
+				t.Fatalf("it claims %s after %s", cl.Key, at)
+			}
+		}
+	}
+}
+
+// Shards of controllers that fail together are taken one at a time.
+func TestOrphanedShardsAreSpacedOut(t *testing.T) {
+	now := time.Unix(1000, 0)
+	s := detecting(now, 3*time.Second)
+	s.set(now, state.KeyNode("n-1"), nil)
+	s.set(now, state.KeyNode("n-2"), nil)
+	var claims []time.Duration
+	for at := time.Duration(0); at < 5*time.Second; at += 50 * time.Millisecond {
+		for _, cl := range s.cores[0].Step(now.Add(at), 1, true) {
+			if cl.Key != state.KeyLeader && s.try(now.Add(at), cl) {
+				claims = append(claims, at)
+			}
+		}
+	}
+	if len(claims) != 2 || claims[1]-claims[0] < constants.TakeoverGap {
+		t.Errorf("claimed at %v", claims)
+	}
+}
--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"ravenport/detector"
 	"ravenport/leader"
 	"ravenport/part"
 )
@@ -23,6 +24,11 @@
 			Reply{Node: "n-0", Promise: true, Cancels: 6, Named: true, Cancelled: []Cancellation{{"run-000001", 6}}}},
 		{"relayed transaction's reply", `{"outcome":"conflict","rev":1,"failed":["k"]}`,
 			CommitReply{Outcome: OutcomeConflict, Revision: 1, Failed: []string{"k"}}},
+		{"heartbeat", `{"node":"n-0","hb":{"proc":7,"ref":1,"seq":3,"stalled":["leader"]},"acc":[{"node":"n-2","proc":9,"ref":2,"ev":["unserved"]}]}`,
+			detector.Message{Node: "n-0", Heartbeat: detector.Heartbeat{Process: 7, Refutation: 1, Sequence: 3, Stalled: []string{"leader"}},
+				Accusations: []detector.Accusation{{Node: "n-2", Process: 9, Refutation: 2, Evidence: []detector.Evidence{detector.Unserved}}}}},
+		{"probe", `{"node":"n-0","target":"n-2"}`, ProbeRequest{Node: "n-0", Target: "n-2"}},
+		{"probe's answer", `{"hb":{"proc":7,"seq":3}}`, ProbeReply{Heartbeat: &detector.Heartbeat{Process: 7, Sequence: 3}}},
 	} {
 		if got := encoded(t, c.message); got != c.want {
 			t.Errorf("%s is sent as\n%s, not as\n%s", c.name, got, c.want)
--- /dev/null
+++ b/peer/heartbeat_test.go
@@ -0,0 +1,85 @@
+package peer
+
+import (
+	"context"
+	"errors"
+	"net"
+	"reflect"
+	"testing"
+	"time"
+
+	"ravenport/detector"
+)
+
+// serve starts a controller's gRPC server and returns a client that reaches it.
+func serve(t *testing.T, h Handlers) *Client {
+	t.Helper()
+	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	addr := l.Addr().String()
+	l.Close()
+	go func() {
+		if err := Serve(t.Context(), addr, h); err != nil && t.Context().Err() == nil {
+			t.Error(err)
+		}
+	}()
+	c, err := Dial(addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+		if _, err := c.Push(t.Context(), Status{}); err == nil {
+			return c
+		}
+	}
+	t.Fatal("nobody listens")
+	return nil
+}
+
+// Heartbeats and probes arrive as they were sent, and a controller without failure
+// detection is told from one that does not answer.
+func TestHeartbeatsAndProbes(t *testing.T) {
+	status := func(Status) Reply { return Reply{} }
+	sent := detector.Message{Node: "n-0", Heartbeat: detector.Heartbeat{Process: 7, Refutation: 1, Sequence: 3, Stalled: []string{"leader"}},
+		Accusations: []detector.Accusation{{Node: "n-2", Process: 9, Refutation: 2, Evidence: []detector.Evidence{detector.Unserved}}}}
+	answer := detector.Message{Node: "n-1", Heartbeat: detector.Heartbeat{Process: 8, Sequence: 1}}
+	on := serve(t, Handlers{Status: status, Detection: Detection{
+		Heartbeat: func(_ context.Context, m detector.Message) (detector.Message, error) {
+			if !reflect.DeepEqual(m, sent) {
+				t.Errorf("%+v became %+v", sent, m)
+			}
+			return answer, nil
+		},
+		Probe: func(_ context.Context, r ProbeRequest) (ProbeReply, error) {
+			if r != (ProbeRequest{Node: "n-0", Target: "n-2"}) {
+				t.Errorf("asked for %+v", r)
+			}
+			return ProbeReply{}, nil
+		},
+	}})
+	ctx := t.Context()
+	if got, err := on.Heartbeat(ctx, sent); err != nil || !reflect.DeepEqual(got, answer) {
+		t.Errorf("%+v, %v", got, err)
+	}
+	if got, err := on.Probe(ctx, ProbeRequest{Node: "n-0", Target: "n-2"}); err != nil || got.Heartbeat != nil {
+		t.Errorf("%+v, %v", got, err)
+	}
+	off := serve(t, Handlers{Status: status})
+	if _, err := off.Heartbeat(ctx, sent); !errors.Is(err, ErrNotMonitored) {
+		t.Errorf("detection is off there: %v", err)
+	}
+	if _, err := off.Probe(ctx, ProbeRequest{}); !errors.Is(err, ErrNotMonitored) {
+		t.Errorf("detection is off there: %v", err)
+	}
+	nobody, err := Dial("127.0.0.1:1")
+	if err != nil {
+		t.Fatal(err)
+	}
+	short, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
+	defer cancel()
+	if _, err := nobody.Heartbeat(short, sent); err == nil || errors.Is(err, ErrNotMonitored) {
+		t.Errorf("nobody there: %v", err)
+	}
+}
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -71,6 +71,8 @@
 type Handlers struct {
 	Status func(Status) Reply // must not block
 	Commit CommitHandler
+	// Detection is empty where failure detection is off.
+	Detection Detection
 }
 
 const method = "/ravenport.Peer/Push"
@@ -99,7 +101,7 @@
 			r := srv.(Handlers).Status(s)
 			return &r, nil
 		},
-	}, commitDesc},
+	}, commitDesc, heartbeatDesc, probeDesc},
 }
 
 // Serve listens on addr until ctx ends.
--- a/state/golden_test.go
+++ b/state/golden_test.go
@@ -18,6 +18,9 @@
 		record          any
 	}{
 		{"controller", KeyNode("n-0"), `{"inc":7,"pack":true}`, Node{Name: "n-0", Incarnation: 7, Packs: true}},
+		{"controller that heeds revocations", KeyNode("n-0"), `{"inc":7,"life":3500}`, Node{Name: "n-0", Incarnation: 7, LifeMS: 3500}},
+		{"revocation", KeyRevoked("n-0"), `{"inc":7,"life":3500,"by":"n-1","ev":["unserved"],"acc":["n-1","n-2"]}`,
+			Revocation{Node: "n-0", Incarnation: 7, LifeMS: 3500, By: "n-1", Evidence: []string{"unserved"}, Accusers: []string{"n-1", "n-2"}}},
 		{"term", KeyPart("a"), `{"node":"n-0","inc":7,"term":3,"cut":true}`, Term{Part: "a", Node: "n-0", Incarnation: 7, Number: 3, Cut: true}},
 		{"leader's term", KeyLeader, `{"node":"n-0","inc":7,"term":3}`, Term{Node: "n-0", Incarnation: 7, Number: 3}},
 		{"page", KeyRoster("a", 2), `{"g":[{"t":"box","u":{"m-1":"10.0.0.9:9000"},"c":{"m-2":17}}]}`, page},
--- a/state/records.go
+++ b/state/records.go
@@ -18,6 +18,7 @@
 	KeyLeader    = Prefix + "leader"
 	KeyBarrier   = Prefix + "barrier" // never written; reading it tells the revision
 	nodePrefix   = Prefix + "node/"
+	revokePrefix = Prefix + "revoked/"
 	partPrefix   = Prefix + "part/"
 	rosterPrefix = Prefix + "roster/"
 	jobPrefix    = Prefix + "job/"
@@ -26,6 +27,9 @@
 // KeyNode is the key that lives as long as a controller's lease.
 func KeyNode(node string) string { return nodePrefix + node }
 
+// KeyRevoked is the key of the latest revocation of a controller's process.
+func KeyRevoked(node string) string { return revokePrefix + node }
+
 // KeyPart is the key of a part's term.
 func KeyPart(part string) string { return partPrefix + part }
 
@@ -43,6 +47,21 @@
 	Incarnation uint64 `json:"inc"`
 	// Packs: this version reads packed records.
 	Packs bool `json:"pack,omitempty"`
+	// LifeMS is the life of the process's lease (ms), if it heeds revocations; one
+	// that does not must not be revoked.
+	LifeMS int64 `json:"life,omitempty"`
+}
+
+// Revocation ends the authority of one process of a controller, although its lease
+// lives: at most the lease's life after this was written. It is never deleted, and
+// says nothing of any other process.
+type Revocation struct {
+	Node        string   `json:"-"`
+	Incarnation uint64   `json:"inc"`
+	LifeMS      int64    `json:"life"`
+	By          string   `json:"by"`
+	Evidence    []string `json:"ev,omitempty"`
+	Accusers    []string `json:"acc,omitempty"`
 }
 
 // Term says who leads or owns, and under which token. Terms are never
@@ -229,7 +248,7 @@
 	return b
 }
 
-// Decode reads the record under key: *Node, *Term, *Page or *Job. It
+// Decode reads the record under key: *Node, *Revocation, *Term, *Page or *Job. It
 // returns nil for a key of another kind.
 func Decode(key string, data []byte) (any, error) {
 	var v any
@@ -240,6 +259,8 @@
 		v = &Term{Part: key[len(partPrefix):]}
 	case strings.HasPrefix(key, nodePrefix):
 		v = &Node{Name: key[len(nodePrefix):]}
+	case strings.HasPrefix(key, revokePrefix):
+		v = &Revocation{Node: key[len(revokePrefix):]}
 	case strings.HasPrefix(key, rosterPrefix):
 		part, page, _ := strings.Cut(key[len(rosterPrefix):], "/")
 		n, err := strconv.Atoi(page)
