--- a/actor/actor.go
+++ b/actor/actor.go
@@ -5,6 +5,7 @@
 import (
 	"context"
 	"sync"
+	"sync/atomic"
 )
 
 // Handler is an actor's behaviour. Receive is called for one message at a
@@ -18,6 +19,8 @@
 	mu     sync.Mutex // guards the mailbox alone; no actor's state is shared
 	queue  []any
 	signal chan struct{}
+
+	told, handled atomic.Uint64 // messages, over the actor's life
 }
 
 // NewRef makes an address whose actor starts with Run.
@@ -30,6 +33,7 @@
 	r.mu.Lock()
 	r.queue = append(r.queue, msg)
 	r.mu.Unlock()
+	r.told.Add(1)
 	select {
 	case r.signal <- struct{}{}:
 	default:
@@ -61,6 +65,7 @@
 			}
 			for _, m := range batch {
 				h.Receive(ctx, m)
+				r.handled.Add(1)
 			}
 		}
 	}
--- a/constants/constants.go
+++ b/constants/constants.go
@@ -146,6 +146,15 @@
 	// takes over where failure detection is on: the first one's claim is known to
 	// all by then, and ranks it behind others for the next.
 	TakeoverGap = 500 * time.Millisecond
+	// UnservedLeast is of how many machines of an owner at least it must be known
+	// that it does not serve them before that is held against it: one alone may have
+	// a fault of its own (machines).
+	UnservedLeast = 2
+	// MonitorTell is how often the monitor tells what it sees and proposes.
+	MonitorTell = 500 * time.Millisecond
+	// StatusEvents is how many of the latest membership events the status shows
+	// (events).
+	StatusEvents = 20
 	// PeersAway is when a controller that heard from no other one, though some
 	// are alive, takes itself for cut off.
 	PeersAway = 3 * time.Second
--- a/detector/message.go
+++ b/detector/message.go
@@ -8,10 +8,12 @@
 // Evidence is a kind of reason to suspect a controller.
 type Evidence string
 
-// Kinds of evidence. All but Unreachable are about the controller's work.
+// Kinds of evidence.
 const (
 	// Unreachable: it was silent beyond its bound, and no probe was answered.
 	Unreachable Evidence = "unreachable"
+	// Unanswered: its own heartbeats come, and it answers neither calls nor probes.
+	Unanswered Evidence = "unanswered"
 	// Stalled: its own heartbeat names an actor that makes no progress.
 	Stalled Evidence = "stalled"
 	// Unserved: workers that were sent to it came back to the observer.
@@ -20,10 +22,12 @@
 	LeaseEnded Evidence = "lease ended"
 )
 
-// aboutWork says whether the evidence shows that work is not done. A controller's
-// own word cannot refute it.
+// aboutWork says whether the evidence shows that work is not done.
 func (e Evidence) aboutWork() bool { return e == Stalled || e == Unserved }
 
+// refutable says whether a controller's own word ends the evidence.
+func (e Evidence) refutable() bool { return e == Unreachable }
+
 // Heartbeat is what a controller says of itself.
 type Heartbeat struct {
 	// Process names the process by the incarnation under its key in the state
@@ -58,6 +62,16 @@
 	return false
 }
 
+// refutable says whether the accused one's own word ends all of the evidence.
+func (a Accusation) refutable() bool {
+	for _, e := range a.Evidence {
+		if !e.refutable() {
+			return false
+		}
+	}
+	return true
+}
+
 // Message is what controllers exchange: a heartbeat and the sender's accusations.
 type Message struct {
 	Node        string       `json:"node"`
--- a/detector/peer.go
+++ b/detector/peer.go
@@ -28,13 +28,14 @@
 	lease     uint64 // process that holds the lease, as the state service shows
 	leaseSeen bool   // there was one since this observer started
 	latest    Heartbeat
-	past      []uint64 // processes before latest.Process
-	heardAt   time.Time
-	provenAt  time.Time // when a probe through another controller was last answered
+	past      []uint64  // processes before latest.Process
+	heardAt   time.Time // when it was last heard itself, or a probe showed that others hear it
+	answered  time.Time // when a call or a probe was last answered
 	intervals intervals
 
 	probe         probeState
 	unreachableAt time.Time // when the silence began that is held against it; zero: none
+	unansweredAt  time.Time // the same for calls
 	stalledAt     time.Time
 	unservedAt    time.Time
 	suspectAt     time.Time
@@ -75,20 +76,15 @@
 	return p.past[len(p.past)-1]
 }
 
-// silentSince is from when on nothing has shown the controller to be reachable.
-func (p *peer) silentSince() time.Time {
-	if p.provenAt.After(p.heardAt) {
-		return p.provenAt
-	}
-	return p.heardAt
-}
-
 // evidence lists what this observer holds against the controller.
 func (p *peer) evidence() []Evidence {
 	var out []Evidence
 	if !p.unreachableAt.IsZero() {
 		out = append(out, Unreachable)
 	}
+	if !p.unansweredAt.IsZero() {
+		out = append(out, Unanswered)
+	}
 	if !p.stalledAt.IsZero() {
 		out = append(out, Stalled)
 	}
@@ -101,7 +97,7 @@
 // evidenceSince is when the oldest of the evidence began.
 func (p *peer) evidenceSince() time.Time {
 	var first time.Time
-	for _, t := range []time.Time{p.unreachableAt, p.stalledAt, p.unservedAt} {
+	for _, t := range []time.Time{p.unreachableAt, p.unansweredAt, p.stalledAt, p.unservedAt} {
 		if !t.IsZero() && (first.IsZero() || t.Before(first)) {
 			first = t
 		}
@@ -109,9 +105,17 @@
 	return first
 }
 
-// reached clears what silence could be held against the controller for.
-func (p *peer) reached() {
+// hear notes that the controller is there.
+func (p *peer) hear(now time.Time) {
+	p.heardAt = now
 	p.unreachableAt = time.Time{}
+}
+
+// answer notes that it answered a call, or somebody else's.
+func (p *peer) answer(now time.Time) {
+	p.hear(now)
+	p.answered = now
+	p.unansweredAt = time.Time{}
 	p.probe = probeState{}
 }
 
@@ -139,7 +143,7 @@
 	}
 	p.latest = h
 	p.intervals = intervals{expected: p.intervals.expected}
-	p.heardAt, p.provenAt = time.Time{}, time.Time{}
+	p.heardAt, p.answered = time.Time{}, time.Time{}
 	p.clear()
 }
 
@@ -151,14 +155,16 @@
 
 // clear drops all evidence.
 func (p *peer) clear() {
-	p.unreachableAt, p.stalledAt, p.unservedAt, p.suspectAt = time.Time{}, time.Time{}, time.Time{}, time.Time{}
+	for _, t := range []*time.Time{&p.unreachableAt, &p.unansweredAt, &p.stalledAt, &p.unservedAt, &p.suspectAt} {
+		*t = time.Time{}
+	}
 	p.probe = probeState{}
 }
 
 // postpone moves everything that is measured from a time by a pause of the
 // observer, in which it could have heard nothing.
 func (p *peer) postpone(pause time.Duration) {
-	for _, t := range []*time.Time{&p.heardAt, &p.provenAt, &p.unreachableAt, &p.stalledAt, &p.unservedAt, &p.suspectAt, &p.opinionAt, &p.probe.startedAt} {
+	for _, t := range []*time.Time{&p.heardAt, &p.answered, &p.unreachableAt, &p.unansweredAt, &p.stalledAt, &p.unservedAt, &p.suspectAt, &p.opinionAt, &p.probe.startedAt} {
 		if !t.IsZero() {
 			*t = t.Add(pause)
 		}
--- a/node/control.go
+++ b/node/control.go
@@ -10,6 +10,7 @@
 
 	"ravenport/actor"
 	"ravenport/constants"
+	"ravenport/detector"
 	"ravenport/frontdoor"
 	"ravenport/httpwire"
 	"ravenport/leader"
@@ -135,6 +136,7 @@
 	pushing    map[string]bool
 	peersState map[string]peerView
 	strays     map[string]stray
+	detect     detection
 }
 
 // stray is a report that was made here though another controller owns its
@@ -144,7 +146,7 @@
 	at time.Time
 }
 
-func newControl(set *settings.Settings, out Outside, self, door *actor.Ref) *control {
+func newControl(set *settings.Settings, out Outside, self, door, monitor *actor.Ref) *control {
 	c := &control{
 		set: set, io: out, self: self, door: door, started: time.Now(), grants: map[string]time.Time{},
 		jobs: map[string]*state.Job{}, versions: map[string]uint64{}, roster: map[string]*state.Page{}, rosterV: map[string]uint64{}, partOf: map[string]string{}, odd: map[string]bool{},
@@ -161,6 +163,11 @@
 	}
 	c.member = member.New(set.Node, all, set.Params.Zones, time.Now())
 	c.member.SetSecondPartWait(set.SecondPartWait())
+	if monitor != nil {
+		c.member.EnableDetection()
+		window := time.Duration(constants.StrayPeriods * float64(set.Report()))
+		c.detect = detection{monitor: monitor, returning: newReturningWorkers(window)}
+	}
 	return c
 }
 
@@ -204,6 +211,14 @@
 		c.cancelled(peer.Cancellation{Job: m.ID, Revision: m.Revision})
 	case claimed:
 		c.claimed(now, m)
+	case []detector.Proposal:
+		c.propose(ctx, now, m)
+	case revocationDone:
+		c.revocationDone(m)
+	case membership:
+		c.detect.seen = m
+	case resign:
+		c.detect.resigned = true
 	case typesRead:
 		c.typesBusy = false
 		if m.err != nil {
@@ -262,6 +277,8 @@
 			} else {
 				c.jobs[r.ID], c.versions[r.ID] = r, ch.Version
 			}
+		case *state.Revocation:
+			c.noteRevocation(now, r)
 		case *state.Page:
 			if old := c.roster[ch.Key]; old != nil {
 				for _, m := range old.Machines() {
@@ -342,6 +359,7 @@
 		c.handOn(ctx, now, state.KeyLeader)
 	}
 	c.push(ctx, now)
+	c.tellMonitor(now)
 }
 
 func (c *control) readTypes(ctx context.Context, now time.Time) {
@@ -380,6 +398,9 @@
 	} else if next := c.successor[m.report.Zone]; next != "" {
 		to = next
 	}
+	if to != "" && c.detect.monitor != nil {
+		c.detect.returning.sent(now, m.report.Machine, m.report.Session, m.report.Seq, to)
+	}
 	body, err := json.Marshal(wire.Redirect{ReportTo: to})
 	if err != nil {
 		slog.Error("encoding an answer", "err", err)
@@ -391,7 +412,7 @@
 // service is away for all, it can do as much as any other and stays healthy:
 // it answers at once when to come back, and is there the moment it returns.
 func (c *control) health(now time.Time, m health) {
-	ok := c.synced && len(c.types) > 0
+	ok := c.synced && len(c.types) > 0 && !c.detect.resigned
 	if ok && now.Sub(c.heardAt) > constants.StateSilence+constants.WatchWait/2 {
 		for _, p := range c.peersState {
 			if p.stateOK && now.Sub(p.at) < constants.StateSilence {
--- /dev/null
+++ b/node/detection_test.go
@@ -0,0 +1,466 @@
+package node
+
+import (
+	"encoding/json"
+	"regexp"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"ravenport/constants"
+	"ravenport/detector"
+	"ravenport/httpwire"
+	"ravenport/wire"
+)
+
+// leaseLife is the life of a controller's lease in these tests.
+const leaseLife = 3500 * time.Millisecond
+
+// takeoverBound is within which time a shard whose owner is gone must have another:
+// its lease, the places in the order, a write and the feeds.
+const takeoverBound = leaseLife + 3*constants.ClaimStep + 2*time.Second
+
+// revocationBound is the same for an owner that holds its lease and does no work: the
+// silence of its workers, the declaration, widened once, and then the takeover.
+const revocationBound = 20*time.Second + takeoverBound
+
+// detectionScenario is a failure of controllers on a deployment that is at work, with
+// failure detection on everywhere but where it says so.
+type detectionScenario struct {
+	name string
+	off  []int // controllers without detection
+	play func(*testing.T, *world, *busy)
+}
+
+// play brings the failure about; afterwards everything that was accepted must end,
+// and no rule may have been broken.
+func (s detectionScenario) run(t *testing.T, seed uint64) {
+	synctest.Test(t, func(t *testing.T) {
+		w := newWorldOf(seed, []string{"a", "b"}, 3, magnoliaTimes)
+		w.late, w.tame = 0, true
+		w.lostAnswers, w.lateWrites, w.repeats = 0, 0, 0
+		for k := range w.capacity {
+			w.capacity[k] = 6
+		}
+		for i, n := range w.nodes {
+			n.detect()
+			for _, off := range s.off {
+				if off == i {
+					n.set.Detection = nil
+				}
+			}
+			n.start()
+		}
+		go w.expireLeases()
+		defer w.shut()
+		time.Sleep(5 * time.Second)
+		b := w.work(t, 60)
+		s.play(t, w, b)
+		for _, n := range w.nodes {
+			w.do(func() { n.noCalls = false })
+		}
+		w.settle(t, 4*time.Minute, b.finishes)
+		if len(w.broken) > 0 {
+			t.Errorf("rules broken: %s", strings.Join(w.broken, "; "))
+		}
+	})
+}
+
+// movesWithin waits until a zone's shard is another controller's.
+func (w *world) movesWithin(t *testing.T, zone string, from int, bound time.Duration) {
+	t.Helper()
+	began := time.Now()
+	w.until(t, "the shard of "+zone+" moves", bound, func() bool { o := w.owner(zone); return o >= 0 && o != from })
+	t.Logf("another owner after %s", time.Since(began))
+}
+
+// staysWith sees that no term changes while something goes on.
+func (w *world) staysWith(t *testing.T, do func()) {
+	t.Helper()
+	a, b, revoked := w.term("a"), w.term("b"), w.count("revocations")
+	do()
+	if w.term("a") != a || w.term("b") != b || w.count("revocations") != revoked {
+		t.Errorf("terms went from %d and %d to %d and %d, with %d revocations", a, b, w.term("a"), w.term("b"), w.count("revocations")-revoked)
+	}
+}
+
+// freezes is a pause of an owner for so many lease lives, after which it goes on in
+// the middle of what it did.
+func freezes(leases float64) func(*testing.T, *world, *busy) {
+	return func(t *testing.T, w *world, _ *busy) {
+		owner := w.owner("a")
+		pause := time.Duration(leases * float64(leaseLife))
+		if leases <= 0.5 {
+			w.staysWith(t, func() { w.nodes[owner].freeze(pause); time.Sleep(pause + 10*time.Second) })
+			return
+		}
+		w.nodes[owner].freeze(pause)
+		if leases > 2 {
+			w.movesWithin(t, "a", owner, takeoverBound)
+		}
+		time.Sleep(pause)
+	}
+}
+
+// grayFailure cuts an owner from its workers and from other controllers' calls, while
+// its own calls to them and to the state service go through: it hears of no worker
+// that reports elsewhere, and takes its peers for well.
+func grayFailure(w *world, owner int) {
+	w.do(func() { w.nodes[owner].cutWork, w.nodes[owner].noCalls = true, true })
+}
+
+var detectionScenarios = []detectionScenario{
+	{name: "owner pauses for half a lease", play: freezes(0.5)},
+	{name: "owner pauses for a lease", play: freezes(1)},
+	{name: "owner pauses for three leases", play: freezes(3)},
+	{name: "owner pauses for ten leases", play: freezes(10)},
+	{name: "owner wakes just as it is replaced", play: func(t *testing.T, w *world, _ *busy) {
+		owner := w.owner("a")
+		w.nodes[owner].freeze(time.Hour)
+		w.movesWithin(t, "a", owner, takeoverBound)
+		w.do(func() { w.nodes[owner].thaws = time.Now() })
+		time.Sleep(20 * time.Second)
+	}},
+	{name: "owner is killed", play: func(t *testing.T, w *world, _ *busy) {
+		owner := w.owner("a")
+		w.nodes[owner].restart(30 * time.Second)
+		w.movesWithin(t, "a", owner, takeoverBound)
+		time.Sleep(40 * time.Second)
+	}},
+	{name: "owner is killed and back within a fraction of a second", play: func(t *testing.T, w *world, _ *busy) {
+		for range 4 {
+			owner := w.owner("a")
+			term := w.term("a")
+			w.nodes[owner].restart(200 * time.Millisecond)
+			w.until(t, "a new term", takeoverBound, func() bool { return w.term("a") > term })
+			time.Sleep(700 * time.Millisecond)
+		}
+		if n := w.count("revocations"); n != 0 {
+			t.Errorf("%d processes were revoked", n)
+		}
+	}},
+	{name: "two fail together, then the one that takes over", play: func(t *testing.T, w *world, _ *busy) {
+		first, second := w.owner("a"), w.owner("b")
+		w.nodes[first].restart(25 * time.Second)
+		w.nodes[second].restart(25 * time.Second)
+		third := 3 - first - second
+		w.until(t, "the third one owns both", takeoverBound+constants.SecondPartWaitMost, func() bool { return w.owner("a") == third && w.owner("b") == third })
+		w.nodes[third].restart(45 * time.Second)
+		w.until(t, "both have owners again", time.Minute, func() bool { return w.owner("a") != third && w.owner("b") != third })
+		time.Sleep(30 * time.Second)
+	}},
+	{name: "owner without workers that other controllers cannot call", play: func(t *testing.T, w *world, _ *busy) {
+		owner := w.owner("a")
+		grayFailure(w, owner)
+		w.movesWithin(t, "a", owner, revocationBound)
+		if w.count("revocations") == 0 {
+			t.Error("it moved without a revocation")
+		}
+		time.Sleep(30 * time.Second)
+		if w.owner("a") == owner {
+			t.Error("it has its shard again, and still does not hear its workers")
+		}
+	}},
+	{name: "owner's workers cannot reach it", play: func(t *testing.T, w *world, b *busy) {
+		owner := w.owner("a")
+		w.do(func() { w.nodes[owner].cutWork = true })
+		w.movesWithin(t, "a", owner, revocationBound)
+		j := w.newArray("run-000900", 2, 2, 5)
+		j.spec.Zone = "a"
+		go w.user(j, 0, 0)
+		w.allDone(t, 90*time.Second, []*simJob{j}) // its machines are not kept idle
+	}},
+	{name: "owner cut from all controllers, not from the state service", play: func(t *testing.T, w *world, _ *busy) {
+		w.staysWith(t, func() {
+			owner := w.nodes[w.owner("a")]
+			w.do(func() { owner.cutPeers = true })
+			time.Sleep(40 * time.Second)
+		})
+	}},
+	{name: "owner cut from the state service, not from controllers and workers", play: func(t *testing.T, w *world, _ *busy) {
+		owner := w.owner("a")
+		w.do(func() { w.nodes[owner].cutState = true })
+		w.movesWithin(t, "a", owner, takeoverBound)
+		time.Sleep(20 * time.Second)
+	}},
+	{name: "link flaps within seconds", play: func(t *testing.T, w *world, _ *busy) {
+		w.staysWith(t, func() {
+			owner := w.nodes[w.owner("a")]
+			for range 20 {
+				w.do(func() { owner.cutPeers = !owner.cutPeers })
+				time.Sleep(w.between(500*time.Millisecond, 3*time.Second))
+			}
+			w.do(func() { owner.cutPeers = false })
+			time.Sleep(5 * time.Second)
+		})
+	}},
+	{name: "a slow controller suspects everybody", play: func(t *testing.T, w *world, _ *busy) {
+		slow := w.nodes[3-w.owner("a")-w.owner("b")]
+		w.staysWith(t, func() {
+			for range 15 {
+				slow.freeze(2500 * time.Millisecond)
+				time.Sleep(3 * time.Second)
+			}
+		})
+	}},
+	{name: "all pause at once", play: func(t *testing.T, w *world, _ *busy) {
+		for _, n := range w.nodes {
+			n.freeze(8 * time.Second)
+		}
+		time.Sleep(40 * time.Second)
+		if n := w.count("revocations"); n != 0 {
+			t.Errorf("%d processes were revoked", n)
+		}
+	}},
+	{name: "state service away for all", play: func(t *testing.T, w *world, _ *busy) {
+		w.staysWith(t, func() {
+			w.setOutage(true)
+			time.Sleep(40 * time.Second)
+			w.setOutage(false)
+			time.Sleep(15 * time.Second)
+		})
+	}},
+	{name: "controllers with and without detection", off: []int{0}, play: func(t *testing.T, w *world, _ *busy) {
+		for _, zone := range []string{"a", "b"} {
+			owner := w.owner(zone)
+			grayFailure(w, owner)
+			time.Sleep(revocationBound)
+			w.do(func() { w.nodes[owner].cutWork, w.nodes[owner].noCalls = false, false })
+			time.Sleep(10 * time.Second)
+		}
+		w.nodes[0].restart(10 * time.Second)
+		time.Sleep(30 * time.Second)
+	}},
+}
+
+// Each failure is brought about on controllers at work with failure detection on; the
+// shards go where they should and no rule is broken.
+func TestDetectionScenarios(t *testing.T) {
+	quietLogs(t)
+	for _, s := range detectionScenarios {
+		t.Run(s.name, func(t *testing.T) {
+			for seed := range uint64(2) {
+				s.run(t, seed)
+			}
+		})
+	}
+}
+
+// A gray failure stays for ever where nothing but the lease is looked at: without
+// detection the scenario that it mends is seen to hang.
+func TestGrayFailureStaysWithoutDetection(t *testing.T) {
+	quietLogs(t)
+	synctest.Test(t, func(t *testing.T) {
+		w := quietWorld(0)
+		defer w.shut()
+		w.work(t, 300)
+		owner := w.owner("a")
+		grayFailure(w, owner)
+		time.Sleep(3 * revocationBound)
+		if w.owner("a") != owner {
+			t.Errorf("the shard moved to %d; the failure is noticed without detection, and its scenario shows nothing", w.owner("a"))
+		}
+	})
+}
+
+// An owner that is stuck in one message is replaced: its process gives up its lease
+// and ends, and what it still does when it goes on is harmless.
+func TestStuckOwnerIsReplaced(t *testing.T) {
+	quietLogs(t)
+	for seed := range uint64(3) {
+		synctest.Test(t, func(t *testing.T) {
+			w := newWorldOf(seed, []string{"a", "b"}, 3, magnoliaTimes)
+			w.late, w.tame = 0, true
+			for _, n := range w.nodes {
+				n.detect()
+				n.start()
+			}
+			go w.expireLeases()
+			defer w.shut()
+			time.Sleep(5 * time.Second)
+			b := w.work(t, 60)
+			owner := w.owner("a")
+			w.nodes[owner].stickOwner("a", 50*time.Second)
+			w.movesWithin(t, "a", owner, w.nodes[owner].set.Detection.StallAfter+time.Second+takeoverBound)
+			w.until(t, "the process ends itself", 15*time.Second, func() bool { return w.count("ended itself: node") == 1 })
+			time.Sleep(50 * time.Second)
+			w.settle(t, 4*time.Minute, b.finishes)
+			if len(w.broken) > 0 {
+				t.Errorf("rules broken: %s", strings.Join(w.broken, "; "))
+			}
+		})
+	}
+}
+
+// Whatever fails, and whoever accuses whom without any reason, no rule is broken with
+// detection on, and everything accepted comes to its end.
+func TestRulesHoldWithDetection(t *testing.T) {
+	quietLogs(t)
+	revoked, late := 0, 0
+	for seed := *simFrom; seed < *simFrom+*simDays/2; seed++ {
+		synctest.Test(t, func(t *testing.T) {
+			w := day(t, 1000+seed, []string{"a", "b", "c"}[:2+seed%2], func(w *world) { accusedAtRandom(w, 20*time.Second) })
+			if len(w.broken) > 0 {
+				t.Fatalf("seed %d: %d broken rules, first: %s", seed, len(w.broken), strings.Join(w.broken[:min(4, len(w.broken))], "; "))
+			}
+			for id, j := range w.jobs {
+				if !j.accepted || j.told == "" {
+					t.Errorf("seed %d: %s: accepted %v, told %q, %d of %d tasks done", seed, id, j.accepted, j.told, len(j.doneTasks), j.spec.Tasks)
+				}
+			}
+			revoked += w.seen["revocations"]
+			late += w.seen["late heartbeats"]
+		})
+	}
+	if revoked < int(*simDays)/2 || late == 0 {
+		t.Errorf("only %d revocations and %d late heartbeats came about", revoked, late)
+	}
+}
+
+// accusedAtRandom switches detection on, and has controllers accuse each other, for the
+// first minutes, once in a while.
+func accusedAtRandom(w *world, every time.Duration) {
+	for _, n := range w.nodes {
+		n.detect()
+	}
+	go func() {
+		for end := time.Now().Add(200 * time.Second); time.Now().Before(end); {
+			time.Sleep(w.between(every/2, every))
+			w.mu.Lock()
+			by, of := w.nodes[w.rng.IntN(len(w.nodes))], w.nodes[w.rng.IntN(len(w.nodes))]
+			w.mu.Unlock()
+			if by != of {
+				w.accuse(by, of)
+			}
+		}
+	}()
+}
+
+// The wait before a revoked holder's terms are claimed is what keeps the rules: an
+// owner that is cut off with its zone as it is revoked still answers its workers for as
+// long as its authority lasts, and whoever claimed at once would believe their leases
+// over too early. The checker sees that.
+func TestRevokedHolderMustBeOutlived(t *testing.T) {
+	quietLogs(t)
+	for seed := range uint64(4) {
+		if broken := revokedBehindCut(t, seed, false); len(broken) > 0 {
+			t.Errorf("seed %d: rules broken: %v", seed, broken)
+		}
+	}
+	// Whether it shows depends on the order in which goroutines run.
+	for seed := range uint64(guardSeeds) {
+		if broken := revokedBehindCut(t, seed, true); len(broken) > 0 {
+			return
+		}
+	}
+	t.Error("without the wait no rule was seen broken")
+}
+
+// revokedBehindCut cuts an owner off with its zone, revokes it, and returns the rules
+// that were broken. A hasty successor does not wait for the end of its authority.
+func revokedBehindCut(t *testing.T, seed uint64, hasty bool) (broken []string) {
+	const longLife = 18 * time.Second
+	synctest.Test(t, func(t *testing.T) {
+		w := newWorld(seed, []string{"a", "b"}, 3)
+		w.late, w.tame, w.hasty = 0, true, hasty
+		for _, n := range w.nodes {
+			n.set.Operator.LeaseLife = longLife
+			n.detect()
+			n.start()
+		}
+		go w.expireLeases()
+		defer w.shut()
+		time.Sleep(5 * time.Second)
+		w.service("run-000001", 2) // one in each zone: machines with room
+		time.Sleep(30 * time.Second)
+		j := &simJob{spec: wire.Submission{ID: "run-000002", Class: "c", Team: "free", Kind: wire.KindService, Priority: wire.PriorityProduction,
+			Tasks: 1, CPUs: 4, MemoryGB: 1, Image: "i", ImageGB: 1}, doneTasks: map[int]bool{}}
+		w.do(func() { w.jobs[j.spec.ID] = j })
+		go w.user(j, 0, 0)
+		w.until(t, "the task runs", time.Minute, func() bool { return len(w.on(j.spec.ID)) > 0 })
+		zone := w.on(j.spec.ID)[0].zone
+		owner := w.nodes[w.owner(zone)]
+		outside := w.nodes[w.owner(otherZone(zone))]
+		w.do(func() { w.cloudOut, w.cutZone, owner.cutState = true, zone, true }) // nothing is surely gone but by its lease
+		w.until(t, "the owner is revoked", 10*time.Second, func() bool { w.accuse(outside, owner); return w.count("revocations") > 0 })
+		time.Sleep(2 * time.Minute)
+		w.do(func() { broken, owner.cutState = w.broken, false })
+	})
+	return broken
+}
+
+func otherZone(zone string) string {
+	if zone == "a" {
+		return "b"
+	}
+	return "a"
+}
+
+// hasten makes a stored lease life so short that nobody waits for its end.
+func hasten(value []byte) []byte { return storedLife.ReplaceAll(value, []byte(`"life":1`)) }
+
+var storedLife = regexp.MustCompile(`"life":\d+`)
+
+// Without authority of its own a controller proposes nothing, and nobody proposes
+// while a claim is promised not to be made.
+func TestNoProposalWithoutAuthority(t *testing.T) {
+	quietLogs(t)
+	synctest.Test(t, func(t *testing.T) {
+		w := newWorldOf(4, []string{"a", "b"}, 3, magnoliaTimes)
+		w.late, w.tame, w.lateWrites, w.repeats, w.lostAnswers = 0, true, 0, 0, 0
+		for _, n := range w.nodes {
+			n.detect()
+			n.start()
+		}
+		go w.expireLeases()
+		defer w.shut()
+		time.Sleep(10 * time.Second)
+		w.do(func() { w.nodes[0].cutState = true })
+		time.Sleep(2 * leaseLife)
+		w.accuse(w.nodes[0], w.nodes[1])
+		time.Sleep(time.Second)
+		w.do(func() { w.nodes[0].cutState = false })
+		time.Sleep(10 * time.Second)
+		if n := w.count("revocations"); n != 0 {
+			t.Errorf("%d revocations by one without authority", n)
+		}
+		w.accuse(w.nodes[0], w.nodes[1])
+		time.Sleep(time.Second)
+		if n := w.count("revocations"); n != 1 {
+			t.Errorf("%d revocations by one with authority", n)
+		}
+	})
+}
+
+// The status shows what is seen of the others, and strangers' heartbeats are counted.
+func TestStatusShowsMembers(t *testing.T) {
+	quietLogs(t)
+	synctest.Test(t, func(t *testing.T) {
+		w := newWorldOf(3, []string{"a", "b"}, 3, magnoliaTimes)
+		for _, n := range w.nodes {
+			n.detect()
+			n.start()
+		}
+		go w.expireLeases()
+		defer w.shut()
+		time.Sleep(10 * time.Second)
+		if _, err := w.nodes[0].up().PeerHeartbeat(t.Context(), detector.Message{Node: "x", Heartbeat: detector.Heartbeat{Process: 1}}); err == nil {
+			t.Error("a stranger's heartbeat was taken")
+		}
+		w.nodes[1].kill()
+		time.Sleep(2 * leaseLife)
+		var s Status
+		asked := &simAnswer{got: make(chan *httpwire.Response, 1)}
+		w.nodes[0].up().self.Tell(statusAsked{asked})
+		if err := json.Unmarshal((<-asked.got).Body, &s); err != nil {
+			t.Fatal(err)
+		}
+		if len(s.Members) != 2 || s.Members[0].State != "failed" || s.Members[1].State != "alive" || s.Dropped.Unknown != 1 {
+			t.Errorf("%+v, dropped %+v", s.Members, s.Dropped)
+		}
+		if len(s.Events) == 0 || !strings.Contains(strings.Join(s.Events, "\n"), "n-1 alive -> failed") {
+			t.Errorf("events: %q", s.Events)
+		}
+	})
+}
--- a/node/lease.go
+++ b/node/lease.go
@@ -52,7 +52,7 @@
 
 // keepLease renews the lease, or gets one and puts this controller's key.
 func (c *control) keepLease(ctx context.Context, now time.Time) {
-	if c.leaseBusy || now.Before(c.nextLease) || !c.synced {
+	if c.leaseBusy || now.Before(c.nextLease) || !c.synced || c.detect.resigned {
 		return
 	}
 	c.leaseBusy = true
@@ -62,6 +62,10 @@
 	if c.lease == 0 {
 		inc := rand.Uint64()>>1 | 1
 		_, version := c.member.NodeKey(c.set.Node)
+		record := state.Node{Incarnation: inc, Packs: true}
+		if c.detect.monitor != nil {
+			record.LifeMS = life.Milliseconds()
+		}
 		go func() {
 			lease, err := c.io.State.Grant(ctx, life)
 			if err == nil {
@@ -70,7 +74,7 @@
 				key := state.KeyNode(c.set.Node)
 				_, err = c.io.First.Commit(ctx, wire.Txn{
 					If:   []wire.Condition{{Key: key, Version: version}},
-					Then: []wire.Change{{Put: key, Value: state.Encode(state.Node{Incarnation: inc, Packs: true}), Lease: lease}},
+					Then: []wire.Change{{Put: key, Value: state.Encode(record), Lease: lease}},
 				})
 			}
 			c.self.Tell(leased{lease, inc, sent, err})
@@ -100,31 +104,28 @@
 	c.lease, c.incarnation, c.leaseSent = m.lease, m.incarnation, m.sent
 	c.nextLease = now
 	slog.Info("lease obtained", "lease", m.lease)
+	if c.member.Revoked(c.set.Node) && c.detect.monitor != nil {
+		slog.Warn("this process was revoked before it knew of its lease")
+		c.endLease(c.authorityGiven().Add(constants.AuthorityMargin))
+		return
+	}
 	c.spreadAuthority(now)
 }
 
 func (c *control) renewed(now time.Time, m renewed) {
 	c.leaseBusy = false
 	switch {
+	case m.lease != c.lease: // given up meanwhile
 	case m.err == nil:
 		c.heardAt = now
-		if m.lease == c.lease && m.sent.After(c.leaseSent) {
+		if m.sent.After(c.leaseSent) {
 			c.leaseSent = m.sent
 		}
 		c.spreadAuthority(now)
 	case errors.Is(m.err, state.ErrNoLease):
 		// Others may hold this controller's terms by now. It begins anew.
 		slog.Warn("lease ended", "lease", m.lease)
-		c.lease, c.incarnation = 0, 0
-		c.leaseSent = time.Time{}
-		for part := range c.owners {
-			c.stopOwner(part)
-		}
-		if c.leaderRef != nil {
-			c.leaderRef.cancel()
-			c.leaderRef = nil
-		}
-		c.nextLease = now
+		c.endLease(now)
 	default:
 		slog.Info("renewal failed", "err", m.err)
 		c.nextLease = now.Add(constants.RetryMin + rand.N(constants.RetryMin))
--- /dev/null
+++ b/node/monitor.go
@@ -0,0 +1,328 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"time"
+
+	"ravenport/actor"
+	"ravenport/constants"
+	"ravenport/detector"
+	"ravenport/history"
+	"ravenport/peer"
+	"ravenport/settings"
+	"ravenport/watchdog"
+)
+
+// MonitorPeer is another controller as failure detection calls it.
+type MonitorPeer interface {
+	Heartbeat(ctx context.Context, m detector.Message) (detector.Message, error)
+	Probe(ctx context.Context, r peer.ProbeRequest) (peer.ProbeReply, error)
+}
+
+// History keeps membership events.
+type History interface {
+	Append(events ...history.Event) error
+}
+
+// ErrStalled ends a controller one of whose actors makes no progress.
+var ErrStalled = errors.New("node: an actor makes no progress")
+
+// Messages to the monitor.
+type (
+	monitorTick    time.Time
+	heartbeatAsked struct { // another controller's heartbeat
+		message detector.Message
+		answer  chan<- heartbeatAnswer // has room for the answer
+	}
+	heartbeatAnswer struct {
+		message detector.Message
+		err     error
+	}
+	heartbeatReply struct { // what came of a heartbeat of this one
+		node    string
+		message detector.Message
+		err     error
+	}
+	ownHeartbeat struct{ answer chan<- detector.Heartbeat } // has room for the answer
+	probeDone    struct {
+		probe     detector.Probe
+		heartbeat *detector.Heartbeat // nil: it failed
+	}
+	// clusterView is what the control actor knows and the monitor needs.
+	clusterView struct {
+		process  uint64            // this controller's; 0: it holds no lease
+		leases   map[string]uint64 // processes that hold the others' leases, by controller
+		unserved map[string]bool   // controllers whose workers come back to this one
+		actors   map[string]*actor.Ref
+		feed     watchdog.Sample
+	}
+	revocationSeen history.Event
+)
+
+// monitor runs failure detection: it exchanges heartbeats, makes probes, watches the
+// other actors, and hands what the detector proposes to the control actor, which
+// alone may act on it.
+type monitor struct {
+	node     string
+	set      *settings.Detection
+	life     time.Duration // of this controller's lease
+	detector *detector.Detector
+	watchdog *watchdog.Watchdog
+	peers    map[string]MonitorPeer
+	history  *actor.Ref // nil: events are kept in memory alone
+	recent   []history.Event
+	self     *actor.Ref
+	control  *actor.Ref
+	failed   chan<- error // has room for one
+
+	view     clusterView
+	beatAt   time.Time
+	tellAt   time.Time
+	sending  map[string]bool // a heartbeat is on its way, by controller
+	dropped  MessageCounts
+	failAt   time.Time // when this process ends because an actor is stalled
+	stalled  []string
+	finished bool
+}
+
+// newMonitor makes the monitor; the settings were checked when they were read.
+func newMonitor(set *settings.Settings, out Outside, self, control *actor.Ref, failed chan<- error) (*monitor, error) {
+	d, err := detector.New(set.DetectorConfig(), time.Now())
+	if err != nil {
+		return nil, err
+	}
+	return &monitor{
+		node: set.Node, set: set.Detection, life: set.Operator.LeaseLife, detector: d, watchdog: watchdog.New(set.Detection.StallAfter),
+		peers: out.Monitors, self: self, control: control, failed: failed, sending: map[string]bool{},
+	}, nil
+}
+
+// Receive implements actor.Handler.
+func (m *monitor) Receive(ctx context.Context, msg any) {
+	now := time.Now()
+	switch msg := msg.(type) {
+	case monitorTick:
+		m.tick(ctx, now)
+	case clusterView:
+		m.setView(now, msg)
+	case heartbeatAsked:
+		err := m.count(m.detector.Receive(now, msg.message))
+		msg.answer <- heartbeatAnswer{m.detector.Beat(), err}
+	case heartbeatReply:
+		m.sending[msg.node] = false
+		if msg.err == nil {
+			_ = m.count(m.detector.ReceiveAnswer(now, msg.message))
+		}
+	case ownHeartbeat:
+		msg.answer <- m.detector.Beat().Heartbeat
+	case probeDone:
+		m.detector.Probed(now, msg.probe, msg.heartbeat)
+	case revocationSeen:
+		m.record(history.Event(msg))
+	}
+}
+
+// count counts a message that the detector dropped.
+func (m *monitor) count(err error) error {
+	if err != nil {
+		m.dropped.count(err)
+		slog.Debug("heartbeat dropped", "err", err)
+	}
+	return err
+}
+
+func (m *monitor) setView(now time.Time, v clusterView) {
+	m.view = v
+	m.detector.SetProcess(v.process)
+	for node, process := range v.leases {
+		m.detector.SetLease(now, node, process)
+		m.detector.SetUnserved(now, node, v.unserved[node])
+	}
+}
+
+func (m *monitor) tick(ctx context.Context, now time.Time) {
+	m.watch(now)
+	if !now.Before(m.detector.Next()) {
+		for _, p := range m.detector.Tick(now) {
+			go m.probe(ctx, p)
+		}
+		for _, c := range m.detector.Changes() {
+			m.note(now, c)
+		}
+	}
+	if m.detector.BeatDue() || !now.Before(m.beatAt) {
+		m.beatAt = now.Add(m.set.Interval)
+		m.beat(ctx)
+	}
+	if !now.Before(m.tellAt) {
+		m.tellAt = now.Add(constants.MonitorTell)
+		m.tell(now)
+	}
+}
+
+// watch looks for stalled actors. With one, this process gives up its lease and ends
+// once that has run out.
+func (m *monitor) watch(now time.Time) {
+	samples := []watchdog.Sample{m.view.feed}
+	for name, ref := range m.view.actors {
+		p := ref.Progress()
+		samples = append(samples, watchdog.Sample{Name: name, Handled: p.Handled, Pending: p.Pending})
+	}
+	stalled := m.watchdog.Observe(now, samples)
+	m.detector.SetStalled(stalled)
+	if len(stalled) > 0 && m.failAt.IsZero() {
+		slog.Error("an actor makes no progress: the lease is given up", "actors", stalled)
+		m.stalled, m.failAt = stalled, now.Add(m.life)
+		m.control.Tell(resign{})
+	}
+	if !m.failAt.IsZero() && !now.Before(m.failAt) && !m.finished {
+		m.finished = true
+		m.failed <- fmt.Errorf("%w: %v", ErrStalled, m.stalled)
+	}
+}
+
+// beat sends a heartbeat to every controller that has answered the one before.
+func (m *monitor) beat(ctx context.Context) {
+	message := m.detector.Beat()
+	for node, p := range m.peers {
+		if m.sending[node] {
+			continue
+		}
+		m.sending[node] = true
+		go func() {
+			ctx, cancel := context.WithTimeout(ctx, constants.PeerTimeout)
+			defer cancel()
+			answer, err := p.Heartbeat(ctx, message)
+			m.self.Tell(heartbeatReply{node, answer, err})
+		}()
+	}
+}
+
+// probe carries out one probe. It runs beside the actor.
+func (m *monitor) probe(ctx context.Context, made detector.Probe) {
+	asked, request := made.Target, peer.ProbeRequest{Node: m.node}
+	if made.Via != "" {
+		asked, request.Target = made.Via, made.Target
+	}
+	ctx, cancel := context.WithTimeout(ctx, m.set.ProbeTimeout)
+	defer cancel()
+	done := probeDone{probe: made}
+	if p := m.peers[asked]; p != nil {
+		if reply, err := p.Probe(ctx, request); err == nil {
+			done.heartbeat = reply.Heartbeat
+		}
+	}
+	m.self.Tell(done)
+}
+
+// note logs a change of state and keeps it in the history.
+func (m *monitor) note(now time.Time, c detector.Change) {
+	e := history.Event{At: now, Observer: m.node, Node: c.Node, Process: c.Process, From: string(c.From), To: string(c.To),
+		Evidence: evidenceNames(c.Evidence), Accusers: c.Accusers}
+	log := slog.Info
+	if c.To == detector.Suspect || c.To == detector.Failed {
+		log = slog.Warn
+	}
+	log("controller's state changed", "node", e.Node, "from", e.From, "to", e.To, "evidence", e.Evidence, "accusers", e.Accusers)
+	m.record(e)
+}
+
+func (m *monitor) record(e history.Event) {
+	m.recent = append(m.recent, e)
+	m.recent = m.recent[max(0, len(m.recent)-constants.StatusEvents):]
+	if m.history != nil {
+		m.history.Tell(e)
+	}
+}
+
+// historyActor writes events to a file, where a slow disk keeps nobody waiting.
+type historyActor struct{ file History }
+
+// Receive implements actor.Handler.
+func (a historyActor) Receive(_ context.Context, msg any) {
+	e, ok := msg.(history.Event)
+	if !ok {
+		return
+	}
+	if err := a.file.Append(e); err != nil {
+		slog.Warn("membership event not kept", "err", err)
+	}
+}
+
+// tell hands the control actor what is seen and what is proposed.
+func (m *monitor) tell(now time.Time) {
+	seen := membership{dropped: m.dropped}
+	for _, v := range m.detector.Views(now) {
+		seen.members = append(seen.members, MemberStatus{
+			Node: v.Node, State: string(v.State), Evidence: evidenceNames(v.Evidence), Accusers: v.Accusers,
+			Refutation: v.Refutation, SilentMS: v.SilentFor.Milliseconds(), BoundMS: v.Bound.Milliseconds(),
+		})
+	}
+	for _, e := range m.recent {
+		seen.events = append(seen.events, e.String())
+	}
+	m.control.Tell(seen)
+	if proposals := m.detector.Proposals(now); m.set.Revoke && len(proposals) > 0 {
+		m.control.Tell(proposals)
+	}
+}
+
+func evidenceNames(evidence []detector.Evidence) []string {
+	var out []string
+	for _, e := range evidence {
+		out = append(out, string(e))
+	}
+	return out
+}
+
+// MessageCounts counts heartbeats that were dropped, by reason.
+type MessageCounts struct {
+	Unknown   uint64 `json:"unknown_controller"`
+	Malformed uint64 `json:"malformed"`
+}
+
+func (c *MessageCounts) count(err error) {
+	switch {
+	case errors.Is(err, detector.ErrUnknownNode):
+		c.Unknown++
+	case errors.Is(err, detector.ErrMalformed):
+		c.Malformed++
+	}
+}
+
+// PeerHeartbeat takes in another controller's heartbeat and answers with this one's.
+func (n *Controller) PeerHeartbeat(ctx context.Context, m detector.Message) (detector.Message, error) {
+	answer := make(chan heartbeatAnswer, 1)
+	n.monitor.Tell(heartbeatAsked{m, answer})
+	select {
+	case a := <-answer:
+		return a.message, a.err
+	case <-ctx.Done():
+		return detector.Message{}, ctx.Err()
+	}
+}
+
+// PeerProbe answers with this controller's heartbeat, or with that of the controller
+// that it is asked to probe.
+func (n *Controller) PeerProbe(ctx context.Context, r peer.ProbeRequest) (peer.ProbeReply, error) {
+	if target := n.monitors[r.Target]; target != nil {
+		return target.Probe(ctx, peer.ProbeRequest{Node: n.node})
+	}
+	if r.Target != "" && r.Target != n.node {
+		return peer.ProbeReply{}, fmt.Errorf("%w: %q", detector.ErrUnknownNode, r.Target)
+	}
+	answer := make(chan detector.Heartbeat, 1)
+	n.monitor.Tell(ownHeartbeat{answer})
+	select {
+	case h := <-answer:
+		return peer.ProbeReply{Heartbeat: &h}, nil
+	case <-ctx.Done():
+		return peer.ProbeReply{}, ctx.Err()
+	}
+}
+
+// Failed tells when this controller must end because it cannot go on.
+func (n *Controller) Failed() <-chan error { return n.failed }
--- a/node/node.go
+++ b/node/node.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"log/slog"
 	"strings"
 	"time"
@@ -10,6 +11,7 @@
 	"ravenport/cloud"
 	"ravenport/constants"
 	"ravenport/frontdoor"
+	"ravenport/history"
 	"ravenport/httpwire"
 	"ravenport/peer"
 	"ravenport/server"
@@ -64,6 +66,10 @@
 	Cloud   Cloud
 	Workers func() Workers // one for each owner
 	Peers   map[string]Peer
+	// Monitors are the other controllers, and History, if there is one, keeps what
+	// becomes of them, where failure detection is on.
+	Monitors map[string]MonitorPeer
+	History  History
 }
 
 // Controller is one controller without its servers.
@@ -71,12 +77,20 @@
 	node       string
 	store      Store
 	self, door *actor.Ref
+	monitor    *actor.Ref // nil: failure detection is off
+	monitors   map[string]MonitorPeer
+	failed     chan error
 }
 
 // Start starts a controller's actors; they run until ctx ends.
-func Start(ctx context.Context, set *settings.Settings, out Outside) *Controller {
-	n := &Controller{node: set.Node, store: out.State, self: actor.NewRef(), door: actor.NewRef()}
-	c := newControl(set, out, n.self, n.door)
+func Start(ctx context.Context, set *settings.Settings, out Outside) (*Controller, error) {
+	n := &Controller{node: set.Node, store: out.State, self: actor.NewRef(), door: actor.NewRef(), monitors: out.Monitors, failed: make(chan error, 1)}
+	if set.Detection != nil {
+		if err := n.startMonitor(ctx, set, out); err != nil {
+			return nil, err
+		}
+	}
+	c := newControl(set, out, n.self, n.door, n.monitor)
 	go n.door.Run(ctx, frontdoor.New(set, out.State, n.door, n.self))
 	go n.self.Run(ctx, c)
 	go state.NewFeed(out.State, set.ReadGap(), func(up state.Update) { n.self.Tell(up) }).Run(ctx)
@@ -84,7 +98,23 @@
 		n.self.Tell(tick(t))
 		n.door.Tell(frontdoor.Tick(t))
 	})
-	return n
+	return n, nil
+}
+
+// startMonitor starts failure detection.
+func (n *Controller) startMonitor(ctx context.Context, set *settings.Settings, out Outside) error {
+	n.monitor = actor.NewRef()
+	m, err := newMonitor(set, out, n.monitor, n.self, n.failed)
+	if err != nil {
+		return err
+	}
+	if out.History != nil {
+		m.history = actor.NewRef()
+		go m.history.Run(ctx, historyActor{out.History})
+	}
+	go n.monitor.Run(ctx, m)
+	go every(ctx, constants.MemberTick, func(t time.Time) { n.monitor.Tell(monitorTick(t)) })
+	return nil
 }
 
 // PeerStatus takes in what another controller tells of itself, and answers
@@ -132,18 +162,20 @@
 		Workers: func() Workers { return worker.NewCommander() },
 		Peers:   map[string]Peer{},
 	}
-	for _, p := range set.Peers {
-		cl, err := peer.Dial(p.Addr)
-		if err != nil {
-			return err
-		}
-		out.Peers[p.Node] = cl
+	if err := connect(set, &out); err != nil {
+		return err
+	}
+	defer openHistory(set, &out)()
+	n, err := Start(ctx, set, out)
+	if err != nil {
+		return err
+	}
+	handlers := peer.Handlers{Status: n.PeerStatus, Commit: n.PeerCommit}
+	if n.monitor != nil {
+		handlers.Detection = peer.Detection{Heartbeat: n.PeerHeartbeat, Probe: n.PeerProbe}
 	}
-	n := Start(ctx, set, out)
 	failed := make(chan error, 2)
-	go func() {
-		failed <- peer.Serve(ctx, set.PeerAddr, peer.Handlers{Status: n.PeerStatus, Commit: n.PeerCommit})
-	}()
+	go func() { failed <- peer.Serve(ctx, set.PeerAddr, handlers) }()
 	front, _ := set.Sockets()
 	srv := server.New(set.Listen, front, n.route)
 	go func() { failed <- srv.Run() }()
@@ -151,11 +183,47 @@
 	select {
 	case err := <-failed:
 		return err
+	case err := <-n.Failed():
+		return err
 	case <-ctx.Done():
 		return nil
 	}
 }
 
+// connect prepares the connections to the other controllers.
+func connect(set *settings.Settings, out *Outside) error {
+	out.Monitors = map[string]MonitorPeer{}
+	for _, p := range set.Peers {
+		client, err := peer.Dial(p.Addr)
+		if err != nil {
+			return err
+		}
+		out.Peers[p.Node] = client
+		out.Monitors[p.Node] = client
+	}
+	return nil
+}
+
+// openHistory opens the file of membership events, if one is asked for, and returns
+// what closes it. One that is damaged, or cannot be opened, is reported and keeps
+// nobody from starting.
+func openHistory(set *settings.Settings, out *Outside) func() {
+	if set.Detection == nil || set.Detection.HistoryPath == "" {
+		return func() {}
+	}
+	file, err := history.Open(set.Detection.HistoryPath, set.Detection.HistorySize)
+	var damage *history.Damage
+	switch {
+	case errors.As(err, &damage):
+		slog.Warn("membership history is damaged", "err", damage)
+	case err != nil:
+		slog.Error("membership history cannot be kept", "err", err)
+		return func() {}
+	}
+	out.History = file
+	return file.Close
+}
+
 func every(ctx context.Context, d time.Duration, f func(time.Time)) {
 	t := time.NewTicker(d)
 	defer t.Stop()
--- a/node/promise.go
+++ b/node/promise.go
@@ -41,7 +41,7 @@
 	for _, h := range s.Ask {
 		t, version := c.member.Term(h.Key)
 		holder, alive := c.member.Holder(h.Key)
-		if !alive || holder != s.Node || t.Number != h.Term || version != h.Version {
+		if !alive || c.member.Revoked(holder) || holder != s.Node || t.Number != h.Term || version != h.Version {
 			return r
 		}
 		if c.claimBusy(now, h.Key) {
--- /dev/null
+++ b/node/standin_detection_test.go
@@ -0,0 +1,149 @@
+package node
+
+import (
+	"context"
+	"fmt"
+	"strings"
+	"time"
+
+	"ravenport/detector"
+	"ravenport/httpwire"
+	"ravenport/peer"
+	"ravenport/settings"
+	"ravenport/state"
+	"ravenport/wire"
+)
+
+// Heartbeat carries a heartbeat over the link to the other controller and back.
+func (p simPeer) Heartbeat(ctx context.Context, m detector.Message) (detector.Message, error) {
+	ctl, err := p.reachForDetection(ctx)
+	if err != nil {
+		return detector.Message{}, err
+	}
+	if p.from.w.chance(p.from.w.lateCopies) { // a copy of it comes late
+		go func() {
+			time.Sleep(p.from.w.between(time.Second, 30*time.Second))
+			if ctl := p.to.up(); ctl != nil && ctl.monitor != nil {
+				ctl.monitor.Tell(heartbeatAsked{m, make(chan heartbeatAnswer, 1)})
+				p.from.w.do(func() { p.from.w.seen["late heartbeats"]++ })
+			}
+		}()
+	}
+	answer, err := ctl.PeerHeartbeat(ctx, m)
+	p.from.stand()
+	return answer, err
+}
+
+// Probe carries a probe over the link to the other controller and back.
+func (p simPeer) Probe(ctx context.Context, r peer.ProbeRequest) (peer.ProbeReply, error) {
+	ctl, err := p.reachForDetection(ctx)
+	if err != nil {
+		return peer.ProbeReply{}, err
+	}
+	answer, err := ctl.PeerProbe(ctx, r)
+	p.from.stand()
+	return answer, err
+}
+
+func (p simPeer) reachForDetection(ctx context.Context) (*Controller, error) {
+	ctl, err := p.reach(ctx)
+	if err != nil {
+		<-ctx.Done() // a cut link shows only as silence
+		return nil, err
+	}
+	if ctl.monitor == nil {
+		return nil, peer.ErrNotMonitored
+	}
+	p.to.stand()
+	return ctl, nil
+}
+
+// supervise restarts a controller that ends itself, as a machine's supervisor does.
+func (n *simNode) supervise(ctx context.Context, ctl *Controller) {
+	select {
+	case <-ctx.Done():
+		return
+	case err := <-ctl.Failed():
+		n.w.do(func() { n.w.seen["ended itself: "+strings.SplitN(err.Error(), ":", 2)[0]]++ })
+	}
+	n.kill()
+	time.Sleep(2 * time.Second)
+	select {
+	case <-n.w.stop:
+	default:
+		n.start()
+	}
+}
+
+// detect switches failure detection on at a controller that is started after this.
+func (n *simNode) detect() {
+	d, err := settings.ParseDetection(nil)
+	if err != nil {
+		panic(err)
+	}
+	n.set.Detection = d
+}
+
+// stickOwner lets the owner of a zone's shard handle one message for so long.
+func (n *simNode) stickOwner(zone string, d time.Duration) {
+	n.w.mu.Lock()
+	ctl, name := n.ctl, ""
+	for _, m := range n.w.machines {
+		if m.zone == zone {
+			name = m.name
+		}
+	}
+	n.w.mu.Unlock()
+	ctl.self.Tell(beat{sleepingAnswer(d), &wire.Report{Machine: name, Addr: name, Type: "box", Zone: zone}})
+}
+
+// sleepingAnswer is a request that takes as long to answer.
+type sleepingAnswer time.Duration
+
+func (d sleepingAnswer) Answer(*httpwire.Response) { time.Sleep(time.Duration(d)) }
+
+// accuse has a controller take another one for failed, whatever there is to that.
+func (w *world) accuse(by, of *simNode) {
+	ctl := by.up()
+	if ctl == nil {
+		return
+	}
+	w.mu.Lock()
+	e := w.kv[state.KeyNode(of.set.Node)]
+	w.mu.Unlock()
+	if e == nil {
+		return
+	}
+	record, err := state.Decode(state.KeyNode(of.set.Node), e.value)
+	if err != nil {
+		panic(err)
+	}
+	ctl.self.Tell([]detector.Proposal{{Node: of.set.Node, Process: record.(*state.Node).Incarnation, Evidence: []detector.Evidence{"accused at random"}, Accusers: []string{by.set.Node}}})
+}
+
+// owner is the number of the controller that owns a zone's shard.
+func (w *world) owner(zone string) int { return w.holder(state.KeyPart(zone)) }
+
+// term is the number of a zone's term.
+func (w *world) term(zone string) uint64 {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	e := w.kv[state.KeyPart(zone)]
+	if e == nil {
+		return 0
+	}
+	record, err := state.Decode(state.KeyPart(zone), e.value)
+	if err != nil {
+		panic(err)
+	}
+	return record.(*state.Term).Number
+}
+
+// count is how often something was seen.
+func (w *world) count(what string) int {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.seen[what]
+}
+
+func (w *world) String() string { return fmt.Sprintf("%v", w.seen) }
--- a/node/standin_store_test.go
+++ b/node/standin_store_test.go
@@ -118,6 +118,12 @@
 			w.events = append(w.events, wire.Event{Delete: ch.Delete, Version: w.revision})
 			continue
 		}
+		if strings.HasPrefix(ch.Put, state.KeyRevoked("")) {
+			w.seen["revocations"]++
+		}
+		if w.hasty {
+			ch.Value = hasten(ch.Value)
+		}
 		w.kv[ch.Put] = &entry{ch.Value, w.revision, ch.Lease}
 		w.events = append(w.events, wire.Event{Put: ch.Put, Value: ch.Value, Version: w.revision})
 	}
--- a/node/status.go
+++ b/node/status.go
@@ -21,6 +21,21 @@
 	Unassigned  int          `json:"unassigned_jobs"` // with tasks that wait for the leader
 	Leader      Role         `json:"leader"`
 	Parts       []PartStatus `json:"parts"`
+	// What failure detection sees, where it is on.
+	Members []MemberStatus `json:"members,omitempty"`
+	Dropped *MessageCounts `json:"heartbeats_dropped,omitempty"`
+	Events  []string       `json:"membership_events,omitempty"` // the latest
+}
+
+// MemberStatus is another controller as failure detection sees it.
+type MemberStatus struct {
+	Node       string   `json:"node"`
+	State      string   `json:"state"`
+	Evidence   []string `json:"evidence,omitempty"`
+	Accusers   []string `json:"accusers,omitempty"` // controllers with evidence of their own
+	Refutation uint64   `json:"refutation,omitempty"`
+	SilentMS   int64    `json:"silent_ms"`
+	BoundMS    int64    `json:"bound_ms"` // silence beyond which it is suspected
 }
 
 // Role says who holds a term.
@@ -66,6 +81,9 @@
 		}
 		s.Parts = append(s.Parts, p)
 	}
+	if c.detect.monitor != nil {
+		s.Members, s.Dropped, s.Events = c.detect.seen.members, &c.detect.seen.dropped, c.detect.seen.events
+	}
 	body, err := json.MarshalIndent(s, "", "  ")
 	if err != nil {
 		slog.Error("encoding the status", "err", err)
--- /dev/null
+++ b/node/unserved_test.go
@@ -0,0 +1,40 @@
+package node
+
+import (
+	"testing"
+	"time"
+)
+
+// Only a worker that comes back with a newer report, lately, from the same owner,
+// was not served there.
+func TestReturningWorkers(t *testing.T) {
+	const window = 6 * time.Second
+	now := time.Unix(0, 0)
+	for name, c := range map[string]struct {
+		play func(r *returningWorkers)
+		want int
+	}{
+		"came once":            {func(r *returningWorkers) { r.sent(now, "m", 1, 5, "n-1") }, 0},
+		"came back":            {func(r *returningWorkers) { r.sent(now, "m", 1, 5, "n-1"); r.sent(now.Add(window), "m", 1, 7, "n-1") }, 1},
+		"came back later":      {func(r *returningWorkers) { r.sent(now, "m", 1, 5, "n-1"); r.sent(now.Add(window+1), "m", 1, 7, "n-1") }, 0},
+		"a copy":               {func(r *returningWorkers) { r.sent(now, "m", 1, 5, "n-1"); r.sent(now.Add(1), "m", 1, 5, "n-1") }, 0},
+		"an old copy":          {func(r *returningWorkers) { r.sent(now, "m", 2, 5, "n-1"); r.sent(now.Add(1), "m", 1, 9, "n-1") }, 0},
+		"the owner is another": {func(r *returningWorkers) { r.sent(now, "m", 1, 5, "n-1"); r.sent(now.Add(1), "m", 1, 6, "n-2") }, 0},
+		"a new session":        {func(r *returningWorkers) { r.sent(now, "m", 1, 5, "n-1"); r.sent(now.Add(1), "m", 2, 1, "n-1") }, 1},
+		"forgotten": {func(r *returningWorkers) {
+			r.sent(now, "m", 1, 5, "n-1")
+			r.forget()
+			r.sent(now.Add(1), "m", 1, 6, "n-1")
+		}, 0},
+	} {
+		r := newReturningWorkers(window)
+		c.play(r)
+		at := now.Add(window)
+		if got := r.count(at)["n-1"]; got != c.want {
+			t.Errorf("%s: %d", name, got)
+		}
+		if r.count(at.Add(3 * window)); len(r.seen) != 0 {
+			t.Errorf("%s: kept for ever", name)
+		}
+	}
+}
--- /dev/null
+++ b/settings/detection_test.go
@@ -0,0 +1,61 @@
+package settings
+
+import (
+	"errors"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+)
+
+// The file that is shipped says what the defaults are.
+func TestShippedDetectionFile(t *testing.T) {
+	d, err := LoadDetection("../deploy/failure-detection.properties")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := defaultDetection(); *d != want {
+		t.Errorf("%+v, not %+v", *d, want)
+	}
+}
+
+// A setting out of its bounds, or that does not go with another, is refused by its
+// name; an unknown one is ignored.
+func TestDetectionSettingsAreChecked(t *testing.T) {
+	d, err := ParseDetection([]byte("detection.declare.ms = 9000\ndetection.revoke = false\nsomething.else = 1"))
+	if err != nil || d.DeclareAfter != 9*time.Second || d.Revoke {
+		t.Errorf("%+v, %v", d, err)
+	}
+	for text, field := range map[string]string{
+		"detection.heartbeat.ms = 99":                                        "detection.heartbeat.ms",
+		"detection.heartbeat.ms = soon":                                      "detection.heartbeat.ms",
+		"detection.heartbeat.ms = 3000":                                      "detection.suspect.min.ms",
+		"detection.suspect.max.ms = 2000":                                    "detection.suspect.max.ms",
+		"detection.declare.ms = 2500":                                        "detection.declare.ms",
+		"detection.suspect.min.ms = 7000":                                    "detection.declare.ms",
+		"detection.stall.ms = 10":                                            "detection.stall.ms",
+		"detection.probe.timeout.ms = 0":                                     "detection.probe.timeout.ms",
+		"detection.revoke = yes":                                             "detection.revoke",
+		"detection.history.events = 0":                                       "detection.history.events",
+		"detection.history.events = 100001":                                  "detection.history.events",
+		"detection.heartbeat.ms = ${detection.heartbeat.ms}":                 "detection",
+		"detection.history.path = /nowhere/at/all\ndetection.revoke = maybe": "detection.revoke",
+	} {
+		_, err := ParseDetection([]byte(text))
+		var bad *Error
+		if !errors.As(err, &bad) || bad.Field != field {
+			t.Errorf("%q: %v", text, err)
+		}
+	}
+	path := filepath.Join(t.TempDir(), "file")
+	if err := os.WriteFile(path, []byte("detection.history.path = /nowhere/at/all"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	var bad *Error
+	if _, err := LoadDetection(path); !errors.As(err, &bad) || bad.Field != "detection.history.path" {
+		t.Errorf("%v", err)
+	}
+	if _, err := LoadDetection(path + ".not"); !errors.As(err, &bad) {
+		t.Errorf("%v", err)
+	}
+}
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -35,6 +35,8 @@
 	Params Params `toml:"facts"`
 
 	Operator Operator `toml:"-"`
+	// Detection is nil where failure detection is off.
+	Detection *Detection `toml:"-"`
 }
 
 // Peer is another controller.
