--- a/cmd/ravenport/main.go
+++ b/cmd/ravenport/main.go
@@ -33,8 +33,31 @@
 	}
 }
 
+// files are the paths of the settings files.
+type files struct{ config, properties, detection string }
+
+// flags adds the flags that name the settings files to a command.
+func (f *files) flags(cmd *cobra.Command) {
+	cmd.Flags().StringVar(&f.config, "config", "", "path of the platform's settings file (TOML)")
+	cmd.Flags().StringVar(&f.properties, "properties", "", "path of the operators' own settings (Java-style properties;\ndefault: "+settings.PropertiesName+" beside the settings file, if there)")
+	cmd.Flags().StringVar(&f.detection, "failure-detection", "", "path of the settings of failure detection (Java-style properties;\nwithout it there is none)")
+	if err := cmd.MarkFlagRequired("config"); err != nil {
+		panic(err) // the flag was defined three lines above
+	}
+}
+
+// load reads and checks the files.
+func (f *files) load() (*settings.Settings, error) {
+	set, err := settings.Load(f.config, f.properties)
+	if err != nil || f.detection == "" {
+		return set, err
+	}
+	set.Detection, err = settings.LoadDetection(f.detection)
+	return set, err
+}
+
 func command() *cobra.Command {
-	var config, props string
+	var given files
 	root := &cobra.Command{
 		Use:   "ravenport --config PATH",
 		Short: "Run one controller of the ravenport cluster scheduler",
@@ -44,45 +67,58 @@
 		Args:          cobra.NoArgs,
 		SilenceUsage:  true,
 		SilenceErrors: true,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			set, err := settings.Load(config, props)
-			if err != nil {
-				return err
-			}
-			if err := logging(); err != nil {
-				return err
-			}
-			limitMemory(set)
-			limitProcessors(set)
-			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
-			defer stop()
-			return node.Run(ctx, set)
-		},
+		RunE:          func(cmd *cobra.Command, _ []string) error { return run(cmd.Context(), &given) },
 	}
-	root.PersistentFlags().StringVar(&config, "config", "", "path of the platform's settings file (TOML)")
-	root.PersistentFlags().StringVar(&props, "properties", "", "path of the operators' own settings (Java-style properties;\ndefault: "+settings.PropertiesName+" beside the settings file, if there)")
-	if err := root.MarkPersistentFlagRequired("config"); err != nil {
-		panic(err) // the flag was defined one line above
+	given.flags(root)
+	root.AddCommand(checkCommand(), membersCommand())
+	root.SetContext(context.Background())
+	return root
+}
+
+// run runs a controller until it is ended or fails.
+func run(ctx context.Context, given *files) error {
+	set, err := given.load()
+	if err != nil {
+		return err
 	}
-	root.AddCommand(&cobra.Command{
+	if err := logging(); err != nil {
+		return err
+	}
+	limitMemory(set)
+	limitProcessors(set)
+	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
+	defer stop()
+	return node.Run(ctx, set)
+}
+
+func checkCommand() *cobra.Command {
+	var given files
+	check := &cobra.Command{
 		Use:   "check --config PATH",
 		Short: "Check the settings files and end",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			set, err := settings.Load(config, props)
+			set, err := given.load()
 			if err != nil {
 				return err
 			}
 			d, short := set.Authority()
-			fmt.Fprintf(cmd.OutOrStdout(), "settings are good: node %s in %s, %d controllers, authority %s\n", set.Node, set.Zone, len(set.Nodes()), d)
+			fmt.Fprintf(cmd.OutOrStdout(), "settings are good: node %s in %s, %d controllers, authority %s, failure detection %s\n", set.Node, set.Zone, len(set.Nodes()), d, onOff(set.Detection != nil))
 			if short {
 				fmt.Fprintln(cmd.OutOrStdout(), "warning: cancel_s leaves little room after the workers' lease; the authority was shortened")
 			}
 			return nil
 		},
-	})
-	root.SetContext(context.Background())
-	return root
+	}
+	given.flags(check)
+	return check
+}
+
+func onOff(on bool) string {
+	if on {
+		return "on"
+	}
+	return "off"
 }
 
 func logging() error {
--- /dev/null
+++ b/cmd/ravenport/members.go
@@ -0,0 +1,31 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+
+	"github.com/spf13/cobra"
+
+	"ravenport/history"
+)
+
+// membersCommand prints the membership events that a controller kept. Of a damaged
+// file it prints those before the damage, and then fails.
+func membersCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "members HISTORY",
+		Short: "Print the membership events in a history file (detection.history.path)",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			events, err := history.Read(args[0])
+			var damage *history.Damage
+			if err != nil && !errors.As(err, &damage) {
+				return err
+			}
+			for _, e := range events {
+				fmt.Fprintln(cmd.OutOrStdout(), e)
+			}
+			return err
+		},
+	}
+}
