--- a/node/control.go
+++ b/node/control.go
@@ -165,7 +165,8 @@
 	c.member.SetSecondPartWait(set.SecondPartWait())
 	if monitor != nil {
 		c.member.EnableDetection()
-		window := time.Duration(constants.StrayPeriods * float64(set.Report()))
+		// A worker that is not served comes back after it has waited for an answer.
+		window := time.Duration(constants.StrayPeriods*float64(set.Report())) + constants.NextController
 		c.detect = detection{monitor: monitor, returning: newReturningWorkers(window)}
 	}
 	return c
