--- a/internal/loopback/takeover_test.go
+++ b/internal/loopback/takeover_test.go
@@ -122,9 +122,9 @@
 
 // takeover is what was measured of one.
 type takeover struct {
-	moved                                  bool
-	suspected, declared, claimed, obeyed   time.Duration // since the failure began; 0: it was not seen
-	falseSuspicions, falseDeclared, others int           // of controllers that did not fail
+	moved                                bool
+	suspected, declared, claimed, obeyed time.Duration // since the failure began; 0: it was not seen
+	falseSuspicions, falseDeclared       int           // of controllers that did not fail
 }
 
 // TestTakeoverOfRealProcesses lets real controllers on loopback fail while jobs come and
