--- a/constants/constants.go
+++ b/constants/constants.go
@@ -369,6 +369,10 @@
 	AttemptBits = 24
 	// EpochBits is the part of a token that counts within a term (bits).
 	EpochBits = 20
+	// TermUsed is when an owner asks for a new term: that much of the numbers of this
+	// one is used (sixteenths). A large fleet starts its sixteen million attempts
+	// within hours.
+	TermUsed = 15
 	// RosterGap is the least time between two writes of the roster, and
 	// RosterShare the part of the state service's changes that one part's pages
 	// may use: a new machine waits for its page.
--- a/node/actors.go
+++ b/node/actors.go
@@ -324,6 +324,9 @@
 			st.counts, st.summary = a.core.Counts(), a.core.Summary(now)
 		}
 		a.control.Tell(st)
+		if a.core.TermUsedUp() {
+			a.control.Tell(termUsedUp{a.part})
+		}
 	}
 	if now.Sub(a.censusAt) >= constants.CensusEvery { // it looks at the whole fleet
 		a.censusAt = now
--- a/node/control.go
+++ b/node/control.go
@@ -72,8 +72,9 @@
 		counts    map[string][2]int
 		summary   part.Summary
 	}
-	halted struct{ claim member.Claim } // the actor stopped: the claim may go
-	cutOff struct {                     // a part's machines fell silent together
+	termUsedUp struct{ part string }        // the owner needs a new term
+	halted     struct{ claim member.Claim } // the actor stopped: the claim may go
+	cutOff     struct {                     // a part's machines fell silent together
 		part   string
 		strays bool // and report to other controllers
 	}
@@ -254,6 +255,8 @@
 		c.forecast = m
 		c.pushNow = c.pushNow || m != nil
 		c.foretell(m)
+	case termUsedUp:
+		c.renewTerm(now, m.part)
 	case halted:
 		delete(c.claiming, m.claim.Key)
 		c.send(ctx, now, m.claim)
--- a/node/roles.go
+++ b/node/roles.go
@@ -125,6 +125,18 @@
 	c.yield(now, cl)
 }
 
+// renewTerm gives an owner here a new term before the numbers of its own run out. Like
+// any hand-over it begins with the owner's stop.
+func (c *control) renewTerm(now time.Time, part string) {
+	key := state.KeyPart(part)
+	if c.owners[part] == nil || c.claimBusy(now, key) || !c.settled(now) || c.claimsHeld(now) {
+		return // it asks again
+	}
+	slog.Info("the term's numbers are used up: claiming a new one", "part", part, "term", c.owners[part].term)
+	incarnation, version := c.member.NodeKey(c.set.Node)
+	c.yield(now, c.member.ClaimOf(key, c.set.Node, incarnation, version))
+}
+
 // yield ends what this controller does under a term before another begins.
 // The claim that hands the term on is sent only once the actor has said that
 // it stopped: reports that still wait in its mailbox must not be answered
--- a/node/standin_test.go
+++ b/node/standin_test.go
@@ -75,6 +75,7 @@
 	tame bool      // machines come up, and rentals are answered
 
 	times times
+	pause time.Duration // between two looks of a worker at itself; 0: 100 ms
 	upIn  time.Duration // machines are up within this after their rental; 0: after seconds
 
 	// What befalls transactions: shares of them.
--- a/node/standin_worker_test.go
+++ b/node/standin_worker_test.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"cmp"
 	"context"
 	"encoding/json"
 	"fmt"
@@ -68,7 +69,7 @@
 	w.mu.Unlock()
 	next, sent := time.Now(), time.Time{}
 	for {
-		time.Sleep(100 * time.Millisecond)
+		time.Sleep(cmp.Or(w.pause, 100*time.Millisecond))
 		w.mu.Lock()
 		select {
 		case <-w.stop:
--- /dev/null
+++ b/node/term_test.go
@@ -0,0 +1,61 @@
+package node
+
+import (
+	"context"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"ravenport/actor"
+	"ravenport/state"
+)
+
+// An owner whose term's numbers run out goes on under a new term of its own, and what
+// runs on its machines runs on.
+func TestOwnerRenewsItsTermInTime(t *testing.T) {
+	undisturbed(t, 3, 6, func(w *world) {
+		for range 3 {
+			owner, term := w.owner("a"), w.term("a")
+			w.nodes[owner].up().self.Tell(termUsedUp{"a"})
+			time.Sleep(20 * time.Second)
+			if w.owner("a") != owner || w.term("a") != term+1 {
+				t.Errorf("owner %d, term %d became owner %d, term %d", owner, term, w.owner("a"), w.term("a"))
+			}
+		}
+	})
+}
+
+// mailbox notes the messages that an actor is sent.
+type mailbox []any
+
+func (m *mailbox) Receive(_ context.Context, msg any) { *m = append(*m, msg) }
+
+// An owner's actor asks for the new term, and asks again as long as it has none.
+func TestOwnerAsksForNewTerm(t *testing.T) {
+	quietLogs(t)
+	synctest.Test(t, func(t *testing.T) {
+		w := newWorld(1, []string{"a", "b"}, 3)
+		out := Outside{State: &simStore{w.nodes[0]}, First: &simStore{w.nodes[0]}, Later: &simStore{w.nodes[0]}, Urgent: &simStore{w.nodes[0]},
+			Cloud: &simCloud{w.nodes[0]}, Workers: func() Workers { return &simCommands{w.nodes[0]} }, Peers: map[string]Peer{}}
+		control := actor.NewRef()
+		c := newControl(w.nodes[0].set, out, control, actor.NewRef(), nil)
+		a := newPartActor(c, "a", 3, 7, time.Now(), map[string]*state.Page{}, map[string]uint64{})
+		a.core.SetNumbers(0, 0)
+		for range 5 {
+			time.Sleep(2 * time.Second)
+			a.Receive(t.Context(), wake{})
+		}
+		var got mailbox
+		go control.Run(t.Context(), &got)
+		synctest.Wait()
+		asked := 0
+		for _, m := range got {
+			if x, ok := m.(termUsedUp); ok && x.part == "a" {
+				asked++
+			}
+		}
+		if asked < 4 {
+			t.Errorf("asked %d times", asked)
+		}
+	})
+}
--- a/part/core.go
+++ b/part/core.go
@@ -52,7 +52,7 @@
 	commandQueue []*machine // machines that wait for a direct command
 	inFlight     int        // direct commands under way
 
-	counter uint64
+	numbers numbers
 	look    uint64 // counts looks at reports
 	freed   bool   // the last look found that something had ended
 	rebuilt bool
@@ -155,7 +155,7 @@
 // roster are as of that revision.
 func New(cfg Config, term, termVersion uint64, now time.Time, types []wire.MachineType,
 	jobs map[string]*state.Job, versions map[string]uint64, roster map[string]*state.Page, rosterVersions map[string]uint64) *Core {
-	c := &Core{cfg: cfg, term: term, termVer: termVersion, claimed: now, budget: cmp.Or(cfg.Budget, constants.RoundBudget), clock: time.Now,
+	c := &Core{cfg: cfg, term: term, numbers: newNumbers(term), termVer: termVersion, claimed: now, budget: cmp.Or(cfg.Budget, constants.RoundBudget), clock: time.Now,
 		types: map[string]*wire.MachineType{}, jobs: map[string]*job{}, machines: map[string]*machine{},
 		byTask: map[taskKey][]*hold{}, shapes: map[string]gangShape{}, waiting: map[*job]bool{}, toClose: map[string]*job{}, pages: map[int]*page{},
 		pendingRents: map[string]*rental{}, refused: map[bool]time.Time{}, gone: map[string]time.Time{}, others: map[string]other{}, dirty: true, pushDirty: true}
@@ -207,7 +207,9 @@
 // SetAuthority says until when the owner may answer workers and start tasks.
 func (c *Core) SetAuthority(until time.Time) { c.authority = until }
 
-func (c *Core) may(now time.Time) bool { return !c.deposed && now.Before(c.authority) }
+func (c *Core) may(now time.Time) bool {
+	return !c.deposed && !c.numbers.out() && now.Before(c.authority)
+}
 
 // tends says whether the owner still answers reports though its authority has
 // ended, whether or not another one is known to have begun: a zone that is cut off
--- a/part/gang.go
+++ b/part/gang.go
@@ -184,8 +184,7 @@
 		return
 	}
 	if !spread {
-		c.counter++
-		attempt = c.term<<constants.AttemptBits | c.counter
+		attempt = c.numbers.attempt()
 	}
 	*g = gang{attempt: attempt, since: now}
 	warm := 0
--- /dev/null
+++ b/part/numbers.go
@@ -0,0 +1,51 @@
+package part
+
+import "ravenport/constants"
+
+// numbers hands out a term's attempt numbers and knows how many of its tokens are
+// used. Neither may run into those of the next term.
+type numbers struct {
+	term     uint64
+	attempts uint64 // handed out
+	epochs   uint64 // the most that any machine's token was raised
+	// Limits; tests set smaller ones.
+	mostAttempts, mostEpochs uint64
+}
+
+func newNumbers(term uint64) numbers {
+	return numbers{term: term, mostAttempts: 1 << constants.AttemptBits, mostEpochs: 1 << constants.EpochBits}
+}
+
+// attempt returns the next attempt number, which no other attempt has.
+func (n *numbers) attempt() uint64 {
+	n.attempts++
+	return n.term<<constants.AttemptBits | n.attempts
+}
+
+// raise raises a machine's token.
+func (n *numbers) raise(m *machine) {
+	m.epoch++
+	n.epochs = max(n.epochs, m.epoch)
+}
+
+// low says that so many numbers are used that the owner needs a new term.
+func (n *numbers) low() bool {
+	const whole = 16
+	return n.attempts >= n.mostAttempts/whole*constants.TermUsed || n.epochs >= n.mostEpochs/whole*constants.TermUsed
+}
+
+// out says that nothing more may be decided under this term. Some numbers are left
+// for what a step that has begun still decides.
+func (n *numbers) out() bool {
+	const step = 256 // far more than a part of the last sixteenth
+	return n.attempts >= n.mostAttempts-n.mostAttempts/step || n.epochs >= n.mostEpochs-n.mostEpochs/step
+}
+
+// TermUsedUp says that the owner should be given a new term before this one's numbers
+// run out.
+func (c *Core) TermUsedUp() bool { return c.numbers.low() }
+
+// SetNumbers has the numbers of the term run out earlier, for tests.
+func (c *Core) SetNumbers(attempts, epochs uint64) {
+	c.numbers.mostAttempts, c.numbers.mostEpochs = attempts, epochs
+}
--- /dev/null
+++ b/part/numbers_test.go
@@ -0,0 +1,66 @@
+package part
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"ravenport/constants"
+	"ravenport/wire"
+)
+
+// A term's attempt numbers and tokens never reach those of the next term: the owner
+// asks for a new term in time, and where none comes it starts nothing more. Guards
+// against an owner of a large fleet that starts sixteen million tasks in one term.
+func TestNumbersNeverReachTheNextTerm(t *testing.T) {
+	const attempts = 2048
+	r := newRig(nil)
+	r.fleet(4)
+	r.SetNumbers(attempts, 1<<constants.EpochBits)
+	asked, started := 0, 0
+	for i := range 2 * attempts / 8 {
+		r.submit(array(fmt.Sprintf("run-%06d", i), 8, "a"))
+		r.wait(300 * time.Millisecond)
+		for name, m := range r.machines {
+			var tasks []wire.TaskStatus
+			for _, h := range m.holds {
+				tasks = append(tasks, wire.TaskStatus{Task: h.key.task, Attempt: h.key.attempt, State: wire.TaskExited, Cause: wire.CauseDone})
+				started++
+				if h.key.attempt>>constants.AttemptBits != r.term || h.key.attempt&(1<<constants.AttemptBits-1) >= attempts {
+					t.Fatalf("attempt %d of term %d with %d numbers", h.key.attempt, r.term, attempts)
+				}
+			}
+			r.Report(r.now, report(name, 1, uint64(10+i), r.shown(name), tasks...))
+		}
+		if r.TermUsedUp() && asked == 0 {
+			asked = started
+		}
+	}
+	if asked == 0 || started <= asked {
+		t.Errorf("a new term was asked for after %d of %d starts", asked, started)
+	}
+	if !r.numbers.out() {
+		t.Errorf("%d starts did not use the term up", r.numbers.attempts)
+	}
+}
+
+// The same for a machine's tokens.
+func TestTokensNeverReachTheNextTerm(t *testing.T) {
+	const epochs = 512
+	r := newRig(nil)
+	r.fleet(1)
+	r.SetNumbers(1<<constants.AttemptBits, epochs)
+	m := r.machines["m-00000"]
+	asked := uint64(0)
+	for range 2 * epochs {
+		if r.may(r.now) {
+			r.numbers.raise(m)
+		}
+		if r.TermUsedUp() && asked == 0 {
+			asked = m.epoch
+		}
+	}
+	if m.epoch >= epochs || asked == 0 || asked > epochs*constants.TermUsed/16+1 {
+		t.Errorf("raised to %d of %d, a new term asked for at %d", m.epoch, epochs, asked)
+	}
+}
--- a/part/place.go
+++ b/part/place.go
@@ -568,8 +568,7 @@
 
 // start decides an attempt of its own.
 func (c *Core) start(now time.Time, t *task, m *machine) {
-	c.counter++
-	c.startAs(now, t, m, c.term<<constants.AttemptBits|c.counter)
+	c.startAs(now, t, m, c.numbers.attempt())
 }
 
 // startAs decides an attempt. From here on the task counts as maybe there.
--- a/part/report.go
+++ b/part/report.go
@@ -38,7 +38,7 @@
 		c.dirty = true
 	}
 	if (m.lost || c.heldBack(m) >= constants.ExitedRaise) && m.token == c.token(m) {
-		m.epoch++ // once the machine shows the new token they can be forgotten
+		c.numbers.raise(m) // once the machine shows the new token they can be forgotten
 	}
 	reply = wire.ReportReply{Token: c.token(m), Commands: c.orders(now, m, true)}
 	return reply, true
@@ -112,7 +112,7 @@
 	if m.doubted() || !m.up {
 		return
 	}
-	m.epoch++
+	c.numbers.raise(m)
 	m.doubtAt, m.doubtToken, m.unheeded = now, c.token(m), 0
 }
 
