--- a/frontdoor/frontdoor.go
+++ b/apiserver/apiserver.go
@@ -1,9 +1,9 @@
-// Package frontdoor answers users: submissions, polls and cancellations.
+// Package apiserver answers users: submissions, polls and cancellations.
 //
 // What it tells is in the state service first. An answer that is not final
 // comes from a read made for it: polls that arrive together share one read of
 // the current revision and are answered once the feed has reached it.
-package frontdoor
+package apiserver
 
 import (
 	"context"
@@ -19,7 +19,7 @@
 	"ravenport/wire"
 )
 
-// Store is what the front door needs of the state service.
+// Store is what the API server needs of the state service.
 type Store interface {
 	Commit(ctx context.Context, t wire.Txn) (uint64, error)
 	Get(ctx context.Context, key string) (wire.KeyValue, bool, error)
@@ -31,7 +31,7 @@
 	Answer(*httpwire.Response)
 }
 
-// Messages to the front door.
+// Messages to the API server.
 type (
 	// Submit carries a submission's body.
 	Submit struct {
@@ -50,16 +50,16 @@
 	}
 	// Types carries the cloud's machine types.
 	Types []wire.MachineType
-	// Counts carries a part's counts of running and done tasks by job.
+	// Counts carries a shard's counts of running and done tasks by job.
 	Counts struct {
-		Part string
-		Jobs map[string][2]int
+		Shard string
+		Jobs  map[string][2]int
 	}
 	// Metrics asks for figures in the text format that Prometheus reads.
 	Metrics struct{ Req Request }
 	// Packs says that every controller reads packed records.
 	Packs struct{}
-	// Cancelled is what the front door tells of a cancellation that it knows of
+	// Cancelled is what the API server tells of a cancellation that it knows of
 	// beside the feed, before it tells any user.
 	Cancelled struct {
 		ID       string
@@ -84,15 +84,15 @@
 	readNow  struct{}
 )
 
-// known is what the front door remembers of a job.
+// known is what the API server remembers of a job.
 type known struct {
 	end    string
 	tasks  int
 	closed int
 }
 
-// Door is the front door's actor.
-type Door struct {
+// Server is the API server's actor.
+type Server struct {
 	set     *settings.Settings
 	store   Store
 	self    *actor.Ref
@@ -113,14 +113,14 @@
 	relays  relaying
 }
 
-// New makes a front door that is spoken to through self and tells control of
+// New makes an API server that is spoken to through self and tells control of
 // cancellations.
-func New(set *settings.Settings, store Store, self, control *actor.Ref) *Door {
-	return &Door{control: control, set: set, sizes: set.Sizes(), store: store, self: self, jobs: map[string]known{}, counts: map[string]map[string][2]int{}, stats: newStats(), gap: set.ReadGap()}
+func New(set *settings.Settings, store Store, self, control *actor.Ref) *Server {
+	return &Server{control: control, set: set, sizes: set.Sizes(), store: store, self: self, jobs: map[string]known{}, counts: map[string]map[string][2]int{}, stats: newStats(), gap: set.ReadGap()}
 }
 
 // Receive implements actor.Handler.
-func (d *Door) Receive(ctx context.Context, msg any) {
+func (d *Server) Receive(ctx context.Context, msg any) {
 	switch m := msg.(type) {
 	case state.Update:
 		d.update(m)
@@ -133,7 +133,7 @@
 	case Types:
 		d.types = m
 	case Counts:
-		d.counts[m.Part] = m.Jobs
+		d.counts[m.Shard] = m.Jobs
 	case readDone:
 		d.readDone(ctx, m)
 	case created:
@@ -154,7 +154,7 @@
 	}
 }
 
-func (d *Door) update(up state.Update) {
+func (d *Server) update(up state.Update) {
 	for _, ch := range up.Changes {
 		j, ok := ch.Record.(*state.Job)
 		if !ok {
@@ -178,7 +178,7 @@
 
 func summary(j *state.Job) known {
 	k := known{end: j.End, tasks: j.Spec.Tasks}
-	for _, ch := range j.Chunks {
+	for _, ch := range j.Assignments {
 		if ch.Closed {
 			k.closed += ch.Tasks()
 		}
--- a/frontdoor/frontdoor_test.go
+++ b/apiserver/apiserver_test.go
@@ -1,4 +1,4 @@
-package frontdoor
+package apiserver
 
 import (
 	"context"
--- a/frontdoor/cancellations.go
+++ b/apiserver/cancellations.go
@@ -1,4 +1,4 @@
-package frontdoor
+package apiserver
 
 import (
 	"context"
@@ -13,13 +13,13 @@
 
 // note tells control of a cancellation before any user hears of it. It runs beside
 // the actor.
-func (d *Door) note(rec *state.Job, revision uint64) {
+func (d *Server) note(rec *state.Job, revision uint64) {
 	if rec.End == wire.JobCancelled {
 		d.control.Tell(Cancelled{rec.ID, revision})
 	}
 }
 
-func (d *Door) cancel(ctx context.Context, m Cancel) {
+func (d *Server) cancel(ctx context.Context, m Cancel) {
 	if k, ok := d.jobs[m.ID]; ok && k.end != "" {
 		m.Req.Answer(&httpwire.Response{Status: 200, Body: body(wire.Accepted{ID: m.ID, Status: k.end})})
 		return
@@ -48,7 +48,7 @@
 
 // end cancels a job that is not over and returns how it ended; empty if there
 // is no such job. It runs beside the actor.
-func (d *Door) end(ctx context.Context, id string, sizes state.Sizes) (string, error) {
+func (d *Server) end(ctx context.Context, id string, sizes state.Sizes) (string, error) {
 	for {
 		rec, version, err := d.fetch(ctx, id)
 		if err != nil {
--- a/frontdoor/metrics.go
+++ b/apiserver/metrics.go
@@ -1,4 +1,4 @@
-package frontdoor
+package apiserver
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"ravenport/httpwire"
 )
 
-// stats are the front door's figures since the process began.
+// stats are the API server's figures since the process began.
 type stats struct {
 	accepted, refused int64
 	submit, poll      latency
@@ -31,7 +31,7 @@
 func newStats() stats { return stats{submit: newLatency(), poll: newLatency()} }
 
 // metrics writes the figures in Prometheus' text format.
-func (d *Door) metrics(req Request) {
+func (d *Server) metrics(req Request) {
 	var b bytes.Buffer
 	over := 0
 	for _, k := range d.jobs {
--- a/frontdoor/polls.go
+++ b/apiserver/polls.go
@@ -1,4 +1,4 @@
-package frontdoor
+package apiserver
 
 import (
 	"context"
@@ -24,7 +24,7 @@
 }
 
 // ask answers a poll: at once if the job is over, else after a read.
-func (d *Door) ask(ctx context.Context, p *poll) {
+func (d *Server) ask(ctx context.Context, p *poll) {
 	if k, ok := d.jobs[p.id]; ok && k.end != "" {
 		d.tell(p, k)
 		return
@@ -46,7 +46,7 @@
 // admits says whether a poll may wait. Half of the room is anyone's, the other
 // half is for a part of all jobs, another one every few seconds: whatever order
 // they come in, no job's polls lose every time.
-func (d *Door) admits(id string) bool {
+func (d *Server) admits(id string) bool {
 	if d.busy < constants.MaxWaiting/2 {
 		return true
 	}
@@ -57,7 +57,7 @@
 }
 
 // read reads the current revision for all polls that wait for a read.
-func (d *Door) read(ctx context.Context) {
+func (d *Server) read(ctx context.Context) {
 	if d.reading || len(d.next) == 0 {
 		return
 	}
@@ -78,7 +78,7 @@
 	}()
 }
 
-func (d *Door) readDone(ctx context.Context, m readDone) {
+func (d *Server) readDone(ctx context.Context, m readDone) {
 	d.reading = false
 	limited := errors.Is(m.err, state.ErrLimited)
 	if m.err != nil && !limited {
@@ -102,7 +102,7 @@
 }
 
 // answer tells a poll what the feed knows, which is new enough for it.
-func (d *Door) answer(p *poll) {
+func (d *Server) answer(p *poll) {
 	d.busy--
 	d.stats.poll.record(time.Since(p.came).Milliseconds())
 	k, ok := d.jobs[p.id]
@@ -113,7 +113,7 @@
 	d.absent(p)
 }
 
-func (d *Door) absent(p *poll) {
+func (d *Server) absent(p *poll) {
 	if p.missing != nil {
 		p.missing()
 		return
@@ -121,13 +121,13 @@
 	p.req.Answer(&httpwire.Response{Status: 404, Body: body(wire.Problem{Error: "no such job"})})
 }
 
-func (d *Door) tell(p *poll, k known) {
+func (d *Server) tell(p *poll, k known) {
 	s := wire.JobState{ID: p.id, Status: k.end, Done: k.closed}
 	if k.end == "" {
 		s.Status = wire.JobQueued
-		for _, part := range d.counts {
-			s.Running += part[p.id][0]
-			s.Done += part[p.id][1]
+		for _, shard := range d.counts {
+			s.Running += shard[p.id][0]
+			s.Done += shard[p.id][1]
 		}
 		s.Done = min(s.Done, k.tasks)
 		s.Running = min(s.Running, k.tasks-s.Done)
@@ -139,7 +139,7 @@
 }
 
 // tick reads keys themselves for polls that the feed keeps waiting.
-func (d *Door) tick(ctx context.Context, now time.Time) {
+func (d *Server) tick(ctx context.Context, now time.Time) {
 	kept := d.waiting[:0]
 	for _, p := range d.waiting {
 		if now.Sub(p.came) < constants.BarrierWait {
@@ -154,7 +154,7 @@
 
 // direct answers a poll from the key itself. It runs beside the actor and
 // touches none of its state.
-func (d *Door) direct(ctx context.Context, p *poll) {
+func (d *Server) direct(ctx context.Context, p *poll) {
 	defer d.self.Tell(finished{})
 	ctx, cancel := context.WithTimeout(ctx, constants.AnswerLimit)
 	defer cancel()
@@ -175,7 +175,7 @@
 	}
 }
 
-func (d *Door) fetch(ctx context.Context, id string) (*state.Job, uint64, error) {
+func (d *Server) fetch(ctx context.Context, id string) (*state.Job, uint64, error) {
 	kv, found, err := d.store.Get(ctx, state.KeyJob(id))
 	if err != nil || !found {
 		return nil, 0, err
--- a/frontdoor/relay.go
+++ b/apiserver/relay.go
@@ -1,4 +1,4 @@
-package frontdoor
+package apiserver
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"ravenport/wire"
 )
 
-// Relay writes for a front door whose own way to the state service is shut. It is
+// Relay writes for an API server whose own way to the state service is shut. It is
 // another controller.
 type Relay interface {
 	Commit(ctx context.Context, t wire.Txn) (uint64, error)
@@ -19,7 +19,7 @@
 // Relays names the controllers that reach the state service, as far as is known.
 type Relays struct{ To []Relay }
 
-// relaying is what the front door knows of its own way to the state service and of
+// relaying is what the API server knows of its own way to the state service and of
 // the ways round.
 type relaying struct {
 	to   []Relay
@@ -45,7 +45,7 @@
 // shut, then through the relays, one after the other. It runs beside the actor.
 // Guards against a controller that alone is refused by the state service and would
 // turn users away for as long as the load balancer takes it for healthy.
-func (d *Door) accept(ctx context.Context, txn wire.Txn, shut bool, relays []Relay) (nowShut bool, err error) {
+func (d *Server) accept(ctx context.Context, txn wire.Txn, shut bool, relays []Relay) (nowShut bool, err error) {
 	if !shut || len(relays) == 0 {
 		if _, err = d.commit(ctx, txn); !away(err) {
 			return false, err
--- a/frontdoor/submissions.go
+++ b/apiserver/submissions.go
@@ -1,4 +1,4 @@
-package frontdoor
+package apiserver
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"ravenport/wire"
 )
 
-func (d *Door) submit(ctx context.Context, m Submit) {
+func (d *Server) submit(ctx context.Context, m Submit) {
 	s, id, err := wire.ParseSubmission(m.Body)
 	status, problem := 0, wire.Problem{}
 	if err != nil {
@@ -70,7 +70,7 @@
 	}()
 }
 
-func (d *Door) created(ctx context.Context, m created) {
+func (d *Server) created(ctx context.Context, m created) {
 	d.busy--
 	d.relays.shut = d.relays.shut || m.shut
 	took := time.Since(m.came).Milliseconds()
@@ -105,7 +105,7 @@
 // commit writes what a user waits for. A refusal for the allowance alone is
 // tried again for a moment; one because the state service is away is the
 // user's answer, at once.
-func (d *Door) commit(ctx context.Context, txn wire.Txn) (revision uint64, err error) {
+func (d *Server) commit(ctx context.Context, txn wire.Txn) (revision uint64, err error) {
 	err = state.RetryLimited(ctx, constants.AllowanceWait, constants.RetryMin/2, constants.RetryMin, func() (err error) {
 		revision, err = d.store.Commit(ctx, txn)
 		return err
@@ -114,7 +114,7 @@
 }
 
 // impossible says why a job can never run; empty if it can.
-func (d *Door) impossible(s *wire.Submission) string {
+func (d *Server) impossible(s *wire.Submission) string {
 	t := d.set.Team(s.Team)
 	if t == nil {
 		return "unknown team"
--- a/constants/constants.go
+++ b/constants/constants.go
@@ -31,7 +31,7 @@
 	// workers and peers: at least so many, and of many sockets one in so many
 	// (sockets, part).
 	ReservedSockets = 256
-	ReservedPart    = 6
+	ReservedShare   = 6
 	// OwnSockets of those are for anything but direct commands (sockets).
 	OwnSockets = 64
 	// ServerCrowded: with more than that many eighths of the front's sockets in
@@ -83,16 +83,16 @@
 	// writes that can wait may use (share).
 	LaterShare = 0.5
 	// CloudShare is the part of the cloud's calls that one controller may use
-	// (share). Not all controllers own a part; a refusal for rate is harmless.
+	// (share). Not all controllers own a shard; a refusal for rate is harmless.
 	CloudShare = 0.5
 	// CloudTimeout bounds a call to the cloud.
 	CloudTimeout = 5 * time.Second
 	// CommandTimeout bounds a direct command: the next report carries the
 	// same commands anyway.
 	CommandTimeout = 2 * time.Second
-	// CommandFanout bounds a part's direct commands under way at once (calls):
+	// CommandFanout bounds a shard's direct commands under way at once (calls):
 	// each is a socket, and a silent machine holds one for CommandTimeout. Fewer
-	// where all parts on one controller would need more than is reserved, and
+	// where all shards on one controller would need more than is reserved, and
 	// CommandsLeast at least.
 	CommandFanout = 200
 	CommandsLeast = 16
@@ -129,17 +129,17 @@
 	ClaimStep = 400 * time.Millisecond
 	// TakeoverWork is the processor time that the takeover of a part of some hundreds
 	// of machines costs: their reports, questions to them and the rebuild. For as
-	// long as that takes on its share of a processor a controller that owns a part
-	// leaves another one vacant, but no longer than SecondPartWaitMost: a process that
+	// long as that takes on its share of a processor a controller that owns a shard
+	// leaves another one vacant, but no longer than SecondShardWaitMost: a process that
 	// ended is usually back sooner.
-	TakeoverWork       = 400 * time.Millisecond
-	SecondPartWaitMost = 5 * time.Second
+	TakeoverWork        = 400 * time.Millisecond
+	SecondShardWaitMost = 5 * time.Second
 	// ClaimRetry is how long a claim is repeated that is refused for rate alone.
 	ClaimRetry = time.Second
 	// FirstClaimWait is how long a fresh controller leaves what it is not
 	// the first choice for, so that controllers started together share out.
 	FirstClaimWait = 1600 * time.Millisecond
-	// CutPause is how long a controller that gave a part up because its
+	// CutPause is how long a controller that gave a shard up because its
 	// machines could not reach it is not given it back.
 	CutPause = 45 * time.Second
 	// TakeoverGap is the least time between two orphaned shards that one controller
@@ -168,9 +168,9 @@
 	// before promises are asked for or given: a renewal's answer comes sooner.
 	PromiseQuiet = time.Second
 	// HandBackAfter is how long a better-placed controller must have been
-	// up before it is given its part back.
+	// up before it is given its shard back.
 	HandBackAfter = 5 * time.Second
-	// HandBackSettled is how long a part must have been rebuilt and in reach
+	// HandBackSettled is how long a shard must have been rebuilt and in reach
 	// before it is handed back: machines that were out of reach come back within
 	// a period or so, and what they lost is placed meanwhile.
 	HandBackSettled = 12 * time.Second
@@ -193,7 +193,7 @@
 	StateSilence = 3 * time.Second
 )
 
-// Front door.
+// API server.
 const (
 	// BarrierWait is how long a poll waits for the feed to reach the
 	// revision read for it before the key itself is read.
@@ -206,7 +206,7 @@
 	DownFor = 300 * time.Millisecond
 	// MaxWaiting bounds requests that wait for the state service (requests).
 	MaxWaiting = 512
-	// Turns is into how many parts the jobs are divided, whose polls have their
+	// Turns is into how many groups the jobs are divided, whose polls have their
 	// turn under overload, and TurnLength is how long: longer than the 5 s
 	// between two polls, and all within the 75 s after which users take a job
 	// for forgotten.
@@ -235,7 +235,7 @@
 	// LeaderGap is the least time between two looks: what comes in between is
 	// decided together.
 	LeaderGap = 10 * time.Millisecond
-	// StaleAggregate is when a part that pushes nothing is ranked last.
+	// StaleAggregate is when a shard that pushes nothing is ranked last.
 	StaleAggregate = 4 * time.Second
 	// QueueShare is how much work, as a share of its capacity, may wait with an
 	// owner that gets no more machines (share).
@@ -254,16 +254,16 @@
 	// that counts.
 	ForecastEvery = 300 * time.Millisecond
 	ForecastLife  = time.Second
-	// ForecastAfter is how long a job must have waited to be foretold: without
+	// ForecastAfter is how long a job must have waited to be in the forecast: without
 	// a backlog it is assigned sooner.
 	ForecastAfter = time.Second
 	// BeginWithin is how long a job waits before it comes before all others of
 	// its priority if nothing of it has begun: users expect even the largest to
 	// begin within four minutes, and room for it may have to come together.
 	BeginWithin = 150 * time.Second
-	// BeginPart: an eighth of an overdue array comes before all others; under
+	// BeginShare: an eighth of an overdue array comes before all others; under
 	// three times the load that is still less than half of what there is (part).
-	BeginPart = 8
+	BeginShare = 8
 	// CollectFor is how long room is kept for one job at the cost of others.
 	CollectFor = 60 * time.Second
 	// WorkPerSecond is how much more work of a job weighs as much as a second
@@ -278,20 +278,20 @@
 	MaxUrgent = 4
 )
 
-// Part owner.
+// Shard owner.
 const (
-	// PartTick is how often an owner looks at its deadlines without events.
-	PartTick = 250 * time.Millisecond
-	// PartGap is the least time between two steps of an owner: what arrives in
+	// OwnerTick is how often an owner looks at its deadlines without events.
+	OwnerTick = 250 * time.Millisecond
+	// OwnerGap is the least time between two steps of an owner: what arrives in
 	// between is decided together.
-	PartGap = 20 * time.Millisecond
+	OwnerGap = 20 * time.Millisecond
 	// StoodStill is a gap between two steps after which the process counts as
-	// having stood still: its own timer wakes an owner every PartTick.
+	// having stood still: its own timer wakes an owner every OwnerTick.
 	StoodStill = 1500 * time.Millisecond
 	// SlowStep is how often an owner looks at its whole fleet for leases, notices
 	// and machines to be asked.
 	SlowStep = 100 * time.Millisecond
-	// CensusEvery is how often it looks whom of its fleet it hears, whether the part
+	// CensusEvery is how often it looks whom of its fleet it hears, whether the shard
 	// is cut off and which machines to return: silences count in seconds.
 	CensusEvery = 250 * time.Millisecond
 	// PlaceEvery is how often everything is placed anew without a cause.
@@ -305,7 +305,7 @@
 	// changes; changes are pushed after PushGap.
 	PushEvery = time.Second
 	PushGap   = 100 * time.Millisecond
-	// PushGapMachine lengthens PushGap for each machine of a part: taking its
+	// PushGapMachine lengthens PushGap for each machine of a shard: taking its
 	// figures costs in proportion.
 	PushGapMachine = 300 * time.Microsecond
 	// RepeatCommand is when a direct command without effect is sent again.
@@ -336,13 +336,13 @@
 	// and one more.
 	LateReport     = 1.25
 	NextController = 5 * time.Second
-	// StrayPeriods is how long a report to another controller counts for the
+	// MisroutedPeriods is how long a report to another controller counts for the
 	// machine's owner (periods).
-	StrayPeriods = 2.0
+	MisroutedPeriods = 2.0
 	// MutePeriods is when a machine that answers calls but makes no reports is
 	// given up: its lease ends soon (periods).
 	MutePeriods = 3.0
-	// DeafAsks is how many direct commands in a row a machine in doubt leaves
+	// DeafAsks is how many direct commands in a row an unconfirmed machine leaves
 	// unanswered before it is given up, however often it is heard (commands).
 	DeafAsks = 3
 	// TakeoverAsk is how long a new owner of many machines waits for their own
@@ -350,13 +350,13 @@
 	TakeoverAsk = 1500 * time.Millisecond
 	// TakeoverPatience is when a new owner to whom most machines have come back
 	// gives up those that did not answer: reports of all that live come within
-	// two seconds or so, and much of the part's work waits for the last one.
+	// two seconds or so, and much of the shard's work waits for the last one.
 	TakeoverPatience = 3500 * time.Millisecond
 	// AskTimeout bounds a question to a machine, which carries no command.
 	AskTimeout = 1200 * time.Millisecond
-	// DarkCalls bounds the calls under way to a part that is out of reach as a
+	// UnreachableCalls bounds the calls under way to a shard that is out of reach as a
 	// whole (calls): enough to notice its return.
-	DarkCalls = 32
+	UnreachableCalls = 32
 	// AsksAStep bounds the machines that are asked directly in one step: each
 	// question costs a connection.
 	AsksAStep = 32
@@ -373,19 +373,19 @@
 	// one is used (sixteenths). A large fleet starts its sixteen million attempts
 	// within hours.
 	TermUsed = 15
-	// RosterGap is the least time between two writes of the roster, and
-	// RosterShare the part of the state service's changes that one part's pages
+	// InventoryGap is the least time between two writes of the inventory, and
+	// InventoryShare the part of the state service's changes that one shard's pages
 	// may use: a new machine waits for its page.
-	RosterGap   = 250 * time.Millisecond
-	RosterShare = 0.1
-	// RosterPages bounds the pages in one such write (pages).
-	RosterPages = 3
-	// RosterEntryBytes is what a machine takes of a page beside its name: an
+	InventoryGap   = 250 * time.Millisecond
+	InventoryShare = 0.1
+	// InventoryPages bounds the pages in one such write (pages).
+	InventoryPages = 3
+	// InventoryEntryBytes is what a machine takes of a page beside its name: an
 	// address and signs (bytes).
-	RosterEntryBytes = 30
+	InventoryEntryBytes = 30
 	// PageFill is how much of a value a page may take (percent).
 	PageFill = 90
-	// LeastValue is the smallest value that the roster's pages are made for when
+	// LeastValue is the smallest value that the inventory's pages are made for when
 	// the state service finds fault with one (bytes): a few machines.
 	LeastValue = 512
 	// NoticeMoves is how many tasks leave a machine that is about to be taken
@@ -412,10 +412,10 @@
 	// a machine may hold before it is sent a higher token, under which they
 	// can be: each makes its every report longer (attempts).
 	ExitedRaise = 4
-	// KeepWait is how long tasks wait in a part that gets no more machines
+	// KeepWait is how long tasks wait in a shard that gets no more machines
 	// before they are sent back to the leader.
 	KeepWait = 5 * time.Second
-	// KeepLong is how long a task waits in a part before room for a single one
+	// KeepLong is how long a task waits in a shard before room for a single one
 	// elsewhere is enough to send it back: users allow 90 s beside room.
 	KeepLong = 40 * time.Second
 	// MoveGap separates two looks at whether a machine can be emptied, and so
@@ -427,11 +427,11 @@
 	// MachinesAMove: for each that many ordinary machines, one service more is
 	// moved at once (machines).
 	MachinesAMove = 40
-	// CloseWait is how long chunks that are over wait for the job's others in
-	// the part, to be recorded with them. Room within a team's limit is free
+	// CloseWait is how long assignments that are over wait for the job's others in
+	// the shard, to be recorded with them. Room within a team's limit is free
 	// that much later.
 	CloseWait = 3 * time.Second
-	// SpareFor is how long a part must have been able to do without a machine
+	// SpareFor is how long a shard must have been able to do without a machine
 	// before it is emptied, so that a lull between two jobs empties none.
 	SpareFor = 10 * time.Second
 	// ArrivalMemory is how long arrivals count when room is held ready for
@@ -455,8 +455,8 @@
 	// much of the time is left unused for which its others wait (percent): an image
 	// may have to come yet.
 	GangReplace = 60
-	// GangPatience is how long a gang waits in a part for room that may be coming
-	// before it goes to another part that could start it at once.
+	// GangPatience is how long a gang waits in a shard for room that may be coming
+	// before it goes to another shard that could start it at once.
 	GangPatience = 3 * time.Second
 	// FetchSlow is how much longer than usual a slow fetch of an image takes
 	// (factor): rates differ by a third, and a gang asks for few fetches.
--- a/internal/loopback/store_test.go
+++ b/internal/loopback/store_test.go
@@ -103,8 +103,8 @@
 // noteClaim records a write that raised a shard's term.
 func (s *store) noteClaim(ch wire.Change, came time.Time) {
 	record, err := state.Decode(ch.Put, ch.Value)
-	if term, ok := record.(*state.Term); err == nil && ok && term.Part != "" {
-		s.record.claims(term.Part, term.Number, came, time.Now())
+	if term, ok := record.(*state.Term); err == nil && ok && term.Shard != "" {
+		s.record.claims(term.Shard, term.Number, came, time.Now())
 	}
 }
 
@@ -112,11 +112,11 @@
 func (s *store) holder(zone string) (node string, term uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e, ok := s.keys[state.KeyPart(zone)]
+	e, ok := s.keys[state.KeyShard(zone)]
 	if !ok {
 		return "", 0
 	}
-	record, err := state.Decode(state.KeyPart(zone), e.value)
+	record, err := state.Decode(state.KeyShard(zone), e.value)
 	if err != nil {
 		panic(err) // the controllers' own record
 	}
--- a/leader/core.go
+++ b/leader/core.go
@@ -1,4 +1,4 @@
-// Package leader decides which part takes which tasks. It is pure: the parts'
+// Package leader decides which shard takes which tasks. It is pure: the shards'
 // aggregates, records and time in, changed records out.
 package leader
 
@@ -16,7 +16,7 @@
 	"ravenport/wire"
 )
 
-// Room is the free room of one kind of machines of a part, as the paper's
+// Room is the free room of one kind of machines of a shard, as the paper's
 // aggregates: sum, mean and standard deviation over the machines.
 type Room struct {
 	Machines int     `json:"n"`
@@ -46,13 +46,13 @@
 
 // Aggregate is what an owner pushes.
 type Aggregate struct {
-	Part     string  `json:"part"`
+	Shard    string  `json:"part"`
 	Term     uint64  `json:"term"`
 	Revision uint64  `json:"rev"` // the records that the figures reflect
 	Ordinary Room    `json:"ord"` // coming machines included
 	Spot     Room    `json:"spot"`
 	Waiting  float64 `json:"wait"` // CPUs that wait though no room for them is coming
-	// Rentable says whether the part may still get machines of the kind.
+	// Rentable says whether the shard may still get machines of the kind.
 	RentOrdinary bool `json:"ro"`
 	RentSpot     bool `json:"rs"`
 	// Yielding is ordinary room (CPUs) held by work that production work may
@@ -92,7 +92,7 @@
 	return n
 }
 
-// Takes estimates how many tasks of a job a part has room for.
+// Takes estimates how many tasks of a job a shard has room for.
 func (a *Aggregate) Takes(s *wire.Submission) int {
 	n := a.Ordinary.fits(s)
 	if s.Spot {
@@ -104,7 +104,7 @@
 	return n
 }
 
-// booking is an assignment that a part's figures do not show yet.
+// booking is an assignment that a shard's figures do not show yet.
 type booking struct {
 	revision        uint64 // 0: under way
 	cpus, gpus, mem float64
@@ -112,7 +112,7 @@
 	job             string
 }
 
-type partState struct {
+type shardState struct {
 	agg      Aggregate
 	at       time.Time
 	bookings []booking
@@ -124,8 +124,8 @@
 	busy    bool
 	tries   int
 	notAt   time.Time
-	waits   bool       // tasks of it are in no chunk
-	open    [2]float64 // CPUs and GPUs of its open chunks
+	waits   bool       // tasks of it are in no assignment
+	open    [2]float64 // CPUs and GPUs of its open assignments
 	place   Place      // in the order of the last look at all that wait
 }
 
@@ -135,10 +135,10 @@
 	order     Order
 	sizes     state.Sizes
 	termVer   uint64
-	parts     map[string]*partState
+	shards    map[string]*shardState
 	jobs      map[string]*jobState  // all that are not over
-	waiting   map[string]*jobState  // those with tasks in no chunk
-	use       map[string][2]float64 // by team: CPUs and GPUs of open chunks and of assignments under way
+	waiting   map[string]*jobState  // those with tasks in no assignment
+	use       map[string][2]float64 // by team: CPUs and GPUs of open assignments and of assignments under way
 	flying    int                   // assignments under way, but for the urgent
 	urgent    int
 	authority time.Time
@@ -161,9 +161,9 @@
 
 // New makes the core at the moment when the feed showed the claim.
 func New(set *settings.Settings, termVersion uint64, now time.Time, jobs map[string]*state.Job, versions map[string]uint64) *Core {
-	c := &Core{set: set, sizes: set.Sizes(), order: NewOrder(set.Params.Objectives), termVer: termVersion, began: now, clock: time.Now, budget: set.RoundBudget(), parts: map[string]*partState{}, jobs: map[string]*jobState{}, waiting: map[string]*jobState{}, use: map[string][2]float64{}, reserved: map[string][2]float64{}, heldAt: map[string]time.Time{}}
+	c := &Core{set: set, sizes: set.Sizes(), order: NewOrder(set.Params.Objectives), termVer: termVersion, began: now, clock: time.Now, budget: set.RoundBudget(), shards: map[string]*shardState{}, jobs: map[string]*jobState{}, waiting: map[string]*jobState{}, use: map[string][2]float64{}, reserved: map[string][2]float64{}, heldAt: map[string]time.Time{}}
 	for _, z := range set.Params.Zones {
-		c.parts[z] = &partState{}
+		c.shards[z] = &shardState{}
 	}
 	for id, rec := range jobs {
 		c.ApplyJob(now, id, rec, versions[id])
@@ -181,9 +181,9 @@
 // SetPacks says that no process of the version before can come any more.
 func (c *Core) SetPacks() { c.sizes.Packs = true }
 
-// Pushed takes in a part's aggregate.
+// Pushed takes in a shard's aggregate.
 func (c *Core) Pushed(now time.Time, a Aggregate) {
-	p := c.parts[a.Part]
+	p := c.shards[a.Shard]
 	if p == nil || a.Term < p.agg.Term {
 		return
 	}
@@ -198,7 +198,7 @@
 }
 
 // ApplyJob takes in a record from the feed. A job counts until it is over and
-// all its chunks are closed: until then its tasks may be somewhere.
+// all its assignments are closed: until then its tasks may be somewhere.
 func (c *Core) ApplyJob(now time.Time, id string, rec *state.Job, version uint64) {
 	over := rec.End != "" && rec.AllOver()
 	j := c.jobs[id]
@@ -224,7 +224,7 @@
 	c.reserve(id, rec.Spec.Team, [2]float64{})
 	waits := rec.End == "" && len(rec.Unassigned()) > 0
 	if j.rec != nil && waits && !j.waits {
-		// Sent back: other parts are asked, a little later each time.
+		// Sent back: other shards are asked, a little later each time.
 		j.tries++
 		j.notAt = now.Add(time.Duration(min(j.tries-1, 8)) * 500 * time.Millisecond)
 	}
@@ -235,7 +235,7 @@
 		delete(c.waiting, id)
 	}
 	n := 0
-	for _, ch := range rec.Chunks {
+	for _, ch := range rec.Assignments {
 		if !ch.Closed {
 			n += ch.Tasks()
 		}
@@ -243,8 +243,8 @@
 	c.count(j, [2]float64{float64(n) * rec.Spec.CPUs, float64(n) * rec.Spec.GPUs})
 }
 
-// count keeps the sum of what a team's open chunks may take. Only durable
-// evidence frees room: a chunk counts until it is closed.
+// count keeps the sum of what a team's open assignments may take. Only durable
+// evidence frees room: an assignment counts until it is closed.
 func (c *Core) count(j *jobState, open [2]float64) {
 	c.add(j.rec.Spec.Team, j.open, open)
 	j.open = open
@@ -265,7 +265,7 @@
 	c.use[team] = [2]float64{u[0] - was[0] + is[0], u[1] - was[1] + is[1]}
 }
 
-// teamUse is what a team's open chunks may take, assignments of jobs other
+// teamUse is what a team's open assignments may take, assignments of jobs other
 // than one under way included.
 func (c *Core) teamUse(team, except string) (cpus, gpus float64) {
 	u, r := c.use[team], c.reserved[except]
@@ -316,7 +316,7 @@
 	for _, j := range c.waiting {
 		if !j.busy && !now.Before(j.notAt) && c.mayFly(j) {
 			q = append(q, j)
-			j.place = c.order.Place(now, j.rec, c.guaranteed(&j.rec.Spec) > 0, len(j.rec.Chunks) > 0)
+			j.place = c.order.Place(now, j.rec, c.guaranteed(&j.rec.Spec) > 0, len(j.rec.Assignments) > 0)
 		}
 	}
 	slices.SortFunc(q, func(a, b *jobState) int { return a.place.Compare(b.place) })
@@ -370,7 +370,7 @@
 // so for a while only, since services may never make room.
 func (c *Core) collects(now time.Time, rec *state.Job) bool {
 	age := time.Duration(now.UnixMilli()-rec.AcceptedMS) * time.Millisecond
-	return Overdue(now, rec, len(rec.Chunks) > 0) && age < constants.BeginWithin+constants.CollectFor
+	return Overdue(now, rec, len(rec.Assignments) > 0) && age < constants.BeginWithin+constants.CollectFor
 }
 
 // assign decides on a job's unassigned tasks.
@@ -394,7 +394,7 @@
 		c.limited = true
 		return Commit{}, false
 	}
-	if !s.Whole() && Overdue(now, j.rec, len(j.rec.Chunks) > 0) {
+	if !s.Whole() && Overdue(now, j.rec, len(j.rec.Assignments) > 0) {
 		n = min(n, BeginShare(want))
 	}
 	guaranteed := c.guaranteed(s)
@@ -408,8 +408,8 @@
 		plan = c.plan(now, j, n)
 	}
 	type booked struct {
-		part string
-		n    int
+		shard string
+		n     int
 	}
 	var books []booked
 	given := 0
@@ -421,7 +421,7 @@
 			if guaranteed > given {
 				k = min(k, guaranteed-given)
 			}
-			rec.Chunks = append(rec.Chunks, state.Chunk{From: r[0], To: r[0] + k, Part: p.part, Keep: p.keep, Guaranteed: given < guaranteed})
+			rec.Assignments = append(rec.Assignments, state.Assignment{From: r[0], To: r[0] + k, Shard: p.shard, Keep: p.keep, Guaranteed: given < guaranteed})
 			r[0] += k
 			left -= k
 			given += k
@@ -429,7 +429,7 @@
 				ranges = ranges[1:]
 			}
 		}
-		books = append(books, booked{p.part, p.n - left})
+		books = append(books, booked{p.shard, p.n - left})
 	}
 	if given == 0 {
 		j.notAt = now.Add(constants.LeaderTick)
@@ -455,7 +455,7 @@
 		books, given = nil, n
 	}
 	for _, b := range books {
-		p := c.parts[b.part]
+		p := c.shards[b.shard]
 		p.bookings = append(p.bookings, booking{job: rec.ID, spot: s.Spot, gang: s.IsGang(),
 			cpus: float64(b.n) * s.CPUs, gpus: float64(b.n) * s.GPUs, mem: float64(b.n) * s.MemoryGB})
 	}
@@ -481,24 +481,24 @@
 	}}
 }
 
-// join gives a job's first unassigned range, up to n tasks of it, to the part
-// that has the open chunk next to it, as part of that chunk; nil if it may not.
+// join gives a job's first unassigned range, up to n tasks of it, to the shard
+// that has the open assignment next to it, as part of that assignment; nil if it may not.
 func (c *Core) join(j *jobState, n int) *state.Job {
 	caps := c.caps(j)
 	for _, r := range j.rec.Unassigned() {
-		for i, ch := range j.rec.Chunks {
+		for i, ch := range j.rec.Assignments {
 			if ch.Closed || ch.To != r[0] && ch.From != r[1] {
 				continue
 			}
-			k := min(n, r[1]-r[0], caps[ch.Part])
+			k := min(n, r[1]-r[0], caps[ch.Shard])
 			if k <= 0 {
 				continue
 			}
 			rec := j.rec.Clone()
 			if ch.To == r[0] {
-				rec.Chunks[i].To += k
+				rec.Assignments[i].To += k
 			} else {
-				rec.Chunks[i].From -= k
+				rec.Assignments[i].From -= k
 			}
 			rec.Normalize()
 			if _, ok := c.sizes.Encode(rec, j.rec); ok { // it takes hardly more than before
@@ -509,18 +509,18 @@
 	return nil
 }
 
-// Forecast is what will be assigned to a part before long: work that waits for
+// Forecast is what will be assigned to a shard before long: work that waits for
 // the state service's allowance rather than for a decision.
 type Forecast struct {
-	Revision uint64  `json:"rev"`  // chunks written later are part of it
+	Revision uint64  `json:"rev"`  // assignments written later are part of it
 	Spot     float64 `json:"spot"` // CPUs that may go to spot machines
 	Ordinary float64 `json:"ord"`  // CPUs that may not
 	// Held names teams whose limit keeps jobs waiting: what of theirs is done is
-	// recorded without waiting for the rest of its chunk.
+	// recorded without waiting for the rest of its assignment.
 	Held []string `json:"held,omitempty"`
 }
 
-// Forecast tells each part its share of what is in no chunk yet, so that it can
+// Forecast tells each shard its share of what is in no assignment yet, so that it can
 // rent for it meanwhile. revision is that of the records known.
 func (c *Core) Forecast(now time.Time, revision uint64) map[string]Forecast {
 	var spot, ordinary float64
@@ -563,9 +563,9 @@
 		return nil
 	}
 	out := map[string]Forecast{}
-	parts := float64(len(c.parts))
-	for z := range c.parts {
-		out[z] = Forecast{Revision: revision, Spot: spot/parts + by[z][0], Ordinary: ordinary/parts + by[z][1], Held: held}
+	shards := float64(len(c.shards))
+	for z := range c.shards {
+		out[z] = Forecast{Revision: revision, Spot: spot/shards + by[z][0], Ordinary: ordinary/shards + by[z][1], Held: held}
 	}
 	return out
 }
@@ -577,7 +577,7 @@
 	} else {
 		c.flying--
 	}
-	for _, p := range c.parts {
+	for _, p := range c.shards {
 		kept := p.bookings[:0]
 		for _, b := range p.bookings {
 			if b.job == id && b.revision == 0 {
@@ -601,16 +601,16 @@
 	j.notAt = now.Add(constants.LeaderTick)
 }
 
-// share is a number of tasks for a part.
+// share is a number of tasks for a shard.
 type share struct {
-	part string
-	n    int
-	keep bool
+	shard string
+	n     int
+	keep  bool
 }
 
-// plan spreads n tasks over the parts in the order of the design: of the
-// parts that take all, the one left with the least summed room; what does not
-// fit goes on to the next. What fits nowhere is kept by the part that waits
+// plan spreads n tasks over the shards in the order of the design: of the
+// shards that take all, the one left with the least summed room; what does not
+// fit goes on to the next. What fits nowhere is kept by the shard that waits
 // least and can still rent.
 func (c *Core) plan(now time.Time, j *jobState, n int) []share {
 	s := &j.rec.Spec
@@ -621,7 +621,7 @@
 		sum, queued float64
 		rent, fresh bool
 		size        float64 // CPUs of machines that are there, coming or will be rented
-		deep        float64 // CPUs that may wait in the part though no machine is coming
+		deep        float64 // CPUs that may wait in the shard though no machine is coming
 		warm        int     // production tasks that need not wait for their image
 	}
 	var cs []*cand
@@ -630,7 +630,7 @@
 		if !ok || limit <= 0 {
 			continue
 		}
-		p := c.parts[z]
+		p := c.shards[z]
 		k := &cand{name: z, cap: limit, fresh: now.Sub(p.at) < constants.StaleAggregate}
 		if k.fresh {
 			a := p.agg
@@ -672,9 +672,9 @@
 	var out []share
 	left := n
 	need := s.CPUs * float64(n)
-	// Ranked: parts that take everything by least room left after it, then
+	// Ranked: shards that take everything by least room left after it, then
 	// the others by what they take. Where production tasks find their image,
-	// they start at once, so those parts come first.
+	// they start at once, so those shards come first.
 	sort.SliceStable(cs, func(a, b int) bool {
 		x, y := cs[a], cs[b]
 		if x, y := min(x.warm, n), min(y.warm, n); x != y {
@@ -701,7 +701,7 @@
 	if left == 0 {
 		return out
 	}
-	// No room in sight: whoever can rent and is smallest, so that the parts grow
+	// No room in sight: whoever can rent and is smallest, so that the shards grow
 	// alike; else whoever has the shortest queue.
 	sort.SliceStable(cs, func(a, b int) bool {
 		x, y := cs[a], cs[b]
@@ -725,7 +725,7 @@
 		t := min(k.cap, left, constants.MaxGiven, max(0, int((constants.MaxQueued-k.queued)/max(s.CPUs, 0.1))))
 		if !k.rent && k.fresh && !s.IsService() {
 			// No machine is to be had: the tasks wait here for the first room
-			// of any part. A few wait with the owner, so that what falls free
+			// of any shard. A few wait with the owner, so that what falls free
 			// there is taken again at once.
 			t = min(t, int((k.deep-k.queued)/max(s.CPUs, 0.1)))
 		}
@@ -747,14 +747,14 @@
 	r.Memory.Sum -= b.mem
 }
 
-// caps says how many more tasks of a job each allowed part may take, by the
+// caps says how many more tasks of a job each allowed shard may take, by the
 // job's zone rules, counting every task that may be running.
 func (c *Core) caps(j *jobState) map[string]int {
 	s := &j.rec.Spec
 	held := map[string]int{}
-	for _, ch := range j.rec.Chunks {
+	for _, ch := range j.rec.Assignments {
 		if !ch.Closed {
-			held[ch.Part] += ch.Tasks()
+			held[ch.Shard] += ch.Tasks()
 		}
 	}
 	out := map[string]int{}
--- a/leader/core_test.go
+++ b/leader/core_test.go
@@ -29,8 +29,8 @@
 	return s
 }
 
-func figures(part string, rev uint64, cpus float64, machines int) Aggregate {
-	a := Aggregate{Part: part, Term: 1, Revision: rev, RentOrdinary: true, RentSpot: true, Capacity: cpus}
+func figures(shard string, rev uint64, cpus float64, machines int) Aggregate {
+	a := Aggregate{Shard: shard, Term: 1, Revision: rev, RentOrdinary: true, RentSpot: true, Capacity: cpus}
 	for range machines {
 		a.Ordinary.Machines++
 		a.Ordinary.CPUs.Add(cpus / float64(machines))
@@ -74,7 +74,7 @@
 }
 
 // Whatever answers are lost and whatever is written late, the tasks in open
-// chunks never exceed a team's limit, nor a job's zone rules.
+// assignments never exceed a team's limit, nor a job's zone rules.
 func TestLimitsHoldUnderLostAndLateWrites(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -109,17 +109,17 @@
 					s.Kind, s.Tasks = wire.KindService, 2
 				}
 				st.put(&state.Job{ID: s.ID, Spec: s})
-			case 1: // an owner closes or gives back a chunk
+			case 1: // an owner closes or gives back an assignment
 				for id, j := range st.jobs {
-					if len(j.Chunks) == 0 || rapid.Bool().Draw(t, "skip") {
+					if len(j.Assignments) == 0 || rapid.Bool().Draw(t, "skip") {
 						continue
 					}
 					k := j.Clone()
-					i := rapid.IntRange(0, len(k.Chunks)-1).Draw(t, "chunk")
+					i := rapid.IntRange(0, len(k.Assignments)-1).Draw(t, "chunk")
 					if rapid.Bool().Draw(t, "close") {
-						k.Chunks[i].Closed = true
-					} else if !k.Chunks[i].Closed {
-						k.Chunks = append(k.Chunks[:i], k.Chunks[i+1:]...)
+						k.Assignments[i].Closed = true
+					} else if !k.Assignments[i].Closed {
+						k.Assignments = append(k.Assignments[:i], k.Assignments[i+1:]...)
 					}
 					k.ID = id
 					st.put(k)
@@ -153,14 +153,14 @@
 			for _, j := range st.jobs {
 				zones := map[string]int{}
 				at := 0
-				for _, ch := range j.Chunks {
+				for _, ch := range j.Assignments {
 					if ch.From < at {
-						t.Fatalf("%s: chunks overlap: %+v", j.ID, j.Chunks)
+						t.Fatalf("%s: assignments overlap: %+v", j.ID, j.Assignments)
 					}
 					at = ch.To
 					if !ch.Closed {
 						use += float64(ch.Tasks()) * j.Spec.CPUs
-						zones[ch.Part] += ch.Tasks()
+						zones[ch.Shard] += ch.Tasks()
 					}
 				}
 				for z, n := range zones {
@@ -179,7 +179,7 @@
 	})
 }
 
-// Of the parts that take a whole job, the one left with the least comes first.
+// Of the shards that take a whole job, the one left with the least comes first.
 func TestLeastRoomLeftComesFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := New(facts(), 1, now, nil, nil)
@@ -193,8 +193,8 @@
 	if len(acts) != 1 {
 		t.Fatalf("%d assignments", len(acts))
 	}
-	if ch := written(acts[0]).Chunks; len(ch) != 1 || ch[0].Part != "b" {
-		t.Fatalf("chunks %+v, wanted all in b", ch)
+	if ch := written(acts[0]).Assignments; len(ch) != 1 || ch[0].Shard != "b" {
+		t.Fatalf("assignments %+v, wanted all in b", ch)
 	}
 }
 
@@ -212,13 +212,13 @@
 		c.ApplyJob(now, id, &state.Job{ID: id, AcceptedMS: now.UnixMilli() + int64(i), Spec: wire.Submission{ID: id, Team: "free", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 2, CPUs: 4, MemoryGB: 1}}, uint64(10+i))
 	}
 	for _, cm := range c.Step(now) {
-		for _, ch := range written(cm).Chunks {
-			got[ch.Part] += ch.Tasks()
+		for _, ch := range written(cm).Assignments {
+			got[ch.Shard] += ch.Tasks()
 		}
 	}
 	for _, z := range []string{"a", "b", "c"} {
 		if got[z] != 4 {
-			t.Fatalf("tasks by part %v, wanted 4 each", got)
+			t.Fatalf("tasks by shard %v, wanted 4 each", got)
 		}
 	}
 }
@@ -268,7 +268,7 @@
 		t.Fatalf("%d assignments", len(acts))
 	}
 	n := 0
-	for _, ch := range written(acts[0]).Chunks {
+	for _, ch := range written(acts[0]).Assignments {
 		n += ch.Tasks()
 	}
 	if n == 0 || n > 5000 {
@@ -300,7 +300,7 @@
 }
 
 // A record that has no room for one more piece still takes tasks, as part of a
-// chunk that is there: a job in many pieces is not put off for ever.
+// assignment that is there: a job in many pieces is not put off for ever.
 func TestFullRecordStillGrows(t *testing.T) {
 	now := time.Unix(1000, 0)
 	set := facts()
@@ -310,8 +310,8 @@
 		c.Pushed(now, figures(z, 1, 16, 1))
 	}
 	job := &state.Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", Team: "free", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 2000, CPUs: 1, MemoryGB: 1}}
-	for i := 0; len(state.Encode(job)) < set.ValueBytes()-40; i++ { // gaps between chunks of parts in turn
-		job.Chunks = append(job.Chunks, state.Chunk{From: 4 * i, To: 4*i + 2, Part: string('a' + rune(i%3)), Keep: true})
+	for i := 0; len(state.Encode(job)) < set.ValueBytes()-40; i++ { // gaps between assignments of shards in turn
+		job.Assignments = append(job.Assignments, state.Assignment{From: 4 * i, To: 4*i + 2, Shard: string('a' + rune(i%3)), Keep: true})
 	}
 	left := 2000
 	for rev := uint64(5); len(job.Unassigned()) > 0; rev++ {
@@ -381,11 +381,11 @@
 			c.Committed(now, cm.ID, cm.Urgent, rev)
 		}
 		for _, r := range jobs { // what has run for a while is cancelled and closed
-			if len(r.job.Chunks) > 0 && now.After(r.end) && r.job.End == "" {
+			if len(r.job.Assignments) > 0 && now.After(r.end) && r.job.End == "" {
 				r.job = r.job.Clone()
 				r.job.End = wire.JobCancelled
-				for k := range r.job.Chunks {
-					r.job.Chunks[k].Closed = true
+				for k := range r.job.Assignments {
+					r.job.Assignments[k].Closed = true
 				}
 				put(r.job)
 			}
--- a/leader/gang.go
+++ b/leader/gang.go
@@ -12,7 +12,7 @@
 	"ravenport/wire"
 )
 
-// GangRoom is how many tasks of one shape of gang a part could start now. Sums
+// GangRoom is how many tasks of one shape of gang a shard could start now. Sums
 // of free room do not tell: a gang needs all its places at one moment, so what
 // is coming or in pieces too small does not count.
 type GangRoom struct {
@@ -25,14 +25,14 @@
 	return fmt.Sprintf("%g/%g/%g/%s/%t/%s", s.CPUs, s.GPUs, s.MemoryGB, s.Image, s.Spot, strings.Join(s.Types, ","))
 }
 
-// planGang assigns a gang's tasks, all of them or none. One part takes it whole:
+// planGang assigns a gang's tasks, all of them or none. One shard takes it whole:
 // of those that could start it at once with its image, then without, then of
 // those that are estimated to have room the one left with the least summed room,
-// then whoever can rent and is smallest. Only a gang that may not be in one part,
+// then whoever can rent and is smallest. Only a gang that may not be in one shard,
 // or has long found none that takes it, is spread over several.
 func (c *Core) planGang(now time.Time, j *jobState) []share {
 	s := &j.rec.Spec
-	if len(j.rec.Chunks) > 0 {
+	if len(j.rec.Assignments) > 0 {
 		return nil // a part of it has not come back yet
 	}
 	caps := c.caps(j)
@@ -53,7 +53,7 @@
 		if !ok || limit <= 0 {
 			continue
 		}
-		p := c.parts[z]
+		p := c.shards[z]
 		k := cand{name: z, cap: limit}
 		if now.Sub(p.at) < constants.StaleAggregate {
 			fresh = true
@@ -90,7 +90,7 @@
 	if len(cs) == 0 || !fresh && now.Sub(c.began) < constants.StaleAggregate {
 		return nil // a new leader waits for the first figures
 	}
-	// grade is how soon a part would start n tasks; less is sooner.
+	// grade is how soon a shard would start n tasks; less is sooner.
 	grade := func(k cand, n int) int {
 		switch {
 		case k.warm >= n:
@@ -127,7 +127,7 @@
 	order(s.Tasks)
 	age := time.Duration(now.UnixMilli()-j.rec.AcceptedMS) * time.Millisecond
 	if !s.Spread || s.Tasks == 1 {
-		// Where it has waited for long and no part takes it, several may.
+		// Where it has waited for long and no shard takes it, several may.
 		if s.OneZone || s.Zone != "" || len(cs) == 1 || age < constants.BeginWithin || grade(cs[0], s.Tasks) < 3 {
 			return []share{{cs[0].name, s.Tasks, true}}
 		}
@@ -154,26 +154,26 @@
 	return out
 }
 
-// numberGang gives a gang that is to run in several parts its next number.
+// numberGang gives a gang that is to run in several shards its next number.
 func numberGang(rec *state.Job) {
-	for _, ch := range rec.Chunks {
-		if ch.Part != rec.Chunks[0].Part {
+	for _, ch := range rec.Assignments {
+		if ch.Shard != rec.Assignments[0].Shard {
 			rec.Attempt++
 			return
 		}
 	}
 }
 
-// closeRest closes what of a gang is in no chunk if another share of it is closed
+// closeRest closes what of a gang is in no assignment if another share of it is closed
 // already: that one's owner saw it done, and so all is. A share that lost its
 // machine as the gang completed was given back before anybody knew, and would
 // wait for the rest of the gang for ever.
 func closeRest(rec *state.Job) bool {
-	if !slices.ContainsFunc(rec.Chunks, func(ch state.Chunk) bool { return ch.Closed }) {
+	if !slices.ContainsFunc(rec.Assignments, func(ch state.Assignment) bool { return ch.Closed }) {
 		return false
 	}
 	for _, r := range rec.Unassigned() {
-		rec.Chunks = append(rec.Chunks, state.Chunk{From: r[0], To: r[1], Closed: true})
+		rec.Assignments = append(rec.Assignments, state.Assignment{From: r[0], To: r[1], Closed: true})
 	}
 	rec.Normalize()
 	if rec.AllClosed() {
--- a/leader/gang_test.go
+++ b/leader/gang_test.go
@@ -23,7 +23,7 @@
 	return now, set, c
 }
 
-// A gang goes to one part as one range: to one that could start it at once,
+// A gang goes to one shard as one range: to one that could start it at once,
 // however little is left elsewhere, and with its image if there is one.
 func TestGangGoesWhole(t *testing.T) {
 	now := time.Unix(1000, 0)
@@ -50,13 +50,13 @@
 			t.Fatalf("%s: %d assignments", name, len(acts))
 		}
 		rec := written(acts[0])
-		if len(rec.Chunks) != 1 || rec.Chunks[0].Tasks() != 6 || rec.Chunks[0].Part != want || rec.Attempt != 0 {
+		if len(rec.Assignments) != 1 || rec.Assignments[0].Tasks() != 6 || rec.Assignments[0].Shard != want || rec.Attempt != 0 {
 			t.Fatalf("%s: %+v, wanted all in %s", name, rec, want)
 		}
 	}
 }
 
-// A gang that may not be in one part is spread under a number that rises with each
+// A gang that may not be in one shard is spread under a number that rises with each
 // assignment, and is assigned again only when all of it has come back.
 func TestSpreadGangIsNumbered(t *testing.T) {
 	now, set, c := leading()
@@ -77,11 +77,11 @@
 		}
 		rec := written(acts[0])
 		in := map[string]int{}
-		for _, ch := range rec.Chunks {
-			in[ch.Part] += ch.Tasks()
+		for _, ch := range rec.Assignments {
+			in[ch.Shard] += ch.Tasks()
 		}
 		if len(in) < 2 || len(rec.Unassigned()) > 0 || rec.Attempt != attempt {
-			t.Fatalf("%+v, wanted attempt %d over several parts", rec, attempt)
+			t.Fatalf("%+v, wanted attempt %d over several shards", rec, attempt)
 		}
 		for z, n := range in {
 			if n > 3 {
@@ -92,16 +92,16 @@
 		c.Committed(now, "run-1", true, rev)
 		c.ApplyJob(now, "run-1", rec, rev)
 		half := rec.Clone()
-		half.Chunks = half.Chunks[1:]
+		half.Assignments = half.Assignments[1:]
 		rev++
 		now = now.Add(time.Minute)
 		push()
 		c.ApplyJob(now, "run-1", half, rev)
 		if acts := c.Step(now); len(acts) > 0 {
-			t.Fatal("assigned again while some of it is in a part")
+			t.Fatal("assigned again while some of it is in a shard")
 		}
 		job = half.Clone()
-		job.Chunks = nil
+		job.Assignments = nil
 		rev++
 		now = now.Add(time.Minute)
 	}
@@ -174,7 +174,7 @@
 	now, _, c := leading()
 	job := gangJob(4)
 	job.Spec.Spread, job.Attempt = true, 1
-	job.Chunks = []state.Chunk{{From: 0, To: 2, Part: "a", Closed: true}}
+	job.Assignments = []state.Assignment{{From: 0, To: 2, Shard: "a", Closed: true}}
 	c.ApplyJob(now, "run-1", job, 5)
 	acts := c.Step(now)
 	if len(acts) != 1 {
--- a/leader/order.go
+++ b/leader/order.go
@@ -82,7 +82,7 @@
 
 // BeginShare is how many of an overdue array's tasks come before all others: so
 // that it begins, and does not keep the others from beginning.
-func BeginShare(tasks int) int { return max(1, tasks/constants.BeginPart) }
+func BeginShare(tasks int) int { return max(1, tasks/constants.BeginShare) }
 
 // Place ranks a job; guaranteed says whether what waits of it is within its
 // team's guarantee, begun whether any of its tasks runs or is done.
--- a/leader/scale_test.go
+++ b/leader/scale_test.go
@@ -10,7 +10,7 @@
 	"ravenport/wire"
 )
 
-// backlog is a leader with many jobs in no part, of which all that may be under way
+// backlog is a leader with many jobs in no shard, of which all that may be under way
 // is under way: so it is for a while after a cold start and in a burst.
 func backlog(jobs int) (*Core, time.Time) {
 	now := time.Unix(1000, 0)
--- a/member/core.go
+++ b/member/core.go
@@ -1,4 +1,4 @@
-// Package member decides which controller leads and which owns which part.
+// Package member decides which controller leads and which owns which shard.
 // It is pure: state and time in, claims out.
 package member
 
@@ -19,14 +19,14 @@
 type Core struct {
 	me          string
 	controllers []Controller
-	parts       []string
+	shards      []string
 	started     time.Time
 	nodes       map[string]node
 	terms       map[string]term // by key
 	vacantSince map[string]time.Time
 	packs       map[string]bool // controllers seen to read packed records
 
-	secondPartWait time.Duration // how long another part is left vacant by an owner
+	secondShardWait time.Duration // how long another shard is left vacant by an owner
 
 	detection   bool // controllers whose lease lives may be revoked
 	revocations map[string]revocation
@@ -46,8 +46,8 @@
 }
 
 // New makes the core of the controller named me.
-func New(me string, controllers []Controller, parts []string, now time.Time) *Core {
-	c := &Core{me: me, controllers: slices.Clone(controllers), parts: parts, started: now,
+func New(me string, controllers []Controller, shards []string, now time.Time) *Core {
+	c := &Core{me: me, controllers: slices.Clone(controllers), shards: shards, started: now,
 		nodes: map[string]node{}, terms: map[string]term{}, vacantSince: map[string]time.Time{}, packs: map[string]bool{}, revocations: map[string]revocation{}}
 	slices.SortFunc(c.controllers, func(a, b Controller) int {
 		if a.Name < b.Name {
@@ -58,11 +58,11 @@
 	return c
 }
 
-// SetSecondPartWait says how long a controller that owns a part leaves another one
+// SetSecondShardWait says how long a controller that owns a shard leaves another one
 // vacant before it claims that, too. Its own controller may be back by then. Guards
-// against a small machine that takes over all parts at once and is behind with
+// against a small machine that takes over all shards at once and is behind with
 // everything, submissions included, for as long as that.
-func (c *Core) SetSecondPartWait(d time.Duration) { c.secondPartWait = d }
+func (c *Core) SetSecondShardWait(d time.Duration) { c.secondShardWait = d }
 
 // Apply takes in a change from the feed.
 func (c *Core) Apply(now time.Time, ch state.Change) {
@@ -132,15 +132,15 @@
 // keys lists everything that wants a holder.
 func (c *Core) keys() []string {
 	out := []string{state.KeyLeader}
-	for _, p := range c.parts {
-		out = append(out, state.KeyPart(p))
+	for _, p := range c.shards {
+		out = append(out, state.KeyShard(p))
 	}
 	return out
 }
 
 // order lists the controllers by their fitness to hold key.
 func (c *Core) order(now time.Time, key string) []Controller {
-	fleet := takeover.Fleet{Controllers: c.controllers, Zones: c.parts}
+	fleet := takeover.Fleet{Controllers: c.controllers, Zones: c.shards}
 	if c.detection {
 		fleet.Shards = c.ownedBy
 		fleet.Last = func(name string) bool { return c.recentlyRevoked(now, name) }
@@ -148,8 +148,8 @@
 	if key == state.KeyLeader {
 		return fleet.Order(takeover.Term{Leader: true})
 	}
-	for _, zone := range c.parts {
-		if state.KeyPart(zone) == key {
+	for _, zone := range c.shards {
+		if state.KeyShard(zone) == key {
 			return fleet.Order(takeover.Term{Zone: zone})
 		}
 	}
@@ -159,8 +159,8 @@
 // ownedBy counts the shards that a controller owns.
 func (c *Core) ownedBy(name string) int {
 	owned := 0
-	for _, zone := range c.parts {
-		if holder, held := c.Holder(state.KeyPart(zone)); held && holder == name {
+	for _, zone := range c.shards {
+		if holder, held := c.Holder(state.KeyShard(zone)); held && holder == name {
 			owned++
 		}
 	}
@@ -175,7 +175,7 @@
 		return nil
 	}
 	var out []Claim
-	owner := c.ownsPart()
+	owner := c.ownsShard()
 	for _, key := range c.keys() {
 		if holder, held := c.Holder(key); held && !c.outlived(now, key) {
 			delete(c.vacantSince, key)
@@ -189,17 +189,17 @@
 		if _, seen := c.vacantSince[key]; !seen {
 			c.vacantSince[key] = now
 		}
-		part := key != state.KeyLeader
-		if part && owner && now.Sub(c.vacantSince[key]) < c.secondPartWait {
+		shard := key != state.KeyLeader
+		if shard && owner && now.Sub(c.vacantSince[key]) < c.secondShardWait {
 			continue
 		}
-		if part && !c.pace.Ready(now) {
+		if shard && !c.pace.Ready(now) {
 			continue
 		}
 		if cl, ok := c.claim(now, key, me); ok {
 			out = append(out, cl)
-			owner = owner || part
-			if part {
+			owner = owner || shard
+			if shard {
 				c.pace.Took(now)
 			}
 		}
@@ -207,10 +207,10 @@
 	return out
 }
 
-// ownsPart says whether this controller holds a part's term.
-func (c *Core) ownsPart() bool {
-	for _, p := range c.parts {
-		if holder, held := c.Holder(state.KeyPart(p)); held && holder == c.me {
+// ownsShard says whether this controller holds a shard's term.
+func (c *Core) ownsShard() bool {
+	for _, p := range c.shards {
+		if holder, held := c.Holder(state.KeyShard(p)); held && holder == c.me {
 			return true
 		}
 	}
@@ -289,11 +289,11 @@
 			continue
 		}
 		// Only its own zone is worth a second disturbance.
-		if state.KeyPart(k.Zone) != key {
+		if state.KeyShard(k.Zone) != key {
 			return Claim{}, false
 		}
 		mine := slices.IndexFunc(c.controllers, func(x Controller) bool { return x.Name == c.me })
-		if state.KeyPart(c.controllers[mine].Zone) == key {
+		if state.KeyShard(c.controllers[mine].Zone) == key {
 			return Claim{}, false
 		}
 		return c.ClaimOf(key, k.Name, n.incarnation, n.version), true
--- a/member/core_test.go
+++ b/member/core_test.go
@@ -51,15 +51,15 @@
 
 // Through any run of failures and returns: terms only rise, nobody takes a
 // term from a live holder unless it was handed on, and once all is calm every
-// part is held in its own zone.
+// shard is held in its own zone.
 func TestTermsRiseAndSettle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		s := &sim{keys: map[string]state.Change{}, inc: make([]uint64, 3)}
-		wait := time.Duration(rapid.IntRange(0, 5000).Draw(t, "second part wait")) * time.Millisecond
+		wait := time.Duration(rapid.IntRange(0, 5000).Draw(t, "second shard wait")) * time.Millisecond
 		for _, k := range three {
 			s.cores = append(s.cores, New(k.Name, three, []string{"a", "b"}, now))
-			s.cores[len(s.cores)-1].SetSecondPartWait(wait)
+			s.cores[len(s.cores)-1].SetSecondShardWait(wait)
 		}
 		next := uint64(0)
 		up := func(i int) {
@@ -112,16 +112,16 @@
 			now = now.Add(100 * time.Millisecond)
 			step()
 		}
-		for _, part := range []string{"a", "b"} {
-			holder, held := s.cores[0].Holder(state.KeyPart(part))
+		for _, shard := range []string{"a", "b"} {
+			holder, held := s.cores[0].Holder(state.KeyShard(shard))
 			zone := ""
 			for _, k := range three {
 				if k.Name == holder {
 					zone = k.Zone
 				}
 			}
-			if !held || zone != part {
-				t.Fatalf("part %s is held by %s in %q", part, holder, zone)
+			if !held || zone != shard {
+				t.Fatalf("shard %s is held by %s in %q", shard, holder, zone)
 			}
 		}
 		if _, held := s.cores[0].Holder(state.KeyLeader); !held {
@@ -142,13 +142,13 @@
 	return s
 }
 
-// A part that was given up because its machines could not reach the owner is
+// A shard that was given up because its machines could not reach the owner is
 // not given back at once.
-func TestCutPartStaysAway(t *testing.T) {
+func TestCutShardStaysAway(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := allUp(now)
-	key := state.KeyPart("b")
-	s.set(now, key, &state.Term{Part: "b", Node: "n-1", Incarnation: 2, Number: 4})
+	key := state.KeyShard("b")
+	s.set(now, key, &state.Term{Shard: "b", Node: "n-1", Incarnation: 2, Number: 4})
 	cl, ok := s.cores[1].HandOn(now, key)
 	if !ok || cl.To == "n-1" || !s.try(now, cl) {
 		t.Fatalf("not handed on: %+v", cl)
@@ -190,23 +190,23 @@
 	}
 }
 
-// An owner leaves a second part to its own controller for a while, and no longer;
+// An owner leaves a second shard to its own controller for a while, and no longer;
 // one that owns nothing takes one at once, and of two vacant ones only one.
-func TestSecondPartIsLeftForAWhile(t *testing.T) {
+func TestSecondShardIsLeftForAWhile(t *testing.T) {
 	const wait = 4 * time.Second
 	now := time.Unix(1000, 0)
-	key := state.KeyPart("b")
+	key := state.KeyShard("b")
 	play := func(owns bool) (claims map[string]time.Duration) {
 		s := allUp(now.Add(-constants.FirstClaimWait)) // not fresh any more
 		for _, c := range s.cores {
-			c.SetSecondPartWait(wait)
+			c.SetSecondShardWait(wait)
 		}
-		holder := &state.Term{Part: "a", Node: "n-2", Incarnation: 3, Number: 4}
-		if !owns { // both parts were n-1's
-			holder = &state.Term{Part: "a", Node: "n-1", Incarnation: 2, Number: 4}
+		holder := &state.Term{Shard: "a", Node: "n-2", Incarnation: 3, Number: 4}
+		if !owns { // both shards were n-1's
+			holder = &state.Term{Shard: "a", Node: "n-1", Incarnation: 2, Number: 4}
 		}
-		s.set(now, state.KeyPart("a"), holder)
-		s.set(now, key, &state.Term{Part: "b", Node: "n-1", Incarnation: 2, Number: 7})
+		s.set(now, state.KeyShard("a"), holder)
+		s.set(now, key, &state.Term{Shard: "b", Node: "n-1", Incarnation: 2, Number: 7})
 		s.set(now, state.KeyNode("n-0"), nil)
 		s.set(now, state.KeyNode("n-1"), nil)
 		claims = map[string]time.Duration{}
@@ -220,10 +220,10 @@
 		return claims
 	}
 	if claims := play(true); len(claims) != 1 || claims[key] < wait || claims[key] > wait+time.Second {
-		t.Errorf("an owner claims %v, wanted the other part after %s", claims, wait)
+		t.Errorf("an owner claims %v, wanted the other shard after %s", claims, wait)
 	}
 	claims := play(false)
-	first, second := min(claims[state.KeyPart("a")], claims[key]), max(claims[state.KeyPart("a")], claims[key])
+	first, second := min(claims[state.KeyShard("a")], claims[key]), max(claims[state.KeyShard("a")], claims[key])
 	if len(claims) != 2 || first > 2*constants.ClaimStep || second < wait || second > wait+time.Second {
 		t.Errorf("one that owns nothing claims %v, wanted one at once and one after %s", claims, wait)
 	}
--- a/member/revocation_test.go
+++ b/member/revocation_test.go
@@ -22,8 +22,8 @@
 	for i, k := range three {
 		s.set(now, state.KeyNode(k.Name), &state.Node{Name: k.Name, Incarnation: uint64(i + 1), LifeMS: life.Milliseconds()})
 	}
-	s.set(now, state.KeyPart("a"), &state.Term{Part: "a", Node: "n-2", Incarnation: 3, Number: 4})
-	s.set(now, state.KeyPart("b"), &state.Term{Part: "b", Node: "n-1", Incarnation: 2, Number: 4})
+	s.set(now, state.KeyShard("a"), &state.Term{Shard: "a", Node: "n-2", Incarnation: 3, Number: 4})
+	s.set(now, state.KeyShard("b"), &state.Term{Shard: "b", Node: "n-1", Incarnation: 2, Number: 4})
 	s.set(now, state.KeyLeader, &state.Term{Node: "n-2", Incarnation: 3, Number: 4})
 	return s
 }
@@ -73,7 +73,7 @@
 		lastRead := now.Add(-time.Duration(rapid.IntRange(0, 1000).Draw(t, "last read ms")) * time.Millisecond)
 		authority := time.Duration(float64(life)*(1-constants.ClockDrift)) - constants.AuthorityMargin
 		ends := lastRead.Add(time.Duration(float64(authority) / (1 + drift)))
-		key, taken := state.KeyPart("b"), time.Duration(0)
+		key, taken := state.KeyShard("b"), time.Duration(0)
 		for at := time.Duration(0); at < life+6*time.Second && taken == 0; at += 50 * time.Millisecond {
 			for _, i := range []int{0, 2} {
 				for _, cl := range s.cores[i].Step(now.Add(at), s.inc[i], true) {
@@ -119,19 +119,19 @@
 	if late.If[0].Version == s.keys[state.KeyRevoked("n-1")].Version {
 		t.Error("a second revocation, decided at the same time, would be written")
 	}
-	if c := s.cores[2]; !c.Revoked("n-1") || c.outlived(now.Add(2*time.Second), state.KeyPart("b")) {
+	if c := s.cores[2]; !c.Revoked("n-1") || c.outlived(now.Add(2*time.Second), state.KeyShard("b")) {
 		t.Error("a revoked holder is outlived before its lease would have ended")
 	}
 	s.set(now, state.KeyNode("n-1"), &state.Node{Name: "n-1", Incarnation: 5, LifeMS: 3000})
-	s.set(now, state.KeyPart("b"), &state.Term{Part: "b", Node: "n-1", Incarnation: 5, Number: 6})
-	if c := s.cores[2]; c.Revoked("n-1") || c.outlived(now.Add(time.Hour), state.KeyPart("b")) {
+	s.set(now, state.KeyShard("b"), &state.Term{Shard: "b", Node: "n-1", Incarnation: 5, Number: 6})
+	if c := s.cores[2]; c.Revoked("n-1") || c.outlived(now.Add(time.Hour), state.KeyShard("b")) {
 		t.Error("the revocation counts against the next process")
 	}
-	order := s.cores[0].order(now.Add(time.Second), state.KeyPart("b"))
+	order := s.cores[0].order(now.Add(time.Second), state.KeyShard("b"))
 	if order[2].Name != "n-1" {
 		t.Errorf("a controller that was revoked a moment ago is asked before others: %v", order)
 	}
-	if order = s.cores[0].order(now.Add(constants.CutPause), state.KeyPart("b")); order[0].Name != "n-1" {
+	if order = s.cores[0].order(now.Add(constants.CutPause), state.KeyShard("b")); order[0].Name != "n-1" {
 		t.Errorf("its own zone's controller is not trusted again: %v", order)
 	}
 }
--- a/node/actors.go
+++ b/node/actors.go
@@ -8,13 +8,13 @@
 	"time"
 
 	"ravenport/actor"
+	"ravenport/apiserver"
 	"ravenport/cloud"
 	"ravenport/constants"
-	"ravenport/frontdoor"
 	"ravenport/httpwire"
 	"ravenport/leader"
-	"ravenport/part"
 	"ravenport/settings"
+	"ravenport/shard"
 	"ravenport/state"
 	"ravenport/wire"
 	"ravenport/worker"
@@ -44,11 +44,11 @@
 		machines []wire.CloudMachine
 		err      error
 	}
-	strays struct { // machines that reported to another controller
-		machines []part.Stray
+	misroutedReports struct { // machines that reported to another controller
+		machines []shard.MisroutedReport
 		all      bool // every live controller was heard from lately
 	}
-	forecast map[string]leader.Forecast // by part; nil: nothing
+	forecast map[string]leader.Forecast // by shard; nil: nothing
 	wake     struct{ soon bool }
 	halt     struct{ done func() } // stop for good, then say so
 )
@@ -184,41 +184,41 @@
 	}
 }
 
-// partActor runs one owner's decisions and does its calls.
-type partActor struct {
-	core     *part.Core
-	part     string
+// shardActor runs one owner's decisions and does its calls.
+type shardActor struct {
+	core     *shard.Core
+	shard    string
 	store    Store
 	cloud    Cloud
 	self     *actor.Ref
 	control  *actor.Ref
 	workers  Workers
 	revision uint64
-	ticks    bool // a wake of PartTick is on its way
+	ticks    bool // a wake of OwnerTick is on its way
 	pace     pace
 	pushAt   time.Time
 	countAt  time.Time
-	censusAt time.Time // when it was last asked whether the part is cut off
+	censusAt time.Time // when it was last asked whether the shard is cut off
 	listAt   time.Time
 	listing  bool
 	listed   int  // machines on the last list
 	over     bool // halted
 }
 
-func newPartActor(c *control, name string, term, version uint64, now time.Time, roster map[string]*state.Page, rosterV map[string]uint64) *partActor {
+func newShardActor(c *control, name string, term, version uint64, now time.Time, inventory map[string]*state.Page, inventoryV map[string]uint64) *shardActor {
 	set := c.set
 	limits := set.StateLimits()
-	cfg := part.Config{
-		Part: name, Report: set.Report(), LeaseEnd: set.LeaseEnd(), Tending: set.Tending(),
+	cfg := shard.Config{
+		Shard: name, Report: set.Report(), LeaseEnd: set.LeaseEnd(), LeaseExtension: set.LeaseExtension(),
 		IdleSpot: set.Operator.IdleSpot, IdleOrdinary: set.Operator.IdleOrdinary, UseSpot: set.Operator.UseSpot,
 		GangWait: settings.Seconds(set.Params.Workers.GangWaitS), GangPeer: settings.Seconds(set.Params.Workers.GangPeerS),
 		ListLag: time.Duration(set.Params.Cloud.ListLagS * float64(time.Second)),
 		Sizes:   set.Sizes(), TxnOps: limits.TxnOps, WriteRPS: max(limits.WriteRPS, 1), CloudGap: set.CloudGap(), Order: leader.NewOrder(set.Params.Objectives), Budget: set.RoundBudget(),
 	}
 	_, cfg.Calls = set.Sockets()
-	a := &partActor{part: name, store: c.io.Later, cloud: c.io.Cloud, self: actor.NewRef(), control: c.self,
+	a := &shardActor{shard: name, store: c.io.Later, cloud: c.io.Cloud, self: actor.NewRef(), control: c.self,
 		workers: c.io.Workers(), revision: c.revision}
-	a.core = part.New(cfg, term, version, now, c.types, c.jobs, c.versions, roster, rosterV)
+	a.core = shard.New(cfg, term, version, now, c.types, c.jobs, c.versions, inventory, inventoryV)
 	a.core.SetAuthority(c.until())
 	if c.packs {
 		a.core.SetPacks()
@@ -228,11 +228,11 @@
 }
 
 // Receive implements actor.Handler.
-func (a *partActor) Receive(ctx context.Context, msg any) {
+func (a *shardActor) Receive(ctx context.Context, msg any) {
 	now := time.Now()
 	if a.over {
 		if b, ok := msg.(beat); ok {
-			refuseBeat(b)
+			refuseReport(b)
 		}
 		return
 	}
@@ -246,7 +246,7 @@
 			a.core.Apply(now, ch)
 		}
 		a.revision = m.Revision
-	case frontdoor.Cancelled:
+	case apiserver.Cancelled:
 		a.core.Cancelled(m.ID)
 	case beat:
 		a.beat(now, m)
@@ -274,8 +274,8 @@
 			a.listed = len(m.machines)
 			a.core.Listed(now, m.machines)
 		}
-	case strays:
-		a.core.Strays(now, m.machines, m.all)
+	case misroutedReports:
+		a.core.MisroutedReports(now, m.machines, m.all)
 		return
 	case []leader.Aggregate:
 		a.core.Others(now, m)
@@ -291,7 +291,7 @@
 			a.ticks = false
 		}
 	}
-	if !a.pace.due(now, constants.PartGap, a.self) {
+	if !a.pace.due(now, constants.OwnerGap, a.self) {
 		return
 	}
 	for _, act := range a.core.Step(now) {
@@ -300,42 +300,42 @@
 	a.after(ctx, now)
 }
 
-func refuseBeat(m beat) {
+func refuseReport(m beat) {
 	m.req.Answer(&httpwire.Response{Status: 503, Body: []byte(`{"error":"not entitled"}`), RetryAfterS: constants.RetryAfterS})
 }
 
-func (a *partActor) beat(now time.Time, m beat) {
+func (a *shardActor) beat(now time.Time, m beat) {
 	reply, ok := a.core.Report(now, m.report)
 	if !ok {
-		refuseBeat(m)
+		refuseReport(m)
 		return
 	}
 	m.req.Answer(&httpwire.Response{Status: 200, Body: state.Encode(reply)})
 }
 
 // after does what is not the core's: ticks, pushes and the cloud's list.
-func (a *partActor) after(ctx context.Context, now time.Time) {
+func (a *shardActor) after(ctx context.Context, now time.Time) {
 	due := now.Sub(a.pushAt) > constants.PushEvery
 	if due || now.Sub(a.pushAt) > a.core.PushGap() && a.core.PushDue() {
 		a.pushAt = now
-		st := partStatus{part: a.part, aggregate: a.core.Aggregate(now, a.revision)}
+		st := shardStatus{shard: a.shard, aggregate: a.core.Aggregate(now, a.revision)}
 		if now.Sub(a.countAt) >= constants.PushEvery {
 			a.countAt = now
 			st.counts, st.summary = a.core.Counts(), a.core.Summary(now)
 		}
 		a.control.Tell(st)
 		if a.core.TermUsedUp() {
-			a.control.Tell(termUsedUp{a.part})
+			a.control.Tell(termUsedUp{a.shard})
 		}
 	}
 	if now.Sub(a.censusAt) >= constants.CensusEvery { // it looks at the whole fleet
 		a.censusAt = now
 		if silent, seen := a.core.CutOff(now); silent {
-			a.control.Tell(cutOff{a.part, seen})
+			a.control.Tell(cutOff{a.shard, seen})
 		}
 	}
 	every := constants.CloudListEvery
-	if !a.core.Dark() { // the list tells whether its machines are cut off or gone
+	if !a.core.Unreachable() { // the list tells whether its machines are cut off or gone
 		every *= time.Duration(1 + a.listed/wire.MaxList)
 	}
 	if !a.listing && now.Sub(a.listAt) > every {
@@ -347,29 +347,29 @@
 	}
 	if !a.ticks {
 		a.ticks = true
-		time.AfterFunc(constants.PartTick, func() { a.self.Tell(wake{}) })
+		time.AfterFunc(constants.OwnerTick, func() { a.self.Tell(wake{}) })
 	}
 }
 
-func (a *partActor) do(ctx context.Context, act part.Action) {
+func (a *shardActor) do(ctx context.Context, act shard.Action) {
 	switch act := act.(type) {
-	case part.SendCommands:
+	case shard.SendCommands:
 		a.workers.Send(ctx, act.Addr, act.Request, func(r worker.Result) { a.self.Tell(commandDone{act.Machine, r}) })
-	case part.Gone:
+	case shard.Gone:
 		a.workers.Forget(act.Addr)
-	case part.Commit:
+	case shard.Commit:
 		go func() {
 			r := commit(ctx, a.store, act.Txn, act.ID, false)
 			r.id = act.ID
 			a.self.Tell(r)
 		}()
-	case part.Rent:
+	case shard.Rent:
 		go func() {
 			var names []string
 			err := insist(ctx, "rental", func() (err error) { names, err = a.cloud.Rent(ctx, act.Request); return err })
 			a.self.Tell(rented{act.Request.Request, names, err != nil})
 		}()
-	case part.Return:
+	case shard.Return:
 		go func() {
 			if err := insist(ctx, "return", func() error { return a.cloud.Return(ctx, act.Names) }); err == nil {
 				a.self.Tell(returned{act.Names})
--- a/node/cancellations.go
+++ b/node/cancellations.go
@@ -4,13 +4,13 @@
 	"cmp"
 	"slices"
 
+	"ravenport/apiserver"
 	"ravenport/constants"
-	"ravenport/frontdoor"
 	"ravenport/peer"
 )
 
 // cancellations are those that this process knows of, from its feed, from what its
-// front door confirmed or read, and from other controllers: the latest by
+// API server confirmed or read, and from other controllers: the latest by
 // revision, so that a controller whose feed is behind can be told of them.
 type cancellations struct {
 	recent  map[string]uint64 // revision by job
@@ -68,6 +68,6 @@
 		return
 	}
 	for _, o := range c.owners {
-		o.ref.Tell(frontdoor.Cancelled{ID: x.Job, Revision: x.Revision})
+		o.ref.Tell(apiserver.Cancelled{ID: x.Job, Revision: x.Revision})
 	}
 }
--- a/node/control.go
+++ b/node/control.go
@@ -9,15 +9,15 @@
 	"time"
 
 	"ravenport/actor"
+	"ravenport/apiserver"
 	"ravenport/constants"
 	"ravenport/detector"
-	"ravenport/frontdoor"
 	"ravenport/httpwire"
 	"ravenport/leader"
 	"ravenport/member"
-	"ravenport/part"
 	"ravenport/peer"
 	"ravenport/settings"
+	"ravenport/shard"
 	"ravenport/state"
 	"ravenport/wire"
 )
@@ -66,17 +66,17 @@
 		types []wire.MachineType
 		err   error
 	}
-	partStatus struct { // from a part's actor
-		part      string
+	shardStatus struct { // from a shard's actor
+		shard     string
 		aggregate leader.Aggregate
 		counts    map[string][2]int
-		summary   part.Summary
+		summary   shard.Summary
 	}
-	termUsedUp struct{ part string }        // the owner needs a new term
+	termUsedUp struct{ shard string }       // the owner needs a new term
 	halted     struct{ claim member.Claim } // the actor stopped: the claim may go
-	cutOff     struct {                     // a part's machines fell silent together
-		part   string
-		strays bool // and report to other controllers
+	cutOff     struct {                     // a shard's machines fell silent together
+		shard            string
+		misroutedReports bool // and report to other controllers
 	}
 )
 
@@ -91,18 +91,18 @@
 	set    *settings.Settings
 	io     Outside
 	self   *actor.Ref
-	door   *actor.Ref
+	api    *actor.Ref
 	member *member.Core
 
-	jobs     map[string]*state.Job // not over, or with open chunks
-	versions map[string]uint64
-	roster   map[string]*state.Page // by key
-	rosterV  map[string]uint64
-	partOf   map[string]string // by machine on the roster
-	odd      map[string]bool   // machines whose impossible reports were logged
-	revision uint64
-	synced   bool
-	heardAt  time.Time // last answer of the state service
+	jobs       map[string]*state.Job // not over, or with open assignments
+	versions   map[string]uint64
+	inventory  map[string]*state.Page // by key
+	inventoryV map[string]uint64
+	shardOf    map[string]string // by machine on the inventory
+	odd        map[string]bool   // machines whose impossible reports were logged
+	revision   uint64
+	synced     bool
+	heardAt    time.Time // last answer of the state service
 
 	packs       bool // no process of the version before can come any more
 	incarnation uint64
@@ -115,7 +115,7 @@
 	authority   time.Duration
 	claiming    map[string]time.Time
 	yielded     map[string]uint64 // term given up while handing on, or known from a sibling to be over
-	successor   map[string]string // by part: who a sibling says owns it, beyond what the feed shows
+	successor   map[string]string // by shard: who a sibling says owns it, beyond what the feed shows
 	types       []wire.MachineType
 	typesNext   time.Time // when they are read next
 	typesBusy   bool
@@ -125,34 +125,34 @@
 	promisedUntil time.Time            // until then nothing is claimed
 	grants        map[string]time.Time // by controller: when what it promised was asked for
 
-	owners     map[string]*child
-	leaderRef  *child
-	ledSince   time.Time
-	status     map[string]partStatus
-	unsettled  map[string]time.Time // by key: when a part here last was not rebuilt, or out of reach
-	forecast   forecast             // of the leader here
-	pushAt     time.Time            // when anybody was last told
-	pushAllAt  time.Time            // and when everybody was
-	pushNow    bool
-	pushing    map[string]bool
-	peersState map[string]peerView
-	strays     map[string]stray
-	detect     detection
+	owners           map[string]*child
+	leaderRef        *child
+	ledSince         time.Time
+	status           map[string]shardStatus
+	unsettled        map[string]time.Time // by key: when a shard here last was not rebuilt, or out of reach
+	forecast         forecast             // of the leader here
+	pushAt           time.Time            // when anybody was last told
+	pushAllAt        time.Time            // and when everybody was
+	pushNow          bool
+	pushing          map[string]bool
+	peersState       map[string]peerView
+	misroutedReports map[string]misroutedReport
+	detect           detection
 }
 
-// stray is a report that was made here though another controller owns its
+// misroutedReport is a report that was made here though another controller owns its
 // machine.
-type stray struct {
-	part.Stray
+type misroutedReport struct {
+	shard.MisroutedReport
 	at time.Time
 }
 
-func newControl(set *settings.Settings, out Outside, self, door, monitor *actor.Ref) *control {
+func newControl(set *settings.Settings, out Outside, self, api, monitor *actor.Ref) *control {
 	c := &control{
-		set: set, io: out, self: self, door: door, started: time.Now(), grants: map[string]time.Time{},
-		jobs: map[string]*state.Job{}, versions: map[string]uint64{}, roster: map[string]*state.Page{}, rosterV: map[string]uint64{}, partOf: map[string]string{}, odd: map[string]bool{},
+		set: set, io: out, self: self, api: api, started: time.Now(), grants: map[string]time.Time{},
+		jobs: map[string]*state.Job{}, versions: map[string]uint64{}, inventory: map[string]*state.Page{}, inventoryV: map[string]uint64{}, shardOf: map[string]string{}, odd: map[string]bool{},
 		claiming: map[string]time.Time{}, yielded: map[string]uint64{}, successor: map[string]string{}, unsettled: map[string]time.Time{}, owners: map[string]*child{},
-		status: map[string]partStatus{}, pushing: map[string]bool{}, peersState: map[string]peerView{}, strays: map[string]stray{},
+		status: map[string]shardStatus{}, pushing: map[string]bool{}, peersState: map[string]peerView{}, misroutedReports: map[string]misroutedReport{},
 	}
 	var short bool
 	if c.authority, short = set.Authority(); short {
@@ -163,11 +163,11 @@
 		all = append(all, member.Controller{Name: n.Node, Zone: n.Zone})
 	}
 	c.member = member.New(set.Node, all, set.Params.Zones, time.Now())
-	c.member.SetSecondPartWait(set.SecondPartWait())
+	c.member.SetSecondShardWait(set.SecondShardWait())
 	if monitor != nil {
 		c.member.EnableDetection()
 		// A worker that is not served comes back after it has waited for an answer.
-		window := time.Duration(constants.StrayPeriods*float64(set.Report())) + constants.NextController
+		window := time.Duration(constants.MisroutedPeriods*float64(set.Report())) + constants.NextController
 		c.detect = detection{monitor: monitor, returning: newReturningWorkers(window)}
 	}
 	return c
@@ -207,9 +207,9 @@
 		if m.err == nil {
 			c.heardAt = now
 			c.reads = append(c.reads, m)
-			c.freshen(now)
+			c.advanceFreshness(now)
 		}
-	case frontdoor.Cancelled:
+	case apiserver.Cancelled:
 		c.cancelled(peer.Cancellation{Job: m.ID, Revision: m.Revision})
 	case claimed:
 		c.claimed(now, m)
@@ -230,21 +230,21 @@
 		}
 		c.typesNext = now.Add(constants.TypesEvery)
 		c.types = m.types
-		c.door.Tell(frontdoor.Types(m.types))
+		c.api.Tell(apiserver.Types(m.types))
 		for _, o := range c.owners {
 			o.ref.Tell(m)
 		}
-	case partStatus:
+	case shardStatus:
 		c.pushNow = true
-		if m.counts != nil && (m.summary.Dark || !m.summary.Rebuilt) {
-			c.unsettled[state.KeyPart(m.part)] = now
+		if m.counts != nil && (m.summary.Unreachable || !m.summary.Rebuilt) {
+			c.unsettled[state.KeyShard(m.shard)] = now
 		}
 		if m.counts != nil {
-			c.door.Tell(frontdoor.Counts{Part: m.part, Jobs: m.counts})
+			c.api.Tell(apiserver.Counts{Shard: m.shard, Jobs: m.counts})
 		} else {
-			m.counts, m.summary = c.status[m.part].counts, c.status[m.part].summary
+			m.counts, m.summary = c.status[m.shard].counts, c.status[m.shard].summary
 		}
-		c.status[m.part] = m
+		c.status[m.shard] = m
 		if c.leaderRef != nil {
 			c.leaderRef.ref.Tell(m.aggregate)
 		}
@@ -254,15 +254,15 @@
 	case forecast:
 		c.forecast = m
 		c.pushNow = c.pushNow || m != nil
-		c.foretell(m)
+		c.forwardForecast(m)
 	case termUsedUp:
-		c.renewTerm(now, m.part)
+		c.renewTerm(now, m.shard)
 	case halted:
 		delete(c.claiming, m.claim.Key)
 		c.send(ctx, now, m.claim)
 	case cutOff:
-		if o := c.owners[m.part]; o != nil && (m.strays || c.peersAway(now)) {
-			c.handOn(ctx, now, state.KeyPart(m.part))
+		if o := c.owners[m.shard]; o != nil && (m.misroutedReports || c.peersAway(now)) {
+			c.handOn(ctx, now, state.KeyShard(m.shard))
 		}
 	}
 }
@@ -284,24 +284,24 @@
 		case *state.Revocation:
 			c.noteRevocation(now, r)
 		case *state.Page:
-			if old := c.roster[ch.Key]; old != nil {
+			if old := c.inventory[ch.Key]; old != nil {
 				for _, m := range old.Machines() {
-					delete(c.partOf, m.Name)
+					delete(c.shardOf, m.Name)
 				}
 			}
 			for _, m := range r.Machines() {
-				c.partOf[m.Name] = r.Part
+				c.shardOf[m.Name] = r.Shard
 			}
-			c.roster[ch.Key], c.rosterV[ch.Key] = r, ch.Version
+			c.inventory[ch.Key], c.inventoryV[ch.Key] = r, ch.Version
 		case nil:
-			delete(c.roster, ch.Key)
-			delete(c.rosterV, ch.Key)
+			delete(c.inventory, ch.Key)
+			delete(c.inventoryV, ch.Key)
 		}
 	}
 	if !c.packs && c.member.Packs() {
 		c.packs = true
 		slog.Info("every controller has this version")
-		c.door.Tell(frontdoor.Packs{})
+		c.api.Tell(apiserver.Packs{})
 		for _, o := range c.owners {
 			o.ref.Tell(packs{})
 		}
@@ -315,7 +315,7 @@
 		c.synced = true
 		slog.Info("feed has read the state service", "revision", up.Revision, "jobs", len(c.jobs))
 	}
-	c.door.Tell(up)
+	c.api.Tell(up)
 	for _, o := range c.owners {
 		o.ref.Tell(up)
 	}
@@ -323,7 +323,7 @@
 		c.leaderRef.ref.Tell(up)
 	}
 	c.roles(ctx, now)
-	c.freshen(now)
+	c.advanceFreshness(now)
 }
 
 func (c *control) tick(ctx context.Context, now time.Time) {
@@ -377,16 +377,16 @@
 	}()
 }
 
-// beat hands a worker's report to the owner of its part, or points the worker
+// beat hands a worker's report to the owner of its shard, or points the worker
 // to the controller that owns it.
 func (c *control) beat(now time.Time, m beat) {
-	if p, ok := c.partOf[m.report.Machine]; ok && p != m.report.Zone {
-		// A machine never changes part: two owners must not command it.
+	if p, ok := c.shardOf[m.report.Machine]; ok && p != m.report.Zone {
+		// A machine never changes shard: two owners must not command it.
 		if !c.odd[m.report.Machine] {
 			c.odd[m.report.Machine] = true
-			slog.Warn("a machine reports from a zone that is not its own", "machine", m.report.Machine, "zone", m.report.Zone, "part", p)
+			slog.Warn("a machine reports from a zone that is not its own", "machine", m.report.Machine, "zone", m.report.Zone, "shard", p)
 		}
-		refuseBeat(m)
+		refuseReport(m)
 		return
 	}
 	if o := c.owners[m.report.Zone]; o != nil {
@@ -394,10 +394,10 @@
 		return
 	}
 	if _, known := c.set.Params.Zone(m.report.Zone); known {
-		c.strays[m.report.Machine] = stray{part.Stray{Machine: m.report.Machine, Session: m.report.Session, Seq: m.report.Seq}, now}
+		c.misroutedReports[m.report.Machine] = misroutedReport{shard.MisroutedReport{Machine: m.report.Machine, Session: m.report.Session, Seq: m.report.Seq}, now}
 	}
 	to := ""
-	if holder, ok := c.member.Holder(state.KeyPart(m.report.Zone)); ok && holder != c.set.Node {
+	if holder, ok := c.member.Holder(state.KeyShard(m.report.Zone)); ok && holder != c.set.Node {
 		to = holder
 	} else if next := c.successor[m.report.Zone]; next != "" {
 		to = next
--- a/node/detection_test.go
+++ b/node/detection_test.go
@@ -145,7 +145,7 @@
 		w.nodes[first].restart(25 * time.Second)
 		w.nodes[second].restart(25 * time.Second)
 		third := 3 - first - second
-		w.until(t, "the third one owns both", takeoverBound+constants.SecondPartWaitMost, func() bool { return w.owner("a") == third && w.owner("b") == third })
+		w.until(t, "the third one owns both", takeoverBound+constants.SecondShardWaitMost, func() bool { return w.owner("a") == third && w.owner("b") == third })
 		w.nodes[third].restart(45 * time.Second)
 		w.until(t, "both have owners again", time.Minute, func() bool { return w.owner("a") != third && w.owner("b") != third })
 		time.Sleep(30 * time.Second)
--- a/node/lease.go
+++ b/node/lease.go
@@ -13,7 +13,7 @@
 )
 
 // freshen notes up to when the feed is known to hold every change.
-func (c *control) freshen(now time.Time) {
+func (c *control) advanceFreshness(now time.Time) {
 	kept := c.reads[:0]
 	for _, r := range c.reads {
 		if r.revision > c.revision {
--- a/node/meetings_test.go
+++ b/node/meetings_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"ravenport/frontdoor"
+	"ravenport/apiserver"
 	"ravenport/httpwire"
 	"ravenport/state"
 	"ravenport/wire"
@@ -59,7 +59,7 @@
 	w.setOutage(false)
 	w.mu.Lock()
 	for _, n := range w.nodes {
-		n.cutState, n.cutWork, n.cutPeers, n.cutBeats = false, false, false, false
+		n.cutState, n.cutWork, n.cutPeers, n.cutReports = false, false, false, false
 	}
 	w.cloudOut, w.cutZone, w.slow = false, "", 0
 	for _, m := range w.machines {
@@ -131,11 +131,11 @@
 				told, accepted := j.told, j.accepted
 				w.mu.Unlock()
 				repeat := w.chance(0.3)
-				r := w.askAt(node, func(q frontdoor.Request) any {
+				r := w.askAt(node, func(q apiserver.Request) any {
 					if repeat {
-						return frontdoor.Submit{Req: q, Body: state.Encode(fields(j.spec))}
+						return apiserver.Submit{Req: q, Body: state.Encode(fields(j.spec))}
 					}
-					return frontdoor.Poll{Req: q, ID: j.spec.ID}
+					return apiserver.Poll{Req: q, ID: j.spec.ID}
 				})
 				if r == nil || r.Status == 503 || r.Status == 429 {
 					return
@@ -308,14 +308,14 @@
 // schedulers like this one.
 func TestMeetings(t *testing.T) {
 	zones := []string{"a", "b", "c"}
-	owner := func(w *world, z string) *simNode { return w.nodes[w.holder(state.KeyPart(z))] }
+	owner := func(w *world, z string) *simNode { return w.nodes[w.holder(state.KeyShard(z))] }
 	leader := func(w *world) *simNode { return w.nodes[w.holder(state.KeyLeader)] }
 	list := []scene{
 		{name: "held reports come as a new leader begins", guard: func(w *world) { w.freshCopies = true },
 			play: func(t *testing.T, w *world) {
 				w.do(func() { w.keepCopies = true })
 				b := w.work(t, 60)
-				w.newTerm(t, state.KeyPart("a"), func() { owner(w, "a").restart(8 * time.Second); leader(w).restart(9 * time.Second) })
+				w.newTerm(t, state.KeyShard("a"), func() { owner(w, "a").restart(8 * time.Second); leader(w).restart(9 * time.Second) })
 				w.replay()
 				time.Sleep(3 * time.Second)
 				w.replay()
@@ -340,7 +340,7 @@
 				})
 				for range 2 {
 					w.newTerm(t, state.KeyLeader, func() { leader(w).restart(6 * time.Second) })
-					w.newTerm(t, state.KeyPart("b"), func() { owner(w, "b").restart(6 * time.Second) })
+					w.newTerm(t, state.KeyShard("b"), func() { owner(w, "b").restart(6 * time.Second) })
 				}
 				for _, j := range lot {
 					if w.ended(j) {
@@ -361,7 +361,7 @@
 				})
 				w.cancelSoon(t, held[0], 20*time.Second)
 				w.newTerm(t, state.KeyLeader, func() { leader(w).restart(6 * time.Second) })
-				w.newTerm(t, state.KeyPart(cut[0].zone), func() { owner(w, cut[0].zone).restart(6 * time.Second) })
+				w.newTerm(t, state.KeyShard(cut[0].zone), func() { owner(w, cut[0].zone).restart(6 * time.Second) })
 				w.until(t, "another of the team starts in its place", 2*w.times.lease()+time.Minute, func() bool {
 					return len(slices.DeleteFunc(w.begun(b.tight), func(j *simJob) bool { return j == held[0] })) == 2
 				})
@@ -383,10 +383,10 @@
 			play: func(t *testing.T, w *world) {
 				b := w.work(t, 150)
 				n := leader(w)
-				if len(w.parts(slices.Index(w.nodes, n))) == 0 {
+				if len(w.shards(slices.Index(w.nodes, n))) == 0 {
 					n = owner(w, "a")
 				}
-				owned := w.parts(slices.Index(w.nodes, n))
+				owned := w.shards(slices.Index(w.nodes, n))
 				w.do(func() { n.cutState, n.cutPeers = true, true })
 				cutAt := time.Now()
 				var doomed *simJob
@@ -406,16 +406,16 @@
 				w.mu.Unlock()
 				w.settle(t, 8*time.Minute, b.finishes)
 			}},
-		{name: "cancellations while a part changes hands",
+		{name: "cancellations while a shard changes hands",
 			play: func(t *testing.T, w *world) {
 				lots := [][]*simJob{w.lots(1, 200), w.lots(2, 200), w.lots(3, 200)}
 				w.allRun(t, lots...)
 				n := owner(w, "a")
-				w.newTerm(t, state.KeyPart("a"), func() { n.kill(); w.cancelSoon(t, lots[0][0], 20*time.Second) })
+				w.newTerm(t, state.KeyShard("a"), func() { n.kill(); w.cancelSoon(t, lots[0][0], 20*time.Second) })
 				w.cancelSoon(t, lots[0][1], 20*time.Second)
 				n.start()
-				// It is given its part back in good health: cancellations all the while.
-				w.newTerm(t, state.KeyPart("a"), func() {
+				// It is given its shard back in good health: cancellations all the while.
+				w.newTerm(t, state.KeyShard("a"), func() {
 					go func() {
 						for _, lot := range lots[1:] {
 							for node, j := range lot {
@@ -522,19 +522,19 @@
 				time.Sleep(2 * w.times.lease())
 				w.settle(t, 6*time.Minute, lot)
 			}},
-		{name: "parts handed there and back, all end, one returns within a second",
+		{name: "shards handed there and back, all end, one returns within a second",
 			play: func(t *testing.T, w *world) {
 				b := w.work(t, 150)
 				n := owner(w, "b")
-				w.newTerm(t, state.KeyPart("b"), func() { n.restart(300 * time.Millisecond) })
-				w.newTerm(t, state.KeyPart("b"), func() { owner(w, "b").restart(300 * time.Millisecond) })
+				w.newTerm(t, state.KeyShard("b"), func() { n.restart(300 * time.Millisecond) })
+				w.newTerm(t, state.KeyShard("b"), func() { owner(w, "b").restart(300 * time.Millisecond) })
 				for _, n := range w.nodes {
 					n.kill()
 				}
 				w.nodes[1].restart(700 * time.Millisecond)
 				time.Sleep(1200 * time.Millisecond)
 				w.nodes[1].restart(200 * time.Millisecond) // in the middle of the election
-				w.newTerm(t, state.KeyPart("b"), func() {})
+				w.newTerm(t, state.KeyShard("b"), func() {})
 				w.cancelSoon(t, b.long[1], 30*time.Second)
 				time.Sleep(10 * time.Second)
 				w.nodes[0].start()
@@ -555,7 +555,7 @@
 					for _, n := range w.nodes {
 						n.restart(w.between(500*time.Millisecond, 2*time.Second))
 					}
-					w.newTerm(t, state.KeyPart(zones[i%3]), func() {})
+					w.newTerm(t, state.KeyShard(zones[i%3]), func() {})
 					time.Sleep(12 * time.Second)
 				}
 				w.do(func() { w.late = 0 })
@@ -633,7 +633,7 @@
 				for i, n := range w.nodes {
 					n.restart(time.Duration(1+i*300) * time.Millisecond)
 				}
-				w.newTerm(t, state.KeyPart("a"), func() {})
+				w.newTerm(t, state.KeyShard("a"), func() {})
 				w.settle(t, 8*time.Minute, b.finishes)
 			}},
 		{name: "a leader ends while machines with long tasks do not hear the new one", guard: func(w *world) { w.noLease, w.noReturn = true, true }, rule: "ran_twice",
@@ -643,7 +643,7 @@
 					on := w.on(j.spec.ID)
 					w.do(func() { on[0].deaf, on[0].cut = i%2 == 0, i%2 == 1 })
 				}
-				w.newTerm(t, state.KeyPart("a"), func() { owner(w, "a").restart(5 * time.Second); leader(w).restart(5 * time.Second) })
+				w.newTerm(t, state.KeyShard("a"), func() { owner(w, "a").restart(5 * time.Second); leader(w).restart(5 * time.Second) })
 				w.cancelSoon(t, b.free, 20*time.Second)
 				time.Sleep(w.times.cancelWithin() + 5*time.Second)
 				w.settle(t, 10*time.Minute, b.finishes)
@@ -654,7 +654,7 @@
 				lot := w.flood(0, 20*time.Second, 0.4, 12, 0.25)
 				w.newTerm(t, state.KeyLeader, func() { leader(w).restart(300 * time.Millisecond) })
 				lot = append(lot, w.flood(500, 10*time.Second, 0.4, 12, 0.25)...)
-				w.newTerm(t, state.KeyPart("a"), func() { owner(w, "a").kill() })
+				w.newTerm(t, state.KeyShard("a"), func() { owner(w, "a").kill() })
 				time.Sleep(5 * time.Second)
 				w.do(func() { w.slow, w.lateWrites = 0, 0 })
 				w.settle(t, 5*time.Minute, lot)
@@ -673,7 +673,7 @@
 				})
 				w.cancelSoon(t, b.long[0], 20*time.Second)
 				time.Sleep(8 * time.Second)
-				w.newTerm(t, state.KeyPart("b"), func() { owner(w, "b").restart(5 * time.Second) })
+				w.newTerm(t, state.KeyShard("b"), func() { owner(w, "b").restart(5 * time.Second) })
 				time.Sleep(w.times.cancelWithin())
 				w.settle(t, 8*time.Minute, b.finishes)
 			}},
@@ -682,7 +682,7 @@
 				w.do(func() { w.slow = 600 * time.Millisecond })
 				b := w.work(t, 200)
 				n := leader(w)
-				if len(w.parts(slices.Index(w.nodes, n))) == 0 {
+				if len(w.shards(slices.Index(w.nodes, n))) == 0 {
 					n = owner(w, "a")
 				}
 				w.do(func() { n.cutState = true })
@@ -753,7 +753,7 @@
 		answered := 0
 		ask := func(what string, f map[string]any, want int) {
 			for node := range w.nodes {
-				r := w.askAt(node, func(q frontdoor.Request) any { return frontdoor.Submit{Req: q, Body: state.Encode(f)} })
+				r := w.askAt(node, func(q apiserver.Request) any { return apiserver.Submit{Req: q, Body: state.Encode(f)} })
 				if r == nil || r.Status == 503 {
 					continue
 				}
@@ -789,12 +789,12 @@
 				f := fields(done.spec)
 				delete(f, "cpus")
 				for _, r := range []*httpwire.Response{
-					w.askAt(node, func(q frontdoor.Request) any { return frontdoor.Submit{Req: q, Body: state.Encode(f)} }),
-					w.askAt(node, func(q frontdoor.Request) any { return frontdoor.Cancel{Req: q, ID: done.spec.ID} }),
+					w.askAt(node, func(q apiserver.Request) any { return apiserver.Submit{Req: q, Body: state.Encode(f)} }),
+					w.askAt(node, func(q apiserver.Request) any { return apiserver.Cancel{Req: q, ID: done.spec.ID} }),
 				} {
 					w.check(done, r, true)
 				}
-				r := w.askAt(node, func(q frontdoor.Request) any { return frontdoor.Poll{Req: q, ID: "run-odd"} })
+				r := w.askAt(node, func(q apiserver.Request) any { return apiserver.Poll{Req: q, ID: "run-odd"} })
 				if r != nil && r.Status != 404 && r.Status != 503 {
 					w.fail(t, "a job that nobody could submit: status %d", r.Status)
 				}
--- a/node/node.go
+++ b/node/node.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"ravenport/actor"
+	"ravenport/apiserver"
 	"ravenport/cloud"
 	"ravenport/constants"
-	"ravenport/frontdoor"
 	"ravenport/history"
 	"ravenport/httpwire"
 	"ravenport/peer"
@@ -29,7 +29,7 @@
 
 // Store is the state service as a controller uses it.
 type Store interface {
-	frontdoor.Store
+	apiserver.Store
 	List(ctx context.Context, prefix string) ([]wire.KeyValue, uint64, error)
 	Watch(ctx context.Context, prefix string, from uint64, wait time.Duration) (*wire.Events, error)
 	Grant(ctx context.Context, life time.Duration) (uint64, error)
@@ -53,7 +53,7 @@
 
 // Peer is another controller.
 type Peer interface {
-	frontdoor.Relay
+	apiserver.Relay
 	Push(ctx context.Context, s peer.Status) (peer.Reply, error)
 }
 
@@ -74,29 +74,29 @@
 
 // Controller is one controller without its servers.
 type Controller struct {
-	node       string
-	store      Store
-	self, door *actor.Ref
-	monitor    *actor.Ref // nil: failure detection is off
-	monitors   map[string]MonitorPeer
-	failed     chan error
+	node      string
+	store     Store
+	self, api *actor.Ref
+	monitor   *actor.Ref // nil: failure detection is off
+	monitors  map[string]MonitorPeer
+	failed    chan error
 }
 
 // Start starts a controller's actors; they run until ctx ends.
 func Start(ctx context.Context, set *settings.Settings, out Outside) (*Controller, error) {
-	n := &Controller{node: set.Node, store: out.State, self: actor.NewRef(), door: actor.NewRef(), monitors: out.Monitors, failed: make(chan error, 1)}
+	n := &Controller{node: set.Node, store: out.State, self: actor.NewRef(), api: actor.NewRef(), monitors: out.Monitors, failed: make(chan error, 1)}
 	if set.Detection != nil {
 		if err := n.startMonitor(ctx, set, out); err != nil {
 			return nil, err
 		}
 	}
-	c := newControl(set, out, n.self, n.door, n.monitor)
-	go n.door.Run(ctx, frontdoor.New(set, out.State, n.door, n.self))
+	c := newControl(set, out, n.self, n.api, n.monitor)
+	go n.api.Run(ctx, apiserver.New(set, out.State, n.api, n.self))
 	go n.self.Run(ctx, c)
 	go state.NewFeed(out.State, set.ReadGap(), func(up state.Update) { n.self.Tell(up) }).Run(ctx)
 	go every(ctx, constants.MemberTick, func(t time.Time) {
 		n.self.Tell(tick(t))
-		n.door.Tell(frontdoor.Tick(t))
+		n.api.Tell(apiserver.Tick(t))
 	})
 	return n, nil
 }
@@ -265,7 +265,7 @@
 		}
 	case path == wire.PathJobs:
 		if methods("POST") {
-			n.door.Tell(frontdoor.Submit{Req: r, Body: r.Body})
+			n.api.Tell(apiserver.Submit{Req: r, Body: r.Body})
 		}
 	case strings.HasPrefix(path, wire.PathJobs+"/"):
 		id, rest, sub := strings.Cut(path[len(wire.PathJobs)+1:], "/")
@@ -278,7 +278,7 @@
 				notFound(r)
 				return
 			}
-			n.door.Tell(frontdoor.Cancel{Req: r, ID: id})
+			n.api.Tell(apiserver.Cancel{Req: r, ID: id})
 		case sub:
 			notFound(r)
 		default:
@@ -289,7 +289,7 @@
 				notFound(r)
 				return
 			}
-			n.door.Tell(frontdoor.Poll{Req: r, ID: id})
+			n.api.Tell(apiserver.Poll{Req: r, ID: id})
 		}
 	case path == PathStatus:
 		if methods("GET") {
@@ -297,7 +297,7 @@
 		}
 	case path == PathMetrics:
 		if methods("GET") {
-			n.door.Tell(frontdoor.Metrics{Req: r})
+			n.api.Tell(apiserver.Metrics{Req: r})
 		}
 	default:
 		notFound(r)
--- a/node/overload_test.go
+++ b/node/overload_test.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"ravenport/leader"
-	"ravenport/part"
 	"ravenport/settings"
+	"ravenport/shard"
 	"ravenport/state"
 	"ravenport/wire"
 )
@@ -23,7 +23,7 @@
 	now     time.Time
 	rev     uint64
 	leader  *leader.Core
-	owners  map[string]*part.Core
+	owners  map[string]*shard.Core
 	workers map[string]*crushWorker
 	names   []string
 	jobs    map[string]*crushJob
@@ -66,7 +66,7 @@
 }
 
 func newCrush(seed uint64) *crush {
-	c := &crush{rng: rand.New(rand.NewPCG(seed, 3)), now: time.Unix(1_000_000, 0), owners: map[string]*part.Core{},
+	c := &crush{rng: rand.New(rand.NewPCG(seed, 3)), now: time.Unix(1_000_000, 0), owners: map[string]*shard.Core{},
 		workers: map[string]*crushWorker{}, jobs: map[string]*crushJob{}}
 	set := &settings.Settings{}
 	set.Params.Zones = []string{"a", "b"}
@@ -77,7 +77,7 @@
 	c.leader.SetRoundClock(c.tick)
 	types := []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: set.Params.Zones}}
 	for _, z := range set.Params.Zones {
-		c.owners[z] = part.New(part.Config{Part: z, Report: 3 * time.Second, LeaseEnd: 21 * time.Second, IdleSpot: time.Hour, IdleOrdinary: time.Hour,
+		c.owners[z] = shard.New(shard.Config{Shard: z, Report: 3 * time.Second, LeaseEnd: 21 * time.Second, IdleSpot: time.Hour, IdleOrdinary: time.Hour,
 			ListLag: 5 * time.Second, Sizes: state.Sizes{Now: 8192, Next: 8192}, TxnOps: 12, WriteRPS: 100, Order: leader.NewOrder(set.Params.Objectives)}, 1, 1, c.now, types, nil, nil, nil, nil)
 		c.owners[z].SetRoundClock(c.tick)
 		for i := range 10 {
@@ -158,15 +158,15 @@
 		o := c.owners[z]
 		for _, act := range o.Step(c.now) {
 			switch act := act.(type) {
-			case part.Commit:
+			case shard.Commit:
 				if c.valid(act.Txn) {
 					o.Committed(c.now, act.ID, c.write(act.Txn))
 				} else {
 					o.Committed(c.now, act.ID, 0)
 				}
-			case part.Rent:
+			case shard.Rent:
 				o.Rented(c.now, act.Request.Request, nil, true) // no more machines, ever
-			case part.SendCommands:
+			case shard.SendCommands:
 				w := c.workers[act.Machine]
 				w.token = max(w.token, act.Request.Token)
 				c.execute(w, act.Request.Commands)
--- a/node/peers.go
+++ b/node/peers.go
@@ -5,8 +5,8 @@
 	"log/slog"
 	"time"
 
+	"ravenport/apiserver"
 	"ravenport/constants"
-	"ravenport/frontdoor"
 	"ravenport/leader"
 	"ravenport/peer"
 	"ravenport/state"
@@ -20,7 +20,7 @@
 func (c *control) stateOK(now time.Time) bool { return now.Sub(c.heardAt) < constants.StateSilence }
 
 // push tells the other controllers this one's aggregates: the leader soon after
-// a change, everybody at an interval of its own. A busy part's changes must not
+// a change, everybody at an interval of its own. A busy shard's changes must not
 // put that off: from it owners know that they are cut off, and users' counts.
 func (c *control) push(ctx context.Context, now time.Time) {
 	ask := c.asks(now)
@@ -33,18 +33,18 @@
 		c.pushAllAt = now
 	}
 	s := peer.Status{Node: c.set.Node, StateOK: c.stateOK(now), Revision: c.revision, Ask: ask, Counts: map[string]map[string][2]int{}}
-	for part, st := range c.status {
+	for shard, st := range c.status {
 		s.Aggregates = append(s.Aggregates, st.aggregate)
 		if due {
-			s.Counts[part] = st.counts
+			s.Counts[shard] = st.counts
 		}
 	}
-	for name, x := range c.strays {
-		if now.Sub(x.at) > time.Duration(constants.StrayPeriods*float64(c.set.Report())) {
-			delete(c.strays, name)
+	for name, x := range c.misroutedReports {
+		if now.Sub(x.at) > time.Duration(constants.MisroutedPeriods*float64(c.set.Report())) {
+			delete(c.misroutedReports, name)
 			continue
 		}
-		s.Strays = append(s.Strays, x.Stray)
+		s.MisroutedReports = append(s.MisroutedReports, x.MisroutedReport)
 	}
 	lead, _ := c.member.Holder(state.KeyLeader)
 	if c.leaderRef != nil {
@@ -62,39 +62,39 @@
 	}
 }
 
-// foretell hands owners here what the leader will assign to them.
-func (c *control) foretell(f map[string]leader.Forecast) {
-	for part, x := range f {
-		if o := c.owners[part]; o != nil {
+// forwardForecast hands owners here what the leader will assign to them.
+func (c *control) forwardForecast(f map[string]leader.Forecast) {
+	for shard, x := range f {
+		if o := c.owners[shard]; o != nil {
 			o.ref.Tell(x)
 		}
 	}
 }
 
-// tellRelays tells the front door which controllers reach the state service, should
+// tellRelays tells the API server which controllers reach the state service, should
 // this one be kept from it.
 func (c *control) tellRelays(now time.Time) {
-	var to []frontdoor.Relay
+	var to []apiserver.Relay
 	for name, view := range c.peersState {
 		if p := c.io.Peers[name]; p != nil && view.stateOK && now.Sub(view.at) < constants.StateSilence {
 			to = append(to, p)
 		}
 	}
-	c.door.Tell(frontdoor.Relays{To: to})
+	c.api.Tell(apiserver.Relays{To: to})
 }
 
 func (c *control) peerStatus(now time.Time, s peer.Status) {
-	c.foretell(s.Forecast)
+	c.forwardForecast(s.Forecast)
 	c.peersState[s.Node] = peerView{s.StateOK, now}
 	c.tellRelays(now)
 	for _, a := range s.Aggregates {
-		if o := c.owners[a.Part]; o != nil && a.Term > o.term {
+		if o := c.owners[a.Shard]; o != nil && a.Term > o.term {
 			// This one is cut off from the state service and has been replaced:
-			// its machines must not be kept from the next owner by its tending.
-			slog.Info("a sibling owns the part under a later term", "part", a.Part, "term", o.term, "to", s.Node)
-			c.yielded[state.KeyPart(a.Part)] = o.term
-			c.successor[a.Part] = s.Node
-			c.stopOwner(a.Part)
+			// its machines must not be kept from the next owner by its lease extension.
+			slog.Info("a sibling owns the shard under a later term", "shard", a.Shard, "term", o.term, "to", s.Node)
+			c.yielded[state.KeyShard(a.Shard)] = o.term
+			c.successor[a.Shard] = s.Node
+			c.stopOwner(a.Shard)
 		}
 		if c.leaderRef != nil {
 			c.leaderRef.ref.Tell(a)
@@ -110,11 +110,11 @@
 	}
 	for _, o := range c.owners {
 		o.ref.Tell(s.Aggregates)
-		o.ref.Tell(strays{s.Strays, all})
+		o.ref.Tell(misroutedReports{s.MisroutedReports, all})
 	}
-	for part, jobs := range s.Counts {
-		if c.owners[part] == nil {
-			c.door.Tell(frontdoor.Counts{Part: part, Jobs: jobs})
+	for shard, jobs := range s.Counts {
+		if c.owners[shard] == nil {
+			c.api.Tell(apiserver.Counts{Shard: shard, Jobs: jobs})
 		}
 	}
 }
--- a/node/promise.go
+++ b/node/promise.go
@@ -23,8 +23,8 @@
 		return nil
 	}
 	var out []peer.Held
-	for part, o := range c.owners {
-		out = append(out, peer.Held{Key: state.KeyPart(part), Term: o.term, Version: o.version})
+	for shard, o := range c.owners {
+		out = append(out, peer.Held{Key: state.KeyShard(shard), Term: o.term, Version: o.version})
 	}
 	return out
 }
--- a/node/push_test.go
+++ b/node/push_test.go
@@ -23,9 +23,9 @@
 
 func (p *countingPeer) Commit(context.Context, wire.Txn) (uint64, error) { return 0, state.ErrRefused }
 
-// A part whose figures change all the time keeps nobody from being told: an
+// A shard whose figures change all the time keeps nobody from being told: an
 // owner that workers cannot reach would not learn that others hear them.
-func TestBusyPartStillTellsEverybody(t *testing.T) {
+func TestBusyShardStillTellsEverybody(t *testing.T) {
 	quietLogs(t)
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, []string{"a", "b"}, 3)
--- a/node/relay_test.go
+++ b/node/relay_test.go
@@ -7,7 +7,7 @@
 	"testing/synctest"
 	"time"
 
-	"ravenport/frontdoor"
+	"ravenport/apiserver"
 	"ravenport/peer"
 	"ravenport/wire"
 )
@@ -58,7 +58,7 @@
 				t.Fatal(err)
 			}
 			began := time.Now()
-			r := w.askAt(1, func(req frontdoor.Request) any { return frontdoor.Submit{Req: req, Body: body} })
+			r := w.askAt(1, func(req apiserver.Request) any { return apiserver.Submit{Req: req, Body: body} })
 			if r == nil || r.Status != 201 {
 				t.Fatalf("submission %d: %+v", i, r)
 			}
--- a/node/revocation.go
+++ b/node/revocation.go
@@ -90,8 +90,8 @@
 	c.leaseSent = time.Time{}
 	c.nextLease = again
 	clear(c.grants)
-	for part := range c.owners {
-		c.stopOwner(part)
+	for shard := range c.owners {
+		c.stopOwner(shard)
 	}
 	if c.leaderRef != nil {
 		c.leaderRef.cancel()
@@ -104,13 +104,13 @@
 	if c.detect.monitor == nil || !c.synced {
 		return
 	}
-	v := clusterView{process: c.incarnation, leases: map[string]uint64{}, unserved: c.unserved(now), actors: map[string]*actor.Ref{"control": c.self, "api server": c.door},
+	v := clusterView{process: c.incarnation, leases: map[string]uint64{}, unserved: c.unserved(now), actors: map[string]*actor.Ref{"control": c.self, "api server": c.api},
 		feed: watchdog.Sample{Name: "feed", Handled: c.revision, Pending: c.overdueReads(now)}}
 	for _, p := range c.set.Peers {
 		v.leases[p.Node], _ = c.member.NodeKey(p.Node)
 	}
-	for part, o := range c.owners {
-		v.actors["owner of "+part] = o.ref
+	for shard, o := range c.owners {
+		v.actors["owner of "+shard] = o.ref
 	}
 	if c.leaderRef != nil {
 		v.actors["leader"] = c.leaderRef.ref
@@ -149,11 +149,11 @@
 func (c *control) workersOf(node string) int {
 	owned := map[string]bool{}
 	for _, zone := range c.set.Params.Zones {
-		holder, held := c.member.Holder(state.KeyPart(zone))
+		holder, held := c.member.Holder(state.KeyShard(zone))
 		owned[zone] = held && holder == node
 	}
 	machines := 0
-	for _, zone := range c.partOf {
+	for _, zone := range c.shardOf {
 		if owned[zone] {
 			machines++
 		}
--- a/node/roles.go
+++ b/node/roles.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"ravenport/actor"
+	"ravenport/apiserver"
 	"ravenport/constants"
-	"ravenport/frontdoor"
 	"ravenport/leader"
 	"ravenport/member"
 	"ravenport/state"
@@ -24,29 +24,29 @@
 
 // roles starts and stops the leader and the owners as the terms say.
 func (c *control) roles(ctx context.Context, now time.Time) {
-	for _, part := range c.set.Params.Zones {
-		key := state.KeyPart(part)
+	for _, shard := range c.set.Params.Zones {
+		key := state.KeyShard(shard)
 		t, version := c.member.Term(key)
 		mine := version != 0 && t.Node == c.set.Node && t.Incarnation == c.incarnation && c.incarnation != 0
-		o := c.owners[part]
+		o := c.owners[shard]
 		if o != nil && !mine {
-			slog.Info("part lost", "part", part, "term", o.term, "to", t.Node)
-			c.stopOwner(part)
+			slog.Info("shard lost", "shard", shard, "term", o.term, "to", t.Node)
+			c.stopOwner(shard)
 		}
 		if t.Number > c.yielded[key] {
-			delete(c.successor, part)
+			delete(c.successor, shard)
 		}
 		if !mine || c.yielded[key] >= t.Number {
 			continue
 		}
-		if o = c.owners[part]; o != nil {
+		if o = c.owners[shard]; o != nil {
 			if o.term == t.Number {
 				continue
 			}
-			c.stopOwner(part) // a term of its own begins anew, like any other's
+			c.stopOwner(shard) // a term of its own begins anew, like any other's
 		}
-		slog.Info("part owned", "part", part, "term", t.Number)
-		c.startOwner(ctx, now, part, t.Number, version)
+		slog.Info("shard owned", "shard", shard, "term", t.Number)
+		c.startOwner(ctx, now, shard, t.Number, version)
 	}
 	t, version := c.member.Term(state.KeyLeader)
 	mine := version != 0 && t.Node == c.set.Node && t.Incarnation == c.incarnation && c.incarnation != 0 &&
@@ -74,19 +74,19 @@
 	}
 }
 
-func (c *control) startOwner(ctx context.Context, now time.Time, part string, term, version uint64) {
+func (c *control) startOwner(ctx context.Context, now time.Time, shard string, term, version uint64) {
 	ctx, cancel := context.WithCancel(ctx)
-	roster, rosterV := map[string]*state.Page{}, map[string]uint64{}
-	for k, r := range c.roster {
-		if r.Part == part {
-			roster[k], rosterV[k] = r, c.rosterV[k]
+	inventory, inventoryV := map[string]*state.Page{}, map[string]uint64{}
+	for k, r := range c.inventory {
+		if r.Shard == shard {
+			inventory[k], inventoryV[k] = r, c.inventoryV[k]
 		}
 	}
-	a := newPartActor(c, part, term, version, now, roster, rosterV)
+	a := newShardActor(c, shard, term, version, now, inventory, inventoryV)
 	for _, x := range c.cancels.since(c.revision) {
-		a.self.Tell(frontdoor.Cancelled{ID: x.Job, Revision: x.Revision})
+		a.self.Tell(apiserver.Cancelled{ID: x.Job, Revision: x.Revision})
 	}
-	c.owners[part] = &child{ref: a.self, cancel: cancel, term: term, version: version}
+	c.owners[shard] = &child{ref: a.self, cancel: cancel, term: term, version: version}
 	clear(c.grants) // they were given for other terms
 	go func() {
 		a.self.Run(ctx, a)
@@ -94,12 +94,12 @@
 	}()
 }
 
-func (c *control) stopOwner(part string) {
-	if o := c.owners[part]; o != nil {
+func (c *control) stopOwner(shard string) {
+	if o := c.owners[shard]; o != nil {
 		o.ref.Tell(authority(time.Time{}))
 		o.cancel()
-		delete(c.owners, part)
-		delete(c.status, part)
+		delete(c.owners, shard)
+		delete(c.status, shard)
 	}
 }
 
@@ -127,12 +127,12 @@
 
 // renewTerm gives an owner here a new term before the numbers of its own run out. Like
 // any hand-over it begins with the owner's stop.
-func (c *control) renewTerm(now time.Time, part string) {
-	key := state.KeyPart(part)
-	if c.owners[part] == nil || c.claimBusy(now, key) || !c.settled(now) || c.claimsHeld(now) {
+func (c *control) renewTerm(now time.Time, shard string) {
+	key := state.KeyShard(shard)
+	if c.owners[shard] == nil || c.claimBusy(now, key) || !c.settled(now) || c.claimsHeld(now) {
 		return // it asks again
 	}
-	slog.Info("the term's numbers are used up: claiming a new one", "part", part, "term", c.owners[part].term)
+	slog.Info("the term's numbers are used up: claiming a new one", "shard", shard, "term", c.owners[shard].term)
 	incarnation, version := c.member.NodeKey(c.set.Node)
 	c.yield(now, c.member.ClaimOf(key, c.set.Node, incarnation, version))
 }
@@ -148,11 +148,11 @@
 	done := func(end context.CancelFunc) func() {
 		return func() { end(); c.self.Tell(halted{cl}) }
 	}
-	for _, part := range c.set.Params.Zones {
-		if o := c.owners[part]; state.KeyPart(part) == cl.Key && o != nil {
+	for _, shard := range c.set.Params.Zones {
+		if o := c.owners[shard]; state.KeyShard(shard) == cl.Key && o != nil {
 			o.ref.Tell(halt{done(o.cancel)})
-			delete(c.owners, part)
-			delete(c.status, part)
+			delete(c.owners, shard)
+			delete(c.status, shard)
 			return
 		}
 	}
@@ -165,7 +165,7 @@
 }
 
 // claimBusy says that a claim for key is under way, or was made a moment ago. It
-// must end by itself: an owner that once claimed its part could never hand it on.
+// must end by itself: an owner that once claimed its shard could never hand it on.
 func (c *control) claimBusy(now time.Time, key string) bool {
 	at, ok := c.claiming[key]
 	return ok && now.Sub(at) < constants.StateTimeout+time.Second
@@ -183,7 +183,7 @@
 }
 
 // claim writes a claim. One that is refused for rate alone is tried again at
-// once: until it stands nobody owns the part. It runs beside the actor.
+// once: until it stands nobody owns the shard. It runs beside the actor.
 func (c *control) claim(ctx context.Context, cl member.Claim) error {
 	return state.RetryLimited(ctx, constants.ClaimRetry, constants.RetryMin/4, constants.RetryMin/4, func() error {
 		_, err := c.io.First.Commit(ctx, cl.Txn)
--- a/node/scene_test.go
+++ b/node/scene_test.go
@@ -10,7 +10,7 @@
 	"testing/synctest"
 	"time"
 
-	"ravenport/frontdoor"
+	"ravenport/apiserver"
 	"ravenport/state"
 	"ravenport/wire"
 )
@@ -132,7 +132,7 @@
 // cancelAt cancels a job through one controller and says whether that confirmed it.
 func (w *world) cancelAt(node int, j *simJob) bool {
 	w.do(func() { j.asked = true })
-	r := w.askAt(node, func(q frontdoor.Request) any { return frontdoor.Cancel{Req: q, ID: j.spec.ID} })
+	r := w.askAt(node, func(q apiserver.Request) any { return apiserver.Cancel{Req: q, ID: j.spec.ID} })
 	w.check(j, r, true)
 	var s wire.JobState
 	return r != nil && r.Status == 200 && json.Unmarshal(r.Body, &s) == nil && s.Status == wire.JobCancelled
@@ -218,11 +218,11 @@
 	})
 }
 
-// parts lists the zones whose part a controller owns.
-func (w *world) parts(node int) []string {
+// shards lists the zones whose shard a controller owns.
+func (w *world) shards(node int) []string {
 	var out []string
 	for _, z := range w.nodes[0].set.Params.Zones {
-		if w.holder(state.KeyPart(z)) == node {
+		if w.holder(state.KeyShard(z)) == node {
 			out = append(out, z)
 		}
 	}
@@ -241,11 +241,11 @@
 		w.allRun(t, healthy, doomed[0], doomed[1])
 		time.Sleep(10 * time.Second)
 		for i, lot := range doomed {
-			if i > 0 && len(w.parts(refused)) == 0 {
-				refused = w.holder(state.KeyPart(w.nodes[0].set.Params.Zones[0]))
+			if i > 0 && len(w.shards(refused)) == 0 {
+				refused = w.holder(state.KeyShard(w.nodes[0].set.Params.Zones[0]))
 				other = (refused + 1) % 3
 			}
-			n, owned := w.nodes[refused], w.parts(refused)
+			n, owned := w.nodes[refused], w.shards(refused)
 			starts := 0
 			w.do(func() { starts = w.starts })
 			if len(owned) == 0 && w.holder(state.KeyLeader) != refused {
@@ -261,8 +261,8 @@
 			confirmed := time.Now()
 			time.Sleep(w.between(50*time.Millisecond, 400*time.Millisecond))
 			for _, z := range owned {
-				if w.holder(state.KeyPart(z)) != refused {
-					w.stopScene(t, "gap %d: %s lost its part before the outage", i, n.set.Node)
+				if w.holder(state.KeyShard(z)) != refused {
+					w.stopScene(t, "gap %d: %s lost its shard before the outage", i, n.set.Node)
 				}
 			}
 			w.setOutage(true)
--- a/node/sim_test.go
+++ b/node/sim_test.go
@@ -75,7 +75,7 @@
 	w.setOutage(false)
 	w.mu.Lock()
 	for _, n := range w.nodes {
-		n.cutState, n.cutWork, n.cutPeers, n.cutBeats = false, false, false, false
+		n.cutState, n.cutWork, n.cutPeers, n.cutReports = false, false, false, false
 	}
 	w.cloudOut, w.cutZone = false, ""
 	for _, m := range w.machines {
@@ -103,15 +103,15 @@
 	for time.Now().Before(end) {
 		time.Sleep(w.between(2*time.Second, 12*time.Second))
 		n := w.nodes[int(w.between(0, time.Duration(len(w.nodes)-1)))]
-		for_ := w.between(time.Second, 35*time.Second)
-		later := func(f func()) { time.AfterFunc(for_, f) }
+		length := w.between(time.Second, 35*time.Second)
+		later := func(f func()) { time.AfterFunc(length, f) }
 		switch w.between(0, 17) {
 		case 15: // stands still while its clocks run on, for less than its lease
 			n.freeze(w.between(200*time.Millisecond, 3*time.Second))
 		case 16: // or for more, some times for more than the workers'
-			n.freeze(for_)
+			n.freeze(length)
 			if w.chance(0.3) { // and ends as it moves on, in the middle of an election
-				time.AfterFunc(for_, func() {
+				time.AfterFunc(length, func() {
 					n.kill()
 					time.Sleep(300 * time.Millisecond)
 					if n.up() == nil {
@@ -122,9 +122,9 @@
 		case 17: // a zone is cut off from everything, with the controllers in it
 			set := func(z string) { w.mu.Lock(); w.cutZone = z; w.mu.Unlock() }
 			set(n.set.Zone)
-			time.AfterFunc(2*for_, func() { set("") })
+			time.AfterFunc(2*length, func() { set("") })
 		case 14: // reports do not reach it, though it reaches the workers
-			set := func(v bool) { w.mu.Lock(); n.cutBeats = v; w.mu.Unlock() }
+			set := func(v bool) { w.mu.Lock(); n.cutReports = v; w.mu.Unlock() }
 			set(true)
 			later(func() { set(false) })
 		case 10: // away from the state service and the other controllers, not from workers
@@ -327,11 +327,11 @@
 }
 
 // An owner that reaches its machines while their reports do not reach it hands
-// its part on before their leases end: answers to its calls renew none.
+// its shard on before their leases end: answers to its calls renew none.
 func TestOwnerWithoutReportsHandsOn(t *testing.T) {
 	undisturbed(t, 8, 4, func(w *world) {
 		w.mu.Lock()
-		w.nodes[0].cutBeats = true
+		w.nodes[0].cutReports = true
 		w.mu.Unlock()
 		time.Sleep(60 * time.Second)
 	})
@@ -361,9 +361,9 @@
 	})
 }
 
-// Tending for longer than the next owner counts on would let tasks run twice, and
+// Lease extension for longer than the next owner counts on would let tasks run twice, and
 // the checker sees it; as long as it is counted it does not.
-func TestTendingMustBeCounted(t *testing.T) {
+func TestLeaseExtensionMustBeCounted(t *testing.T) {
 	quietLogs(t)
 	for _, counted := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -475,10 +475,10 @@
 						t.Errorf("answers for %s though it has been replaced", z)
 					}
 				}
-				time.Sleep(w.nodes[0].set.Tending())
+				time.Sleep(w.nodes[0].set.LeaseExtension())
 				for _, z := range w.nodes[0].set.Params.Zones {
 					if ask(z, 2) {
-						t.Errorf("answers for %s when its tending is over", z)
+						t.Errorf("answers for %s when its lease extension is over", z)
 					}
 				}
 				w.end(t)
@@ -555,7 +555,7 @@
 }
 
 // leave fills the state service with what the version before may leave behind, as
-// large as its limits were: a roster page of machines that are gone since, and an
+// large as its limits were: an inventory page of machines that are gone since, and an
 // array in many pieces.
 func (w *world) leave() {
 	put := func(key string, v any) {
@@ -565,18 +565,18 @@
 	}
 	zones := w.nodes[0].set.Params.Zones
 	for i, z := range zones {
-		put(state.KeyPart(z), state.Term{Node: "n-0", Incarnation: 7, Number: uint64(3 + i)})
+		put(state.KeyShard(z), state.Term{Node: "n-0", Incarnation: 7, Number: uint64(3 + i)})
 	}
 	page := state.Page{}
 	for i := range 180 {
 		page.Add(state.Machine{Name: fmt.Sprintf("m-9%05d", i), Type: "box", Addr: fmt.Sprintf("10.9.0.%d:9000", i), Spot: i%2 == 0})
 	}
-	put(state.KeyRoster(zones[0], 0), page)
+	put(state.KeyInventory(zones[0], 0), page)
 	s := wire.Submission{ID: "run-900000", Class: "c", Team: "free", Kind: wire.KindArray, Priority: wire.PriorityNormal,
 		Tasks: 60, CPUs: 1, MemoryGB: 1, Image: "i-0", ImageGB: 1, Spot: true, EstimateS: 5}
 	rec := state.Job{Spec: s, AcceptedMS: time.Now().UnixMilli()}
 	for i := range s.Tasks {
-		rec.Chunks = append(rec.Chunks, state.Chunk{From: i, To: i + 1, Part: zones[i%len(zones)], Keep: i%3 == 0})
+		rec.Assignments = append(rec.Assignments, state.Assignment{From: i, To: i + 1, Shard: zones[i%len(zones)], Keep: i%3 == 0})
 	}
 	put(state.KeyJob(s.ID), rec)
 	j := &simJob{spec: s, doneTasks: map[int]bool{}}
--- a/node/standin_detection_test.go
+++ b/node/standin_detection_test.go
@@ -122,17 +122,17 @@
 }
 
 // owner is the number of the controller that owns a zone's shard.
-func (w *world) owner(zone string) int { return w.holder(state.KeyPart(zone)) }
+func (w *world) owner(zone string) int { return w.holder(state.KeyShard(zone)) }
 
 // term is the number of a zone's term.
 func (w *world) term(zone string) uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	e := w.kv[state.KeyPart(zone)]
+	e := w.kv[state.KeyShard(zone)]
 	if e == nil {
 		return 0
 	}
-	record, err := state.Decode(state.KeyPart(zone), e.value)
+	record, err := state.Decode(state.KeyShard(zone), e.value)
 	if err != nil {
 		panic(err)
 	}
--- a/node/standin_test.go
+++ b/node/standin_test.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"ravenport/frontdoor"
+	"ravenport/apiserver"
 	"ravenport/httpwire"
 	"ravenport/peer"
 	"ravenport/settings"
@@ -109,18 +109,18 @@
 func (t times) cancelWithin() time.Duration { return settings.Seconds(t.cancelS) }
 
 type simNode struct {
-	w        *world
-	set      *settings.Settings
-	ctl      *Controller
-	cancel   context.CancelFunc
-	cutState bool
-	cutWork  bool      // from workers
-	cutPeers bool      // from the other controllers
-	cutBeats bool      // reports do not reach it, though it reaches the workers
-	noCalls  bool      // other controllers' calls do not reach it, though its own reach them
-	answered time.Time // when a report to it was last answered
-	reported time.Time // and when one last came to it
-	thaws    time.Time
+	w          *world
+	set        *settings.Settings
+	ctl        *Controller
+	cancel     context.CancelFunc
+	cutState   bool
+	cutWork    bool      // from workers
+	cutPeers   bool      // from the other controllers
+	cutReports bool      // reports do not reach it, though it reaches the workers
+	noCalls    bool      // other controllers' calls do not reach it, though its own reach them
+	answered   time.Time // when a report to it was last answered
+	reported   time.Time // and when one last came to it
+	thaws      time.Time
 }
 
 // apart says whether a zone and a controller are on two sides of a cut-off
@@ -167,7 +167,7 @@
 		ctl.self.Tell(beat{standing{n}, &wire.Report{Machine: m.name, Addr: m.name, Type: "box", Zone: m.zone}})
 	}
 	ctl.self.Tell(health{standing{n}})
-	ctl.door.Tell(frontdoor.Metrics{Req: standing{n}})
+	ctl.api.Tell(apiserver.Metrics{Req: standing{n}})
 }
 
 // standing is a request whose answer takes an actor as long as its controller
@@ -202,7 +202,7 @@
 		b.WriteString("[[facts.teams]]\nname = \"free\"\n[[facts.teams]]\nname = \"tight\"\ncpus = 4.0\ncpus_max = 10.0\n")
 		fmt.Fprintf(&b, "[facts.workers]\nreport_s = %.1f\nlease_s = %.1f\ncancel_s = %.1f\n", t.reportS, t.leaseS, t.cancelS)
 		b.WriteString("gang_wait_s = 15.0\ngang_peer_s = 4.0\n[facts.state]\nrps = 200.0\nwrite_rps = 100.0\nvalue_kb = 8.0\ntxn_ops = 12\n[facts.state.next]\nvalue_kb = 1.0\ntxn_ops = 2\n[facts.cloud]\nrps = 10.0\nlist_lag_s = 5.0\n")
-		if seed%2 == 1 { // as if on small machines, which take over a second part late
+		if seed%2 == 1 { // as if on small machines, which take over a second shard late
 			b.WriteString("[facts.machine_limits]\ncpu = 0.09\n")
 		}
 		set, err := settings.Parse([]byte(b.String()))
--- a/node/standin_user_test.go
+++ b/node/standin_user_test.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"time"
 
-	"ravenport/frontdoor"
+	"ravenport/apiserver"
 	"ravenport/httpwire"
 	"ravenport/wire"
 )
@@ -29,7 +29,7 @@
 func (a *simAnswer) Answer(r *httpwire.Response) { a.got <- r }
 
 // ask sends one request to any controller and waits as long as users do.
-func (w *world) ask(msg func(frontdoor.Request) any) *httpwire.Response {
+func (w *world) ask(msg func(apiserver.Request) any) *httpwire.Response {
 	w.mu.Lock()
 	node := w.rng.IntN(len(w.nodes))
 	w.mu.Unlock()
@@ -37,7 +37,7 @@
 }
 
 // askAt sends one request to one controller.
-func (w *world) askAt(node int, msg func(frontdoor.Request) any) *httpwire.Response {
+func (w *world) askAt(node int, msg func(apiserver.Request) any) *httpwire.Response {
 	w.mu.Lock()
 	ctl := w.nodes[node].ctl
 	w.mu.Unlock()
@@ -46,7 +46,7 @@
 		return nil
 	}
 	a := &simAnswer{got: make(chan *httpwire.Response, 1)}
-	ctl.door.Tell(msg(a))
+	ctl.api.Tell(msg(a))
 	select {
 	case r := <-a.got:
 		return r
@@ -63,7 +63,7 @@
 		panic(err)
 	}
 	for {
-		r := w.ask(func(q frontdoor.Request) any { return frontdoor.Submit{Req: q, Body: body} })
+		r := w.ask(func(q apiserver.Request) any { return apiserver.Submit{Req: q, Body: body} })
 		if r != nil && (r.Status == 201 || r.Status == 200) {
 			w.mu.Lock()
 			j.accepted = true
@@ -93,18 +93,18 @@
 			w.mu.Lock()
 			j.asked = true
 			w.mu.Unlock()
-			r := w.ask(func(q frontdoor.Request) any { return frontdoor.Cancel{Req: q, ID: j.spec.ID} })
+			r := w.ask(func(q apiserver.Request) any { return apiserver.Cancel{Req: q, ID: j.spec.ID} })
 			w.check(j, r, true)
 			continue
 		}
-		r := w.ask(func(q frontdoor.Request) any { return frontdoor.Poll{Req: q, ID: j.spec.ID} })
+		r := w.ask(func(q apiserver.Request) any { return apiserver.Poll{Req: q, ID: j.spec.ID} })
 		if w.mute == j.spec.ID {
 			r = nil
 		}
 		w.check(j, r, false)
 		w.known(j)
 		if w.chance(0.1) { // a late repeat of the submission
-			r = w.ask(func(q frontdoor.Request) any { return frontdoor.Submit{Req: q, Body: body} })
+			r = w.ask(func(q apiserver.Request) any { return apiserver.Submit{Req: q, Body: body} })
 			if r != nil && r.Status == 201 {
 				w.mu.Lock()
 				w.broke("forgotten", "%s accepted twice", j.spec.ID)
--- a/node/standin_worker_test.go
+++ b/node/standin_worker_test.go
@@ -93,7 +93,7 @@
 		m.changed = false
 		r := m.report()
 		n := w.nodes[node]
-		ctl, shut := n.ctl, n.cutWork || n.cutBeats || w.apart(m.zone, n)
+		ctl, shut := n.ctl, n.cutWork || n.cutReports || w.apart(m.zone, n)
 		next = now.Add(settings.Seconds(w.times.reportS * (0.75 + 0.5*w.rng.Float64())))
 		sent = now
 		w.mu.Unlock()
--- a/node/status.go
+++ b/node/status.go
@@ -6,21 +6,21 @@
 	"time"
 
 	"ravenport/httpwire"
-	"ravenport/part"
+	"ravenport/shard"
 	"ravenport/state"
 )
 
 // Status is what /status answers: this controller's view, for operators.
 type Status struct {
-	Node        string       `json:"node"`
-	Zone        string       `json:"zone"`
-	StateOK     bool         `json:"state_ok"`
-	AuthorityMS int64        `json:"authority_ms"` // how long it may still act without hearing from the state service
-	Revision    uint64       `json:"revision"`
-	OpenJobs    int          `json:"open_jobs"`
-	Unassigned  int          `json:"unassigned_jobs"` // with tasks that wait for the leader
-	Leader      Role         `json:"leader"`
-	Parts       []PartStatus `json:"parts"`
+	Node        string        `json:"node"`
+	Zone        string        `json:"zone"`
+	StateOK     bool          `json:"state_ok"`
+	AuthorityMS int64         `json:"authority_ms"` // how long it may still act without hearing from the state service
+	Revision    uint64        `json:"revision"`
+	OpenJobs    int           `json:"open_jobs"`
+	Unassigned  int           `json:"unassigned_jobs"` // with tasks that wait for the leader
+	Leader      Role          `json:"leader"`
+	Shards      []ShardStatus `json:"parts"`
 	// What failure detection sees, where it is on.
 	Members []MemberStatus `json:"members,omitempty"`
 	Dropped *MessageCounts `json:"heartbeats_dropped,omitempty"`
@@ -45,12 +45,12 @@
 	Alive bool   `json:"alive"`
 }
 
-// PartStatus is one part; the summary is there on its owner alone.
-type PartStatus struct {
-	Part    string        `json:"part"`
-	Owner   Role          `json:"owner"`
-	Roster  int           `json:"roster"` // machines in the durable roster
-	Summary *part.Summary `json:"summary,omitempty"`
+// ShardStatus is one shard; the summary is there on its owner alone.
+type ShardStatus struct {
+	Shard     string         `json:"part"`
+	Owner     Role           `json:"owner"`
+	Inventory int            `json:"roster"` // machines in the durable inventory
+	Summary   *shard.Summary `json:"summary,omitempty"`
 }
 
 func (c *control) role(key string) Role {
@@ -70,16 +70,16 @@
 		}
 	}
 	for _, name := range c.set.Params.Zones {
-		p := PartStatus{Part: name, Owner: c.role(state.KeyPart(name))}
-		for _, r := range c.roster {
-			if r.Part == name {
-				p.Roster += len(r.Machines())
+		p := ShardStatus{Shard: name, Owner: c.role(state.KeyShard(name))}
+		for _, r := range c.inventory {
+			if r.Shard == name {
+				p.Inventory += len(r.Machines())
 			}
 		}
 		if st, ok := c.status[name]; ok {
 			p.Summary = &st.summary
 		}
-		s.Parts = append(s.Parts, p)
+		s.Shards = append(s.Shards, p)
 	}
 	if c.detect.monitor != nil {
 		s.Members, s.Dropped, s.Events = c.detect.seen.members, &c.detect.seen.dropped, c.detect.seen.events
--- a/node/term_test.go
+++ b/node/term_test.go
@@ -39,7 +39,7 @@
 			Cloud: &simCloud{w.nodes[0]}, Workers: func() Workers { return &simCommands{w.nodes[0]} }, Peers: map[string]Peer{}}
 		control := actor.NewRef()
 		c := newControl(w.nodes[0].set, out, control, actor.NewRef(), nil)
-		a := newPartActor(c, "a", 3, 7, time.Now(), map[string]*state.Page{}, map[string]uint64{})
+		a := newShardActor(c, "a", 3, 7, time.Now(), map[string]*state.Page{}, map[string]uint64{})
 		a.core.SetNumbers(0, 0)
 		for range 5 {
 			time.Sleep(2 * time.Second)
@@ -50,7 +50,7 @@
 		synctest.Wait()
 		asked := 0
 		for _, m := range got {
-			if x, ok := m.(termUsedUp); ok && x.part == "a" {
+			if x, ok := m.(termUsedUp); ok && x.shard == "a" {
 				asked++
 			}
 		}
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -17,7 +17,7 @@
 
 	"ravenport/constants"
 	"ravenport/leader"
-	"ravenport/part"
+	"ravenport/shard"
 	"ravenport/wire"
 )
 
@@ -26,17 +26,17 @@
 	Node       string             `json:"node"`
 	StateOK    bool               `json:"state_ok"` // it reaches the state service
 	Aggregates []leader.Aggregate `json:"agg,omitempty"`
-	// Forecast is what the leader here will assign before long, by part.
+	// Forecast is what the leader here will assign before long, by shard.
 	Forecast map[string]leader.Forecast `json:"fc,omitempty"`
-	// Strays are machines that lately reported here although another
+	// Misrouted reports are machines that lately reported here although another
 	// controller owns them: they live, and it is their owner that is cut off.
-	Strays []part.Stray `json:"strays,omitempty"`
+	MisroutedReports []shard.MisroutedReport `json:"strays,omitempty"`
 	// Revision is what the sender's feed has reached.
 	Revision uint64 `json:"rev,omitempty"`
-	// Ask names the terms under which the sender would go on owning parts while
+	// Ask names the terms under which the sender would go on owning shards while
 	// nobody reaches the state service; see docs/safety.md, point 12.
 	Ask []Held `json:"ask,omitempty"`
-	// Counts are tasks running, and done in open chunks, by part and job.
+	// Counts are tasks running, and done in open assignments, by shard and job.
 	Counts map[string]map[string][2]int `json:"counts,omitempty"`
 }
 
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -43,7 +43,7 @@
 		same(raw, &s)
 		aggregates += len(s.Aggregates)
 		for _, a := range s.Aggregates {
-			if a.Part == "" || a.Gangs != nil {
+			if a.Shard == "" || a.Gangs != nil {
 				t.Errorf("%+v", a)
 			}
 		}
@@ -55,12 +55,12 @@
 	// And the other way round: the version before ignores fields it does not know.
 	var frozen struct {
 		Aggregates []struct {
-			Part string  `json:"part"`
-			Wait float64 `json:"wait"`
+			Shard string  `json:"part"`
+			Wait  float64 `json:"wait"`
 		} `json:"agg"`
 	}
-	b, err := codec{}.Marshal(Status{Aggregates: []leader.Aggregate{{Part: "a", Waiting: 3, Gangs: map[string]leader.GangRoom{"x": {Now: 1}}, GangsKept: 2}}})
-	if err != nil || json.Unmarshal(b, &frozen) != nil || frozen.Aggregates[0].Part != "a" || frozen.Aggregates[0].Wait != 3 {
+	b, err := codec{}.Marshal(Status{Aggregates: []leader.Aggregate{{Shard: "a", Waiting: 3, Gangs: map[string]leader.GangRoom{"x": {Now: 1}}, GangsKept: 2}}})
+	if err != nil || json.Unmarshal(b, &frozen) != nil || frozen.Aggregates[0].Shard != "a" || frozen.Aggregates[0].Wait != 3 {
 		t.Fatalf("%s: %v", b, err)
 	}
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -380,10 +380,10 @@
 	return d, false
 }
 
-// Tending is how long after the end of its authority an owner may go on
+// LeaseExtension is how long after the end of its authority an owner may go on
 // answering reports, so that the machines of a zone that is cut off with it keep
 // their leases: whatever cancel_s leaves beside authority and lease.
-func (s *Settings) Tending() time.Duration {
+func (s *Settings) LeaseExtension() time.Duration {
 	d, _ := s.Authority()
 	return max(0, s.cancelRoom()-d)
 }
@@ -394,13 +394,13 @@
 }
 
 // Sockets divides the machine's sockets: how many the front may use, and how many
-// direct commands a part's owner may have under way, were all parts here.
+// direct commands a shard's owner may have under way, were all shards here.
 func (s *Settings) Sockets() (front, commands int) {
 	limit := s.Params.Limits.MaxConnections
 	if limit <= 0 {
 		limit = 4 * constants.ReservedSockets
 	}
-	reserved := min(max(constants.ReservedSockets, limit/constants.ReservedPart), limit/2)
+	reserved := min(max(constants.ReservedSockets, limit/constants.ReservedShare), limit/2)
 	commands = (reserved - constants.OwnSockets) / max(1, len(s.Params.Zones))
 	return limit - reserved, min(max(commands, constants.CommandsLeast), constants.CommandFanout)
 }
@@ -417,15 +417,15 @@
 // once; 0: the settings do not say.
 func (s *Settings) Processors() int { return int(math.Ceil(max(0, s.Params.Limits.CPU))) }
 
-// SecondPartWait is how long a controller that owns a part leaves another one vacant:
+// SecondShardWait is how long a controller that owns a shard leaves another one vacant:
 // the time that taking it over would keep this machine's share of a processor busy.
 // Without such a share there is nothing to wait for.
-func (s *Settings) SecondPartWait() time.Duration {
+func (s *Settings) SecondShardWait() time.Duration {
 	share := s.Params.Limits.CPU
 	if share <= 0 {
 		return 0
 	}
-	return min(time.Duration(float64(constants.TakeoverWork)/share), constants.SecondPartWaitMost)
+	return min(time.Duration(float64(constants.TakeoverWork)/share), constants.SecondShardWaitMost)
 }
 
 // RoundBudget is how long a round of decisions may take: so much processor time as
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// All sockets together stay within the machine's limit for any number of parts,
+// All sockets together stay within the machine's limit for any number of shards,
 // and a fleet half as large again as any seen finds room at one controller.
 func TestSocketsStayWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -136,7 +136,7 @@
 		}
 		all := front + commands*len(s.Params.Zones)
 		if commands > constants.CommandsLeast && all > s.Params.Limits.MaxConnections-constants.OwnSockets {
-			t.Fatalf("front %d and %d commands for each of %d parts: more than %d", front, commands, len(s.Params.Zones), s.Params.Limits.MaxConnections)
+			t.Fatalf("front %d and %d commands for each of %d shards: more than %d", front, commands, len(s.Params.Zones), s.Params.Limits.MaxConnections)
 		}
 	})
 	s := Settings{}
@@ -180,13 +180,13 @@
 	}
 }
 
-// The smaller the machine, the longer it leaves a second part to that one's own
+// The smaller the machine, the longer it leaves a second shard to that one's own
 // controller, within bounds; one whose share is not known does not wait.
-func TestSecondPartWaitFollowsTheShare(t *testing.T) {
+func TestSecondShardWaitFollowsTheShare(t *testing.T) {
 	var s Settings
-	for share, want := range map[float64]time.Duration{0: 0, 8: 50 * time.Millisecond, 1: 400 * time.Millisecond, 0.1: 4 * time.Second, 0.01: constants.SecondPartWaitMost} {
+	for share, want := range map[float64]time.Duration{0: 0, 8: 50 * time.Millisecond, 1: 400 * time.Millisecond, 0.1: 4 * time.Second, 0.01: constants.SecondShardWaitMost} {
 		s.Params.Limits.CPU = share
-		if got := s.SecondPartWait(); got != want {
+		if got := s.SecondShardWait(); got != want {
 			t.Errorf("with %g of a processor: %s, wanted %s", share, got, want)
 		}
 	}
--- a/part/chunks.go
+++ b/shard/assignments.go
@@ -1,4 +1,4 @@
-package part
+package shard
 
 import (
 	"log/slog"
@@ -9,8 +9,8 @@
 	"ravenport/wire"
 )
 
-// closeChunks records what is finished, for the jobs that have changed.
-func (c *Core) closeChunks(now time.Time) {
+// closeAssignments records what is finished, for the jobs that have changed.
+func (c *Core) closeAssignments(now time.Time) {
 	for id, j := range c.toClose {
 		switch {
 		case c.jobs[id] != j:
@@ -25,18 +25,18 @@
 	}
 }
 
-// closeJob writes a job's record if it has chunks that are over or tasks that
-// leave. Chunks that are over wait a little for the job's others here: a change
+// closeJob writes a job's record if it has assignments that are over or tasks that
+// leave. Assignments that are over wait a little for the job's others here: a change
 // of the record for each would cost more than all else.
 func (c *Core) closeJob(now time.Time, id string, j *job) {
 	over, open, leaving := false, false, false
-	held, some := c.held(now, j), false // some: of an open chunk
-	for i := range j.rec.Chunks {
-		ch := &j.rec.Chunks[i]
-		if ch.Part != c.cfg.Part || ch.Closed {
+	held, some := c.held(now, j), false // some: of an open assignment
+	for i := range j.rec.Assignments {
+		ch := &j.rec.Assignments[i]
+		if ch.Shard != c.cfg.Shard || ch.Closed {
 			continue
 		}
-		if c.chunkOver(j, ch) {
+		if c.assignmentOver(j, ch) {
 			over = true
 		} else {
 			open = true
@@ -64,9 +64,9 @@
 	}
 	j.closeAt = time.Time{}
 	rec := j.rec.Clone()
-	for i := range rec.Chunks {
-		ch := &rec.Chunks[i]
-		if ch.Part == c.cfg.Part && !ch.Closed && c.chunkOver(j, ch) {
+	for i := range rec.Assignments {
+		ch := &rec.Assignments[i]
+		if ch.Shard == c.cfg.Shard && !ch.Closed && c.assignmentOver(j, ch) {
 			ch.Closed = true
 		}
 	}
@@ -111,9 +111,9 @@
 		wire.Condition{Key: state.KeyJob(id), Version: j.version})
 }
 
-// chunkOver says whether every task of a chunk is done or, for a job that
+// assignmentOver says whether every task of an assignment is done or, for a job that
 // ended, surely on no machine.
-func (c *Core) chunkOver(j *job, ch *state.Chunk) bool {
+func (c *Core) assignmentOver(j *job, ch *state.Assignment) bool {
 	for k := ch.From; k < ch.To; k++ {
 		t := j.tasks[k]
 		switch {
@@ -134,15 +134,15 @@
 	return t != nil && t.done && !c.somewhere(j.rec.ID, k)
 }
 
-// closeDone closes the done tasks of open chunks here by themselves, unless the
+// closeDone closes the done tasks of open assignments here by themselves, unless the
 // record would take too much room in so many pieces: then it returns false. While a
-// chunk is open, all its tasks count within their team's limit: one that runs on
+// assignment is open, all its tasks count within their team's limit: one that runs on
 // would hold back others.
 func (c *Core) closeDone(j *job, rec *state.Job) bool {
-	whole := rec.Chunks
-	var split []state.Chunk
+	whole := rec.Assignments
+	var split []state.Assignment
 	for _, ch := range whole {
-		if ch.Part != c.cfg.Part || ch.Closed {
+		if ch.Shard != c.cfg.Shard || ch.Closed {
 			split = append(split, ch)
 			continue
 		}
@@ -152,26 +152,26 @@
 			split = append(split, piece)
 		}
 	}
-	rec.Chunks = split
+	rec.Assignments = split
 	rec.Normalize()
 	if len(state.Encode(rec)) > c.cfg.Sizes.Next/2 {
-		rec.Chunks = whole
+		rec.Assignments = whole
 		return false
 	}
 	return true
 }
 
-// cutOut takes one task out of its chunk.
+// cutOut takes one task out of its assignment.
 func cutOut(rec *state.Job, index int) {
-	for i := range rec.Chunks {
-		ch := &rec.Chunks[i]
+	for i := range rec.Assignments {
+		ch := &rec.Assignments[i]
 		if ch.Closed || index < ch.From || index >= ch.To {
 			continue
 		}
 		rest := *ch
 		rest.From = index + 1
 		ch.To = index
-		rec.Chunks = append(rec.Chunks, rest)
+		rec.Assignments = append(rec.Assignments, rest)
 		return
 	}
 }
--- a/part/comeback_test.go
+++ b/shard/comeback_test.go
@@ -1,4 +1,4 @@
-package part
+package shard
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"ravenport/wire"
 )
 
-// BenchmarkComeback is a whole part that comes back with nothing left on its
+// BenchmarkComeback is a whole shard that comes back with nothing left on its
 // machines: all report new sessions within a period, and all tasks that it had
 // are placed again, services and arrays of many jobs.
 func BenchmarkComeback(b *testing.B) {
@@ -20,18 +20,18 @@
 		for i := range services {
 			id := fmt.Sprintf("run-s%04d", i)
 			jobs[id] = &state.Job{ID: id, Spec: wire.Submission{ID: id, Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 16, CPUs: 2, MemoryGB: 3, Image: fmt.Sprintf("i%d", i%12), Spread: true},
-				Chunks: []state.Chunk{{From: 0, To: 8, Part: "a", Keep: true}, {From: 8, To: 16, Part: "b", Keep: true}}}
+				Assignments: []state.Assignment{{From: 0, To: 8, Shard: "a", Keep: true}, {From: 8, To: 16, Shard: "b", Keep: true}}}
 		}
 		for i := range arrays {
 			id := fmt.Sprintf("run-a%04d", i)
 			jobs[id] = array(id, 40, "a")
 		}
-		var roster []state.Machine
+		var inventory []state.Machine
 		for i := range machines {
 			name := fmt.Sprintf("m-%05d", i)
-			roster = append(roster, state.Machine{Name: name, Type: "box", Addr: name + ":1"})
+			inventory = append(inventory, state.Machine{Name: name, Type: "box", Addr: name + ":1"})
 		}
-		r := newRig(jobs, roster...)
+		r := newRig(jobs, inventory...)
 		r.now = r.now.Add(leaseEnd + time.Second)
 		r.Step(r.now)
 		b.StartTimer()
--- a/part/core.go
+++ b/shard/core.go
@@ -1,4 +1,4 @@
-package part
+package shard
 
 import (
 	"cmp"
@@ -16,26 +16,26 @@
 
 // Config is what the owner needs to know of the deployment.
 type Config struct {
-	Part         string
-	Report       time.Duration // workers' report period
-	LeaseEnd     time.Duration // after the last answer that could count, a worker's lease has surely ended
-	Tending      time.Duration // how long an owner answers reports after the end of its authority
-	IdleSpot     time.Duration
-	IdleOrdinary time.Duration
-	UseSpot      bool
-	ListLag      time.Duration
-	CloudGap     time.Duration // between calls of one kind to the cloud that can wait for each other
-	Sizes        state.Sizes   // the state service's limits on a record
-	Calls        int           // direct commands that may be under way at once
-	GangWait     time.Duration // how long a gang's tasks wait for each other
-	GangPeer     time.Duration // within which they notice that one is gone, or must all be told to stop
-	TxnOps       int           // and on the changes of a transaction
-	WriteRPS     float64       // and on changes a second, of all controllers
-	Order        leader.Order
-	Budget       time.Duration // of a round of placing; 0: the usual one
-}
-
-// Core is the state of one part's owner in one term.
+	Shard          string
+	Report         time.Duration // workers' report period
+	LeaseEnd       time.Duration // after the last answer that could count, a worker's lease has surely ended
+	LeaseExtension time.Duration // how long an owner answers reports after the end of its authority
+	IdleSpot       time.Duration
+	IdleOrdinary   time.Duration
+	UseSpot        bool
+	ListLag        time.Duration
+	CloudGap       time.Duration // between calls of one kind to the cloud that can wait for each other
+	Sizes          state.Sizes   // the state service's limits on a record
+	Calls          int           // direct commands that may be under way at once
+	GangWait       time.Duration // how long a gang's tasks wait for each other
+	GangPeer       time.Duration // within which they notice that one is gone, or must all be told to stop
+	TxnOps         int           // and on the changes of a transaction
+	WriteRPS       float64       // and on changes a second, of all controllers
+	Order          leader.Order
+	Budget         time.Duration // of a round of placing; 0: the usual one
+}
+
+// Core is the state of one shard's owner in one term.
 type Core struct {
 	cfg     Config
 	term    uint64
@@ -52,31 +52,31 @@
 	commandQueue []*machine // machines that wait for a direct command
 	inFlight     int        // direct commands under way
 
-	numbers numbers
-	look    uint64 // counts looks at reports
-	freed   bool   // the last look found that something had ended
-	rebuilt bool
-	deposed bool
-	isDark  bool // its machines are out of reach all together
+	numbers       numbers
+	look          uint64 // counts looks at reports
+	freed         bool   // the last look found that something had ended
+	rebuilt       bool
+	deposed       bool
+	isUnreachable bool // its machines are out of reach all together
 
 	rested  time.Time // silences are counted from here at the earliest
 	stepped time.Time // when the last step was made
 
 	touched []*job           // jobs whose waiting tasks are to be listed anew
 	waiting map[*job]bool    // jobs with waiting tasks
-	toClose map[string]*job  // jobs whose chunks may have something to record
+	toClose map[string]*job  // jobs whose assignments may have something to record
 	order   []*job           // waiting jobs in the order of the last round
 	scratch []*task          // ready tasks of the job that a round looks at
 	resume  *leader.Place    // where the last round of placing stopped
 	budget  time.Duration    // of a round
 	clock   func() time.Time // what a round's time is taken by
 
-	pages      map[int]*page // of the roster
-	rosterBusy bool          // a write of pages is under way
-	rosterNext time.Time     // when the next one may be sent
+	pages         map[int]*page // of the inventory
+	inventoryBusy bool          // a write of pages is under way
+	inventoryNext time.Time     // when the next one may be sent
 
 	gone         map[string]time.Time // machines returned lately
-	others       map[string]other     // by part
+	others       map[string]other     // by shard
 	siblingsAt   time.Time            // when all live controllers had been heard from
 	pendingRents map[string]*rental
 	rentSeq      int
@@ -104,7 +104,7 @@
 	excess       float64   // what of it (CPUs) nothing that is coming will take
 	forecast     leader.Forecast
 	forecastAt   time.Time
-	since        []given  // chunks that are newer than the forecast, or may be
+	since        []given  // assignments that are newer than the forecast, or may be
 	roomComing   []coming // room of machines that are coming and not spoken for
 }
 
@@ -152,9 +152,9 @@
 type Return struct{ Names []string }
 
 // New makes the core at the moment when the feed showed the claim: jobs and
-// roster are as of that revision.
+// inventory are as of that revision.
 func New(cfg Config, term, termVersion uint64, now time.Time, types []wire.MachineType,
-	jobs map[string]*state.Job, versions map[string]uint64, roster map[string]*state.Page, rosterVersions map[string]uint64) *Core {
+	jobs map[string]*state.Job, versions map[string]uint64, inventory map[string]*state.Page, inventoryVersions map[string]uint64) *Core {
 	c := &Core{cfg: cfg, term: term, numbers: newNumbers(term), termVer: termVersion, claimed: now, budget: cmp.Or(cfg.Budget, constants.RoundBudget), clock: time.Now,
 		types: map[string]*wire.MachineType{}, jobs: map[string]*job{}, machines: map[string]*machine{},
 		byTask: map[taskKey][]*hold{}, shapes: map[string]gangShape{}, waiting: map[*job]bool{}, toClose: map[string]*job{}, pages: map[int]*page{},
@@ -162,16 +162,16 @@
 	c.SetTypes(types)
 	// Pages split off a large one have higher numbers: a machine found on both
 	// stays on its new page.
-	keys := slices.Collect(maps.Keys(roster))
-	slices.SortFunc(keys, func(a, b string) int { return roster[b].Number - roster[a].Number })
+	keys := slices.Collect(maps.Keys(inventory))
+	slices.SortFunc(keys, func(a, b string) int { return inventory[b].Number - inventory[a].Number })
 	for _, key := range keys {
-		c.applyPage(now, roster[key], rosterVersions[key])
+		c.applyPage(now, inventory[key], inventoryVersions[key])
 	}
 	for _, m := range c.machines {
 		// Whatever earlier owners started, or sent and is still on its way, is
 		// bounded by the lease counted from here: they had lost their authority
 		// when the claim succeeded.
-		m.inherited = m.rosterAddr != ""
+		m.inherited = m.inventoryAddr != ""
 		m.leaseUntil = c.leaseEnd(now, m)
 	}
 	for id, rec := range jobs {
@@ -211,21 +211,21 @@
 	return !c.deposed && !c.numbers.out() && now.Before(c.authority)
 }
 
-// tends says whether the owner still answers reports though its authority has
+// extendsLeases says whether the owner still answers reports though its authority has
 // ended, whether or not another one is known to have begun: a zone that is cut off
 // has nobody else, and its machines would end what they run. It gives no commands
 // then, and does not keep a machine that has seen a later token.
-func (c *Core) tends(now time.Time) bool {
-	for_ := time.Duration(float64(c.cfg.Tending)*(1-constants.ClockDrift)) - constants.AuthorityMargin
-	return !c.authority.IsZero() && now.Before(c.authority.Add(for_))
+func (c *Core) extendsLeases(now time.Time) bool {
+	extension := time.Duration(float64(c.cfg.LeaseExtension)*(1-constants.ClockDrift)) - constants.AuthorityMargin
+	return !c.authority.IsZero() && now.Before(c.authority.Add(extension))
 }
 
 // leaseEnd is when the lease of a machine has surely ended that is answered now.
-// Until it shows a token of this term the owner before may be tending it.
+// Until it shows a token of this term the owner before may be lease extension it.
 func (c *Core) leaseEnd(now time.Time, m *machine) time.Time {
-	tended := c.claimed.Add(time.Duration(float64(c.cfg.Tending)*(1+constants.ClockDrift)) + constants.AuthorityMargin)
-	if !m.verified(c.term) && tended.After(now) {
-		now = tended
+	extendedUntil := c.claimed.Add(time.Duration(float64(c.cfg.LeaseExtension)*(1+constants.ClockDrift)) + constants.AuthorityMargin)
+	if !m.verified(c.term) && extendedUntil.After(now) {
+		now = extendedUntil
 	}
 	return now.Add(c.cfg.LeaseEnd)
 }
@@ -263,20 +263,20 @@
 	case *state.Job:
 		c.applyJob(now, r.ID, r, ch.Version, false)
 	case *state.Page:
-		if r.Part == c.cfg.Part {
+		if r.Shard == c.cfg.Shard {
 			c.applyPage(now, r, ch.Version)
 		}
 	}
 }
 
-// applyJob brings the tasks that the part looks after in line with a record.
+// applyJob brings the tasks that the shard looks after in line with a record.
 // inherited marks records from before the term: their tasks may be running.
 func (c *Core) applyJob(now time.Time, id string, rec *state.Job, version uint64, inherited bool) {
 	j := c.jobs[id]
 	mine := 0
 	c.noteGang(now, rec)
-	for _, ch := range rec.Chunks {
-		if ch.Part == c.cfg.Part && !ch.Closed {
+	for _, ch := range rec.Assignments {
+		if ch.Shard == c.cfg.Shard && !ch.Closed {
 			mine += ch.Tasks()
 		}
 	}
@@ -304,8 +304,8 @@
 	}
 	keep := make(map[int]bool, mine)
 	fresh := 0
-	for _, ch := range rec.Chunks {
-		if ch.Part != c.cfg.Part || ch.Closed {
+	for _, ch := range rec.Assignments {
+		if ch.Shard != c.cfg.Shard || ch.Closed {
 			continue
 		}
 		for i := ch.From; i < ch.To; i++ {
@@ -482,13 +482,13 @@
 		c.check(j)
 	}
 	c.dirty = true
-	slog.Info("part rebuilt", "part", c.cfg.Part, "term", c.term, "after_ms", now.Sub(c.claimed).Milliseconds(), "machines", len(c.machines))
+	slog.Info("shard rebuilt", "shard", c.cfg.Shard, "term", c.term, "after_ms", now.Sub(c.claimed).Milliseconds(), "machines", len(c.machines))
 }
 
 // Step does what is due and returns the actions gathered since the last call.
 func (c *Core) Step(now time.Time) []Action {
 	if !c.stepped.IsZero() && now.Sub(c.stepped) > constants.StoodStill {
-		slog.Warn("stood still", "part", c.cfg.Part, "for_ms", now.Sub(c.stepped).Milliseconds())
+		slog.Warn("stood still", "shard", c.cfg.Shard, "for_ms", now.Sub(c.stepped).Milliseconds())
 		c.rest(now)
 	}
 	c.stepped = now
@@ -499,7 +499,7 @@
 		c.keepForGangs(now)
 	}
 	if c.may(now) {
-		c.roster(now)
+		c.inventory(now)
 		if c.dirty || now.Sub(c.lastPlace) > constants.PlaceEvery {
 			c.place(now)
 		}
@@ -515,7 +515,7 @@
 			c.censusAt = now
 			c.giveBack(now)
 		}
-		c.closeChunks(now)
+		c.closeAssignments(now)
 		c.direct(now, slow)
 	}
 	out := c.actions
@@ -526,7 +526,7 @@
 // commit gathers a transaction that holds only while the term stands.
 func (c *Core) commit(id string, changes []wire.Change, conds ...wire.Condition) {
 	c.actions = append(c.actions, Commit{ID: id, Txn: wire.Txn{
-		If:   append([]wire.Condition{{Key: state.KeyPart(c.cfg.Part), Version: c.termVer}}, conds...),
+		If:   append([]wire.Condition{{Key: state.KeyShard(c.cfg.Shard), Version: c.termVer}}, conds...),
 		Then: changes,
 	}})
 }
@@ -566,7 +566,7 @@
 	kind, rest, _ := strings.Cut(id, "/")
 	switch kind {
 	case "roster":
-		c.rosterWritten(now, revision)
+		c.inventoryWritten(now, revision)
 	case "job":
 		if j := c.jobs[rest]; j != nil && revision == 0 {
 			// Either the feed will bring a newer version, or the write is
--- a/part/core_test.go
+++ b/shard/core_test.go
@@ -1,4 +1,4 @@
-package part
+package shard
 
 import (
 	"fmt"
@@ -26,20 +26,20 @@
 	term    uint64
 }
 
-func newRig(jobs map[string]*state.Job, roster ...state.Machine) *rig {
+func newRig(jobs map[string]*state.Job, inventory ...state.Machine) *rig {
 	r := &rig{now: time.Unix(1000, 0), version: 100, term: 5}
 	versions, pages, pageV := map[string]uint64{}, map[string]*state.Page{}, map[string]uint64{}
 	for id := range jobs {
 		versions[id] = 10
 	}
-	if len(roster) > 0 {
-		k := state.KeyRoster("a", 0)
-		pages[k], pageV[k] = &state.Page{Part: "a"}, 11
-		for _, m := range roster {
+	if len(inventory) > 0 {
+		k := state.KeyInventory("a", 0)
+		pages[k], pageV[k] = &state.Page{Shard: "a"}, 11
+		for _, m := range inventory {
 			pages[k].Add(m)
 		}
 	}
-	cfg := Config{Part: "a", Report: 3 * time.Second, LeaseEnd: leaseEnd, IdleSpot: time.Hour, IdleOrdinary: time.Hour, UseSpot: true, ListLag: 5 * time.Second, Sizes: state.Sizes{Now: 8192, Next: 8192}, Calls: 200, TxnOps: 12, WriteRPS: 100, Order: leader.NewOrder(nil)}
+	cfg := Config{Shard: "a", Report: 3 * time.Second, LeaseEnd: leaseEnd, IdleSpot: time.Hour, IdleOrdinary: time.Hour, UseSpot: true, ListLag: 5 * time.Second, Sizes: state.Sizes{Now: 8192, Next: 8192}, Calls: 200, TxnOps: 12, WriteRPS: 100, Order: leader.NewOrder(nil)}
 	types := []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.4, BootS: 10, Zones: []string{"a"}}}
 	r.Core = New(cfg, r.term, 50, r.now, types, jobs, versions, pages, pageV)
 	r.SetAuthority(r.now.Add(time.Hour))
@@ -77,17 +77,17 @@
 	return &wire.Report{Machine: name, Addr: name + ":1", Type: "box", Zone: "a", Session: session, Seq: seq, Token: token, Tasks: tasks}
 }
 
-func array(id string, tasks int, part string) *state.Job {
+func array(id string, tasks int, shard string) *state.Job {
 	return &state.Job{ID: id, Spec: wire.Submission{ID: id, Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: tasks, CPUs: 2, MemoryGB: 1, Image: "i", EstimateS: 10, Spot: true},
-		Chunks: []state.Chunk{{From: 0, To: tasks, Part: part, Keep: true}}}
+		Assignments: []state.Assignment{{From: 0, To: tasks, Shard: shard, Keep: true}}}
 }
 
-// up brings a machine up in the owner's eyes, in the roster and verified.
+// up brings a machine up in the owner's eyes, in the inventory and verified.
 func (r *rig) up(name string) {
 	if _, ok := r.Report(r.now, report(name, 1, 1, 0)); !ok {
 		panic("report refused")
 	}
-	r.now = r.now.Add(constants.RosterGap)
+	r.now = r.now.Add(constants.InventoryGap)
 	r.write(r.Step(r.now))
 	r.Report(r.now, report(name, 1, 2, r.shown(name)))
 }
@@ -112,7 +112,7 @@
 
 // unheard plays time in which nobody answers a call and the cloud confirms what
 // is returned, and names that.
-func (r *rig) unheard(d time.Duration, each func()) (returned []string) {
+func (r *rig) unacknowledged(d time.Duration, each func()) (returned []string) {
 	for end := r.now.Add(d); r.now.Before(end); {
 		each()
 		for _, a := range r.wait(100 * time.Millisecond) {
@@ -342,13 +342,13 @@
 	for range 80 {
 		r.wait(100 * time.Millisecond)
 	}
-	r.Strays(r.now, []Stray{{"m-1", 1, 3}, {"m-2", 1, 3}, {"m-3", 1, 3}}, true)
-	if _, strays := r.CutOff(r.now); strays {
+	r.MisroutedReports(r.now, []MisroutedReport{{"m-1", 1, 3}, {"m-2", 1, 3}, {"m-3", 1, 3}}, true)
+	if _, misroutedReports := r.CutOff(r.now); misroutedReports {
 		t.Fatal("late copies of old reports count as evidence")
 	}
-	r.Strays(r.now, []Stray{{"m-1", 1, 900}, {"m-2", 1, 900}, {"m-3", 1, 900}}, true)
-	if silent, strays := r.CutOff(r.now); !silent || !strays {
-		t.Fatalf("silent %v, strays %v: the owner does not see that it is cut off", silent, strays)
+	r.MisroutedReports(r.now, []MisroutedReport{{"m-1", 1, 900}, {"m-2", 1, 900}, {"m-3", 1, 900}}, true)
+	if silent, misroutedReports := r.CutOff(r.now); !silent || !misroutedReports {
+		t.Fatalf("silent %v, misrouted reports %v: the owner does not see that it is cut off", silent, misroutedReports)
 	}
 	for _, a := range r.Step(r.now) {
 		if ret, ok := a.(Return); ok {
@@ -473,20 +473,20 @@
 	}
 }
 
-// Without authority an owner keeps its machines' leases alive for its tending
+// Without authority an owner keeps its machines' leases alive for its lease extension
 // time, and gives no command; its successor counts a machine's lease from the end
 // of that, unless the machine has shown the new token and so drops old answers.
-func TestTendingIsCountedByTheNextOwner(t *testing.T) {
-	const tending = 15 * time.Second
+func TestLeaseExtensionIsCountedByTheNextOwner(t *testing.T) {
+	const leaseExtension = 15 * time.Second
 	old := newRig(map[string]*state.Job{"run-1": array("run-1", 2, "a")})
-	old.cfg.Tending = tending
+	old.cfg.LeaseExtension = leaseExtension
 	old.up("m-0")
 	old.write(old.wait(time.Second))
 	over := old.now
 	old.SetAuthority(over)
 	seq := uint64(10)
 	last := time.Time{}
-	for ; old.now.Before(over.Add(2 * tending)); old.now = old.now.Add(time.Second) {
+	for ; old.now.Before(over.Add(2 * leaseExtension)); old.now = old.now.Add(time.Second) {
 		seq++
 		reply, ok := old.Report(old.now, report("m-0", 1, seq, old.shown("m-0")))
 		if !ok {
@@ -497,13 +497,13 @@
 		}
 		last = old.now
 	}
-	if d := last.Sub(over); d < tending-3*time.Second || d > tending {
-		t.Fatalf("tended for %s, wanted about %s", d, tending)
+	if d := last.Sub(over); d < leaseExtension-3*time.Second || d > leaseExtension {
+		t.Fatalf("tended for %s, wanted about %s", d, leaseExtension)
 	}
 	for name, shows := range map[string]bool{"silent": false, "shows the new token": true} {
 		t.Run(name, func(t *testing.T) {
 			next := newRig(map[string]*state.Job{"run-1": array("run-1", 2, "a")}, state.Machine{Name: "m-0", Type: "box", Addr: "m-0:1"})
-			next.Core = New(Config{Part: "a", Report: 3 * time.Second, LeaseEnd: leaseEnd, Tending: tending, Sizes: state.Sizes{Now: 8192, Next: 8192}, Calls: 200, TxnOps: 12, WriteRPS: 100, Order: leader.NewOrder(nil)},
+			next.Core = New(Config{Shard: "a", Report: 3 * time.Second, LeaseEnd: leaseEnd, LeaseExtension: leaseExtension, Sizes: state.Sizes{Now: 8192, Next: 8192}, Calls: 200, TxnOps: 12, WriteRPS: 100, Order: leader.NewOrder(nil)},
 				6, 51, over, nil, nil, nil, nil, nil)
 			next.SetAuthority(over.Add(time.Hour))
 			// It is heard once, but its answer may be lost, and then the old owner
@@ -515,7 +515,7 @@
 			next.Report(over, report("m-0", 1, 50, tok))
 			m := next.machines["m-0"]
 			ends := m.leaseUntil.Sub(over)
-			if shows && ends != leaseEnd || !shows && (ends < tending+leaseEnd || m.leaseUntil.Before(last.Add(leaseEnd))) {
+			if shows && ends != leaseEnd || !shows && (ends < leaseExtension+leaseEnd || m.leaseUntil.Before(last.Add(leaseEnd))) {
 				t.Fatalf("its lease counts as over %s after the claim", ends)
 			}
 		})
@@ -531,20 +531,20 @@
 		m.spot = true // ordinary ones would be emptied
 	}
 	var returned []string
-	look := func(d time.Duration) { returned = append(returned, r.unheard(d, func() {})...) }
+	look := func(d time.Duration) { returned = append(returned, r.unacknowledged(d, func() {})...) }
 	look(time.Second)
 	r.now = r.now.Add(7 * time.Second) // stands still; the reports made meanwhile still wait
 	look(2 * time.Second)
 	if len(returned) > 0 {
 		t.Fatalf("returned %d machines whose reports were not read yet", len(returned))
 	}
-	// Out of reach all together, the part is dark and rents nothing; then they
+	// Out of reach all together, the shard is unreachable and rents nothing; then they
 	// come back one after the other.
 	look(4 * time.Second)
 	r.submit(array("run-2", 400, "a"))
 	look(4 * time.Second)
-	if !r.isDark || len(returned) > 0 || len(r.pendingRents) > 0 {
-		t.Fatalf("dark %v, returned %d, rentals %d", r.isDark, len(returned), len(r.pendingRents))
+	if !r.isUnreachable || len(returned) > 0 || len(r.pendingRents) > 0 {
+		t.Fatalf("dark %v, returned %d, rentals %d", r.isUnreachable, len(returned), len(r.pendingRents))
 	}
 	if a := r.Aggregate(r.now, 1); a.RentOrdinary || a.RentSpot || a.Ordinary.CPUs.Sum > 0 {
 		t.Fatalf("a dark part offers room: %+v", a)
@@ -556,15 +556,15 @@
 		r.Report(r.now, rep)
 	}
 	look(2 * time.Second)
-	if r.isDark || len(returned) > 0 {
-		t.Fatalf("dark %v, returned %d machines that were about to report", r.isDark, len(returned))
+	if r.isUnreachable || len(returned) > 0 {
+		t.Fatalf("dark %v, returned %d machines that were about to report", r.isUnreachable, len(returned))
 	}
 }
 
-// A part that falls silent as a whole is taken to be cut off, and nobody is
+// A shard that falls silent as a whole is taken to be cut off, and nobody is
 // returned, until the cloud stops listing its machines: those are gone, and the
-// part must not wait for their leases, or rent nothing for ever.
-func TestWholePartCutOffOrGone(t *testing.T) {
+// shard must not wait for their leases, or rent nothing for ever.
+func TestWholeShardCutOffOrGone(t *testing.T) {
 	r := newRig(nil)
 	r.fleet(5)
 	var list []wire.CloudMachine
@@ -574,23 +574,23 @@
 	}
 	r.Listed(r.now, list)
 	returned := 0
-	look := func(d time.Duration) { returned += len(r.unheard(d, func() { r.siblingsAt = r.now })) }
+	look := func(d time.Duration) { returned += len(r.unacknowledged(d, func() { r.siblingsAt = r.now })) }
 	look(9 * time.Second)
 	r.Listed(r.now, list)
 	r.Listed(r.now, nil) // one list may be older than the one before
 	look(time.Second)
-	if returned > 0 || !r.isDark {
-		t.Fatalf("returned %d machines that are listed, dark %v", returned, r.isDark)
+	if returned > 0 || !r.isUnreachable {
+		t.Fatalf("returned %d machines that are listed, dark %v", returned, r.isUnreachable)
 	}
 	r.Listed(r.now, nil)
 	look(7 * time.Second)
-	if returned != 5 || r.isDark {
-		t.Fatalf("returned %d of 5 machines that are gone, dark %v", returned, r.isDark)
+	if returned != 5 || r.isUnreachable {
+		t.Fatalf("returned %d of 5 machines that are gone, dark %v", returned, r.isUnreachable)
 	}
 }
 
-// A task that was kept because no part had room goes back to the leader once it
-// has waited for long and another part has room for a single one, though machines
+// A task that was kept because no shard had room goes back to the leader once it
+// has waited for long and another shard has room for a single one, though machines
 // may still be had here: the cloud may refuse them for ever.
 func TestLongWaitGoesWhereThereIsRoom(t *testing.T) {
 	for _, room := range []float64{0, 4} {
@@ -611,12 +611,12 @@
 					}
 				}
 			}
-			agg := leader.Aggregate{Part: "b", Term: 1, Ordinary: leader.Room{Machines: 1}}
+			agg := leader.Aggregate{Shard: "b", Term: 1, Ordinary: leader.Room{Machines: 1}}
 			for _, m := range []*leader.Moments{&agg.Ordinary.CPUs, &agg.Ordinary.Memory} {
 				m.Add(room)
 				m.Finish(1)
 			}
-			r.Others(r.now, []leader.Aggregate{agg, {Part: "c", Term: 1}})
+			r.Others(r.now, []leader.Aggregate{agg, {Shard: "c", Term: 1}})
 		}
 		if (left > 0) != (room > 0) {
 			t.Errorf("%g CPUs elsewhere, and %d ranges were sent back", room, left)
@@ -671,29 +671,29 @@
 		closed = closed || ok && cm.ID == "job/run-1"
 	}
 	if !closed {
-		t.Error("the chunks were not closed once the feed brought the cancellation")
+		t.Error("the assignments were not closed once the feed brought the cancellation")
 	}
 }
 
 // A late copy of a report, of which a new owner knows nothing newer, is not proof
-// that it hears its machines: the others of a small part that is out of reach would
+// that it hears its machines: the others of a small shard that is out of reach would
 // be taken for silent by themselves and returned.
 func TestLateCopyIsNotHeardAtTakeover(t *testing.T) {
-	var roster []state.Machine
+	var inventory []state.Machine
 	for i := range 3 {
 		name := fmt.Sprintf("m-%d", i)
-		roster = append(roster, state.Machine{Name: name, Type: "box", Addr: name + ":1"})
+		inventory = append(inventory, state.Machine{Name: name, Type: "box", Addr: name + ":1"})
 	}
 	for _, copied := range []bool{true, false} {
-		r := newRig(nil, roster...)
+		r := newRig(nil, inventory...)
 		seen := token(r.term-1, 3)
 		if !copied {
 			seen = token(r.term, 0) // it does hear one of them: the others are silent by themselves
 		}
 		seq := uint64(50)
-		r.unheard(time.Second, func() {})
+		r.unacknowledged(time.Second, func() {})
 		r.Report(r.now, report("m-0", 1, seq, seen))
-		returned := r.unheard(15*time.Second, func() {
+		returned := r.unacknowledged(15*time.Second, func() {
 			r.siblingsAt = r.now
 			if !copied {
 				seq++
--- a/part/direct.go
+++ b/shard/direct.go
@@ -1,4 +1,4 @@
-package part
+package shard
 
 import (
 	"time"
@@ -19,7 +19,7 @@
 
 // direct sends waiting commands straight to the machines. Which machines wait for
 // one is kept in a queue; only a slow step looks at all of them, for starts without
-// effect and for machines to be asked what is on them. Guards against a part whose
+// effect and for machines to be asked what is on them. Guards against a shard whose
 // every step costs as much as it has machines.
 func (c *Core) direct(now time.Time, slow bool) {
 	queue := c.commandQueue
@@ -70,8 +70,8 @@
 // roomForCall says whether one more direct command may be under way.
 func (c *Core) roomForCall() bool {
 	most := c.cfg.Calls
-	if c.isDark {
-		most = min(most, constants.DarkCalls)
+	if c.isUnreachable {
+		most = min(most, constants.UnreachableCalls)
 	}
 	return c.inFlight < most
 }
@@ -109,7 +109,7 @@
 // questionable says whether a machine is asked directly: an inherited one for
 // what is on it, once it had the time to report by itself, one that missed its
 // report whether it still is there, one whose lease ended unheard whether it is
-// back, and one in doubt whether it hears.
+// back, and an unconfirmed one whether it hears.
 func (c *Core) questionable(now time.Time, m *machine) bool {
 	switch {
 	case m.inherited && !m.verified(c.term):
@@ -118,7 +118,7 @@
 		return true
 	case !m.up:
 		return false
-	case m.doubted():
+	case m.unconfirmed():
 		return true
 	}
 	return c.overdueReport(now, m)
--- a/part/direct_test.go
+++ b/shard/direct_test.go
@@ -1,4 +1,4 @@
-package part
+package shard
 
 import (
 	"fmt"
@@ -21,7 +21,7 @@
 	job := array("run-1", 2, "a")
 	job.AcceptedMS = r.now.UnixMilli()
 	r.submit(job)
-	acts := r.wait(constants.PartGap)
+	acts := r.wait(constants.OwnerGap)
 	n := 0
 	for i := range 3 {
 		n += len(started(acts, fmt.Sprintf("m-%d", i)))
@@ -82,7 +82,7 @@
 					r.CommandResult(r.now, name, nil)
 				}
 			}
-			take(r.wait(constants.PartGap))
+			take(r.wait(constants.OwnerGap))
 		}
 		for name := range open {
 			r.CommandResult(r.now, name, nil)
@@ -97,7 +97,7 @@
 		}
 		for _, m := range r.machines {
 			for _, h := range m.holds {
-				if h.state == stateSent && r.wanted(h) && !h.direct && m.verified(r.term) && !m.doubted() && !m.returning {
+				if h.state == stateSent && r.wanted(h) && !h.direct && m.verified(r.term) && !m.unconfirmed() && !m.returning {
 					t.Fatalf("%s was never sent the start of %s", m.name, h.key.task)
 				}
 			}
--- a/part/empty.go
+++ b/shard/empty.go
@@ -1,4 +1,4 @@
-package part
+package shard
 
 import (
 	"log/slog"
@@ -55,10 +55,10 @@
 	}
 }
 
-// consolidate empties ordinary machines that the part can do without, by
+// consolidate empties ordinary machines that the shard can do without, by
 // moving services one at a time to machines that hold their image: a service
 // is away for a moment, while a machine with one service on it costs as much
-// as a full one. How many are emptied at once grows with the part.
+// as a full one. How many are emptied at once grows with the shard.
 func (c *Core) consolidate(now time.Time) {
 	if !c.rebuilt || now.Sub(c.lastMove) < constants.MoveGap {
 		return
@@ -97,7 +97,7 @@
 	others := c.withRoom(now)
 	looked := 0
 	for _, m := range ms {
-		// Without it the part must keep its room ready, and have room for what
+		// Without it the shard must keep its room ready, and have room for what
 		// is on it; those emptied already count as gone.
 		if total-m.capacity.cpus < keep {
 			if m.draining {
@@ -131,8 +131,8 @@
 	}
 }
 
-// withRoom lists the machines that could take something, as few of a busy part can.
-// Guards against a look at the whole part for each task that might move: with
+// withRoom lists the machines that could take something, as few of a busy shard can.
+// Guards against a look at the whole shard for each task that might move: with
 // hundreds of machines that stood in the way of everything else for 10 ms.
 func (c *Core) withRoom(now time.Time) []*machine {
 	var list []*machine
--- a/part/gang.go
+++ b/shard/gang.go
@@ -1,4 +1,4 @@
-package part
+package shard
 
 import (
 	"log/slog"
@@ -13,7 +13,7 @@
 )
 
 // gang is what the owner knows of a gang: its tasks run at the same time, under
-// one attempt number, or not at all. A gang in several parts has a share here.
+// one attempt number, or not at all. A gang in several shards has a share here.
 type gang struct {
 	attempt uint64    // the one under way, or the last; 0: none is known
 	since   time.Time // when its first task was decided or found
@@ -22,16 +22,16 @@
 	done    bool      // a task is known as done, and so all are
 }
 
-// shared says whether a gang's tasks are, or are to be, in several parts: they
+// shared says whether a gang's tasks are, or are to be, in several shards: they
 // run under the number that the leader wrote.
-func shared(rec *state.Job, part string) bool {
-	return rec.Attempt != 0 && (len(rec.Unassigned()) > 0 || slices.ContainsFunc(rec.Chunks, func(ch state.Chunk) bool { return ch.Part != part }))
+func shared(rec *state.Job, shard string) bool {
+	return rec.Attempt != 0 && (len(rec.Unassigned()) > 0 || slices.ContainsFunc(rec.Assignments, func(ch state.Assignment) bool { return ch.Shard != shard }))
 }
 
 // gangRecord brings a gang in line with a newer record.
 func (c *Core) gangRecord(j *job) {
-	if slices.ContainsFunc(j.rec.Chunks, func(ch state.Chunk) bool { return ch.Closed }) && j.rec.End == "" {
-		c.gangDone(j) // another part has seen a task of it done
+	if slices.ContainsFunc(j.rec.Assignments, func(ch state.Assignment) bool { return ch.Closed }) && j.rec.End == "" {
+		c.gangDone(j) // another shard has seen a task of it done
 	} else if len(j.rec.Unassigned()) > 0 && j.gang.attempt == j.rec.Attempt {
 		c.endAttempt(j, "another share was given back")
 	}
@@ -160,13 +160,13 @@
 	if g.done || j.rec.End != "" {
 		return
 	}
-	spread := shared(j.rec, c.cfg.Part)
+	spread := shared(j.rec, c.cfg.Shard)
 	if g.attempt != 0 && !g.failed && (!spread || g.attempt == j.rec.Attempt) {
 		c.completeGang(now, j)
 		return
 	}
 	if spread && (g.attempt == j.rec.Attempt || len(j.rec.Unassigned()) > 0) {
-		// The number is used up, or another part has given its share back.
+		// The number is used up, or another shard has given its share back.
 		c.sendBackGang(now, j)
 		return
 	}
@@ -425,7 +425,7 @@
 }
 
 // rentForGang rents for all of a waiting gang that finds no place in what is
-// coming, or gives it back where another part is known to have room.
+// coming, or gives it back where another shard is known to have room.
 func (c *Core) rentForGang(now time.Time, j *job, want map[kind]int) {
 	s := &j.rec.Spec
 	n := need(s)
@@ -444,7 +444,7 @@
 		}
 	}
 	// Free room counts as well: it is what the gang's places will be made of.
-	if !c.isDark {
+	if !c.isUnreachable {
 		for _, m := range c.fleet {
 			if left > 0 && m.forGangs && allowed(s, m.typeName, m.spot) && c.usable(now, m) {
 				left -= min(left, c.free(m).holdsOf(n))
@@ -456,8 +456,8 @@
 	}
 	typ, spot, ok := c.pick(now, s)
 	waited := now.Sub(j.gangSince)
-	back := now.Sub(j.backAt) > constants.KeepWait && !shared(j.rec, c.cfg.Part)
-	// Where it has waited for long and the cloud has no more, no part may hold it
+	back := now.Sub(j.backAt) > constants.KeepWait && !shared(j.rec, c.cfg.Shard)
+	// Where it has waited for long and the cloud has no more, no shard may hold it
 	// whole: then the leader spreads it, if it may.
 	apart := !ok && !s.OneZone && s.Zone == "" && waited > constants.KeepWait && leader.Overdue(now, j.rec, false)
 	if back && ((!ok || waited > constants.GangPatience) && c.takesGang(now, s) || apart) {
@@ -475,17 +475,17 @@
 	c.excess += n.cpus * float64(left)
 }
 
-// takesGang says whether another part is known to take all of a gang now.
+// takesGang says whether another shard is known to take all of a gang now.
 func (c *Core) takesGang(now time.Time, s *wire.Submission) bool {
 	for _, o := range c.others {
-		if now.Sub(o.at) < constants.StaleAggregate && (s.Zone == "" || s.Zone == o.agg.Part) && o.agg.Gangs[leader.ShapeOf(s)].Now >= s.Tasks {
+		if now.Sub(o.at) < constants.StaleAggregate && (s.Zone == "" || s.Zone == o.agg.Shard) && o.agg.Gangs[leader.ShapeOf(s)].Now >= s.Tasks {
 			return true
 		}
 	}
 	return false
 }
 
-// noteGang remembers what gangs look like, whichever part has them: the leader
+// noteGang remembers what gangs look like, whichever shard has them: the leader
 // wants to know whether one of that shape would start here.
 func (c *Core) noteGang(now time.Time, rec *state.Job) {
 	if !rec.Spec.IsGang() || rec.End != "" {
--- a/part/gang_test.go
+++ b/shard/gang_test.go
@@ -1,4 +1,4 @@
-package part
+package shard
 
 import (
 	"fmt"
@@ -109,8 +109,8 @@
 	return starts
 }
 
-func gangOf(id string, tasks int, part string) *state.Job {
-	j := array(id, tasks, part)
+func gangOf(id string, tasks int, shard string) *state.Job {
+	j := array(id, tasks, shard)
 	j.Spec.Kind, j.Spec.Spot, j.Spec.CheckpointS, j.Spec.SaveS, j.Spec.OneZone = wire.KindGang, false, 20, 3, true
 	return j
 }
@@ -275,13 +275,13 @@
 		versions := map[string]uint64{}
 		names := map[string]bool{}
 		for p := range rapid.IntRange(1, 3).Draw(t, "pages") {
-			pg := &state.Page{Part: "a", Number: p}
+			pg := &state.Page{Shard: "a", Number: p}
 			for i := range rapid.IntRange(1, 190).Draw(t, "machines") {
 				name := fmt.Sprintf("m-%06d", 1000*p+i)
 				names[name] = true
 				pg.Add(state.Machine{Name: name, Type: "box", Addr: "10.1.200.232:9000"})
 			}
-			pages[state.KeyRoster("a", p)], versions[state.KeyRoster("a", p)] = pg, uint64(10+p)
+			pages[state.KeyInventory("a", p)], versions[state.KeyInventory("a", p)] = pg, uint64(10+p)
 		}
 		limit := rapid.SampledFrom([]int{1024, 2048, 4096}).Draw(t, "limit")
 		rev := uint64(100)
@@ -394,14 +394,14 @@
 	}
 }
 
-// A share of a gang in several parts whose number is used up, as a new owner finds,
+// A share of a gang in several shards whose number is used up, as a new owner finds,
 // or of which another share was given back, is stopped and given back whole: under
 // its number nothing would begin any more.
 func TestShareIsGivenBack(t *testing.T) {
 	job := func() *state.Job {
 		j := gangOf("run-1", 4, "a")
 		j.Spec.OneZone, j.Spec.Spread, j.Attempt = false, true, 1
-		j.Chunks = []state.Chunk{{From: 0, To: 2, Part: "a", Keep: true}, {From: 2, To: 4, Part: "b", Keep: true}}
+		j.Assignments = []state.Assignment{{From: 0, To: 2, Shard: "a", Keep: true}, {From: 2, To: 4, Shard: "b", Keep: true}}
 		return j
 	}
 	given := func(h *hands) bool { return h.jobs["run-1"] == nil }
@@ -419,9 +419,9 @@
 		t.Fatalf("started %v, wanted two tasks under the leader's number", s)
 	}
 	h.set("m-1", wire.TaskWaiting, "")
-	part := job()
-	part.Chunks = part.Chunks[:1]
-	h.submit(part)
+	shard := job()
+	shard.Assignments = shard.Assignments[:1]
+	h.submit(shard)
 	h.run(time.Second)
 	if len(h.stops) != 2 {
 		t.Fatalf("stops %v, wanted both tasks of the share", h.stops)
--- a/part/roster.go
+++ b/shard/inventory.go
@@ -1,4 +1,4 @@
-package part
+package shard
 
 import (
 	"log/slog"
@@ -15,7 +15,7 @@
 // pageless is the page of a machine that is on none.
 const pageless = -1
 
-// page is one page of the part's roster. It is written as a whole, one write
+// page is one page of the shard's inventory. It is written as a whole, one write
 // at a time, so that a rental or a wave of boots costs a change or two and not
 // one for each machine.
 type page struct {
@@ -51,7 +51,7 @@
 		}
 		m.page = r.Number
 		p.put(e.Name)
-		m.durable, m.rosterAddr = true, e.Addr
+		m.durable, m.inventoryAddr = true, e.Addr
 		if m.addr == "" {
 			m.addr = e.Addr
 		}
@@ -65,7 +65,7 @@
 				m.rentedAt = now.Add(-time.Duration(age) * time.Second)
 			}
 		}
-		if m.rosterAddr != m.addr && m.addr != "" {
+		if m.inventoryAddr != m.addr && m.addr != "" {
 			p.dirty = true
 		}
 	}
@@ -131,7 +131,7 @@
 	}
 	for name := range was {
 		if m := c.machines[name]; m != nil && m.page == p.number && !p.stored[name] {
-			m.durable, m.rosterAddr = false, ""
+			m.durable, m.inventoryAddr = false, ""
 		}
 	}
 	for name := range p.names {
@@ -157,9 +157,9 @@
 }
 
 // entryBytes is what a machine takes of a page.
-func entryBytes(name string) int { return len(name) + constants.RosterEntryBytes }
+func entryBytes(name string) int { return len(name) + constants.InventoryEntryBytes }
 
-// enrol gives a machine a place in the roster.
+// enrol gives a machine a place in the inventory.
 func (c *Core) enrol(m *machine) {
 	if m.page != pageless {
 		c.pages[m.page].dirty = true
@@ -190,10 +190,10 @@
 	return out
 }
 
-// roster writes the pages that changed: no machine gets a task before it
+// inventory writes the pages that changed: no machine gets a task before it
 // stands there with its address.
-func (c *Core) roster(now time.Time) {
-	if c.rosterBusy || now.Before(c.rosterNext) {
+func (c *Core) inventory(now time.Time) {
+	if c.inventoryBusy || now.Before(c.inventoryNext) {
 		return
 	}
 	var ps []*page
@@ -213,12 +213,12 @@
 		}
 		return ps[a].number < ps[b].number
 	})
-	ps = ps[:min(len(ps), constants.RosterPages, max(1, c.cfg.TxnOps))]
+	ps = ps[:min(len(ps), constants.InventoryPages, max(1, c.cfg.TxnOps))]
 	var changes []wire.Change
 	var conds []wire.Condition
 	for _, p := range ps {
 		entries := c.entries(p)
-		key := state.KeyRoster(c.cfg.Part, p.number)
+		key := state.KeyInventory(c.cfg.Shard, p.number)
 		var r state.Page
 		for _, e := range entries {
 			r.Add(e)
@@ -243,14 +243,14 @@
 	}
 	// Its share of the state service's changes, so that a wave of boots or
 	// returns becomes one change of a page and not one a machine.
-	c.rosterBusy = true
-	c.rosterNext = now.Add(max(constants.RosterGap, time.Duration(float64(len(ps))/(c.cfg.WriteRPS*constants.RosterShare)*float64(time.Second))))
+	c.inventoryBusy = true
+	c.inventoryNext = now.Add(max(constants.InventoryGap, time.Duration(float64(len(ps))/(c.cfg.WriteRPS*constants.InventoryShare)*float64(time.Second))))
 	c.commit("roster/", changes, conds...)
 }
 
-// rosterWritten takes in what came of a write of pages.
-func (c *Core) rosterWritten(now time.Time, revision uint64) {
-	c.rosterBusy = false
+// inventoryWritten takes in what came of a write of pages.
+func (c *Core) inventoryWritten(now time.Time, revision uint64) {
+	c.inventoryBusy = false
 	for _, p := range c.pages {
 		if p.sent == nil {
 			continue
@@ -261,7 +261,7 @@
 			// If it was carried out all the same the feed brings the page, and
 			// the next write is based on that.
 			p.dirty = true
-			c.rosterNext = now.Add(constants.RetryMin)
+			c.inventoryNext = now.Add(constants.RetryMin)
 			continue
 		}
 		if revision <= p.version {
@@ -270,15 +270,15 @@
 		c.stored(p, sent, revision)
 		for _, e := range sent {
 			if m := c.machines[e.Name]; m != nil {
-				m.durable, m.rosterAddr = true, e.Addr
+				m.durable, m.inventoryAddr = true, e.Addr
 			}
 		}
 		c.dirty = true
 	}
 }
 
-// leaveRoster takes a returned machine off the roster.
-func (c *Core) leaveRoster(m *machine) {
+// leaveInventory takes a returned machine off the inventory.
+func (c *Core) leaveInventory(m *machine) {
 	if m.page == pageless {
 		c.removeMachine(m)
 		return
@@ -291,5 +291,5 @@
 		return
 	}
 	p.dirty = true
-	slog.Debug("leaving the roster", "machine", m.name)
+	slog.Debug("leaving the inventory", "machine", m.name)
 }
--- a/part/model.go
+++ b/shard/model.go
@@ -1,11 +1,11 @@
-// Package part is a part's owner: it rebuilds what runs from its machines'
+// Package shard is a shard's owner: it rebuilds what runs from its machines'
 // reports, places tasks by best fit and rents and returns machines. It is
 // pure: messages, state and time in, actions out; an actor does the I/O.
 //
 // Its files: model (what it knows), core (messages and steps), report (what a
 // report proves), place, rent, silence (and returns), empty (notices and
-// machines to do without), chunks (job records), roster, push (figures).
-package part
+// machines to do without), assignments (job records), inventory, push (figures).
+package shard
 
 import (
 	"math"
@@ -95,10 +95,10 @@
 	spot       bool
 	capacity   resources
 
-	page       int    // of the roster; pageless: on none
-	rosterAddr string // address as in the durable roster
-	durable    bool   // is in the durable roster
-	leaving    bool   // its return is confirmed; it is to leave the roster
+	page          int    // of the inventory; pageless: on none
+	inventoryAddr string // address as in the durable inventory
+	durable       bool   // is in the durable inventory
+	leaving       bool   // its return is confirmed; it is to leave the inventory
 
 	session, seq uint64
 	minSession   uint64    // earlier sessions have surely ended
@@ -106,7 +106,7 @@
 	epoch        uint64    // what the owner's tokens to it end in
 	heard        time.Time // its last own report; at first also an answer
 	leaseUntil   time.Time // after it, the session last known has surely ended
-	inherited    bool      // stood in the roster when the term began
+	inherited    bool      // stood in the inventory when the term began
 	up           bool      // has reported in this term
 	listed       bool      // the cloud's list has shown it
 	missing      int       // lists in a row since then that did not
@@ -126,22 +126,22 @@
 	keptFor      *job // its room is kept for a task of it
 	keptUntil    time.Time
 
-	inFlight      bool // a direct command waits for its answer
-	nextDirect    time.Time
-	wantCommand   bool      // it should be sent what it should do
-	commandQueued bool      // it stands in the queue for that
-	strayAt       time.Time // when it last reported to another controller
-	unanswered    int       // direct commands since it was last heard of
-	doubtAt       time.Time // since when it is asked to show that answers reach it; zero: no doubt
-	doubtToken    uint64    // the token that it must show
-	lost          bool      // holds an unwanted attempt that a late command could still bring
-	warned        bool      // impossible fields were logged
-	unheeded      int       // direct commands without an answer since the doubt arose
-	answersSince  int       // answers since it last showed the token they carry
-	answeredAt    uint64    // the number of its last report that was answered, with those of direct commands right after it
-	beatAt        uint64    // the number of its last own report
-	beatIn        uint64    // the session of that
-	missed        bool      // its last report shows that it made others elsewhere
+	inFlight         bool // a direct command waits for its answer
+	nextDirect       time.Time
+	wantCommand      bool      // it should be sent what it should do
+	commandQueued    bool      // it stands in the queue for that
+	misroutedAt      time.Time // when it last reported to another controller
+	unanswered       int       // direct commands since it was last heard of
+	unconfirmedSince time.Time // since when it is asked to show that answers reach it; zero: it is confirmed
+	confirmingToken  uint64    // the token that it must show
+	lost             bool      // holds an unwanted attempt that a late command could still bring
+	warned           bool      // impossible fields were logged
+	unheeded         int       // direct commands without an answer since it is unconfirmed
+	answersSince     int       // answers since it last showed the token they carry
+	answeredAt       uint64    // the number of its last report that was answered, with those of direct commands right after it
+	beatAt           uint64    // the number of its last own report
+	beatIn           uint64    // the session of that
+	missed           bool      // its last report shows that it made others elsewhere
 }
 
 // sums are what a machine's attempts add up to.
@@ -166,7 +166,7 @@
 func (m *machine) verified(term uint64) bool { return m.up && m.token>>constants.EpochBits == term }
 
 // doubted says that answers and commands may not reach the machine.
-func (m *machine) doubted() bool { return !m.doubtAt.IsZero() }
+func (m *machine) unconfirmed() bool { return !m.unconfirmedSince.IsZero() }
 
 // find returns the attempt with a key, or nil.
 func (m *machine) find(k holdKey) *hold {
@@ -278,7 +278,7 @@
 	return false
 }
 
-// job is a job of which the part looks after some tasks.
+// job is a job of which the shard looks after some tasks.
 type job struct {
 	rec     *state.Job
 	version uint64
@@ -286,8 +286,8 @@
 	writing bool // a change of its record is under way
 	retryAt time.Time
 	backAt  time.Time       // when tasks of it were last sent back
-	changed bool            // since its chunks were last looked at
-	closeAt time.Time       // when chunks that are over are recorded though others here are not; zero: none is
+	changed bool            // since its assignments were last looked at
+	closeAt time.Time       // when assignments that are over are recorded though others here are not; zero: none is
 	errors  map[string]bool // machines on which its tasks failed
 
 	gang      *gang     // of a gang
@@ -300,7 +300,7 @@
 	place leader.Place // in the order of the last look at all that wait
 }
 
-// task is one task of an open chunk.
+// task is one task of an open assignment.
 type task struct {
 	job       *job
 	index     int
@@ -327,7 +327,7 @@
 	}
 }
 
-// check says that a job's chunks may have something to record.
+// check says that a job's assignments may have something to record.
 func (c *Core) check(j *job) {
 	c.toClose[j.rec.ID] = j
 	j.changed = true
@@ -338,8 +338,8 @@
 	for _, j := range c.touched {
 		j.stale = false
 		j.waiting, j.begun = j.waiting[:0], false
-		for i := range j.rec.Chunks {
-			j.begun = j.begun || j.rec.Chunks[i].Closed
+		for i := range j.rec.Assignments {
+			j.begun = j.begun || j.rec.Assignments[i].Closed
 		}
 		if c.jobs[j.rec.ID] == j && j.rec.End == "" {
 			for _, t := range j.tasks {
--- a/part/numbers_test.go
+++ b/shard/numbers_test.go
@@ -1,4 +1,4 @@
-package part
+package shard
 
 import (
 	"fmt"
--- a/part/place.go
+++ b/shard/place.go
@@ -1,4 +1,4 @@
-package part
+package shard
 
 import (
 	"log/slog"
@@ -15,7 +15,7 @@
 
 // usable says whether new tasks may go to a machine now.
 func (c *Core) usable(now time.Time, m *machine) bool {
-	return m.verified(c.term) && m.durable && m.rosterAddr == m.addr && m.typ != nil && !m.doubted() &&
+	return m.verified(c.term) && m.durable && m.inventoryAddr == m.addr && m.typ != nil && !m.unconfirmed() &&
 		!m.returning && m.notice.IsZero() && !c.silent(now, m) && !now.Before(m.avoidUntil)
 }
 
@@ -58,7 +58,7 @@
 }
 
 // hopeless says that nothing can be stopped for a job's first waiting task either.
-func (r *round) hopeless(j *job, d demand, n resources) bool {
+func (r *round) nothingToStop(j *job, d demand, n resources) bool {
 	d.level = wire.PriorityLevel(j.rec.Spec.Priority)
 	if len(j.waiting) > 0 && j.waiting[0].guarantee {
 		d.guarantee = j.rec.Spec.Team
@@ -140,7 +140,7 @@
 	d := demandOf(s)
 	overdue := leader.Overdue(now, j.rec, j.begun)
 	full := r.known(r.full, d, n)
-	if full && r.hopeless(j, d, n) && !(overdue && !r.crowded) && (s.Priority != wire.PriorityProduction || s.Spread && s.Tasks > 1) {
+	if full && r.nothingToStop(j, d, n) && !(overdue && !r.crowded) && (s.Priority != wire.PriorityProduction || s.Spread && s.Tasks > 1) {
 		return // nothing can come of a look at its tasks
 	}
 	tasks := c.appendReady(c.scratch[:0], now, j)
@@ -204,7 +204,7 @@
 // would take every gap before one was large enough.
 func (c *Core) collect(now time.Time, j *job, r *round) {
 	if r.crowded {
-		return // hundreds of jobs may be waiting after a part has lost all
+		return // hundreds of jobs may be waiting after a shard has lost all
 	}
 	s := &j.rec.Spec
 	n := need(s)
@@ -378,14 +378,14 @@
 // one of higher priority, or, where it runs beyond its team's guarantee, for
 // one within another team's. The protocol would let guaranteed work stop also
 // services and work of higher priority; what others wait for is not worth that.
-func mayStop(victim, for_ *task) bool {
-	v, f := &victim.job.rec.Spec, &for_.job.rec.Spec
+func mayStop(victim, claimant *task) bool {
+	v, f := &victim.job.rec.Spec, &claimant.job.rec.Spec
 	vl, fl := wire.PriorityLevel(v.Priority), wire.PriorityLevel(f.Priority)
-	return vl < fl || vl == fl && !v.IsService() && for_.guarantee && !victim.guarantee && v.Team != f.Team
+	return vl < fl || vl == fl && !v.IsService() && claimant.guarantee && !victim.guarantee && v.Team != f.Team
 }
 
 // yields says whether anything at all might be stopped for a task.
-func (c *Core) yields(for_ *task, r *round) bool {
+func (c *Core) yields(claimant *task, r *round) bool {
 	if !r.scanned {
 		r.scanned, r.lowest, r.loose = true, math.MaxInt, map[string]bool{}
 		for _, m := range c.fleet {
@@ -397,22 +397,22 @@
 			}
 		}
 	}
-	s := &for_.job.rec.Spec
+	s := &claimant.job.rec.Spec
 	if wire.PriorityLevel(s.Priority) > r.lowest {
 		return true
 	}
-	return for_.guarantee && (len(r.loose) > 1 || len(r.loose) == 1 && !r.loose[s.Team])
+	return claimant.guarantee && (len(r.loose) > 1 || len(r.loose) == 1 && !r.loose[s.Team])
 }
 
 // preempt makes room on a machine by stopping work that has to yield: the
 // machine on which the least is lost; with warm, only one that holds the
 // image. It returns nil where none can be made.
-func (c *Core) preempt(now time.Time, for_ *task, warm bool, r *round) *machine {
-	s := &for_.job.rec.Spec
+func (c *Core) preempt(now time.Time, claimant *task, warm bool, r *round) *machine {
+	s := &claimant.job.rec.Spec
 	n := need(s)
 	d := demandOf(s)
 	d.level = wire.PriorityLevel(s.Priority)
-	if for_.guarantee {
+	if claimant.guarantee {
 		d.guarantee = s.Team
 	}
 	if warm {
@@ -421,7 +421,7 @@
 	if r.known(r.stuck, d, n) {
 		return nil
 	}
-	if !c.yields(for_, r) {
+	if !c.yields(claimant, r) {
 		r.stuck[d] = append(r.stuck[d], resources{})
 		return nil
 	}
@@ -434,7 +434,7 @@
 		}
 		free := c.free(m)
 		var most resources
-		can, most = c.victims(m, for_, can[:0])
+		can, most = c.victims(m, claimant, can[:0])
 		if len(can) == 0 || !n.fits(most) {
 			continue
 		}
@@ -476,7 +476,7 @@
 	}
 	for _, h := range bestVictims {
 		h.stop = true
-		slog.Debug("task makes room", "task", h.key.task, "machine", best.name, "for", s.Priority, "guaranteed", for_.guarantee, "warm", warm, "age_s", now.Sub(h.sentAt).Seconds())
+		slog.Debug("task makes room", "task", h.key.task, "machine", best.name, "for", s.Priority, "guaranteed", claimant.guarantee, "warm", warm, "age_s", now.Sub(h.sentAt).Seconds())
 	}
 	best.stale = true
 	return best
@@ -484,10 +484,10 @@
 
 // victims lists what on a machine could be stopped at once for a task, after what
 // is in can, and all the room that makes. A gang is stopped whole or not at all.
-func (c *Core) victims(m *machine, for_ *task, can []*hold) ([]*hold, resources) {
+func (c *Core) victims(m *machine, claimant *task, can []*hold) ([]*hold, resources) {
 	most := c.free(m)
 	for _, h := range m.holds {
-		if t := c.taskOf(h); h.instant && stoppable(h, t) && t.job.gang == nil && mayStop(t, for_) {
+		if t := c.taskOf(h); h.instant && stoppable(h, t) && t.job.gang == nil && mayStop(t, claimant) {
 			can = append(can, h)
 			most = most.plus(h.needs)
 		}
@@ -512,11 +512,11 @@
 // askToSave makes room for a task where only work that can save stands in its
 // way: that is stopped with time to save, and the task starts once it is gone.
 // It returns for how many such tasks room will be there.
-func (c *Core) askToSave(now time.Time, for_ *task, r *round) int {
-	if !r.saving || now.Before(for_.roomAt) {
+func (c *Core) askToSave(now time.Time, claimant *task, r *round) int {
+	if !r.saving || now.Before(claimant.roomAt) {
 		return 0
 	}
-	s := &for_.job.rec.Spec
+	s := &claimant.job.rec.Spec
 	n := need(s)
 	var best []*hold
 	bestCost := math.Inf(1)
@@ -528,7 +528,7 @@
 		var victims []*hold
 		for _, h := range m.holds {
 			t := c.taskOf(h)
-			if n.fits(free) || !stoppable(h, t) || !mayStop(t, for_) {
+			if n.fits(free) || !stoppable(h, t) || !mayStop(t, claimant) {
 				continue
 			}
 			free = free.plus(h.needs)
@@ -562,7 +562,7 @@
 	if len(best) == 0 {
 		return 0
 	}
-	for_.roomAt = now.Add(wait + constants.NoticeMargin)
+	claimant.roomAt = now.Add(wait + constants.NoticeMargin)
 	return freed.holdsOf(n)
 }
 
@@ -587,7 +587,7 @@
 }
 
 // warmerElsewhere says whether a production task would wait for its image
-// here, and would not in another part.
+// here, and would not in another shard.
 func (c *Core) warmerElsewhere(now time.Time, s *wire.Submission) bool {
 	if s.Priority != wire.PriorityProduction || s.OneZone || s.Spread && s.Tasks > 1 || s.Zone != "" {
 		return false
@@ -605,38 +605,38 @@
 	return false
 }
 
-// elsewhere says whether another part is known to have room for one more of a
+// elsewhere says whether another shard is known to have room for one more of a
 // job's tasks, after so many.
 func (c *Core) elsewhere(now time.Time, rec *state.Job, after int) bool {
 	// Others see the same room.
 	return c.roomElsewhere(now, rec) > (after+1)*max(1, len(c.others))
 }
 
-// roomElsewhere is for how many more of a job's tasks other parts are known to have
+// roomElsewhere is for how many more of a job's tasks other shards are known to have
 // room.
 func (c *Core) roomElsewhere(now time.Time, rec *state.Job) int {
 	s := &rec.Spec
 	n := 0
 	for _, o := range c.others {
-		if now.Sub(o.at) < constants.StaleAggregate && (s.Zone == "" || s.Zone == o.agg.Part) {
+		if now.Sub(o.at) < constants.StaleAggregate && (s.Zone == "" || s.Zone == o.agg.Shard) {
 			n += o.agg.Takes(s)
 		}
 	}
-	// spread may leave no place for it outside this part, whatever the room.
+	// spread may leave no place for it outside this shard, whatever the room.
 	if s.Spread && s.Tasks > 1 {
 		n = min(n, c.spreadElsewhere(rec))
 	}
 	return n
 }
 
-// spreadElsewhere is how many more tasks of a job may be in the other parts,
+// spreadElsewhere is how many more tasks of a job may be in the other shards,
 // beside those there: at most half of all in each.
 func (c *Core) spreadElsewhere(rec *state.Job) int {
 	n := 0
 	for name := range c.others {
 		left := (rec.Spec.Tasks + 1) / 2
-		for _, ch := range rec.Chunks {
-			if ch.Part == name && !ch.Closed {
+		for _, ch := range rec.Assignments {
+			if ch.Shard == name && !ch.Closed {
 				left -= ch.Tasks()
 			}
 		}
