--- a/part/push.go
+++ b/shard/push.go
@@ -1,4 +1,4 @@
-package part
+package shard
 
 import (
 	"time"
@@ -12,7 +12,7 @@
 // machines that take tasks and, less what already waits for it, of those that
 // are coming.
 func (c *Core) Aggregate(now time.Time, revision uint64) leader.Aggregate {
-	a := leader.Aggregate{Part: c.cfg.Part, Term: c.term, Revision: revision, Waiting: c.excess,
+	a := leader.Aggregate{Shard: c.cfg.Shard, Term: c.term, Revision: revision, Waiting: c.excess,
 		Warm: map[string]float64{}, RentOrdinary: c.rentable(now, false), RentSpot: c.cfg.UseSpot && c.rentable(now, true)}
 	add := func(free resources, spot bool) {
 		r := &a.Ordinary
@@ -62,12 +62,12 @@
 // PushDue says whether the aggregate has changed since it was last taken.
 func (c *Core) PushDue() bool { d := c.pushDirty; c.pushDirty = false; return d }
 
-// Others takes in what the other parts push. Tasks that wait for machines that
-// are not to be had go up again only when some other part has room.
+// Others takes in what the other shards push. Tasks that wait for machines that
+// are not to be had go up again only when some other shard has room.
 func (c *Core) Others(now time.Time, as []leader.Aggregate) {
 	for _, a := range as {
-		if a.Part != c.cfg.Part {
-			c.others[a.Part] = other{a, now}
+		if a.Shard != c.cfg.Shard {
+			c.others[a.Shard] = other{a, now}
 		}
 	}
 }
@@ -78,7 +78,7 @@
 }
 
 // Counts returns the tasks of each job that run here, and those that are done
-// in chunks not closed yet, for display.
+// in assignments not closed yet, for display.
 func (c *Core) Counts() map[string][2]int {
 	out := make(map[string][2]int, len(c.jobs))
 	for id, j := range c.jobs {
@@ -98,7 +98,7 @@
 	return out
 }
 
-// Summary is an owner's view of its part, for operators.
+// Summary is an owner's view of its shard, for operators.
 type Summary struct {
 	Rebuilt     bool    `json:"rebuilt"`
 	Up          int     `json:"machines_up"`
@@ -113,13 +113,13 @@
 	WaitingCPUs float64 `json:"waiting_cpus"`
 	RefusedSpot bool    `json:"spot_refused"` // the cloud had none a moment ago
 	Refused     bool    `json:"ordinary_refused"`
-	Dark        bool    `json:"out_of_reach"` // all its machines together
+	Unreachable bool    `json:"out_of_reach"` // all its machines together
 	ForGangs    float64 `json:"cpus_kept_for_gangs"`
 }
 
 // Summary counts what the owner knows.
 func (c *Core) Summary(now time.Time) Summary {
-	s := Summary{Rebuilt: c.rebuilt, WaitingCPUs: c.unplaced.cpus, RefusedSpot: now.Before(c.refused[true]), Refused: now.Before(c.refused[false]), Dark: c.isDark, ForGangs: c.gangNeed}
+	s := Summary{Rebuilt: c.rebuilt, WaitingCPUs: c.unplaced.cpus, RefusedSpot: now.Before(c.refused[true]), Refused: now.Before(c.refused[false]), Unreachable: c.isUnreachable, ForGangs: c.gangNeed}
 	for _, m := range c.fleet {
 		switch {
 		case m.returning:
@@ -134,7 +134,7 @@
 			if c.silent(now, m) {
 				s.Silent++
 			}
-			if m.doubted() {
+			if m.unconfirmed() {
 				s.Deaf++
 			}
 			if m.draining {
--- a/part/rent.go
+++ b/shard/rent.go
@@ -1,4 +1,4 @@
-package part
+package shard
 
 import (
 	"fmt"
@@ -32,7 +32,7 @@
 
 // coming says whether a machine that has not come up yet is still counted on.
 func (c *Core) coming(now time.Time, m *machine) bool {
-	return !m.up && !m.inherited && !c.isDark && !m.returning && m.typ != nil && c.bootAge(now, m) < constants.BootUsual
+	return !m.up && !m.inherited && !c.isUnreachable && !m.returning && m.typ != nil && c.bootAge(now, m) < constants.BootUsual
 }
 
 // arriving lists the room of machines that are not up yet or may not take
@@ -42,7 +42,7 @@
 	for _, m := range c.fleet {
 		if c.coming(now, m) {
 			out = append(out, coming{m.capacity, m.typeName, m.spot})
-		} else if m.up && (!m.verified(c.term) || !m.durable || m.rosterAddr != m.addr) && !m.returning && m.typ != nil && !c.silent(now, m) {
+		} else if m.up && (!m.verified(c.term) || !m.durable || m.inventoryAddr != m.addr) && !m.returning && m.typ != nil && !c.silent(now, m) {
 			out = append(out, coming{c.free(m), m.typeName, m.spot})
 		}
 	}
@@ -123,7 +123,7 @@
 				bin.free = bin.free.minus(n)
 				c.excess -= n.cpus
 			case !t.keep && back && c.elsewhere(now, j.rec, away):
-				// It does not fit: the next part is asked, if one is known to
+				// It does not fit: the next shard is asked, if one is known to
 				// have room. Otherwise it would come back, for two writes more.
 				c.sendBack(j, t)
 				away++
@@ -189,12 +189,12 @@
 			c.rentSeq++
 			req := wire.RentRequest{
 				// The term makes the name this owner's alone, for ever.
-				Request: fmt.Sprintf("rv-%s-%d-%d", c.cfg.Part, c.term, c.rentSeq),
-				Type:    k.typ, Zone: c.cfg.Part, Spot: k.spot, Count: min(n, wire.MaxRent),
+				Request: fmt.Sprintf("rv-%s-%d-%d", c.cfg.Shard, c.term, c.rentSeq),
+				Type:    k.typ, Zone: c.cfg.Shard, Spot: k.spot, Count: min(n, wire.MaxRent),
 			}
 			c.pendingRents[req.Request] = &rental{req: req, at: now}
 			c.actions = append(c.actions, Rent{req})
-			slog.Info("renting", "part", c.cfg.Part, "type", k.typ, "spot", k.spot, "count", req.Count)
+			slog.Info("renting", "shard", c.cfg.Shard, "type", k.typ, "spot", k.spot, "count", req.Count)
 		}
 	}
 }
@@ -228,8 +228,8 @@
 	return j.gang == nil && j.rec.End == "" && now.Sub(c.forecastAt) <= constants.ForecastLife && slices.Contains(c.forecast.Held, j.rec.Spec.Team)
 }
 
-// foreseen is how much work (CPUs) is still to come of what the leader foretold,
-// and a task that stands for it. What was foretold before is as good as nothing.
+// foreseen is how much work (CPUs) is still to come of what the leader forecast,
+// and a task that stands for it. What was forecast before is as good as nothing.
 func (c *Core) foreseen(now time.Time, spot bool) (*wire.Submission, float64) {
 	s := &wire.Submission{Spot: spot, CPUs: 1}
 	if now.Sub(c.forecastAt) > constants.ForecastLife {
@@ -271,7 +271,7 @@
 	}
 	var best *wire.MachineType
 	for _, t := range c.types {
-		if c.prod.largest.fits(sizeOf(t)) && slices.Contains(t.Zones, c.cfg.Part) &&
+		if c.prod.largest.fits(sizeOf(t)) && slices.Contains(t.Zones, c.cfg.Shard) &&
 			(best == nil || t.Price < best.Price) {
 			best = t
 		}
@@ -332,10 +332,10 @@
 	return true
 }
 
-// rentable says whether the part may get more machines of a kind: the cloud had
+// rentable says whether the shard may get more machines of a kind: the cloud had
 // some a moment ago, and they would not be out of reach like all others.
 func (c *Core) rentable(now time.Time, spot bool) bool {
-	return !c.isDark && !now.Before(c.refused[spot])
+	return !c.isUnreachable && !now.Before(c.refused[spot])
 }
 
 // pick chooses the cheapest kind of machine for a task that can be had.
@@ -343,7 +343,7 @@
 	var best *wire.MachineType
 	bestSpot, bestPrice := false, math.Inf(1)
 	for _, t := range c.types {
-		if !need(s).fits(sizeOf(t)) || !allowed(s, t.Name, false) || !slices.Contains(t.Zones, c.cfg.Part) {
+		if !need(s).fits(sizeOf(t)) || !allowed(s, t.Name, false) || !slices.Contains(t.Zones, c.cfg.Shard) {
 			continue
 		}
 		for _, spot := range []bool{false, true} {
@@ -372,7 +372,7 @@
 	}
 	delete(c.pendingRents, request)
 	if refused || len(names) < r.req.Count {
-		slog.Info("cloud has no more machines", "part", c.cfg.Part, "spot", r.req.Spot, "asked", r.req.Count, "got", len(names))
+		slog.Info("cloud has no more machines", "shard", c.cfg.Shard, "spot", r.req.Spot, "asked", r.req.Count, "got", len(names))
 		c.refused[r.req.Spot] = now.Add(constants.RefusedPause)
 	}
 	for _, name := range names {
--- a/part/report.go
+++ b/shard/report.go
@@ -1,4 +1,4 @@
-package part
+package shard
 
 import (
 	"log/slog"
@@ -10,11 +10,11 @@
 
 // Report answers a worker's report; ok is false when the owner must not.
 func (c *Core) Report(now time.Time, r *wire.Report) (reply wire.ReportReply, ok bool) {
-	if r.Zone != c.cfg.Part {
+	if r.Zone != c.cfg.Shard {
 		return reply, false
 	}
 	c.outranked(r)
-	if !c.may(now) && (!c.tends(now) || r.Token>>constants.EpochBits > c.term) {
+	if !c.may(now) && (!c.extendsLeases(now) || r.Token>>constants.EpochBits > c.term) {
 		return reply, false
 	}
 	if _, gone := c.gone[r.Machine]; gone {
@@ -45,7 +45,7 @@
 }
 
 // heldBack is how many exited attempts the machine's token keeps from being
-// forgotten. Those that it does not, but that wait for their chunk to be closed,
+// forgotten. Those that it does not, but that wait for their assignment to be closed,
 // would have every answer carry a higher token, which a machine reports at once.
 func (c *Core) heldBack(m *machine) int {
 	if c.sumsOf(m).exited < constants.ExitedRaise {
@@ -82,7 +82,7 @@
 // a machine whose reports arrive while answers and commands do not reach it
 // loses its lease unnoticed. One that does not show the token it was answered
 // with, that made reports elsewhere though it was answered here, or leaves a
-// direct command unanswered, is in doubt until it shows a token that is sent to
+// direct command unanswered, is unconfirmed until it shows a token that is sent to
 // it from then on. A late copy of a report cannot: it is older than that token.
 func (c *Core) heard(now time.Time, m *machine) {
 	if c.silent(now, m) {
@@ -90,10 +90,10 @@
 	}
 	m.heard, m.unanswered = now, 0
 	switch {
-	case m.doubted() && m.token >= m.doubtToken:
+	case m.unconfirmed() && m.token >= m.confirmingToken:
 		c.trust(m)
-	case !m.doubted() && (m.missed || m.answersSince > 0 && m.token < c.token(m)):
-		c.doubt(now, m)
+	case !m.unconfirmed() && (m.missed || m.answersSince > 0 && m.token < c.token(m)):
+		c.requestConfirmation(now, m)
 	}
 	m.answersSince++
 	if m.token == c.token(m) {
@@ -101,19 +101,19 @@
 	}
 }
 
-// trust ends a doubt: the machine has shown that it hears.
+// trust confirms a machine: the machine has shown that it hears.
 func (c *Core) trust(m *machine) {
-	m.doubtAt, m.unheeded = time.Time{}, 0
+	m.unconfirmedSince, m.unheeded = time.Time{}, 0
 	c.dirty = true
 }
 
-// doubt asks a machine to show that answers or commands reach it.
-func (c *Core) doubt(now time.Time, m *machine) {
-	if m.doubted() || !m.up {
+// requestConfirmation asks a machine to show that answers or commands reach it.
+func (c *Core) requestConfirmation(now time.Time, m *machine) {
+	if m.unconfirmed() || !m.up {
 		return
 	}
 	c.numbers.raise(m)
-	m.doubtAt, m.doubtToken, m.unheeded = now, c.token(m), 0
+	m.unconfirmedSince, m.confirmingToken, m.unheeded = now, c.token(m), 0
 }
 
 // arrive notes what a report says of the machine itself.
@@ -133,7 +133,7 @@
 		c.size(m)
 	}
 	m.spot, m.addr = r.Spot, r.Addr
-	if !m.returning && (!m.durable || m.rosterAddr != m.addr) {
+	if !m.returning && (!m.durable || m.inventoryAddr != m.addr) {
 		c.enrol(m)
 	}
 }
@@ -315,7 +315,7 @@
 		if !m.up || c.questionable(now, m) {
 			m.nextDirect = now // a takeover waits for it, or what was on it
 		}
-		c.doubt(now, m)
+		c.requestConfirmation(now, m)
 		return
 	}
 	c.outranked(r)
@@ -334,7 +334,7 @@
 	if c.overdueReport(now, m) {
 		m.nextDirect = now.Add(c.cfg.Report / 2)
 	}
-	if m.doubted() && m.token >= m.doubtToken {
+	if m.unconfirmed() && m.token >= m.confirmingToken {
 		c.trust(m)
 	}
 }
@@ -403,7 +403,7 @@
 // forgettable says whether an exited attempt may be forgotten by its machine.
 // An attempt started by a direct command must be kept while that command
 // could arrive once more, late: forgotten, it would start again. A done task
-// must be kept until its chunk is closed, or a new owner would run it again.
+// must be kept until its assignment is closed, or a new owner would run it again.
 func (c *Core) forgettable(h *hold) bool {
 	if h.direct && h.directed >= h.m.token {
 		return false
--- a/part/scale_test.go
+++ b/shard/scale_test.go
@@ -1,4 +1,4 @@
-package part
+package shard
 
 import (
 	"fmt"
@@ -13,7 +13,7 @@
 	"ravenport/wire"
 )
 
-// fleet brings many machines up at once, verified and in the roster.
+// fleet brings many machines up at once, verified and in the inventory.
 func (r *rig) fleet(n int) {
 	for i := range n {
 		r.Report(r.now, report(fmt.Sprintf("m-%05d", i), 1, 1, 0))
@@ -33,9 +33,9 @@
 	}
 }
 
-// The roster takes changes by the page, not by the machine, and every machine is
+// The inventory takes changes by the page, not by the machine, and every machine is
 // durable before its first start.
-func TestRosterOfManyMachinesTakesFewWrites(t *testing.T) {
+func TestInventoryOfManyMachinesTakesFewWrites(t *testing.T) {
 	r := newRig(nil)
 	const machines = 600
 	writes := 0
@@ -59,7 +59,7 @@
 	}
 	stored := 0
 	for _, m := range r.machines {
-		if m.durable && m.rosterAddr == m.addr {
+		if m.durable && m.inventoryAddr == m.addr {
 			stored++
 		}
 	}
@@ -136,12 +136,12 @@
 // After a takeover of many machines, those that are silent hold up nobody: all
 // others are asked, or have reported, within seconds.
 func TestSilentMachinesHoldUpNoTakeover(t *testing.T) {
-	var roster []state.Machine
+	var inventory []state.Machine
 	for i := range 200 {
 		name := fmt.Sprintf("m-%05d", i)
-		roster = append(roster, state.Machine{Name: name, Type: "box", Addr: name + ":1"})
+		inventory = append(inventory, state.Machine{Name: name, Type: "box", Addr: name + ":1"})
 	}
-	r := newRig(map[string]*state.Job{"run-1": array("run-1", 3, "a")}, roster...)
+	r := newRig(map[string]*state.Job{"run-1": array("run-1", 3, "a")}, inventory...)
 	silent := func(name string) bool { return name < "m-00070" }
 	type call struct {
 		name string
@@ -193,7 +193,7 @@
 
 // A machine that is heard but does not show what it is sent gets nothing and is
 // given up; one whose answer was lost once shows the next token and goes on.
-func TestDoubtEndsOnlyByANewToken(t *testing.T) {
+func TestConfirmationNeedsANewToken(t *testing.T) {
 	r := newRig(nil)
 	for i := range 4 {
 		r.up(fmt.Sprintf("m-%d", i))
@@ -205,15 +205,15 @@
 	m := r.machines["m-0"]
 	stale := r.shown("m-0")
 	r.Report(r.now, report("m-0", 1, 6, stale)) // it has reported elsewhere since
-	if !m.doubted() || r.usable(r.now, m) {
+	if !m.unconfirmed() || r.usable(r.now, m) {
 		t.Fatal("it stays trusted though it did not stay")
 	}
 	r.Report(r.now, report("m-0", 1, 7, stale))
-	if !m.doubted() {
+	if !m.unconfirmed() {
 		t.Fatal("an old token ended the doubt")
 	}
 	r.Report(r.now, report("m-0", 1, 8, r.shown("m-0")))
-	if m.doubted() || !r.usable(r.now, m) {
+	if m.unconfirmed() || !r.usable(r.now, m) {
 		t.Fatal("the new token did not end the doubt")
 	}
 }
@@ -314,7 +314,7 @@
 	seq := make([]uint64, n)
 	turn := 0
 	play := func(d time.Duration, reporting func(i int) bool) []string {
-		return r.unheard(d, func() {
+		return r.unacknowledged(d, func() {
 			turn++
 			for i := range n {
 				if i%30 == turn%30 && reporting(i) {
@@ -336,16 +336,16 @@
 	if got := play(8*time.Second, func(int) bool { return false }); len(got) != 0 {
 		t.Fatalf("returned %d machines to an owner that hears nobody", len(got))
 	}
-	if silent, strays := r.CutOff(r.now); !silent || strays {
-		t.Fatalf("silent %v, strays %v", silent, strays)
+	if silent, misroutedReports := r.CutOff(r.now); !silent || misroutedReports {
+		t.Fatalf("silent %v, misrouted reports %v", silent, misroutedReports)
 	}
-	var seen []Stray
+	var seen []MisroutedReport
 	for i := range 30 {
-		seen = append(seen, Stray{fmt.Sprintf("m-%05d", 60+i), 1, 900})
+		seen = append(seen, MisroutedReport{fmt.Sprintf("m-%05d", 60+i), 1, 900})
 	}
-	r.Strays(r.now, seen, true)
-	if silent, strays := r.CutOff(r.now); !silent || !strays {
-		t.Fatalf("silent %v, strays %v: the owner does not see that it is cut off", silent, strays)
+	r.MisroutedReports(r.now, seen, true)
+	if silent, misroutedReports := r.CutOff(r.now); !silent || !misroutedReports {
+		t.Fatalf("silent %v, misrouted reports %v: the owner does not see that it is cut off", silent, misroutedReports)
 	}
 }
 
@@ -382,8 +382,8 @@
 
 // idleSecond plays a second in which nothing changes, at an owner's own pace.
 func (r *rig) idleSecond() (actions int) {
-	for range int(time.Second / constants.PartTick) {
-		r.now = r.now.Add(constants.PartTick)
+	for range int(time.Second / constants.OwnerTick) {
+		r.now = r.now.Add(constants.OwnerTick)
 		actions += len(r.Step(r.now))
 		r.CutOff(r.now)
 	}
@@ -399,10 +399,10 @@
 	r := settled(400)
 	b.ReportAllocs()
 	for b.Loop() {
-		for i := range int(time.Second / constants.PartGap) {
-			r.now = r.now.Add(constants.PartGap)
+		for i := range int(time.Second / constants.OwnerGap) {
+			r.now = r.now.Add(constants.OwnerGap)
 			r.Step(r.now)
-			if i%int(constants.SlowStep/constants.PartGap) == 0 {
+			if i%int(constants.SlowStep/constants.OwnerGap) == 0 {
 				r.CutOff(r.now)
 			}
 		}
@@ -427,7 +427,7 @@
 			case 0:
 				j := array(fmt.Sprintf("run-%d", jobs), rapid.IntRange(1, 6).Draw(t, "tasks"), "a")
 				j.Spec.Team = rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "team")
-				j.Chunks[0].Guaranteed = rapid.Bool().Draw(t, "guaranteed")
+				j.Assignments[0].Guaranteed = rapid.Bool().Draw(t, "guaranteed")
 				j.Spec.Priority = rapid.SampledFrom([]string{wire.PriorityLow, wire.PriorityNormal, wire.PriorityProduction}).Draw(t, "priority")
 				if rapid.Bool().Draw(t, "service") {
 					j.Spec.Kind = wire.KindService
@@ -448,8 +448,8 @@
 				if rapid.Bool().Draw(t, "over") {
 					rec.End = wire.JobCancelled
 				} else {
-					for i := range rec.Chunks {
-						rec.Chunks[i].Guaranteed = !rec.Chunks[i].Guaranteed
+					for i := range rec.Assignments {
+						rec.Assignments[i].Guaranteed = !rec.Assignments[i].Guaranteed
 					}
 				}
 				r.version++
@@ -492,7 +492,7 @@
 	})
 }
 
-// An idle second of a lean deployment's part costs no work to speak of: nothing is
+// An idle second of a lean deployment's shard costs no work to speak of: nothing is
 // sent or written, and hardly anything is allocated, whatever the fleet.
 func TestIdleSecondCostsLittle(t *testing.T) {
 	cost := func(machines int) float64 {
@@ -528,7 +528,7 @@
 	}
 }
 
-// A machine whose done tasks wait for their chunk to be closed is sent a higher
+// A machine whose done tasks wait for their assignment to be closed is sent a higher
 // token once, not with every answer: each new one makes it report at once.
 func TestDoneTasksRaiseTheTokenOnce(t *testing.T) {
 	r := newRig(nil)
--- a/part/silence.go
+++ b/shard/silence.go
@@ -1,4 +1,4 @@
-package part
+package shard
 
 import (
 	"log/slog"
@@ -19,9 +19,11 @@
 	return c.silence(now, m) > c.periods(constants.ProbePeriods)
 }
 
-// reportsOn says that a machine in doubt has reported since, here or to another
-// controller: the report that raised the doubt may have been a late copy.
-func (m *machine) reportsOn() bool { return m.heard.After(m.doubtAt) || m.strayAt.After(m.doubtAt) }
+// reportsOn says that an unconfirmed machine has reported since, here or to another
+// controller: the report that raised the question may have been a late copy.
+func (m *machine) reportsOn() bool {
+	return m.heard.After(m.unconfirmedSince) || m.misroutedAt.After(m.unconfirmedSince)
+}
 
 // silence is for how long no report of a machine has come while it could have:
 // what nobody could hear, or had not yet read, says nothing.
@@ -76,16 +78,16 @@
 		asked = c.rested
 	}
 	sum := c.census(now)
-	if dark := c.dark(now, sum); dark != c.isDark {
-		c.isDark, c.dirty, c.pushDirty = dark, true, true
-		if !dark {
+	if unreachable := c.unreachable(now, sum); unreachable != c.isUnreachable {
+		c.isUnreachable, c.dirty, c.pushDirty = unreachable, true, true
+		if !unreachable {
 			c.rest(now)
 		}
-		slog.Warn("machines of the part out of reach", "part", c.cfg.Part, "all", dark, "machines", sum.known)
+		slog.Warn("machines of the shard out of reach", "shard", c.cfg.Shard, "all", unreachable, "machines", sum.known)
 	}
 	idleToo := now.Sub(c.returnedAt) >= c.cfg.CloudGap // a few more come together
 	for _, m := range c.fleet {
-		if m.rosterAddr != "" && !m.returning {
+		if m.inventoryAddr != "" && !m.returning {
 			inherited++
 			if m.up {
 				back++
@@ -93,7 +95,7 @@
 		}
 		if m.up && !m.returning {
 			up++
-			if !c.silent(now, m) && !m.doubted() {
+			if !c.silent(now, m) && !m.unconfirmed() {
 				heard++
 			}
 		}
@@ -116,10 +118,10 @@
 			// Returning it makes what was on it surely gone, long before its
 			// lease ends.
 			why = "silent"
-		case m.up && !c.isDark && m.doubted() && m.unheeded >= constants.DeafAsks && m.reportsOn() && (sum.hears && heard*2 > up || up <= 2 && c.siblingsHeard(now)):
+		case m.up && !c.isUnreachable && m.unconfirmed() && m.unheeded >= constants.DeafAsks && m.reportsOn() && (sum.hears && heard*2 > up || up <= 2 && c.siblingsHeard(now)):
 			// It reports, here or to others, and hears nothing: its lease
 			// runs out whatever it says. Nobody's hearing of it counts. Of a
-			// part out of reach the first machines that are back are not deaf for
+			// shard out of reach the first machines that are back are not deaf for
 			// what they were asked before.
 			why = "deaf"
 		case m.up && c.silence(now, m) > c.periods(constants.MutePeriods) && sum.hears && heard*2 > up:
@@ -168,7 +170,7 @@
 			continue
 		}
 		s.known++
-		if now.Sub(m.strayAt) < c.strayMemory() {
+		if now.Sub(m.misroutedAt) < c.misroutedMemory() {
 			s.seen++
 		}
 		if !m.up {
@@ -205,10 +207,10 @@
 // alone says whether a silent machine is silent by itself: the owner hears
 // others, or, where there are few, it has been silent for long enough to be
 // heard by another controller, and all of those are heard and none was. Else it
-// is the owner or the whole part that is cut off: returning machines then would
+// is the owner or the whole shard that is cut off: returning machines then would
 // end everything that runs on them.
 func (c *Core) alone(now time.Time, m *machine, s census) bool {
-	if now.Sub(m.strayAt) < c.strayMemory() {
+	if now.Sub(m.misroutedAt) < c.misroutedMemory() {
 		return false
 	}
 	if m.vanished() {
@@ -227,14 +229,14 @@
 	return now.Sub(c.siblingsAt) < constants.PushEvery*2
 }
 
-// strayMemory is how long a report to another controller counts.
-func (c *Core) strayMemory() time.Duration { return c.periods(constants.StrayPeriods) }
+// misroutedMemory is how long a report to another controller counts.
+func (c *Core) misroutedMemory() time.Duration { return c.periods(constants.MisroutedPeriods) }
 
 // CutOff says whether the owner no longer hears its machines, and whether they
 // have been reporting to other controllers: then it is the owner that they
 // cannot reach. Of many machines it is enough that hardly any report comes and
 // a fair share is heard elsewhere: their leases run out while one waits.
-func (c *Core) CutOff(now time.Time) (silent, strays bool) {
+func (c *Core) CutOff(now time.Time) (silent, misroutedReports bool) {
 	s := c.census(now)
 	if s.few {
 		return s.quiet*2 > s.known, s.seen*2 > s.known
@@ -242,38 +244,38 @@
 	if now.Sub(c.claimed) < c.periods(constants.LateReport) {
 		return false, false // not all can have come yet
 	}
-	strays = s.seen*constants.HearingShare > s.known
+	misroutedReports = s.seen*constants.HearingShare > s.known
 	// Of machines that nobody ever heard it is not known whose fault it is.
-	return !s.hears && (s.up > 0 || strays), strays
+	return !s.hears && (s.up > 0 || misroutedReports), misroutedReports
 }
 
-// Dark says whether the part's machines as a whole count as out of reach.
-func (c *Core) Dark() bool { return c.isDark }
+// Unreachable says whether the shard's machines as a whole count as out of reach.
+func (c *Core) Unreachable() bool { return c.isUnreachable }
 
-// dark says that the part's machines as a whole are out of reach. Then none are
+// unreachable says that the shard's machines as a whole are out of reach. Then none are
 // rented, which would be so as well, and the leader sends nothing here that may
 // go elsewhere.
-func (c *Core) dark(now time.Time, s census) bool {
+func (c *Core) unreachable(now time.Time, s census) bool {
 	// Where all controllers had ended, a worker may come back to this one only
 	// after it has tried the others and its next report is due.
 	return (!s.few && !s.hears || s.none) && now.Sub(c.claimed) > c.periods(constants.LateReport)+constants.NextController &&
 		now.Sub(c.rested) > c.periods(constants.LateReport)
 }
 
-// Stray is a report that a machine made to another controller.
-type Stray struct {
+// MisroutedReport is a report that a machine made to another controller.
+type MisroutedReport struct {
 	Machine string `json:"m"`
 	Session uint64 `json:"s"`
 	Seq     uint64 `json:"q"`
 }
 
-// Strays takes in which machines reported to another controller. A report that
+// MisroutedReports takes in which machines reported to another controller. A report that
 // is no newer than the machine's last one here may be a late copy and says
 // nothing.
-func (c *Core) Strays(now time.Time, list []Stray, all bool) {
+func (c *Core) MisroutedReports(now time.Time, list []MisroutedReport, all bool) {
 	for _, s := range list {
 		if m := c.machines[s.Machine]; m != nil && (s.Session > m.beatIn || s.Session == m.beatIn && s.Seq > m.beatAt) {
-			m.strayAt = now
+			m.misroutedAt = now
 		}
 	}
 	if all {
@@ -296,7 +298,7 @@
 		if m.addr != "" {
 			c.actions = append(c.actions, Gone{m.addr})
 		}
-		c.leaveRoster(m)
+		c.leaveInventory(m)
 	}
 	c.checkRebuilt(now)
 }
@@ -322,7 +324,7 @@
 	var failed []string
 	for i := range list {
 		l := &list[i]
-		if l.Zone != c.cfg.Part {
+		if l.Zone != c.cfg.Shard {
 			continue
 		}
 		shown[l.Name] = true
--- a/state/client.go
+++ b/state/client.go
@@ -101,8 +101,8 @@
 // NewClient makes a client of the service at addr with the settings' limits.
 func NewClient(addr string, rps, writeRPS float64) *Client {
 	lim := httpwire.Limits{Header: constants.MaxHeader, Body: constants.ClientMaxBody}
-	share := func(r, part float64) *rate.Limiter {
-		return rate.NewLimiter(rate.Limit(r*part), max(1, int(r*part)))
+	share := func(r, shard float64) *rate.Limiter {
+		return rate.NewLimiter(rate.Limit(r*shard), max(1, int(r*shard)))
 	}
 	return &Client{
 		calls:   httpwire.NewClient(addr, constants.IdleConns, constants.DialTimeout, lim),
--- a/state/golden_test.go
+++ b/state/golden_test.go
@@ -21,13 +21,13 @@
 		{"controller that heeds revocations", KeyNode("n-0"), `{"inc":7,"life":3500}`, Node{Name: "n-0", Incarnation: 7, LifeMS: 3500}},
 		{"revocation", KeyRevoked("n-0"), `{"inc":7,"life":3500,"by":"n-1","ev":["unserved"],"acc":["n-1","n-2"]}`,
 			Revocation{Node: "n-0", Incarnation: 7, LifeMS: 3500, By: "n-1", Evidence: []string{"unserved"}, Accusers: []string{"n-1", "n-2"}}},
-		{"term", KeyPart("a"), `{"node":"n-0","inc":7,"term":3,"cut":true}`, Term{Part: "a", Node: "n-0", Incarnation: 7, Number: 3, Cut: true}},
+		{"term", KeyShard("a"), `{"node":"n-0","inc":7,"term":3,"cut":true}`, Term{Shard: "a", Node: "n-0", Incarnation: 7, Number: 3, Cut: true}},
 		{"leader's term", KeyLeader, `{"node":"n-0","inc":7,"term":3}`, Term{Node: "n-0", Incarnation: 7, Number: 3}},
-		{"page", KeyRoster("a", 2), `{"g":[{"t":"box","u":{"m-1":"10.0.0.9:9000"},"c":{"m-2":17}}]}`, page},
+		{"page", KeyInventory("a", 2), `{"g":[{"t":"box","u":{"m-1":"10.0.0.9:9000"},"c":{"m-2":17}}]}`, page},
 		{"job", KeyJob("run-000001"), `{"spec":{"uid":"","lane":"c","crew":"t","shape":"sweep","rank":"standard","pieces":4,"cpus":1,"cards":0,"mem_gb":2,"kit":"i","pull_gb":0.5,"guess_s":9,"mark_every_s":0,"stow_s":0},"at":5,"end":"done","ch":[{"f":0,"t":4,"p":"a","c":true,"k":true,"g":true}],"try":6}`,
 			Job{ID: "run-000001", AcceptedMS: 5, End: wire.JobDone, Attempt: 6,
-				Spec:   wire.Submission{Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 4, CPUs: 1, MemoryGB: 2, Image: "i", ImageGB: 0.5, EstimateS: 9},
-				Chunks: []Chunk{{From: 0, To: 4, Part: "a", Closed: true, Keep: true, Guaranteed: true}}}},
+				Spec:        wire.Submission{Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 4, CPUs: 1, MemoryGB: 2, Image: "i", ImageGB: 0.5, EstimateS: 9},
+				Assignments: []Assignment{{From: 0, To: 4, Shard: "a", Closed: true, Keep: true, Guaranteed: true}}}},
 	} {
 		if got := string(Encode(c.record)); got != c.want {
 			t.Errorf("%s is stored as\n%s, not as\n%s", c.name, got, c.want)
--- a/state/packed.go
+++ b/state/packed.go
@@ -55,7 +55,7 @@
 // closed, and its end told.
 func grown(j *Job) int {
 	n := len(Encode(j)) + len(`,"end":"cancelled"`)
-	for _, ch := range j.Chunks {
+	for _, ch := range j.Assignments {
 		if !ch.Closed {
 			n += len(`,"c":true`)
 		}
@@ -64,39 +64,39 @@
 }
 
 // Storable says whether a job could be stored to its end: with a piece in each of
-// so many parts, closed or not, and its end told.
-func (z Sizes) Storable(j *Job, parts []string) bool {
+// so many shards, closed or not, and its end told.
+func (z Sizes) Storable(j *Job, shards []string) bool {
 	full := *j
 	full.End = "cancelled "
 	full.Attempt = 1 << 32
-	for i, p := range parts {
-		full.Chunks = append(full.Chunks, Chunk{From: j.Spec.Tasks - i, To: j.Spec.Tasks, Part: p, Closed: true, Keep: true, Guaranteed: true})
+	for i, p := range shards {
+		full.Assignments = append(full.Assignments, Assignment{From: j.Spec.Tasks - i, To: j.Spec.Tasks, Shard: p, Closed: true, Keep: true, Guaranteed: true})
 	}
 	return len(Encode(full)) <= z.Next
 }
 
 // A packed record is an array, which the version before cannot take for a job and
-// leaves alone: the record without chunks, the chunks as runs, and the names of
-// the parts in them. If that is still too large it is an array of one string,
+// leaves alone: the record without assignments, the assignments as runs, and the names of
+// the shards in them. If that is still too large it is an array of one string,
 // the same compressed.
 
-// Codes of a run: a gap, closed, and from codeOpen on four for each part.
+// Codes of a run: a gap, closed, and from codeOpen on four for each shard.
 const (
 	codeGap = iota
 	codeClosed
 	codeOpen
 	codeKeep       = 1
 	codeGuaranteed = 2
-	codesAPart     = 4
+	codesAShard    = 4
 )
 
 const digits = "ABCDEFGHIJKLMNOPQRSTUVWXYZ"
 
 func pack(j *Job) json.RawMessage {
 	bare := *j
-	bare.Chunks = nil
+	bare.Assignments = nil
 	var runs strings.Builder
-	parts := []string{}
+	shards := []string{}
 	index := map[string]int{}
 	run := func(code, n int) {
 		if n <= 0 {
@@ -113,20 +113,20 @@
 		runs.WriteString(strconv.FormatInt(int64(n), 36))
 	}
 	at := 0
-	for _, ch := range j.Chunks {
+	for _, ch := range j.Assignments {
 		run(codeGap, ch.From-at)
 		at = ch.To
 		if ch.Closed {
 			run(codeClosed, ch.Tasks())
 			continue
 		}
-		i, ok := index[ch.Part]
+		i, ok := index[ch.Shard]
 		if !ok {
-			i = len(parts)
-			index[ch.Part] = i
-			parts = append(parts, ch.Part)
+			i = len(shards)
+			index[ch.Shard] = i
+			shards = append(shards, ch.Shard)
 		}
-		code := codeOpen + i*codesAPart
+		code := codeOpen + i*codesAShard
 		if ch.Keep {
 			code += codeKeep
 		}
@@ -135,7 +135,7 @@
 		}
 		run(code, ch.Tasks())
 	}
-	plain := Encode([]any{bare, runs.String(), parts})
+	plain := Encode([]any{bare, runs.String(), shards})
 	var z bytes.Buffer
 	w, err := flate.NewWriter(&z, flate.BestCompression)
 	if err == nil {
@@ -156,13 +156,13 @@
 
 // unpack reads what pack wrote.
 func unpack(data []byte, j *Job) error {
-	var parts []json.RawMessage
-	if err := wire.Decode(data, &parts); err != nil {
+	var elements []json.RawMessage
+	if err := wire.Decode(data, &elements); err != nil {
 		return err
 	}
-	if len(parts) == 1 {
+	if len(elements) == 1 {
 		var text string
-		if err := wire.Decode(parts[0], &text); err != nil {
+		if err := wire.Decode(elements[0], &text); err != nil {
 			return err
 		}
 		z, err := base64.StdEncoding.DecodeString(text)
@@ -173,16 +173,16 @@
 		if err != nil {
 			return err
 		}
-		if err := wire.Decode(plain, &parts); err != nil {
+		if err := wire.Decode(plain, &elements); err != nil {
 			return err
 		}
 	}
-	if len(parts) != 3 {
+	if len(elements) != 3 {
 		return errPacked
 	}
 	var runs string
 	var names []string
-	if err := errors.Join(wire.Decode(parts[0], j), wire.Decode(parts[1], &runs), wire.Decode(parts[2], &names)); err != nil {
+	if err := errors.Join(wire.Decode(elements[0], j), wire.Decode(elements[1], &runs), wire.Decode(elements[2], &names)); err != nil {
 		return err
 	}
 	at := 0
@@ -202,7 +202,7 @@
 			return errPacked
 		}
 		runs = runs[end:]
-		ch := Chunk{From: at, To: at + int(n)}
+		ch := Assignment{From: at, To: at + int(n)}
 		at = ch.To
 		switch {
 		case code == codeGap:
@@ -211,14 +211,14 @@
 			ch.Closed = true
 		default:
 			code -= codeOpen
-			if code/codesAPart >= len(names) {
+			if code/codesAShard >= len(names) {
 				return errPacked
 			}
-			ch.Part = names[code/codesAPart]
-			ch.Keep = code%codesAPart&codeKeep != 0
-			ch.Guaranteed = code%codesAPart&codeGuaranteed != 0
+			ch.Shard = names[code/codesAShard]
+			ch.Keep = code%codesAShard&codeKeep != 0
+			ch.Guaranteed = code%codesAShard&codeGuaranteed != 0
 		}
-		j.Chunks = append(j.Chunks, ch)
+		j.Assignments = append(j.Assignments, ch)
 	}
 	return nil
 }
--- a/state/packed_test.go
+++ b/state/packed_test.go
@@ -21,7 +21,7 @@
 	for range rapid.IntRange(0, 400).Draw(t, "chunks") {
 		at += rapid.IntRange(0, 2).Draw(t, "gap")
 		n := rapid.IntRange(1, 40).Draw(t, "tasks")
-		j.Chunks = append(j.Chunks, Chunk{From: at, To: at + n, Part: rapid.SampledFrom([]string{"back-room", "loading-dock", "mill-annex"}).Draw(t, "part"),
+		j.Assignments = append(j.Assignments, Assignment{From: at, To: at + n, Shard: rapid.SampledFrom([]string{"back-room", "loading-dock", "mill-annex"}).Draw(t, "part"),
 			Closed: rapid.Bool().Draw(t, "closed"), Keep: rapid.Bool().Draw(t, "keep"), Guaranteed: rapid.Bool().Draw(t, "guaranteed")})
 		at += n
 	}
@@ -30,17 +30,17 @@
 	return j
 }
 
-// bare forgets of closed chunks what no longer matters.
+// bare forgets of closed assignments what no longer matters.
 func bare(j *Job) *Job {
 	c := j.Clone()
-	for i := range c.Chunks {
-		if ch := &c.Chunks[i]; ch.Closed {
-			ch.Part, ch.Keep, ch.Guaranteed = "", false, false
+	for i := range c.Assignments {
+		if ch := &c.Assignments[i]; ch.Closed {
+			ch.Shard, ch.Keep, ch.Guaranteed = "", false, false
 		}
 	}
 	c.Normalize()
-	if len(c.Chunks) == 0 {
-		c.Chunks = nil
+	if len(c.Assignments) == 0 {
+		c.Assignments = nil
 	}
 	return c
 }
@@ -60,7 +60,7 @@
 		old.Packs = true
 		value, ok := old.Encode(j, j)
 		if !ok || len(value) > old.Next {
-			t.Fatalf("%d bytes of %d for %d chunks", len(value), old.Next, len(j.Chunks))
+			t.Fatalf("%d bytes of %d for %d assignments", len(value), old.Next, len(j.Assignments))
 		}
 		got, err := Decode(KeyJob(j.ID), value)
 		if err != nil {
@@ -78,15 +78,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		was := drawJob(t)
 		j := was.Clone()
-		j.Chunks = append(j.Chunks, Chunk{From: j.Spec.Tasks - 1, To: j.Spec.Tasks, Part: "mill-annex", Keep: true})
+		j.Assignments = append(j.Assignments, Assignment{From: j.Spec.Tasks - 1, To: j.Spec.Tasks, Shard: "mill-annex", Keep: true})
 		z := Sizes{Now: 16 << 10, Next: rapid.IntRange(300, 8<<10).Draw(t, "next")}
 		if _, ok := z.Grows(j, was); !ok {
 			return
 		}
 		end := j.Clone()
 		end.End = wire.JobCancelled
-		for i := range end.Chunks {
-			end.Chunks[i].Closed = true // not joined, at worst
+		for i := range end.Assignments {
+			end.Assignments[i].Closed = true // not joined, at worst
 		}
 		if v, ok := z.Encode(end, j); !ok {
 			t.Fatalf("%d bytes at the end, %d before, of %d", len(v), len(Encode(j)), z.Next)
@@ -123,7 +123,7 @@
 		name := rapid.StringMatching(`[a-zA-Z0-9]{128}`)
 		j := &Job{ID: "run-1", End: wire.JobCancelled, Spec: wire.Submission{ID: "run-1", Class: name.Draw(t, "class"), Team: name.Draw(t, "team"),
 			Kind: wire.KindArray, Tasks: 9, CPUs: 3, Image: name.Draw(t, "image"), Types: rapid.SliceOfN(name, 32, 32).Draw(t, "types")}}
-		j.Chunks = []Chunk{{From: 0, To: 4, Part: "a"}, {From: 4, To: 9, Part: "b", Closed: true}}
+		j.Assignments = []Assignment{{From: 0, To: 4, Shard: "a"}, {From: 4, To: 9, Shard: "b", Closed: true}}
 		was := *j
 		was.End = ""
 		value, ok := Sizes{Now: 8 << 10, Next: 2 << 10, Packs: true}.Encode(j, &was)
@@ -135,7 +135,7 @@
 			t.Fatal(err)
 		}
 		got := rec.(*Job)
-		if got.End != j.End || got.Spec.Team != j.Spec.Team || got.Spec.CPUs != 3 || got.Spec.Tasks != 9 || !reflect.DeepEqual(bare(got).Chunks, bare(j).Chunks) {
+		if got.End != j.End || got.Spec.Team != j.Spec.Team || got.Spec.CPUs != 3 || got.Spec.Tasks != 9 || !reflect.DeepEqual(bare(got).Assignments, bare(j).Assignments) {
 			t.Fatalf("%+v", got)
 		}
 	})
@@ -155,13 +155,13 @@
 // The version before reads and rewrites a job's record with types of its own,
 // frozen here. What it loses must be nothing that safety rests on.
 type frozenJob struct {
-	Spec       json.RawMessage `json:"spec"`
-	AcceptedMS int64           `json:"at"`
-	End        string          `json:"end,omitempty"`
-	Chunks     []struct {
+	Spec        json.RawMessage `json:"spec"`
+	AcceptedMS  int64           `json:"at"`
+	End         string          `json:"end,omitempty"`
+	Assignments []struct {
 		From       int    `json:"f"`
 		To         int    `json:"t"`
-		Part       string `json:"p"`
+		Shard      string `json:"p"`
 		Closed     bool   `json:"c,omitempty"`
 		Keep       bool   `json:"k,omitempty"`
 		Guaranteed bool   `json:"g,omitempty"`
@@ -183,7 +183,7 @@
 			t.Fatalf("%+v became %+v, %v", j, got, err)
 		}
 		if err := json.Unmarshal(pack(j), &frozenJob{}); err == nil {
-			t.Fatal("the version before would take a packed record for a job without chunks")
+			t.Fatal("the version before would take a packed record for a job without assignments")
 		}
 	})
 }
--- a/state/records.go
+++ b/state/records.go
@@ -14,14 +14,14 @@
 
 // Keys. Everything stands under one prefix so that one watch sees it all.
 const (
-	Prefix       = "rv/"
-	KeyLeader    = Prefix + "leader"
-	KeyBarrier   = Prefix + "barrier" // never written; reading it tells the revision
-	nodePrefix   = Prefix + "node/"
-	revokePrefix = Prefix + "revoked/"
-	partPrefix   = Prefix + "part/"
-	rosterPrefix = Prefix + "roster/"
-	jobPrefix    = Prefix + "job/"
+	Prefix          = "rv/"
+	KeyLeader       = Prefix + "leader"
+	KeyBarrier      = Prefix + "barrier" // never written; reading it tells the revision
+	nodePrefix      = Prefix + "node/"
+	revokePrefix    = Prefix + "revoked/"
+	shardPrefix     = Prefix + "part/"
+	inventoryPrefix = Prefix + "roster/"
+	jobPrefix       = Prefix + "job/"
 )
 
 // KeyNode is the key that lives as long as a controller's lease.
@@ -30,12 +30,12 @@
 // KeyRevoked is the key of the latest revocation of a controller's process.
 func KeyRevoked(node string) string { return revokePrefix + node }
 
-// KeyPart is the key of a part's term.
-func KeyPart(part string) string { return partPrefix + part }
+// KeyShard is the key of a shard's term.
+func KeyShard(shard string) string { return shardPrefix + shard }
 
-// KeyRoster is a page of a part's roster.
-func KeyRoster(part string, page int) string {
-	return rosterPrefix + part + "/" + strconv.Itoa(page)
+// KeyInventory is a page of a shard's inventory.
+func KeyInventory(shard string, page int) string {
+	return inventoryPrefix + shard + "/" + strconv.Itoa(page)
 }
 
 // KeyJob is the key of a job.
@@ -67,7 +67,7 @@
 // Term says who leads or owns, and under which token. Terms are never
 // deleted, so that they only rise.
 type Term struct {
-	Part        string `json:"-"` // empty: the leader's
+	Shard       string `json:"-"` // empty: the leader's
 	Node        string `json:"node"`
 	Incarnation uint64 `json:"inc"`
 	Number      uint64 `json:"term"`
@@ -76,11 +76,11 @@
 	Cut bool `json:"cut,omitempty"`
 }
 
-// Page is one page of a part's roster. A roster of a thousand machines with a
+// Page is one page of a shard's inventory. An inventory of a thousand machines with a
 // key for each would take minutes of the state service's changes; grouped by
 // kind, a page of 8 KiB takes some two hundred.
 type Page struct {
-	Part   string  `json:"-"`
+	Shard  string  `json:"-"`
 	Number int     `json:"-"`
 	Groups []Group `json:"g"`
 }
@@ -139,40 +139,40 @@
 
 // Job is a job's record.
 type Job struct {
-	ID         string          `json:"-"`
-	Spec       wire.Submission `json:"spec"`
-	AcceptedMS int64           `json:"at"`
-	End        string          `json:"end,omitempty"` // wire.JobDone or wire.JobCancelled
-	Chunks     []Chunk         `json:"ch,omitempty"`
-	// Attempt is the number under which a gang in several parts is started. It
+	ID          string          `json:"-"`
+	Spec        wire.Submission `json:"spec"`
+	AcceptedMS  int64           `json:"at"`
+	End         string          `json:"end,omitempty"` // wire.JobDone or wire.JobCancelled
+	Assignments []Assignment    `json:"ch,omitempty"`
+	// Attempt is the number under which a gang in several shards is started. It
 	// rises with every such assignment and is never used again.
 	Attempt uint64 `json:"try,omitempty"`
 }
 
-// Chunk is a range of a job's tasks that one part looks after. Tasks in no
-// chunk wait for the leader.
-type Chunk struct {
-	From int    `json:"f"`
-	To   int    `json:"t"` // exclusive
-	Part string `json:"p"`
+// Assignment is a range of a job's tasks that one shard looks after. Tasks in no
+// assignment wait for the leader.
+type Assignment struct {
+	From  int    `json:"f"`
+	To    int    `json:"t"` // exclusive
+	Shard string `json:"p"`
 	// Closed: every task of the range is done or, for a job that ended, is
-	// surely on no machine any more. A closed chunk takes up no room.
+	// surely on no machine any more. A closed assignment takes up no room.
 	Closed bool `json:"c,omitempty"`
-	// Keep: other parts have been asked or are known to be full, so the owner
+	// Keep: other shards have been asked or are known to be full, so the owner
 	// waits for room or rents instead of sending the tasks back.
 	Keep bool `json:"k,omitempty"`
 	// Guaranteed: the leader found the work within its team's guarantee.
 	Guaranteed bool `json:"g,omitempty"`
 }
 
-// Tasks is the number of tasks in the chunk.
-func (c Chunk) Tasks() int { return c.To - c.From }
+// Tasks is the number of tasks in the assignment.
+func (c Assignment) Tasks() int { return c.To - c.From }
 
-// Unassigned lists the ranges of tasks in no chunk. Chunks are kept sorted.
+// Unassigned lists the ranges of tasks in no assignment. Assignments are kept sorted.
 func (j *Job) Unassigned() [][2]int {
 	var out [][2]int
 	at := 0
-	for _, c := range j.Chunks {
+	for _, c := range j.Assignments {
 		if c.From > at {
 			out = append(out, [2]int{at, c.From})
 		}
@@ -184,10 +184,10 @@
 	return out
 }
 
-// AllClosed says whether every task is in a closed chunk.
+// AllClosed says whether every task is in a closed assignment.
 func (j *Job) AllClosed() bool {
 	at := 0
-	for _, c := range j.Chunks {
+	for _, c := range j.Assignments {
 		if c.From != at || !c.Closed {
 			return false
 		}
@@ -196,10 +196,10 @@
 	return at == j.Spec.Tasks
 }
 
-// AllOver says whether no chunk is open any more, so that no task of the job
+// AllOver says whether no assignment is open any more, so that no task of the job
 // can be on any machine.
 func (j *Job) AllOver() bool {
-	for _, c := range j.Chunks {
+	for _, c := range j.Assignments {
 		if !c.Closed {
 			return false
 		}
@@ -207,35 +207,35 @@
 	return true
 }
 
-// Clone copies the record so that the copy's chunks can be changed. Records
+// Clone copies the record so that the copy's assignments can be changed. Records
 // that came from the feed are shared and must not be changed.
 func (j *Job) Clone() *Job {
 	c := *j
-	c.Chunks = append([]Chunk(nil), j.Chunks...)
+	c.Assignments = append([]Assignment(nil), j.Assignments...)
 	return &c
 }
 
-// Normalize sorts the chunks and joins neighbours that are alike.
+// Normalize sorts the assignments and joins neighbours that are alike.
 func (j *Job) Normalize() {
-	for i := 1; i < len(j.Chunks); i++ {
-		for k := i; k > 0 && j.Chunks[k].From < j.Chunks[k-1].From; k-- {
-			j.Chunks[k], j.Chunks[k-1] = j.Chunks[k-1], j.Chunks[k]
+	for i := 1; i < len(j.Assignments); i++ {
+		for k := i; k > 0 && j.Assignments[k].From < j.Assignments[k-1].From; k-- {
+			j.Assignments[k], j.Assignments[k-1] = j.Assignments[k-1], j.Assignments[k]
 		}
 	}
-	out := j.Chunks[:0]
-	for _, c := range j.Chunks {
+	out := j.Assignments[:0]
+	for _, c := range j.Assignments {
 		if c.From >= c.To {
 			continue
 		}
-		// Of a closed chunk nothing but its range matters any more.
+		// Of a closed assignment nothing but its range matters any more.
 		if n := len(out); n > 0 && out[n-1].To == c.From && out[n-1].Closed == c.Closed &&
-			(c.Closed || out[n-1].Part == c.Part && out[n-1].Keep == c.Keep && out[n-1].Guaranteed == c.Guaranteed) {
+			(c.Closed || out[n-1].Shard == c.Shard && out[n-1].Keep == c.Keep && out[n-1].Guaranteed == c.Guaranteed) {
 			out[n-1].To = c.To
 			continue
 		}
 		out = append(out, c)
 	}
-	j.Chunks = out
+	j.Assignments = out
 }
 
 // Encode writes a record for the state service.
@@ -255,19 +255,19 @@
 	switch {
 	case key == KeyLeader:
 		v = &Term{}
-	case strings.HasPrefix(key, partPrefix):
-		v = &Term{Part: key[len(partPrefix):]}
+	case strings.HasPrefix(key, shardPrefix):
+		v = &Term{Shard: key[len(shardPrefix):]}
 	case strings.HasPrefix(key, nodePrefix):
 		v = &Node{Name: key[len(nodePrefix):]}
 	case strings.HasPrefix(key, revokePrefix):
 		v = &Revocation{Node: key[len(revokePrefix):]}
-	case strings.HasPrefix(key, rosterPrefix):
-		part, page, _ := strings.Cut(key[len(rosterPrefix):], "/")
+	case strings.HasPrefix(key, inventoryPrefix):
+		shard, page, _ := strings.Cut(key[len(inventoryPrefix):], "/")
 		n, err := strconv.Atoi(page)
 		if err != nil {
 			return nil, nil
 		}
-		v = &Page{Part: part, Number: n}
+		v = &Page{Shard: shard, Number: n}
 	case strings.HasPrefix(key, jobPrefix):
 		j := &Job{ID: key[len(jobPrefix):]}
 		if len(data) > 0 && data[0] == '[' {
