--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -49,6 +49,7 @@
 	detection  string        // settings of failure detection; empty: none
 	leaseLife  time.Duration // of the controllers; 0: as they come
 	linked     bool          // what passes between controllers, and to the state service, can be cut
+	earlier    string        // program that the first controller runs instead; empty: none
 }
 
 // controllers is how many there are.
@@ -121,6 +122,7 @@
 // controller is one real process.
 type controller struct {
 	name, front, settings string
+	program               string
 	arguments             []string
 	log                   *os.File // nil: the test's own standard error
 	process               *exec.Cmd
@@ -172,7 +174,7 @@
 	for i := range d.controllers() {
 		c := f.configure(b, dir, i)
 		f.controllers = append(f.controllers, c)
-		c.start(b, f.program)
+		c.start(b)
 	}
 	b.Cleanup(func() {
 		for _, c := range f.controllers {
@@ -206,13 +208,15 @@
 		}
 		return path
 	}
-	c := &controller{name: fmt.Sprintf("n-%d", i), front: frontAddress(i)}
+	c := &controller{name: fmt.Sprintf("n-%d", i), front: frontAddress(i), program: f.program}
 	c.settings = write(c.name+".toml", f.settings(i, f.deployment.controllers()))
 	c.arguments = []string{"--config", c.settings}
 	if f.properties != "" {
 		c.arguments = append(c.arguments, "--properties", write("operators.properties", f.properties))
 	}
-	if f.detection != "" {
+	if i == 0 && f.earlier != "" {
+		c.program = f.earlier
+	} else if f.detection != "" {
 		history := filepath.Join(dir, c.name+".history")
 		c.arguments = append(c.arguments, "--failure-detection", write(c.name+".detection", f.detection+"\ndetection.history.path = "+history+"\n"))
 	}
@@ -258,16 +262,16 @@
 	return f.links.store[from].addr()
 }
 
-func (c *controller) start(b testing.TB, program string) {
-	if err := c.launch(program); err != nil {
+func (c *controller) start(b testing.TB) {
+	if err := c.launch(); err != nil {
 		b.Fatal(err)
 	}
 	b.Logf("%s is process %d", c.name, c.process.Process.Pid)
 }
 
 // launch starts the process.
-func (c *controller) launch(program string) error {
-	c.process = exec.Command(program, c.arguments...)
+func (c *controller) launch() error {
+	c.process = exec.Command(c.program, c.arguments...)
 	c.process.Env = append(os.Environ(), "LOG_LEVEL=error")
 	c.process.Stderr = os.Stderr
 	if c.log != nil {
@@ -431,7 +435,7 @@
 	f.phase(b, "takeover", 10*time.Second)
 	f.phase(b, "alone", 20*time.Second)
 	for _, c := range others {
-		c.start(b, f.program)
+		c.start(b)
 	}
 	f.phase(b, "back", 10*time.Second)
 }
--- a/internal/loopback/takeover_test.go
+++ b/internal/loopback/takeover_test.go
@@ -31,6 +31,7 @@
 	takeoverMachines    = flag.Int("takeover.machines", 24, "machines that may be rented")
 	takeoverSlow        = flag.Bool("takeover.slow", false, "the times that are shipped instead of short ones")
 	takeoverOnly        = flag.String("takeover.only", "", "play only kinds whose names match this expression")
+	takeoverEarlier     = flag.String("takeover.earlier", "", "a program of an earlier version, without failure detection, that the first controller runs")
 	takeoverDetection   = flag.Bool("takeover.detection", true, "failure detection is on")
 )
 
@@ -132,6 +133,7 @@
 // runs twice, none is lost, and claims and obeyed commands have one order.
 func TestTakeoverOfRealProcesses(t *testing.T) {
 	d := takeoverDeployment()
+	d.earlier = *takeoverEarlier
 	f := newFleet(t, d)
 	jobs := f.load(t)
 	time.Sleep(8 * time.Second) // machines boot, shards are rebuilt
@@ -276,7 +278,7 @@
 func (f *fleet) restart(node int) {
 	c := f.controllers[node]
 	c.kill()
-	if err := c.launch(f.program); err != nil {
+	if err := c.launch(); err != nil {
 		panic(err)
 	}
 }
@@ -404,6 +406,9 @@
 	}
 	kept := 0
 	for _, c := range f.controllers {
+		if c.program != f.program {
+			continue
+		}
 		events, err := history.Read(filepath.Join(filepath.Dir(c.settings), c.name+".history"))
 		if err != nil {
 			t.Errorf("%s: %v", c.name, err)
