--- a/leader/core_test.go
+++ b/leader/core_test.go
@@ -290,11 +290,11 @@
 		t.Fatalf("%d assignments", len(acts))
 	}
 	c.Committed(now, "run-1", false, 0) // the answer was lost, but it was written
-	if cpus, _ := c.teamUse("t", ""); cpus != 10 {
+	if cpus := c.teamUse("t", "").cpus; cpus != 10 {
 		t.Fatalf("%g CPUs counted while the write may still come, wanted 10", cpus)
 	}
 	c.ApplyJob(now, "run-1", written(acts[0]), 6)
-	if cpus, _ := c.teamUse("t", ""); cpus != 10 {
+	if cpus := c.teamUse("t", "").cpus; cpus != 10 {
 		t.Fatalf("%g CPUs counted, wanted the 10 of the record", cpus)
 	}
 }
@@ -326,7 +326,7 @@
 		}
 		n := 0
 		for _, r := range job.Unassigned() {
-			n += r[1] - r[0]
+			n += r.Tasks()
 		}
 		if n >= left {
 			t.Fatalf("still %d tasks left", n)
--- a/leader/gang.go
+++ b/leader/gang.go
@@ -25,6 +25,87 @@
 	return fmt.Sprintf("%g/%g/%g/%s/%t/%s", s.CPUs, s.GPUs, s.MemoryGB, s.Image, s.Spot, strings.Join(s.Types, ","))
 }
 
+// gangFigures are what a shard is ranked by for a gang.
+type gangFigures struct {
+	now, warm int     // tasks that could start at once, and with their image
+	kept      float64 // room kept ready for gangs (CPUs)
+}
+
+// gangFigures are a shard's for a gang's shape. Where the owner does not know the shape
+// yet, takes stands for it.
+func (p *shardState) gangFigures(s *wire.Submission, takes int) gangFigures {
+	room, known := p.agg.Gangs[ShapeOf(s)]
+	f := gangFigures{kept: p.agg.GangsKept}
+	if !known {
+		f.now = takes
+		return f
+	}
+	if s.CPUs <= 0 {
+		return f
+	}
+	taken := 0.0
+	for _, b := range p.bookings {
+		if b.gang {
+			taken += b.cpus
+		}
+	}
+	f.now = room.Now - int(taken/s.CPUs)
+	f.warm = room.Warm - int(taken/s.CPUs)
+	return f
+}
+
+// readiness is how soon a shard would start a gang; less is sooner.
+type readiness int
+
+// Kinds of readiness.
+const (
+	startsWarm    readiness = iota // at once, with its image
+	startsCold                     // at once
+	fitsAndRents                   // it is estimated to have room, and can rent
+	rents                          // it can rent
+	fits                           // it is estimated to have room
+	neitherOfThem                  // it can only wait
+)
+
+// readiness is how soon a shard would start n tasks of a gang.
+func (k *candidate) readiness(n int) readiness {
+	switch {
+	case k.gang.warm >= n:
+		return startsWarm
+	case k.gang.now >= n:
+		return startsCold
+	case k.takes >= n && k.rentable:
+		return fitsAndRents
+	case k.rentable:
+		return rents
+	case k.takes >= n:
+		return fits
+	}
+	return neitherOfThem
+}
+
+// rankForGang puts the shards first that would start n tasks of a gang soonest.
+func rankForGang(list []*candidate, n int) {
+	sort.SliceStable(list, func(a, b int) bool {
+		k, other := list[a], list[b]
+		x, y := k.readiness(n), other.readiness(n)
+		atOnce := x <= startsCold
+		switch {
+		case x != y:
+			return x < y
+		case atOnce && min(k.gang.warm, n) != min(other.gang.warm, n):
+			return k.gang.warm > other.gang.warm // the image comes to few machines, and is there the next time
+		case atOnce && k.gang.kept != other.gang.kept:
+			return k.gang.kept > other.gang.kept
+		case atOnce || x == fits:
+			return k.room < other.room
+		case x == fitsAndRents || x == rents:
+			return k.size < other.size
+		}
+		return k.waiting < other.waiting
+	})
+}
+
 // planGang assigns a gang's tasks, all of them or none. One shard takes it whole:
 // of those that could start it at once with its image, then without, then of
 // those that are estimated to have room the one left with the least summed room,
@@ -33,113 +114,33 @@
 func (c *Core) planGang(now time.Time, j *jobState) []share {
 	s := &j.rec.Spec
 	if len(j.rec.Assignments) > 0 {
-		return nil // a part of it has not come back yet
-	}
-	caps := c.caps(j)
-	type cand struct {
-		name      string
-		cap       int
-		warm, now int
-		fit       int
-		rent      bool
-		sum, size float64
-		queued    float64
-		kept      float64 // room kept ready for gangs
-	}
-	var cs []cand
-	fresh := false
-	for _, z := range c.set.Params.Zones {
-		limit, ok := caps[z]
-		if !ok || limit <= 0 {
-			continue
-		}
-		p := c.shards[z]
-		k := cand{name: z, cap: limit}
-		if now.Sub(p.at) < constants.StaleAggregate {
-			fresh = true
-			a := p.agg
-			shape := ShapeOf(s)
-			room, known := a.Gangs[shape]
-			taken := 0.0
-			for _, b := range p.bookings {
-				sub(&a.Ordinary, &a.Spot, b)
-				k.size += b.cpus
-				k.queued += b.cpus
-				if b.gang {
-					taken += b.cpus
-				}
-			}
-			k.kept = a.GangsKept
-			k.size += a.Capacity + a.Waiting
-			k.queued += a.Waiting
-			k.fit = a.Takes(s)
-			k.sum = a.Ordinary.CPUs.Sum
-			if s.Spot {
-				k.sum += a.Spot.CPUs.Sum
-			}
-			if known && s.CPUs > 0 {
-				k.now = room.Now - int(taken/s.CPUs)
-				k.warm = room.Warm - int(taken/s.CPUs)
-			} else if !known {
-				k.now = k.fit
-			}
-			k.rent = a.RentOrdinary || s.Spot && a.RentSpot
-		}
-		cs = append(cs, k)
-	}
-	if len(cs) == 0 || !fresh && now.Sub(c.began) < constants.StaleAggregate {
-		return nil // a new leader waits for the first figures
-	}
-	// grade is how soon a shard would start n tasks; less is sooner.
-	grade := func(k cand, n int) int {
-		switch {
-		case k.warm >= n:
-			return 0
-		case k.now >= n:
-			return 1
-		case k.fit >= n && k.rent:
-			return 2
-		case k.rent:
-			return 3
-		case k.fit >= n:
-			return 4
-		}
-		return 5
+		return nil // some of it has not come back yet
 	}
-	order := func(n int) {
-		sort.SliceStable(cs, func(a, b int) bool {
-			x, y := grade(cs[a], n), grade(cs[b], n)
-			switch {
-			case x != y:
-				return x < y
-			case x <= 1 && min(cs[a].warm, n) != min(cs[b].warm, n):
-				return cs[a].warm > cs[b].warm // the image comes to few machines, and is there the next time
-			case x <= 1 && cs[a].kept != cs[b].kept:
-				return cs[a].kept > cs[b].kept
-			case x <= 1 || x == 4:
-				return cs[a].sum < cs[b].sum
-			case x < 4:
-				return cs[a].size < cs[b].size
-			}
-			return cs[a].queued < cs[b].queued
-		})
+	list, ok := c.candidates(now, j)
+	if !ok {
+		return nil
 	}
-	order(s.Tasks)
+	rankForGang(list, s.Tasks)
 	age := time.Duration(now.UnixMilli()-j.rec.AcceptedMS) * time.Millisecond
 	if !s.Spread || s.Tasks == 1 {
 		// Where it has waited for long and no shard takes it, several may.
-		if s.OneZone || s.Zone != "" || len(cs) == 1 || age < constants.BeginWithin || grade(cs[0], s.Tasks) < 3 {
-			return []share{{cs[0].name, s.Tasks, true}}
+		if s.OneZone || s.Zone != "" || len(list) == 1 || age < constants.BeginWithin || list[0].readiness(s.Tasks) < rents {
+			return []share{{list[0].name, s.Tasks, true}}
 		}
 	}
-	order((s.Tasks + 1) / 2)
+	rankForGang(list, (s.Tasks+1)/2)
+	return spreadGang(list, s)
+}
+
+// spreadGang gives a gang to several shards, whole or not at all.
+func spreadGang(list []*candidate, s *wire.Submission) []share {
 	var out []share
 	left := s.Tasks
-	for i, k := range cs {
-		t := min(left, k.cap)
+	for i, k := range list {
+		t := min(left, k.most)
 		if !s.Spread {
 			// As much as each could have, the rest with the last.
-			if t = min(left, max(k.fit, s.Tasks/len(cs))); i == len(cs)-1 {
+			if t = min(left, max(k.takes, s.Tasks/len(list))); i == len(list)-1 {
 				t = left
 			}
 		}
@@ -173,7 +174,7 @@
 		return false
 	}
 	for _, r := range rec.Unassigned() {
-		rec.Assignments = append(rec.Assignments, state.Assignment{From: r[0], To: r[1], Closed: true})
+		rec.Assignments = append(rec.Assignments, state.Assignment{From: r.From, To: r.To, Closed: true})
 	}
 	rec.Normalize()
 	if rec.AllClosed() {
--- a/state/records.go
+++ b/state/records.go
@@ -168,18 +168,36 @@
 // Tasks is the number of tasks in the assignment.
 func (c Assignment) Tasks() int { return c.To - c.From }
 
+// Range is a run of a job's tasks.
+type Range struct {
+	From int
+	To   int // exclusive
+}
+
+// Tasks is the number of tasks in the range.
+func (r Range) Tasks() int { return r.To - r.From }
+
+// TasksIn is the number of tasks in several ranges.
+func TasksIn(ranges []Range) int {
+	n := 0
+	for _, r := range ranges {
+		n += r.Tasks()
+	}
+	return n
+}
+
 // Unassigned lists the ranges of tasks in no assignment. Assignments are kept sorted.
-func (j *Job) Unassigned() [][2]int {
-	var out [][2]int
+func (j *Job) Unassigned() []Range {
+	var out []Range
 	at := 0
 	for _, c := range j.Assignments {
 		if c.From > at {
-			out = append(out, [2]int{at, c.From})
+			out = append(out, Range{at, c.From})
 		}
 		at = c.To
 	}
 	if at < j.Spec.Tasks {
-		out = append(out, [2]int{at, j.Spec.Tasks})
+		out = append(out, Range{at, j.Spec.Tasks})
 	}
 	return out
 }
