--- a/node/actors.go
+++ b/node/actors.go
@@ -92,8 +92,27 @@
 
 // pace keeps an actor's steps apart: what comes in between is decided together.
 type pace struct {
-	at   time.Time // of the last step
-	soon bool      // a wake for the next one is on its way
+	at    time.Time // of the last step
+	soon  bool      // a wake for the next one is on its way
+	ticks bool      // a wake of the actor's regular tick is on its way
+}
+
+// woke notes that a wake came.
+func (p *pace) woke(w wake) {
+	if w.soon {
+		p.soon = false
+	} else {
+		p.ticks = false
+	}
+}
+
+// tick has self woken after a time, unless that is under way already.
+func (p *pace) tick(after time.Duration, self *actor.Ref) {
+	if p.ticks {
+		return
+	}
+	p.ticks = true
+	time.AfterFunc(after, func() { self.Tell(wake{}) })
 }
 
 // due says whether the next step may be made; if not, self is woken when it may.
@@ -116,7 +135,6 @@
 	store  Store
 	urgent Store // for assignments that users wait for by the second
 	self   *actor.Ref
-	ticks  bool // a wake of LeaderTick is on its way
 	pace   pace
 	over   bool // halted
 
@@ -154,11 +172,7 @@
 		}
 		a.core.Committed(now, m.id, m.urgent, m.revision)
 	case wake:
-		if m.soon {
-			a.pace.soon = false
-		} else {
-			a.ticks = false
-		}
+		a.pace.woke(m)
 	}
 	if !a.pace.due(now, constants.LeaderGap, a.self) {
 		return
@@ -178,10 +192,7 @@
 		a.forecastAt = now
 		a.control.Tell(forecast(a.core.Forecast(now, a.revision)))
 	}
-	if !a.ticks {
-		a.ticks = true
-		time.AfterFunc(constants.LeaderTick, func() { a.self.Tell(wake{}) })
-	}
+	a.pace.tick(constants.LeaderTick, a.self)
 }
 
 // shardActor runs one owner's decisions and does its calls.
@@ -194,7 +205,6 @@
 	control  *actor.Ref
 	workers  Workers
 	revision uint64
-	ticks    bool // a wake of OwnerTick is on its way
 	pace     pace
 	pushAt   time.Time
 	countAt  time.Time
@@ -285,11 +295,7 @@
 	case typesRead:
 		a.core.SetTypes(m.types)
 	case wake:
-		if m.soon {
-			a.pace.soon = false
-		} else {
-			a.ticks = false
-		}
+		a.pace.woke(m)
 	}
 	if !a.pace.due(now, constants.OwnerGap, a.self) {
 		return
@@ -345,10 +351,7 @@
 			a.self.Tell(listed{l, err})
 		}()
 	}
-	if !a.ticks {
-		a.ticks = true
-		time.AfterFunc(constants.OwnerTick, func() { a.self.Tell(wake{}) })
-	}
+	a.pace.tick(constants.OwnerTick, a.self)
 }
 
 func (a *shardActor) do(ctx context.Context, act shard.Action) {
--- a/node/control.go
+++ b/node/control.go
@@ -11,7 +11,6 @@
 	"ravenport/actor"
 	"ravenport/apiserver"
 	"ravenport/constants"
-	"ravenport/detector"
 	"ravenport/httpwire"
 	"ravenport/leader"
 	"ravenport/member"
@@ -187,6 +186,25 @@
 		c.tellStatus(now, m.req)
 	case tick:
 		c.tick(ctx, now)
+	case apiserver.Cancelled:
+		c.cancelled(peer.Cancellation{Job: m.ID, Revision: m.Revision})
+	case typesRead:
+		c.typesRead(now, m)
+	case forecast:
+		c.forecast = m
+		c.pushNow = c.pushNow || m != nil
+		c.forwardForecast(m)
+	default:
+		if !c.receiveOfPeers(now, msg) && !c.receiveOfLease(ctx, now, msg) && !c.receiveOfShard(ctx, now, msg) {
+			c.receiveOfDetection(ctx, now, msg)
+		}
+	}
+}
+
+// receiveOfPeers takes in what comes of other controllers, and says whether a message
+// is of that kind.
+func (c *control) receiveOfPeers(now time.Time, msg any) bool {
+	switch m := msg.(type) {
 	case peerStatus:
 		c.peerStatus(now, peer.Status(m))
 	case peerAsk:
@@ -199,6 +217,16 @@
 			// It was heard; what it can reach it tells in its own status.
 			c.peersState[m.node] = peerView{c.peersState[m.node].stateOK, now}
 		}
+	default:
+		return false
+	}
+	return true
+}
+
+// receiveOfLease takes in what comes of calls for the lease, its freshness and claims,
+// and says whether a message is of that kind.
+func (c *control) receiveOfLease(ctx context.Context, now time.Time, msg any) bool {
+	switch m := msg.(type) {
 	case leased:
 		c.leased(now, m)
 	case renewed:
@@ -209,61 +237,68 @@
 			c.reads = append(c.reads, m)
 			c.advanceFreshness(now)
 		}
-	case apiserver.Cancelled:
-		c.cancelled(peer.Cancellation{Job: m.ID, Revision: m.Revision})
 	case claimed:
 		c.claimed(now, m)
-	case []detector.Proposal:
-		c.propose(ctx, now, m)
-	case revocationDone:
-		c.revocationDone(m)
-	case membership:
-		c.detect.seen = m
-	case resign:
-		c.detect.resigned = true
-	case typesRead:
-		c.typesBusy = false
-		if m.err != nil {
-			slog.Info("machine types not read", "err", m.err)
-			c.typesNext = now.Add(constants.RetryMax / 2)
-			return
-		}
-		c.typesNext = now.Add(constants.TypesEvery)
-		c.types = m.types
-		c.api.Tell(apiserver.Types(m.types))
-		for _, o := range c.owners {
-			o.ref.Tell(m)
-		}
-	case shardStatus:
-		c.pushNow = true
-		if m.counts != nil && (m.summary.Unreachable || !m.summary.Rebuilt) {
-			c.unsettled[state.KeyShard(m.shard)] = now
-		}
-		if m.counts != nil {
-			c.api.Tell(apiserver.Counts{Shard: m.shard, Jobs: m.counts})
-		} else {
-			m.counts, m.summary = c.status[m.shard].counts, c.status[m.shard].summary
-		}
-		c.status[m.shard] = m
-		if c.leaderRef != nil {
-			c.leaderRef.ref.Tell(m.aggregate)
-		}
-		for _, o := range c.owners {
-			o.ref.Tell([]leader.Aggregate{m.aggregate})
-		}
-	case forecast:
-		c.forecast = m
-		c.pushNow = c.pushNow || m != nil
-		c.forwardForecast(m)
-	case termUsedUp:
-		c.renewTerm(now, m.shard)
 	case halted:
 		delete(c.claiming, m.claim.Key)
 		c.send(ctx, now, m.claim)
+	default:
+		return false
+	}
+	return true
+}
+
+// receiveOfShard takes in what the owners here tell, and says whether a message is of
+// that kind.
+func (c *control) receiveOfShard(ctx context.Context, now time.Time, msg any) bool {
+	switch m := msg.(type) {
+	case shardStatus:
+		c.shardStatus(now, m)
+	case termUsedUp:
+		c.renewTerm(now, m.shard)
 	case cutOff:
 		if o := c.owners[m.shard]; o != nil && (m.misroutedReports || c.peersAway(now)) {
 			c.handOn(ctx, now, state.KeyShard(m.shard))
 		}
+	default:
+		return false
+	}
+	return true
+}
+
+// typesRead takes in the machine types, or tries again soon.
+func (c *control) typesRead(now time.Time, m typesRead) {
+	c.typesBusy = false
+	if m.err != nil {
+		slog.Info("machine types not read", "err", m.err)
+		c.typesNext = now.Add(constants.RetryMax / 2)
+		return
+	}
+	c.typesNext = now.Add(constants.TypesEvery)
+	c.types = m.types
+	c.api.Tell(apiserver.Types(m.types))
+	for _, o := range c.owners {
+		o.ref.Tell(m)
+	}
+}
+
+// shardStatus passes an owner's figures on to whoever needs them.
+func (c *control) shardStatus(now time.Time, m shardStatus) {
+	c.pushNow = true
+	if m.counts != nil {
+		if m.summary.Unreachable || !m.summary.Rebuilt {
+			c.unsettled[state.KeyShard(m.shard)] = now
+		}
+		c.api.Tell(apiserver.Counts{Shard: m.shard, Jobs: m.counts})
+	} else {
+		m.counts, m.summary = c.status[m.shard].counts, c.status[m.shard].summary
+	}
+	c.status[m.shard] = m
+	if c.leaderRef != nil {
+		c.leaderRef.ref.Tell(m.aggregate)
+	}
+	for _, o := range c.owners {
+		o.ref.Tell([]leader.Aggregate{m.aggregate})
 	}
 }
 
--- a/node/large_fleet_test.go
+++ b/node/large_fleet_test.go
@@ -29,6 +29,9 @@
 	w := newWorldOf(1, []string{"a", "b"}, 3, umoyaTimes)
 	w.late, w.tame, w.lostAnswers, w.lateWrites, w.repeats, w.lateCopies = 0, true, 0, 0, 0, 0
 	w.pause = 500 * time.Millisecond
+	// Of so many machines one now and then loses all the answers by which it would be
+	// known to live, and is returned as it must be. This is about the fleet's size.
+	w.lossless = true
 	for k := range w.capacity {
 		w.capacity[k] = largeFleet
 	}
--- a/node/revocation.go
+++ b/node/revocation.go
@@ -33,6 +33,20 @@
 	resigned  bool
 }
 
+// receiveOfDetection takes in what comes of failure detection.
+func (c *control) receiveOfDetection(ctx context.Context, now time.Time, msg any) {
+	switch m := msg.(type) {
+	case []detector.Proposal:
+		c.propose(ctx, now, m)
+	case revocationDone:
+		c.revocationDone(m)
+	case membership:
+		c.detect.seen = m
+	case resign:
+		c.detect.resigned = true
+	}
+}
+
 // propose revokes the first of the controllers that were declared failed. Without
 // authority of its own a controller proposes nothing.
 func (c *control) propose(ctx context.Context, now time.Time, proposals []detector.Proposal) {
--- a/node/standin_test.go
+++ b/node/standin_test.go
@@ -74,9 +74,10 @@
 	calm time.Time // when all troubles were over
 	tame bool      // machines come up, and rentals are answered
 
-	times times
-	pause time.Duration // between two looks of a worker at itself; 0: 100 ms
-	upIn  time.Duration // machines are up within this after their rental; 0: after seconds
+	times    times
+	lossless bool          // no answer of a worker, or to one, is lost by chance
+	pause    time.Duration // between two looks of a worker at itself; 0: 100 ms
+	upIn     time.Duration // machines are up within this after their rental; 0: after seconds
 
 	// What befalls transactions: shares of them.
 	lostAnswers float64       // carried out at once, only the answer is lost
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -192,7 +192,18 @@
 	return &s, s.check()
 }
 
+// check looks at every field and returns the first error.
 func (s *Settings) check() error {
+	for _, check := range []func() error{s.checkSelf, s.checkPeers, s.Params.checkAmounts, s.Params.checkNext, s.Params.checkTeams} {
+		if err := check(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// checkSelf checks the controller's own name, zone and addresses.
+func (s *Settings) checkSelf() error {
 	if s.Node == "" {
 		return &Error{"node", "is missing"}
 	}
@@ -204,23 +215,22 @@
 			return err
 		}
 	}
-	p := &s.Params
-	if len(p.Zones) == 0 {
+	if len(s.Params.Zones) == 0 {
 		return &Error{"facts.zones", "is missing"}
 	}
-	zones := map[string]bool{}
-	for _, z := range p.Zones {
+	for _, z := range s.Params.Zones {
 		if err := checkName("facts.zones", z); err != nil {
 			return err
 		}
-		zones[z] = true
 	}
-	if !zones[s.Zone] {
+	if _, known := s.Params.Zone(s.Zone); !known {
 		return &Error{"domain", fmt.Sprintf("%q is not one of facts.zones", s.Zone)}
 	}
-	if err := checkName("node", s.Node); err != nil {
-		return err
-	}
+	return checkName("node", s.Node)
+}
+
+// checkPeers checks the other controllers.
+func (s *Settings) checkPeers() error {
 	seen := map[string]bool{s.Node: true}
 	for _, peer := range s.Peers {
 		if err := checkName("siblings.node", peer.Node); err != nil {
@@ -234,6 +244,11 @@
 			return err
 		}
 	}
+	return nil
+}
+
+// checkAmounts checks the numbers that must be there.
+func (p *Params) checkAmounts() error {
 	for _, f := range []struct {
 		name string
 		v    float64
@@ -249,6 +264,11 @@
 			return &Error{f.name, "must be larger than 0"}
 		}
 	}
+	return nil
+}
+
+// checkNext checks limits to come and what may be 0.
+func (p *Params) checkNext() error {
 	for _, f := range []struct {
 		name string
 		v    *float64
@@ -266,6 +286,11 @@
 	if !(p.Cloud.ListLagS >= 0) {
 		return &Error{"facts.cloud.list_lag_s", "must not be negative"}
 	}
+	return nil
+}
+
+// checkTeams checks the teams' amounts.
+func (p *Params) checkTeams() error {
 	for _, t := range p.Teams {
 		if t.Name == "" {
 			return &Error{"facts.teams.name", "is missing"}
@@ -421,21 +446,25 @@
 // the time that taking it over would keep this machine's share of a processor busy.
 // Without such a share there is nothing to wait for.
 func (s *Settings) SecondShardWait() time.Duration {
-	share := s.Params.Limits.CPU
-	if share <= 0 {
+	if s.Params.Limits.CPU <= 0 {
 		return 0
 	}
-	return min(time.Duration(float64(constants.TakeoverWork)/share), constants.SecondShardWaitMost)
+	return s.onShare(constants.TakeoverWork, constants.SecondShardWaitMost)
+}
+
+// onShare is how long so much processor time takes on this machine's share of a
+// processor, at the most.
+func (s *Settings) onShare(work, most time.Duration) time.Duration {
+	return min(time.Duration(float64(work)/s.Params.Limits.CPU), most)
 }
 
 // RoundBudget is how long a round of decisions may take: so much processor time as
 // the same round may have on a whole processor, of which this machine has a share.
 func (s *Settings) RoundBudget() time.Duration {
-	share := s.Params.Limits.CPU
-	if share <= 0 || share >= 1 {
+	if share := s.Params.Limits.CPU; share <= 0 || share >= 1 {
 		return constants.RoundBudget
 	}
-	return min(time.Duration(float64(constants.RoundBudget)/share), constants.RoundBudgetMost)
+	return s.onShare(constants.RoundBudget, constants.RoundBudgetMost)
 }
 
 // CloudShare is how many calls a second this controller makes of the cloud.
--- a/shard/assignments.go
+++ b/shard/assignments.go
@@ -15,7 +15,7 @@
 		switch {
 		case c.jobs[id] != j:
 			delete(c.toClose, id)
-		case j.writing || now.Before(j.retryAt):
+		case j.recordChanges() || now.Before(j.retryAt):
 		case !j.changed && now.Before(j.closeAt):
 		default:
 			delete(c.toClose, id)
@@ -29,38 +29,12 @@
 // leave. Assignments that are over wait a little for the job's others here: a change
 // of the record for each would cost more than all else.
 func (c *Core) closeJob(now time.Time, id string, j *job) {
-	over, open, leaving := false, false, false
-	held, some := c.held(now, j), false // some: of an open assignment
-	for i := range j.rec.Assignments {
-		ch := &j.rec.Assignments[i]
-		if ch.Shard != c.cfg.Shard || ch.Closed {
-			continue
-		}
-		if c.assignmentOver(j, ch) {
-			over = true
-		} else {
-			open = true
-			for k := ch.From; held && !some && k < ch.To; k++ {
-				some = c.taskOver(j, k)
-			}
-		}
-	}
-	if j.rec.End == "" {
-		for _, t := range j.tasks {
-			leaving = leaving || t.leaving
-		}
-	}
-	if !over && !leaving && !some {
+	f := c.finished(now, j)
+	if !f.over && !f.leaving && !f.some {
 		return
 	}
-	if (over || some) && open && !leaving && j.rec.End == "" {
-		if j.closeAt.IsZero() {
-			j.closeAt = now.Add(constants.CloseWait)
-		}
-		if now.Before(j.closeAt) {
-			c.toClose[id] = j
-			return
-		}
+	if c.waitsForOthers(now, id, j, f) {
+		return
 	}
 	j.closeAt = time.Time{}
 	rec := j.rec.Clone()
@@ -70,35 +44,100 @@
 			ch.Closed = true
 		}
 	}
-	if some && !c.closeDone(j, rec) && !over && !leaving {
+	if f.some && !c.closeDone(j, rec) && !f.over && !f.leaving {
 		return
 	}
-	closed := rec
-	if leaving {
-		closed = rec.Clone()
-		for k, t := range j.tasks {
-			if t.leaving {
-				cutOut(rec, k)
-			}
-		}
-	}
-	rec.Normalize()
-	if plain := len(state.Encode(rec)); leaving && plain > c.cfg.Sizes.Next*9/10 && plain > len(state.Encode(j.rec)) {
-		// Scattered gaps would outgrow the state service's values: what is
-		// to leave stays here, and only what closed is written.
-		for _, t := range j.tasks {
-			t.leaving = false
-		}
-		c.touch(j)
-		if !over {
+	if f.leaving {
+		if rec = c.releaseLeaving(j, rec, f.over); rec == nil {
 			return
 		}
-		rec = closed
+	} else {
 		rec.Normalize()
 	}
 	if rec.End == "" && !rec.Spec.IsService() && rec.AllClosed() {
 		rec.End = wire.JobDone
 	}
+	c.writeJob(now, id, j, rec)
+}
+
+// finish is what of a job is to be recorded.
+type finish struct {
+	over    bool // an assignment here is over
+	open    bool // another one here is not
+	some    bool // tasks of an open one are done, and their team's limit keeps others waiting
+	leaving bool // tasks go back to the leader
+}
+
+// finished looks at a job's assignments here.
+func (c *Core) finished(now time.Time, j *job) finish {
+	var f finish
+	held := c.held(now, j)
+	for i := range j.rec.Assignments {
+		ch := &j.rec.Assignments[i]
+		if ch.Shard != c.cfg.Shard || ch.Closed {
+			continue
+		}
+		if c.assignmentOver(j, ch) {
+			f.over = true
+			continue
+		}
+		f.open = true
+		for k := ch.From; held && !f.some && k < ch.To; k++ {
+			f.some = c.taskOver(j, k)
+		}
+	}
+	if j.rec.End == "" {
+		for _, t := range j.tasks {
+			f.leaving = f.leaving || t.leaving
+		}
+	}
+	return f
+}
+
+// waitsForOthers says whether what is over waits a little longer for the job's other
+// assignments here.
+func (c *Core) waitsForOthers(now time.Time, id string, j *job, f finish) bool {
+	if !(f.over || f.some) || !f.open || f.leaving || j.rec.End != "" {
+		return false
+	}
+	if j.closeAt.IsZero() {
+		j.closeAt = now.Add(constants.CloseWait)
+	}
+	if !now.Before(j.closeAt) {
+		return false
+	}
+	c.toClose[id] = j
+	return true
+}
+
+// releaseLeaving takes the tasks that leave out of a record's assignments. Where their
+// gaps would outgrow the state service's values, they stay, and only what closed is
+// returned; nil if nothing did.
+func (c *Core) releaseLeaving(j *job, rec *state.Job, closed bool) *state.Job {
+	staying := rec.Clone()
+	for k, t := range j.tasks {
+		if t.leaving {
+			cutOut(rec, k)
+		}
+	}
+	rec.Normalize()
+	plain := len(state.Encode(rec))
+	if plain <= c.cfg.Sizes.Next*9/10 || plain <= len(state.Encode(j.rec)) {
+		return rec
+	}
+	for _, t := range j.tasks {
+		t.leaving = false
+	}
+	c.touch(j)
+	if !closed {
+		return nil
+	}
+	staying.Normalize()
+	return staying
+}
+
+// writeJob writes a job's record.
+func (c *Core) writeJob(now time.Time, id string, j *job, rec *state.Job) {
 	value, ok := c.cfg.Sizes.Encode(rec, j.rec)
 	if !ok {
 		slog.Error("job's record does not fit", "job", id, "bytes", len(value))
@@ -135,7 +174,7 @@
 }
 
 // closeDone closes the done tasks of open assignments here by themselves, unless the
-// record would take too much room in so many pieces: then it returns false. While a
+// record would take too much room in so many pieces: then it returns false. While an
 // assignment is open, all its tasks count within their team's limit: one that runs on
 // would hold back others.
 func (c *Core) closeDone(j *job, rec *state.Job) bool {
--- a/shard/core.go
+++ b/shard/core.go
@@ -295,7 +295,7 @@
 		return
 	}
 	j.rec, j.version = rec, version
-	j.writing = false
+	j.writing, j.awaited = false, false
 	for _, t := range j.tasks {
 		t.leaving = false // a write that was based on an older record can only fail now
 		if t.hold != nil {
@@ -371,7 +371,7 @@
 	}
 	j.rec = j.rec.Clone()
 	j.rec.End = wire.JobCancelled
-	j.writing = true // as of a change that the feed will bring
+	j.awaited = true
 	c.stopAll(j)
 	c.touch(j)
 	c.dirty, c.pushDirty = true, true
--- a/shard/direct.go
+++ b/shard/direct.go
@@ -127,7 +127,7 @@
 // overdue says whether a machine has a decided start without effect.
 func (c *Core) overdue(now time.Time, m *machine) bool {
 	if c.sumsOf(m).sent == 0 {
-		return false // as nearly always: this is asked of every machine in every step
+		return false // as nearly always: this is asked of every machine in every slow step
 	}
 	for _, h := range m.holds {
 		if h.state == stateSent && now.Sub(h.sentAt) > constants.RepeatCommand && c.wanted(h) {
--- a/shard/gang.go
+++ b/shard/gang.go
@@ -412,7 +412,7 @@
 // sendBackGang gives a gang, or its share of one, back to the leader: whole, and
 // only when none of it may be anywhere.
 func (c *Core) sendBackGang(now time.Time, j *job) bool {
-	if j.writing || j.rec.End != "" || len(c.ready(now, j)) < len(j.tasks) {
+	if j.recordChanges() || j.rec.End != "" || len(c.ready(now, j)) < len(j.tasks) {
 		return false
 	}
 	for _, t := range j.tasks {
@@ -543,33 +543,60 @@
 func (c *Core) keepForGangs(now time.Time) {
 	c.refresh()
 	c.gangNeed = c.gangReserve(now)
-	var waits []*job
-	for j := range c.waiting {
-		if g := j.gang; g != nil && !g.done && (g.attempt == 0 || g.failed) {
-			waits = append(waits, j)
-		}
-	}
+	waiting := c.waitingGangs()
 	for _, m := range c.fleet {
 		m.forGangs = false
 	}
-	if c.gangNeed == 0 && len(waits) == 0 {
+	if c.gangNeed == 0 && len(waiting) == 0 {
 		return
 	}
-	sort.Slice(waits, func(a, b int) bool {
-		x, y := waits[a].rec, waits[b].rec
+	machines := c.machinesForGangs(now)
+	for _, j := range waiting {
+		keepForGang(machines, j)
+	}
+	left := c.gangNeed
+	for _, k := range machines {
+		if left <= slack {
+			break
+		}
+		if !k.m.spot && k.room.cpus > slack {
+			k.m.forGangs = true
+			left -= k.room.cpus
+		}
+	}
+}
+
+// waitingGangs lists the gangs that are to be started, in the order in which they came.
+func (c *Core) waitingGangs() []*job {
+	var waiting []*job
+	for j := range c.waiting {
+		if g := j.gang; g != nil && !g.done && (g.attempt == 0 || g.failed) {
+			waiting = append(waiting, j)
+		}
+	}
+	sort.Slice(waiting, func(a, b int) bool {
+		x, y := waiting[a].rec, waiting[b].rec
 		return x.AcceptedMS < y.AcceptedMS || x.AcceptedMS == y.AcceptedMS && x.ID < y.ID
 	})
-	type cand struct {
-		m    *machine
-		warm int
-		room resources // free, or held by arrays, which end soon
-	}
-	var cs []*cand
+	return waiting
+}
+
+// gangMachine is a machine whose room may be kept for gangs.
+type gangMachine struct {
+	m    *machine
+	warm int       // shapes of gangs whose image it holds
+	room resources // free, or held by arrays, which end soon
+}
+
+// machinesForGangs lists the machines whose room may be kept for gangs, those with the
+// most of their images first, then by room.
+func (c *Core) machinesForGangs(now time.Time) []*gangMachine {
+	var list []*gangMachine
 	for _, m := range c.fleet {
 		if m.draining || m.keptFor != nil || !c.usable(now, m) {
 			continue
 		}
-		k := &cand{m: m, room: c.free(m)}
+		k := &gangMachine{m: m, room: c.free(m)}
 		for _, h := range m.holds {
 			if t := c.taskOf(h); t != nil && !h.exited() && !t.job.rec.Spec.Whole() {
 				k.room = k.room.plus(h.needs)
@@ -583,10 +610,10 @@
 				k.warm++
 			}
 		}
-		cs = append(cs, k)
+		list = append(list, k)
 	}
-	sort.Slice(cs, func(a, b int) bool {
-		x, y := cs[a], cs[b]
+	sort.Slice(list, func(a, b int) bool {
+		x, y := list[a], list[b]
 		switch {
 		case x.warm != y.warm:
 			return x.warm > y.warm
@@ -595,30 +622,24 @@
 		}
 		return x.m.name < y.m.name
 	})
-	for _, j := range waits {
-		s := &j.rec.Spec
-		n, left := need(s), len(j.tasks)
-		for _, k := range cs {
-			if left == 0 {
-				break
-			}
-			if allowed(s, k.m.typeName, k.m.spot) {
-				if t := min(left, k.room.holdsOf(n)); t > 0 {
-					k.m.forGangs = true
-					k.room = k.room.minus(n.times(t))
-					left -= t
-				}
-			}
+	return list
+}
+
+// keepForGang keeps room for all tasks of a gang that waits, as far as there is any.
+func keepForGang(machines []*gangMachine, j *job) {
+	s := &j.rec.Spec
+	n, left := need(s), len(j.tasks)
+	for _, k := range machines {
+		if left == 0 {
+			return
 		}
-	}
-	left := c.gangNeed
-	for _, k := range cs {
-		if left <= slack {
-			break
+		if !allowed(s, k.m.typeName, k.m.spot) {
+			continue
 		}
-		if !k.m.spot && k.room.cpus > slack {
+		if t := min(left, k.room.holdsOf(n)); t > 0 {
 			k.m.forGangs = true
-			left -= k.room.cpus
+			k.room = k.room.minus(n.times(t))
+			left -= t
 		}
 	}
 }
--- a/shard/model.go
+++ b/shard/model.go
@@ -284,6 +284,7 @@
 	version uint64
 	tasks   map[int]*task
 	writing bool // a change of its record is under way
+	awaited bool // a newer record is known to be stored, and the feed will bring it
 	retryAt time.Time
 	backAt  time.Time       // when tasks of it were last sent back
 	changed bool            // since its assignments were last looked at
@@ -365,6 +366,10 @@
 	c.touched = c.touched[:0]
 }
 
+// recordChanges says that the record known here will be replaced by a newer one:
+// nothing may be written on the ground of it.
+func (j *job) recordChanges() bool { return j.writing || j.awaited }
+
 // ready lists a job's waiting tasks that may start now.
 func (c *Core) ready(now time.Time, j *job) []*task { return c.appendReady(nil, now, j) }
 
--- a/shard/place.go
+++ b/shard/place.go
@@ -75,16 +75,7 @@
 }
 
 func (c *Core) newRound(now time.Time) *round {
-	r := &round{full: map[demand][]resources{}, stuck: map[demand][]resources{}}
-	for _, m := range c.fleet {
-		if !c.usable(now, m) {
-			continue
-		}
-		if f := c.free(m); f.cpus > slack && f.mem > slack {
-			r.room = append(r.room, m)
-		}
-	}
-	return r
+	return &round{full: map[demand][]resources{}, stuck: map[demand][]resources{}, room: c.withRoom(now)}
 }
 
 // queue lists the jobs with waiting tasks in their order, each with its place.
@@ -648,7 +639,7 @@
 // sendBack marks a waiting task to be sent back to the leader. From here on
 // it is not placed, until a newer record says what became of it.
 func (c *Core) sendBack(j *job, t *task) {
-	if !j.writing && !c.somewhere(j.rec.ID, t.index) {
+	if !j.recordChanges() && !c.somewhere(j.rec.ID, t.index) {
 		t.leaving = true
 		c.touch(j)
 		c.check(j)
--- a/shard/rent.go
+++ b/shard/rent.go
@@ -73,6 +73,15 @@
 	spot bool
 }
 
+// rentRound is one look at what to rent.
+type rentRound struct {
+	want map[kind]int
+	// longWaits: tasks that have waited for long may be sent back in this round; sent
+	// counts those of all jobs.
+	longWaits bool
+	sent      int
+}
+
 // rent asks for machines for what waits and fits on nothing that is coming.
 func (c *Core) rent(now time.Time) {
 	c.lastRent = now
@@ -81,74 +90,94 @@
 	if len(c.types) == 0 || !c.rebuilt {
 		return
 	}
-	want := map[kind]int{}
-	overdue := 0 // tasks sent back for having waited too long, of all jobs
-	look := now.Sub(c.overdueAt) > constants.KeepWait
-	q := c.queue(now)
-	for _, j := range q {
+	r := rentRound{want: map[kind]int{}, longWaits: now.Sub(c.overdueAt) > constants.KeepWait}
+	for _, j := range c.queue(now) {
 		if j.gang != nil {
-			c.rentForGang(now, j, want)
+			c.rentForGang(now, j, r.want)
 			continue
 		}
-		s := &j.rec.Spec
-		n := need(s)
-		tasks := c.appendReady(c.scratch[:0], now, j)
-		c.scratch = tasks
-		c.unplaced = c.unplaced.plus(n.times(len(tasks)))
-		// Spot machines first: ordinary room is all that some may use.
-		for _, spot := range []bool{true, false} {
-			for i := range c.roomComing {
-				if len(tasks) == 0 {
-					break
-				}
-				b := &c.roomComing[i]
-				if b.spot == spot && n.fits(b.free) && allowed(s, b.typ, b.spot) {
-					k := min(len(tasks), b.free.holdsOf(n))
-					b.free = b.free.minus(n.times(k))
-					tasks = tasks[k:]
-				}
-			}
+		if tasks := c.beyondComing(now, j); len(tasks) > 0 {
+			c.rentFor(now, j, tasks, &r)
 		}
-		if len(tasks) == 0 {
-			continue
+	}
+	c.rentForForecast(now, r.want)
+	if len(r.want) == 0 {
+		if typ, n := c.reserveMissing(now); n > 0 {
+			r.want[kind{typ, false}] = n
 		}
-		typ, spot, ok := c.pick(now, s)
-		away := 0
-		back := now.Sub(j.backAt) > constants.KeepWait // together, and not over and over
-		var bin *coming
-		for _, t := range tasks {
-			c.excess += n.cpus
-			switch {
-			case bin != nil && n.fits(bin.free):
-				bin.free = bin.free.minus(n)
-				c.excess -= n.cpus
-			case !t.keep && back && c.elsewhere(now, j.rec, away):
-				// It does not fit: the next shard is asked, if one is known to
-				// have room. Otherwise it would come back, for two writes more.
-				c.sendBack(j, t)
-				away++
-			case look && now.Sub(t.waitSince) > constants.KeepLong && c.roomElsewhere(now, j.rec) > overdue:
-				// However little the room elsewhere is and whatever may yet be had
-				// here: it must not wait beside it for ever.
-				c.sendBack(j, t)
-				c.overdueAt = now
-				overdue++
-			case c.drains(now, j, t):
-			case ok:
-				c.roomComing = append(c.roomComing, coming{sizeOf(typ).minus(n), typ.Name, spot})
-				bin = &c.roomComing[len(c.roomComing)-1]
-				want[kind{typ.Name, spot}]++
-				c.excess -= n.cpus
-			case now.Sub(t.waitSince) > constants.KeepWait && back && c.elsewhere(now, j.rec, away):
-				c.sendBack(j, t)
-				away++
+	}
+	c.request(now, r.want)
+}
+
+// beyondComing gives a job's ready tasks the room that is coming, spot room first since
+// ordinary room is all that some may use, and returns those that it does not take.
+func (c *Core) beyondComing(now time.Time, j *job) []*task {
+	s := &j.rec.Spec
+	n := need(s)
+	tasks := c.appendReady(c.scratch[:0], now, j)
+	c.scratch = tasks
+	c.unplaced = c.unplaced.plus(n.times(len(tasks)))
+	for _, spot := range []bool{true, false} {
+		for i := range c.roomComing {
+			if len(tasks) == 0 {
+				return nil
+			}
+			b := &c.roomComing[i]
+			if b.spot == spot && n.fits(b.free) && allowed(s, b.typ, b.spot) {
+				k := min(len(tasks), b.free.holdsOf(n))
+				b.free = b.free.minus(n.times(k))
+				tasks = tasks[k:]
 			}
 		}
-		if away > 0 {
-			j.backAt = now
+	}
+	return tasks
+}
+
+// rentFor rents for a job's tasks that nothing coming takes, or sends them back.
+func (c *Core) rentFor(now time.Time, j *job, tasks []*task, r *rentRound) {
+	s := &j.rec.Spec
+	n := need(s)
+	typ, spot, ok := c.pick(now, s)
+	away := 0
+	back := now.Sub(j.backAt) > constants.KeepWait // together, and not over and over
+	var bin *coming
+	for _, t := range tasks {
+		c.excess += n.cpus
+		switch {
+		case bin != nil && n.fits(bin.free):
+			bin.free = bin.free.minus(n)
+			c.excess -= n.cpus
+		case !t.keep && back && c.elsewhere(now, j.rec, away):
+			// It does not fit: the next shard is asked, if one is known to
+			// have room. Otherwise it would come back, for two writes more.
+			c.sendBack(j, t)
+			away++
+		case r.longWaits && now.Sub(t.waitSince) > constants.KeepLong && c.roomElsewhere(now, j.rec) > r.sent:
+			// However little the room elsewhere is and whatever may yet be had
+			// here: it must not wait beside it for ever.
+			c.sendBack(j, t)
+			c.overdueAt = now
+			r.sent++
+		case c.drains(now, j, t):
+		case ok:
+			c.roomComing = append(c.roomComing, coming{sizeOf(typ).minus(n), typ.Name, spot})
+			bin = &c.roomComing[len(c.roomComing)-1]
+			r.want[kind{typ.Name, spot}]++
+			c.excess -= n.cpus
+		case now.Sub(t.waitSince) > constants.KeepWait && back && c.elsewhere(now, j.rec, away):
+			c.sendBack(j, t)
+			away++
 		}
 	}
-	spare := 0.0 // ordinary room beyond what is foreseen for it
+	if away > 0 {
+		j.backAt = now
+	}
+}
+
+// rentForForecast rents for what the leader will assign, beyond the room that is there
+// or coming. Spare ordinary room counts for what may also use spot machines.
+func (c *Core) rentForForecast(now time.Time, want map[kind]int) {
+	spare := 0.0
 	for _, spot := range []bool{false, true} {
 		s, cpus := c.foreseen(now, spot)
 		cpus -= spare
@@ -169,36 +198,39 @@
 			}
 		}
 	}
-	if len(want) == 0 {
-		if typ, n := c.reserveMissing(now); n > 0 {
-			want[kind{typ, false}] = n
-		}
-	}
+}
+
+// request makes the rentals. The cloud takes few calls: what comes within a moment is
+// asked for together, unless it fills a rental of its own.
+func (c *Core) request(now time.Time, want map[kind]int) {
 	total := 0
 	for _, n := range want {
 		total += n
 	}
-	// The cloud takes few calls: what comes within a moment is asked for
-	// together, unless it fills a rental of its own.
 	if total == 0 || total < wire.MaxRent/2 && now.Sub(c.rentedAt) < c.cfg.CloudGap {
 		return
 	}
 	c.rentedAt = now
 	for k, n := range want {
 		for ; n > 0; n -= wire.MaxRent {
-			c.rentSeq++
-			req := wire.RentRequest{
-				// The term makes the name this owner's alone, for ever.
-				Request: fmt.Sprintf("rv-%s-%d-%d", c.cfg.Shard, c.term, c.rentSeq),
-				Type:    k.typ, Zone: c.cfg.Shard, Spot: k.spot, Count: min(n, wire.MaxRent),
-			}
-			c.pendingRents[req.Request] = &rental{req: req, at: now}
-			c.actions = append(c.actions, Rent{req})
-			slog.Info("renting", "shard", c.cfg.Shard, "type", k.typ, "spot", k.spot, "count", req.Count)
+			c.requestMachines(now, k, min(n, wire.MaxRent))
 		}
 	}
 }
 
+// requestMachines makes one rental.
+func (c *Core) requestMachines(now time.Time, k kind, count int) {
+	c.rentSeq++
+	req := wire.RentRequest{
+		// The term makes the name this owner's alone, for ever.
+		Request: fmt.Sprintf("rv-%s-%d-%d", c.cfg.Shard, c.term, c.rentSeq),
+		Type:    k.typ, Zone: c.cfg.Shard, Spot: k.spot, Count: count,
+	}
+	c.pendingRents[req.Request] = &rental{req: req, at: now}
+	c.actions = append(c.actions, Rent{req})
+	slog.Info("renting", "shard", c.cfg.Shard, "type", k.typ, "spot", k.spot, "count", count)
+}
+
 // Forecast takes in what the leader will assign here before long.
 func (c *Core) Forecast(now time.Time, f leader.Forecast) {
 	if f.Revision < c.forecast.Revision {
