--- a/apiserver/apiserver.go
+++ b/apiserver/apiserver.go
@@ -53,7 +53,7 @@
 	// Counts carries a shard's counts of running and done tasks by job.
 	Counts struct {
 		Shard string
-		Jobs  map[string][2]int
+		Jobs  state.CountsByJob
 	}
 	// Metrics asks for figures in the text format that Prometheus reads.
 	Metrics struct{ Req Request }
@@ -99,7 +99,7 @@
 	jobs    map[string]known
 	rev     uint64
 	types   []wire.MachineType
-	counts  map[string]map[string][2]int
+	counts  map[string]state.CountsByJob
 	next    []*poll // arrived since the last read began
 	reading bool
 	readAt  time.Time     // when the last read began
@@ -116,7 +116,7 @@
 // New makes an API server that is spoken to through self and tells control of
 // cancellations.
 func New(set *settings.Settings, store Store, self, control *actor.Ref) *Server {
-	return &Server{control: control, set: set, sizes: set.Sizes(), store: store, self: self, jobs: map[string]known{}, counts: map[string]map[string][2]int{}, stats: newStats(), gap: set.ReadGap()}
+	return &Server{control: control, set: set, sizes: set.Sizes(), store: store, self: self, jobs: map[string]known{}, counts: map[string]state.CountsByJob{}, stats: newStats(), gap: set.ReadGap()}
 }
 
 // Receive implements actor.Handler.
--- a/apiserver/polls.go
+++ b/apiserver/polls.go
@@ -125,12 +125,12 @@
 	s := wire.JobState{ID: p.id, Status: k.end, Done: k.closed}
 	if k.end == "" {
 		s.Status = wire.JobQueued
-		for _, shard := range d.counts {
-			s.Running += shard[p.id][0]
-			s.Done += shard[p.id][1]
+		var tasks state.TaskCounts
+		for _, jobs := range d.counts {
+			tasks = tasks.Plus(jobs[p.id])
 		}
-		s.Done = min(s.Done, k.tasks)
-		s.Running = min(s.Running, k.tasks-s.Done)
+		s.Done = min(s.Done+tasks.Done(), k.tasks)
+		s.Running = min(tasks.Running(), k.tasks-s.Done)
 		if s.Running > 0 {
 			s.Status = wire.JobRunning
 		}
--- a/node/control.go
+++ b/node/control.go
@@ -68,7 +68,7 @@
 	shardStatus struct { // from a shard's actor
 		shard     string
 		aggregate leader.Aggregate
-		counts    map[string][2]int
+		counts    state.CountsByJob
 		summary   shard.Summary
 	}
 	termUsedUp struct{ shard string }       // the owner needs a new term
--- a/node/peers.go
+++ b/node/peers.go
@@ -32,7 +32,7 @@
 	if due {
 		c.pushAllAt = now
 	}
-	s := peer.Status{Node: c.set.Node, StateOK: c.stateOK(now), Revision: c.revision, Ask: ask, Counts: map[string]map[string][2]int{}}
+	s := peer.Status{Node: c.set.Node, StateOK: c.stateOK(now), Revision: c.revision, Ask: ask, Counts: map[string]state.CountsByJob{}}
 	for shard, st := range c.status {
 		s.Aggregates = append(s.Aggregates, st.aggregate)
 		if due {
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -18,6 +18,7 @@
 	"ravenport/constants"
 	"ravenport/leader"
 	"ravenport/shard"
+	"ravenport/state"
 	"ravenport/wire"
 )
 
@@ -37,7 +38,7 @@
 	// nobody reaches the state service; see docs/safety.md, point 12.
 	Ask []Held `json:"ask,omitempty"`
 	// Counts are tasks running, and done in open assignments, by shard and job.
-	Counts map[string]map[string][2]int `json:"counts,omitempty"`
+	Counts map[string]state.CountsByJob `json:"counts,omitempty"`
 }
 
 // Held is a term that a controller holds.
--- a/shard/push.go
+++ b/shard/push.go
@@ -5,6 +5,7 @@
 
 	"ravenport/constants"
 	"ravenport/leader"
+	"ravenport/state"
 	"ravenport/wire"
 )
 
@@ -79,19 +80,19 @@
 
 // Counts returns the tasks of each job that run here, and those that are done
 // in assignments not closed yet, for display.
-func (c *Core) Counts() map[string][2]int {
-	out := make(map[string][2]int, len(c.jobs))
+func (c *Core) Counts() state.CountsByJob {
+	out := make(state.CountsByJob, len(c.jobs))
 	for id, j := range c.jobs {
-		var n [2]int
+		var n state.TaskCounts
 		for _, t := range j.tasks {
 			switch {
 			case t.done:
-				n[1]++
+				n.AddDone()
 			case t.hold != nil && (t.hold.state == wire.TaskRunning || t.hold.state == wire.TaskSaving):
-				n[0]++
+				n.AddRunning()
 			}
 		}
-		if n[0]+n[1] > 0 {
+		if !n.Empty() {
 			out[id] = n
 		}
 	}
