--- a/cmd/ravenport/main.go
+++ b/cmd/ravenport/main.go
@@ -34,25 +34,28 @@
 }
 
 // files are the paths of the settings files.
-type files struct{ config, properties, detection string }
+type files struct{ config, properties, detection, duties string }
 
 // flags adds the flags that name the settings files to a command.
 func (f *files) flags(cmd *cobra.Command) {
 	cmd.Flags().StringVar(&f.config, "config", "", "path of the platform's settings file (TOML)")
 	cmd.Flags().StringVar(&f.properties, "properties", "", "path of the operators' own settings (Java-style properties;\ndefault: "+settings.PropertiesName+" beside the settings file, if there)")
 	cmd.Flags().StringVar(&f.detection, "failure-detection", "", "path of the settings of failure detection (Java-style properties;\nwithout it there is none)")
+	cmd.Flags().StringVar(&f.duties, "duties", "", "path of the settings of duties (Java-style properties;\nwithout it they are done as ever)")
 	if err := cmd.MarkFlagRequired("config"); err != nil {
-		panic(err) // the flag was defined three lines above
+		panic(err) // the flag was defined four lines above
 	}
 }
 
 // load reads and checks the files.
 func (f *files) load() (*settings.Settings, error) {
 	set, err := settings.Load(f.config, f.properties)
-	if err != nil || f.detection == "" {
-		return set, err
+	if err == nil && f.detection != "" {
+		set.Detection, err = settings.LoadDetection(f.detection)
+	}
+	if err == nil && f.duties != "" {
+		set.Duties, err = settings.LoadDuties(f.duties)
 	}
-	set.Detection, err = settings.LoadDetection(f.detection)
 	return set, err
 }
 
--- a/node/actors.go
+++ b/node/actors.go
@@ -220,7 +220,7 @@
 	limits := set.StateLimits()
 	cfg := shard.Config{
 		Shard: name, Report: set.Report(), LeaseEnd: set.LeaseEnd(), LeaseExtension: set.LeaseExtension(),
-		IdleSpot: set.Operator.IdleSpot, IdleOrdinary: set.Operator.IdleOrdinary, UseSpot: set.Operator.UseSpot,
+		IdleSpot: set.Operator.IdleSpot, IdleOrdinary: set.Operator.IdleOrdinary, UseSpot: set.Operator.UseSpot, CloseFirst: set.Duties.CloseFirst,
 		GangWait: settings.Seconds(set.Params.Workers.GangWaitS), GangPeer: settings.Seconds(set.Params.Workers.GangPeerS),
 		ListLag: time.Duration(set.Params.Cloud.ListLagS * float64(time.Second)),
 		Sizes:   set.Sizes(), TxnOps: limits.TxnOps, WriteRPS: max(limits.WriteRPS, 1), CloudGap: set.CloudGap(), Order: leader.NewOrder(set.Params.Objectives), Budget: set.RoundBudget(),
--- a/node/standin_cloud_test.go
+++ b/node/standin_cloud_test.go
@@ -64,10 +64,13 @@
 }
 
 func (c *simCloud) Return(ctx context.Context, names []string) error {
+	asked := time.Now()
+	c.n.w.do(func() { c.n.w.returnAsked(c.n) })
 	c.n.stand()
 	time.Sleep(100 * time.Millisecond)
 	c.n.w.mu.Lock()
 	defer c.n.w.mu.Unlock()
+	c.n.w.noteLateReturn(asked, names)
 	if c.n.w.cloudOut || c.n.w.noReturn || c.n.w.cutZone == c.n.set.Zone {
 		return cloud.ErrTrouble
 	}
@@ -77,6 +80,34 @@
 	return nil
 }
 
+// returnAsked notes that a return was decided. The caller holds the lock.
+func (w *world) returnAsked(by *simNode) {
+	w.seen["returns asked"]++
+	if w.onReturn != nil {
+		w.onReturn(by)
+	}
+}
+
+// noteLateReturn counts returns that are carried out long after they were decided, and
+// the tasks that came to the machines since. The caller holds the lock.
+func (w *world) noteLateReturn(asked time.Time, names []string) {
+	if time.Since(asked) < 5*time.Second {
+		return
+	}
+	for _, name := range names {
+		w.seen["late returns"]++
+		m := w.machines[name]
+		if m == nil {
+			continue
+		}
+		for _, task := range m.held {
+			if onMachine(task.state) && task.since.After(asked) {
+				w.seen["running tasks taken by a late return"]++
+			}
+		}
+	}
+}
+
 // remove takes a machine away. The caller holds the lock.
 func (w *world) remove(name string) {
 	if m := w.machines[name]; m != nil {
--- a/node/standin_test.go
+++ b/node/standin_test.go
@@ -75,9 +75,10 @@
 	tame bool      // machines come up, and rentals are answered
 
 	times    times
-	lossless bool          // no answer of a worker, or to one, is lost by chance
-	pause    time.Duration // between two looks of a worker at itself; 0: 100 ms
-	upIn     time.Duration // machines are up within this after their rental; 0: after seconds
+	onReturn func(by *simNode) // called as a return is decided, with the lock held
+	lossless bool              // no answer of a worker, or to one, is lost by chance
+	pause    time.Duration     // between two looks of a worker at itself; 0: 100 ms
+	upIn     time.Duration     // machines are up within this after their rental; 0: after seconds
 
 	// What befalls transactions: shares of them.
 	lostAnswers float64       // carried out at once, only the answer is lost
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -37,6 +37,7 @@
 	Operator Operator `toml:"-"`
 	// Detection is nil where failure detection is off.
 	Detection *Detection `toml:"-"`
+	Duties    Duties     `toml:"-"`
 }
 
 // Peer is another controller.
--- /dev/null
+++ b/shard/closing_test.go
@@ -0,0 +1,116 @@
+package shard
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"ravenport/constants"
+	"ravenport/state"
+)
+
+// returns lists the machines that actions ask the cloud to take back.
+func returns(acts []Action) []string {
+	var names []string
+	for _, a := range acts {
+		if r, ok := a.(Return); ok {
+			names = append(names, r.Names...)
+		}
+	}
+	return names
+}
+
+// closes lists the machines that written pages name as closed.
+func closes(t *testing.T, acts []Action) []string {
+	t.Helper()
+	var names []string
+	for _, a := range acts {
+		cm, ok := a.(Commit)
+		if !ok {
+			continue
+		}
+		for _, ch := range cm.Txn.Then {
+			record, err := state.Decode(ch.Put, ch.Value)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if page, ok := record.(*state.Page); ok {
+				for _, m := range page.Machines() {
+					if m.Closed {
+						names = append(names, m.Name)
+					}
+				}
+			}
+		}
+	}
+	return names
+}
+
+// An idle machine is returned only after the write that closes it was surely carried
+// out, however often that fails, and takes nothing from the decision on.
+func TestMachineIsClosedBeforeItsReturn(t *testing.T) {
+	r := newRig(nil)
+	r.cfg.CloseFirst, r.cfg.IdleSpot, r.cfg.IdleOrdinary = true, 10*time.Second, 10*time.Second
+	r.fleet(3)
+	closed, refused := 0, 0
+	for range 200 {
+		r.now = r.now.Add(300 * time.Millisecond)
+		for name := range r.machines {
+			r.Report(r.now, report(name, 1, uint64(10+r.now.UnixMilli()), r.shown(name)))
+		}
+		acts := r.Step(r.now)
+		if names := returns(acts); len(names) > 0 && closed == 0 {
+			t.Fatalf("%v returned before any write that closes them", names)
+		}
+		if names := closes(t, acts); len(names) > 0 {
+			if refused < 3 { // the write fails; nobody may be returned for it
+				refused++
+				r.Committed(r.now, "roster/", 0)
+				continue
+			}
+			closed = len(names)
+			r.write(acts)
+			r.submit(array("run-1", 8, "a")) // comes now, and finds no machine that may take it
+		}
+		for _, m := range r.machines {
+			if m.closing.decided && len(m.holds) > 0 {
+				t.Fatalf("%s is closed and takes a task", m.name)
+			}
+		}
+	}
+	if refused < 3 || closed == 0 {
+		t.Errorf("%d writes refused, %d machines closed", refused, closed)
+	}
+}
+
+// The next owner reads that a machine is closed, places nothing on it though it has
+// room and reports in good health, and asks for its return itself, whether or not it
+// closes machines by its own settings.
+func TestNextOwnerKeepsClosedMachinesClosed(t *testing.T) {
+	for _, closeFirst := range []bool{true, false} {
+		r := newRig(nil, state.Machine{Name: "m-1", Type: "box", Addr: "m-1", Closed: true}, state.Machine{Name: "m-2", Type: "box", Addr: "m-2"})
+		r.cfg.CloseFirst = closeFirst
+		r.submit(array("run-1", 16, "a"))
+		var asked []string
+		for i := range 40 {
+			r.now = r.now.Add(300 * time.Millisecond)
+			for _, name := range []string{"m-1", "m-2"} {
+				if r.machines[name] != nil {
+					r.Report(r.now, report(name, 1, uint64(1+i), r.term<<constants.EpochBits))
+				}
+			}
+			acts := r.Step(r.now)
+			asked = append(asked, returns(acts)...)
+			r.write(acts)
+		}
+		if !slices.Contains(asked, "m-1") || slices.Contains(asked, "m-2") {
+			t.Errorf("by its settings %v it returned %v", closeFirst, asked)
+		}
+		if n := len(r.machines["m-1"].holds); n > 0 {
+			t.Errorf("%d tasks on a closed machine", n)
+		}
+		if len(r.machines["m-2"].holds) == 0 {
+			t.Error("nothing runs on the other one")
+		}
+	}
+}
--- a/shard/core.go
+++ b/shard/core.go
@@ -23,6 +23,7 @@
 	IdleSpot       time.Duration
 	IdleOrdinary   time.Duration
 	UseSpot        bool
+	CloseFirst     bool // a machine is durably closed before it is returned
 	ListLag        time.Duration
 	CloudGap       time.Duration // between calls of one kind to the cloud that can wait for each other
 	Sizes          state.Sizes   // the state service's limits on a record
--- a/shard/inventory.go
+++ b/shard/inventory.go
@@ -52,6 +52,11 @@
 		m.page = r.Number
 		p.put(e.Name)
 		m.durable, m.inventoryAddr = true, e.Addr
+		if e.Closed {
+			c.noteClosed(m)
+		} else if m.closing.decided {
+			p.dirty = true // a version that does not know the mark has dropped it
+		}
 		if m.addr == "" {
 			m.addr = e.Addr
 		}
@@ -184,7 +189,7 @@
 		if m == nil || m.leaving {
 			continue
 		}
-		out = append(out, state.Machine{Name: name, Type: m.typeName, Spot: m.spot, Addr: m.addr, RentedS: m.rentedAt.Unix()})
+		out = append(out, state.Machine{Name: name, Type: m.typeName, Spot: m.spot, Addr: m.addr, RentedS: m.rentedAt.Unix(), Closed: m.closing.decided})
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].Name < out[b].Name })
 	return out
@@ -271,6 +276,9 @@
 		for _, e := range sent {
 			if m := c.machines[e.Name]; m != nil {
 				m.durable, m.inventoryAddr = true, e.Addr
+				if e.Closed {
+					c.noteClosed(m)
+				}
 			}
 		}
 		c.dirty = true
--- a/shard/model.go
+++ b/shard/model.go
@@ -119,6 +119,7 @@
 	rentedAt     time.Time
 	idleSince    time.Time
 	returning    bool
+	closing      closing
 	draining     bool // its tasks move elsewhere; it takes new ones last
 	spareSince   time.Time
 	avoidUntil   time.Time
--- a/shard/silence.go
+++ b/shard/silence.go
@@ -138,9 +138,14 @@
 		if why != "" {
 			slog.Info("returning machine", "machine", m.name, "why", why, "spot", m.spot, "unlisted", m.vanished(), "known", sum.known, "heard", heard)
 			m.returning = true
+			if c.cfg.CloseFirst {
+				c.close(m)
+				continue
+			}
 			names = append(names, m.name)
 		}
 	}
+	names = append(names, c.closedToReturn(wire.MaxReturn-len(names))...)
 	if len(names) > 0 {
 		c.returnedAt = now
 		c.actions = append(c.actions, Return{names})
--- a/state/records.go
+++ b/state/records.go
@@ -94,6 +94,8 @@
 	// Coming are those that have not, with the time of day of their rental (s):
 	// nothing was ever sent to them.
 	Coming map[string]int64 `json:"c,omitempty"`
+	// Closed are those of both that are to be returned: they never take a task again.
+	Closed []string `json:"x,omitempty"`
 }
 
 // Machine is one machine of a page.
@@ -101,6 +103,7 @@
 	Name, Type, Addr string // no address: it has not come up
 	Spot             bool
 	RentedS          int64
+	Closed           bool // it is to be returned, and never takes a task again
 }
 
 // Add puts a machine on the page.
@@ -120,6 +123,9 @@
 	} else {
 		p.Groups[at].Coming[m.Name] = m.RentedS
 	}
+	if m.Closed {
+		p.Groups[at].Closed = append(p.Groups[at].Closed, m.Name)
+	}
 }
 
 // Machines lists the machines of the page.
@@ -127,10 +133,10 @@
 	var out []Machine
 	for _, g := range p.Groups {
 		for name, addr := range g.Up {
-			out = append(out, Machine{Name: name, Type: g.Type, Spot: g.Spot, Addr: addr})
+			out = append(out, Machine{Name: name, Type: g.Type, Spot: g.Spot, Addr: addr, Closed: slices.Contains(g.Closed, name)})
 		}
 		for name, at := range g.Coming {
-			out = append(out, Machine{Name: name, Type: g.Type, Spot: g.Spot, RentedS: at})
+			out = append(out, Machine{Name: name, Type: g.Type, Spot: g.Spot, RentedS: at, Closed: slices.Contains(g.Closed, name)})
 		}
 	}
 	slices.SortFunc(out, func(a, b Machine) int { return strings.Compare(a.Name, b.Name) })
