--- a/constants/constants.go
+++ b/constants/constants.go
@@ -158,15 +158,15 @@
 	// PeersAway is when a controller that heard from no other one, though some
 	// are alive, takes itself for cut off.
 	PeersAway = 3 * time.Second
-	// PromiseLife is how long a controller that promised claims nothing, and
+	// ExtensionLife is how long a controller that promised claims nothing, and
 	// what a starting one waits, since its forerunner may have promised. Long
 	// enough to be renewed three times within.
-	PromiseLife = 1500 * time.Millisecond
-	// PromiseEvery is how often promises are asked for.
-	PromiseEvery = 400 * time.Millisecond
-	// PromiseQuiet is how long nothing must have come from the state service
-	// before promises are asked for or given: a renewal's answer comes sooner.
-	PromiseQuiet = time.Second
+	ExtensionLife = 1500 * time.Millisecond
+	// ExtensionEvery is how often lease extensions are asked for.
+	ExtensionEvery = 400 * time.Millisecond
+	// ExtensionQuiet is how long nothing must have come from the state service
+	// before lease extensions are asked for or given: a renewal's answer comes sooner.
+	ExtensionQuiet = time.Second
 	// HandBackAfter is how long a better-placed controller must have been
 	// up before it is given its shard back.
 	HandBackAfter = 5 * time.Second
--- a/node/actors.go
+++ b/node/actors.go
@@ -241,7 +241,7 @@
 func (a *shardActor) Receive(ctx context.Context, msg any) {
 	now := time.Now()
 	if a.over {
-		if b, ok := msg.(beat); ok {
+		if b, ok := msg.(workerReport); ok {
 			refuseReport(b)
 		}
 		return
@@ -258,8 +258,8 @@
 		a.revision = m.Revision
 	case apiserver.Cancelled:
 		a.core.Cancelled(m.ID)
-	case beat:
-		a.beat(now, m)
+	case workerReport:
+		a.workerReport(now, m)
 	case authority:
 		a.core.SetAuthority(time.Time(m))
 	case packs:
@@ -306,11 +306,11 @@
 	a.after(ctx, now)
 }
 
-func refuseReport(m beat) {
+func refuseReport(m workerReport) {
 	m.req.Answer(&httpwire.Response{Status: 503, Body: []byte(`{"error":"not entitled"}`), RetryAfterS: constants.RetryAfterS})
 }
 
-func (a *shardActor) beat(now time.Time, m beat) {
+func (a *shardActor) workerReport(now time.Time, m workerReport) {
 	reply, ok := a.core.Report(now, m.report)
 	if !ok {
 		refuseReport(m)
--- a/node/control.go
+++ b/node/control.go
@@ -23,15 +23,15 @@
 
 // Messages to the control actor.
 type (
-	tick time.Time
-	beat struct {
+	tick         time.Time
+	workerReport struct {
 		req    request
 		report *wire.Report
 	}
 	health      struct{ req request }
 	statusAsked struct{ req request }
 	peerStatus  peer.Status
-	peerAsk     struct { // a status that asks for a promise
+	peerAsk     struct { // a status that asks for a lease extension
 		status peer.Status
 		answer chan<- peer.Reply // has room for the answer
 	}
@@ -121,7 +121,7 @@
 
 	cancels       cancellations
 	started       time.Time
-	promisedUntil time.Time            // until then nothing is claimed
+	noClaimsUntil time.Time            // until then nothing is claimed
 	grants        map[string]time.Time // by controller: when what it promised was asked for
 
 	owners           map[string]*child
@@ -178,8 +178,8 @@
 	switch m := msg.(type) {
 	case state.Update:
 		c.update(ctx, now, m)
-	case beat:
-		c.beat(now, m)
+	case workerReport:
+		c.workerReport(now, m)
 	case health:
 		c.health(now, m)
 	case statusAsked:
@@ -209,7 +209,7 @@
 		c.peerStatus(now, peer.Status(m))
 	case peerAsk:
 		c.peerStatus(now, m.status)
-		m.answer <- c.promise(now, m.status)
+		m.answer <- c.grantExtension(now, m.status)
 	case peerReply:
 		c.pushing[m.node] = false
 		c.granted(now, m)
@@ -412,9 +412,9 @@
 	}()
 }
 
-// beat hands a worker's report to the owner of its shard, or points the worker
+// workerReport hands a worker's report to the owner of its shard, or points the worker
 // to the controller that owns it.
-func (c *control) beat(now time.Time, m beat) {
+func (c *control) workerReport(now time.Time, m workerReport) {
 	if p, ok := c.shardOf[m.report.Machine]; ok && p != m.report.Zone {
 		// A machine never changes shard: two owners must not command it.
 		if !c.odd[m.report.Machine] {
--- a/node/promise.go
+++ b/node/extension.go
@@ -14,10 +14,10 @@
 
 // quiet says that nothing has come from the state service for a moment.
 func (c *control) quiet(now time.Time) bool {
-	return c.synced && now.Sub(c.heardAt) > constants.PromiseQuiet
+	return c.synced && now.Sub(c.heardAt) > constants.ExtensionQuiet
 }
 
-// asks lists the terms for which promises are asked now.
+// asks lists the terms for which lease extensions are asked now.
 func (c *control) asks(now time.Time) []peer.Held {
 	if !c.quiet(now) || c.lease == 0 || len(c.set.Peers) == 0 {
 		return nil
@@ -29,8 +29,8 @@
 	return out
 }
 
-// promise answers whether this controller claims nothing for a while.
-func (c *control) promise(now time.Time, s peer.Status) peer.Reply {
+// grantExtension answers whether this controller claims nothing for a while.
+func (c *control) grantExtension(now time.Time, s peer.Status) peer.Reply {
 	r := peer.Reply{Node: c.set.Node, Cancels: c.cancels.latest}
 	if c.cancels.all(s.Revision) {
 		r.Named, r.Cancelled = true, c.cancels.since(s.Revision)
@@ -48,18 +48,18 @@
 			return r
 		}
 	}
-	c.promisedUntil = now.Add(constants.PromiseLife)
-	r.Promise = true
+	c.noClaimsUntil = now.Add(constants.ExtensionLife)
+	r.Extends = true
 	return r
 }
 
 // claimsHeld says that no claim may be made: this controller has promised, or
 // its forerunner, ended a moment ago, may have.
 func (c *control) claimsHeld(now time.Time) bool {
-	return now.Before(c.promisedUntil) || now.Sub(c.started) < constants.PromiseLife
+	return now.Before(c.noClaimsUntil) || now.Sub(c.started) < constants.ExtensionLife
 }
 
-// granted takes in what another controller answered. A promise counts from
+// granted takes in what another controller answered. A lease extension counts from
 // before it was asked for, and only if this one knows of every cancellation that
 // the other may have told of: by its feed, or because the other named them. They
 // reach the owners here before the authority that they are a condition of.
@@ -70,7 +70,7 @@
 	for _, x := range m.reply.Cancelled {
 		c.cancelled(x)
 	}
-	if m.err != nil || !m.reply.Promise || !m.reply.Named && m.reply.Cancels > c.revision {
+	if m.err != nil || !m.reply.Extends || !m.reply.Named && m.reply.Cancels > c.revision {
 		delete(c.grants, m.node)
 		return
 	}
@@ -79,7 +79,7 @@
 }
 
 // ownersUntil is when the authority of the owners here ends: as drawn out by
-// promises of all other controllers, if there are.
+// lease extensions of all other controllers, if there are.
 func (c *control) ownersUntil() time.Time {
 	u := c.until()
 	if u.IsZero() || len(c.set.Peers) == 0 {
@@ -95,7 +95,7 @@
 			first = q
 		}
 	}
-	life := time.Duration(float64(min(c.authority, constants.PromiseLife))*(1-constants.ClockDrift)) - constants.AuthorityMargin
+	life := time.Duration(float64(min(c.authority, constants.ExtensionLife))*(1-constants.ClockDrift)) - constants.AuthorityMargin
 	if x := first.Add(life); x.After(u) {
 		return x
 	}
--- a/node/meetings_test.go
+++ b/node/faults_test.go
@@ -26,7 +26,7 @@
 
 func (w *world) work(t *testing.T, runS float64) *busy {
 	t.Helper()
-	b := &busy{long: w.lots(1, runS), free: w.newArray("run-000001", 4, 1, runS)}
+	b := &busy{long: w.boundArrays(1, runS), free: w.newArray("run-000001", 4, 1, runS)}
 	go w.user(b.free, 0, 0)
 	for i := range 4 { // of 5 CPUs each, where 10 are allowed
 		j := w.newArray(fmt.Sprintf("run-0001%02d", i), 1, 5, runS)
@@ -205,8 +205,8 @@
 	return out
 }
 
-// lotsOf submits one-task jobs of so many CPUs all at once.
-func (w *world) lotsOf(first int, cpus float64, n int, runS float64) []*simJob {
+// boundArraysOf submits one-task jobs of so many CPUs all at once.
+func (w *world) boundArraysOf(first int, cpus float64, n int, runS float64) []*simJob {
 	var out []*simJob
 	for i := range n {
 		j := w.newArray(fmt.Sprintf("run-%06d", first+i), 1, cpus, runS)
@@ -239,7 +239,7 @@
 	return j.told != ""
 }
 
-// came sees that something came about in a scene.
+// came sees that something came about in a scenario.
 func (w *world) came(t *testing.T, what string, least int) {
 	t.Helper()
 	w.mu.Lock()
@@ -286,7 +286,7 @@
 	})
 }
 
-// hangs is a scene in which machines hang and, at that moment, jobs on them are
+// hangs is a scenario in which machines hang and, at that moment, jobs on them are
 // cancelled; something more befalls the deployment then.
 func hangs(more func(*testing.T, *world, []*simWorker)) func(*testing.T, *world) {
 	return func(t *testing.T, w *world) {
@@ -304,13 +304,13 @@
 	}
 }
 
-// TestMeetings plays the meetings of troubles that users have seen break rules of
+// TestFaultCombinations plays the meetings of troubles that users have seen break rules of
 // schedulers like this one.
-func TestMeetings(t *testing.T) {
+func TestFaultCombinations(t *testing.T) {
 	zones := []string{"a", "b", "c"}
 	owner := func(w *world, z string) *simNode { return w.nodes[w.holder(state.KeyShard(z))] }
 	leader := func(w *world) *simNode { return w.nodes[w.holder(state.KeyLeader)] }
-	list := []scene{
+	list := []scenario{
 		{name: "held reports come as a new leader begins", guard: func(w *world) { w.freshCopies = true },
 			play: func(t *testing.T, w *world) {
 				w.do(func() { w.keepCopies = true })
@@ -408,16 +408,16 @@
 			}},
 		{name: "cancellations while a shard changes hands",
 			play: func(t *testing.T, w *world) {
-				lots := [][]*simJob{w.lots(1, 200), w.lots(2, 200), w.lots(3, 200)}
-				w.allRun(t, lots...)
+				boundArrays := [][]*simJob{w.boundArrays(1, 200), w.boundArrays(2, 200), w.boundArrays(3, 200)}
+				w.allRun(t, boundArrays...)
 				n := owner(w, "a")
-				w.newTerm(t, state.KeyShard("a"), func() { n.kill(); w.cancelSoon(t, lots[0][0], 20*time.Second) })
-				w.cancelSoon(t, lots[0][1], 20*time.Second)
+				w.newTerm(t, state.KeyShard("a"), func() { n.kill(); w.cancelSoon(t, boundArrays[0][0], 20*time.Second) })
+				w.cancelSoon(t, boundArrays[0][1], 20*time.Second)
 				n.start()
 				// It is given its shard back in good health: cancellations all the while.
 				w.newTerm(t, state.KeyShard("a"), func() {
 					go func() {
-						for _, lot := range lots[1:] {
+						for _, lot := range boundArrays[1:] {
 							for node, j := range lot {
 								time.Sleep(2 * time.Second)
 								w.cancelAt(node, j)
@@ -427,7 +427,7 @@
 					}()
 				})
 				time.Sleep(15 * time.Second)
-				w.settle(t, 5*time.Minute, slices.Concat(lots...))
+				w.settle(t, 5*time.Minute, slices.Concat(boundArrays...))
 				w.came(t, "close looks", 20)
 			}},
 		{name: "ten leaders in two minutes, also inside an outage",
@@ -546,11 +546,11 @@
 		{name: "commands are held up for seconds and carried out",
 			play: func(t *testing.T, w *world) {
 				// All owners end just after they decided starts that are held up on their way.
-				w.lotsOf(0, 3, 24, 30) // machines are there
+				w.boundArraysOf(0, 3, 24, 30) // machines are there
 				w.do(func() { w.late = 0.8 })
 				var lot []*simJob
 				for i := range 6 {
-					lot = append(lot, w.lotsOf(100*(i+1), 3, 16, 25)...)
+					lot = append(lot, w.boundArraysOf(100*(i+1), 3, 16, 25)...)
 					w.until(t, "starts are decided", 30*time.Second, func() bool { return len(w.begun(lot)) > 4*i })
 					for _, n := range w.nodes {
 						n.restart(w.between(500*time.Millisecond, 2*time.Second))
@@ -688,7 +688,7 @@
 				w.do(func() { n.cutState = true })
 				other := (slices.Index(w.nodes, n) + 1) % 3
 				if !w.cancelAt(other, b.long[0]) || !w.cancelAt(other, b.free) {
-					w.stopScene(t, "nobody confirmed")
+					w.stopScenario(t, "nobody confirmed")
 				}
 				w.look(b.free)
 				w.setOutage(true)
@@ -705,7 +705,7 @@
 			s.times = umoyaTimes
 		}
 	}
-	scenes(t, list)
+	scenarios(t, list)
 }
 
 // openJobs is how many records a controller keeps.
@@ -745,7 +745,7 @@
 			f["shape"] = wire.KindService
 		},
 	}
-	scenes(t, []scene{{name: "while controllers end", times: magnoliaTimes, zones: []string{"a", "b", "c"}, seeds: []uint64{1, 2}, play: func(t *testing.T, w *world) {
+	scenarios(t, []scenario{{name: "while controllers end", times: magnoliaTimes, zones: []string{"a", "b", "c"}, seeds: []uint64{1, 2}, play: func(t *testing.T, w *world) {
 		done := w.newArray("run-000000", 2, 1, 3)
 		go w.user(done, 0, 0)
 		w.until(t, "a job is done", 2*time.Minute, func() bool { return w.ended(done) })
--- a/node/node.go
+++ b/node/node.go
@@ -258,7 +258,7 @@
 			r.Answer(&httpwire.Response{Status: 400, Body: []byte(`{"error":"malformed report"}`)})
 			return
 		}
-		n.self.Tell(beat{r, rep})
+		n.self.Tell(workerReport{r, rep})
 	case path == wire.PathHealth:
 		if methods("GET") {
 			n.self.Tell(health{r})
--- a/node/overload_test.go
+++ b/node/overload_test.go
@@ -18,15 +18,15 @@
 // crush is a leader and two owners whose machines cannot grow in number, fed by
 // hand step by step with three times the work that they can do. Everything is
 // carried out at once and by simulated time.
-type crush struct {
+type overload struct {
 	rng     *rand.Rand
 	now     time.Time
 	rev     uint64
 	leader  *leader.Core
 	owners  map[string]*shard.Core
-	workers map[string]*crushWorker
+	workers map[string]*overloadWorker
 	names   []string
-	jobs    map[string]*crushJob
+	jobs    map[string]*overloadJob
 	order   []string
 	rounds  time.Time // the clock that rounds are taken by
 }
@@ -38,12 +38,12 @@
 // tick is the clock of rounds, by the jobs that were looked at. By the real clock a
 // busy machine cut rounds off anywhere, and once in some forty runs beside heavy
 // load a large job began late.
-func (c *crush) tick() time.Time {
+func (c *overload) tick() time.Time {
 	c.rounds = c.rounds.Add(perJob)
 	return c.rounds
 }
 
-type crushJob struct {
+type overloadJob struct {
 	rec     *state.Job
 	version uint64
 	came    time.Time
@@ -52,22 +52,22 @@
 	left    map[int]bool // tasks not done
 }
 
-type crushWorker struct {
+type overloadWorker struct {
 	name, zone string
 	seq, token uint64
-	held       map[string]*crushTask
+	held       map[string]*overloadTask
 	changed    bool
 	next       time.Time
 }
 
-type crushTask struct {
+type overloadTask struct {
 	status wire.TaskStatus
 	ends   time.Time
 }
 
-func newCrush(seed uint64) *crush {
-	c := &crush{rng: rand.New(rand.NewPCG(seed, 3)), now: time.Unix(1_000_000, 0), owners: map[string]*shard.Core{},
-		workers: map[string]*crushWorker{}, jobs: map[string]*crushJob{}}
+func newOverload(seed uint64) *overload {
+	c := &overload{rng: rand.New(rand.NewPCG(seed, 3)), now: time.Unix(1_000_000, 0), owners: map[string]*shard.Core{},
+		workers: map[string]*overloadWorker{}, jobs: map[string]*overloadJob{}}
 	set := &settings.Settings{}
 	set.Params.Zones = []string{"a", "b"}
 	set.Params.State.ValueKB, set.Params.State.WriteRPS = 8, 100
@@ -81,7 +81,7 @@
 			ListLag: 5 * time.Second, Sizes: state.Sizes{Now: 8192, Next: 8192}, TxnOps: 12, WriteRPS: 100, Order: leader.NewOrder(set.Params.Objectives)}, 1, 1, c.now, types, nil, nil, nil, nil)
 		c.owners[z].SetRoundClock(c.tick)
 		for i := range 10 {
-			w := &crushWorker{name: fmt.Sprintf("m-%s-%d", z, i), zone: z, held: map[string]*crushTask{}}
+			w := &overloadWorker{name: fmt.Sprintf("m-%s-%d", z, i), zone: z, held: map[string]*overloadTask{}}
 			c.workers[w.name] = w
 			c.names = append(c.names, w.name)
 		}
@@ -89,7 +89,7 @@
 	return c
 }
 
-func (c *crush) write(t wire.Txn) uint64 {
+func (c *overload) write(t wire.Txn) uint64 {
 	c.rev++
 	for _, ch := range t.Then {
 		rec, err := state.Decode(ch.Put, ch.Value)
@@ -101,7 +101,7 @@
 	return c.rev
 }
 
-func (c *crush) show(key string, rec any) {
+func (c *overload) show(key string, rec any) {
 	if j, ok := rec.(*state.Job); ok {
 		c.jobs[j.ID].rec, c.jobs[j.ID].version = j, c.rev
 		c.leader.ApplyJob(c.now, j.ID, j, c.rev)
@@ -111,8 +111,8 @@
 	}
 }
 
-func (c *crush) submit(s wire.Submission, life time.Duration) {
-	j := &crushJob{came: c.now, left: map[int]bool{}}
+func (c *overload) submit(s wire.Submission, life time.Duration) {
+	j := &overloadJob{came: c.now, left: map[int]bool{}}
 	for i := range s.Tasks {
 		j.left[i] = true
 	}
@@ -126,7 +126,7 @@
 }
 
 // valid says that a transaction's conditions on jobs hold.
-func (c *crush) valid(t wire.Txn) bool {
+func (c *overload) valid(t wire.Txn) bool {
 	for _, k := range t.If {
 		for id, j := range c.jobs {
 			if k.Key == state.KeyJob(id) && k.Version != j.version {
@@ -137,7 +137,7 @@
 	return true
 }
 
-func (c *crush) step() {
+func (c *overload) step() {
 	c.now = c.now.Add(250 * time.Millisecond)
 	c.leader.SetAuthority(c.now.Add(time.Hour))
 	for _, o := range c.owners {
@@ -204,7 +204,7 @@
 	}
 }
 
-func (w *crushWorker) report() *wire.Report {
+func (w *overloadWorker) report() *wire.Report {
 	w.seq++
 	r := &wire.Report{Machine: w.name, Addr: w.name, Type: "box", Zone: w.zone, Session: 1, Seq: w.seq, Token: w.token}
 	for _, x := range w.held {
@@ -213,7 +213,7 @@
 	return r
 }
 
-func (c *crush) execute(w *crushWorker, cmds []wire.Command) {
+func (c *overload) execute(w *overloadWorker, cmds []wire.Command) {
 	for _, cmd := range cmds {
 		key := fmt.Sprint(cmd.Task, "#", cmd.Attempt)
 		x := w.held[key]
@@ -224,7 +224,7 @@
 			if j.began.IsZero() {
 				j.began = c.now
 			}
-			x = &crushTask{status: wire.TaskStatus{Task: cmd.Task, Attempt: cmd.Attempt, State: wire.TaskRunning}}
+			x = &overloadTask{status: wire.TaskStatus{Task: cmd.Task, Attempt: cmd.Attempt, State: wire.TaskRunning}}
 			if !j.rec.Spec.IsService() {
 				x.ends = c.now.Add(settings.Seconds(j.rec.Spec.EstimateS))
 			}
@@ -242,8 +242,8 @@
 
 // overloaded plays minutes of lasting overload and returns the jobs that had the
 // time to be served.
-func overloaded(seed uint64) (*crush, []*crushJob) {
-	c := newCrush(seed)
+func overloaded(seed uint64) (*overload, []*overloadJob) {
+	c := newOverload(seed)
 	const capacity = 2 * 10 * 8.0 // CPUs
 	n, load := 0, 0.0
 	for quarter := 0; quarter < 8*60*4; quarter++ {
@@ -271,7 +271,7 @@
 		}
 		c.step()
 	}
-	var old []*crushJob
+	var old []*overloadJob
 	for _, id := range c.order {
 		if j := c.jobs[id]; c.now.Sub(j.came) > 4*time.Minute {
 			old = append(old, j)
@@ -286,7 +286,7 @@
 	quietLogs(t)
 	for seed := range uint64(2) {
 		_, old := overloaded(seed)
-		groups := map[string][]*crushJob{}
+		groups := map[string][]*overloadJob{}
 		sizes := map[string][]int{}
 		for _, j := range old {
 			sizes[j.rec.Spec.Class] = append(sizes[j.rec.Spec.Class], j.rec.Spec.Tasks)
--- a/node/peers.go
+++ b/node/peers.go
@@ -24,7 +24,7 @@
 // put that off: from it owners know that they are cut off, and users' counts.
 func (c *control) push(ctx context.Context, now time.Time) {
 	ask := c.asks(now)
-	due := now.Sub(c.pushAllAt) > constants.PushEvery || len(ask) > 0 && now.Sub(c.pushAllAt) > constants.PromiseEvery
+	due := now.Sub(c.pushAllAt) > constants.PushEvery || len(ask) > 0 && now.Sub(c.pushAllAt) > constants.ExtensionEvery
 	if !due && !(c.pushNow && now.Sub(c.pushAt) >= constants.PushGap) {
 		return
 	}
--- a/node/scene_test.go
+++ b/node/scenario_test.go
@@ -15,11 +15,11 @@
 	"ravenport/wire"
 )
 
-// A scene brings a meeting of troubles about, on a quiet deployment of its own
+// A scenario brings a meeting of troubles about, on a quiet deployment of its own
 // times, and says whether it came: one in which the moment never came proves
 // nothing. The world's checker judges every rule over it. guard, if there is one,
-// takes away what the scene is about, and the rules are then seen broken.
-type scene struct {
+// takes away what the scenario is about, and the rules are then seen broken.
+type scenario struct {
 	name  string
 	times times
 	zones []string
@@ -33,8 +33,8 @@
 // a guard: which one shows it depends on the order in which goroutines run.
 const guardSeeds = 24
 
-// scenes plays a list of scenes, each with its guard and without.
-func scenes(t *testing.T, list []scene) {
+// scenarios plays a list of scenarios, each with its guard and without.
+func scenarios(t *testing.T, list []scenario) {
 	t.Helper()
 	quietLogs(t)
 	for _, s := range list {
@@ -59,12 +59,12 @@
 	}
 }
 
-// run plays a scene once and returns the broken rules; without a guard taken away
+// run plays a scenario once and returns the broken rules; without a guard taken away
 // there must be none.
-func (s scene) run(t *testing.T, seed uint64, unguard func(*world)) []string {
+func (s scenario) run(t *testing.T, seed uint64, unguard func(*world)) []string {
 	w := newWorldOf(seed, s.zones, 3, s.times)
 	w.late, w.tame = 0, true
-	w.lostAnswers, w.lateWrites, w.repeats = 0, 0, 0 // but where a scene is about them
+	w.lostAnswers, w.lateWrites, w.repeats = 0, 0, 0 // but where a scenario is about them
 	for k := range w.capacity {
 		w.capacity[k] = 6
 	}
@@ -79,7 +79,7 @@
 	time.Sleep(5 * time.Second)
 	func() {
 		defer func() {
-			if p := recover(); p != nil && p != errSceneOver {
+			if p := recover(); p != nil && p != errScenarioOver {
 				panic(p)
 			}
 		}()
@@ -93,11 +93,11 @@
 	return slices.Clone(w.broken)
 }
 
-// errSceneOver ends a scene whose guard was taken away: what it would have waited for
+// errScenarioOver ends a scenario whose guard was taken away: what it would have waited for
 // need not come any more.
-var errSceneOver = errors.New("the scene is over")
+var errScenarioOver = errors.New("the scene is over")
 
-// fail fails a scene, unless its guard was taken away.
+// fail fails a scenario, unless its guard was taken away.
 func (w *world) fail(t *testing.T, format string, args ...any) {
 	t.Helper()
 	if !w.unguarded {
@@ -105,11 +105,11 @@
 	}
 }
 
-// stopScene fails a scene that cannot go on.
-func (w *world) stopScene(t *testing.T, format string, args ...any) {
+// stopScenario fails a scenario that cannot go on.
+func (w *world) stopScenario(t *testing.T, format string, args ...any) {
 	t.Helper()
 	if w.unguarded {
-		panic(errSceneOver)
+		panic(errScenarioOver)
 	}
 	t.Fatalf(format, args...)
 }
@@ -176,13 +176,13 @@
 	t.Helper()
 	for end := time.Now().Add(limit); !ok(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
-			w.stopScene(t, "it never came about: %s", what)
+			w.stopScenario(t, "it never came about: %s", what)
 		}
 	}
 }
 
 // lots adds one array for each zone, bound to it, of two tasks that run for so long.
-func (w *world) lots(id int, runS float64) []*simJob {
+func (w *world) boundArrays(id int, runS float64) []*simJob {
 	var out []*simJob
 	for i, z := range w.nodes[0].set.Params.Zones {
 		j := w.newArray(fmt.Sprintf("run-%06d", 10*id+i), 2, 2, runS)
@@ -194,10 +194,10 @@
 }
 
 // running waits until all tasks of jobs run.
-func (w *world) allRun(t *testing.T, lots ...[]*simJob) {
+func (w *world) allRun(t *testing.T, boundArrays ...[]*simJob) {
 	t.Helper()
 	w.until(t, "all tasks run", 90*time.Second, func() bool {
-		for _, lot := range lots {
+		for _, lot := range boundArrays {
 			for _, j := range lot {
 				if w.tasksOn("", j.spec.ID) < j.spec.Tasks {
 					return false
@@ -236,8 +236,8 @@
 func gap(refused, other int) func(*testing.T, *world) {
 	return func(t *testing.T, w *world) {
 		whole := w.times.cancelWithin()
-		healthy := w.lots(0, 3*whole.Seconds())
-		doomed := [][]*simJob{w.lots(1, 5*whole.Seconds()), w.lots(2, 5*whole.Seconds())}
+		healthy := w.boundArrays(0, 3*whole.Seconds())
+		doomed := [][]*simJob{w.boundArrays(1, 5*whole.Seconds()), w.boundArrays(2, 5*whole.Seconds())}
 		w.allRun(t, healthy, doomed[0], doomed[1])
 		time.Sleep(10 * time.Second)
 		for i, lot := range doomed {
@@ -249,20 +249,20 @@
 			starts := 0
 			w.do(func() { starts = w.starts })
 			if len(owned) == 0 && w.holder(state.KeyLeader) != refused {
-				w.stopScene(t, "gap %d: %s neither owns nor leads: it is not refused to any purpose", i, n.set.Node)
+				w.stopScenario(t, "gap %d: %s neither owns nor leads: it is not refused to any purpose", i, n.set.Node)
 			}
 			w.do(func() { n.cutState = true })
 			time.Sleep(w.between(100*time.Millisecond, 1200*time.Millisecond))
 			for _, j := range lot {
 				if !w.cancelAt(other, j) {
-					w.stopScene(t, "gap %d: %s did not confirm a cancellation", i, w.nodes[other].set.Node)
+					w.stopScenario(t, "gap %d: %s did not confirm a cancellation", i, w.nodes[other].set.Node)
 				}
 			}
 			confirmed := time.Now()
 			time.Sleep(w.between(50*time.Millisecond, 400*time.Millisecond))
 			for _, z := range owned {
 				if w.holder(state.KeyShard(z)) != refused {
-					w.stopScene(t, "gap %d: %s lost its shard before the outage", i, n.set.Node)
+					w.stopScenario(t, "gap %d: %s lost its shard before the outage", i, n.set.Node)
 				}
 			}
 			w.setOutage(true)
@@ -289,7 +289,7 @@
 // the machines report to can hear of it neither from the state service nor by a
 // promise refused. The guard taken away: what the others know of cancellations.
 func TestGap(t *testing.T) {
-	var list []scene
+	var list []scenario
 	for _, d := range []struct {
 		name  string
 		times times
@@ -297,7 +297,7 @@
 	}{{"magnolia", magnoliaTimes, []string{"a", "b", "c"}}, {"umoya", umoyaTimes, []string{"a", "b"}}} {
 		for refused := range 3 {
 			for _, other := range []int{(refused + 1) % 3, (refused + 2) % 3} {
-				s := scene{name: fmt.Sprintf("%s, %d refused, %d confirms", d.name, refused, other), times: d.times, zones: d.zones, seeds: []uint64{1, 2}, play: gap(refused, other)}
+				s := scenario{name: fmt.Sprintf("%s, %d refused, %d confirms", d.name, refused, other), times: d.times, zones: d.zones, seeds: []uint64{1, 2}, play: gap(refused, other)}
 				if refused < len(d.zones) {
 					s.rule, s.guard = "ran_cancelled", func(w *world) { w.untold = true }
 				}
@@ -305,5 +305,5 @@
 			}
 		}
 	}
-	scenes(t, list)
+	scenarios(t, list)
 }
--- a/node/sim_test.go
+++ b/node/sim_test.go
@@ -437,7 +437,7 @@
 // Without the promise of all others an owner gives no command and falls silent in
 // time: at once if a sibling tells it that it has been replaced, and where none
 // can, once it has tended its machines for as long as cancel_s leaves.
-func TestNoPromiseNoAuthority(t *testing.T) {
+func TestNoExtensionNoAuthority(t *testing.T) {
 	quietLogs(t)
 	for name, cut := range map[string]func(*world){
 		"refused alone": func(w *world) { w.nodes[0].cutState = true },
@@ -456,7 +456,7 @@
 				w.mu.Unlock()
 				ask := func(z string, seq uint64) bool {
 					a := &simAnswer{got: make(chan *httpwire.Response, 1)}
-					w.nodes[0].up().self.Tell(beat{a, &wire.Report{Machine: "m-x", Addr: "m-x", Type: "box", Zone: z, Session: 1, Seq: seq,
+					w.nodes[0].up().self.Tell(workerReport{a, &wire.Report{Machine: "m-x", Addr: "m-x", Type: "box", Zone: z, Session: 1, Seq: seq,
 						Tasks: []wire.TaskStatus{{Task: "run-000009/0", Attempt: 1, State: wire.TaskRunning}}}})
 					select {
 					case r := <-a.got:
--- a/node/standin_detection_test.go
+++ b/node/standin_detection_test.go
@@ -94,7 +94,7 @@
 		}
 	}
 	n.w.mu.Unlock()
-	ctl.self.Tell(beat{sleepingAnswer(d), &wire.Report{Machine: name, Addr: name, Type: "box", Zone: zone}})
+	ctl.self.Tell(workerReport{sleepingAnswer(d), &wire.Report{Machine: name, Addr: name, Type: "box", Zone: zone}})
 }
 
 // sleepingAnswer is a request that takes as long to answer.
--- a/node/standin_test.go
+++ b/node/standin_test.go
@@ -90,7 +90,7 @@
 	keepCopies bool           // all reports are kept, to come again
 	copies     []*wire.Report // those kept
 
-	seen map[string]int // what came about, for scenes to ask after
+	seen map[string]int // what came about, for scenarios to ask after
 }
 
 // times are a deployment's times that the rules depend on, and its limit on a
@@ -99,7 +99,7 @@
 	reportS, leaseS, cancelS float64
 }
 
-// The generated days' own times, and those of deployments whose scenes are played.
+// The generated days' own times, and those of deployments whose scenarios are played.
 var (
 	dayTimes      = times{3, 20, 45}
 	magnoliaTimes = times{5, 26, 56}
@@ -166,7 +166,7 @@
 		return
 	}
 	for _, m := range known { // through control to the owner, if it is here
-		ctl.self.Tell(beat{standing{n}, &wire.Report{Machine: m.name, Addr: m.name, Type: "box", Zone: m.zone}})
+		ctl.self.Tell(workerReport{standing{n}, &wire.Report{Machine: m.name, Addr: m.name, Type: "box", Zone: m.zone}})
 	}
 	ctl.self.Tell(health{standing{n}})
 	ctl.api.Tell(apiserver.Metrics{Req: standing{n}})
--- a/node/standin_user_test.go
+++ b/node/standin_user_test.go
@@ -204,5 +204,5 @@
 	if r.Machine == "m-999999" {
 		return // a machine that the cloud never rented sends nothing
 	}
-	ctl.self.Tell(beat{&simAnswer{got: make(chan *httpwire.Response, 1)}, r})
+	ctl.self.Tell(workerReport{&simAnswer{got: make(chan *httpwire.Response, 1)}, r})
 }
--- a/node/standin_worker_test.go
+++ b/node/standin_worker_test.go
@@ -105,7 +105,7 @@
 		a := &simAnswer{got: make(chan *httpwire.Response, 1)}
 		time.Sleep(w.between(time.Millisecond, 5*time.Millisecond))
 		w.do(func() { n.reported = time.Now() })
-		ctl.self.Tell(beat{a, r})
+		ctl.self.Tell(workerReport{a, r})
 		if w.keepCopies {
 			w.do(func() { w.copies = append(w.copies, r) })
 		}
@@ -477,7 +477,7 @@
 			r = &fresh
 		}
 	})
-	to.self.Tell(beat{&simAnswer{got: make(chan *httpwire.Response, 1)}, r})
+	to.self.Tell(workerReport{&simAnswer{got: make(chan *httpwire.Response, 1)}, r})
 }
 
 // restart is a worker's process that is back at once: it holds nothing of what
--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -22,7 +22,7 @@
 			Status{Node: "n-0", StateOK: true, Forecast: map[string]leader.Forecast{"a": {}}, MisroutedReports: []shard.MisroutedReport{{Machine: "m-1", Session: 2, Seq: 3}},
 				Revision: 9, Ask: []Held{{"rv/part/a", 4, 5}}, Counts: map[string]state.CountsByJob{"a": {"run-000001": {1, 2}}}}},
 		{"reply", `{"node":"n-0","promise":true,"cancels":6,"named":true,"cancelled":[{"job":"run-000001","rev":6}]}`,
-			Reply{Node: "n-0", Promise: true, Cancels: 6, Named: true, Cancelled: []Cancellation{{"run-000001", 6}}}},
+			Reply{Node: "n-0", Extends: true, Cancels: 6, Named: true, Cancelled: []Cancellation{{"run-000001", 6}}}},
 		{"relayed transaction's reply", `{"outcome":"conflict","rev":1,"failed":["k"]}`,
 			CommitReply{Outcome: OutcomeConflict, Revision: 1, Failed: []string{"k"}}},
 		{"heartbeat", `{"node":"n-0","hb":{"proc":7,"ref":1,"seq":3,"stalled":["leader"]},"acc":[{"node":"n-2","proc":9,"ref":2,"ev":["unserved"]}]}`,
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -51,9 +51,9 @@
 // Reply answers a status.
 type Reply struct {
 	Node string `json:"node"`
-	// Promise: for constants.PromiseLife from when it was asked, this controller
+	// Extends: for constants.ExtensionLife from when it was asked, this controller
 	// claims nothing.
-	Promise bool `json:"promise,omitempty"`
+	Extends bool `json:"promise,omitempty"`
 	// Cancels is the revision of the latest cancellation that it knows of.
 	Cancels uint64 `json:"cancels,omitempty"`
 	// Named: Cancelled lists every cancellation that it knows of beyond the
--- a/shard/model.go
+++ b/shard/model.go
@@ -140,8 +140,8 @@
 	unheeded         int       // direct commands without an answer since it is unconfirmed
 	answersSince     int       // answers since it last showed the token they carry
 	answeredAt       uint64    // the number of its last report that was answered, with those of direct commands right after it
-	beatAt           uint64    // the number of its last own report
-	beatIn           uint64    // the session of that
+	lastSequence     uint64    // the number of its last own report
+	lastSession      uint64    // the session of that
 	missed           bool      // its last report shows that it made others elsewhere
 }
 
--- a/shard/report.go
+++ b/shard/report.go
@@ -152,10 +152,10 @@
 		m.leaseUntil = c.leaseEnd(now, m)
 	}
 	// Who is answered stays, and its next report is the next in number.
-	m.missed = beat && m.answeredAt != 0 && r.Session == m.beatIn && r.Seq > m.answeredAt+1
+	m.missed = beat && m.answeredAt != 0 && r.Session == m.lastSession && r.Seq > m.answeredAt+1
 	if beat {
-		m.beatIn, m.beatAt, m.answeredAt = r.Session, r.Seq, r.Seq
-	} else if r.Session == m.beatIn && r.Seq == m.seq+1 {
+		m.lastSession, m.lastSequence, m.answeredAt = r.Session, r.Seq, r.Seq
+	} else if r.Session == m.lastSession && r.Seq == m.seq+1 {
 		m.answeredAt = r.Seq // the answer to a direct command counts as well
 	}
 	m.seq = r.Seq
--- a/shard/silence.go
+++ b/shard/silence.go
@@ -279,7 +279,7 @@
 // nothing.
 func (c *Core) MisroutedReports(now time.Time, list []MisroutedReport, all bool) {
 	for _, s := range list {
-		if m := c.machines[s.Machine]; m != nil && (s.Session > m.beatIn || s.Session == m.beatIn && s.Seq > m.beatAt) {
+		if m := c.machines[s.Machine]; m != nil && (s.Session > m.lastSession || s.Session == m.lastSession && s.Seq > m.lastSequence) {
 			m.misroutedAt = now
 		}
 	}
