--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -189,8 +189,13 @@
 func serveStandIns(b testing.TB, f *fleet) {
 	for addr, handle := range map[string]server.Handler{storeAddr(): f.store.handle, cloudAddr(): f.cloud.handle} {
 		s := server.New(addr, 10000, handle)
-		go s.Run()
-		<-s.Ready()
+		ended := make(chan error, 1)
+		go func() { ended <- s.Run() }()
+		select {
+		case <-s.Ready():
+		case err := <-ended:
+			b.Fatalf("a stand-in at %s: %v", addr, err)
+		}
 	}
 	go func() {
 		for range time.Tick(50 * time.Millisecond) {
--- a/internal/loopback/record_test.go
+++ b/internal/loopback/record_test.go
@@ -64,6 +64,19 @@
 	return append([]string(nil), r.broken...)
 }
 
+// present counts the tasks that are on a machine now.
+func (r *record) present() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	n := 0
+	for _, stays := range r.stays {
+		if last := stays[len(stays)-1]; last.to.IsZero() {
+			n++
+		}
+	}
+	return n
+}
+
 // everStarted counts the tasks that were on any machine.
 func (r *record) everStarted() int {
 	r.mu.Lock()
--- a/internal/loopback/takeover_test.go
+++ b/internal/loopback/takeover_test.go
@@ -35,6 +35,12 @@
 	takeoverDetection   = flag.Bool("takeover.detection", true, "failure detection is on")
 )
 
+// A fleet of more machines than fullFleet is filled with services of so many replicas.
+const (
+	fullFleet   = 100
+	fullService = 400
+)
+
 // takeoverDeployment is a deployment with short times, so that a takeover takes
 // seconds, or with those that are shipped.
 func takeoverDeployment() deployment {
@@ -47,6 +53,9 @@
 		detection: "detection.heartbeat.ms = 250\ndetection.suspect.min.ms = 700\ndetection.suspect.max.ms = 2000\n" +
 			"detection.declare.ms = 1500\ndetection.probe.timeout.ms = 250\ndetection.stall.ms = 2000",
 	}
+	if *takeoverMachines > fullFleet { // services fill the machines: a replica takes an eighth of one
+		d.services, d.replicas = *takeoverMachines*8/fullService, fullService
+	}
 	if *takeoverSlow {
 		d.period, d.leaseS, d.cancelS, d.leaseLife = 3*time.Second, 26, 56, 3500*time.Millisecond
 		d.properties, d.detection = "", "detection.revoke = true"
@@ -137,6 +146,7 @@
 	f := newFleet(t, d)
 	jobs := f.load(t)
 	time.Sleep(8 * time.Second) // machines boot, shards are rebuilt
+	f.fill(t)
 	only := regexp.MustCompile(*takeoverOnly)
 	for _, kind := range failures(d) {
 		if !only.MatchString(kind.name) {
@@ -153,10 +163,25 @@
 	f.verdict(t)
 }
 
+// fill waits until a large fleet's services run.
+func (f *fleet) fill(t *testing.T) {
+	t.Helper()
+	if f.machines <= fullFleet {
+		return
+	}
+	began := time.Now()
+	for end := began.Add(5 * time.Minute); f.record.present() < f.services*f.replicas; time.Sleep(time.Second) {
+		if time.Now().After(end) {
+			t.Fatalf("%d of %d replicas run on %d machines", f.record.present(), f.services*f.replicas, f.cloud.running())
+		}
+	}
+	t.Logf("%d replicas run on %d machines after %s", f.record.present(), f.cloud.running(), time.Since(began).Round(time.Second))
+}
+
 // fail brings one failure about and measures what comes of it.
 func (f *fleet) fail(t *testing.T, kind failure, zone string) takeover {
 	t.Helper()
-	if kind.harmless { // of a shard that is not at home it would not be known why it moves
+	if kind.harmless || kind.needsDetection { // of a shard that is not at home it would not be known why it moves
 		zone = f.atHome(t)
 	}
 	name, term := f.store.holder(zone)
