--- a/detector/detector_test.go
+++ b/detector/detector_test.go
@@ -39,8 +39,9 @@
 	now         time.Time
 	controllers []*controller
 	queue       []delivery
-	delay       func(from, to string) (time.Duration, bool) // false: lost
-	missPaused  bool                                        // what comes to a paused controller is lost, as calls are that time out
+	delay       func(from, to string) (time.Duration, bool)  // false: lost
+	read        func(c *controller, now time.Time) time.Time // what a controller's clock shows; nil: the time
+	missPaused  bool                                         // what comes to a paused controller is lost, as calls are that time out
 }
 
 func newNetwork(n int) *network {
@@ -65,6 +66,31 @@
 	return w
 }
 
+// start sets all clocks, before anything has happened.
+func (w *network) start(now time.Time) {
+	w.now = now
+	for i, c := range w.controllers {
+		c.beatAt = now.Add(time.Duration(i) * 100 * time.Millisecond)
+		d, err := New(c.detector.cfg, now)
+		if err != nil {
+			panic(err)
+		}
+		d.SetProcess(uint64(i + 1))
+		for k, other := range w.controllers {
+			d.SetLease(now, other.name, uint64(k+1))
+		}
+		c.detector = d
+	}
+}
+
+// clock is what a controller's clock shows.
+func (w *network) clock(c *controller) time.Time {
+	if w.read == nil {
+		return w.now
+	}
+	return w.read(c, w.now)
+}
+
 func (w *network) stopped(c *controller) bool { return c.dead || w.now.Before(c.pausedUntil) }
 
 // send lets something happen at another controller; what comes while it is paused
@@ -93,10 +119,10 @@
 		if to == c {
 			continue
 		}
-		w.send(c, to, func(now time.Time) {
-			_ = to.detector.Receive(now, m)
+		w.send(c, to, func(time.Time) {
+			_ = to.detector.Receive(w.clock(to), m)
 			answer := to.detector.Beat()
-			w.send(to, c, func(now time.Time) { _ = c.detector.ReceiveAnswer(now, answer) })
+			w.send(to, c, func(time.Time) { _ = c.detector.ReceiveAnswer(w.clock(c), answer) })
 		})
 	}
 }
@@ -104,9 +130,9 @@
 // probe carries out a probe; without an answer in time it fails.
 func (w *network) probe(c *controller, p Probe) {
 	answered := false
-	w.queue = append(w.queue, delivery{w.now.Add(testTimeout), func(now time.Time) {
+	w.queue = append(w.queue, delivery{w.now.Add(testTimeout), func(time.Time) {
 		if !answered && !w.stopped(c) {
-			c.detector.Probed(now, p, nil)
+			c.detector.Probed(w.clock(c), p, nil)
 		}
 	}})
 	ask := func(asker *controller, tell func(now time.Time, h Heartbeat)) {
@@ -116,7 +142,7 @@
 			w.send(target, asker, func(now time.Time) { tell(now, h) })
 		})
 	}
-	done := func(now time.Time, h Heartbeat) { answered = true; c.detector.Probed(now, p, &h) }
+	done := func(_ time.Time, h Heartbeat) { answered = true; c.detector.Probed(w.clock(c), p, &h) }
 	if p.Via == "" {
 		ask(c, done)
 		return
@@ -149,8 +175,8 @@
 			if w.stopped(c) {
 				continue
 			}
-			if !w.now.Before(c.detector.Next()) {
-				for _, p := range c.detector.Tick(w.now) {
+			if now := w.clock(c); !now.Before(c.detector.Next()) {
+				for _, p := range c.detector.Tick(now) {
 					w.probe(c, p)
 				}
 				c.history = append(c.history, c.detector.Changes()...)
--- a/member/revocation_test.go
+++ b/member/revocation_test.go
@@ -7,6 +7,7 @@
 	"pgregory.net/rapid"
 
 	"ravenport/constants"
+	"ravenport/internal/testclock"
 	"ravenport/state"
 )
 
@@ -175,3 +176,20 @@
 		t.Errorf("claimed at %v", claims)
 	}
 }
+
+// Setting the time of day neither shortens nor lengthens the wait for a revoked holder.
+func TestWallClockJumpLeavesTheWait(t *testing.T) {
+	const life = 3 * time.Second
+	now := time.Now()
+	s := detecting(now, life)
+	if !s.revoke(now, 0, state.Revocation{Node: "n-1", Incarnation: 2}, make([]time.Duration, 3)) {
+		t.Fatal("not revoked")
+	}
+	key := state.KeyShard("b")
+	for _, seconds := range []int64{-86400, -3, 3, 86400} {
+		early, late := now.Add(life), now.Add(life+constants.AuthorityMargin+10*time.Millisecond)
+		if s.cores[0].outlived(testclock.JumpWall(early, seconds), key) || !s.cores[0].outlived(testclock.JumpWall(late, seconds), key) {
+			t.Errorf("a jump of %d s changes the wait", seconds)
+		}
+	}
+}
