--- a/shard/assignments.go
+++ b/shard/assignments.go
@@ -150,27 +150,30 @@
 		wire.Condition{Key: state.KeyJob(id), Version: j.version})
 }
 
-// assignmentOver says whether every task of an assignment is done or, for a job that
-// ended, surely on no machine.
+// assignmentOver says whether every task of an assignment is over.
 func (c *Core) assignmentOver(j *job, ch *state.Assignment) bool {
 	for k := ch.From; k < ch.To; k++ {
-		t := j.tasks[k]
-		switch {
-		case t == nil:
-			return false
-		case (j.rec.End != "" || j.gang != nil) && t.uncertain, j.rec.End == "" && !t.done:
-			return false
-		case c.somewhere(j.rec.ID, k):
+		if !c.taskOver(j, k) {
 			return false
 		}
 	}
 	return true
 }
 
-// taskOver says whether a task is done and on no machine.
+// taskOver says whether a task is done or, for a job that ended, need not be, and is
+// surely on no machine.
 func (c *Core) taskOver(j *job, k int) bool {
 	t := j.tasks[k]
-	return t != nil && t.done && !c.somewhere(j.rec.ID, k)
+	ended := j.rec.End != ""
+	switch {
+	case t == nil:
+		return false
+	case (ended || j.gang != nil) && t.uncertain:
+		return false
+	case !ended && !t.done:
+		return false
+	}
+	return !c.somewhere(j.rec.ID, k)
 }
 
 // closeDone closes the done tasks of open assignments here by themselves, unless the
