--- a/constants/constants.go
+++ b/constants/constants.go
@@ -146,6 +146,10 @@
 	// takes over where failure detection is on: the first one's claim is known to
 	// all by then, and ranks it behind others for the next.
 	TakeoverGap = 500 * time.Millisecond
+	// RevokedWait is how long a controller that was revoked a short while ago leaves a
+	// vacant term to others: longer than an owner leaves another shard vacant, so that
+	// its shard does not come straight back to it.
+	RevokedWait = SecondShardWaitMost + 2*time.Second
 	// UnservedLeast is of how many machines of an owner at least it must be known
 	// that it does not serve them before that is held against it: one alone may have
 	// a fault of its own (machines).
--- a/member/core.go
+++ b/member/core.go
@@ -193,6 +193,9 @@
 		if shard && owner && now.Sub(c.vacantSince[key]) < c.secondShardWait {
 			continue
 		}
+		if c.detection && c.recentlyRevoked(now, c.me) && now.Sub(c.vacantSince[key]) < constants.RevokedWait {
+			continue
+		}
 		if shard && !c.pace.Ready(now) {
 			continue
 		}
--- a/member/revocation_test.go
+++ b/member/revocation_test.go
@@ -193,3 +193,45 @@
 		}
 	}
 }
+
+// A revoked controller that is registered anew leaves its shard to the others even where
+// all of them own one already and leave another vacant for as long as they may; alone
+// it takes it. Guards against a gray-failed owner of three that was revoked, and had its
+// shard back a second later: another took it only after the second revocation.
+func TestRevokedControllerLeavesItsShard(t *testing.T) {
+	for _, alone := range []bool{false, true} {
+		now := time.Unix(1000, 0)
+		s := detecting(now, 3*time.Second)
+		for _, c := range s.cores {
+			c.SetSecondShardWait(constants.SecondShardWaitMost)
+		}
+		s.set(now, state.KeyShard("a"), &state.Term{Shard: "a", Node: "n-2", Incarnation: 3, Number: 4})
+		if !s.revoke(now, 2, state.Revocation{Node: "n-1", Incarnation: 2}, make([]time.Duration, 3)) {
+			t.Fatal("not revoked")
+		}
+		s.inc[1] = 5
+		s.set(now.Add(3*time.Second), state.KeyNode("n-1"), &state.Node{Name: "n-1", Incarnation: 5, LifeMS: 3000})
+		s.set(now, state.KeyNode("n-0"), nil)
+		s.inc[0] = 0
+		if alone {
+			s.set(now, state.KeyNode("n-2"), nil)
+			s.inc[2] = 0
+		}
+		taker := ""
+		for at := 3 * time.Second; at < 20*time.Second && taker == ""; at += 50 * time.Millisecond {
+			for i, c := range s.cores {
+				if s.inc[i] == 0 {
+					continue
+				}
+				for _, cl := range c.Step(now.Add(at), s.inc[i], true) {
+					if s.try(now.Add(at), cl) && cl.Key == state.KeyShard("b") {
+						taker = cl.To
+					}
+				}
+			}
+		}
+		if want := map[bool]string{false: "n-2", true: "n-1"}[alone]; taker != want {
+			t.Errorf("alone %v: %q took the shard", alone, taker)
+		}
+	}
+}
