--- a/detector/detector.go
+++ b/detector/detector.go
@@ -293,19 +293,16 @@
 
 // lookAtSelf finds out whether this observer is in a state to accuse others.
 func (d *Detector) lookAtSelf(now time.Time) {
+	late := time.Duration(0)
 	if !d.next.IsZero() {
-		if late := now.Sub(d.next); late >= d.cfg.Interval {
-			for _, p := range d.peers {
-				p.postpone(late)
-			}
-			d.health.worsen(now, d.cfg.Interval)
-			return
-		} else if late > d.cfg.Interval/2 {
-			d.health.worsen(now, d.cfg.Interval)
-			return
+		late = now.Sub(d.next)
+	}
+	if late >= d.cfg.Interval { // it stood still, and could have heard nobody
+		for _, p := range d.peers {
+			p.postpone(late)
 		}
 	}
-	if d.hearsNobody(now) {
+	if late > d.cfg.Interval/2 || d.hearsNobody(now) {
 		d.health.worsen(now, d.cfg.Interval)
 		return
 	}
--- a/node/revocation.go
+++ b/node/revocation.go
@@ -107,10 +107,7 @@
 	for shard := range c.owners {
 		c.stopOwner(shard)
 	}
-	if c.leaderRef != nil {
-		c.leaderRef.cancel()
-		c.leaderRef = nil
-	}
+	c.stopLeader()
 }
 
 // tellMonitor tells the monitor what it needs to know of the cluster.
--- a/node/roles.go
+++ b/node/roles.go
@@ -53,9 +53,7 @@
 		c.yielded[state.KeyLeader] < t.Number
 	if c.leaderRef != nil && (!mine || c.leaderRef.term != t.Number) {
 		slog.Info("leadership lost", "term", c.leaderRef.term)
-		c.forecast = nil
-		c.leaderRef.cancel()
-		c.leaderRef = nil
+		c.stopLeader()
 	}
 	if mine && c.leaderRef == nil {
 		slog.Info("leading", "term", t.Number)
@@ -94,6 +92,17 @@
 	}()
 }
 
+// stopLeader ends the leader here, if there is one. Its forecast is told no more.
+func (c *control) stopLeader() {
+	if c.leaderRef == nil {
+		return
+	}
+	c.forecast = nil
+	c.leaderRef.cancel()
+	c.leaderRef = nil
+}
+
+// stopOwner ends the owner of a shard here, if there is one.
 func (c *control) stopOwner(shard string) {
 	if o := c.owners[shard]; o != nil {
 		o.ref.Tell(authority(time.Time{}))
