--- a/apiserver/apiserver.go
+++ b/apiserver/apiserver.go
@@ -14,8 +14,8 @@
 	"ravenport/actor"
 	"ravenport/constants"
 	"ravenport/httpwire"
+	"ravenport/records"
 	"ravenport/settings"
-	"ravenport/state"
 	"ravenport/wire"
 )
 
@@ -53,7 +53,7 @@
 	// Counts carries a shard's counts of running and done tasks by job.
 	Counts struct {
 		Shard string
-		Jobs  state.CountsByJob
+		Jobs  records.CountsByJob
 	}
 	// Metrics asks for figures in the text format that Prometheus reads.
 	Metrics struct{ Req Request }
@@ -99,7 +99,7 @@
 	jobs    map[string]known
 	rev     uint64
 	types   []wire.MachineType
-	counts  map[string]state.CountsByJob
+	counts  map[string]records.CountsByJob
 	next    []*poll // arrived since the last read began
 	reading bool
 	readAt  time.Time     // when the last read began
@@ -108,7 +108,7 @@
 	busy    int           // requests that wait for the state service
 	stats   stats
 	control *actor.Ref // is told of cancellations
-	sizes   state.Sizes
+	sizes   records.Sizes
 	down    time.Time // until then the state service counts as away
 	relays  relaying
 }
@@ -116,13 +116,13 @@
 // New makes an API server that is spoken to through self and tells control of
 // cancellations.
 func New(set *settings.Settings, store Store, self, control *actor.Ref) *Server {
-	return &Server{control: control, set: set, sizes: set.Sizes(), store: store, self: self, jobs: map[string]known{}, counts: map[string]state.CountsByJob{}, stats: newStats(), gap: set.ReadGap()}
+	return &Server{control: control, set: set, sizes: set.Sizes(), store: store, self: self, jobs: map[string]known{}, counts: map[string]records.CountsByJob{}, stats: newStats(), gap: set.ReadGap()}
 }
 
 // Receive implements actor.Handler.
 func (d *Server) Receive(ctx context.Context, msg any) {
 	switch m := msg.(type) {
-	case state.Update:
+	case records.Update:
 		d.update(m)
 	case Submit:
 		d.submit(ctx, m)
@@ -154,9 +154,9 @@
 	}
 }
 
-func (d *Server) update(up state.Update) {
+func (d *Server) update(up records.Update) {
 	for _, ch := range up.Changes {
-		j, ok := ch.Record.(*state.Job)
+		j, ok := ch.Record.(*records.Job)
 		if !ok {
 			continue
 		}
@@ -176,7 +176,7 @@
 	d.waiting = kept
 }
 
-func summary(j *state.Job) known {
+func summary(j *records.Job) known {
 	k := known{end: j.End, tasks: j.Spec.Tasks}
 	for _, ch := range j.Assignments {
 		if ch.Closed {
--- a/apiserver/apiserver_test.go
+++ b/apiserver/apiserver_test.go
@@ -12,8 +12,9 @@
 	"ravenport/actor"
 	"ravenport/constants"
 	"ravenport/httpwire"
+	"ravenport/kvstore"
+	"ravenport/records"
 	"ravenport/settings"
-	"ravenport/state"
 	"ravenport/wire"
 )
 
@@ -25,9 +26,9 @@
 // slowStore is a state service whose reads take their time.
 type slowStore struct{ takes time.Duration }
 
-func (s slowStore) Commit(context.Context, wire.Txn) (uint64, error) { return 0, state.ErrRefused }
+func (s slowStore) Commit(context.Context, wire.Txn) (uint64, error) { return 0, kvstore.ErrRefused }
 func (s slowStore) Get(context.Context, string) (wire.KeyValue, bool, error) {
-	return wire.KeyValue{}, false, state.ErrRefused
+	return wire.KeyValue{}, false, kvstore.ErrRefused
 }
 func (s slowStore) Revision(context.Context) (uint64, error) { time.Sleep(s.takes); return 1, nil }
 
@@ -43,10 +44,10 @@
 		defer cancel()
 		self := actor.NewRef()
 		d := New(&settings.Settings{}, slowStore{time.Second}, self, actor.NewRef())
-		up := state.Update{Revision: 1}
+		up := records.Update{Revision: 1}
 		const jobs = 4 * constants.MaxWaiting
 		for i := range jobs {
-			up.Changes = append(up.Changes, state.Change{Version: 1, Record: &state.Job{ID: fmt.Sprintf("run-%d", i)}})
+			up.Changes = append(up.Changes, records.Change{Version: 1, Record: &records.Job{ID: fmt.Sprintf("run-%d", i)}})
 		}
 		self.Tell(up)
 		go self.Run(ctx, d)
--- a/apiserver/cancellations.go
+++ b/apiserver/cancellations.go
@@ -7,13 +7,14 @@
 
 	"ravenport/constants"
 	"ravenport/httpwire"
-	"ravenport/state"
+	"ravenport/kvstore"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
 // note tells control of a cancellation before any user hears of it. It runs beside
 // the actor.
-func (d *Server) note(rec *state.Job, revision uint64) {
+func (d *Server) note(rec *records.Job, revision uint64) {
 	if rec.End == wire.JobCancelled {
 		d.control.Tell(Cancelled{rec.ID, revision})
 	}
@@ -48,7 +49,7 @@
 
 // end cancels a job that is not over and returns how it ended; empty if there
 // is no such job. It runs beside the actor.
-func (d *Server) end(ctx context.Context, id string, sizes state.Sizes) (string, error) {
+func (d *Server) end(ctx context.Context, id string, sizes records.Sizes) (string, error) {
 	for {
 		rec, version, err := d.fetch(ctx, id)
 		if err != nil {
@@ -66,21 +67,21 @@
 		value, ok := sizes.Encode(rec, &was)
 		if !ok {
 			slog.Error("job's record does not fit", "job", id, "bytes", len(value))
-			return "", state.ErrRefused
+			return "", kvstore.ErrRefused
 		}
 		txn := wire.Txn{
-			If:   []wire.Condition{{Key: state.KeyJob(id), Version: version}},
-			Then: []wire.Change{{Put: state.KeyJob(id), Value: value}},
+			If:   []wire.Condition{{Key: records.KeyJob(id), Version: version}},
+			Then: []wire.Change{{Put: records.KeyJob(id), Value: value}},
 		}
 		revision, err := d.commit(ctx, txn)
-		var conflict *state.Conflict
+		var conflict *kvstore.Conflict
 		switch {
 		case err == nil:
 			d.note(rec, revision)
 			return rec.End, nil
-		case errors.Is(err, state.ErrInvalid) && !sizes.Packs:
+		case errors.Is(err, kvstore.ErrInvalid) && !sizes.Packs:
 			sizes.Packs = true // the smaller limits have come, so all have this version
-		case errors.As(err, &conflict), errors.Is(err, state.ErrUnknown):
+		case errors.As(err, &conflict), errors.Is(err, kvstore.ErrUnknown):
 			// Another change came first, or it is not known whether this one
 			// was made: the key itself tells.
 			if ctx.Err() != nil {
--- a/apiserver/polls.go
+++ b/apiserver/polls.go
@@ -9,7 +9,8 @@
 
 	"ravenport/constants"
 	"ravenport/httpwire"
-	"ravenport/state"
+	"ravenport/kvstore"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
@@ -80,7 +81,7 @@
 
 func (d *Server) readDone(ctx context.Context, m readDone) {
 	d.reading = false
-	limited := errors.Is(m.err, state.ErrLimited)
+	limited := errors.Is(m.err, kvstore.ErrLimited)
 	if m.err != nil && !limited {
 		d.down = time.Now().Add(constants.DownFor)
 	}
@@ -125,7 +126,7 @@
 	s := wire.JobState{ID: p.id, Status: k.end, Done: k.closed}
 	if k.end == "" {
 		s.Status = wire.JobQueued
-		var tasks state.TaskCounts
+		var tasks records.TaskCounts
 		for _, jobs := range d.counts {
 			tasks = tasks.Plus(jobs[p.id])
 		}
@@ -175,14 +176,14 @@
 	}
 }
 
-func (d *Server) fetch(ctx context.Context, id string) (*state.Job, uint64, error) {
-	kv, found, err := d.store.Get(ctx, state.KeyJob(id))
+func (d *Server) fetch(ctx context.Context, id string) (*records.Job, uint64, error) {
+	kv, found, err := d.store.Get(ctx, records.KeyJob(id))
 	if err != nil || !found {
 		return nil, 0, err
 	}
-	v, err := state.Decode(state.KeyJob(id), kv.Value)
+	v, err := records.Decode(records.KeyJob(id), kv.Value)
 	if err != nil {
 		return nil, 0, err
 	}
-	return v.(*state.Job), kv.Version, nil
+	return v.(*records.Job), kv.Version, nil
 }
--- a/apiserver/relay.go
+++ b/apiserver/relay.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"ravenport/constants"
-	"ravenport/state"
+	"ravenport/kvstore"
 	"ravenport/wire"
 )
 
@@ -38,7 +38,7 @@
 // away says that an error means that the state service cannot be reached, not that
 // it decided on the call.
 func away(err error) bool {
-	return errors.Is(err, state.ErrUnknown) || errors.Is(err, state.ErrRefused) && !errors.Is(err, state.ErrLimited)
+	return errors.Is(err, kvstore.ErrUnknown) || errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrLimited)
 }
 
 // accept writes a submission's record: by itself unless its own way is known to be
--- a/apiserver/relay_test.go
+++ b/apiserver/relay_test.go
@@ -11,8 +11,9 @@
 	"ravenport/actor"
 	"ravenport/constants"
 	"ravenport/httpwire"
+	"ravenport/kvstore"
+	"ravenport/records"
 	"ravenport/settings"
-	"ravenport/state"
 	"ravenport/wire"
 )
 
@@ -40,7 +41,7 @@
 // A submission is written through another controller where only this one is kept
 // from the state service, and refused at once where nobody reaches it.
 func TestRelayedSubmission(t *testing.T) {
-	limited := fmt.Errorf("%w: %w", state.ErrRefused, state.ErrLimited)
+	limited := fmt.Errorf("%w: %w", kvstore.ErrRefused, kvstore.ErrLimited)
 	for _, c := range []struct {
 		name       string
 		own        error
@@ -50,11 +51,11 @@
 		relayAsked []int
 	}{
 		{"own way open", nil, []error{nil}, 201, 2, []int{0}},
-		{"own way shut", state.ErrRefused, []error{nil, nil}, 201, 1, []int{2, 0}},
-		{"no answer to this one", state.ErrUnknown, []error{nil}, 201, 1, []int{2}},
-		{"the first relay is away, too", state.ErrRefused, []error{state.ErrUnknown, nil}, 201, 1, []int{2, 2}},
-		{"nobody reaches it", state.ErrRefused, []error{state.ErrRefused, state.ErrRefused}, 503, 1, []int{2, 2}},
-		{"no relay is known", state.ErrRefused, nil, 503, 1, nil}, // the second is refused unasked
+		{"own way shut", kvstore.ErrRefused, []error{nil, nil}, 201, 1, []int{2, 0}},
+		{"no answer to this one", kvstore.ErrUnknown, []error{nil}, 201, 1, []int{2}},
+		{"the first relay is away, too", kvstore.ErrRefused, []error{kvstore.ErrUnknown, nil}, 201, 1, []int{2, 2}},
+		{"nobody reaches it", kvstore.ErrRefused, []error{kvstore.ErrRefused, kvstore.ErrRefused}, 503, 1, []int{2, 2}},
+		{"no relay is known", kvstore.ErrRefused, nil, 503, 1, nil}, // the second is refused unasked
 		{"only too many", limited, []error{nil}, 503, 2, []int{0}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -67,7 +68,7 @@
 				own := &way{err: c.own}
 				self := actor.NewRef()
 				d := New(set, own, self, actor.NewRef())
-				d.sizes = state.Sizes{Now: 8192, Next: 8192}
+				d.sizes = records.Sizes{Now: 8192, Next: 8192}
 				var relays []*way
 				var to []Relay
 				for _, err := range c.relays {
@@ -121,7 +122,7 @@
 	}
 	d := New(&settings.Settings{}, slowStore{}, actor.NewRef(), actor.NewRef())
 	d.relays = r
-	d.update(state.Update{Revision: 1})
+	d.update(records.Update{Revision: 1})
 	if d.relays.shut {
 		t.Error("after an update of the feed the own way counts as shut")
 	}
--- a/apiserver/submissions.go
+++ b/apiserver/submissions.go
@@ -10,7 +10,8 @@
 
 	"ravenport/constants"
 	"ravenport/httpwire"
-	"ravenport/state"
+	"ravenport/kvstore"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
@@ -27,7 +28,7 @@
 			m.Req.Answer(&httpwire.Response{Status: status, Body: body(problem)})
 			return
 		}
-	} else if !d.sizes.Storable(&state.Job{Spec: s, AcceptedMS: time.Now().UnixMilli()}, d.set.Params.Zones) {
+	} else if !d.sizes.Storable(&records.Job{Spec: s, AcceptedMS: time.Now().UnixMilli()}, d.set.Params.Zones) {
 		status, problem = 422, wire.Problem{Error: "too long to be stored"}
 	} else if len(d.types) == 0 {
 		status = 503
@@ -57,10 +58,10 @@
 	}
 	d.busy++
 	shut := d.relays.shut
-	rec := state.Job{Spec: s, AcceptedMS: time.Now().UnixMilli()}
+	rec := records.Job{Spec: s, AcceptedMS: time.Now().UnixMilli()}
 	txn := wire.Txn{
-		If:   []wire.Condition{{Key: state.KeyJob(s.ID), Version: 0}},
-		Then: []wire.Change{{Put: state.KeyJob(s.ID), Value: state.Encode(rec)}},
+		If:   []wire.Condition{{Key: records.KeyJob(s.ID), Version: 0}},
+		Then: []wire.Change{{Put: records.KeyJob(s.ID), Value: records.Encode(rec)}},
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, constants.AnswerLimit)
@@ -74,7 +75,7 @@
 	d.busy--
 	d.relays.shut = d.relays.shut || m.shut
 	took := time.Since(m.came).Milliseconds()
-	var conflict *state.Conflict
+	var conflict *kvstore.Conflict
 	switch {
 	case m.err == nil:
 		d.stats.accepted++
@@ -86,13 +87,13 @@
 	default:
 		// Perhaps it was stored all the same; then the user's repeat finds it.
 		d.stats.refused++
-		if errors.Is(m.err, state.ErrInvalid) {
+		if errors.Is(m.err, kvstore.ErrInvalid) {
 			slog.Error("submission found invalid by the state service", "job", m.s.ID, "err", m.err)
 			m.req.Answer(&httpwire.Response{Status: 422, Body: body(wire.Problem{Error: "too long to be stored"})})
 			return
 		}
 		slog.Info("submission refused", "job", m.s.ID, "took_ms", took, "err", m.err)
-		if errors.Is(m.err, state.ErrLimited) {
+		if errors.Is(m.err, kvstore.ErrLimited) {
 			// Many come at once: they are told to come back at different times.
 			refuse(m.req, 503, "too many submissions", constants.RetryAfterS+rand.IntN(constants.RetrySpreadS))
 			return
@@ -106,7 +107,7 @@
 // tried again for a moment; one because the state service is away is the
 // user's answer, at once.
 func (d *Server) commit(ctx context.Context, txn wire.Txn) (revision uint64, err error) {
-	err = state.RetryLimited(ctx, constants.AllowanceWait, constants.RetryMin/2, constants.RetryMin, func() (err error) {
+	err = kvstore.RetryLimited(ctx, constants.AllowanceWait, constants.RetryMin/2, constants.RetryMin, func() (err error) {
 		revision, err = d.store.Commit(ctx, txn)
 		return err
 	})
--- a/cmd/ravenport/drain.go
+++ b/cmd/ravenport/drain.go
@@ -17,8 +17,8 @@
 
 	"ravenport/constants"
 	"ravenport/peer"
+	"ravenport/records"
 	"ravenport/settings"
-	"ravenport/state"
 )
 
 // drainFlags are the flags of the drain commands.
@@ -108,7 +108,7 @@
 
 // request makes a request of the flags.
 func (f *drainFlags) request(op peer.DrainOp, now time.Time) (peer.DrainRequest, error) {
-	q := peer.DrainRequest{Op: op, All: f.all, Selection: state.Selection{Machines: f.machines, Zones: f.zones, Types: f.types}}
+	q := peer.DrainRequest{Op: op, All: f.all, Selection: records.Selection{Machines: f.machines, Zones: f.zones, Types: f.types}}
 	switch {
 	case f.spot && f.ordinary:
 		return q, &settings.Error{Field: "spot", Problem: "cannot be asked for together with ordinary"}
--- a/cmd/ravenport/main.go
+++ b/cmd/ravenport/main.go
@@ -15,7 +15,7 @@
 	"github.com/spf13/cobra"
 
 	"ravenport/constants"
-	"ravenport/node"
+	"ravenport/controller"
 	"ravenport/settings"
 )
 
@@ -95,7 +95,7 @@
 	limitProcessors(set)
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	return node.Run(ctx, set)
+	return controller.Run(ctx, set)
 }
 
 func checkCommand() *cobra.Command {
--- a/node/actors.go
+++ b/controller/actors.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -13,10 +13,11 @@
 	"ravenport/constants"
 	"ravenport/drain"
 	"ravenport/httpwire"
+	"ravenport/kvstore"
 	"ravenport/leader"
+	"ravenport/records"
 	"ravenport/settings"
 	"ravenport/shard"
-	"ravenport/state"
 	"ravenport/wire"
 	"ravenport/worker"
 )
@@ -67,17 +68,17 @@
 		rev, err = store.Commit(ctx, txn)
 		return err
 	}
-	err := state.Retry(ctx, func() error {
+	err := kvstore.Retry(ctx, func() error {
 		if !urgent {
 			return once()
 		}
-		return state.RetryLimited(ctx, 2*constants.StateTimeout, constants.UrgentRetry, constants.UrgentRetry, once)
+		return kvstore.RetryLimited(ctx, 2*constants.StateTimeout, constants.UrgentRetry, constants.UrgentRetry, once)
 	})
 	if err != nil {
-		var conflict *state.Conflict
+		var conflict *kvstore.Conflict
 		if errors.As(err, &conflict) {
 			slog.Debug("overtaken", "what", what, "err", err)
-		} else if errors.Is(err, state.ErrInvalid) {
+		} else if errors.Is(err, kvstore.ErrInvalid) {
 			for _, ch := range txn.Then {
 				slog.Error("write found invalid", "key", ch.Put, "bytes", len(ch.Value), "changes", len(txn.Then), "err", err)
 			}
@@ -154,9 +155,9 @@
 		a.over = true
 		m.done()
 		return
-	case state.Update:
+	case records.Update:
 		for _, ch := range m.Changes {
-			if j, ok := ch.Record.(*state.Job); ok {
+			if j, ok := ch.Record.(*records.Job); ok {
 				a.core.ApplyJob(now, j.ID, j, ch.Version)
 			}
 		}
@@ -216,7 +217,7 @@
 	over     bool // halted
 }
 
-func newShardActor(c *control, name string, term, version uint64, now time.Time, inventory map[string]*state.Page, inventoryV map[string]uint64) *shardActor {
+func newShardActor(c *control, name string, term, version uint64, now time.Time, inventory map[string]*records.Page, inventoryV map[string]uint64) *shardActor {
 	set := c.set
 	limits := set.StateLimits()
 	cfg := shard.Config{
@@ -255,7 +256,7 @@
 		a.over = true
 		m.done()
 		return
-	case state.Update:
+	case records.Update:
 		for _, ch := range m.Changes {
 			a.core.Apply(now, ch)
 		}
@@ -323,7 +324,7 @@
 		refuseReport(m)
 		return
 	}
-	m.req.Answer(&httpwire.Response{Status: 200, Body: state.Encode(reply)})
+	m.req.Answer(&httpwire.Response{Status: 200, Body: records.Encode(reply)})
 }
 
 // after does what is not the core's: ticks, pushes and the cloud's list.
--- a/node/control.go
+++ b/controller/control.go
@@ -1,6 +1,6 @@
 // Package node puts a controller together: its actors, their inputs and
 // outputs, and the servers that users, workers and peers call.
-package node
+package controller
 
 import (
 	"context"
@@ -16,9 +16,9 @@
 	"ravenport/leader"
 	"ravenport/member"
 	"ravenport/peer"
+	"ravenport/records"
 	"ravenport/settings"
 	"ravenport/shard"
-	"ravenport/state"
 	"ravenport/wire"
 )
 
@@ -69,7 +69,7 @@
 	shardStatus struct { // from a shard's actor
 		shard     string
 		aggregate leader.Aggregate
-		counts    state.CountsByJob
+		counts    records.CountsByJob
 		summary   shard.Summary
 		drains    drain.ShardView
 	}
@@ -95,9 +95,9 @@
 	api    *actor.Ref
 	member *member.Core
 
-	jobs       map[string]*state.Job // not over, or with open assignments
+	jobs       map[string]*records.Job // not over, or with open assignments
 	versions   map[string]uint64
-	inventory  map[string]*state.Page // by key
+	inventory  map[string]*records.Page // by key
 	inventoryV map[string]uint64
 	shardOf    map[string]string // by machine on the inventory
 	odd        map[string]bool   // machines whose impossible reports were logged
@@ -152,7 +152,7 @@
 func newControl(set *settings.Settings, out Outside, self, api, monitor *actor.Ref) *control {
 	c := &control{
 		set: set, io: out, self: self, api: api, started: time.Now(), grants: map[string]time.Time{},
-		jobs: map[string]*state.Job{}, versions: map[string]uint64{}, inventory: map[string]*state.Page{}, inventoryV: map[string]uint64{}, shardOf: map[string]string{}, odd: map[string]bool{},
+		jobs: map[string]*records.Job{}, versions: map[string]uint64{}, inventory: map[string]*records.Page{}, inventoryV: map[string]uint64{}, shardOf: map[string]string{}, odd: map[string]bool{},
 		claiming: map[string]time.Time{}, yielded: map[string]uint64{}, successor: map[string]string{}, unsettled: map[string]time.Time{}, owners: map[string]*child{},
 		status: map[string]shardStatus{}, pushing: map[string]bool{}, peersState: map[string]peerView{}, misroutedReports: map[string]misroutedReport{}, drains: newDrainRecords(),
 	}
@@ -179,7 +179,7 @@
 func (c *control) Receive(ctx context.Context, msg any) {
 	now := time.Now()
 	switch m := msg.(type) {
-	case state.Update:
+	case records.Update:
 		c.update(ctx, now, m)
 	case workerReport:
 		c.workerReport(now, m)
@@ -263,7 +263,7 @@
 		c.renewTerm(now, m.shard)
 	case cutOff:
 		if o := c.owners[m.shard]; o != nil && (m.misroutedReports || c.peersAway(now)) {
-			c.handOn(ctx, now, state.KeyShard(m.shard))
+			c.handOn(ctx, now, records.KeyShard(m.shard))
 		}
 	default:
 		return false
@@ -292,7 +292,7 @@
 	c.pushNow = true
 	if m.counts != nil {
 		if m.summary.Unreachable || !m.summary.Rebuilt {
-			c.unsettled[state.KeyShard(m.shard)] = now
+			c.unsettled[records.KeyShard(m.shard)] = now
 		}
 		c.api.Tell(apiserver.Counts{Shard: m.shard, Jobs: m.counts})
 	} else {
@@ -308,12 +308,12 @@
 	}
 }
 
-func (c *control) update(ctx context.Context, now time.Time, up state.Update) {
+func (c *control) update(ctx context.Context, now time.Time, up records.Update) {
 	for _, ch := range up.Changes {
 		c.member.Apply(now, ch)
 		c.drains.apply(ch)
 		switch r := ch.Record.(type) {
-		case *state.Job:
+		case *records.Job:
 			if r.End == wire.JobCancelled {
 				c.cancels.note(r.ID, ch.Version)
 			}
@@ -323,9 +323,9 @@
 			} else {
 				c.jobs[r.ID], c.versions[r.ID] = r, ch.Version
 			}
-		case *state.Revocation:
+		case *records.Revocation:
 			c.noteRevocation(now, r)
-		case *state.Page:
+		case *records.Page:
 			if old := c.inventory[ch.Key]; old != nil {
 				for _, m := range old.Machines() {
 					delete(c.shardOf, m.Name)
@@ -402,7 +402,7 @@
 		}
 	}
 	if c.leaderRef != nil && c.toldByNobody(now) && now.Sub(c.ledSince) > 2*constants.PeersAway {
-		c.handOn(ctx, now, state.KeyLeader)
+		c.handOn(ctx, now, records.KeyLeader)
 	}
 	c.push(ctx, now)
 	c.tellMonitor(now)
@@ -439,7 +439,7 @@
 		c.misroutedReports[m.report.Machine] = misroutedReport{shard.MisroutedReport{Machine: m.report.Machine, Session: m.report.Session, Seq: m.report.Seq}, now}
 	}
 	to := ""
-	if holder, ok := c.member.Holder(state.KeyShard(m.report.Zone)); ok && holder != c.set.Node {
+	if holder, ok := c.member.Holder(records.KeyShard(m.report.Zone)); ok && holder != c.set.Node {
 		to = holder
 	} else if next := c.successor[m.report.Zone]; next != "" {
 		to = next
--- a/node/detection_test.go
+++ b/controller/detection_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"encoding/json"
--- a/node/draining_test.go
+++ b/controller/draining_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 	"ravenport/drain"
 	"ravenport/internal/disruptioncheck"
 	"ravenport/peer"
+	"ravenport/records"
 	"ravenport/shard"
-	"ravenport/state"
 	"ravenport/wire"
 )
 
@@ -165,11 +165,11 @@
 			midway(t, w)
 			second := w.newArray("run-000202", 6, 2, 90)
 			go w.user(second, 0, 0)
-			w.drainEnds(t, number, state.DrainFinished, 12*time.Minute)
+			w.drainEnds(t, number, records.DrainFinished, 12*time.Minute)
 			w.allDone(t, 6*time.Minute, append(lot, gang, second))
 		}},
 		{name: "arrays and gangs within their budget", settings: "disruption.interruptions.* = 1\n", hurt: func(t *testing.T, w *world, first int) {
-			w.drainEnds(t, first, state.DrainFinished, 12*time.Minute)
+			w.drainEnds(t, first, records.DrainFinished, 12*time.Minute)
 			w.do(func() {
 				w.interruptions = disruptioncheck.New(1, w.nodes[0].set.Draining.Policy.Stable, w.times.lease()+30*time.Second)
 				w.haveRun = map[string]bool{}
@@ -182,13 +182,13 @@
 				go w.user(j, 0, 0)
 			}
 			w.until(t, "they run", 2*time.Minute, func() bool { return w.unitsRun() == 7 })
-			second := w.startDrain(t, state.Selection{})
+			second := w.startDrain(t, records.Selection{})
 			w.until(t, "one was interrupted", 6*time.Minute, func() bool { return w.interrupted().Stops > 0 })
 			term := w.term("a")
 			w.nodes[w.owner("a")].restart(5 * time.Second)
 			w.until(t, "another owner", time.Minute, func() bool { return w.term("a") > term })
 			w.until(t, "others were interrupted", 8*time.Minute, func() bool { return w.interrupted().Replaced > 2 })
-			w.drainEnds(t, second, state.DrainFinished, 12*time.Minute)
+			w.drainEnds(t, second, records.DrainFinished, 12*time.Minute)
 			w.allDone(t, 15*time.Minute, work)
 		}},
 		{name: "outside of its window, then in it", settings: "drain.window.rule = FREQ=DAILY;BYHOUR=0;BYMINUTE=3\ndrain.window.minutes = 60\n", hurt: func(t *testing.T, w *world, number int) {
@@ -204,20 +204,20 @@
 			midway(t, w)
 			w.command(t, peer.OpPause, number)
 			time.Sleep(10 * time.Second)
-			if v := w.view(t, number); v.State != state.DrainPaused || slices.ContainsFunc(v.Shards, func(p drain.Progress) bool { return len(p.Cordoned) > 0 }) {
+			if v := w.view(t, number); v.State != records.DrainPaused || slices.ContainsFunc(v.Shards, func(p drain.Progress) bool { return len(p.Cordoned) > 0 }) {
 				t.Errorf("paused: %+v", v)
 			}
 			w.command(t, peer.OpResume, number)
 		}},
-		{name: "cancelled as a step closes", ends: state.DrainCancelled, idle: true, hurt: func(t *testing.T, w *world, number int) {
+		{name: "cancelled as a step closes", ends: records.DrainCancelled, idle: true, hurt: func(t *testing.T, w *world, number int) {
 			w.until(t, "a machine is closed", 4*time.Minute, func() bool { return w.closedMachines() > 0 })
 			w.command(t, peer.OpCancel, number)
 			w.until(t, "what was closed is returned", time.Minute, func() bool { return w.closedMachines() == 0 })
 		}},
 		{name: "cancelled at its very last step", hurt: func(t *testing.T, w *world, first int) {
-			w.drainEnds(t, first, state.DrainFinished, 12*time.Minute)
+			w.drainEnds(t, first, records.DrainFinished, 12*time.Minute)
 			machine := w.machineOfAService()
-			number := w.startDrain(t, state.Selection{Machines: []string{machine}})
+			number := w.startDrain(t, records.Selection{Machines: []string{machine}})
 			w.do(func() { w.noReturn = true }) // so that it is seen closed
 			isLast := func(name string) bool { return name == machine }
 			w.until(t, "the last machine is closed", 4*time.Minute, func() bool { return w.closedOf(isLast) == 1 })
@@ -225,7 +225,7 @@
 			w.do(func() { w.noReturn = false })
 			w.until(t, "what was closed is returned", time.Minute, func() bool { return w.closedOf(isLast) == 0 && w.left(map[string]bool{machine: true}) == 0 })
 			w.until(t, "nothing stays cordoned", time.Minute, func() bool { return w.cordonedMachines(t, number) == 0 })
-			w.drainEnds(t, number, state.DrainCancelled, time.Minute)
+			w.drainEnds(t, number, records.DrainCancelled, time.Minute)
 		}},
 		{name: "a replacement turns unhealthy just after its step closed", hurt: func(t *testing.T, w *world, _ int) {
 			old := w.present()
@@ -260,17 +260,17 @@
 			}
 			w.until(t, "the new budget is used", 6*time.Minute, func() bool { return w.moved().Worst > 2 })
 		}},
-		{name: "machines that never boot", ends: state.DrainStopped, idle: true, hurt: func(t *testing.T, w *world, number int) {
+		{name: "machines that never boot", ends: records.DrainStopped, idle: true, hurt: func(t *testing.T, w *world, number int) {
 			w.do(func() { w.upIn = 1000 * time.Hour })
 		}},
-		{name: "machines on which every task fails", ends: state.DrainStopped, hurt: func(t *testing.T, w *world, number int) {
+		{name: "machines on which every task fails", ends: records.DrainStopped, hurt: func(t *testing.T, w *world, number int) {
 			w.do(func() {
 				w.faulty = map[string]bool{}
 				for name := range w.machines {
 					w.faulty[name] = false
 				}
 			})
-			w.until(t, "the drain stops", 10*time.Minute, func() bool { return w.drainRecord(number).State == state.DrainStopped })
+			w.until(t, "the drain stops", 10*time.Minute, func() bool { return w.drainRecord(number).State == records.DrainStopped })
 			if why := w.drainRecord(number).Why; !strings.Contains(why, "failed on") && !strings.Contains(why, "not up in time") {
 				t.Errorf("it stopped because of: %s", why)
 			}
@@ -300,10 +300,10 @@
 		time.Sleep(3 * time.Second)
 		var numbers []int
 		for _, zone := range []string{"a", "b"} {
-			numbers = append(numbers, w.startDrain(t, state.Selection{Zones: []string{zone}}))
+			numbers = append(numbers, w.startDrain(t, records.Selection{Zones: []string{zone}}))
 		}
 		time.Sleep(time.Second)
-		reply := w.drains(t, peer.DrainRequest{Op: peer.OpStart, Selection: state.Selection{Zones: []string{"b"}}})
+		reply := w.drains(t, peer.DrainRequest{Op: peer.OpStart, Selection: records.Selection{Zones: []string{"b"}}})
 		if reply.Problem == nil || !strings.Contains(reply.Problem.Problem, fmt.Sprintf("drain %d", numbers[1])) {
 			t.Errorf("a drain that overlaps: %+v", reply)
 		}
@@ -315,9 +315,9 @@
 			w.until(t, "another owner", time.Minute, func() bool { return w.term(zone) > term })
 		}
 		for _, n := range numbers {
-			w.drainEnds(t, n, state.DrainFinished, 12*time.Minute)
+			w.drainEnds(t, n, records.DrainFinished, 12*time.Minute)
 		}
-	}, ends: state.DrainCancelled}
+	}, ends: records.DrainCancelled}
 	s.holds(t, 2)
 }
 
@@ -360,9 +360,9 @@
 		time.Sleep(15 * time.Second)
 		spot := true
 		for field, q := range map[string]peer.DrainRequest{
-			"zone":          {Op: peer.OpStart, Selection: state.Selection{Zones: []string{"x"}}},
-			"type":          {Op: peer.OpStart, Selection: state.Selection{Types: []string{"x"}}},
-			"machine":       {Op: peer.OpStart, Selection: state.Selection{Machines: []string{"m-999999"}}},
+			"zone":          {Op: peer.OpStart, Selection: records.Selection{Zones: []string{"x"}}},
+			"type":          {Op: peer.OpStart, Selection: records.Selection{Types: []string{"x"}}},
+			"machine":       {Op: peer.OpStart, Selection: records.Selection{Machines: []string{"m-999999"}}},
 			"selection":     {Op: peer.OpStart},
 			"budget":        {Op: peer.OpStart, All: true},
 			"drain":         {Op: peer.OpPause, Number: 7},
@@ -373,19 +373,19 @@
 				t.Errorf("%s: %+v", field, r.Problem)
 			}
 		}
-		if r := w.drains(t, peer.DrainRequest{Op: peer.OpPlan, Selection: state.Selection{Spot: &spot}}); r.Problem == nil || r.Problem.Field != "selection" {
+		if r := w.drains(t, peer.DrainRequest{Op: peer.OpPlan, Selection: records.Selection{Spot: &spot}}); r.Problem == nil || r.Problem.Field != "selection" {
 			t.Errorf("no spot machine: %+v", r)
 		}
-		if n := w.keysUnder(state.KeyDrain(1)); n > 0 {
+		if n := w.keysUnder(records.KeyDrain(1)); n > 0 {
 			t.Errorf("%d drains are stored", n)
 		}
 		if r := w.drains(t, peer.DrainRequest{Op: peer.OpPlan, All: true}); r.Plan == nil || r.Plan.Permanent() == nil {
 			t.Errorf("the plan does not say what can never be done: %+v", r)
 		}
 		w.do(func() {
-			w.kv[state.KeyDrain(3)] = &entry{value: []byte(`{"state":7}`), version: w.revision + 1}
+			w.kv[records.KeyDrain(3)] = &entry{value: []byte(`{"state":7}`), version: w.revision + 1}
 			w.revision++
-			w.events = append(w.events, wire.Event{Put: state.KeyDrain(3), Value: []byte(`{"state":7}`), Version: w.revision})
+			w.events = append(w.events, wire.Event{Put: records.KeyDrain(3), Value: []byte(`{"state":7}`), Version: w.revision})
 			close(w.changed)
 			w.changed = make(chan struct{})
 		})
@@ -411,7 +411,7 @@
 		if _, err := (simPeer{w.nodes[0], w.nodes[1]}).Drain(context.Background(), peer.DrainRequest{Op: peer.OpStatus}); err != peer.ErrNoDrains {
 			t.Errorf("it answers: %v", err)
 		}
-		number := w.startDrain(t, state.Selection{Zones: []string{"a"}})
+		number := w.startDrain(t, records.Selection{Zones: []string{"a"}})
 		time.Sleep(40 * time.Second)
 		if v := w.view(t, number); w.moved().Stops > 0 || len(v.Shards) == 0 || !strings.Contains(v.Shards[0].Waits, "not published") {
 			t.Errorf("%d stops; %+v", w.moved().Stops, v)
@@ -419,7 +419,7 @@
 		w.nodes[1].kill()
 		w.nodes[1].set.Draining = w.nodes[1].parseDraining(drainSettings)
 		w.nodes[1].start()
-		w.drainEnds(t, number, state.DrainFinished, 10*time.Minute)
+		w.drainEnds(t, number, records.DrainFinished, 10*time.Minute)
 		if broken := w.brokenRules(); len(broken) > 0 {
 			t.Error(broken)
 		}
@@ -460,8 +460,8 @@
 		old := w.present()
 		plan := w.drains(t, peer.DrainRequest{Op: peer.OpPlan, All: true}).Plan
 		began, revision, processor := time.Now(), w.stateRevision(), processorTime()
-		number := w.startDrain(t, state.Selection{})
-		w.drainEnds(t, number, state.DrainFinished, 12*time.Hour)
+		number := w.startDrain(t, records.Selection{})
+		w.drainEnds(t, number, records.DrainFinished, 12*time.Hour)
 		took := time.Since(began)
 		least := time.Duration(plan.LeastS * float64(time.Second))
 		t.Logf("%d machines, %d tasks, budget %s: %s, %s at least (%s); %d changes of the state service, %s of the test's processor time",
--- a/node/drains.go
+++ b/controller/drains.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -13,9 +13,10 @@
 	"ravenport/constants"
 	"ravenport/disruption"
 	"ravenport/drain"
+	"ravenport/kvstore"
 	"ravenport/peer"
+	"ravenport/records"
 	"ravenport/shard"
-	"ravenport/state"
 	"ravenport/wire"
 )
 
@@ -32,7 +33,7 @@
 		answer chan<- *actor.Ref
 	}
 	shardPlanAsked struct {
-		selection state.Selection
+		selection records.Selection
 		answer    chan<- drain.ShardPlan
 	}
 )
@@ -40,18 +41,18 @@
 // drainRecords is what a controller knows of drains: the records as stored, and what
 // owners tell of their progress.
 type drainRecords struct {
-	stored map[string]state.Change    // drains, claims and terms of shards, by key
+	stored map[string]records.Change  // drains, claims and terms of shards, by key
 	views  map[string]drain.ShardView // by shard
 }
 
 func newDrainRecords() drainRecords {
-	return drainRecords{stored: map[string]state.Change{}, views: map[string]drain.ShardView{}}
+	return drainRecords{stored: map[string]records.Change{}, views: map[string]drain.ShardView{}}
 }
 
 // apply takes in a change from the feed.
-func (r *drainRecords) apply(ch state.Change) {
+func (r *drainRecords) apply(ch records.Change) {
 	switch ch.Record.(type) {
-	case *state.Drain, *state.Claim, *state.Term, *state.Damaged:
+	case *records.Drain, *records.Claim, *records.Term, *records.Damaged:
 		r.stored[ch.Key] = ch
 	case nil:
 		delete(r.stored, ch.Key)
@@ -59,21 +60,21 @@
 }
 
 // changes lists the records as an owner that starts takes them in.
-func (r *drainRecords) changes() []state.Change {
+func (r *drainRecords) changes() []records.Change {
 	return slices.Collect(maps.Values(r.stored))
 }
 
 // drainSnapshot is what a request about drains is answered from.
 type drainSnapshot struct {
 	known   drain.Known
-	drains  map[int]state.Change // readable ones
+	drains  map[int]records.Change // readable ones
 	damaged []int
 	views   map[string]drain.ShardView
 	holders map[string]string // of each shard, if it has a live one
 }
 
 func (c *control) drainSnapshot() drainSnapshot {
-	s := drainSnapshot{known: drain.Known{Zones: c.set.Params.Zones}, drains: map[int]state.Change{}, views: maps.Clone(c.drains.views), holders: map[string]string{}}
+	s := drainSnapshot{known: drain.Known{Zones: c.set.Params.Zones}, drains: map[int]records.Change{}, views: maps.Clone(c.drains.views), holders: map[string]string{}}
 	for _, t := range c.types {
 		s.known.Types = append(s.known.Types, t.Name)
 	}
@@ -84,22 +85,22 @@
 	}
 	for _, ch := range c.drains.stored {
 		switch r := ch.Record.(type) {
-		case *state.Drain:
+		case *records.Drain:
 			s.drains[r.Number] = ch
 			if !r.State.Over() {
 				s.known.Running = append(s.known.Running, r)
 			}
-		case *state.Damaged:
+		case *records.Damaged:
 			if n, ok := r.Drain(); ok {
 				s.damaged = append(s.damaged, n)
 			}
 		}
 	}
 	slices.SortFunc(s.known.Machines, func(a, b drain.Machine) int { return strings.Compare(a.Name, b.Name) })
-	slices.SortFunc(s.known.Running, func(a, b *state.Drain) int { return a.Number - b.Number })
+	slices.SortFunc(s.known.Running, func(a, b *records.Drain) int { return a.Number - b.Number })
 	slices.Sort(s.damaged)
 	for _, zone := range c.set.Params.Zones {
-		if name, ok := c.member.Holder(state.KeyShard(zone)); ok {
+		if name, ok := c.member.Holder(records.KeyShard(zone)); ok {
 			s.holders[zone] = name
 		}
 	}
@@ -187,7 +188,7 @@
 }
 
 // shardPlan asks the owner of a shard here; nil if there is none.
-func (r *drainRequests) shardPlan(ctx context.Context, name string, s state.Selection) (*drain.ShardPlan, error) {
+func (r *drainRequests) shardPlan(ctx context.Context, name string, s records.Selection) (*drain.ShardPlan, error) {
 	owner, err := ask(ctx, r.control, func(a chan<- *actor.Ref) any { return ownerAsked{name, a} })
 	if err != nil || owner == nil {
 		return nil, err
@@ -233,7 +234,7 @@
 
 // resolve makes a selection of what was asked for. It ends with the last machine that
 // is known now, so what is rented later is no part of it.
-func (r *drainRequests) resolve(ctx context.Context, q peer.DrainRequest, s *drainSnapshot) (state.Selection, *drain.FieldError) {
+func (r *drainRequests) resolve(ctx context.Context, q peer.DrainRequest, s *drainSnapshot) (records.Selection, *drain.FieldError) {
 	selection := q.Selection
 	if len(selection.Machines)+len(selection.Zones)+len(selection.Types) == 0 && selection.Spot == nil && q.RentedBeforeS == 0 && !q.All {
 		return selection, &drain.FieldError{Field: "selection", Problem: "names no machine, zone, type, kind or age; say so if all machines are meant"}
@@ -264,7 +265,7 @@
 }
 
 // plan asks the owners of all shards that a selection may touch.
-func (r *drainRequests) plan(ctx context.Context, s *drainSnapshot, selection state.Selection) drain.Plan {
+func (r *drainRequests) plan(ctx context.Context, s *drainSnapshot, selection records.Selection) drain.Plan {
 	var plans []drain.ShardPlan
 	var missing []string
 	for _, zone := range drain.Zones(&selection, s.known.Zones) {
@@ -287,17 +288,17 @@
 
 // start writes a new drain under the next number, and clears the oldest ones away that
 // are over.
-func (r *drainRequests) start(ctx context.Context, s *drainSnapshot, selection state.Selection) (int, *drain.FieldError, error) {
+func (r *drainRequests) start(ctx context.Context, s *drainSnapshot, selection records.Selection) (int, *drain.FieldError, error) {
 	numbers := slices.Sorted(maps.Keys(s.drains))
 	number := 1
 	for _, n := range append(numbers, s.damaged...) {
 		number = max(number, n+1)
 	}
-	record := state.Drain{Selection: selection, State: state.DrainRunning, StartedS: time.Now().Unix(), Machines: len(s.known.Selected(&selection))}
-	key := state.KeyDrain(number)
-	txn := wire.Txn{If: []wire.Condition{{Key: key, Version: 0}}, Then: []wire.Change{{Put: key, Value: state.Encode(record)}}}
+	record := records.Drain{Selection: selection, State: records.DrainRunning, StartedS: time.Now().Unix(), Machines: len(s.known.Selected(&selection))}
+	key := records.KeyDrain(number)
+	txn := wire.Txn{If: []wire.Condition{{Key: key, Version: 0}}, Then: []wire.Change{{Put: key, Value: records.Encode(record)}}}
 	if len(numbers) >= constants.DrainsKept {
-		if old := s.drains[numbers[0]]; old.Record.(*state.Drain).State.Over() {
+		if old := s.drains[numbers[0]]; old.Record.(*records.Drain).State.Over() {
 			txn.If = append(txn.If, wire.Condition{Key: old.Key, Version: old.Version})
 			txn.Then = append(txn.Then, wire.Change{Delete: old.Key})
 		}
@@ -308,11 +309,11 @@
 
 // commit writes what an operator asked for.
 func (r *drainRequests) commit(ctx context.Context, txn wire.Txn) (*drain.FieldError, error) {
-	err := state.RetryLimited(ctx, constants.DrainCallTimeout, constants.RetryMin, constants.RetryMin, func() error {
+	err := kvstore.RetryLimited(ctx, constants.DrainCallTimeout, constants.RetryMin, constants.RetryMin, func() error {
 		_, err := r.store.Commit(ctx, txn)
 		return err
 	})
-	var conflict *state.Conflict
+	var conflict *kvstore.Conflict
 	if errors.As(err, &conflict) {
 		return &drain.FieldError{Field: "drain", Problem: "its record changed meanwhile; look at the status and ask again"}, nil
 	}
@@ -332,24 +333,24 @@
 	if !ok {
 		return problem("drain", "there is no drain %d", q.Number), nil
 	}
-	next := stored.Record.(*state.Drain).Clone()
+	next := stored.Record.(*records.Drain).Clone()
 	if next.State.Over() {
 		return problem("drain", "drain %d is %s already", q.Number, next.State), nil
 	}
 	switch {
 	case q.Op == peer.OpCancel:
-		next.State = state.DrainCancelled
-	case q.Op == peer.OpPause && next.State == state.DrainRunning:
-		next.State = state.DrainPaused
-	case q.Op == peer.OpResume && next.State != state.DrainRunning:
-		next.State, next.Why = state.DrainRunning, ""
+		next.State = records.DrainCancelled
+	case q.Op == peer.OpPause && next.State == records.DrainRunning:
+		next.State = records.DrainPaused
+	case q.Op == peer.OpResume && next.State != records.DrainRunning:
+		next.State, next.Why = records.DrainRunning, ""
 		next.Attempt++
 	default:
 		return problem("drain", "drain %d is %s already", q.Number, next.State), nil
 	}
 	wrong, err := r.commit(ctx, wire.Txn{
 		If:   []wire.Condition{{Key: stored.Key, Version: stored.Version}},
-		Then: []wire.Change{{Put: stored.Key, Value: state.Encode(next)}},
+		Then: []wire.Change{{Put: stored.Key, Value: records.Encode(next)}},
 	})
 	return peer.DrainReply{Number: q.Number, Problem: wrong}, err
 }
@@ -358,7 +359,7 @@
 func (s *drainSnapshot) status(node string) *peer.DrainStatus {
 	out := &peer.DrainStatus{Node: node, Drains: []peer.DrainView{}, Damaged: s.damaged}
 	for _, n := range slices.Sorted(maps.Keys(s.drains)) {
-		r := s.drains[n].Record.(*state.Drain)
+		r := s.drains[n].Record.(*records.Drain)
 		v := peer.DrainView{Number: n, State: r.State, Why: r.Why, StartedS: r.StartedS, Machines: r.Machines, Proven: r.Proven}
 		if !r.State.Over() {
 			v.Left = len(s.known.Selected(&r.Selection))
--- a/node/extension.go
+++ b/controller/extension.go
@@ -1,11 +1,11 @@
-package node
+package controller
 
 import (
 	"time"
 
 	"ravenport/constants"
 	"ravenport/peer"
-	"ravenport/state"
+	"ravenport/records"
 )
 
 // While nobody reaches the state service, controllers promise each other to
@@ -24,7 +24,7 @@
 	}
 	var out []peer.Held
 	for shard, o := range c.owners {
-		out = append(out, peer.Held{Key: state.KeyShard(shard), Term: o.term, Version: o.version})
+		out = append(out, peer.Held{Key: records.KeyShard(shard), Term: o.term, Version: o.version})
 	}
 	return out
 }
--- a/node/faults_test.go
+++ b/controller/faults_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 
 	"ravenport/apiserver"
 	"ravenport/httpwire"
-	"ravenport/state"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
@@ -133,7 +133,7 @@
 				repeat := w.chance(0.3)
 				r := w.askAt(node, func(q apiserver.Request) any {
 					if repeat {
-						return apiserver.Submit{Req: q, Body: state.Encode(fields(j.spec))}
+						return apiserver.Submit{Req: q, Body: records.Encode(fields(j.spec))}
 					}
 					return apiserver.Poll{Req: q, ID: j.spec.ID}
 				})
@@ -308,14 +308,14 @@
 // schedulers like this one.
 func TestFaultCombinations(t *testing.T) {
 	zones := []string{"a", "b", "c"}
-	owner := func(w *world, z string) *simNode { return w.nodes[w.holder(state.KeyShard(z))] }
-	leader := func(w *world) *simNode { return w.nodes[w.holder(state.KeyLeader)] }
+	owner := func(w *world, z string) *simNode { return w.nodes[w.holder(records.KeyShard(z))] }
+	leader := func(w *world) *simNode { return w.nodes[w.holder(records.KeyLeader)] }
 	list := []scenario{
 		{name: "held reports come as a new leader begins", guard: func(w *world) { w.freshCopies = true },
 			play: func(t *testing.T, w *world) {
 				w.do(func() { w.keepCopies = true })
 				b := w.work(t, 60)
-				w.newTerm(t, state.KeyShard("a"), func() { owner(w, "a").restart(8 * time.Second); leader(w).restart(9 * time.Second) })
+				w.newTerm(t, records.KeyShard("a"), func() { owner(w, "a").restart(8 * time.Second); leader(w).restart(9 * time.Second) })
 				w.replay()
 				time.Sleep(3 * time.Second)
 				w.replay()
@@ -339,8 +339,8 @@
 					return !slices.ContainsFunc(lot, func(j *simJob) bool { return len(j.doneTasks) == 0 })
 				})
 				for range 2 {
-					w.newTerm(t, state.KeyLeader, func() { leader(w).restart(6 * time.Second) })
-					w.newTerm(t, state.KeyShard("b"), func() { owner(w, "b").restart(6 * time.Second) })
+					w.newTerm(t, records.KeyLeader, func() { leader(w).restart(6 * time.Second) })
+					w.newTerm(t, records.KeyShard("b"), func() { owner(w, "b").restart(6 * time.Second) })
 				}
 				for _, j := range lot {
 					if w.ended(j) {
@@ -360,8 +360,8 @@
 					}
 				})
 				w.cancelSoon(t, held[0], 20*time.Second)
-				w.newTerm(t, state.KeyLeader, func() { leader(w).restart(6 * time.Second) })
-				w.newTerm(t, state.KeyShard(cut[0].zone), func() { owner(w, cut[0].zone).restart(6 * time.Second) })
+				w.newTerm(t, records.KeyLeader, func() { leader(w).restart(6 * time.Second) })
+				w.newTerm(t, records.KeyShard(cut[0].zone), func() { owner(w, cut[0].zone).restart(6 * time.Second) })
 				w.until(t, "another of the team starts in its place", 2*w.times.lease()+time.Minute, func() bool {
 					return len(slices.DeleteFunc(w.begun(b.tight), func(j *simJob) bool { return j == held[0] })) == 2
 				})
@@ -374,7 +374,7 @@
 				hung := w.on(held[0].spec.ID)
 				w.hang(hung, true)
 				w.cancelSoon(t, held[0], 20*time.Second)
-				w.newTerm(t, state.KeyLeader, func() { leader(w).restart(3 * time.Second) })
+				w.newTerm(t, records.KeyLeader, func() { leader(w).restart(3 * time.Second) })
 				time.Sleep(w.times.lease() / 3)
 				w.hang(hung, false)
 				w.settle(t, 8*time.Minute, b.finishes)
@@ -411,11 +411,11 @@
 				boundArrays := [][]*simJob{w.boundArrays(1, 200), w.boundArrays(2, 200), w.boundArrays(3, 200)}
 				w.allRun(t, boundArrays...)
 				n := owner(w, "a")
-				w.newTerm(t, state.KeyShard("a"), func() { n.kill(); w.cancelSoon(t, boundArrays[0][0], 20*time.Second) })
+				w.newTerm(t, records.KeyShard("a"), func() { n.kill(); w.cancelSoon(t, boundArrays[0][0], 20*time.Second) })
 				w.cancelSoon(t, boundArrays[0][1], 20*time.Second)
 				n.start()
 				// It is given its shard back in good health: cancellations all the while.
-				w.newTerm(t, state.KeyShard("a"), func() {
+				w.newTerm(t, records.KeyShard("a"), func() {
 					go func() {
 						for _, lot := range boundArrays[1:] {
 							for node, j := range lot {
@@ -438,7 +438,7 @@
 						w.setOutage(true)
 						time.AfterFunc(8*time.Second, func() { w.setOutage(false) })
 					}
-					w.newTerm(t, state.KeyLeader, func() { leader(w).restart(w.between(100*time.Millisecond, 4*time.Second)) })
+					w.newTerm(t, records.KeyLeader, func() { leader(w).restart(w.between(100*time.Millisecond, 4*time.Second)) })
 					if i%3 == 0 && i/3 < len(b.long) {
 						w.cancelSoon(t, b.long[i/3], 30*time.Second)
 					}
@@ -487,7 +487,7 @@
 			play: func(t *testing.T, w *world) {
 				w.do(func() { w.lateWrites = 0.25 })
 				lot := w.flood(0, 60*time.Second, 1, 4, 0.5)
-				w.newTerm(t, state.KeyLeader, func() { leader(w).restart(time.Second) })
+				w.newTerm(t, records.KeyLeader, func() { leader(w).restart(time.Second) })
 				time.Sleep(20 * time.Second)
 				w.do(func() { w.lateWrites = 0 })
 				w.settle(t, 4*time.Minute, lot)
@@ -518,7 +518,7 @@
 					}
 					time.Sleep(5 * time.Second)
 				}
-				w.newTerm(t, state.KeyLeader, func() { leader(w).restart(time.Second) })
+				w.newTerm(t, records.KeyLeader, func() { leader(w).restart(time.Second) })
 				time.Sleep(2 * w.times.lease())
 				w.settle(t, 6*time.Minute, lot)
 			}},
@@ -526,15 +526,15 @@
 			play: func(t *testing.T, w *world) {
 				b := w.work(t, 150)
 				n := owner(w, "b")
-				w.newTerm(t, state.KeyShard("b"), func() { n.restart(300 * time.Millisecond) })
-				w.newTerm(t, state.KeyShard("b"), func() { owner(w, "b").restart(300 * time.Millisecond) })
+				w.newTerm(t, records.KeyShard("b"), func() { n.restart(300 * time.Millisecond) })
+				w.newTerm(t, records.KeyShard("b"), func() { owner(w, "b").restart(300 * time.Millisecond) })
 				for _, n := range w.nodes {
 					n.kill()
 				}
 				w.nodes[1].restart(700 * time.Millisecond)
 				time.Sleep(1200 * time.Millisecond)
 				w.nodes[1].restart(200 * time.Millisecond) // in the middle of the election
-				w.newTerm(t, state.KeyShard("b"), func() {})
+				w.newTerm(t, records.KeyShard("b"), func() {})
 				w.cancelSoon(t, b.long[1], 30*time.Second)
 				time.Sleep(10 * time.Second)
 				w.nodes[0].start()
@@ -555,7 +555,7 @@
 					for _, n := range w.nodes {
 						n.restart(w.between(500*time.Millisecond, 2*time.Second))
 					}
-					w.newTerm(t, state.KeyShard(zones[i%3]), func() {})
+					w.newTerm(t, records.KeyShard(zones[i%3]), func() {})
 					time.Sleep(12 * time.Second)
 				}
 				w.do(func() { w.late = 0 })
@@ -617,7 +617,7 @@
 				time.Sleep(30 * time.Second)
 				w.cancelSoon(t, lot[32], time.Minute)
 				w.cancelSoon(t, lot[36], time.Minute)
-				w.newTerm(t, state.KeyLeader, func() { leader(w).restart(time.Second) })
+				w.newTerm(t, records.KeyLeader, func() { leader(w).restart(time.Second) })
 				w.settle(t, 15*time.Minute, lot)
 			}},
 		// No guard is taken away: what it leans on, that owners wait for the reports of
@@ -633,7 +633,7 @@
 				for i, n := range w.nodes {
 					n.restart(time.Duration(1+i*300) * time.Millisecond)
 				}
-				w.newTerm(t, state.KeyShard("a"), func() {})
+				w.newTerm(t, records.KeyShard("a"), func() {})
 				w.settle(t, 8*time.Minute, b.finishes)
 			}},
 		{name: "a leader ends while machines with long tasks do not hear the new one", guard: func(w *world) { w.noLease, w.noReturn = true, true }, rule: "ran_twice",
@@ -643,7 +643,7 @@
 					on := w.on(j.spec.ID)
 					w.do(func() { on[0].deaf, on[0].cut = i%2 == 0, i%2 == 1 })
 				}
-				w.newTerm(t, state.KeyShard("a"), func() { owner(w, "a").restart(5 * time.Second); leader(w).restart(5 * time.Second) })
+				w.newTerm(t, records.KeyShard("a"), func() { owner(w, "a").restart(5 * time.Second); leader(w).restart(5 * time.Second) })
 				w.cancelSoon(t, b.free, 20*time.Second)
 				time.Sleep(w.times.cancelWithin() + 5*time.Second)
 				w.settle(t, 10*time.Minute, b.finishes)
@@ -652,9 +652,9 @@
 			play: func(t *testing.T, w *world) {
 				w.do(func() { w.upIn, w.slow, w.lateWrites = 2*time.Second, 700*time.Millisecond, 0.1 })
 				lot := w.flood(0, 20*time.Second, 0.4, 12, 0.25)
-				w.newTerm(t, state.KeyLeader, func() { leader(w).restart(300 * time.Millisecond) })
+				w.newTerm(t, records.KeyLeader, func() { leader(w).restart(300 * time.Millisecond) })
 				lot = append(lot, w.flood(500, 10*time.Second, 0.4, 12, 0.25)...)
-				w.newTerm(t, state.KeyShard("a"), func() { owner(w, "a").kill() })
+				w.newTerm(t, records.KeyShard("a"), func() { owner(w, "a").kill() })
 				time.Sleep(5 * time.Second)
 				w.do(func() { w.slow, w.lateWrites = 0, 0 })
 				w.settle(t, 5*time.Minute, lot)
@@ -673,7 +673,7 @@
 				})
 				w.cancelSoon(t, b.long[0], 20*time.Second)
 				time.Sleep(8 * time.Second)
-				w.newTerm(t, state.KeyShard("b"), func() { owner(w, "b").restart(5 * time.Second) })
+				w.newTerm(t, records.KeyShard("b"), func() { owner(w, "b").restart(5 * time.Second) })
 				time.Sleep(w.times.cancelWithin())
 				w.settle(t, 8*time.Minute, b.finishes)
 			}},
@@ -753,7 +753,7 @@
 		answered := 0
 		ask := func(what string, f map[string]any, want int) {
 			for node := range w.nodes {
-				r := w.askAt(node, func(q apiserver.Request) any { return apiserver.Submit{Req: q, Body: state.Encode(f)} })
+				r := w.askAt(node, func(q apiserver.Request) any { return apiserver.Submit{Req: q, Body: records.Encode(f)} })
 				if r == nil || r.Status == 503 {
 					continue
 				}
@@ -767,7 +767,7 @@
 			case 1:
 				w.do(func() { w.slow = 300 * time.Millisecond })
 			case 2:
-				w.newTerm(t, state.KeyLeader, func() { w.nodes[w.holder(state.KeyLeader)].restart(3 * time.Second) })
+				w.newTerm(t, records.KeyLeader, func() { w.nodes[w.holder(records.KeyLeader)].restart(3 * time.Second) })
 			case 3:
 				w.setOutage(true)
 				time.AfterFunc(10*time.Second, func() { w.setOutage(false) })
@@ -789,7 +789,7 @@
 				f := fields(done.spec)
 				delete(f, "cpus")
 				for _, r := range []*httpwire.Response{
-					w.askAt(node, func(q apiserver.Request) any { return apiserver.Submit{Req: q, Body: state.Encode(f)} }),
+					w.askAt(node, func(q apiserver.Request) any { return apiserver.Submit{Req: q, Body: records.Encode(f)} }),
 					w.askAt(node, func(q apiserver.Request) any { return apiserver.Cancel{Req: q, ID: done.spec.ID} }),
 				} {
 					w.check(done, r, true)
--- a/node/leader_test.go
+++ b/controller/leader_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 	"time"
 
 	"ravenport/constants"
-	"ravenport/state"
+	"ravenport/records"
 )
 
 // A leader that the others' calls do not reach, though its own reach them, knows the
@@ -27,10 +27,10 @@
 		defer w.shut()
 		time.Sleep(5 * time.Second)
 		w.allRun(t, w.boundArrays(0, 600)) // each shard has machines
-		leader := w.holder(state.KeyLeader)
+		leader := w.holder(records.KeyLeader)
 		w.do(func() { w.nodes[leader].noCalls, w.nodes[leader].cutReports = true, true })
 		cut := time.Now()
-		w.until(t, "another leader", 3*constants.PeersAway, func() bool { return w.holder(state.KeyLeader) != leader })
+		w.until(t, "another leader", 3*constants.PeersAway, func() bool { return w.holder(records.KeyLeader) != leader })
 		t.Logf("another one leads after %s", time.Since(cut))
 		j := w.newArray("run-000100", 4, 2, 5)
 		go w.user(j, 0, 0)
--- a/node/lease.go
+++ b/controller/lease.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -8,7 +8,8 @@
 	"time"
 
 	"ravenport/constants"
-	"ravenport/state"
+	"ravenport/kvstore"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
@@ -62,7 +63,7 @@
 	if c.lease == 0 {
 		inc := rand.Uint64()>>1 | 1
 		_, version := c.member.NodeKey(c.set.Node)
-		record := state.Node{Incarnation: inc, Packs: true}
+		record := records.Node{Incarnation: inc, Packs: true}
 		if c.detect.monitor != nil {
 			record.LifeMS = life.Milliseconds()
 		}
@@ -71,10 +72,10 @@
 			if err == nil {
 				// Conditional, so that a late copy from an earlier process can
 				// never replace this one's.
-				key := state.KeyNode(c.set.Node)
+				key := records.KeyNode(c.set.Node)
 				_, err = c.io.First.Commit(ctx, wire.Txn{
 					If:   []wire.Condition{{Key: key, Version: version}},
-					Then: []wire.Change{{Put: key, Value: state.Encode(record), Lease: lease}},
+					Then: []wire.Change{{Put: key, Value: records.Encode(record), Lease: lease}},
 				})
 			}
 			c.self.Tell(leased{lease, inc, sent, err})
@@ -122,7 +123,7 @@
 			c.leaseSent = m.sent
 		}
 		c.spreadAuthority(now)
-	case errors.Is(m.err, state.ErrNoLease):
+	case errors.Is(m.err, kvstore.ErrNoLease):
 		// Others may hold this controller's terms by now. It begins anew.
 		slog.Warn("lease ended", "lease", m.lease)
 		c.endLease(now)
--- a/node/monitor.go
+++ b/controller/monitor.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -28,7 +28,7 @@
 }
 
 // ErrStalled ends a controller one of whose actors makes no progress.
-var ErrStalled = errors.New("node: an actor makes no progress")
+var ErrStalled = errors.New("controller: an actor makes no progress")
 
 // Messages to the monitor.
 type (
--- a/node/node.go
+++ b/controller/node.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -13,11 +13,12 @@
 	"ravenport/constants"
 	"ravenport/history"
 	"ravenport/httpwire"
+	"ravenport/kvstore"
 	"ravenport/peer"
+	"ravenport/records"
 	"ravenport/server"
 	"ravenport/settings"
 	"ravenport/shard"
-	"ravenport/state"
 	"ravenport/wire"
 	"ravenport/worker"
 )
@@ -102,7 +103,7 @@
 	c := newControl(set, out, n.self, n.api, n.monitor)
 	go n.api.Run(ctx, apiserver.New(set, out.State, n.api, n.self))
 	go n.self.Run(ctx, c)
-	go state.NewFeed(out.State, set.ReadGap(), func(up state.Update) { n.self.Tell(up) }).Run(ctx)
+	go kvstore.NewFeed(out.State, set.ReadGap(), func(up records.Update) { n.self.Tell(up) }).Run(ctx)
 	go every(ctx, constants.MemberTick, func(t time.Time) {
 		n.self.Tell(tick(t))
 		n.api.Tell(apiserver.Tick(t))
@@ -148,7 +149,7 @@
 // PeerCommit writes a submission for another controller that is kept from the state
 // service.
 func (n *Controller) PeerCommit(ctx context.Context, t wire.Txn) peer.CommitReply {
-	if !state.CreatesJob(t) {
+	if !records.CreatesJob(t) {
 		return peer.CommitReply{Outcome: peer.OutcomeInvalid}
 	}
 	ctx, cancel := context.WithTimeout(ctx, constants.AnswerLimit)
@@ -161,7 +162,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	limits := set.StateLimits()
-	store := state.NewClient(set.Services.State, limits.RPS, limits.WriteRPS)
+	store := kvstore.NewClient(set.Services.State, limits.RPS, limits.WriteRPS)
 	out := Outside{
 		State:   store,
 		First:   store.First(),
--- a/node/overload_test.go
+++ b/controller/overload_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"fmt"
@@ -9,9 +9,9 @@
 	"time"
 
 	"ravenport/leader"
+	"ravenport/records"
 	"ravenport/settings"
 	"ravenport/shard"
-	"ravenport/state"
 	"ravenport/wire"
 )
 
@@ -44,7 +44,7 @@
 }
 
 type overloadJob struct {
-	rec     *state.Job
+	rec     *records.Job
 	version uint64
 	came    time.Time
 	began   time.Time
@@ -78,7 +78,7 @@
 	types := []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: set.Params.Zones}}
 	for _, z := range set.Params.Zones {
 		c.owners[z] = shard.New(shard.Config{Shard: z, Report: 3 * time.Second, LeaseEnd: 21 * time.Second, IdleSpot: time.Hour, IdleOrdinary: time.Hour,
-			ListLag: 5 * time.Second, Sizes: state.Sizes{Now: 8192, Next: 8192}, TxnOps: 12, WriteRPS: 100, Order: leader.NewOrder(set.Params.Objectives)}, 1, 1, c.now, types, nil, nil, nil, nil)
+			ListLag: 5 * time.Second, Sizes: records.Sizes{Now: 8192, Next: 8192}, TxnOps: 12, WriteRPS: 100, Order: leader.NewOrder(set.Params.Objectives)}, 1, 1, c.now, types, nil, nil, nil, nil)
 		c.owners[z].SetRoundClock(c.tick)
 		for i := range 10 {
 			w := &overloadWorker{name: fmt.Sprintf("m-%s-%d", z, i), zone: z, held: map[string]*overloadTask{}}
@@ -92,7 +92,7 @@
 func (c *overload) write(t wire.Txn) uint64 {
 	c.rev++
 	for _, ch := range t.Then {
-		rec, err := state.Decode(ch.Put, ch.Value)
+		rec, err := records.Decode(ch.Put, ch.Value)
 		if err != nil {
 			panic(err)
 		}
@@ -102,12 +102,12 @@
 }
 
 func (c *overload) show(key string, rec any) {
-	if j, ok := rec.(*state.Job); ok {
+	if j, ok := rec.(*records.Job); ok {
 		c.jobs[j.ID].rec, c.jobs[j.ID].version = j, c.rev
 		c.leader.ApplyJob(c.now, j.ID, j, c.rev)
 	}
 	for _, o := range c.owners {
-		o.Apply(c.now, state.Change{Key: key, Version: c.rev, Record: rec})
+		o.Apply(c.now, records.Change{Key: key, Version: c.rev, Record: rec})
 	}
 }
 
@@ -122,14 +122,14 @@
 	c.jobs[s.ID] = j
 	c.order = append(c.order, s.ID)
 	c.rev++
-	c.show(state.KeyJob(s.ID), &state.Job{ID: s.ID, Spec: s, AcceptedMS: c.now.UnixMilli()})
+	c.show(records.KeyJob(s.ID), &records.Job{ID: s.ID, Spec: s, AcceptedMS: c.now.UnixMilli()})
 }
 
 // valid says that a transaction's conditions on jobs hold.
 func (c *overload) valid(t wire.Txn) bool {
 	for _, k := range t.If {
 		for id, j := range c.jobs {
-			if k.Key == state.KeyJob(id) && k.Version != j.version {
+			if k.Key == records.KeyJob(id) && k.Version != j.version {
 				return false
 			}
 		}
@@ -199,7 +199,7 @@
 			rec := j.rec.Clone()
 			rec.End = wire.JobCancelled
 			c.rev++
-			c.show(state.KeyJob(id), rec)
+			c.show(records.KeyJob(id), rec)
 		}
 	}
 }
--- a/node/peers.go
+++ b/controller/peers.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"ravenport/constants"
 	"ravenport/leader"
 	"ravenport/peer"
-	"ravenport/state"
+	"ravenport/records"
 )
 
 // peerView is what is known of another controller.
@@ -34,7 +34,7 @@
 	if due {
 		c.pushAllAt = now
 	}
-	s := peer.Status{Node: c.set.Node, StateOK: c.stateOK(now), Revision: c.revision, Ask: ask, Counts: map[string]state.CountsByJob{}}
+	s := peer.Status{Node: c.set.Node, StateOK: c.stateOK(now), Revision: c.revision, Ask: ask, Counts: map[string]records.CountsByJob{}}
 	for shard, st := range c.status {
 		s.Aggregates = append(s.Aggregates, st.aggregate)
 		if due {
@@ -51,7 +51,7 @@
 		}
 		s.MisroutedReports = append(s.MisroutedReports, x.MisroutedReport)
 	}
-	lead, _ := c.member.Holder(state.KeyLeader)
+	lead, _ := c.member.Holder(records.KeyLeader)
 	if c.leaderRef != nil {
 		s.Forecast = c.forecast
 	}
@@ -97,7 +97,7 @@
 			// This one is cut off from the state service and has been replaced:
 			// its machines must not be kept from the next owner by its lease extension.
 			slog.Info("a sibling owns the shard under a later term", "shard", a.Shard, "term", o.term, "to", s.Node)
-			c.yielded[state.KeyShard(a.Shard)] = o.term
+			c.yielded[records.KeyShard(a.Shard)] = o.term
 			c.successor[a.Shard] = s.Node
 			c.stopOwner(a.Shard)
 		}
--- a/node/push_test.go
+++ b/controller/push_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"time"
 
 	"ravenport/actor"
+	"ravenport/kvstore"
 	"ravenport/peer"
-	"ravenport/state"
 	"ravenport/wire"
 )
 
@@ -21,7 +21,9 @@
 	return peer.Reply{}, nil
 }
 
-func (p *countingPeer) Commit(context.Context, wire.Txn) (uint64, error) { return 0, state.ErrRefused }
+func (p *countingPeer) Commit(context.Context, wire.Txn) (uint64, error) {
+	return 0, kvstore.ErrRefused
+}
 
 // A shard whose figures change all the time keeps nobody from being told: an
 // owner that workers cannot reach would not learn that others hear them.
--- a/node/revocation.go
+++ b/controller/revocation.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"ravenport/constants"
 	"ravenport/detector"
 	"ravenport/history"
-	"ravenport/state"
+	"ravenport/records"
 	"ravenport/watchdog"
 )
 
@@ -54,7 +54,7 @@
 		return
 	}
 	for _, p := range proposals {
-		txn, ok := c.member.Revoke(state.Revocation{Node: p.Node, Incarnation: p.Process, Evidence: evidenceNames(p.Evidence), Accusers: p.Accusers})
+		txn, ok := c.member.Revoke(records.Revocation{Node: p.Node, Incarnation: p.Process, Evidence: evidenceNames(p.Evidence), Accusers: p.Accusers})
 		if !ok {
 			continue
 		}
@@ -77,7 +77,7 @@
 
 // noteRevocation takes in a stored revocation. If it is this process's, everything
 // done here under its lease ends.
-func (c *control) noteRevocation(now time.Time, r *state.Revocation) {
+func (c *control) noteRevocation(now time.Time, r *records.Revocation) {
 	if c.detect.monitor == nil {
 		return
 	}
@@ -160,7 +160,7 @@
 func (c *control) workersOf(node string) int {
 	owned := map[string]bool{}
 	for _, zone := range c.set.Params.Zones {
-		holder, held := c.member.Holder(state.KeyShard(zone))
+		holder, held := c.member.Holder(records.KeyShard(zone))
 		owned[zone] = held && holder == node
 	}
 	machines := 0
--- a/node/roles.go
+++ b/controller/roles.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -9,9 +9,10 @@
 	"ravenport/actor"
 	"ravenport/apiserver"
 	"ravenport/constants"
+	"ravenport/kvstore"
 	"ravenport/leader"
 	"ravenport/member"
-	"ravenport/state"
+	"ravenport/records"
 )
 
 type child struct {
@@ -25,7 +26,7 @@
 // roles starts and stops the leader and the owners as the terms say.
 func (c *control) roles(ctx context.Context, now time.Time) {
 	for _, shard := range c.set.Params.Zones {
-		key := state.KeyShard(shard)
+		key := records.KeyShard(shard)
 		t, version := c.member.Term(key)
 		mine := version != 0 && t.Node == c.set.Node && t.Incarnation == c.incarnation && c.incarnation != 0
 		o := c.owners[shard]
@@ -48,9 +49,9 @@
 		slog.Info("shard owned", "shard", shard, "term", t.Number)
 		c.startOwner(ctx, now, shard, t.Number, version)
 	}
-	t, version := c.member.Term(state.KeyLeader)
+	t, version := c.member.Term(records.KeyLeader)
 	mine := version != 0 && t.Node == c.set.Node && t.Incarnation == c.incarnation && c.incarnation != 0 &&
-		c.yielded[state.KeyLeader] < t.Number
+		c.yielded[records.KeyLeader] < t.Number
 	if c.leaderRef != nil && (!mine || c.leaderRef.term != t.Number) {
 		slog.Info("leadership lost", "term", c.leaderRef.term)
 		c.stopLeader()
@@ -74,7 +75,7 @@
 
 func (c *control) startOwner(ctx context.Context, now time.Time, shard string, term, version uint64) {
 	ctx, cancel := context.WithCancel(ctx)
-	inventory, inventoryV := map[string]*state.Page{}, map[string]uint64{}
+	inventory, inventoryV := map[string]*records.Page{}, map[string]uint64{}
 	for k, r := range c.inventory {
 		if r.Shard == shard {
 			inventory[k], inventoryV[k] = r, c.inventoryV[k]
@@ -151,7 +152,7 @@
 // renewTerm gives an owner here a new term before the numbers of its own run out. Like
 // any hand-over it begins with the owner's stop.
 func (c *control) renewTerm(now time.Time, shard string) {
-	key := state.KeyShard(shard)
+	key := records.KeyShard(shard)
 	if c.owners[shard] == nil || c.claimBusy(now, key) || !c.settled(now) || c.claimsHeld(now) {
 		return // it asks again
 	}
@@ -172,14 +173,14 @@
 		return func() { end(); c.self.Tell(halted{cl}) }
 	}
 	for _, shard := range c.set.Params.Zones {
-		if o := c.owners[shard]; state.KeyShard(shard) == cl.Key && o != nil {
+		if o := c.owners[shard]; records.KeyShard(shard) == cl.Key && o != nil {
 			o.ref.Tell(halt{done(o.cancel)})
 			delete(c.owners, shard)
 			delete(c.status, shard)
 			return
 		}
 	}
-	if cl.Key == state.KeyLeader && c.leaderRef != nil {
+	if cl.Key == records.KeyLeader && c.leaderRef != nil {
 		c.leaderRef.ref.Tell(halt{done(c.leaderRef.cancel)})
 		c.leaderRef = nil
 		return
@@ -208,14 +209,14 @@
 // claim writes a claim. One that is refused for rate alone is tried again at
 // once: until it stands nobody owns the shard. It runs beside the actor.
 func (c *control) claim(ctx context.Context, cl member.Claim) error {
-	return state.RetryLimited(ctx, constants.ClaimRetry, constants.RetryMin/4, constants.RetryMin/4, func() error {
+	return kvstore.RetryLimited(ctx, constants.ClaimRetry, constants.RetryMin/4, constants.RetryMin/4, func() error {
 		_, err := c.io.First.Commit(ctx, cl.Txn)
 		return err
 	})
 }
 
 func (c *control) claimed(now time.Time, m claimed) {
-	if m.err == nil || errors.Is(m.err, state.ErrUnknown) {
+	if m.err == nil || errors.Is(m.err, kvstore.ErrUnknown) {
 		// The feed tells what came of it; until then nothing else is tried,
 		// for a little while.
 		c.claiming[m.claim.Key] = now.Add(-constants.StateTimeout)
--- a/node/scenario_test.go
+++ b/controller/scenario_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"encoding/json"
@@ -11,7 +11,7 @@
 	"time"
 
 	"ravenport/apiserver"
-	"ravenport/state"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
@@ -146,11 +146,11 @@
 	if e == nil {
 		return -1
 	}
-	v, err := state.Decode(key, e.value)
+	v, err := records.Decode(key, e.value)
 	if err != nil {
 		panic(err)
 	}
-	return slices.IndexFunc(w.nodes, func(n *simNode) bool { return n.set.Node == v.(*state.Term).Node })
+	return slices.IndexFunc(w.nodes, func(n *simNode) bool { return n.set.Node == v.(*records.Term).Node })
 }
 
 // tasksOn counts a job's tasks on machines of a zone; "": of any.
@@ -222,7 +222,7 @@
 func (w *world) shards(node int) []string {
 	var out []string
 	for _, z := range w.nodes[0].set.Params.Zones {
-		if w.holder(state.KeyShard(z)) == node {
+		if w.holder(records.KeyShard(z)) == node {
 			out = append(out, z)
 		}
 	}
@@ -242,13 +242,13 @@
 		time.Sleep(10 * time.Second)
 		for i, lot := range doomed {
 			if i > 0 && len(w.shards(refused)) == 0 {
-				refused = w.holder(state.KeyShard(w.nodes[0].set.Params.Zones[0]))
+				refused = w.holder(records.KeyShard(w.nodes[0].set.Params.Zones[0]))
 				other = (refused + 1) % 3
 			}
 			n, owned := w.nodes[refused], w.shards(refused)
 			starts := 0
 			w.do(func() { starts = w.starts })
-			if len(owned) == 0 && w.holder(state.KeyLeader) != refused {
+			if len(owned) == 0 && w.holder(records.KeyLeader) != refused {
 				w.stopScenario(t, "gap %d: %s neither owns nor leads: it is not refused to any purpose", i, n.set.Node)
 			}
 			w.do(func() { n.cutState = true })
@@ -261,7 +261,7 @@
 			confirmed := time.Now()
 			time.Sleep(w.between(50*time.Millisecond, 400*time.Millisecond))
 			for _, z := range owned {
-				if w.holder(state.KeyShard(z)) != refused {
+				if w.holder(records.KeyShard(z)) != refused {
 					w.stopScenario(t, "gap %d: %s lost its shard before the outage", i, n.set.Node)
 				}
 			}
--- a/node/sim_test.go
+++ b/controller/sim_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"encoding/json"
@@ -13,7 +13,7 @@
 	"time"
 
 	"ravenport/httpwire"
-	"ravenport/state"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
@@ -560,25 +560,25 @@
 func (w *world) leave() {
 	put := func(key string, v any) {
 		w.revision++
-		w.kv[key] = &entry{value: state.Encode(v), version: w.revision}
-		w.events = append(w.events, wire.Event{Put: key, Value: state.Encode(v), Version: w.revision})
+		w.kv[key] = &entry{value: records.Encode(v), version: w.revision}
+		w.events = append(w.events, wire.Event{Put: key, Value: records.Encode(v), Version: w.revision})
 	}
 	zones := w.nodes[0].set.Params.Zones
 	for i, z := range zones {
-		put(state.KeyShard(z), state.Term{Node: "n-0", Incarnation: 7, Number: uint64(3 + i)})
+		put(records.KeyShard(z), records.Term{Node: "n-0", Incarnation: 7, Number: uint64(3 + i)})
 	}
-	page := state.Page{}
+	page := records.Page{}
 	for i := range 180 {
-		page.Add(state.Machine{Name: fmt.Sprintf("m-9%05d", i), Type: "box", Addr: fmt.Sprintf("10.9.0.%d:9000", i), Spot: i%2 == 0})
+		page.Add(records.Machine{Name: fmt.Sprintf("m-9%05d", i), Type: "box", Addr: fmt.Sprintf("10.9.0.%d:9000", i), Spot: i%2 == 0})
 	}
-	put(state.KeyInventory(zones[0], 0), page)
+	put(records.KeyInventory(zones[0], 0), page)
 	s := wire.Submission{ID: "run-900000", Class: "c", Team: "free", Kind: wire.KindArray, Priority: wire.PriorityNormal,
 		Tasks: 60, CPUs: 1, MemoryGB: 1, Image: "i-0", ImageGB: 1, Spot: true, EstimateS: 5}
-	rec := state.Job{Spec: s, AcceptedMS: time.Now().UnixMilli()}
+	rec := records.Job{Spec: s, AcceptedMS: time.Now().UnixMilli()}
 	for i := range s.Tasks {
-		rec.Assignments = append(rec.Assignments, state.Assignment{From: i, To: i + 1, Shard: zones[i%len(zones)], Keep: i%3 == 0})
+		rec.Assignments = append(rec.Assignments, records.Assignment{From: i, To: i + 1, Shard: zones[i%len(zones)], Keep: i%3 == 0})
 	}
-	put(state.KeyJob(s.ID), rec)
+	put(records.KeyJob(s.ID), rec)
 	j := &simJob{spec: s, doneTasks: map[int]bool{}}
 	w.jobs[s.ID] = j
 	go w.user(j, 0, 0) // its user asks again and then polls
--- a/node/standin_detection_test.go
+++ b/controller/standin_detection_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"ravenport/detector"
 	"ravenport/httpwire"
 	"ravenport/peer"
+	"ravenport/records"
 	"ravenport/settings"
-	"ravenport/state"
 	"ravenport/wire"
 )
 
@@ -109,34 +109,34 @@
 		return
 	}
 	w.mu.Lock()
-	e := w.kv[state.KeyNode(of.set.Node)]
+	e := w.kv[records.KeyNode(of.set.Node)]
 	w.mu.Unlock()
 	if e == nil {
 		return
 	}
-	record, err := state.Decode(state.KeyNode(of.set.Node), e.value)
+	record, err := records.Decode(records.KeyNode(of.set.Node), e.value)
 	if err != nil {
 		panic(err)
 	}
-	ctl.self.Tell([]detector.Proposal{{Node: of.set.Node, Process: record.(*state.Node).Incarnation, Evidence: []detector.Evidence{"accused at random"}, Accusers: []string{by.set.Node}}})
+	ctl.self.Tell([]detector.Proposal{{Node: of.set.Node, Process: record.(*records.Node).Incarnation, Evidence: []detector.Evidence{"accused at random"}, Accusers: []string{by.set.Node}}})
 }
 
 // owner is the number of the controller that owns a zone's shard.
-func (w *world) owner(zone string) int { return w.holder(state.KeyShard(zone)) }
+func (w *world) owner(zone string) int { return w.holder(records.KeyShard(zone)) }
 
 // term is the number of a zone's term.
 func (w *world) term(zone string) uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	e := w.kv[state.KeyShard(zone)]
+	e := w.kv[records.KeyShard(zone)]
 	if e == nil {
 		return 0
 	}
-	record, err := state.Decode(state.KeyShard(zone), e.value)
+	record, err := records.Decode(records.KeyShard(zone), e.value)
 	if err != nil {
 		panic(err)
 	}
-	return record.(*state.Term).Number
+	return record.(*records.Term).Number
 }
 
 // count is how often something was seen.
--- a/node/standin_draining_test.go
+++ b/controller/standin_draining_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 
 	"ravenport/internal/disruptioncheck"
 	"ravenport/peer"
+	"ravenport/records"
 	"ravenport/settings"
 	"ravenport/shard"
-	"ravenport/state"
 	"ravenport/wire"
 )
 
@@ -184,7 +184,7 @@
 }
 
 // startDrain starts a drain and returns its number.
-func (w *world) startDrain(t *testing.T, s state.Selection) int {
+func (w *world) startDrain(t *testing.T, s records.Selection) int {
 	t.Helper()
 	for range 30 { // right after a takeover an owner may not be there to be asked
 		reply := w.drains(t, peer.DrainRequest{Op: peer.OpStart, Selection: s, All: true})
@@ -207,7 +207,7 @@
 // command pauses, resumes or cancels a drain, again if its record changed meanwhile.
 func (w *world) command(t *testing.T, op peer.DrainOp, number int) {
 	t.Helper()
-	becomes := map[peer.DrainOp]state.DrainState{peer.OpPause: state.DrainPaused, peer.OpResume: state.DrainRunning, peer.OpCancel: state.DrainCancelled}[op]
+	becomes := map[peer.DrainOp]records.DrainState{peer.OpPause: records.DrainPaused, peer.OpResume: records.DrainRunning, peer.OpCancel: records.DrainCancelled}[op]
 	for range 10 {
 		problem := w.drains(t, peer.DrainRequest{Op: op, Number: number}).Problem
 		if problem == nil || w.drainRecord(number).State == becomes { // the answer may have been lost
@@ -219,18 +219,18 @@
 }
 
 // drainRecord is a drain as it is stored.
-func (w *world) drainRecord(number int) *state.Drain {
+func (w *world) drainRecord(number int) *records.Drain {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	e := w.kv[state.KeyDrain(number)]
+	e := w.kv[records.KeyDrain(number)]
 	if e == nil {
 		return nil
 	}
-	record, err := state.Decode(state.KeyDrain(number), e.value)
+	record, err := records.Decode(records.KeyDrain(number), e.value)
 	if err != nil {
 		return nil
 	}
-	return record.(*state.Drain)
+	return record.(*records.Drain)
 }
 
 // view is what the controllers tell of a drain.
@@ -244,7 +244,7 @@
 }
 
 // drainEnds waits until a drain is in a state.
-func (w *world) drainEnds(t *testing.T, number int, in state.DrainState, limit time.Duration) {
+func (w *world) drainEnds(t *testing.T, number int, in records.DrainState, limit time.Duration) {
 	t.Helper()
 	for end := time.Now().Add(limit); ; time.Sleep(time.Second) {
 		r := w.drainRecord(number)
@@ -317,7 +317,7 @@
 	// hurt brings the failure about once the drain is under way; nil: none.
 	hurt func(*testing.T, *world, int)
 	// ends is the state that the drain comes to; empty: finished.
-	ends state.DrainState
+	ends records.DrainState
 	// settings are added to those of all plays.
 	settings string
 	// spot: services may run on spot machines.
@@ -363,7 +363,7 @@
 	}
 	w.beginDrains(t)
 	old := w.present()
-	number := w.startDrain(t, state.Selection{})
+	number := w.startDrain(t, records.Selection{})
 	if s.unguard != nil { // what owners tell each other takes longer, as under load
 		w.do(func() { w.slow = 800 * time.Millisecond })
 	}
@@ -375,7 +375,7 @@
 		return w.brokenRules()
 	}
 	if s.ends == "" {
-		w.drainEnds(t, number, state.DrainFinished, 12*time.Minute)
+		w.drainEnds(t, number, records.DrainFinished, 12*time.Minute)
 		if n := w.left(old); n > 0 {
 			t.Errorf("%d of %d machines are still there", n, len(old))
 		}
@@ -411,11 +411,11 @@
 	defer w.mu.Unlock()
 	n := 0
 	for key, e := range w.kv {
-		if !strings.HasPrefix(key, state.KeyClaim("")) {
+		if !strings.HasPrefix(key, records.KeyClaim("")) {
 			continue
 		}
-		if record, err := state.Decode(key, e.value); err == nil {
-			for _, down := range record.(*state.Claim).Down {
+		if record, err := records.Decode(key, e.value); err == nil {
+			for _, down := range record.(*records.Claim).Down {
 				n += down
 			}
 		}
@@ -434,8 +434,8 @@
 	defer w.mu.Unlock()
 	n := 0
 	for key, e := range w.kv {
-		record, err := state.Decode(key, e.value)
-		if page, ok := record.(*state.Page); ok && err == nil {
+		record, err := records.Decode(key, e.value)
+		if page, ok := record.(*records.Page); ok && err == nil {
 			for _, m := range page.Machines() {
 				if m.Closed && some(m.Name) {
 					n++
--- a/node/standin_store_test.go
+++ b/controller/standin_store_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -8,7 +8,8 @@
 	"strings"
 	"time"
 
-	"ravenport/state"
+	"ravenport/kvstore"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
@@ -31,13 +32,13 @@
 	s.n.stand() // what it had decided goes out when it moves on, whatever the time
 	time.Sleep(w.between(time.Millisecond, 12*time.Millisecond) + w.slow)
 	if ctx.Err() != nil && !w.chance(0.5) {
-		return fmt.Errorf("%w: %w", state.ErrUnknown, ctx.Err())
+		return fmt.Errorf("%w: %w", kvstore.ErrUnknown, ctx.Err())
 	}
 	w.mu.Lock()
 	shut := w.outage || s.n.cutState || w.cutZone == s.n.set.Zone
 	w.mu.Unlock()
 	if shut {
-		return state.ErrRefused
+		return kvstore.ErrRefused
 	}
 	return nil
 }
@@ -55,7 +56,7 @@
 		}
 		w.mu.Unlock()
 		time.Sleep(time.Second)
-		return 0, state.ErrUnknown
+		return 0, kvstore.ErrUnknown
 	case w.chance(w.lateWrites): // carried out much later
 		go func() {
 			time.Sleep(w.between(time.Second, 20*time.Second))
@@ -67,7 +68,7 @@
 			w.mu.Unlock()
 		}()
 		time.Sleep(time.Second)
-		return 0, state.ErrUnknown
+		return 0, kvstore.ErrUnknown
 	case w.chance(w.repeats): // repeated later
 		go func() {
 			time.Sleep(w.between(time.Second, 20*time.Second))
@@ -92,13 +93,13 @@
 				v = e.version
 			}
 			if v != c.Version {
-				return 0, &state.Conflict{Failed: []string{c.Key}}
+				return 0, &kvstore.Conflict{Failed: []string{c.Key}}
 			}
 		}
 	}
 	for _, ch := range t.Then {
 		if ch.Lease != 0 && w.leases[ch.Lease] == nil {
-			return 0, state.ErrNoLease
+			return 0, kvstore.ErrNoLease
 		}
 	}
 	kb, ops := 8, 12
@@ -108,7 +109,7 @@
 	for _, ch := range t.Then {
 		if len(ch.Value) > kb<<10 || len(t.Then) > ops || len(t.If) > 4*ops {
 			w.invalid[ch.Put]++
-			return 0, state.ErrInvalid
+			return 0, kvstore.ErrInvalid
 		}
 	}
 	w.revision++
@@ -118,7 +119,7 @@
 			w.events = append(w.events, wire.Event{Delete: ch.Delete, Version: w.revision})
 			continue
 		}
-		if strings.HasPrefix(ch.Put, state.KeyRevoked("")) {
+		if strings.HasPrefix(ch.Put, records.KeyRevoked("")) {
 			w.seen["revocations"]++
 		}
 		if w.hasty {
@@ -189,10 +190,10 @@
 		}
 		select {
 		case <-ctx.Done():
-			return nil, state.ErrRefused
+			return nil, kvstore.ErrRefused
 		case <-end:
 			if shut {
-				return nil, state.ErrRefused
+				return nil, kvstore.ErrRefused
 			}
 			return out, nil
 		case <-changed:
@@ -221,7 +222,7 @@
 	defer w.mu.Unlock()
 	l := w.leases[id]
 	if l == nil {
-		return state.ErrNoLease
+		return kvstore.ErrNoLease
 	}
 	l.ends = time.Now().Add(l.life)
 	return nil
--- a/node/standin_test.go
+++ b/controller/standin_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -12,10 +12,10 @@
 	"ravenport/apiserver"
 	"ravenport/httpwire"
 	"ravenport/internal/disruptioncheck"
+	"ravenport/kvstore"
 	"ravenport/peer"
 	"ravenport/settings"
 	"ravenport/shard"
-	"ravenport/state"
 	"ravenport/wire"
 )
 
@@ -300,7 +300,7 @@
 	cut := p.from.cutPeers || p.to.cutPeers || p.from.w.apart(p.from.set.Zone, p.to) || p.to.noCalls
 	p.from.w.mu.Unlock()
 	if ctl == nil || ctx.Err() != nil || cut {
-		return nil, fmt.Errorf("%w: unreachable", state.ErrUnknown)
+		return nil, fmt.Errorf("%w: unreachable", kvstore.ErrUnknown)
 	}
 	p.from.stand()
 	return ctl, nil
--- a/node/status.go
+++ b/controller/status.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"encoding/json"
@@ -6,8 +6,8 @@
 	"time"
 
 	"ravenport/httpwire"
+	"ravenport/records"
 	"ravenport/shard"
-	"ravenport/state"
 )
 
 // Status is what /status answers: this controller's view, for operators.
@@ -60,7 +60,7 @@
 }
 
 func (c *control) tellStatus(now time.Time, req request) {
-	s := Status{Node: c.set.Node, Zone: c.set.Zone, StateOK: c.stateOK(now), Revision: c.revision, OpenJobs: len(c.jobs), Leader: c.role(state.KeyLeader)}
+	s := Status{Node: c.set.Node, Zone: c.set.Zone, StateOK: c.stateOK(now), Revision: c.revision, OpenJobs: len(c.jobs), Leader: c.role(records.KeyLeader)}
 	if u := c.until(); now.Before(u) {
 		s.AuthorityMS = u.Sub(now).Milliseconds()
 	}
@@ -70,7 +70,7 @@
 		}
 	}
 	for _, name := range c.set.Params.Zones {
-		p := ShardStatus{Shard: name, Owner: c.role(state.KeyShard(name))}
+		p := ShardStatus{Shard: name, Owner: c.role(records.KeyShard(name))}
 		for _, r := range c.inventory {
 			if r.Shard == name {
 				p.Inventory += len(r.Machines())
--- a/node/term_test.go
+++ b/controller/term_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"time"
 
 	"ravenport/actor"
-	"ravenport/state"
+	"ravenport/records"
 )
 
 // An owner whose term's numbers run out goes on under a new term of its own, and what
@@ -39,7 +39,7 @@
 			Cloud: &simCloud{w.nodes[0]}, Workers: func() Workers { return &simCommands{w.nodes[0]} }, Peers: map[string]Peer{}}
 		control := actor.NewRef()
 		c := newControl(w.nodes[0].set, out, control, actor.NewRef(), nil)
-		a := newShardActor(c, "a", 3, 7, time.Now(), map[string]*state.Page{}, map[string]uint64{})
+		a := newShardActor(c, "a", 3, 7, time.Now(), map[string]*records.Page{}, map[string]uint64{})
 		a.core.SetNumbers(0, 0)
 		for range 5 {
 			time.Sleep(2 * time.Second)
--- a/disruption/ledger.go
+++ b/disruption/ledger.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"ravenport/constants"
-	"ravenport/state"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
@@ -44,7 +44,7 @@
 
 // claim is what the owner of another shard has published.
 type claim struct {
-	record  *state.Claim
+	record  *records.Claim
 	version uint64
 }
 
@@ -89,17 +89,17 @@
 }
 
 // ApplyJob takes in a job's record.
-func (l *Ledger) ApplyJob(now time.Time, j *state.Job) { l.population.apply(now, j) }
+func (l *Ledger) ApplyJob(now time.Time, j *records.Job) { l.population.apply(now, j) }
 
 // ApplyTerm takes in the term of a shard.
-func (l *Ledger) ApplyTerm(t *state.Term) {
+func (l *Ledger) ApplyTerm(t *records.Term) {
 	if t.Shard != "" {
 		l.terms[t.Shard] = max(l.terms[t.Shard], t.Number)
 	}
 }
 
 // ApplyClaim takes in a shard's claim.
-func (l *Ledger) ApplyClaim(r *state.Claim, version uint64) {
+func (l *Ledger) ApplyClaim(r *records.Claim, version uint64) {
 	if version <= l.claims[r.Shard].version {
 		return
 	}
@@ -124,7 +124,7 @@
 }
 
 // countsOf reads a claim's numbers.
-func countsOf(r *state.Claim) Counts {
+func countsOf(r *records.Claim) Counts {
 	out := Counts{}
 	for name, n := range r.Down {
 		if n > 0 {
@@ -269,12 +269,12 @@
 	if mine.record != nil && mine.record.Term == l.cfg.Term && maps.Equal(next, l.written) && len(compared) == 0 {
 		return nil, nil
 	}
-	key := state.KeyClaim(l.cfg.Shard)
+	key := records.KeyClaim(l.cfg.Shard)
 	conditions := []wire.Condition{{Key: key, Version: mine.version}}
 	if len(compared) > 0 {
 		for _, shard := range l.cfg.Shards {
 			if shard != l.cfg.Shard {
-				conditions = append(conditions, wire.Condition{Key: state.KeyClaim(shard), Version: l.claims[shard].version})
+				conditions = append(conditions, wire.Condition{Key: records.KeyClaim(shard), Version: l.claims[shard].version})
 			}
 		}
 	}
@@ -284,12 +284,12 @@
 	if !urgent {
 		l.nextWrite = now.Add(constants.ClaimGapIdle)
 	}
-	return []wire.Change{{Put: key, Value: state.Encode(l.record(next))}}, conditions
+	return []wire.Change{{Put: key, Value: records.Encode(l.record(next))}}, conditions
 }
 
 // record is this term's claim of so much.
-func (l *Ledger) record(down Counts) *state.Claim {
-	r := &state.Claim{Shard: l.cfg.Shard, Term: l.cfg.Term, Down: map[string]int{}}
+func (l *Ledger) record(down Counts) *records.Claim {
+	r := &records.Claim{Shard: l.cfg.Shard, Term: l.cfg.Term, Down: map[string]int{}}
 	for k, n := range down {
 		r.Down[k.String()] = n
 	}
--- a/disruption/ledger_test.go
+++ b/disruption/ledger_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	_ "ravenport/internal/testseed"
-	"ravenport/state"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
@@ -63,9 +63,9 @@
 	owners map[string]*modelOwner
 	shards []string
 
-	log      []state.Change
+	log      []records.Change
 	versions map[string]uint64
-	claims   map[string]*state.Claim
+	claims   map[string]*records.Claim
 	stops    []modelStop
 	late     []*modelWrite
 
@@ -79,7 +79,7 @@
 
 func newModel(pick source) *model {
 	m := &model{pick: pick, now: time.Unix(1000, 0), stable: 10 * time.Second, most: Amount{Tasks: 1 + pick(3)}, shards: []string{"a", "b", "c"},
-		owners: map[string]*modelOwner{}, versions: map[string]uint64{}, claims: map[string]*state.Claim{}, refusals: map[Reason]int{}}
+		owners: map[string]*modelOwner{}, versions: map[string]uint64{}, claims: map[string]*records.Claim{}, refusals: map[Reason]int{}}
 	if pick(3) == 0 {
 		m.most = Amount{Percent: 25, IsShare: true}
 	}
@@ -94,19 +94,19 @@
 func (m *model) store(key string, record any) uint64 {
 	version := uint64(len(m.log) + 1)
 	m.versions[key] = version
-	m.log = append(m.log, state.Change{Key: key, Version: version, Record: record})
+	m.log = append(m.log, records.Change{Key: key, Version: version, Record: record})
 	return version
 }
 
 // storeJob stores the job as the tasks are assigned now.
 func (m *model) storeJob() {
-	j := &state.Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", Team: modelTeam, Class: "c", Kind: wire.KindService, Tasks: len(m.tasks)}}
+	j := &records.Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", Team: modelTeam, Class: "c", Kind: wire.KindService, Tasks: len(m.tasks)}}
 	for i, t := range m.tasks {
 		if t.shard != "" {
-			j.Assignments = append(j.Assignments, state.Assignment{From: i, To: i + 1, Shard: t.shard})
+			j.Assignments = append(j.Assignments, records.Assignment{From: i, To: i + 1, Shard: t.shard})
 		}
 	}
-	m.store(state.KeyJob(j.ID), j)
+	m.store(records.KeyJob(j.ID), j)
 }
 
 // begin starts an owner of a shard under the next term.
@@ -115,7 +115,7 @@
 	if o := m.owners[shard]; o != nil {
 		term = o.term + 1
 	}
-	m.store(state.KeyShard(shard), &state.Term{Shard: shard, Number: term})
+	m.store(records.KeyShard(shard), &records.Term{Shard: shard, Number: term})
 	var budgets Budgets
 	budgets.SetOthers(m.most)
 	o := &modelOwner{shard: shard, term: term, views: map[int]string{}, stopping: map[int]bool{},
@@ -129,15 +129,15 @@
 	for ; o.read < to; o.read++ {
 		ch := m.log[o.read]
 		switch r := ch.Record.(type) {
-		case *state.Job:
+		case *records.Job:
 			o.ledger.ApplyJob(m.now, r)
 			clear(o.views)
 			for _, a := range r.Assignments {
 				o.views[a.From] = a.Shard
 			}
-		case *state.Claim:
+		case *records.Claim:
 			o.ledger.ApplyClaim(r, ch.Version)
-		case *state.Term:
+		case *records.Term:
 			o.ledger.ApplyTerm(r)
 		}
 	}
@@ -232,11 +232,11 @@
 			return 0
 		}
 	}
-	v, err := state.Decode(w.changes[0].Put, w.changes[0].Value)
+	v, err := records.Decode(w.changes[0].Put, w.changes[0].Value)
 	if err != nil {
 		panic(err)
 	}
-	claim := v.(*state.Claim)
+	claim := v.(*records.Claim)
 	was := m.claims[w.shard]
 	m.claims[w.shard] = claim
 	version := m.store(w.changes[0].Put, claim)
--- a/disruption/population.go
+++ b/disruption/population.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"ravenport/constants"
-	"ravenport/state"
+	"ravenport/records"
 )
 
 // Counts are numbers of tasks by budget.
@@ -50,7 +50,7 @@
 }
 
 // apply takes in a job's record.
-func (p *population) apply(now time.Time, j *state.Job) {
+func (p *population) apply(now time.Time, j *records.Job) {
 	was, known := p.jobs[j.ID]
 	var is member
 	if j.End == "" {
@@ -60,7 +60,7 @@
 		}
 		switch {
 		case j.Spec.IsService():
-			is.unassigned = state.TasksIn(j.Unassigned())
+			is.unassigned = records.TasksIn(j.Unassigned())
 		case j.Spec.IsGang():
 			is.tasks = 1
 		}
--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -9,7 +9,7 @@
 
 	"ravenport/disruption"
 	_ "ravenport/internal/testseed"
-	"ravenport/state"
+	"ravenport/records"
 )
 
 // A selection takes in what fits every field, and is refused with the field that is
@@ -17,21 +17,21 @@
 func TestSelections(t *testing.T) {
 	spot := true
 	known := Known{Zones: []string{"a", "b"}, Types: []string{"box", "tub"}, Machines: []Machine{{"m-1", "a", "box", false}, {"m-2", "a", "tub", true}, {"m-3", "b", "box", true}}}
-	known.Running = []*state.Drain{{Number: 4, Selection: state.Selection{Zones: []string{"b"}}}}
+	known.Running = []*records.Drain{{Number: 4, Selection: records.Selection{Zones: []string{"b"}}}}
 	for _, c := range []struct {
-		selection state.Selection
+		selection records.Selection
 		takes     []string
 		field     string
 	}{
-		{state.Selection{Zones: []string{"a"}}, []string{"m-1", "m-2"}, ""},
-		{state.Selection{Types: []string{"box"}, Last: "m-2"}, []string{"m-1"}, ""},
-		{state.Selection{Spot: &spot, Zones: []string{"a"}}, []string{"m-2"}, ""},
-		{state.Selection{}, []string{"m-1", "m-2", "m-3"}, "selection"}, // overlaps drain 4
-		{state.Selection{Machines: []string{"m-9"}}, nil, "machine"},
-		{state.Selection{Machines: make([]string, 99)}, nil, "machine"},
-		{state.Selection{Zones: []string{"c"}}, nil, "zone"},
-		{state.Selection{Types: []string{"vat"}}, nil, "type"},
-		{state.Selection{Last: "m-0"}, nil, "selection"},
+		{records.Selection{Zones: []string{"a"}}, []string{"m-1", "m-2"}, ""},
+		{records.Selection{Types: []string{"box"}, Last: "m-2"}, []string{"m-1"}, ""},
+		{records.Selection{Spot: &spot, Zones: []string{"a"}}, []string{"m-2"}, ""},
+		{records.Selection{}, []string{"m-1", "m-2", "m-3"}, "selection"}, // overlaps drain 4
+		{records.Selection{Machines: []string{"m-9"}}, nil, "machine"},
+		{records.Selection{Machines: make([]string, 99)}, nil, "machine"},
+		{records.Selection{Zones: []string{"c"}}, nil, "zone"},
+		{records.Selection{Types: []string{"vat"}}, nil, "type"},
+		{records.Selection{Last: "m-0"}, nil, "selection"},
 	} {
 		var names []string
 		for _, m := range known.Selected(&c.selection) {
@@ -51,7 +51,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		zones := []string{"a", "b", "c"}
 		policy := Policy{Parallel: float64(rapid.IntRange(0, 100).Draw(t, "parallel")), FailuresMost: rapid.IntRange(1, 4).Draw(t, "failures")}
-		record, version := &state.Drain{Number: 1, State: state.DrainRunning}, uint64(1)
+		record, version := &records.Drain{Number: 1, State: records.DrainRunning}, uint64(1)
 		steps, left, cordoned := map[string]*Steps{}, map[string][]string{}, map[string][]string{}
 		for _, z := range zones {
 			steps[z] = NewSteps(policy, z, zones, record, version)
@@ -76,7 +76,7 @@
 			if !record.Proven {
 				most = 1
 			}
-			if n := len(cordoned[z]); n > most || n > 0 && !s.Acts() && record.State == state.DrainRunning {
+			if n := len(cordoned[z]); n > most || n > 0 && !s.Acts() && record.State == records.DrainRunning {
 				t.Fatalf("%v of %s are cordoned, %d may be", cordoned[z], z, most)
 			}
 			if n := len(cordoned[z]); n > 0 && rapid.Bool().Draw(t, "gone") {
@@ -98,16 +98,16 @@
 					other.Apply(record, version)
 				}
 			}
-			if record.State != state.DrainRunning {
+			if record.State != records.DrainRunning {
 				break
 			}
 		}
 		switch record.State {
-		case state.DrainStopped:
+		case records.DrainStopped:
 			if failures < policy.FailuresMost || record.Why == "" {
 				t.Fatalf("stopped after %d failures: %+v", failures, record)
 			}
-		case state.DrainFinished:
+		case records.DrainFinished:
 			if n := len(left["a"]) + len(left["b"]) + len(left["c"]); n > 0 {
 				t.Fatalf("finished, and %d machines are left", n)
 			}
--- a/drain/selection.go
+++ b/drain/selection.go
@@ -9,7 +9,7 @@
 	"slices"
 
 	"ravenport/constants"
-	"ravenport/state"
+	"ravenport/records"
 )
 
 // Machine is what a selection looks at.
@@ -27,7 +27,7 @@
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
 // Matches says whether a selection takes a machine in.
-func Matches(s *state.Selection, m Machine) bool {
+func Matches(s *records.Selection, m Machine) bool {
 	in := func(list []string, x string) bool { return len(list) == 0 || slices.Contains(list, x) }
 	return in(s.Machines, m.Name) && in(s.Zones, m.Zone) && in(s.Types, m.Type) &&
 		(s.Spot == nil || *s.Spot == m.Spot) && (s.Last == "" || m.Name <= s.Last)
@@ -38,11 +38,11 @@
 	Zones    []string
 	Types    []string  // that the cloud has
 	Machines []Machine // in the inventory
-	Running  []*state.Drain
+	Running  []*records.Drain
 }
 
 // Selected lists the machines that a selection takes in.
-func (k *Known) Selected(s *state.Selection) []Machine {
+func (k *Known) Selected(s *records.Selection) []Machine {
 	var out []Machine
 	for _, m := range k.Machines {
 		if Matches(s, m) {
@@ -53,7 +53,7 @@
 }
 
 // Check returns the first thing that is wrong with a selection, nil if it can be drained.
-func (k *Known) Check(s *state.Selection) *FieldError {
+func (k *Known) Check(s *records.Selection) *FieldError {
 	for _, z := range s.Zones {
 		if !slices.Contains(k.Zones, z) {
 			return &FieldError{"zone", fmt.Sprintf("there is no zone %q", z)}
@@ -87,7 +87,7 @@
 }
 
 // Zones lists the zones whose machines a selection may take in, in the deployment's order.
-func Zones(s *state.Selection, all []string) []string {
+func Zones(s *records.Selection, all []string) []string {
 	var out []string
 	for _, z := range all {
 		if len(s.Zones) == 0 || slices.Contains(s.Zones, z) {
--- a/drain/steps.go
+++ b/drain/steps.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"ravenport/disruption"
-	"ravenport/state"
+	"ravenport/records"
 	"ravenport/window"
 )
 
@@ -42,7 +42,7 @@
 	policy  Policy
 	shard   string
 	zones   []string // that the selection takes in, in the deployment's order
-	record  *state.Drain
+	record  *records.Drain
 	version uint64
 
 	failures int    // in a row
@@ -54,12 +54,12 @@
 }
 
 // NewSteps makes the progress of a drain that the owner has just heard of.
-func NewSteps(p Policy, shard string, zones []string, record *state.Drain, version uint64) *Steps {
+func NewSteps(p Policy, shard string, zones []string, record *records.Drain, version uint64) *Steps {
 	return &Steps{policy: p, shard: shard, zones: Zones(&record.Selection, zones), record: record, version: version}
 }
 
 // Apply takes in a newer record. Resuming forgets the failures.
-func (s *Steps) Apply(record *state.Drain, version uint64) {
+func (s *Steps) Apply(record *records.Drain, version uint64) {
 	if version <= s.version {
 		return
 	}
@@ -70,7 +70,7 @@
 }
 
 // Record is the drain's record as last read.
-func (s *Steps) Record() *state.Drain { return s.record }
+func (s *Steps) Record() *records.Drain { return s.record }
 
 // Failures is how many failures in a row there were.
 func (s *Steps) Failures() int { return s.failures }
@@ -78,7 +78,7 @@
 // Acts says whether machines of this shard may be cordoned: the drain runs and is not
 // done here, and it is proven or this is the first shard that is not done.
 func (s *Steps) Acts() bool {
-	return s.record.State == state.DrainRunning && !s.done(s.shard) && (s.record.Proven || s.turn() == s.shard)
+	return s.record.State == records.DrainRunning && !s.done(s.shard) && (s.record.Proven || s.turn() == s.shard)
 }
 
 // Turn is the shard whose first machine proves the drain; empty if it is proven.
@@ -162,20 +162,20 @@
 // settled says that every task that was moved is up or was given up. The caller writes
 // the record on the condition of the version that is returned, and tells what came of
 // it with Written.
-func (s *Steps) Write(settled bool) (record *state.Drain, version uint64) {
-	if s.writing || s.record.State != state.DrainRunning {
+func (s *Steps) Write(settled bool) (record *records.Drain, version uint64) {
+	if s.writing || s.record.State != records.DrainRunning {
 		return nil, 0
 	}
 	next := s.record.Clone()
 	switch {
 	case s.failures >= s.policy.FailuresMost:
-		next.State = state.DrainStopped
+		next.State = records.DrainStopped
 		next.Why = fmt.Sprintf("%d replacements in a row failed in %s, the last: %s", s.failures, s.shard, s.cause)
 	case s.left == 0 && !s.done(s.shard) && settled:
 		next.Done = append(next.Done, s.shard)
 		next.Proven = next.Proven || s.replaced > 0
 		if !slices.ContainsFunc(s.zones, func(z string) bool { return !slices.Contains(next.Done, z) }) {
-			next.State = state.DrainFinished
+			next.State = records.DrainFinished
 		}
 	case !s.record.Proven && s.replaced > 0 && settled:
 		next.Proven = true
--- a/takeover/takeover.go
+++ b/failover/takeover.go
@@ -1,8 +1,8 @@
-// Package takeover decides which controller takes a term over whose holder is gone.
+// Package failover decides which controller takes a term over whose holder is gone.
 // It is pure, and all controllers compute the same order from the same records:
 // the first of them claims at once, each later one only after it had its time.
 // Where their records differ, the conditional write of the claim decides.
-package takeover
+package failover
 
 import (
 	"slices"
--- a/takeover/takeover_test.go
+++ b/failover/takeover_test.go
@@ -1,4 +1,4 @@
-package takeover
+package failover
 
 import (
 	"fmt"
--- a/internal/loopback/drain_points_test.go
+++ b/internal/loopback/drain_points_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"ravenport/internal/disruptioncheck"
-	"ravenport/state"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
@@ -211,7 +211,7 @@
 		if !strings.HasPrefix(key, prefix) {
 			continue
 		}
-		if record, err := state.Decode(key, e.value); err == nil {
+		if record, err := records.Decode(key, e.value); err == nil {
 			out = append(out, record)
 		}
 	}
@@ -220,8 +220,8 @@
 
 // claimedIn is a zone whose owner claims something of a budget; empty if none does.
 func (s *store) claimedIn() string {
-	for _, record := range s.records(state.KeyClaim("")) {
-		c := record.(*state.Claim)
+	for _, record := range s.records(records.KeyClaim("")) {
+		c := record.(*records.Claim)
 		for _, n := range c.Down {
 			if n > 0 {
 				return c.Shard
@@ -233,9 +233,9 @@
 
 // closedIn is a zone with a machine that is durably closed; empty if there is none.
 func (s *store) closedIn() string {
-	for _, record := range s.records(state.Prefix) {
-		page, ok := record.(*state.Page)
-		if ok && slices.ContainsFunc(page.Machines(), func(m state.Machine) bool { return m.Closed }) {
+	for _, record := range s.records(records.Prefix) {
+		page, ok := record.(*records.Page)
+		if ok && slices.ContainsFunc(page.Machines(), func(m records.Machine) bool { return m.Closed }) {
 			return page.Shard
 		}
 	}
--- a/internal/loopback/drain_test.go
+++ b/internal/loopback/drain_test.go
@@ -15,7 +15,7 @@
 	"ravenport/drain"
 	"ravenport/internal/disruptioncheck"
 	"ravenport/peer"
-	"ravenport/state"
+	"ravenport/records"
 )
 
 // What the drain test plays. The defaults are the short form that the tests run; the
@@ -202,10 +202,10 @@
 		look = time.Now().Add(100 * time.Millisecond)
 		v := f.view(t, number)
 		r.waited = r.waited || slices.ContainsFunc(v.Shards, func(p drain.Progress) bool { return strings.Contains(p.Waits, "used up") })
-		if v.State == state.DrainFinished {
+		if v.State == records.DrainFinished {
 			break
 		}
-		if time.Since(began) > 10*time.Minute || v.State == state.DrainStopped {
+		if time.Since(began) > 10*time.Minute || v.State == records.DrainStopped {
 			t.Fatalf("the drain does not come to its end: %+v", v)
 		}
 	}
--- a/internal/loopback/store_test.go
+++ b/internal/loopback/store_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"ravenport/httpwire"
+	"ravenport/records"
 	"ravenport/server"
-	"ravenport/state"
 	"ravenport/wire"
 )
 
@@ -102,20 +102,20 @@
 
 // noteClaim records a write that raised a shard's term.
 func (s *store) noteClaim(ch wire.Change, came time.Time) {
-	record, err := state.Decode(ch.Put, ch.Value)
-	if term, ok := record.(*state.Term); err == nil && ok && term.Shard != "" {
+	record, err := records.Decode(ch.Put, ch.Value)
+	if term, ok := record.(*records.Term); err == nil && ok && term.Shard != "" {
 		s.record.claims(term.Shard, term.Number, came, time.Now())
 	}
 }
 
 // holder is the controller that holds a shard's term.
 func (s *store) holder(zone string) (node string, term uint64) {
-	return s.holderOf(state.KeyShard(zone))
+	return s.holderOf(records.KeyShard(zone))
 }
 
 // leads is who leads.
 func (s *store) leads() string {
-	node, _ := s.holderOf(state.KeyLeader)
+	node, _ := s.holderOf(records.KeyLeader)
 	return node
 }
 
@@ -125,19 +125,19 @@
 	s.mu.Lock()
 	values := map[string]json.RawMessage{}
 	for key, e := range s.keys {
-		if strings.HasPrefix(key, state.KeyJob("")) {
+		if strings.HasPrefix(key, records.KeyJob("")) {
 			values[key] = e.value
 		}
 	}
 	revision = s.revision
 	s.mu.Unlock()
 	for key, value := range values {
-		record, err := state.Decode(key, value)
+		record, err := records.Decode(key, value)
 		if err != nil {
 			panic(err) // the controllers' own record
 		}
-		if j := record.(*state.Job); j.End == "" && !j.Spec.IsService() {
-			tasks += state.TasksIn(j.Unassigned())
+		if j := record.(*records.Job); j.End == "" && !j.Spec.IsService() {
+			tasks += records.TasksIn(j.Unassigned())
 		}
 	}
 	return tasks, revision
@@ -150,11 +150,11 @@
 	if !ok {
 		return "", 0
 	}
-	record, err := state.Decode(key, e.value)
+	record, err := records.Decode(key, e.value)
 	if err != nil {
 		panic(err) // the controllers' own record
 	}
-	t := record.(*state.Term)
+	t := record.(*records.Term)
 	return t.Node, t.Number
 }
 
--- a/state/client.go
+++ b/kvstore/client.go
@@ -1,4 +1,6 @@
-package state
+// Package kvstore calls the consensus-backed key-value store that holds all of
+// ravenport's durable state: a client, retries, and a feed that mirrors every key.
+package kvstore
 
 import (
 	"context"
@@ -11,30 +13,31 @@
 
 	"ravenport/constants"
 	"ravenport/httpwire"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
 // Errors of calls to the state service.
 var (
 	// ErrRefused: the call was surely not carried out.
-	ErrRefused = errors.New("state: refused")
+	ErrRefused = errors.New("kvstore: refused")
 	// ErrLimited: refused for the allowance alone; it comes with ErrRefused.
-	ErrLimited = errors.New("state: over the allowance")
+	ErrLimited = errors.New("kvstore: over the allowance")
 	// ErrUnknown: the call may have been, or may yet be, carried out.
-	ErrUnknown = errors.New("state: no answer")
+	ErrUnknown = errors.New("kvstore: no answer")
 	// ErrNoLease: the lease has ended.
-	ErrNoLease = errors.New("state: no such lease")
+	ErrNoLease = errors.New("kvstore: no such lease")
 	// ErrInvalid: the service found fault with the call itself, most likely its
 	// size, and will every time.
-	ErrInvalid = errors.New("state: not acceptable")
+	ErrInvalid = errors.New("kvstore: not acceptable")
 	// ErrCompacted: a watch asked for changes that are no longer kept.
-	ErrCompacted = errors.New("state: changes no longer kept")
+	ErrCompacted = errors.New("kvstore: changes no longer kept")
 )
 
 // Conflict says that a transaction's conditions did not hold.
 type Conflict struct{ Failed []string }
 
-func (c *Conflict) Error() string { return fmt.Sprintf("state: conditions failed: %v", c.Failed) }
+func (c *Conflict) Error() string { return fmt.Sprintf("kvstore: conditions failed: %v", c.Failed) }
 
 // Client calls the state service within this controller's share of the
 // allowance.
@@ -117,7 +120,7 @@
 func (c *Client) do(ctx context.Context, method, path string, body any) (*httpwire.Message, error) {
 	var data []byte
 	if body != nil {
-		data = Encode(body)
+		data = records.Encode(body)
 	}
 	ctx, cancel := context.WithTimeout(ctx, constants.StateTimeout)
 	defer cancel()
@@ -224,7 +227,7 @@
 
 // Revision reads the current revision.
 func (c *Client) Revision(ctx context.Context) (uint64, error) {
-	m, err := c.do(ctx, "GET", wire.KeyPath(KeyBarrier), nil)
+	m, err := c.do(ctx, "GET", wire.KeyPath(records.KeyBarrier), nil)
 	if err != nil {
 		return 0, err
 	}
--- a/state/feed.go
+++ b/kvstore/feed.go
@@ -1,4 +1,4 @@
-package state
+package kvstore
 
 import (
 	"context"
@@ -8,24 +8,10 @@
 	"time"
 
 	"ravenport/constants"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
-// Change is one key that changed. Record is nil when the key was deleted.
-// Records are shared between actors and must not be changed.
-type Change struct {
-	Key     string
-	Version uint64
-	Record  any
-}
-
-// Update is a run of changes in the order of the state service. After it the
-// receiver knows every change up to Revision.
-type Update struct {
-	Changes  []Change
-	Revision uint64
-}
-
 // Source is where a feed reads from.
 type Source interface {
 	List(ctx context.Context, prefix string) ([]wire.KeyValue, uint64, error)
@@ -35,14 +21,14 @@
 // Feed mirrors all keys under Prefix.
 type Feed struct {
 	client Source
-	sink   func(Update)
+	sink   func(records.Update)
 	known  map[string]uint64
 	gap    time.Duration // between two watches
 }
 
 // NewFeed makes a feed that hands its updates to sink, in order. It leaves gap
 // between two watches, so that a burst of changes comes in few answers.
-func NewFeed(c Source, gap time.Duration, sink func(Update)) *Feed {
+func NewFeed(c Source, gap time.Duration, sink func(records.Update)) *Feed {
 	return &Feed{client: c, sink: sink, known: map[string]uint64{}, gap: gap}
 }
 
@@ -92,22 +78,22 @@
 }
 
 func (f *Feed) list(ctx context.Context) (uint64, error) {
-	items, revision, err := f.client.List(ctx, Prefix)
+	items, revision, err := f.client.List(ctx, records.Prefix)
 	if err != nil {
 		return 0, err
 	}
-	up := Update{Revision: revision}
+	up := records.Update{Revision: revision}
 	present := make(map[string]bool, len(items))
 	for _, kv := range items {
 		present[kv.Key] = true
 		if f.known[kv.Key] < kv.Version {
-			up.add(f, kv.Key, kv.Value, kv.Version)
+			f.add(&up, kv.Key, kv.Value, kv.Version)
 		}
 	}
 	for key := range f.known {
 		if !present[key] {
 			delete(f.known, key)
-			up.Changes = append(up.Changes, Change{Key: key, Version: revision})
+			up.Changes = append(up.Changes, records.Change{Key: key, Version: revision})
 		}
 	}
 	f.sink(up)
@@ -115,11 +101,11 @@
 }
 
 func (f *Feed) follow(ctx context.Context, from uint64) (uint64, error) {
-	ev, err := f.client.Watch(ctx, Prefix, from, constants.WatchWait)
+	ev, err := f.client.Watch(ctx, records.Prefix, from, constants.WatchWait)
 	if err != nil {
 		return 0, err
 	}
-	up := Update{Revision: max(ev.Revision, from)}
+	up := records.Update{Revision: max(ev.Revision, from)}
 	for _, e := range ev.Events {
 		up.Revision = max(up.Revision, e.Version)
 		switch {
@@ -127,27 +113,27 @@
 			// A list read in pages may hold a newer key than this deletion.
 			if v, ok := f.known[e.Delete]; ok && v < e.Version {
 				delete(f.known, e.Delete)
-				up.Changes = append(up.Changes, Change{Key: e.Delete, Version: e.Version})
+				up.Changes = append(up.Changes, records.Change{Key: e.Delete, Version: e.Version})
 			}
 		case f.known[e.Put] < e.Version:
-			up.add(f, e.Put, e.Value, e.Version)
+			f.add(&up, e.Put, e.Value, e.Version)
 		}
 	}
 	f.sink(up)
 	return up.Revision, nil
 }
 
-func (up *Update) add(f *Feed, key string, value []byte, version uint64) {
-	rec, err := Decode(key, value)
+// add decodes a changed key into the update, and notes its version as known.
+func (f *Feed) add(update *records.Update, key string, value []byte, version uint64) {
+	change, err := records.DecodeChange(key, value, version)
 	if err != nil {
 		slog.Error("unreadable record", "key", key, "err", err)
-		if decodeDraining(key) == nil {
+		if change.Record == nil {
 			return
 		}
-		rec = &Damaged{key} // whoever went by the record before must not go on
 	}
 	f.known[key] = version
-	up.Changes = append(up.Changes, Change{Key: key, Version: version, Record: rec})
+	update.Changes = append(update.Changes, change)
 }
 
 func pause(ctx context.Context, d time.Duration) {
--- a/leader/assign.go
+++ b/leader/assign.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"ravenport/constants"
-	"ravenport/state"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
@@ -19,7 +19,7 @@
 			return c.commitRest(rec, j), true
 		}
 	}
-	want := state.TasksIn(j.rec.Unassigned())
+	want := records.TasksIn(j.rec.Unassigned())
 	n, admitted := c.admitted(now, j, want)
 	if !admitted {
 		c.limited = true
@@ -52,7 +52,7 @@
 }
 
 // commitRest writes that what is left of a gang is over.
-func (c *Core) commitRest(rec *state.Job, j *jobState) Commit {
+func (c *Core) commitRest(rec *records.Job, j *jobState) Commit {
 	j.busy = true
 	c.urgent++
 	value, _ := c.sizes.Encode(rec, j.rec)
@@ -88,14 +88,14 @@
 
 // division is a job's record with more of its tasks assigned.
 type division struct {
-	record *state.Job
+	record *records.Job
 	shares []share // what each shard was given
 	given  int
 }
 
 // divide assigns a job's unassigned ranges by a plan; the first tasks are those within
 // the guarantee.
-func divide(rec *state.Job, plan []share, guaranteed int) division {
+func divide(rec *records.Job, plan []share, guaranteed int) division {
 	d := division{record: rec.Clone()}
 	ranges := rec.Unassigned()
 	for _, p := range plan {
@@ -106,7 +106,7 @@
 			if guaranteed > d.given {
 				n = min(n, guaranteed-d.given)
 			}
-			d.record.Assignments = append(d.record.Assignments, state.Assignment{From: r.From, To: r.From + n, Shard: p.shard, Keep: p.keep, Guaranteed: d.given < guaranteed})
+			d.record.Assignments = append(d.record.Assignments, records.Assignment{From: r.From, To: r.From + n, Shard: p.shard, Keep: p.keep, Guaranteed: d.given < guaranteed})
 			r.From += n
 			left -= n
 			d.given += n
@@ -146,14 +146,14 @@
 // commit is a write of a job's record that holds only while the term stands.
 func (c *Core) commit(id string, version uint64, value []byte, urgent bool) Commit {
 	return Commit{ID: id, Urgent: urgent, Txn: wire.Txn{
-		If:   []wire.Condition{{Key: state.KeyLeader, Version: c.termVer}, {Key: state.KeyJob(id), Version: version}},
-		Then: []wire.Change{{Put: state.KeyJob(id), Value: value}},
+		If:   []wire.Condition{{Key: records.KeyLeader, Version: c.termVer}, {Key: records.KeyJob(id), Version: version}},
+		Then: []wire.Change{{Put: records.KeyJob(id), Value: value}},
 	}}
 }
 
 // join gives a job's first unassigned range, up to n tasks of it, to the shard
 // that has the open assignment next to it, as part of that assignment; nil if it may not.
-func (c *Core) join(j *jobState, n int) *state.Job {
+func (c *Core) join(j *jobState, n int) *records.Job {
 	caps := c.caps(j)
 	for _, r := range j.rec.Unassigned() {
 		for i, ch := range j.rec.Assignments {
--- a/leader/core.go
+++ b/leader/core.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"ravenport/constants"
+	"ravenport/records"
 	"ravenport/settings"
-	"ravenport/state"
 	"ravenport/wire"
 )
 
@@ -117,7 +117,7 @@
 }
 
 type jobState struct {
-	rec     *state.Job
+	rec     *records.Job
 	version uint64
 	busy    bool
 	tries   int
@@ -131,7 +131,7 @@
 type Core struct {
 	set       *settings.Settings
 	order     Order
-	sizes     state.Sizes
+	sizes     records.Sizes
 	termVer   uint64
 	shards    map[string]*shardState
 	jobs      map[string]*jobState // all that are not over
@@ -158,7 +158,7 @@
 }
 
 // New makes the core at the moment when the feed showed the claim.
-func New(set *settings.Settings, termVersion uint64, now time.Time, jobs map[string]*state.Job, versions map[string]uint64) *Core {
+func New(set *settings.Settings, termVersion uint64, now time.Time, jobs map[string]*records.Job, versions map[string]uint64) *Core {
 	c := &Core{set: set, sizes: set.Sizes(), order: NewOrder(set.Params.Objectives), termVer: termVersion, began: now, clock: time.Now, budget: set.RoundBudget(), shards: map[string]*shardState{}, jobs: map[string]*jobState{}, waiting: map[string]*jobState{}, use: map[string]amount{}, reserved: map[string]amount{}, heldAt: map[string]time.Time{}}
 	for _, z := range set.Params.Zones {
 		c.shards[z] = &shardState{}
@@ -197,7 +197,7 @@
 
 // ApplyJob takes in a record from the feed. A job counts until it is over and
 // all its assignments are closed: until then its tasks may be somewhere.
-func (c *Core) ApplyJob(now time.Time, id string, rec *state.Job, version uint64) {
+func (c *Core) ApplyJob(now time.Time, id string, rec *records.Job, version uint64) {
 	over := rec.End != "" && rec.AllOver()
 	j := c.jobs[id]
 	if over {
@@ -302,7 +302,7 @@
 // the team's others, so that room comes together for it: a large service is
 // admitted whole, and small ones would take every bit that falls free. It does
 // so for a while only, since services may never make room.
-func (c *Core) collects(now time.Time, rec *state.Job) bool {
+func (c *Core) collects(now time.Time, rec *records.Job) bool {
 	age := time.Duration(now.UnixMilli()-rec.AcceptedMS) * time.Millisecond
 	return Overdue(now, rec, len(rec.Assignments) > 0) && age < constants.BeginWithin+constants.CollectFor
 }
--- a/leader/core_test.go
+++ b/leader/core_test.go
@@ -11,8 +11,8 @@
 
 	"ravenport/constants"
 	_ "ravenport/internal/testseed"
+	"ravenport/records"
 	"ravenport/settings"
-	"ravenport/state"
 	"ravenport/wire"
 )
 
@@ -44,19 +44,19 @@
 // store is the state service as the leader meets it: a write may be carried
 // out with or without an answer, late, or not at all.
 type store struct {
-	jobs    map[string]*state.Job
+	jobs    map[string]*records.Job
 	version map[string]uint64
 	rev     uint64
 }
 
-func (s *store) put(j *state.Job) {
+func (s *store) put(j *records.Job) {
 	s.rev++
 	s.jobs[j.ID], s.version[j.ID] = j, s.rev
 }
 
 func (s *store) try(cm Commit) bool {
 	for _, c := range cm.Txn.If {
-		if c.Key == state.KeyJob(cm.ID) && s.version[cm.ID] != c.Version {
+		if c.Key == records.KeyJob(cm.ID) && s.version[cm.ID] != c.Version {
 			return false
 		}
 	}
@@ -65,12 +65,12 @@
 }
 
 // written is the record that a commit would write.
-func written(cm Commit) *state.Job {
-	rec, err := state.Decode(cm.Txn.Then[0].Put, cm.Txn.Then[0].Value)
+func written(cm Commit) *records.Job {
+	rec, err := records.Decode(cm.Txn.Then[0].Put, cm.Txn.Then[0].Value)
 	if err != nil {
 		panic(err)
 	}
-	return rec.(*state.Job)
+	return rec.(*records.Job)
 }
 
 // Whatever answers are lost and whatever is written late, the tasks in open
@@ -78,7 +78,7 @@
 func TestLimitsHoldUnderLostAndLateWrites(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
-		st := &store{jobs: map[string]*state.Job{}, version: map[string]uint64{}}
+		st := &store{jobs: map[string]*records.Job{}, version: map[string]uint64{}}
 		c := New(facts(), 1, now, nil, nil)
 		c.SetAuthority(now.Add(time.Hour))
 		seen := map[string]uint64{}
@@ -108,7 +108,7 @@
 				case 2:
 					s.Kind, s.Tasks = wire.KindService, 2
 				}
-				st.put(&state.Job{ID: s.ID, Spec: s})
+				st.put(&records.Job{ID: s.ID, Spec: s})
 			case 1: // an owner closes or gives back an assignment
 				for id, j := range st.jobs {
 					if len(j.Assignments) == 0 || rapid.Bool().Draw(t, "skip") {
@@ -187,7 +187,7 @@
 	c.Pushed(now, figures("a", 1, 64, 4))
 	c.Pushed(now, figures("b", 1, 24, 2))
 	c.Pushed(now, figures("c", 1, 8, 1))
-	job := &state.Job{ID: "run-1", AcceptedMS: now.UnixMilli(), Spec: wire.Submission{ID: "run-1", Team: "free", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 4, CPUs: 4, MemoryGB: 1}}
+	job := &records.Job{ID: "run-1", AcceptedMS: now.UnixMilli(), Spec: wire.Submission{ID: "run-1", Team: "free", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 4, CPUs: 4, MemoryGB: 1}}
 	c.ApplyJob(now, "run-1", job, 5)
 	acts := c.Step(now)
 	if len(acts) != 1 {
@@ -210,7 +210,7 @@
 	got := map[string]int{}
 	for i := range 6 {
 		id := fmt.Sprintf("run-%d", i)
-		c.ApplyJob(now, id, &state.Job{ID: id, AcceptedMS: now.UnixMilli() + int64(i), Spec: wire.Submission{ID: id, Team: "free", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 2, CPUs: 4, MemoryGB: 1}}, uint64(10+i))
+		c.ApplyJob(now, id, &records.Job{ID: id, AcceptedMS: now.UnixMilli() + int64(i), Spec: wire.Submission{ID: id, Team: "free", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 2, CPUs: 4, MemoryGB: 1}}, uint64(10+i))
 	}
 	for _, cm := range c.Step(now) {
 		for _, ch := range written(cm).Assignments {
@@ -229,11 +229,11 @@
 func TestOrder(t *testing.T) {
 	o := NewOrder([]settings.Objective{{Kind: "finished", Class: "c", WithinS: 90}})
 	now := time.Unix(10000, 0)
-	job := func(id string, age, estimate float64, priority string) *state.Job {
-		return &state.Job{ID: id, AcceptedMS: now.UnixMilli() - int64(age*1000), Spec: wire.Submission{ID: id, Class: "c", Kind: wire.KindArray, Priority: priority, Tasks: 1, CPUs: 1, EstimateS: estimate}}
+	job := func(id string, age, estimate float64, priority string) *records.Job {
+		return &records.Job{ID: id, AcceptedMS: now.UnixMilli() - int64(age*1000), Spec: wire.Submission{ID: id, Class: "c", Kind: wire.KindArray, Priority: priority, Tasks: 1, CPUs: 1, EstimateS: estimate}}
 	}
 	in := []struct {
-		rec               *state.Job
+		rec               *records.Job
 		guaranteed, begun bool
 	}{
 		{job("prod", 0, 10, wire.PriorityProduction), false, false},
@@ -263,7 +263,7 @@
 	for _, z := range []string{"a", "b", "c"} {
 		c.Pushed(now, figures(z, 1, 16, 1))
 	}
-	c.ApplyJob(now, "run-1", &state.Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", Team: "free", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: wire.MaxTasks, CPUs: 1, MemoryGB: 1}}, 5)
+	c.ApplyJob(now, "run-1", &records.Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", Team: "free", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: wire.MaxTasks, CPUs: 1, MemoryGB: 1}}, 5)
 	acts := c.Step(now)
 	if len(acts) != 1 {
 		t.Fatalf("%d assignments", len(acts))
@@ -284,7 +284,7 @@
 	c := New(facts(), 1, now, nil, nil)
 	c.SetAuthority(now.Add(time.Hour))
 	c.Pushed(now, figures("a", 1, 64, 4))
-	job := &state.Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", Team: "t", Kind: wire.KindService, Priority: wire.PriorityNormal, Tasks: 2, CPUs: 5, MemoryGB: 1}}
+	job := &records.Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", Team: "t", Kind: wire.KindService, Priority: wire.PriorityNormal, Tasks: 2, CPUs: 5, MemoryGB: 1}}
 	c.ApplyJob(now, "run-1", job, 5)
 	acts := c.Step(now)
 	if len(acts) != 1 {
@@ -310,9 +310,9 @@
 	for _, z := range []string{"a", "b", "c"} {
 		c.Pushed(now, figures(z, 1, 16, 1))
 	}
-	job := &state.Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", Team: "free", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 2000, CPUs: 1, MemoryGB: 1}}
-	for i := 0; len(state.Encode(job)) < set.ValueBytes()-40; i++ { // gaps between assignments of shards in turn
-		job.Assignments = append(job.Assignments, state.Assignment{From: 4 * i, To: 4*i + 2, Shard: string('a' + rune(i%3)), Keep: true})
+	job := &records.Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", Team: "free", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 2000, CPUs: 1, MemoryGB: 1}}
+	for i := 0; len(records.Encode(job)) < set.ValueBytes()-40; i++ { // gaps between assignments of shards in turn
+		job.Assignments = append(job.Assignments, records.Assignment{From: 4 * i, To: 4*i + 2, Shard: string('a' + rune(i%3)), Keep: true})
 	}
 	left := 2000
 	for rev := uint64(5); len(job.Unassigned()) > 0; rev++ {
@@ -347,16 +347,16 @@
 	c := New(facts(), 1, now, nil, nil)
 	rev := uint64(0)
 	type run struct {
-		job *state.Job
+		job *records.Job
 		end time.Time
 	}
 	jobs := map[string]*run{}
-	put := func(j *state.Job) {
+	put := func(j *records.Job) {
 		rev++
 		c.ApplyJob(now, j.ID, j, rev)
 	}
 	submit := func(id string, tasks int) {
-		j := &state.Job{ID: id, AcceptedMS: now.UnixMilli(), Spec: wire.Submission{ID: id, Team: "t", Kind: wire.KindService, Priority: wire.PriorityNormal, Tasks: tasks, CPUs: 2, MemoryGB: 1}}
+		j := &records.Job{ID: id, AcceptedMS: now.UnixMilli(), Spec: wire.Submission{ID: id, Team: "t", Kind: wire.KindService, Priority: wire.PriorityNormal, Tasks: tasks, CPUs: 2, MemoryGB: 1}}
 		jobs[id] = &run{job: j, end: now.Add(40 * time.Second)}
 		put(j)
 	}
--- a/leader/forecast.go
+++ b/leader/forecast.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"ravenport/constants"
-	"ravenport/state"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
@@ -41,7 +41,7 @@
 		if now.UnixMilli()-j.rec.AcceptedMS < constants.ForecastAfter.Milliseconds() {
 			continue // its turn comes at once, and its owner may see no need to rent
 		}
-		n := c.admit(s, state.TasksIn(j.rec.Unassigned()))
+		n := c.admit(s, records.TasksIn(j.rec.Unassigned()))
 		if s.Zone == "" {
 			anywhere.add(s, n)
 			continue
--- a/leader/gang.go
+++ b/leader/gang.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"ravenport/constants"
-	"ravenport/state"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
@@ -156,7 +156,7 @@
 }
 
 // numberGang gives a gang that is to run in several shards its next number.
-func numberGang(rec *state.Job) {
+func numberGang(rec *records.Job) {
 	for _, ch := range rec.Assignments {
 		if ch.Shard != rec.Assignments[0].Shard {
 			rec.Attempt++
@@ -169,12 +169,12 @@
 // already: that one's owner saw it done, and so all is. A share that lost its
 // machine as the gang completed was given back before anybody knew, and would
 // wait for the rest of the gang for ever.
-func closeRest(rec *state.Job) bool {
-	if !slices.ContainsFunc(rec.Assignments, func(ch state.Assignment) bool { return ch.Closed }) {
+func closeRest(rec *records.Job) bool {
+	if !slices.ContainsFunc(rec.Assignments, func(ch records.Assignment) bool { return ch.Closed }) {
 		return false
 	}
 	for _, r := range rec.Unassigned() {
-		rec.Assignments = append(rec.Assignments, state.Assignment{From: r.From, To: r.To, Closed: true})
+		rec.Assignments = append(rec.Assignments, records.Assignment{From: r.From, To: r.To, Closed: true})
 	}
 	rec.Normalize()
 	if rec.AllClosed() {
--- a/leader/gang_test.go
+++ b/leader/gang_test.go
@@ -5,13 +5,13 @@
 	"time"
 
 	"ravenport/constants"
+	"ravenport/records"
 	"ravenport/settings"
-	"ravenport/state"
 	"ravenport/wire"
 )
 
-func gangJob(tasks int) *state.Job {
-	return &state.Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", Team: "free", Kind: wire.KindGang, Priority: wire.PriorityNormal,
+func gangJob(tasks int) *records.Job {
+	return &records.Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", Team: "free", Kind: wire.KindGang, Priority: wire.PriorityNormal,
 		Tasks: tasks, CPUs: 2, MemoryGB: 1, Image: "i"}}
 }
 
@@ -174,7 +174,7 @@
 	now, _, c := leading()
 	job := gangJob(4)
 	job.Spec.Spread, job.Attempt = true, 1
-	job.Assignments = []state.Assignment{{From: 0, To: 2, Shard: "a", Closed: true}}
+	job.Assignments = []records.Assignment{{From: 0, To: 2, Shard: "a", Closed: true}}
 	c.ApplyJob(now, "run-1", job, 5)
 	acts := c.Step(now)
 	if len(acts) != 1 {
--- a/leader/order.go
+++ b/leader/order.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"ravenport/constants"
+	"ravenport/records"
 	"ravenport/settings"
-	"ravenport/state"
 	"ravenport/wire"
 )
 
@@ -76,7 +76,7 @@
 // Overdue says whether a job of which nothing has begun has waited so long that
 // it comes before all others of its priority: without this, large jobs and those
 // that missed their objectives would starve under lasting overload.
-func Overdue(now time.Time, rec *state.Job, begun bool) bool {
+func Overdue(now time.Time, rec *records.Job, begun bool) bool {
 	return !begun && now.UnixMilli()-rec.AcceptedMS > constants.BeginWithin.Milliseconds()
 }
 
@@ -86,7 +86,7 @@
 
 // Place ranks a job; guaranteed says whether what waits of it is within its
 // team's guarantee, begun whether any of its tasks runs or is done.
-func (o Order) Place(now time.Time, rec *state.Job, guaranteed, begun bool) Place {
+func (o Order) Place(now time.Time, rec *records.Job, guaranteed, begun bool) Place {
 	s := &rec.Spec
 	p := Place{borrowed: 1, overdue: 1, single: 1, priority: -wire.PriorityLevel(s.Priority), accepted: rec.AcceptedMS, id: rec.ID}
 	if guaranteed {
--- a/leader/scale_test.go
+++ b/leader/scale_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"ravenport/constants"
-	"ravenport/state"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
@@ -14,13 +14,13 @@
 // is under way: so it is for a while after a cold start and in a burst.
 func backlog(jobs int) (*Core, time.Time) {
 	now := time.Unix(1000, 0)
-	recs, versions := map[string]*state.Job{}, map[string]uint64{}
+	recs, versions := map[string]*records.Job{}, map[string]uint64{}
 	for i := range jobs {
 		s := wire.Submission{ID: fmt.Sprintf("run-%04d", i), Class: "c", Team: "free", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 80, CPUs: 4, MemoryGB: 12, EstimateS: float64(10 + i%20), Spot: true}
 		if i%3 == 0 {
 			s.Kind, s.Priority, s.Tasks, s.Spread, s.Spot = wire.KindService, wire.PriorityProduction, 8, true, false
 		}
-		recs[s.ID], versions[s.ID] = &state.Job{ID: s.ID, Spec: s, AcceptedMS: now.UnixMilli() - int64(i)*100}, uint64(10+i)
+		recs[s.ID], versions[s.ID] = &records.Job{ID: s.ID, Spec: s, AcceptedMS: now.UnixMilli() - int64(i)*100}, uint64(10+i)
 	}
 	c := New(facts(), 5, now, recs, versions)
 	c.SetAuthority(now.Add(time.Hour))
--- a/member/core.go
+++ b/member/core.go
@@ -7,13 +7,13 @@
 	"time"
 
 	"ravenport/constants"
-	"ravenport/state"
-	"ravenport/takeover"
+	"ravenport/failover"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
 // Controller is one of the deployment's controllers.
-type Controller = takeover.Controller
+type Controller = failover.Controller
 
 // Core mirrors the terms and the live controllers.
 type Core struct {
@@ -30,7 +30,7 @@
 
 	detection   bool // controllers whose lease lives may be revoked
 	revocations map[string]revocation
-	pace        takeover.Pace
+	pace        failover.Pace
 }
 
 type node struct {
@@ -40,7 +40,7 @@
 }
 
 type term struct {
-	state.Term
+	records.Term
 	version uint64
 	since   time.Time
 }
@@ -65,9 +65,9 @@
 func (c *Core) SetSecondShardWait(d time.Duration) { c.secondShardWait = d }
 
 // Apply takes in a change from the feed.
-func (c *Core) Apply(now time.Time, ch state.Change) {
+func (c *Core) Apply(now time.Time, ch records.Change) {
 	switch r := ch.Record.(type) {
-	case *state.Node:
+	case *records.Node:
 		old, ok := c.nodes[r.Name]
 		n := node{incarnation: r.Incarnation, version: ch.Version, life: time.Duration(r.LifeMS) * time.Millisecond, since: now}
 		if ok && old.incarnation == r.Incarnation {
@@ -75,19 +75,19 @@
 		}
 		c.nodes[r.Name] = n
 		c.packs[r.Name] = c.packs[r.Name] || r.Packs
-	case *state.Revocation:
+	case *records.Revocation:
 		c.revocations[r.Node] = revocation{*r, ch.Version, now}
-	case *state.Term:
+	case *records.Term:
 		c.terms[ch.Key] = term{*r, ch.Version, now}
 	case nil:
-		if kind, name := state.KeyKind(ch.Key); kind == "node" {
+		if kind, name := records.KeyKind(ch.Key); kind == "node" {
 			delete(c.nodes, name)
 		}
 	}
 }
 
 // Term returns the term under key and the key's version.
-func (c *Core) Term(key string) (state.Term, uint64) {
+func (c *Core) Term(key string) (records.Term, uint64) {
 	t := c.terms[key]
 	return t.Term, t.version
 }
@@ -131,26 +131,26 @@
 
 // keys lists everything that wants a holder.
 func (c *Core) keys() []string {
-	out := []string{state.KeyLeader}
+	out := []string{records.KeyLeader}
 	for _, p := range c.shards {
-		out = append(out, state.KeyShard(p))
+		out = append(out, records.KeyShard(p))
 	}
 	return out
 }
 
 // order lists the controllers by their fitness to hold key.
 func (c *Core) order(now time.Time, key string) []Controller {
-	fleet := takeover.Fleet{Controllers: c.controllers, Zones: c.shards}
+	fleet := failover.Fleet{Controllers: c.controllers, Zones: c.shards}
 	if c.detection {
 		fleet.Shards = c.ownedBy
 		fleet.Last = func(name string) bool { return c.recentlyRevoked(now, name) }
 	}
-	if key == state.KeyLeader {
-		return fleet.Order(takeover.Term{Leader: true})
+	if key == records.KeyLeader {
+		return fleet.Order(failover.Term{Leader: true})
 	}
 	for _, zone := range c.shards {
-		if state.KeyShard(zone) == key {
-			return fleet.Order(takeover.Term{Zone: zone})
+		if records.KeyShard(zone) == key {
+			return fleet.Order(failover.Term{Zone: zone})
 		}
 	}
 	return nil
@@ -160,7 +160,7 @@
 func (c *Core) ownedBy(name string) int {
 	owned := 0
 	for _, zone := range c.shards {
-		if holder, held := c.Holder(state.KeyShard(zone)); held && holder == name {
+		if holder, held := c.Holder(records.KeyShard(zone)); held && holder == name {
 			owned++
 		}
 	}
@@ -189,7 +189,7 @@
 		if _, seen := c.vacantSince[key]; !seen {
 			c.vacantSince[key] = now
 		}
-		shard := key != state.KeyLeader
+		shard := key != records.KeyLeader
 		if shard && owner && now.Sub(c.vacantSince[key]) < c.secondShardWait {
 			continue
 		}
@@ -213,7 +213,7 @@
 // ownsShard says whether this controller holds a shard's term.
 func (c *Core) ownsShard() bool {
 	for _, p := range c.shards {
-		if holder, held := c.Holder(state.KeyShard(p)); held && holder == c.me {
+		if holder, held := c.Holder(records.KeyShard(p)); held && holder == c.me {
 			return true
 		}
 	}
@@ -221,7 +221,7 @@
 }
 
 func (c *Core) claim(now time.Time, key string, me node) (Claim, bool) {
-	position, missing := takeover.Position(c.order(now, key), c.me, c.candidate)
+	position, missing := failover.Position(c.order(now, key), c.me, c.candidate)
 	if now.Sub(c.vacantSince[key]) < time.Duration(position)*constants.ClaimStep {
 		return Claim{}, false
 	}
@@ -230,7 +230,7 @@
 	}
 	// A shard stays away from a revoked owner for a while. A leadership is not handed
 	// back at all, and must not be kept by the next leader should that be cut off, too.
-	cut := key != state.KeyLeader && c.outlived(now, key)
+	cut := key != records.KeyLeader && c.outlived(now, key)
 	return c.claimOf(key, c.me, me.incarnation, me.version, cut), true
 }
 
@@ -245,16 +245,16 @@
 
 func (c *Core) claimOf(key, to string, incarnation, version uint64, cut bool) Claim {
 	t := c.terms[key]
-	next := state.Term{Node: to, Incarnation: incarnation, Number: t.Number + 1, Cut: cut}
+	next := records.Term{Node: to, Incarnation: incarnation, Number: t.Number + 1, Cut: cut}
 	txn := wire.Txn{
-		If:   []wire.Condition{{Key: key, Version: t.version}, {Key: state.KeyNode(to), Version: version}},
-		Then: []wire.Change{{Put: key, Value: state.Encode(next)}},
+		If:   []wire.Condition{{Key: key, Version: t.version}, {Key: records.KeyNode(to), Version: version}},
+		Then: []wire.Change{{Put: key, Value: records.Encode(next)}},
 	}
 	if t.version != 0 && t.Node != to {
 		if _, alive := c.nodes[t.Node]; !alive {
-			txn.If = append(txn.If, wire.Condition{Key: state.KeyNode(t.Node), Version: 0})
+			txn.If = append(txn.If, wire.Condition{Key: records.KeyNode(t.Node), Version: 0})
 		} else if r, ok := c.revocationOf(t.Term); ok {
-			txn.If = append(txn.If, wire.Condition{Key: state.KeyRevoked(t.Node), Version: r.version})
+			txn.If = append(txn.If, wire.Condition{Key: records.KeyRevoked(t.Node), Version: r.version})
 		}
 	}
 	return Claim{Key: key, To: to, Txn: txn}
@@ -265,7 +265,7 @@
 // handed on for that a moment ago stays: where no controller reaches another, it
 // would go round for ever.
 func (c *Core) HandOn(now time.Time, key string) (Claim, bool) {
-	if t := c.terms[key]; key == state.KeyLeader && t.Cut && now.Sub(t.since) < constants.CutPause {
+	if t := c.terms[key]; key == records.KeyLeader && t.Cut && now.Sub(t.since) < constants.CutPause {
 		return Claim{}, false
 	}
 	for _, k := range c.order(now, key) {
@@ -280,7 +280,7 @@
 // handBack gives a held term to a controller that is better placed, once that
 // one has been up for a while.
 func (c *Core) handBack(now time.Time, key string) (Claim, bool) {
-	if key == state.KeyLeader {
+	if key == records.KeyLeader {
 		return Claim{}, false // the leader's place matters little; moving it costs
 	}
 	if t := c.terms[key]; t.Cut && now.Sub(t.since) < constants.CutPause {
@@ -295,11 +295,11 @@
 			continue
 		}
 		// Only its own zone is worth a second disturbance.
-		if state.KeyShard(k.Zone) != key {
+		if records.KeyShard(k.Zone) != key {
 			return Claim{}, false
 		}
 		mine := slices.IndexFunc(c.controllers, func(x Controller) bool { return x.Name == c.me })
-		if state.KeyShard(c.controllers[mine].Zone) == key {
+		if records.KeyShard(c.controllers[mine].Zone) == key {
 			return Claim{}, false
 		}
 		return c.ClaimOf(key, k.Name, n.incarnation, n.version), true
--- a/member/core_test.go
+++ b/member/core_test.go
@@ -9,7 +9,7 @@
 
 	"ravenport/constants"
 	_ "ravenport/internal/testseed"
-	"ravenport/state"
+	"ravenport/records"
 )
 
 var three = []Controller{{Name: "n-0", Zone: "a"}, {Name: "n-1", Zone: "b"}, {Name: "n-2", Zone: "a"}}
@@ -17,14 +17,14 @@
 // sim is a state service shared by three cores.
 type sim struct {
 	version uint64
-	keys    map[string]state.Change
+	keys    map[string]records.Change
 	cores   []*Core
 	inc     []uint64
 }
 
 func (s *sim) set(now time.Time, key string, rec any) {
 	s.version++
-	ch := state.Change{Key: key, Version: s.version, Record: rec}
+	ch := records.Change{Key: key, Version: s.version, Record: rec}
 	if rec == nil {
 		delete(s.keys, key)
 	} else {
@@ -41,7 +41,7 @@
 			return false
 		}
 	}
-	rec, err := state.Decode(cl.Key, cl.Txn.Then[0].Value)
+	rec, err := records.Decode(cl.Key, cl.Txn.Then[0].Value)
 	if err != nil {
 		panic(err)
 	}
@@ -55,7 +55,7 @@
 func TestTermsRiseAndSettle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
-		s := &sim{keys: map[string]state.Change{}, inc: make([]uint64, 3)}
+		s := &sim{keys: map[string]records.Change{}, inc: make([]uint64, 3)}
 		wait := time.Duration(rapid.IntRange(0, 5000).Draw(t, "second shard wait")) * time.Millisecond
 		for _, k := range three {
 			s.cores = append(s.cores, New(k.Name, three, []string{"a", "b"}, now))
@@ -65,12 +65,12 @@
 		up := func(i int) {
 			next++
 			s.inc[i] = next
-			s.set(now, state.KeyNode(three[i].Name), &state.Node{Name: three[i].Name, Incarnation: next})
+			s.set(now, records.KeyNode(three[i].Name), &records.Node{Name: three[i].Name, Incarnation: next})
 		}
 		down := func(i int) {
 			if s.inc[i] != 0 {
 				s.inc[i] = 0
-				s.set(now, state.KeyNode(three[i].Name), nil)
+				s.set(now, records.KeyNode(three[i].Name), nil)
 			}
 		}
 		step := func() {
@@ -113,7 +113,7 @@
 			step()
 		}
 		for _, shard := range []string{"a", "b"} {
-			holder, held := s.cores[0].Holder(state.KeyShard(shard))
+			holder, held := s.cores[0].Holder(records.KeyShard(shard))
 			zone := ""
 			for _, k := range three {
 				if k.Name == holder {
@@ -124,7 +124,7 @@
 				t.Fatalf("shard %s is held by %s in %q", shard, holder, zone)
 			}
 		}
-		if _, held := s.cores[0].Holder(state.KeyLeader); !held {
+		if _, held := s.cores[0].Holder(records.KeyLeader); !held {
 			t.Fatal("nobody leads")
 		}
 	})
@@ -132,12 +132,12 @@
 
 // allUp is three controllers that are up and know of each other.
 func allUp(now time.Time) *sim {
-	s := &sim{keys: map[string]state.Change{}, inc: []uint64{1, 2, 3}}
+	s := &sim{keys: map[string]records.Change{}, inc: []uint64{1, 2, 3}}
 	for _, k := range three {
 		s.cores = append(s.cores, New(k.Name, three, []string{"a", "b"}, now))
 	}
 	for i, k := range three {
-		s.set(now, state.KeyNode(k.Name), &state.Node{Name: k.Name, Incarnation: uint64(i + 1)})
+		s.set(now, records.KeyNode(k.Name), &records.Node{Name: k.Name, Incarnation: uint64(i + 1)})
 	}
 	return s
 }
@@ -147,8 +147,8 @@
 func TestCutShardStaysAway(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := allUp(now)
-	key := state.KeyShard("b")
-	s.set(now, key, &state.Term{Shard: "b", Node: "n-1", Incarnation: 2, Number: 4})
+	key := records.KeyShard("b")
+	s.set(now, key, &records.Term{Shard: "b", Node: "n-1", Incarnation: 2, Number: 4})
 	cl, ok := s.cores[1].HandOn(now, key)
 	if !ok || cl.To == "n-1" || !s.try(now, cl) {
 		t.Fatalf("not handed on: %+v", cl)
@@ -173,14 +173,14 @@
 func TestLeadershipDoesNotGoRound(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := allUp(now)
-	s.set(now, state.KeyLeader, &state.Term{Node: "n-1", Incarnation: 2, Number: 4})
+	s.set(now, records.KeyLeader, &records.Term{Node: "n-1", Incarnation: 2, Number: 4})
 	moved := 0
 	for at := time.Duration(0); at < constants.CutPause; at += time.Second {
 		for i, k := range three {
-			if holder, _ := s.cores[0].Holder(state.KeyLeader); holder != k.Name {
+			if holder, _ := s.cores[0].Holder(records.KeyLeader); holder != k.Name {
 				continue
 			}
-			if cl, ok := s.cores[i].HandOn(now.Add(at), state.KeyLeader); ok && s.try(now.Add(at), cl) {
+			if cl, ok := s.cores[i].HandOn(now.Add(at), records.KeyLeader); ok && s.try(now.Add(at), cl) {
 				moved++
 			}
 		}
@@ -195,24 +195,24 @@
 func TestSecondShardIsLeftForAWhile(t *testing.T) {
 	const wait = 4 * time.Second
 	now := time.Unix(1000, 0)
-	key := state.KeyShard("b")
+	key := records.KeyShard("b")
 	play := func(owns bool) (claims map[string]time.Duration) {
 		s := allUp(now.Add(-constants.FirstClaimWait)) // not fresh any more
 		for _, c := range s.cores {
 			c.SetSecondShardWait(wait)
 		}
-		holder := &state.Term{Shard: "a", Node: "n-2", Incarnation: 3, Number: 4}
+		holder := &records.Term{Shard: "a", Node: "n-2", Incarnation: 3, Number: 4}
 		if !owns { // both shards were n-1's
-			holder = &state.Term{Shard: "a", Node: "n-1", Incarnation: 2, Number: 4}
+			holder = &records.Term{Shard: "a", Node: "n-1", Incarnation: 2, Number: 4}
 		}
-		s.set(now, state.KeyShard("a"), holder)
-		s.set(now, key, &state.Term{Shard: "b", Node: "n-1", Incarnation: 2, Number: 7})
-		s.set(now, state.KeyNode("n-0"), nil)
-		s.set(now, state.KeyNode("n-1"), nil)
+		s.set(now, records.KeyShard("a"), holder)
+		s.set(now, key, &records.Term{Shard: "b", Node: "n-1", Incarnation: 2, Number: 7})
+		s.set(now, records.KeyNode("n-0"), nil)
+		s.set(now, records.KeyNode("n-1"), nil)
 		claims = map[string]time.Duration{}
 		for at := time.Duration(0); at < 3*wait; at += 100 * time.Millisecond {
 			for _, cl := range s.cores[2].Step(now.Add(at), 3, true) {
-				if s.try(now.Add(at), cl) && cl.Key != state.KeyLeader {
+				if s.try(now.Add(at), cl) && cl.Key != records.KeyLeader {
 					claims[cl.Key] = at
 				}
 			}
@@ -223,7 +223,7 @@
 		t.Errorf("an owner claims %v, wanted the other shard after %s", claims, wait)
 	}
 	claims := play(false)
-	first, second := min(claims[state.KeyShard("a")], claims[key]), max(claims[state.KeyShard("a")], claims[key])
+	first, second := min(claims[records.KeyShard("a")], claims[key]), max(claims[records.KeyShard("a")], claims[key])
 	if len(claims) != 2 || first > 2*constants.ClaimStep || second < wait || second > wait+time.Second {
 		t.Errorf("one that owns nothing claims %v, wanted one at once and one after %s", claims, wait)
 	}
--- a/member/revocation.go
+++ b/member/revocation.go
@@ -4,13 +4,13 @@
 	"time"
 
 	"ravenport/constants"
-	"ravenport/state"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
 // revocation is a stored revocation, and when this controller first knew of it.
 type revocation struct {
-	state.Revocation
+	records.Revocation
 	version uint64
 	seen    time.Time
 }
@@ -30,7 +30,7 @@
 
 // revocationOf returns the revocation of the process that holds a term, if there is
 // one.
-func (c *Core) revocationOf(t state.Term) (revocation, bool) {
+func (c *Core) revocationOf(t records.Term) (revocation, bool) {
 	r, ok := c.revocations[t.Node]
 	return r, ok && r.Incarnation == t.Incarnation
 }
@@ -58,7 +58,7 @@
 // Revoke makes the transaction that revokes a controller's process. It holds only
 // while that process and this one are registered as known. Processes that do not
 // heed revocations, or are revoked already, are left alone.
-func (c *Core) Revoke(r state.Revocation) (wire.Txn, bool) {
+func (c *Core) Revoke(r records.Revocation) (wire.Txn, bool) {
 	target, ok := c.nodes[r.Node]
 	me, registered := c.nodes[c.me]
 	if !ok || !registered || r.Node == c.me || target.incarnation != r.Incarnation || target.life == 0 || c.Revoked(r.Node) {
@@ -67,10 +67,10 @@
 	r.By, r.LifeMS = c.me, target.life.Milliseconds()
 	return wire.Txn{
 		If: []wire.Condition{
-			{Key: state.KeyRevoked(r.Node), Version: c.revocations[r.Node].version},
-			{Key: state.KeyNode(r.Node), Version: target.version},
-			{Key: state.KeyNode(c.me), Version: me.version},
+			{Key: records.KeyRevoked(r.Node), Version: c.revocations[r.Node].version},
+			{Key: records.KeyNode(r.Node), Version: target.version},
+			{Key: records.KeyNode(c.me), Version: me.version},
 		},
-		Then: []wire.Change{{Put: state.KeyRevoked(r.Node), Value: state.Encode(r)}},
+		Then: []wire.Change{{Put: records.KeyRevoked(r.Node), Value: records.Encode(r)}},
 	}, true
 }
--- a/member/revocation_test.go
+++ b/member/revocation_test.go
@@ -8,29 +8,29 @@
 
 	"ravenport/constants"
 	"ravenport/internal/testclock"
-	"ravenport/state"
+	"ravenport/records"
 )
 
 // detecting is three controllers with failure detection that are up; n-1 owns the
 // shard of b, n-2 that of a.
 func detecting(now time.Time, life time.Duration) *sim {
-	s := &sim{keys: map[string]state.Change{}, inc: []uint64{1, 2, 3}}
+	s := &sim{keys: map[string]records.Change{}, inc: []uint64{1, 2, 3}}
 	for _, k := range three {
 		c := New(k.Name, three, []string{"a", "b"}, now.Add(-time.Minute))
 		c.EnableDetection()
 		s.cores = append(s.cores, c)
 	}
 	for i, k := range three {
-		s.set(now, state.KeyNode(k.Name), &state.Node{Name: k.Name, Incarnation: uint64(i + 1), LifeMS: life.Milliseconds()})
+		s.set(now, records.KeyNode(k.Name), &records.Node{Name: k.Name, Incarnation: uint64(i + 1), LifeMS: life.Milliseconds()})
 	}
-	s.set(now, state.KeyShard("a"), &state.Term{Shard: "a", Node: "n-2", Incarnation: 3, Number: 4})
-	s.set(now, state.KeyShard("b"), &state.Term{Shard: "b", Node: "n-1", Incarnation: 2, Number: 4})
-	s.set(now, state.KeyLeader, &state.Term{Node: "n-2", Incarnation: 3, Number: 4})
+	s.set(now, records.KeyShard("a"), &records.Term{Shard: "a", Node: "n-2", Incarnation: 3, Number: 4})
+	s.set(now, records.KeyShard("b"), &records.Term{Shard: "b", Node: "n-1", Incarnation: 2, Number: 4})
+	s.set(now, records.KeyLeader, &records.Term{Node: "n-2", Incarnation: 3, Number: 4})
 	return s
 }
 
 // revoke writes the revocation that a core asks for; each core sees it after its lag.
-func (s *sim) revoke(now time.Time, by int, r state.Revocation, lag []time.Duration) bool {
+func (s *sim) revoke(now time.Time, by int, r records.Revocation, lag []time.Duration) bool {
 	txn, ok := s.cores[by].Revoke(r)
 	if !ok {
 		return false
@@ -40,12 +40,12 @@
 			return false
 		}
 	}
-	rec, err := state.Decode(txn.Then[0].Put, txn.Then[0].Value)
+	rec, err := records.Decode(txn.Then[0].Put, txn.Then[0].Value)
 	if err != nil {
 		panic(err)
 	}
 	s.version++
-	ch := state.Change{Key: txn.Then[0].Put, Version: s.version, Record: rec}
+	ch := records.Change{Key: txn.Then[0].Put, Version: s.version, Record: rec}
 	s.keys[ch.Key] = ch
 	for i, c := range s.cores {
 		c.Apply(now.Add(lag[i]), ch)
@@ -65,7 +65,7 @@
 		for i := range lag {
 			lag[i] = time.Duration(rapid.IntRange(0, 2000).Draw(t, "lag ms")) * time.Millisecond
 		}
-		if !s.revoke(now, 0, state.Revocation{Node: "n-1", Incarnation: 2}, lag) {
+		if !s.revoke(now, 0, records.Revocation{Node: "n-1", Incarnation: 2}, lag) {
 			t.Fatal("not revoked")
 		}
 		// The holder's last read of the revision that did not show the revocation was
@@ -74,7 +74,7 @@
 		lastRead := now.Add(-time.Duration(rapid.IntRange(0, 1000).Draw(t, "last read ms")) * time.Millisecond)
 		authority := time.Duration(float64(life)*(1-constants.ClockDrift)) - constants.AuthorityMargin
 		ends := lastRead.Add(time.Duration(float64(authority) / (1 + drift)))
-		key, taken := state.KeyShard("b"), time.Duration(0)
+		key, taken := records.KeyShard("b"), time.Duration(0)
 		for at := time.Duration(0); at < life+6*time.Second && taken == 0; at += 50 * time.Millisecond {
 			for _, i := range []int{0, 2} {
 				for _, cl := range s.cores[i].Step(now.Add(at), s.inc[i], true) {
@@ -99,8 +99,8 @@
 func TestWhoIsRevoked(t *testing.T) {
 	now, none := time.Unix(1000, 0), make([]time.Duration, 3)
 	s := detecting(now, 3*time.Second)
-	target := state.Revocation{Node: "n-1", Incarnation: 2}
-	for name, r := range map[string]state.Revocation{
+	target := records.Revocation{Node: "n-1", Incarnation: 2}
+	for name, r := range map[string]records.Revocation{
 		"another process": {Node: "n-1", Incarnation: 9},
 		"a stranger":      {Node: "n-7", Incarnation: 2},
 		"itself":          {Node: "n-0", Incarnation: 1},
@@ -109,30 +109,30 @@
 			t.Errorf("%s is revoked", name)
 		}
 	}
-	s.set(now, state.KeyNode("n-2"), &state.Node{Name: "n-2", Incarnation: 3})
-	if _, ok := s.cores[0].Revoke(state.Revocation{Node: "n-2", Incarnation: 3}); ok {
+	s.set(now, records.KeyNode("n-2"), &records.Node{Name: "n-2", Incarnation: 3})
+	if _, ok := s.cores[0].Revoke(records.Revocation{Node: "n-2", Incarnation: 3}); ok {
 		t.Error("a process that does not heed revocations is revoked")
 	}
 	late, _ := s.cores[2].Revoke(target)
 	if !s.revoke(now, 0, target, none) || s.revoke(now, 0, target, none) {
 		t.Error("it is not revoked just once")
 	}
-	if late.If[0].Version == s.keys[state.KeyRevoked("n-1")].Version {
+	if late.If[0].Version == s.keys[records.KeyRevoked("n-1")].Version {
 		t.Error("a second revocation, decided at the same time, would be written")
 	}
-	if c := s.cores[2]; !c.Revoked("n-1") || c.outlived(now.Add(2*time.Second), state.KeyShard("b")) {
+	if c := s.cores[2]; !c.Revoked("n-1") || c.outlived(now.Add(2*time.Second), records.KeyShard("b")) {
 		t.Error("a revoked holder is outlived before its lease would have ended")
 	}
-	s.set(now, state.KeyNode("n-1"), &state.Node{Name: "n-1", Incarnation: 5, LifeMS: 3000})
-	s.set(now, state.KeyShard("b"), &state.Term{Shard: "b", Node: "n-1", Incarnation: 5, Number: 6})
-	if c := s.cores[2]; c.Revoked("n-1") || c.outlived(now.Add(time.Hour), state.KeyShard("b")) {
+	s.set(now, records.KeyNode("n-1"), &records.Node{Name: "n-1", Incarnation: 5, LifeMS: 3000})
+	s.set(now, records.KeyShard("b"), &records.Term{Shard: "b", Node: "n-1", Incarnation: 5, Number: 6})
+	if c := s.cores[2]; c.Revoked("n-1") || c.outlived(now.Add(time.Hour), records.KeyShard("b")) {
 		t.Error("the revocation counts against the next process")
 	}
-	order := s.cores[0].order(now.Add(time.Second), state.KeyShard("b"))
+	order := s.cores[0].order(now.Add(time.Second), records.KeyShard("b"))
 	if order[2].Name != "n-1" {
 		t.Errorf("a controller that was revoked a moment ago is asked before others: %v", order)
 	}
-	if order = s.cores[0].order(now.Add(constants.CutPause), state.KeyShard("b")); order[0].Name != "n-1" {
+	if order = s.cores[0].order(now.Add(constants.CutPause), records.KeyShard("b")); order[0].Name != "n-1" {
 		t.Errorf("its own zone's controller is not trusted again: %v", order)
 	}
 }
@@ -146,12 +146,12 @@
 		plain.Apply(now, ch)
 	}
 	s.cores = append(s.cores, plain)
-	if !s.revoke(now, 0, state.Revocation{Node: "n-1", Incarnation: 2}, make([]time.Duration, 4)) {
+	if !s.revoke(now, 0, records.Revocation{Node: "n-1", Incarnation: 2}, make([]time.Duration, 4)) {
 		t.Fatal("not revoked")
 	}
 	for at := time.Duration(0); at < time.Minute; at += time.Second {
 		for _, cl := range plain.Step(now.Add(at), 1, true) {
-			if cl.Key != state.KeyLeader {
+			if cl.Key != records.KeyLeader {
 				t.Fatalf("it claims %s after %s", cl.Key, at)
 			}
 		}
@@ -162,12 +162,12 @@
 func TestOrphanedShardsAreSpacedOut(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := detecting(now, 3*time.Second)
-	s.set(now, state.KeyNode("n-1"), nil)
-	s.set(now, state.KeyNode("n-2"), nil)
+	s.set(now, records.KeyNode("n-1"), nil)
+	s.set(now, records.KeyNode("n-2"), nil)
 	var claims []time.Duration
 	for at := time.Duration(0); at < 5*time.Second; at += 50 * time.Millisecond {
 		for _, cl := range s.cores[0].Step(now.Add(at), 1, true) {
-			if cl.Key != state.KeyLeader && s.try(now.Add(at), cl) {
+			if cl.Key != records.KeyLeader && s.try(now.Add(at), cl) {
 				claims = append(claims, at)
 			}
 		}
@@ -182,10 +182,10 @@
 	const life = 3 * time.Second
 	now := time.Now()
 	s := detecting(now, life)
-	if !s.revoke(now, 0, state.Revocation{Node: "n-1", Incarnation: 2}, make([]time.Duration, 3)) {
+	if !s.revoke(now, 0, records.Revocation{Node: "n-1", Incarnation: 2}, make([]time.Duration, 3)) {
 		t.Fatal("not revoked")
 	}
-	key := state.KeyShard("b")
+	key := records.KeyShard("b")
 	for _, seconds := range []int64{-86400, -3, 3, 86400} {
 		early, late := now.Add(life), now.Add(life+constants.AuthorityMargin+10*time.Millisecond)
 		if s.cores[0].outlived(testclock.JumpWall(early, seconds), key) || !s.cores[0].outlived(testclock.JumpWall(late, seconds), key) {
@@ -205,16 +205,16 @@
 		for _, c := range s.cores {
 			c.SetSecondShardWait(constants.SecondShardWaitMost)
 		}
-		s.set(now, state.KeyShard("a"), &state.Term{Shard: "a", Node: "n-2", Incarnation: 3, Number: 4})
-		if !s.revoke(now, 2, state.Revocation{Node: "n-1", Incarnation: 2}, make([]time.Duration, 3)) {
+		s.set(now, records.KeyShard("a"), &records.Term{Shard: "a", Node: "n-2", Incarnation: 3, Number: 4})
+		if !s.revoke(now, 2, records.Revocation{Node: "n-1", Incarnation: 2}, make([]time.Duration, 3)) {
 			t.Fatal("not revoked")
 		}
 		s.inc[1] = 5
-		s.set(now.Add(3*time.Second), state.KeyNode("n-1"), &state.Node{Name: "n-1", Incarnation: 5, LifeMS: 3000})
-		s.set(now, state.KeyNode("n-0"), nil)
+		s.set(now.Add(3*time.Second), records.KeyNode("n-1"), &records.Node{Name: "n-1", Incarnation: 5, LifeMS: 3000})
+		s.set(now, records.KeyNode("n-0"), nil)
 		s.inc[0] = 0
 		if alone {
-			s.set(now, state.KeyNode("n-2"), nil)
+			s.set(now, records.KeyNode("n-2"), nil)
 			s.inc[2] = 0
 		}
 		taker := ""
@@ -224,7 +224,7 @@
 					continue
 				}
 				for _, cl := range c.Step(now.Add(at), s.inc[i], true) {
-					if s.try(now.Add(at), cl) && cl.Key == state.KeyShard("b") {
+					if s.try(now.Add(at), cl) && cl.Key == records.KeyShard("b") {
 						taker = cl.To
 					}
 				}
@@ -241,8 +241,8 @@
 func TestLeaderAfterARevocationHandsOn(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := detecting(now, 3*time.Second)
-	s.set(now, state.KeyLeader, &state.Term{Node: "n-1", Incarnation: 2, Number: 4})
-	if !s.revoke(now, 2, state.Revocation{Node: "n-1", Incarnation: 2}, make([]time.Duration, 3)) {
+	s.set(now, records.KeyLeader, &records.Term{Node: "n-1", Incarnation: 2, Number: 4})
+	if !s.revoke(now, 2, records.Revocation{Node: "n-1", Incarnation: 2}, make([]time.Duration, 3)) {
 		t.Fatal("not revoked")
 	}
 	for at := time.Duration(0); at < 10*time.Second; at += 50 * time.Millisecond {
@@ -252,12 +252,12 @@
 			}
 		}
 	}
-	leader, _ := s.cores[0].Holder(state.KeyLeader)
+	leader, _ := s.cores[0].Holder(records.KeyLeader)
 	for i, k := range three {
 		if k.Name != leader {
 			continue
 		}
-		cl, ok := s.cores[i].HandOn(now.Add(12*time.Second), state.KeyLeader)
+		cl, ok := s.cores[i].HandOn(now.Add(12*time.Second), records.KeyLeader)
 		if !ok || cl.To == "n-1" || cl.To == leader {
 			t.Errorf("%s leads and hands on to %q", leader, cl.To)
 		}
--- a/peer/drain.go
+++ b/peer/drain.go
@@ -11,7 +11,7 @@
 
 	"ravenport/disruption"
 	"ravenport/drain"
-	"ravenport/state"
+	"ravenport/records"
 )
 
 // ErrNoDrains says that the other controller does not drain machines: it is switched off
@@ -34,9 +34,9 @@
 
 // DrainRequest asks a controller about drains.
 type DrainRequest struct {
-	Op        DrainOp         `json:"op"`
-	Number    int             `json:"number,omitempty"`
-	Selection state.Selection `json:"sel"`
+	Op        DrainOp           `json:"op"`
+	Number    int               `json:"number,omitempty"`
+	Selection records.Selection `json:"sel"`
 	// All: a selection without any field is meant as it is.
 	All bool `json:"all,omitempty"`
 	// RentedBeforeS takes in only machines that are at least so old (s); 0: any.
@@ -65,14 +65,14 @@
 
 // DrainView is one drain.
 type DrainView struct {
-	Number   int              `json:"number"`
-	State    state.DrainState `json:"state"`
-	Why      string           `json:"why,omitempty"`
-	StartedS int64            `json:"started_s"`
-	Machines int              `json:"machines"` // at its start
-	Left     int              `json:"left"`     // in the inventory
-	Proven   bool             `json:"proven"`
-	Shards   []drain.Progress `json:"shards,omitempty"` // as their owners told last
+	Number   int                `json:"number"`
+	State    records.DrainState `json:"state"`
+	Why      string             `json:"why,omitempty"`
+	StartedS int64              `json:"started_s"`
+	Machines int                `json:"machines"` // at its start
+	Left     int                `json:"left"`     // in the inventory
+	Proven   bool               `json:"proven"`
+	Shards   []drain.Progress   `json:"shards,omitempty"` // as their owners told last
 }
 
 // DrainHandler answers requests about drains. It is called on a goroutine of its own
--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -1,12 +1,12 @@
 package peer
 
 import (
+	"ravenport/records"
 	"testing"
 
 	"ravenport/detector"
 	"ravenport/leader"
 	"ravenport/shard"
-	"ravenport/state"
 )
 
 // Controllers of several versions read each other's messages during an upgrade, so
@@ -20,7 +20,7 @@
 		{"status", `{"node":"n-0","state_ok":true,"fc":{"a":` + encoded(t, leader.Forecast{}) + `},"strays":[{"m":"m-1","s":2,"q":3}],"rev":9,` +
 			`"ask":[{"key":"rv/part/a","term":4,"ver":5}],"counts":{"a":{"run-000001":[1,2]}}}`,
 			Status{Node: "n-0", StateOK: true, Forecast: map[string]leader.Forecast{"a": {}}, MisroutedReports: []shard.MisroutedReport{{Machine: "m-1", Session: 2, Seq: 3}},
-				Revision: 9, Ask: []Held{{"rv/part/a", 4, 5}}, Counts: map[string]state.CountsByJob{"a": {"run-000001": {1, 2}}}}},
+				Revision: 9, Ask: []Held{{"rv/part/a", 4, 5}}, Counts: map[string]records.CountsByJob{"a": {"run-000001": {1, 2}}}}},
 		{"reply", `{"node":"n-0","promise":true,"cancels":6,"named":true,"cancelled":[{"job":"run-000001","rev":6}]}`,
 			Reply{Node: "n-0", Extends: true, Cancels: 6, Named: true, Cancelled: []Cancellation{{"run-000001", 6}}}},
 		{"relayed transaction's reply", `{"outcome":"conflict","rev":1,"failed":["k"]}`,
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -8,6 +8,7 @@
 	"encoding/json"
 	"fmt"
 	"net"
+	"ravenport/records"
 	"time"
 
 	"google.golang.org/grpc"
@@ -19,7 +20,6 @@
 	"ravenport/drain"
 	"ravenport/leader"
 	"ravenport/shard"
-	"ravenport/state"
 	"ravenport/wire"
 )
 
@@ -39,7 +39,7 @@
 	// nobody reaches the state service; see docs/safety.md, point 12.
 	Ask []Held `json:"ask,omitempty"`
 	// Counts are tasks running, and done in open assignments, by shard and job.
-	Counts map[string]state.CountsByJob `json:"counts,omitempty"`
+	Counts map[string]records.CountsByJob `json:"counts,omitempty"`
 	// Drains is how far the drains have come in the sender's shards.
 	Drains []drain.ShardView `json:"drains,omitempty"`
 }
--- a/peer/relay.go
+++ b/peer/relay.go
@@ -9,7 +9,7 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"ravenport/state"
+	"ravenport/kvstore"
 	"ravenport/wire"
 )
 
@@ -41,17 +41,17 @@
 
 // ReplyOf puts what a call of the state service returned into a reply.
 func ReplyOf(revision uint64, err error) CommitReply {
-	var conflict *state.Conflict
+	var conflict *kvstore.Conflict
 	switch {
 	case err == nil:
 		return CommitReply{Outcome: OutcomeWritten, Revision: revision}
 	case errors.As(err, &conflict):
 		return CommitReply{Outcome: OutcomeConflict, Failed: conflict.Failed}
-	case errors.Is(err, state.ErrInvalid):
+	case errors.Is(err, kvstore.ErrInvalid):
 		return CommitReply{Outcome: OutcomeInvalid}
-	case errors.Is(err, state.ErrLimited):
+	case errors.Is(err, kvstore.ErrLimited):
 		return CommitReply{Outcome: OutcomeLimited}
-	case errors.Is(err, state.ErrRefused):
+	case errors.Is(err, kvstore.ErrRefused):
 		return CommitReply{Outcome: OutcomeRefused}
 	}
 	return CommitReply{Outcome: OutcomeUnknown}
@@ -63,15 +63,15 @@
 	case OutcomeWritten:
 		return r.Revision, nil
 	case OutcomeConflict:
-		return 0, &state.Conflict{Failed: r.Failed}
+		return 0, &kvstore.Conflict{Failed: r.Failed}
 	case OutcomeInvalid:
-		return 0, fmt.Errorf("%w: relayed", state.ErrInvalid)
+		return 0, fmt.Errorf("%w: relayed", kvstore.ErrInvalid)
 	case OutcomeLimited:
-		return 0, fmt.Errorf("%w: %w: relayed", state.ErrRefused, state.ErrLimited)
+		return 0, fmt.Errorf("%w: %w: relayed", kvstore.ErrRefused, kvstore.ErrLimited)
 	case OutcomeRefused:
-		return 0, fmt.Errorf("%w: relayed", state.ErrRefused)
+		return 0, fmt.Errorf("%w: relayed", kvstore.ErrRefused)
 	}
-	return 0, fmt.Errorf("%w: relayed", state.ErrUnknown)
+	return 0, fmt.Errorf("%w: relayed", kvstore.ErrUnknown)
 }
 
 // Commit has the other controller carry out a transaction. One of the version before
@@ -83,9 +83,9 @@
 	case err == nil:
 		return r.Result()
 	case status.Code(err) == codes.Unimplemented:
-		return 0, fmt.Errorf("%w: relay: %w", state.ErrRefused, err)
+		return 0, fmt.Errorf("%w: relay: %w", kvstore.ErrRefused, err)
 	}
-	return 0, fmt.Errorf("%w: relay: %w", state.ErrUnknown, err)
+	return 0, fmt.Errorf("%w: relay: %w", kvstore.ErrUnknown, err)
 }
 
 // commitDesc is the method's description for gRPC.
--- a/peer/relay_test.go
+++ b/peer/relay_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"ravenport/state"
+	"ravenport/kvstore"
 	"ravenport/wire"
 )
 
@@ -46,9 +46,9 @@
 			break // it listens
 		}
 	}
-	kinds := []error{state.ErrRefused, state.ErrLimited, state.ErrUnknown, state.ErrInvalid}
-	for _, want := range []error{nil, state.ErrRefused, fmt.Errorf("%w: %w", state.ErrRefused, state.ErrLimited), state.ErrUnknown, state.ErrInvalid,
-		&state.Conflict{Failed: []string{"k"}}, errors.New("something else")} {
+	kinds := []error{kvstore.ErrRefused, kvstore.ErrLimited, kvstore.ErrUnknown, kvstore.ErrInvalid}
+	for _, want := range []error{nil, kvstore.ErrRefused, fmt.Errorf("%w: %w", kvstore.ErrRefused, kvstore.ErrLimited), kvstore.ErrUnknown, kvstore.ErrInvalid,
+		&kvstore.Conflict{Failed: []string{"k"}}, errors.New("something else")} {
 		answers <- want
 		revision, err := c.Commit(ctx, txn)
 		if want == nil {
@@ -57,12 +57,12 @@
 			}
 			continue
 		}
-		var was, is *state.Conflict
+		var was, is *kvstore.Conflict
 		if errors.As(want, &was) != errors.As(err, &is) || was != nil && !reflect.DeepEqual(was, is) {
 			t.Errorf("%v became %v", want, err)
 		}
 		for _, kind := range kinds {
-			known := errors.Is(want, kind) || kind == state.ErrUnknown && want.Error() == "something else"
+			known := errors.Is(want, kind) || kind == kvstore.ErrUnknown && want.Error() == "something else"
 			if errors.Is(err, kind) != known {
 				t.Errorf("%v became %v", want, err)
 			}
@@ -79,7 +79,7 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
-	if _, err := c.Commit(ctx, wire.Txn{}); !errors.Is(err, state.ErrUnknown) {
+	if _, err := c.Commit(ctx, wire.Txn{}); !errors.Is(err, kvstore.ErrUnknown) {
 		t.Errorf("no answer became %v", err)
 	}
 }
--- a/state/counts.go
+++ b/records/counts.go
@@ -1,4 +1,4 @@
-package state
+package records
 
 // TaskCounts is how many of a job's tasks run, and how many are done in open
 // assignments. It is sent as a list of two numbers.
--- a/state/packed.go
+++ b/records/packed.go
@@ -1,4 +1,4 @@
-package state
+package records
 
 import (
 	"bytes"
@@ -144,7 +144,7 @@
 		}
 	}
 	if err != nil {
-		panic(fmt.Sprintf("state: packing: %v", err)) // into memory: cannot happen
+		panic(fmt.Sprintf("records: packing: %v", err)) // into memory: cannot happen
 	}
 	if small := Encode([]string{base64.StdEncoding.EncodeToString(z.Bytes())}); len(small) < len(plain) {
 		return small
--- a/state/packed_test.go
+++ b/records/packed_test.go
@@ -1,4 +1,4 @@
-package state
+package records
 
 import (
 	"encoding/json"
--- a/state/records.go
+++ b/records/records.go
@@ -1,6 +1,6 @@
-// Package state speaks to the state service: a client, the records that
-// ravenport keeps there, and a feed that mirrors them.
-package state
+// Package records defines the records that ravenport keeps in the key-value store, their
+// keys and their stored forms. It does no input or output.
+package records
 
 import (
 	"encoding/json"
@@ -267,7 +267,7 @@
 	b, err := json.Marshal(v)
 	if err != nil {
 		// Records hold only checked numbers and strings.
-		panic(fmt.Sprintf("state: encoding a %T: %v", v, err))
+		panic(fmt.Sprintf("records: encoding a %T: %v", v, err))
 	}
 	return b
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -18,7 +18,7 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"ravenport/constants"
-	"ravenport/state"
+	"ravenport/records"
 )
 
 // Settings is the platform's file.
@@ -482,8 +482,8 @@
 func (s *Settings) ValueBytes() int { return int(s.StateLimits().ValueKB * 1024) }
 
 // Sizes are the limits on a job's record, now and later.
-func (s *Settings) Sizes() state.Sizes {
-	return state.Sizes{Now: int(s.Params.State.ValueKB * 1024), Next: s.ValueBytes()}
+func (s *Settings) Sizes() records.Sizes {
+	return records.Sizes{Now: int(s.Params.State.ValueKB * 1024), Next: s.ValueBytes()}
 }
 
 // Seconds turns a number of seconds into a duration.
--- a/shard/assignments.go
+++ b/shard/assignments.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"ravenport/constants"
-	"ravenport/state"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
@@ -119,7 +119,7 @@
 // releaseLeaving takes the tasks that leave out of a record's assignments. Where their
 // gaps would outgrow the state service's values, they stay, and only what closed is
 // returned; nil if nothing did.
-func (p *placement) releaseLeaving(v *fleetView, j *job, rec *state.Job, closed bool) *state.Job {
+func (p *placement) releaseLeaving(v *fleetView, j *job, rec *records.Job, closed bool) *records.Job {
 	staying := rec.Clone()
 	for k, t := range j.tasks {
 		if t.leaving {
@@ -127,8 +127,8 @@
 		}
 	}
 	rec.Normalize()
-	plain := len(state.Encode(rec))
-	if plain <= v.cfg.Sizes.Next*9/10 || plain <= len(state.Encode(j.rec)) {
+	plain := len(records.Encode(rec))
+	if plain <= v.cfg.Sizes.Next*9/10 || plain <= len(records.Encode(j.rec)) {
 		return rec
 	}
 	for _, t := range j.tasks {
@@ -143,7 +143,7 @@
 }
 
 // writeJob writes a job's record.
-func (c *Core) writeJob(now time.Time, id string, j *job, rec *state.Job) {
+func (c *Core) writeJob(now time.Time, id string, j *job, rec *records.Job) {
 	value, ok := c.cfg.Sizes.Encode(rec, j.rec)
 	if !ok {
 		slog.Error("job's record does not fit", "job", id, "bytes", len(value))
@@ -152,12 +152,12 @@
 		return
 	}
 	j.writing = true
-	c.commit(&c.fleetView, "job/"+id, []wire.Change{{Put: state.KeyJob(id), Value: value}},
-		wire.Condition{Key: state.KeyJob(id), Version: j.version})
+	c.commit(&c.fleetView, "job/"+id, []wire.Change{{Put: records.KeyJob(id), Value: value}},
+		wire.Condition{Key: records.KeyJob(id), Version: j.version})
 }
 
 // assignmentOver says whether every task of an assignment is over.
-func (known *knowledge) assignmentOver(j *job, ch *state.Assignment) bool {
+func (known *knowledge) assignmentOver(j *job, ch *records.Assignment) bool {
 	for k := ch.From; k < ch.To; k++ {
 		if !known.taskOver(j, k) {
 			return false
@@ -186,9 +186,9 @@
 // record would take too much room in so many pieces: then it returns false. While an
 // assignment is open, all its tasks count within their team's limit: one that runs on
 // would hold back others.
-func (v *fleetView) closeDone(j *job, rec *state.Job) bool {
+func (v *fleetView) closeDone(j *job, rec *records.Job) bool {
 	whole := rec.Assignments
-	var split []state.Assignment
+	var split []records.Assignment
 	for _, ch := range whole {
 		if ch.Shard != v.cfg.Shard || ch.Closed {
 			split = append(split, ch)
@@ -202,7 +202,7 @@
 	}
 	rec.Assignments = split
 	rec.Normalize()
-	if len(state.Encode(rec)) > v.cfg.Sizes.Next/2 {
+	if len(records.Encode(rec)) > v.cfg.Sizes.Next/2 {
 		rec.Assignments = whole
 		return false
 	}
@@ -210,7 +210,7 @@
 }
 
 // cutOut takes one task out of its assignment.
-func cutOut(rec *state.Job, index int) {
+func cutOut(rec *records.Job, index int) {
 	for i := range rec.Assignments {
 		ch := &rec.Assignments[i]
 		if ch.Closed || index < ch.From || index >= ch.To {
--- a/shard/closing_test.go
+++ b/shard/closing_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"ravenport/constants"
-	"ravenport/state"
+	"ravenport/records"
 )
 
 // returns lists the machines that actions ask the cloud to take back.
@@ -30,11 +30,11 @@
 			continue
 		}
 		for _, ch := range cm.Txn.Then {
-			record, err := state.Decode(ch.Put, ch.Value)
+			record, err := records.Decode(ch.Put, ch.Value)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if page, ok := record.(*state.Page); ok {
+			if page, ok := record.(*records.Page); ok {
 				for _, m := range page.Machines() {
 					if m.Closed {
 						names = append(names, m.Name)
@@ -88,7 +88,7 @@
 // closes machines by its own settings.
 func TestNextOwnerKeepsClosedMachinesClosed(t *testing.T) {
 	for _, closeFirst := range []bool{true, false} {
-		r := newRig(nil, state.Machine{Name: "m-1", Type: "box", Addr: "m-1", Closed: true}, state.Machine{Name: "m-2", Type: "box", Addr: "m-2"})
+		r := newRig(nil, records.Machine{Name: "m-1", Type: "box", Addr: "m-1", Closed: true}, records.Machine{Name: "m-2", Type: "box", Addr: "m-2"})
 		r.cfg.CloseFirst = closeFirst
 		r.submit(array("run-1", 16, "a"))
 		var asked []string
--- a/shard/comeback_test.go
+++ b/shard/comeback_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"ravenport/state"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
@@ -16,20 +16,20 @@
 	const machines, services, arrays = 600, 200, 60
 	for b.Loop() {
 		b.StopTimer()
-		jobs := map[string]*state.Job{}
+		jobs := map[string]*records.Job{}
 		for i := range services {
 			id := fmt.Sprintf("run-s%04d", i)
-			jobs[id] = &state.Job{ID: id, Spec: wire.Submission{ID: id, Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 16, CPUs: 2, MemoryGB: 3, Image: fmt.Sprintf("i%d", i%12), Spread: true},
-				Assignments: []state.Assignment{{From: 0, To: 8, Shard: "a", Keep: true}, {From: 8, To: 16, Shard: "b", Keep: true}}}
+			jobs[id] = &records.Job{ID: id, Spec: wire.Submission{ID: id, Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 16, CPUs: 2, MemoryGB: 3, Image: fmt.Sprintf("i%d", i%12), Spread: true},
+				Assignments: []records.Assignment{{From: 0, To: 8, Shard: "a", Keep: true}, {From: 8, To: 16, Shard: "b", Keep: true}}}
 		}
 		for i := range arrays {
 			id := fmt.Sprintf("run-a%04d", i)
 			jobs[id] = array(id, 40, "a")
 		}
-		var inventory []state.Machine
+		var inventory []records.Machine
 		for i := range machines {
 			name := fmt.Sprintf("m-%05d", i)
-			inventory = append(inventory, state.Machine{Name: name, Type: "box", Addr: name + ":1"})
+			inventory = append(inventory, records.Machine{Name: name, Type: "box", Addr: name + ":1"})
 		}
 		r := newRig(jobs, inventory...)
 		r.now = r.now.Add(leaseEnd + time.Second)
--- a/shard/core.go
+++ b/shard/core.go
@@ -9,7 +9,7 @@
 
 	"ravenport/constants"
 	"ravenport/leader"
-	"ravenport/state"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
@@ -25,7 +25,7 @@
 	CloseFirst     bool // a machine is durably closed before it is returned
 	ListLag        time.Duration
 	CloudGap       time.Duration // between calls of one kind to the cloud that can wait for each other
-	Sizes          state.Sizes   // the state service's limits on a record
+	Sizes          records.Sizes // the state service's limits on a record
 	Calls          int           // direct commands that may be under way at once
 	GangWait       time.Duration // how long a gang's tasks wait for each other
 	GangPeer       time.Duration // within which they notice that one is gone, or must all be told to stop
@@ -96,7 +96,7 @@
 // New makes the core at the moment when the feed showed the claim: jobs and
 // inventory are as of that revision.
 func New(cfg Config, term, termVersion uint64, now time.Time, types []wire.MachineType,
-	jobs map[string]*state.Job, versions map[string]uint64, inventory map[string]*state.Page, inventoryVersions map[string]uint64) *Core {
+	jobs map[string]*records.Job, versions map[string]uint64, inventory map[string]*records.Page, inventoryVersions map[string]uint64) *Core {
 	c := &Core{
 		fleetView: fleetView{
 			ownership: ownership{cfg: cfg, term: term, numbers: newNumbers(term), termVer: termVersion, claimed: now},
@@ -206,14 +206,14 @@
 }
 
 // Apply takes in a change from the feed.
-func (c *Core) Apply(now time.Time, ch state.Change) {
+func (c *Core) Apply(now time.Time, ch records.Change) {
 	if c.draining != nil {
 		c.draining.apply(now, c.cfg.Shard, ch)
 	}
 	switch r := ch.Record.(type) {
-	case *state.Job:
+	case *records.Job:
 		c.applyJob(now, r.ID, r, ch.Version, false)
-	case *state.Page:
+	case *records.Page:
 		if r.Shard == c.cfg.Shard {
 			c.applyPage(now, r, ch.Version)
 		}
@@ -283,7 +283,7 @@
 // commit gathers a transaction that holds only while the term stands.
 func (q *outgoing) commit(v *fleetView, id string, changes []wire.Change, conds ...wire.Condition) {
 	q.actions = append(q.actions, Commit{ID: id, Txn: wire.Txn{
-		If:   append([]wire.Condition{{Key: state.KeyShard(v.cfg.Shard), Version: v.termVer}}, conds...),
+		If:   append([]wire.Condition{{Key: records.KeyShard(v.cfg.Shard), Version: v.termVer}}, conds...),
 		Then: changes,
 	}})
 }
--- a/shard/core_test.go
+++ b/shard/core_test.go
@@ -12,7 +12,7 @@
 	"ravenport/constants"
 	_ "ravenport/internal/testseed"
 	"ravenport/leader"
-	"ravenport/state"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
@@ -26,20 +26,20 @@
 	term    uint64
 }
 
-func newRig(jobs map[string]*state.Job, inventory ...state.Machine) *rig {
+func newRig(jobs map[string]*records.Job, inventory ...records.Machine) *rig {
 	r := &rig{now: time.Unix(1000, 0), version: 100, term: 5}
-	versions, pages, pageV := map[string]uint64{}, map[string]*state.Page{}, map[string]uint64{}
+	versions, pages, pageV := map[string]uint64{}, map[string]*records.Page{}, map[string]uint64{}
 	for id := range jobs {
 		versions[id] = 10
 	}
 	if len(inventory) > 0 {
-		k := state.KeyInventory("a", 0)
-		pages[k], pageV[k] = &state.Page{Shard: "a"}, 11
+		k := records.KeyInventory("a", 0)
+		pages[k], pageV[k] = &records.Page{Shard: "a"}, 11
 		for _, m := range inventory {
 			pages[k].Add(m)
 		}
 	}
-	cfg := Config{Shard: "a", Report: 3 * time.Second, LeaseEnd: leaseEnd, IdleSpot: time.Hour, IdleOrdinary: time.Hour, UseSpot: true, ListLag: 5 * time.Second, Sizes: state.Sizes{Now: 8192, Next: 8192}, Calls: 200, TxnOps: 12, WriteRPS: 100, Order: leader.NewOrder(nil)}
+	cfg := Config{Shard: "a", Report: 3 * time.Second, LeaseEnd: leaseEnd, IdleSpot: time.Hour, IdleOrdinary: time.Hour, UseSpot: true, ListLag: 5 * time.Second, Sizes: records.Sizes{Now: 8192, Next: 8192}, Calls: 200, TxnOps: 12, WriteRPS: 100, Order: leader.NewOrder(nil)}
 	types := []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.4, BootS: 10, Zones: []string{"a"}}}
 	r.Core = New(cfg, r.term, 50, r.now, types, jobs, versions, pages, pageV)
 	r.SetAuthority(r.now.Add(time.Hour))
@@ -61,11 +61,11 @@
 		r.version++
 		r.Committed(r.now, cm.ID, r.version)
 		for _, ch := range cm.Txn.Then {
-			rec, err := state.Decode(ch.Put, ch.Value)
+			rec, err := records.Decode(ch.Put, ch.Value)
 			if err != nil {
 				panic(err)
 			}
-			r.Apply(r.now, state.Change{Key: ch.Put, Version: r.version, Record: rec})
+			r.Apply(r.now, records.Change{Key: ch.Put, Version: r.version, Record: rec})
 		}
 	}
 }
@@ -77,9 +77,9 @@
 	return &wire.Report{Machine: name, Addr: name + ":1", Type: "box", Zone: "a", Session: session, Seq: seq, Token: token, Tasks: tasks}
 }
 
-func array(id string, tasks int, shard string) *state.Job {
-	return &state.Job{ID: id, Spec: wire.Submission{ID: id, Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: tasks, CPUs: 2, MemoryGB: 1, Image: "i", EstimateS: 10, Spot: true},
-		Assignments: []state.Assignment{{From: 0, To: tasks, Shard: shard, Keep: true}}}
+func array(id string, tasks int, shard string) *records.Job {
+	return &records.Job{ID: id, Spec: wire.Submission{ID: id, Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: tasks, CPUs: 2, MemoryGB: 1, Image: "i", EstimateS: 10, Spot: true},
+		Assignments: []records.Assignment{{From: 0, To: tasks, Shard: shard, Keep: true}}}
 }
 
 // up brings a machine up in the owner's eyes, in the inventory and verified.
@@ -128,9 +128,9 @@
 	return returned
 }
 
-func (r *rig) submit(j *state.Job) {
+func (r *rig) submit(j *records.Job) {
 	r.version++
-	r.Apply(r.now, state.Change{Key: state.KeyJob(j.ID), Version: r.version, Record: j})
+	r.Apply(r.now, records.Change{Key: records.KeyJob(j.ID), Version: r.version, Record: j})
 }
 
 // A task that existed before the term is placed only when every inherited
@@ -138,7 +138,7 @@
 // assigned later starts at once.
 func TestTakeoverWaitsForInheritedMachines(t *testing.T) {
 	old := array("run-1", 1, "a")
-	r := newRig(map[string]*state.Job{"run-1": old}, state.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"})
+	r := newRig(map[string]*records.Job{"run-1": old}, records.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"})
 	r.up("m-2")
 	acts := r.wait(time.Second)
 	if n := len(started(acts, "m-2")); n != 0 {
@@ -237,7 +237,7 @@
 		}
 	})
 	t.Run("session by command", func(t *testing.T) {
-		r := newRig(nil, state.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"})
+		r := newRig(nil, records.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"})
 		r.wait(15 * time.Second)
 		r.CommandResult(r.now, "m-1", report("m-1", 2, 1, token(r.term, 0)))
 		if r.machines["m-1"].leaseUntil.Before(r.now.Add(leaseEnd)) {
@@ -444,8 +444,8 @@
 // shows it, the task is not free: it runs on another that is still to report.
 func TestLateCopyToNewOwnerFreesNothing(t *testing.T) {
 	old := array("run-1", 1, "a")
-	r := newRig(map[string]*state.Job{"run-1": old},
-		state.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"}, state.Machine{Name: "m-2", Type: "box", Addr: "m-2:1"})
+	r := newRig(map[string]*records.Job{"run-1": old},
+		records.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"}, records.Machine{Name: "m-2", Type: "box", Addr: "m-2:1"})
 	r.up("m-3")
 	running := func(attempt uint64) wire.TaskStatus {
 		return wire.TaskStatus{Task: "run-1/0", Attempt: attempt, State: wire.TaskRunning}
@@ -478,7 +478,7 @@
 // of that, unless the machine has shown the new token and so drops old answers.
 func TestLeaseExtensionIsCountedByTheNextOwner(t *testing.T) {
 	const leaseExtension = 15 * time.Second
-	old := newRig(map[string]*state.Job{"run-1": array("run-1", 2, "a")})
+	old := newRig(map[string]*records.Job{"run-1": array("run-1", 2, "a")})
 	old.cfg.LeaseExtension = leaseExtension
 	old.up("m-0")
 	old.write(old.wait(time.Second))
@@ -502,8 +502,8 @@
 	}
 	for name, shows := range map[string]bool{"silent": false, "shows the new token": true} {
 		t.Run(name, func(t *testing.T) {
-			next := newRig(map[string]*state.Job{"run-1": array("run-1", 2, "a")}, state.Machine{Name: "m-0", Type: "box", Addr: "m-0:1"})
-			next.Core = New(Config{Shard: "a", Report: 3 * time.Second, LeaseEnd: leaseEnd, LeaseExtension: leaseExtension, Sizes: state.Sizes{Now: 8192, Next: 8192}, Calls: 200, TxnOps: 12, WriteRPS: 100, Order: leader.NewOrder(nil)},
+			next := newRig(map[string]*records.Job{"run-1": array("run-1", 2, "a")}, records.Machine{Name: "m-0", Type: "box", Addr: "m-0:1"})
+			next.Core = New(Config{Shard: "a", Report: 3 * time.Second, LeaseEnd: leaseEnd, LeaseExtension: leaseExtension, Sizes: records.Sizes{Now: 8192, Next: 8192}, Calls: 200, TxnOps: 12, WriteRPS: 100, Order: leader.NewOrder(nil)},
 				6, 51, over, nil, nil, nil, nil, nil)
 			next.SetAuthority(over.Add(time.Hour))
 			// It is heard once, but its answer may be lost, and then the old owner
@@ -596,7 +596,7 @@
 	for _, room := range []float64{0, 4} {
 		j := array("run-1", 2, "a")
 		j.AcceptedMS = time.Unix(1000, 0).UnixMilli()
-		r := newRig(map[string]*state.Job{"run-1": j})
+		r := newRig(map[string]*records.Job{"run-1": j})
 		left := 0
 		for range 120 {
 			for _, a := range r.wait(500 * time.Millisecond) {
@@ -604,8 +604,8 @@
 				case Rent: // refused each time
 					r.Rented(r.now, a.Request.Request, nil, true)
 				case Commit:
-					if rec, err := state.Decode(a.Txn.Then[0].Put, a.Txn.Then[0].Value); err == nil {
-						if j, ok := rec.(*state.Job); ok {
+					if rec, err := records.Decode(a.Txn.Then[0].Put, a.Txn.Then[0].Value); err == nil {
+						if j, ok := rec.(*records.Job); ok {
 							left += len(j.Unassigned())
 						}
 					}
@@ -631,7 +631,7 @@
 	r.up("m-1")
 	j := array("run-1", 2, "a")
 	j.AcceptedMS = r.now.UnixMilli()
-	r.Apply(r.now, state.Change{Key: state.KeyJob("run-1"), Version: 60, Record: j})
+	r.Apply(r.now, records.Change{Key: records.KeyJob("run-1"), Version: 60, Record: j})
 	if n := len(started(r.wait(time.Second), "m-1")); n != 2 {
 		t.Fatalf("%d of 2 tasks started", n)
 	}
@@ -664,7 +664,7 @@
 	}
 	stored := j.Clone()
 	stored.End = wire.JobCancelled
-	r.Apply(r.now, state.Change{Key: state.KeyJob("run-1"), Version: 70, Record: stored})
+	r.Apply(r.now, records.Change{Key: records.KeyJob("run-1"), Version: 70, Record: stored})
 	closed := false
 	for _, a := range r.wait(time.Second) {
 		cm, ok := a.(Commit)
@@ -679,10 +679,10 @@
 // that it hears its machines: the others of a small shard that is out of reach would
 // be taken for silent by themselves and returned.
 func TestLateCopyIsNotHeardAtTakeover(t *testing.T) {
-	var inventory []state.Machine
+	var inventory []records.Machine
 	for i := range 3 {
 		name := fmt.Sprintf("m-%d", i)
-		inventory = append(inventory, state.Machine{Name: name, Type: "box", Addr: name + ":1"})
+		inventory = append(inventory, records.Machine{Name: name, Type: "box", Addr: name + ":1"})
 	}
 	for _, copied := range []bool{true, false} {
 		r := newRig(nil, inventory...)
--- a/shard/draining.go
+++ b/shard/draining.go
@@ -10,7 +10,7 @@
 	"ravenport/constants"
 	"ravenport/disruption"
 	"ravenport/drain"
-	"ravenport/state"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
@@ -59,7 +59,7 @@
 
 // StartDraining has the owner keep its shard's account and drain machines. jobs are
 // the records of all jobs, and records the drains, claims and terms that are stored.
-func (c *Core) StartDraining(now time.Time, cfg DrainingConfig, jobs map[string]*state.Job, records []state.Change) {
+func (c *Core) StartDraining(now time.Time, cfg DrainingConfig, jobs map[string]*records.Job, records []records.Change) {
 	c.draining = &draining{
 		cfg: cfg, drains: map[int]*drain.Steps{}, damaged: map[int]bool{}, moves: map[*task]*move{}, waits: map[int]string{},
 		interruptions: newInterruptions(cfg.Policy.ReplaceWithin),
@@ -74,21 +74,21 @@
 }
 
 // apply takes in a change from the feed.
-func (d *draining) apply(now time.Time, shard string, ch state.Change) {
+func (d *draining) apply(now time.Time, shard string, ch records.Change) {
 	switch r := ch.Record.(type) {
-	case *state.Job:
+	case *records.Job:
 		d.ledger.ApplyJob(now, r)
-	case *state.Term:
+	case *records.Term:
 		d.ledger.ApplyTerm(r)
-	case *state.Claim:
+	case *records.Claim:
 		d.ledger.ApplyClaim(r, ch.Version)
-	case *state.Drain:
+	case *records.Drain:
 		d.applyDrain(shard, r, ch.Version)
 	case nil:
-		if number, ok := (&state.Damaged{Key: ch.Key}).Drain(); ok {
+		if number, ok := (&records.Damaged{Key: ch.Key}).Drain(); ok {
 			delete(d.drains, number) // an old one was cleared away
 		}
-	case *state.Damaged:
+	case *records.Damaged:
 		if claimOf, ok := r.Claim(); ok {
 			d.ledger.ApplyDamage(claimOf, ch.Version)
 		}
@@ -99,7 +99,7 @@
 	}
 }
 
-func (d *draining) applyDrain(shard string, r *state.Drain, version uint64) {
+func (d *draining) applyDrain(shard string, r *records.Drain, version uint64) {
 	delete(d.damaged, r.Number)
 	steps := d.drains[r.Number]
 	switch {
@@ -121,7 +121,7 @@
 // active says whether any drain runs.
 func (d *draining) active() bool {
 	for _, s := range d.drains {
-		if s.Record().State == state.DrainRunning {
+		if s.Record().State == records.DrainRunning {
 			return true
 		}
 	}
@@ -238,7 +238,7 @@
 		if m.cordon == nil {
 			continue
 		}
-		if s := c.draining.drains[m.cordon.drain]; s == nil || s.Record().State != state.DrainRunning {
+		if s := c.draining.drains[m.cordon.drain]; s == nil || s.Record().State != records.DrainRunning {
 			slog.Info("cordon is lifted", "machine", m.name, "drain", m.cordon.drain)
 			m.cordon = nil
 			c.dirty, c.pushDirty = true, true
@@ -252,7 +252,7 @@
 }
 
 // selected lists the machines that a drain takes in and that are still there.
-func (v *fleetView) selected(s *state.Selection) []*machine {
+func (v *fleetView) selected(s *records.Selection) []*machine {
 	var out []*machine
 	for _, m := range v.fleet {
 		if !m.leaving && drain.Matches(s, v.selectable(m)) {
@@ -267,7 +267,7 @@
 func (c *Core) advanceDrain(now time.Time, number int, s *drain.Steps) {
 	machines := c.selected(&s.Record().Selection)
 	for _, m := range machines {
-		m.leavesNext = s.Record().State == state.DrainRunning
+		m.leavesNext = s.Record().State == records.DrainRunning
 	}
 	byName := make(map[string]*machine, len(machines))
 	candidates := make([]drain.Candidate, 0, len(machines))
@@ -288,15 +288,15 @@
 		}
 	}
 	if record, version := s.Write(c.draining.settled(number)); record != nil {
-		key := state.KeyDrain(number)
-		c.commit(&c.fleetView, commitDrain+"/"+strconv.Itoa(number), []wire.Change{{Put: key, Value: state.Encode(record)}}, wire.Condition{Key: key, Version: version})
+		key := records.KeyDrain(number)
+		c.commit(&c.fleetView, commitDrain+"/"+strconv.Itoa(number), []wire.Change{{Put: key, Value: records.Encode(record)}}, wire.Condition{Key: key, Version: version})
 	}
 }
 
 // whyIdle says why a drain has nothing to do in this shard at present; empty if it has.
 func whyIdle(now time.Time, s *drain.Steps) string {
 	switch open, next := s.Open(now); {
-	case s.Record().State != state.DrainRunning:
+	case s.Record().State != records.DrainRunning:
 		return string(s.Record().State)
 	case !s.Acts() && s.Turn() != "":
 		return "the first machine, in " + s.Turn() + ", is not replaced yet"
--- a/shard/draining_test.go
+++ b/shard/draining_test.go
@@ -6,7 +6,7 @@
 
 	"ravenport/disruption"
 	"ravenport/drain"
-	"ravenport/state"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
@@ -19,7 +19,7 @@
 	r.up("m-0")
 	r.up("m-1")
 	spec := wire.Submission{ID: "run-1", Team: "t", Class: "c", Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 3, CPUs: 2, MemoryGB: 1, Image: "i"}
-	r.submit(&state.Job{ID: spec.ID, Spec: spec, Assignments: []state.Assignment{{From: 0, To: 3, Shard: "a", Keep: true}}})
+	r.submit(&records.Job{ID: spec.ID, Spec: spec, Assignments: []records.Assignment{{From: 0, To: 3, Shard: "a", Keep: true}}})
 	r.write(r.wait(time.Second))
 	r.serve(8 * time.Second)
 	return r.jobs["run-1"]
@@ -81,8 +81,8 @@
 	for _, task := range j.tasks { // as if each had just been heard of, while it was fetched
 		task.hold.runSince = r.now
 	}
-	spread := state.Drain{Number: 1, State: state.DrainRunning, Proven: true, Selection: state.Selection{Machines: []string{"m-0", "m-1"}}}
-	r.Apply(r.now, state.Change{Key: state.KeyDrain(1), Version: r.version, Record: &spread})
+	spread := records.Drain{Number: 1, State: records.DrainRunning, Proven: true, Selection: records.Selection{Machines: []string{"m-0", "m-1"}}}
+	r.Apply(r.now, records.Change{Key: records.KeyDrain(1), Version: r.version, Record: &spread})
 	moved := map[*task]bool{}
 	for range 240 {
 		r.serve(250 * time.Millisecond)
@@ -110,7 +110,7 @@
 func TestInterruptionsThatCount(t *testing.T) {
 	now := time.Unix(1000, 0)
 	keys := []disruption.Key{{Team: "t", Interruptions: true}}
-	j := &job{rec: &state.Job{ID: "run-1"}}
+	j := &job{rec: &records.Job{ID: "run-1"}}
 	s := newInterruptions(time.Minute)
 	for _, step := range []struct {
 		name       string
@@ -158,7 +158,7 @@
 		r.up("m-1")
 		for _, id := range []string{"run-1", "run-2"} {
 			spec := wire.Submission{ID: id, Team: "t", Class: "c", Kind: kind, Priority: wire.PriorityNormal, Tasks: 2, CPUs: 2, MemoryGB: 1, Image: "i", EstimateS: 600}
-			r.submit(&state.Job{ID: spec.ID, Spec: spec, Assignments: []state.Assignment{{From: 0, To: 2, Shard: "a", Keep: true}}})
+			r.submit(&records.Job{ID: spec.ID, Spec: spec, Assignments: []records.Assignment{{From: 0, To: 2, Shard: "a", Keep: true}}})
 		}
 		r.serve(15 * time.Second)
 		r.up("m-2")
@@ -171,8 +171,8 @@
 				units[unitOf(task)] = true
 			}
 		}
-		record := state.Drain{Number: 1, State: state.DrainRunning, Proven: true, Selection: state.Selection{Machines: []string{"m-0", "m-1"}}}
-		r.Apply(r.now, state.Change{Key: state.KeyDrain(1), Version: r.version, Record: &record})
+		record := records.Drain{Number: 1, State: records.DrainRunning, Proven: true, Selection: records.Selection{Machines: []string{"m-0", "m-1"}}}
+		r.Apply(r.now, records.Change{Key: records.KeyDrain(1), Version: r.version, Record: &record})
 		interrupted := map[unit]bool{}
 		for range 300 {
 			r.serve(250 * time.Millisecond)
@@ -197,14 +197,14 @@
 // as the claim of the last one says, until they run again.
 func TestNextOwnerCountsInterruptions(t *testing.T) {
 	spec := wire.Submission{ID: "run-1", Team: "t", Class: "c", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 3, CPUs: 2, MemoryGB: 1, Image: "i", EstimateS: 600}
-	j := &state.Job{ID: spec.ID, Spec: spec, Assignments: []state.Assignment{{From: 0, To: 3, Shard: "a", Keep: true}}}
-	r := newRig(map[string]*state.Job{j.ID: j})
+	j := &records.Job{ID: spec.ID, Spec: spec, Assignments: []records.Assignment{{From: 0, To: 3, Shard: "a", Keep: true}}}
+	r := newRig(map[string]*records.Job{j.ID: j})
 	var budgets disruption.Budgets
 	budgets.SetOtherInterruptions(disruption.Amount{Tasks: 2})
 	key := disruption.Key{Team: "t", Interruptions: true}
-	last := state.Claim{Shard: "a", Term: r.term - 1, Down: map[string]int{key.String(): 2}}
+	last := records.Claim{Shard: "a", Term: r.term - 1, Down: map[string]int{key.String(): 2}}
 	cfg := DrainingConfig{Shards: []string{"a"}, Budgets: budgets, Policy: drain.Policy{Stable: 5 * time.Second, ReplaceWithin: time.Minute, FailuresMost: 2}}
-	r.StartDraining(r.now, cfg, map[string]*state.Job{j.ID: j}, []state.Change{{Key: state.KeyClaim("a"), Version: 90, Record: &last}})
+	r.StartDraining(r.now, cfg, map[string]*records.Job{j.ID: j}, []records.Change{{Key: records.KeyClaim("a"), Version: 90, Record: &last}})
 	r.write(r.wait(time.Second))
 	if n := r.draining.unavailable(&r.fleetView, r.now)[key]; n != 2 {
 		t.Errorf("%d of 3 that wait count, 2 were claimed", n)
--- a/shard/elsewhere.go
+++ b/shard/elsewhere.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"ravenport/constants"
-	"ravenport/state"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
@@ -29,14 +29,14 @@
 
 // elsewhere says whether another shard is known to have room for one more of a
 // job's tasks, after so many.
-func (f *figures) elsewhere(now time.Time, rec *state.Job, after int) bool {
+func (f *figures) elsewhere(now time.Time, rec *records.Job, after int) bool {
 	// Others see the same room.
 	return f.roomElsewhere(now, rec) > (after+1)*max(1, len(f.others))
 }
 
 // roomElsewhere is for how many more of a job's tasks other shards are known to have
 // room.
-func (f *figures) roomElsewhere(now time.Time, rec *state.Job) int {
+func (f *figures) roomElsewhere(now time.Time, rec *records.Job) int {
 	s := &rec.Spec
 	n := 0
 	for _, o := range f.others {
@@ -53,7 +53,7 @@
 
 // spreadElsewhere is how many more tasks of a job may be in the other shards,
 // beside those there: at most half of all in each.
-func (f *figures) spreadElsewhere(rec *state.Job) int {
+func (f *figures) spreadElsewhere(rec *records.Job) int {
 	n := 0
 	for name := range f.others {
 		left := (rec.Spec.Tasks + 1) / 2
--- a/shard/gang.go
+++ b/shard/gang.go
@@ -7,7 +7,7 @@
 
 	"ravenport/constants"
 	"ravenport/leader"
-	"ravenport/state"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
@@ -23,13 +23,13 @@
 
 // shared says whether a gang's tasks are, or are to be, in several shards: they
 // run under the number that the leader wrote.
-func shared(rec *state.Job, shard string) bool {
-	return rec.Attempt != 0 && (len(rec.Unassigned()) > 0 || slices.ContainsFunc(rec.Assignments, func(ch state.Assignment) bool { return ch.Shard != shard }))
+func shared(rec *records.Job, shard string) bool {
+	return rec.Attempt != 0 && (len(rec.Unassigned()) > 0 || slices.ContainsFunc(rec.Assignments, func(ch records.Assignment) bool { return ch.Shard != shard }))
 }
 
 // gangRecord brings a gang in line with a newer record.
 func (c *Core) gangRecord(j *job) {
-	if slices.ContainsFunc(j.rec.Assignments, func(ch state.Assignment) bool { return ch.Closed }) && j.rec.End == "" {
+	if slices.ContainsFunc(j.rec.Assignments, func(ch records.Assignment) bool { return ch.Closed }) && j.rec.End == "" {
 		c.gangDone(j) // another shard has seen a task of it done
 	} else if len(j.rec.Unassigned()) > 0 && j.gang.attempt == j.rec.Attempt {
 		c.endAttempt(j, "another share was given back")
--- a/shard/gang_test.go
+++ b/shard/gang_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 
 	"ravenport/constants"
-	"ravenport/state"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
@@ -109,7 +109,7 @@
 	return starts
 }
 
-func gangOf(id string, tasks int, shard string) *state.Job {
+func gangOf(id string, tasks int, shard string) *records.Job {
 	j := array(id, tasks, shard)
 	j.Spec.Kind, j.Spec.Spot, j.Spec.CheckpointS, j.Spec.SaveS, j.Spec.OneZone = wire.KindGang, false, 20, 3, true
 	return j
@@ -221,8 +221,8 @@
 func TestNewOwnerFindsGang(t *testing.T) {
 	j := gangOf("run-1", 4, "a")
 	old := uint64(4)<<constants.AttemptBits | 7
-	h := newHands(newRig(map[string]*state.Job{"run-1": j},
-		state.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"}, state.Machine{Name: "m-2", Type: "box", Addr: "m-2:1"}))
+	h := newHands(newRig(map[string]*records.Job{"run-1": j},
+		records.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"}, records.Machine{Name: "m-2", Type: "box", Addr: "m-2:1"}))
 	for i := range 4 {
 		m := fmt.Sprintf("m-%d", 1+i%2)
 		h.seq[m] = 10
@@ -271,24 +271,24 @@
 // machine is on a durable page; also where the owner that did it ends half way.
 func TestLargePageIsSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		pages := map[string]*state.Page{}
+		pages := map[string]*records.Page{}
 		versions := map[string]uint64{}
 		names := map[string]bool{}
 		for p := range rapid.IntRange(1, 3).Draw(t, "pages") {
-			pg := &state.Page{Shard: "a", Number: p}
+			pg := &records.Page{Shard: "a", Number: p}
 			for i := range rapid.IntRange(1, 190).Draw(t, "machines") {
 				name := fmt.Sprintf("m-%06d", 1000*p+i)
 				names[name] = true
-				pg.Add(state.Machine{Name: name, Type: "box", Addr: "10.1.200.232:9000"})
+				pg.Add(records.Machine{Name: name, Type: "box", Addr: "10.1.200.232:9000"})
 			}
-			pages[state.KeyInventory("a", p)], versions[state.KeyInventory("a", p)] = pg, uint64(10+p)
+			pages[records.KeyInventory("a", p)], versions[records.KeyInventory("a", p)] = pg, uint64(10+p)
 		}
 		limit := rapid.SampledFrom([]int{1024, 2048, 4096}).Draw(t, "limit")
 		rev := uint64(100)
 		for term := uint64(5); term < 9; term++ {
 			r := newRig(nil)
 			cfg := r.cfg
-			cfg.Sizes, cfg.TxnOps = state.Sizes{Now: 8192, Next: limit}, rapid.IntRange(1, 4).Draw(t, "ops")
+			cfg.Sizes, cfg.TxnOps = records.Sizes{Now: 8192, Next: limit}, rapid.IntRange(1, 4).Draw(t, "ops")
 			now := r.now
 			c := New(cfg, term, 50, now, []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 32, Zones: []string{"a"}}}, nil, nil, pages, versions)
 			c.SetAuthority(now.Add(time.Hour))
@@ -312,11 +312,11 @@
 						if len(ch.Value) > limit {
 							t.Fatalf("a page of %d bytes", len(ch.Value))
 						}
-						rec, err := state.Decode(ch.Put, ch.Value)
+						rec, err := records.Decode(ch.Put, ch.Value)
 						if err != nil {
 							t.Fatal(err)
 						}
-						pages[ch.Put], versions[ch.Put] = rec.(*state.Page), rev
+						pages[ch.Put], versions[ch.Put] = rec.(*records.Page), rev
 					}
 					on := map[string]bool{}
 					for _, p := range pages {
@@ -332,7 +332,7 @@
 					} else {
 						c.Committed(now, cm.ID, 0)
 						for _, ch := range cm.Txn.Then {
-							c.Apply(now, state.Change{Key: ch.Put, Version: rev, Record: pages[ch.Put]})
+							c.Apply(now, records.Change{Key: ch.Put, Version: rev, Record: pages[ch.Put]})
 						}
 					}
 				}
@@ -341,7 +341,7 @@
 		total := 0
 		for key, p := range pages {
 			total += len(p.Machines())
-			if n := len(state.Encode(p)); n > limit {
+			if n := len(records.Encode(p)); n > limit {
 				t.Fatalf("%s still takes %d bytes", key, n)
 			}
 		}
@@ -398,15 +398,15 @@
 // or of which another share was given back, is stopped and given back whole: under
 // its number nothing would begin any more.
 func TestShareIsGivenBack(t *testing.T) {
-	job := func() *state.Job {
+	job := func() *records.Job {
 		j := gangOf("run-1", 4, "a")
 		j.Spec.OneZone, j.Spec.Spread, j.Attempt = false, true, 1
-		j.Assignments = []state.Assignment{{From: 0, To: 2, Shard: "a", Keep: true}, {From: 2, To: 4, Shard: "b", Keep: true}}
+		j.Assignments = []records.Assignment{{From: 0, To: 2, Shard: "a", Keep: true}, {From: 2, To: 4, Shard: "b", Keep: true}}
 		return j
 	}
 	given := func(h *hands) bool { return h.jobs["run-1"] == nil }
 
-	h := newHands(newRig(map[string]*state.Job{"run-1": job()}, state.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"}))
+	h := newHands(newRig(map[string]*records.Job{"run-1": job()}, records.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"}))
 	h.seq["m-1"] = 10
 	h.held["m-1"] = []wire.TaskStatus{{Task: "run-1/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CausePeers}}
 	if s := h.run(5 * time.Second); len(s) > 0 || !given(h) {
--- a/shard/gangreserve.go
+++ b/shard/gangreserve.go
@@ -6,7 +6,7 @@
 
 	"ravenport/constants"
 	"ravenport/leader"
-	"ravenport/state"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
@@ -19,7 +19,7 @@
 
 // noteGang remembers what gangs look like, whichever shard has them: the leader
 // wants to know whether one of that shape would start here.
-func (g *gangReserves) noteGang(now time.Time, rec *state.Job) {
+func (g *gangReserves) noteGang(now time.Time, rec *records.Job) {
 	if !rec.Spec.IsGang() || rec.End != "" {
 		return
 	}
--- a/shard/inventory.go
+++ b/shard/inventory.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"ravenport/constants"
-	"ravenport/state"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
@@ -23,14 +23,14 @@
 	inventoryNext time.Time // when the next one may be sent
 }
 
-func newPageBook(sizes state.Sizes) pageBook {
+func newPageBook(sizes records.Sizes) pageBook {
 	b := pageBook{pages: map[int]*page{}}
 	b.limit(sizes)
 	return b
 }
 
 // limit has pages written so that they fit what the state service takes.
-func (b *pageBook) limit(sizes state.Sizes) { b.entriesMost = sizes.Next * constants.PageFill / 100 }
+func (b *pageBook) limit(sizes records.Sizes) { b.entriesMost = sizes.Next * constants.PageFill / 100 }
 
 // page is one page of the shard's inventory. It is written as a whole, one write
 // at a time, so that a rental or a wave of boots costs a change or two and not
@@ -42,13 +42,13 @@
 	bytes   int             // what they take of it, at most
 	stored  map[string]bool // machines that the durable page names
 	dirty   bool
-	sent    []state.Machine // content of the write under way
+	sent    []records.Machine // content of the write under way
 
 	writtenAt time.Time // when it was last sent
 }
 
 // applyPage takes in a page as the state service has it.
-func (c *Core) applyPage(now time.Time, r *state.Page, version uint64) {
+func (c *Core) applyPage(now time.Time, r *records.Page, version uint64) {
 	p := c.page(r.Number)
 	if version <= p.version {
 		return
@@ -141,7 +141,7 @@
 
 // stored notes what a page durably holds: a machine on no durable page gets no
 // task, and one that left its page for good is forgotten.
-func (v *fleetView) stored(q *outgoing, p *page, entries []state.Machine, version uint64) {
+func (v *fleetView) stored(q *outgoing, p *page, entries []records.Machine, version uint64) {
 	p.version = version
 	was := p.stored
 	p.stored = make(map[string]bool, len(entries))
@@ -196,14 +196,14 @@
 }
 
 // entries is what a page should hold now.
-func (k *knowledge) entries(p *page) []state.Machine {
-	out := []state.Machine{}
+func (k *knowledge) entries(p *page) []records.Machine {
+	out := []records.Machine{}
 	for name := range p.names {
 		m := k.machines[name]
 		if m == nil || m.leaving {
 			continue
 		}
-		out = append(out, state.Machine{Name: name, Type: m.typeName, Spot: m.spot, Addr: m.addr, RentedS: m.rentedAt.Unix(), Closed: m.closing.decided})
+		out = append(out, records.Machine{Name: name, Type: m.typeName, Spot: m.spot, Addr: m.addr, RentedS: m.rentedAt.Unix(), Closed: m.closing.decided})
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].Name < out[b].Name })
 	return out
@@ -237,12 +237,12 @@
 	var conds []wire.Condition
 	for _, p := range ps {
 		entries := c.entries(p)
-		key := state.KeyInventory(c.cfg.Shard, p.number)
-		var r state.Page
+		key := records.KeyInventory(c.cfg.Shard, p.number)
+		var r records.Page
 		for _, e := range entries {
 			r.Add(e)
 		}
-		value := state.Encode(r)
+		value := records.Encode(r)
 		if len(value) > c.cfg.Sizes.Next && len(entries) > 1 {
 			// Many kinds of machine or long addresses take more than was allowed
 			// for: half of them go to another page, and this one waits for that.
--- a/shard/jobs.go
+++ b/shard/jobs.go
@@ -3,13 +3,13 @@
 import (
 	"time"
 
-	"ravenport/state"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
 // applyJob brings the tasks that the shard looks after in line with a record.
 // inherited marks records from before the term: their tasks may be running.
-func (c *Core) applyJob(now time.Time, id string, rec *state.Job, version uint64, inherited bool) {
+func (c *Core) applyJob(now time.Time, id string, rec *records.Job, version uint64, inherited bool) {
 	j := c.jobs[id]
 	mine := 0
 	c.noteGang(now, rec)
--- a/shard/model.go
+++ b/shard/model.go
@@ -35,7 +35,7 @@
 
 	"ravenport/constants"
 	"ravenport/leader"
-	"ravenport/state"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
@@ -294,7 +294,7 @@
 
 // job is a job of which the shard looks after some tasks.
 type job struct {
-	rec     *state.Job
+	rec     *records.Job
 	version uint64
 	tasks   map[int]*task
 	writing bool // a change of its record is under way
--- a/shard/moving.go
+++ b/shard/moving.go
@@ -7,7 +7,7 @@
 	"ravenport/constants"
 	"ravenport/disruption"
 	"ravenport/drain"
-	"ravenport/state"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
@@ -163,7 +163,7 @@
 }
 
 // PlanDrain says what a drain would do in this shard.
-func (c *Core) PlanDrain(now time.Time, s *state.Selection) drain.ShardPlan {
+func (c *Core) PlanDrain(now time.Time, s *records.Selection) drain.ShardPlan {
 	p := drain.ShardPlan{Shard: c.cfg.Shard, Moves: map[string]int{}, Usage: c.Usage(now)}
 	promised := c.draining.roomPromised()
 	for _, m := range c.selected(s) {
