--- a/shard/push.go
+++ b/shard/push.go
@@ -5,7 +5,7 @@
 
 	"ravenport/constants"
 	"ravenport/leader"
-	"ravenport/state"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
@@ -86,10 +86,10 @@
 
 // Counts returns the tasks of each job that run here, and those that are done
 // in assignments not closed yet, for display.
-func (k *knowledge) Counts() state.CountsByJob {
-	out := make(state.CountsByJob, len(k.jobs))
+func (k *knowledge) Counts() records.CountsByJob {
+	out := make(records.CountsByJob, len(k.jobs))
 	for id, j := range k.jobs {
-		var n state.TaskCounts
+		var n records.TaskCounts
 		for _, t := range j.tasks {
 			switch {
 			case t.done:
--- a/shard/scale_test.go
+++ b/shard/scale_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 
 	"ravenport/constants"
-	"ravenport/state"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
@@ -136,12 +136,12 @@
 // After a takeover of many machines, those that are silent hold up nobody: all
 // others are asked, or have reported, within seconds.
 func TestSilentMachinesHoldUpNoTakeover(t *testing.T) {
-	var inventory []state.Machine
+	var inventory []records.Machine
 	for i := range 200 {
 		name := fmt.Sprintf("m-%05d", i)
-		inventory = append(inventory, state.Machine{Name: name, Type: "box", Addr: name + ":1"})
+		inventory = append(inventory, records.Machine{Name: name, Type: "box", Addr: name + ":1"})
 	}
-	r := newRig(map[string]*state.Job{"run-1": array("run-1", 3, "a")}, inventory...)
+	r := newRig(map[string]*records.Job{"run-1": array("run-1", 3, "a")}, inventory...)
 	silent := func(name string) bool { return name < "m-00070" }
 	type call struct {
 		name string
@@ -453,7 +453,7 @@
 					}
 				}
 				r.version++
-				r.Apply(r.now, state.Change{Key: state.KeyJob(id), Version: r.version, Record: rec})
+				r.Apply(r.now, records.Change{Key: records.KeyJob(id), Version: r.version, Record: rec})
 			case 2: // a machine reports some progress
 				name := fmt.Sprintf("m-%d", rapid.IntRange(0, machines-1).Draw(t, "machine"))
 				m := r.machines[name]
--- a/shard/states_test.go
+++ b/shard/states_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"ravenport/constants"
-	"ravenport/state"
+	"ravenport/records"
 	"ravenport/wire"
 )
 
@@ -114,7 +114,7 @@
 	r := newRig(nil)
 	r.up("m-1")
 	for _, p := range r.pages {
-		p.sent = []state.Machine{{Name: "m-1"}}
+		p.sent = []records.Machine{{Name: "m-1"}}
 	}
 	before := r.entriesMost
 	if r.Invalid("roster/"); r.entriesMost >= before {
@@ -125,7 +125,7 @@
 // An attempt's needs are its job's, and an attempt of another job's task is not wanted.
 func TestKnowledgeOfAttempts(t *testing.T) {
 	k := newKnowledge()
-	j := &job{rec: &state.Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", CPUs: 3, MemoryGB: 2, Image: "i"}}, tasks: map[int]*task{}}
+	j := &job{rec: &records.Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", CPUs: 3, MemoryGB: 2, Image: "i"}}, tasks: map[int]*task{}}
 	k.jobs["run-1"] = j
 	m := k.machine("m-1")
 	h := &hold{key: holdKey{"run-1/0", 7}, jobID: "run-1", m: m}
