--- a/apiserver/apiserver.go
+++ b/apiserver/apiserver.go
@@ -48,8 +48,8 @@
 		Req Request
 		ID  string
 	}
-	// Types carries the cloud's machine types.
-	Types []wire.MachineType
+	// MachineTypes carries the cloud's machine types.
+	MachineTypes []wire.MachineType
 	// Counts carries a shard's counts of running and done tasks by job.
 	Counts struct {
 		Shard string
@@ -57,8 +57,8 @@
 	}
 	// Metrics asks for figures in the text format that Prometheus reads.
 	Metrics struct{ Req Request }
-	// Packs says that every controller reads packed records.
-	Packs struct{}
+	// PackingEnabled says that every controller reads packed records.
+	PackingEnabled struct{}
 	// Cancelled is what the API server tells of a cancellation that it knows of
 	// beside the feed, before it tells any user.
 	Cancelled struct {
@@ -108,7 +108,7 @@
 	busy    int           // requests that wait for the state service
 	stats   stats
 	control *actor.Ref // is told of cancellations
-	sizes   records.Sizes
+	sizes   records.SizeLimits
 	down    time.Time // until then the state service counts as away
 	relays  relaying
 }
@@ -116,7 +116,7 @@
 // New makes an API server that is spoken to through self and tells control of
 // cancellations.
 func New(set *settings.Settings, store Store, self, control *actor.Ref) *Server {
-	return &Server{control: control, set: set, sizes: set.Sizes(), store: store, self: self, jobs: map[string]known{}, counts: map[string]records.CountsByJob{}, stats: newStats(), gap: set.ReadGap()}
+	return &Server{control: control, set: set, sizes: set.RecordSizeLimits(), store: store, self: self, jobs: map[string]known{}, counts: map[string]records.CountsByJob{}, stats: newStats(), gap: set.WatchInterval()}
 }
 
 // Receive implements actor.Handler.
@@ -130,7 +130,7 @@
 		d.ask(ctx, &poll{req: m.Req, id: m.ID})
 	case Cancel:
 		d.cancel(ctx, m)
-	case Types:
+	case MachineTypes:
 		d.types = m
 	case Counts:
 		d.counts[m.Shard] = m.Jobs
@@ -145,9 +145,9 @@
 		d.read(ctx)
 	case Metrics:
 		d.metrics(m.Req)
-	case Packs:
-		d.sizes.Packs = true
-	case Relays:
+	case PackingEnabled:
+		d.sizes.Packing = true
+	case SetRelays:
 		d.relays.to, d.relays.at = m.To, time.Now()
 	case Tick:
 		d.tick(ctx, time.Time(m))
--- a/apiserver/cancellations.go
+++ b/apiserver/cancellations.go
@@ -49,7 +49,7 @@
 
 // end cancels a job that is not over and returns how it ended; empty if there
 // is no such job. It runs beside the actor.
-func (d *Server) end(ctx context.Context, id string, sizes records.Sizes) (string, error) {
+func (d *Server) end(ctx context.Context, id string, sizes records.SizeLimits) (string, error) {
 	for {
 		rec, version, err := d.fetch(ctx, id)
 		if err != nil {
@@ -70,18 +70,18 @@
 			return "", kvstore.ErrRefused
 		}
 		txn := wire.Txn{
-			If:   []wire.Condition{{Key: records.KeyJob(id), Version: version}},
-			Then: []wire.Change{{Put: records.KeyJob(id), Value: value}},
+			Conditions: []wire.Condition{{Key: records.KeyJob(id), Version: version}},
+			Changes:    []wire.Change{{Put: records.KeyJob(id), Value: value}},
 		}
 		revision, err := d.commit(ctx, txn)
-		var conflict *kvstore.Conflict
+		var conflict *kvstore.ConflictError
 		switch {
 		case err == nil:
 			d.note(rec, revision)
 			return rec.End, nil
-		case errors.Is(err, kvstore.ErrInvalid) && !sizes.Packs:
-			sizes.Packs = true // the smaller limits have come, so all have this version
-		case errors.As(err, &conflict), errors.Is(err, kvstore.ErrUnknown):
+		case errors.Is(err, kvstore.ErrInvalidRequest) && !sizes.Packing:
+			sizes.Packing = true // the smaller limits have come, so all have this version
+		case errors.As(err, &conflict), errors.Is(err, kvstore.ErrOutcomeUnknown):
 			// Another change came first, or it is not known whether this one
 			// was made: the key itself tells.
 			if ctx.Err() != nil {
--- a/apiserver/polls.go
+++ b/apiserver/polls.go
@@ -81,7 +81,7 @@
 
 func (d *Server) readDone(ctx context.Context, m readDone) {
 	d.reading = false
-	limited := errors.Is(m.err, kvstore.ErrLimited)
+	limited := errors.Is(m.err, kvstore.ErrRateLimited)
 	if m.err != nil && !limited {
 		d.down = time.Now().Add(constants.DownFor)
 	}
--- a/apiserver/relay.go
+++ b/apiserver/relay.go
@@ -16,8 +16,8 @@
 	Commit(ctx context.Context, t wire.Txn) (uint64, error)
 }
 
-// Relays names the controllers that reach the state service, as far as is known.
-type Relays struct{ To []Relay }
+// SetRelays names the controllers that reach the state service, as far as is known.
+type SetRelays struct{ To []Relay }
 
 // relaying is what the API server knows of its own way to the state service and of
 // the ways round.
@@ -38,7 +38,7 @@
 // away says that an error means that the state service cannot be reached, not that
 // it decided on the call.
 func away(err error) bool {
-	return errors.Is(err, kvstore.ErrUnknown) || errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrLimited)
+	return errors.Is(err, kvstore.ErrOutcomeUnknown) || errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrRateLimited)
 }
 
 // accept writes a submission's record: by itself unless its own way is known to be
--- a/apiserver/relay_test.go
+++ b/apiserver/relay_test.go
@@ -41,7 +41,7 @@
 // A submission is written through another controller where only this one is kept
 // from the state service, and refused at once where nobody reaches it.
 func TestRelayedSubmission(t *testing.T) {
-	limited := fmt.Errorf("%w: %w", kvstore.ErrRefused, kvstore.ErrLimited)
+	limited := fmt.Errorf("%w: %w", kvstore.ErrRefused, kvstore.ErrRateLimited)
 	for _, c := range []struct {
 		name       string
 		own        error
@@ -52,8 +52,8 @@
 	}{
 		{"own way open", nil, []error{nil}, 201, 2, []int{0}},
 		{"own way shut", kvstore.ErrRefused, []error{nil, nil}, 201, 1, []int{2, 0}},
-		{"no answer to this one", kvstore.ErrUnknown, []error{nil}, 201, 1, []int{2}},
-		{"the first relay is away, too", kvstore.ErrRefused, []error{kvstore.ErrUnknown, nil}, 201, 1, []int{2, 2}},
+		{"no answer to this one", kvstore.ErrOutcomeUnknown, []error{nil}, 201, 1, []int{2}},
+		{"the first relay is away, too", kvstore.ErrRefused, []error{kvstore.ErrOutcomeUnknown, nil}, 201, 1, []int{2, 2}},
 		{"nobody reaches it", kvstore.ErrRefused, []error{kvstore.ErrRefused, kvstore.ErrRefused}, 503, 1, []int{2, 2}},
 		{"no relay is known", kvstore.ErrRefused, nil, 503, 1, nil}, // the second is refused unasked
 		{"only too many", limited, []error{nil}, 503, 2, []int{0}},
@@ -63,20 +63,20 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				set := &settings.Settings{}
-				set.Params.Teams = []settings.Team{{Name: "team"}}
-				set.Params.Zones = []string{"a"}
+				set.Deployment.Teams = []settings.Team{{Name: "team"}}
+				set.Deployment.Zones = []string{"a"}
 				own := &way{err: c.own}
 				self := actor.NewRef()
 				d := New(set, own, self, actor.NewRef())
-				d.sizes = records.Sizes{Now: 8192, Next: 8192}
+				d.sizes = records.SizeLimits{Now: 8192, Next: 8192}
 				var relays []*way
 				var to []Relay
 				for _, err := range c.relays {
 					w := &way{err: err}
 					relays, to = append(relays, w), append(to, w)
 				}
-				self.Tell(Types{{Name: "box", CPUs: 8, MemoryGB: 32, Zones: []string{"a"}}})
-				self.Tell(Relays{To: to})
+				self.Tell(MachineTypes{{Name: "box", CPUs: 8, MemoryGB: 32, Zones: []string{"a"}}})
+				self.Tell(SetRelays{To: to})
 				go self.Run(ctx, d)
 				for i := range 2 {
 					answers := make(chan *httpwire.Response, 1)
--- a/apiserver/submissions.go
+++ b/apiserver/submissions.go
@@ -28,7 +28,7 @@
 			m.Req.Answer(&httpwire.Response{Status: status, Body: body(problem)})
 			return
 		}
-	} else if !d.sizes.Storable(&records.Job{Spec: s, AcceptedMS: time.Now().UnixMilli()}, d.set.Params.Zones) {
+	} else if !d.sizes.Storable(&records.Job{Spec: s, AcceptedMS: time.Now().UnixMilli()}, d.set.Deployment.Zones) {
 		status, problem = 422, wire.Problem{Error: "too long to be stored"}
 	} else if len(d.types) == 0 {
 		status = 503
@@ -60,8 +60,8 @@
 	shut := d.relays.shut
 	rec := records.Job{Spec: s, AcceptedMS: time.Now().UnixMilli()}
 	txn := wire.Txn{
-		If:   []wire.Condition{{Key: records.KeyJob(s.ID), Version: 0}},
-		Then: []wire.Change{{Put: records.KeyJob(s.ID), Value: records.Encode(rec)}},
+		Conditions: []wire.Condition{{Key: records.KeyJob(s.ID), Version: 0}},
+		Changes:    []wire.Change{{Put: records.KeyJob(s.ID), Value: records.Encode(rec)}},
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, constants.AnswerLimit)
@@ -75,7 +75,7 @@
 	d.busy--
 	d.relays.shut = d.relays.shut || m.shut
 	took := time.Since(m.came).Milliseconds()
-	var conflict *kvstore.Conflict
+	var conflict *kvstore.ConflictError
 	switch {
 	case m.err == nil:
 		d.stats.accepted++
@@ -87,13 +87,13 @@
 	default:
 		// Perhaps it was stored all the same; then the user's repeat finds it.
 		d.stats.refused++
-		if errors.Is(m.err, kvstore.ErrInvalid) {
+		if errors.Is(m.err, kvstore.ErrInvalidRequest) {
 			slog.Error("submission found invalid by the state service", "job", m.s.ID, "err", m.err)
 			m.req.Answer(&httpwire.Response{Status: 422, Body: body(wire.Problem{Error: "too long to be stored"})})
 			return
 		}
 		slog.Info("submission refused", "job", m.s.ID, "took_ms", took, "err", m.err)
-		if errors.Is(m.err, kvstore.ErrLimited) {
+		if errors.Is(m.err, kvstore.ErrRateLimited) {
 			// Many come at once: they are told to come back at different times.
 			refuse(m.req, 503, "too many submissions", constants.RetryAfterS+rand.IntN(constants.RetrySpreadS))
 			return
@@ -107,7 +107,7 @@
 // tried again for a moment; one because the state service is away is the
 // user's answer, at once.
 func (d *Server) commit(ctx context.Context, txn wire.Txn) (revision uint64, err error) {
-	err = kvstore.RetryLimited(ctx, constants.AllowanceWait, constants.RetryMin/2, constants.RetryMin, func() (err error) {
+	err = kvstore.RetryRateLimited(ctx, constants.AllowanceWait, constants.RetryMin/2, constants.RetryMin, func() (err error) {
 		revision, err = d.store.Commit(ctx, txn)
 		return err
 	})
@@ -121,13 +121,13 @@
 		return "unknown team"
 	}
 	tasks := 1.0
-	if s.Whole() {
+	if s.AllOrNothing() {
 		tasks = float64(s.Tasks)
 	}
 	if t.CPUsMax > 0 && s.CPUs*tasks > t.CPUsMax+1e-9 || t.GPUsMax > 0 && s.GPUs*tasks > t.GPUsMax+1e-9 {
 		return "more than the team's limit"
 	}
-	if s.Zone != "" && !slices.Contains(d.set.Params.Zones, s.Zone) {
+	if s.Zone != "" && !slices.Contains(d.set.Deployment.Zones, s.Zone) {
 		return "unknown zone"
 	}
 	if s.OneZone && s.Spread && s.Tasks > 1 {
@@ -141,7 +141,7 @@
 		if s.CPUs <= mt.CPUs && s.GPUs <= mt.GPUs && s.MemoryGB <= mt.MemoryGB {
 			in := mt.Zones
 			if len(in) == 0 {
-				in = d.set.Params.Zones // it is not said where
+				in = d.set.Deployment.Zones // it is not said where
 			}
 			for _, z := range in {
 				if s.Zone == "" || s.Zone == z {
@@ -153,7 +153,7 @@
 	switch {
 	case len(zones) == 0:
 		return "a task fits no allowed machine type"
-	case s.Whole() && s.Spread && s.Tasks > 1 && len(zones) == 1:
+	case s.AllOrNothing() && s.Spread && s.Tasks > 1 && len(zones) == 1:
 		// Half of its tasks may be in a zone, and all run at the same time. Of an
 		// array the rest may follow.
 		return "all tasks would be in one zone, and scatter forbids it"
--- a/cloud/client.go
+++ b/cloud/client.go
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// Types reads the machine types.
-func (c *Client) Types(ctx context.Context) ([]wire.MachineType, error) {
+// MachineTypes reads the machine types.
+func (c *Client) MachineTypes(ctx context.Context) ([]wire.MachineType, error) {
 	var r wire.MachineTypes
 	err := c.call(ctx, "GET", wire.PathTypes, nil, &r)
 	if err == nil && len(r.Types) == 0 {
@@ -81,20 +81,20 @@
 	return r.Types, err
 }
 
-// Rent asks for machines. Repeating it under the same name rents nothing more.
-func (c *Client) Rent(ctx context.Context, r wire.RentRequest) ([]string, error) {
+// ScaleOut asks for machines. Repeating it under the same name rents nothing more.
+func (c *Client) ScaleOut(ctx context.Context, r wire.ScaleOutRequest) ([]string, error) {
 	var out wire.MachineNames
 	err := c.call(ctx, "POST", wire.PathMachines, r, &out)
 	return out.Machines, err
 }
 
-// Return gives machines back; when it succeeds, they and all on them are gone.
-func (c *Client) Return(ctx context.Context, names []string) error {
-	return c.call(ctx, "POST", wire.PathReturn, wire.MachineNames{Machines: names}, nil)
+// ScaleIn gives machines back; when it succeeds, they and all on them are gone.
+func (c *Client) ScaleIn(ctx context.Context, names []string) error {
+	return c.call(ctx, "POST", wire.PathScaleIn, wire.MachineNames{Machines: names}, nil)
 }
 
-// List reads the whole list of machines.
-func (c *Client) List(ctx context.Context) ([]wire.CloudMachine, error) {
+// Machines reads the whole list of machines.
+func (c *Client) Machines(ctx context.Context) ([]wire.CloudMachine, error) {
 	var all []wire.CloudMachine
 	after := ""
 	for {
@@ -103,7 +103,7 @@
 			return nil, err
 		}
 		all = append(all, page.Machines...)
-		if !page.More || len(page.Machines) == 0 {
+		if !page.HasMore || len(page.Machines) == 0 {
 			return all, nil
 		}
 		after = page.Machines[len(page.Machines)-1].Name
--- a/cmd/ravenport/command_test.go
+++ b/cmd/ravenport/command_test.go
@@ -96,7 +96,7 @@
 	for content, wanted := range map[string]string{"": "detection on", "detection.declare.ms = 700": "detection.declare.ms"} {
 		write(detection, content)
 		out, err := runLine(t, "check", "--config", config, "--failure-detection", detection)
-		var bad *settings.Error
+		var bad *settings.FieldError
 		if errors.As(err, &bad) {
 			out = err.Error()
 		}
--- a/cmd/ravenport/drain.go
+++ b/cmd/ravenport/drain.go
@@ -77,7 +77,7 @@
 	return &cobra.Command{Use: string(op) + " NUMBER", Short: short, Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
 		number, err := strconv.Atoi(args[0])
 		if err != nil || number < 1 {
-			return &settings.Error{Field: "drain", Problem: fmt.Sprintf("%q is no number of a drain", args[0])}
+			return &settings.FieldError{Field: "drain", Problem: fmt.Sprintf("%q is no number of a drain", args[0])}
 		}
 		return f.ask(cmd, peer.DrainRequest{Op: op, Number: number})
 	}}
@@ -111,7 +111,7 @@
 	q := peer.DrainRequest{Op: op, All: f.all, Selection: records.Selection{Machines: f.machines, Zones: f.zones, Types: f.types}}
 	switch {
 	case f.spot && f.ordinary:
-		return q, &settings.Error{Field: "spot", Problem: "cannot be asked for together with ordinary"}
+		return q, &settings.FieldError{Field: "spot", Problem: "cannot be asked for together with ordinary"}
 	case f.spot || f.ordinary:
 		q.Selection.Spot = &f.spot
 	}
@@ -122,12 +122,12 @@
 	if err != nil {
 		at, err := time.Parse(time.RFC3339, f.rentedBefore)
 		if err != nil {
-			return q, &settings.Error{Field: "rented-before", Problem: fmt.Sprintf("%q is neither a time nor a duration", f.rentedBefore)}
+			return q, &settings.FieldError{Field: "rented-before", Problem: fmt.Sprintf("%q is neither a time nor a duration", f.rentedBefore)}
 		}
 		age = now.Sub(at)
 	}
 	if age <= 0 {
-		return q, &settings.Error{Field: "rented-before", Problem: "must be in the past"}
+		return q, &settings.FieldError{Field: "rented-before", Problem: "must be in the past"}
 	}
 	q.RentedBeforeS = age.Seconds()
 	return q, nil
@@ -137,11 +137,11 @@
 func (f *drainFlags) address() (string, error) {
 	switch {
 	case f.controller != "" && f.config != "":
-		return "", &settings.Error{Field: "controller", Problem: "cannot be given together with config"}
+		return "", &settings.FieldError{Field: "controller", Problem: "cannot be given together with config"}
 	case f.controller != "":
 		return f.controller, nil
 	case f.config == "":
-		return "", &settings.Error{Field: "controller", Problem: "is missing; give --controller or --config"}
+		return "", &settings.FieldError{Field: "controller", Problem: "is missing; give --controller or --config"}
 	}
 	set, err := settings.Load(f.config, "")
 	if err != nil {
@@ -207,7 +207,7 @@
 	}
 	table.Flush()
 	if r.Plan.Binding != "" {
-		fmt.Fprintf(out, "at least %.0f s, under the budget of %s\n", r.Plan.LeastS, r.Plan.Binding)
+		fmt.Fprintf(out, "at least %.0f s, under the budget of %s\n", r.Plan.MinimumS, r.Plan.Binding)
 	}
 	for _, zone := range r.Plan.Missing {
 		fmt.Fprintf(out, "the owner of shard %s could not be asked\n", zone)
@@ -218,7 +218,7 @@
 			if x.Permanent {
 				kind = "never"
 			}
-			fmt.Fprintf(out, "%s: %s on %s: %s\n", kind, x.Job, x.Machine, x.Why)
+			fmt.Fprintf(out, "%s: %s on %s: %s\n", kind, x.Job, x.Machine, x.Reason)
 		}
 	}
 }
@@ -227,16 +227,16 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "DRAIN\tSTATE\tMACHINES\tLEFT\tSHARD\tLEFT\tCORDONED\tMOVING\tFAILED\tWAITS")
 	for _, d := range s.Drains {
-		first := fmt.Sprintf("%d\t%s\t%d\t%d", d.Number, d.State, d.Machines, d.Left)
+		first := fmt.Sprintf("%d\t%s\t%d\t%d", d.Number, d.State, d.Machines, d.Remaining)
 		if len(d.Shards) == 0 {
-			fmt.Fprintf(table, "%s\t\t\t\t\t\t%s\n", first, d.Why)
+			fmt.Fprintf(table, "%s\t\t\t\t\t\t%s\n", first, d.StopReason)
 		}
 		for i, p := range d.Shards {
-			waits := strings.TrimSpace(d.Why + " " + p.Waits)
+			waits := strings.TrimSpace(d.StopReason + " " + p.WaitingFor)
 			if i > 0 {
 				first = "\t\t\t"
 			}
-			fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%s\n", first, p.Shard, p.Left, len(p.Cordoned), p.Moving, p.Failures, waits)
+			fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%s\n", first, p.Shard, p.Remaining, len(p.Cordoned), p.Moving, p.Failures, waits)
 		}
 	}
 	for _, n := range s.Damaged {
@@ -244,7 +244,7 @@
 	}
 	fmt.Fprintln(table, "\nBUDGET\tDOWN\tMOST\tTASKS")
 	for _, u := range s.Budgets {
-		fmt.Fprintf(table, "%s\t%d\t%d\t%d\n", u.Budget, u.Down, u.Most, u.Tasks)
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\n", u.Budget, u.Unavailable, u.Limit, u.Tasks)
 	}
 	table.Flush()
 }
--- a/cmd/ravenport/main.go
+++ b/cmd/ravenport/main.go
@@ -25,7 +25,7 @@
 func main() {
 	if err := command().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "ravenport:", err)
-		var bad *settings.Error
+		var bad *settings.FieldError
 		if errors.As(err, &bad) {
 			os.Exit(2)
 		}
@@ -110,7 +110,7 @@
 				return err
 			}
 			d, short := set.Authority()
-			fmt.Fprintf(cmd.OutOrStdout(), "settings are good: node %s in %s, %d controllers, authority %s, failure detection %s, draining %s\n", set.Node, set.Zone, len(set.Nodes()), d, onOff(set.Detection != nil), onOff(set.Draining != nil))
+			fmt.Fprintf(cmd.OutOrStdout(), "settings are good: node %s in %s, %d controllers, authority %s, failure detection %s, draining %s\n", set.Controller, set.Zone, len(set.AllControllers()), d, onOff(set.Detection != nil), onOff(set.Draining != nil))
 			if short {
 				fmt.Fprintln(cmd.OutOrStdout(), "warning: cancel_s leaves little room after the workers' lease; the authority was shortened")
 			}
@@ -139,7 +139,7 @@
 	case "debug":
 		level = slog.LevelDebug
 	default:
-		return &settings.Error{Field: "LOG_LEVEL", Problem: fmt.Sprintf("%q is not error, info or debug", v)}
+		return &settings.FieldError{Field: "LOG_LEVEL", Problem: fmt.Sprintf("%q is not error, info or debug", v)}
 	}
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})))
 	return nil
@@ -156,7 +156,7 @@
 
 // limitMemory keeps the heap well within the machine's memory.
 func limitMemory(set *settings.Settings) {
-	if mb := set.Params.Limits.MemoryMB; mb > 0 {
+	if mb := set.Deployment.Limits.MemoryMB; mb > 0 {
 		debug.SetMemoryLimit(int64(mb * constants.HeapShare * (1 << 20)))
 		// Collections cost processor time, of which there is little, while
 		// the limit keeps the heap in bounds.
--- a/constants/constants.go
+++ b/constants/constants.go
@@ -265,7 +265,7 @@
 	// its priority if nothing of it has begun: users expect even the largest to
 	// begin within four minutes, and room for it may have to come together.
 	BeginWithin = 150 * time.Second
-	// BeginShare: an eighth of an overdue array comes before all others; under
+	// OverdueShare: an eighth of an overdue array comes before all others; under
 	// three times the load that is still less than half of what there is (part).
 	BeginShare = 8
 	// CollectFor is how long room is kept for one job at the cost of others.
@@ -306,10 +306,10 @@
 	// falls free on one machine (jobs).
 	FillLooks = 8
 	// PushEvery is how often an owner pushes its aggregate when nothing
-	// changes; changes are pushed after PushGap.
+	// changes; changes are pushed after PushInterval.
 	PushEvery = time.Second
 	PushGap   = 100 * time.Millisecond
-	// PushGapMachine lengthens PushGap for each machine of a shard: taking its
+	// PushGapMachine lengthens PushInterval for each machine of a shard: taking its
 	// figures costs in proportion.
 	PushGapMachine = 300 * time.Microsecond
 	// RepeatCommand is when a direct command without effect is sent again.
--- a/controller/actors.go
+++ b/controller/actors.go
@@ -47,7 +47,7 @@
 		err      error
 	}
 	misroutedReports struct { // machines that reported to another controller
-		machines []shard.MisroutedReport
+		machines []shard.MisroutedHeartbeat
 		all      bool // every live controller was heard from lately
 	}
 	forecast map[string]leader.Forecast // by shard; nil: nothing
@@ -72,15 +72,15 @@
 		if !urgent {
 			return once()
 		}
-		return kvstore.RetryLimited(ctx, 2*constants.StateTimeout, constants.UrgentRetry, constants.UrgentRetry, once)
+		return kvstore.RetryRateLimited(ctx, 2*constants.StateTimeout, constants.UrgentRetry, constants.UrgentRetry, once)
 	})
 	if err != nil {
-		var conflict *kvstore.Conflict
+		var conflict *kvstore.ConflictError
 		if errors.As(err, &conflict) {
 			slog.Debug("overtaken", "what", what, "err", err)
-		} else if errors.Is(err, kvstore.ErrInvalid) {
-			for _, ch := range txn.Then {
-				slog.Error("write found invalid", "key", ch.Put, "bytes", len(ch.Value), "changes", len(txn.Then), "err", err)
+		} else if errors.Is(err, kvstore.ErrInvalidRequest) {
+			for _, ch := range txn.Changes {
+				slog.Error("write found invalid", "key", ch.Put, "bytes", len(ch.Value), "changes", len(txn.Changes), "err", err)
 			}
 			return committed{invalid: true}
 		} else if ctx.Err() == nil {
@@ -163,16 +163,16 @@
 		}
 		a.revision = m.Revision
 	case leader.Aggregate:
-		a.core.Pushed(now, m)
+		a.core.ApplyAggregate(now, m)
 	case authority:
 		a.core.SetAuthority(time.Time(m))
 	case packs:
-		a.core.SetPacks()
+		a.core.EnablePacking()
 	case committed:
 		if m.invalid {
-			a.core.SetPacks()
+			a.core.EnablePacking()
 		}
-		a.core.Committed(now, m.id, m.urgent, m.revision)
+		a.core.CommitResult(now, m.id, m.urgent, m.revision)
 	case wake:
 		a.pace.woke(m)
 	}
@@ -219,21 +219,21 @@
 
 func newShardActor(c *control, name string, term, version uint64, now time.Time, inventory map[string]*records.Page, inventoryV map[string]uint64) *shardActor {
 	set := c.set
-	limits := set.StateLimits()
+	limits := set.StoreLimits()
 	cfg := shard.Config{
-		Shard: name, Report: set.Report(), LeaseEnd: set.LeaseEnd(), LeaseExtension: set.LeaseExtension(),
-		IdleSpot: set.Operator.IdleSpot, IdleOrdinary: set.Operator.IdleOrdinary, UseSpot: set.Operator.UseSpot, CloseFirst: set.Duties.CloseFirst,
-		GangWait: settings.Seconds(set.Params.Workers.GangWaitS), GangPeer: settings.Seconds(set.Params.Workers.GangPeerS),
-		ListLag: time.Duration(set.Params.Cloud.ListLagS * float64(time.Second)),
-		Sizes:   set.Sizes(), TxnOps: limits.TxnOps, WriteRPS: max(limits.WriteRPS, 1), CloudGap: set.CloudGap(), Order: leader.NewOrder(set.Params.Objectives), Budget: set.RoundBudget(),
+		Shard: name, HeartbeatPeriod: set.HeartbeatPeriod(), LeaseEnd: set.LeaseEnd(), LeaseExtension: set.LeaseExtension(),
+		IdleSpot: set.Operator.IdleSpot, IdleOnDemand: set.Operator.IdleOnDemand, UseSpot: set.Operator.UseSpot, CloseFirst: set.Duties.CloseFirst,
+		GangWait: settings.Seconds(set.Deployment.Workers.GangWaitS), GangPeer: settings.Seconds(set.Deployment.Workers.GangPeerS),
+		ListLag:    time.Duration(set.Deployment.Cloud.ListLagS * float64(time.Second)),
+		SizeLimits: set.RecordSizeLimits(), TxnOps: limits.TxnOps, WriteRPS: max(limits.WriteRPS, 1), CloudGap: set.CloudCallInterval(), Order: leader.NewJobOrder(set.Deployment.Objectives), RoundBudget: set.RoundBudget(),
 	}
-	_, cfg.Calls = set.Sockets()
-	a := &shardActor{shard: name, store: c.io.Later, cloud: c.io.Cloud, self: actor.NewRef(), control: c.self,
+	_, cfg.MaxDirectCommands = set.Sockets()
+	a := &shardActor{shard: name, store: c.io.Background, cloud: c.io.Cloud, self: actor.NewRef(), control: c.self,
 		workers: c.io.Workers(), revision: c.revision}
 	a.core = shard.New(cfg, term, version, now, c.types, c.jobs, c.versions, inventory, inventoryV)
 	a.core.SetAuthority(c.until())
 	if c.packs {
-		a.core.SetPacks()
+		a.core.EnablePacking()
 	}
 	if set.Draining != nil {
 		a.core.StartDraining(now, c.drainingConfig(), c.jobs, c.drains.changes())
@@ -268,35 +268,35 @@
 	case authority:
 		a.core.SetAuthority(time.Time(m))
 	case packs:
-		a.core.SetPacks()
+		a.core.EnablePacking()
 	case committed:
 		if m.invalid {
-			a.core.Invalid(m.id)
+			a.core.CommitInvalid(m.id)
 		}
-		a.core.Committed(now, m.id, m.revision)
+		a.core.CommitResult(now, m.id, m.revision)
 	case commandDone:
 		if m.result.Err != nil {
 			slog.Debug("direct command unanswered", "machine", m.machine, "err", m.result.Err)
 		}
-		a.core.CommandResult(now, m.machine, m.result.Report)
+		a.core.CommandResult(now, m.machine, m.result.Heartbeat)
 	case rented:
-		a.core.Rented(now, m.request, m.names, m.refused)
+		a.core.ScaleOutResult(now, m.request, m.names, m.refused)
 	case returned:
-		a.core.Returned(now, m.names)
+		a.core.ScaleInResult(now, m.names)
 	case listed:
 		a.listing = false
 		if m.err == nil {
 			a.listed = len(m.machines)
-			a.core.Listed(now, m.machines)
+			a.core.ApplyMachineList(now, m.machines)
 		}
 	case misroutedReports:
-		a.core.MisroutedReports(now, m.machines, m.all)
+		a.core.ApplyMisroutedHeartbeats(now, m.machines, m.all)
 		return
 	case []leader.Aggregate:
-		a.core.Others(now, m)
+		a.core.ApplyOtherShards(now, m)
 		return
 	case leader.Forecast:
-		a.core.Forecast(now, m)
+		a.core.ApplyForecast(now, m)
 	case typesRead:
 		a.core.SetTypes(m.types)
 	case shardPlanAsked:
@@ -319,7 +319,7 @@
 }
 
 func (a *shardActor) workerReport(now time.Time, m workerReport) {
-	reply, ok := a.core.Report(now, m.report)
+	reply, ok := a.core.Heartbeat(now, m.report)
 	if !ok {
 		refuseReport(m)
 		return
@@ -330,7 +330,7 @@
 // after does what is not the core's: ticks, pushes and the cloud's list.
 func (a *shardActor) after(ctx context.Context, now time.Time) {
 	due := now.Sub(a.pushAt) > constants.PushEvery
-	if due || now.Sub(a.pushAt) > a.core.PushGap() && a.core.PushDue() {
+	if due || now.Sub(a.pushAt) > a.core.PushInterval() && a.core.PushDue() {
 		a.pushAt = now
 		st := shardStatus{shard: a.shard, aggregate: a.core.Aggregate(now, a.revision)}
 		if now.Sub(a.countAt) >= constants.PushEvery {
@@ -339,7 +339,7 @@
 			st.drains = drain.ShardView{Shard: a.shard, Drains: a.core.DrainProgress(), Usage: a.core.Usage(now)}
 		}
 		a.control.Tell(st)
-		if a.core.TermUsedUp() {
+		if a.core.TermNumbersLow() {
 			a.control.Tell(termUsedUp{a.shard})
 		}
 	}
@@ -356,7 +356,7 @@
 	if !a.listing && now.Sub(a.listAt) > every {
 		a.listing, a.listAt = true, now
 		go func() {
-			l, err := a.cloud.List(ctx)
+			l, err := a.cloud.Machines(ctx)
 			a.self.Tell(listed{l, err})
 		}()
 	}
@@ -375,15 +375,15 @@
 			r.id = act.ID
 			a.self.Tell(r)
 		}()
-	case shard.Rent:
+	case shard.ScaleOut:
 		go func() {
 			var names []string
-			err := insist(ctx, "rental", func() (err error) { names, err = a.cloud.Rent(ctx, act.Request); return err })
-			a.self.Tell(rented{act.Request.Request, names, err != nil})
+			err := insist(ctx, "rental", func() (err error) { names, err = a.cloud.ScaleOut(ctx, act.Request); return err })
+			a.self.Tell(rented{act.Request.RequestID, names, err != nil})
 		}()
-	case shard.Return:
+	case shard.ScaleIn:
 		go func() {
-			if err := insist(ctx, "return", func() error { return a.cloud.Return(ctx, act.Names) }); err == nil {
+			if err := insist(ctx, "return", func() error { return a.cloud.ScaleIn(ctx, act.Names) }); err == nil {
 				a.self.Tell(returned{act.Names})
 			}
 		}()
--- a/controller/closing_test.go
+++ b/controller/closing_test.go
@@ -98,7 +98,7 @@
 	w.late, w.tame, w.lateCopies = 0, true, 0
 	for _, n := range w.nodes {
 		n.set.Duties.CloseFirst = true
-		n.set.Operator.IdleSpot, n.set.Operator.IdleOrdinary = 3*time.Second, 3*time.Second
+		n.set.Operator.IdleSpot, n.set.Operator.IdleOnDemand = 3*time.Second, 3*time.Second
 		n.start()
 	}
 	go w.expireLeases()
--- a/controller/control.go
+++ b/controller/control.go
@@ -27,20 +27,20 @@
 	tick         time.Time
 	workerReport struct {
 		req    request
-		report *wire.Report
+		report *wire.Heartbeat
 	}
 	health      struct{ req request }
 	statusAsked struct{ req request }
 	peerStatus  peer.Status
 	peerAsk     struct { // a status that asks for a lease extension
 		status peer.Status
-		answer chan<- peer.Reply // has room for the answer
+		answer chan<- peer.StatusReply // has room for the answer
 	}
 	peerReply struct {
 		node  string
 		sent  time.Time
 		asked bool
-		reply peer.Reply
+		reply peer.StatusReply
 		err   error
 	}
 	leased struct { // a lease and its key were obtained
@@ -59,7 +59,7 @@
 		err      error
 	}
 	claimed struct {
-		claim member.Claim
+		claim member.TermAcquisition
 		err   error
 	}
 	typesRead struct {
@@ -73,9 +73,9 @@
 		summary   shard.Summary
 		drains    drain.ShardView
 	}
-	termUsedUp struct{ shard string }       // the owner needs a new term
-	halted     struct{ claim member.Claim } // the actor stopped: the claim may go
-	cutOff     struct {                     // a shard's machines fell silent together
+	termUsedUp struct{ shard string }                 // the owner needs a new term
+	halted     struct{ claim member.TermAcquisition } // the actor stopped: the claim may go
+	cutOff     struct {                               // a shard's machines fell silent together
 		shard            string
 		misroutedReports bool // and report to other controllers
 	}
@@ -90,7 +90,7 @@
 // owners, and routes reports.
 type control struct {
 	set    *settings.Settings
-	io     Outside
+	io     Dependencies
 	self   *actor.Ref
 	api    *actor.Ref
 	member *member.Core
@@ -145,11 +145,11 @@
 // misroutedReport is a report that was made here though another controller owns its
 // machine.
 type misroutedReport struct {
-	shard.MisroutedReport
+	shard.MisroutedHeartbeat
 	at time.Time
 }
 
-func newControl(set *settings.Settings, out Outside, self, api, monitor *actor.Ref) *control {
+func newControl(set *settings.Settings, out Dependencies, self, api, monitor *actor.Ref) *control {
 	c := &control{
 		set: set, io: out, self: self, api: api, started: time.Now(), grants: map[string]time.Time{},
 		jobs: map[string]*records.Job{}, versions: map[string]uint64{}, inventory: map[string]*records.Page{}, inventoryV: map[string]uint64{}, shardOf: map[string]string{}, odd: map[string]bool{},
@@ -161,15 +161,15 @@
 		slog.Warn("cancel_s leaves little room: authority shortened", "authority", c.authority)
 	}
 	var all []member.Controller
-	for _, n := range set.Nodes() {
-		all = append(all, member.Controller{Name: n.Node, Zone: n.Zone})
+	for _, n := range set.AllControllers() {
+		all = append(all, member.Controller{Name: n.Controller, Zone: n.Zone})
 	}
-	c.member = member.New(set.Node, all, set.Params.Zones, time.Now())
-	c.member.SetSecondShardWait(set.SecondShardWait())
+	c.member = member.New(set.Controller, all, set.Deployment.Zones, time.Now())
+	c.member.SetSecondShardDelay(set.SecondShardWait())
 	if monitor != nil {
 		c.member.EnableDetection()
 		// A worker that is not served comes back after it has waited for an answer.
-		window := time.Duration(constants.MisroutedPeriods*float64(set.Report())) + constants.NextController
+		window := time.Duration(constants.MisroutedPeriods*float64(set.HeartbeatPeriod())) + constants.NextController
 		c.detect = detection{monitor: monitor, returning: newReturningWorkers(window)}
 	}
 	return c
@@ -281,7 +281,7 @@
 	}
 	c.typesNext = now.Add(constants.TypesEvery)
 	c.types = m.types
-	c.api.Tell(apiserver.Types(m.types))
+	c.api.Tell(apiserver.MachineTypes(m.types))
 	for _, o := range c.owners {
 		o.ref.Tell(m)
 	}
@@ -317,7 +317,7 @@
 			if r.End == wire.JobCancelled {
 				c.cancels.note(r.ID, ch.Version)
 			}
-			if r.End != "" && r.AllOver() {
+			if r.End != "" && r.AllAssignmentsClosed() {
 				delete(c.jobs, r.ID)
 				delete(c.versions, r.ID)
 			} else {
@@ -340,10 +340,10 @@
 			delete(c.inventoryV, ch.Key)
 		}
 	}
-	if !c.packs && c.member.Packs() {
+	if !c.packs && c.member.AllReadPacked() {
 		c.packs = true
 		slog.Info("every controller has this version")
-		c.api.Tell(apiserver.Packs{})
+		c.api.Tell(apiserver.PackingEnabled{})
 		for _, o := range c.owners {
 			o.ref.Tell(packs{})
 		}
@@ -376,7 +376,7 @@
 		if c.claimBusy(now, cl.Key) {
 			continue
 		}
-		if cl.To != c.set.Node {
+		if cl.To != c.set.Controller {
 			if now.Sub(c.unsettled[cl.Key]) < constants.HandBackSettled {
 				continue // a second rebuild right after the first leaves more waiting for longer
 			}
@@ -397,8 +397,8 @@
 			continue
 		}
 		if !c.claimBusy(now, key) && c.settled(now) {
-			inc, version := c.member.NodeKey(c.set.Node)
-			c.send(ctx, now, c.member.ClaimOf(key, c.set.Node, inc, version))
+			inc, version := c.member.ControllerKey(c.set.Controller)
+			c.send(ctx, now, c.member.AcquisitionOf(key, c.set.Controller, inc, version))
 		}
 	}
 	if c.leaderRef != nil && c.toldByNobody(now) && now.Sub(c.ledSince) > 2*constants.PeersAway {
@@ -414,7 +414,7 @@
 	}
 	c.typesBusy = true
 	go func() {
-		t, err := c.io.Cloud.Types(ctx)
+		t, err := c.io.Cloud.MachineTypes(ctx)
 		c.self.Tell(typesRead{t, err})
 	}()
 }
@@ -435,19 +435,19 @@
 		o.ref.Tell(m)
 		return
 	}
-	if _, known := c.set.Params.Zone(m.report.Zone); known {
-		c.misroutedReports[m.report.Machine] = misroutedReport{shard.MisroutedReport{Machine: m.report.Machine, Session: m.report.Session, Seq: m.report.Seq}, now}
+	if _, known := c.set.Deployment.Zone(m.report.Zone); known {
+		c.misroutedReports[m.report.Machine] = misroutedReport{shard.MisroutedHeartbeat{Machine: m.report.Machine, Epoch: m.report.Epoch, Seq: m.report.Seq}, now}
 	}
 	to := ""
-	if holder, ok := c.member.Holder(records.KeyShard(m.report.Zone)); ok && holder != c.set.Node {
+	if holder, ok := c.member.Holder(records.KeyShard(m.report.Zone)); ok && holder != c.set.Controller {
 		to = holder
 	} else if next := c.successor[m.report.Zone]; next != "" {
 		to = next
 	}
 	if to != "" && c.detect.monitor != nil {
-		c.detect.returning.sent(now, m.report.Machine, m.report.Session, m.report.Seq, to)
+		c.detect.returning.sent(now, m.report.Machine, m.report.Epoch, m.report.Seq, to)
 	}
-	body, err := json.Marshal(wire.Redirect{ReportTo: to})
+	body, err := json.Marshal(wire.Redirect{Controller: to})
 	if err != nil {
 		slog.Error("encoding an answer", "err", err)
 	}
--- a/controller/detection_test.go
+++ b/controller/detection_test.go
@@ -289,7 +289,7 @@
 			owner := w.owner("a")
 			w.nodes[owner].stickOwner("a", 50*time.Second)
 			w.movesWithin(t, "a", owner, w.nodes[owner].set.Detection.StallAfter+time.Second+takeoverBound)
-			w.until(t, "the process ends itself", 15*time.Second, func() bool { return w.count("ended itself: node") == 1 })
+			w.until(t, "the process ends itself", 15*time.Second, func() bool { return w.count("ended itself: controller") == 1 })
 			time.Sleep(50 * time.Second)
 			w.settle(t, 4*time.Minute, b.finishes)
 			if len(w.broken) > 0 {
@@ -371,7 +371,7 @@
 		w := newWorld(seed, []string{"a", "b"}, 3)
 		w.late, w.tame, w.hasty = 0, true, hasty
 		for _, n := range w.nodes {
-			n.set.Operator.LeaseLife = longLife
+			n.set.Operator.LeaseTTL = longLife
 			n.detect()
 			n.start()
 		}
@@ -441,7 +441,7 @@
 		w := detectingWorld(3)
 		defer w.shut()
 		time.Sleep(5 * time.Second)
-		if _, err := w.nodes[0].up().PeerHeartbeat(t.Context(), detector.Message{Node: "x", Heartbeat: detector.Heartbeat{Process: 1}}); err == nil {
+		if _, err := w.nodes[0].up().HandlePeerHeartbeat(t.Context(), detector.Message{Controller: "x", Heartbeat: detector.Heartbeat{Process: 1}}); err == nil {
 			t.Error("a stranger's heartbeat was taken")
 		}
 		w.nodes[1].kill()
--- a/controller/draining_test.go
+++ b/controller/draining_test.go
@@ -97,7 +97,7 @@
 			midway(t, w)
 			w.loseMachines(4)
 			w.until(t, "the drain waits for the budget", time.Minute, func() bool {
-				return slices.ContainsFunc(w.view(t, number).Shards, func(p drain.Progress) bool { return strings.Contains(p.Waits, "used up") })
+				return slices.ContainsFunc(w.view(t, number).Shards, func(p drain.Progress) bool { return strings.Contains(p.WaitingFor, "used up") })
 			})
 		}},
 		{name: "a zone is cut off", hurt: func(t *testing.T, w *world, _ int) {
@@ -194,7 +194,7 @@
 		{name: "outside of its window, then in it", settings: "drain.window.rule = FREQ=DAILY;BYHOUR=0;BYMINUTE=3\ndrain.window.minutes = 60\n", hurt: func(t *testing.T, w *world, number int) {
 			opens := time.Date(2000, 1, 1, 0, 3, 0, 0, time.UTC)
 			for time.Now().Before(opens) {
-				if v := w.view(t, number); len(v.Shards) > 0 && (len(v.Shards[0].Cordoned) > 0 || time.Until(opens) < time.Minute && !strings.Contains(v.Shards[0].Waits, "window opens")) {
+				if v := w.view(t, number); len(v.Shards) > 0 && (len(v.Shards[0].Cordoned) > 0 || time.Until(opens) < time.Minute && !strings.Contains(v.Shards[0].WaitingFor, "window opens")) {
 					t.Fatalf("before its window: %+v", v)
 				}
 				time.Sleep(5 * time.Second)
@@ -242,7 +242,7 @@
 				t.Errorf("the wave takes %d machines", n)
 			}
 			w.until(t, "the drain waits for the budget", time.Minute, func() bool {
-				return slices.ContainsFunc(w.view(t, number).Shards, func(p drain.Progress) bool { return strings.Contains(p.Waits, "used up") })
+				return slices.ContainsFunc(w.view(t, number).Shards, func(p drain.Progress) bool { return strings.Contains(p.WaitingFor, "used up") })
 			})
 			w.until(t, "the wave takes tasks down", time.Minute, func() bool { return w.moved().Failed > failed+2 })
 		}},
@@ -271,7 +271,7 @@
 				}
 			})
 			w.until(t, "the drain stops", 10*time.Minute, func() bool { return w.drainRecord(number).State == records.DrainStopped })
-			if why := w.drainRecord(number).Why; !strings.Contains(why, "failed on") && !strings.Contains(why, "not up in time") {
+			if why := w.drainRecord(number).StopReason; !strings.Contains(why, "failed on") && !strings.Contains(why, "not up in time") {
 				t.Errorf("it stopped because of: %s", why)
 			}
 			w.do(func() { w.faulty = nil })
@@ -326,8 +326,8 @@
 func TestDrainCheckNoticesMissingGuards(t *testing.T) {
 	quietLogs(t)
 	for name, unguard := range map[string]func(*shard.DrainingConfig){
-		"claims":      func(c *shard.DrainingConfig) { c.Hasty = true },
-		"stable time": func(c *shard.DrainingConfig) { c.HastyProof = true },
+		"claims":      func(c *shard.DrainingConfig) { c.SkipClaimProof = true },
+		"stable time": func(c *shard.DrainingConfig) { c.SkipStableTime = true },
 	} {
 		caught := false
 		for seed := uint64(0); seed < 12 && !caught; seed++ {
@@ -413,7 +413,7 @@
 		}
 		number := w.startDrain(t, records.Selection{Zones: []string{"a"}})
 		time.Sleep(40 * time.Second)
-		if v := w.view(t, number); w.moved().Stops > 0 || len(v.Shards) == 0 || !strings.Contains(v.Shards[0].Waits, "not published") {
+		if v := w.view(t, number); w.moved().Stops > 0 || len(v.Shards) == 0 || !strings.Contains(v.Shards[0].WaitingFor, "not published") {
 			t.Errorf("%d stops; %+v", w.moved().Stops, v)
 		}
 		w.nodes[1].kill()
@@ -448,7 +448,7 @@
 		}
 		w.drainTo("disruption.budget.* = " + *drainPercent + "\ndrain.parallel.percent = 10\n")
 		for _, n := range w.nodes {
-			n.set.Params.Limits.CPU = 0
+			n.set.Deployment.Limits.CPU = 0
 			n.start()
 		}
 		go w.expireLeases()
@@ -463,7 +463,7 @@
 		number := w.startDrain(t, records.Selection{})
 		w.drainEnds(t, number, records.DrainFinished, 12*time.Hour)
 		took := time.Since(began)
-		least := time.Duration(plan.LeastS * float64(time.Second))
+		least := time.Duration(plan.MinimumS * float64(time.Second))
 		t.Logf("%d machines, %d tasks, budget %s: %s, %s at least (%s); %d changes of the state service, %s of the test's processor time",
 			len(old), tasks, *drainPercent, took.Round(time.Second), least, plan.Binding, w.stateRevision()-revision, (processorTime() - processor).Round(100*time.Millisecond))
 		if n := w.left(old); n > 0 || took < least {
--- a/controller/drains.go
+++ b/controller/drains.go
@@ -52,7 +52,7 @@
 // apply takes in a change from the feed.
 func (r *drainRecords) apply(ch records.Change) {
 	switch ch.Record.(type) {
-	case *records.Drain, *records.Claim, *records.Term, *records.Damaged:
+	case *records.Drain, *records.DisruptionClaim, *records.Term, *records.Damaged:
 		r.stored[ch.Key] = ch
 	case nil:
 		delete(r.stored, ch.Key)
@@ -66,7 +66,7 @@
 
 // drainSnapshot is what a request about drains is answered from.
 type drainSnapshot struct {
-	known   drain.Known
+	known   drain.Inventory
 	drains  map[int]records.Change // readable ones
 	damaged []int
 	views   map[string]drain.ShardView
@@ -74,7 +74,7 @@
 }
 
 func (c *control) drainSnapshot() drainSnapshot {
-	s := drainSnapshot{known: drain.Known{Zones: c.set.Params.Zones}, drains: map[int]records.Change{}, views: maps.Clone(c.drains.views), holders: map[string]string{}}
+	s := drainSnapshot{known: drain.Inventory{Zones: c.set.Deployment.Zones}, drains: map[int]records.Change{}, views: maps.Clone(c.drains.views), holders: map[string]string{}}
 	for _, t := range c.types {
 		s.known.Types = append(s.known.Types, t.Name)
 	}
@@ -99,7 +99,7 @@
 	slices.SortFunc(s.known.Machines, func(a, b drain.Machine) int { return strings.Compare(a.Name, b.Name) })
 	slices.SortFunc(s.known.Running, func(a, b *records.Drain) int { return a.Number - b.Number })
 	slices.Sort(s.damaged)
-	for _, zone := range c.set.Params.Zones {
+	for _, zone := range c.set.Deployment.Zones {
 		if name, ok := c.member.Holder(records.KeyShard(zone)); ok {
 			s.holders[zone] = name
 		}
@@ -126,7 +126,7 @@
 
 // drainingConfig is what an owner here needs to drain machines.
 func (c *control) drainingConfig() shard.DrainingConfig {
-	cfg := shard.DrainingConfig{Shards: c.set.Params.Zones, Budgets: c.set.Draining.Budgets, Policy: c.set.Draining.Policy}
+	cfg := shard.DrainingConfig{Shards: c.set.Deployment.Zones, Budgets: c.set.Draining.Budgets, Policy: c.set.Draining.Policy}
 	if c.io.drainingGuards != nil {
 		c.io.drainingGuards(&cfg)
 	}
@@ -222,7 +222,7 @@
 		return problem("zone", "the owner of shard %s cannot be asked, or does not drain", plan.Missing[0]), nil
 	}
 	if x := plan.Permanent(); x != nil {
-		return problem("budget", "a task of %s on %s can never be moved: %s", x.Job, x.Machine, x.Why), nil
+		return problem("budget", "a task of %s on %s can never be moved: %s", x.Job, x.Machine, x.Reason), nil
 	}
 	number, wrong, err := r.start(ctx, &s, selection)
 	if wrong != nil || err != nil {
@@ -248,7 +248,7 @@
 	if q.RentedBeforeS == 0 {
 		return selection, nil
 	}
-	list, err := r.cloud.List(ctx)
+	list, err := r.cloud.Machines(ctx)
 	if err != nil {
 		return selection, &drain.FieldError{Field: "rented-before", Problem: "the cloud does not tell the machines' ages: " + err.Error()}
 	}
@@ -296,11 +296,11 @@
 	}
 	record := records.Drain{Selection: selection, State: records.DrainRunning, StartedS: time.Now().Unix(), Machines: len(s.known.Selected(&selection))}
 	key := records.KeyDrain(number)
-	txn := wire.Txn{If: []wire.Condition{{Key: key, Version: 0}}, Then: []wire.Change{{Put: key, Value: records.Encode(record)}}}
+	txn := wire.Txn{Conditions: []wire.Condition{{Key: key, Version: 0}}, Changes: []wire.Change{{Put: key, Value: records.Encode(record)}}}
 	if len(numbers) >= constants.DrainsKept {
 		if old := s.drains[numbers[0]]; old.Record.(*records.Drain).State.Over() {
-			txn.If = append(txn.If, wire.Condition{Key: old.Key, Version: old.Version})
-			txn.Then = append(txn.Then, wire.Change{Delete: old.Key})
+			txn.Conditions = append(txn.Conditions, wire.Condition{Key: old.Key, Version: old.Version})
+			txn.Changes = append(txn.Changes, wire.Change{Delete: old.Key})
 		}
 	}
 	wrong, err := r.commit(ctx, txn)
@@ -309,11 +309,11 @@
 
 // commit writes what an operator asked for.
 func (r *drainRequests) commit(ctx context.Context, txn wire.Txn) (*drain.FieldError, error) {
-	err := kvstore.RetryLimited(ctx, constants.DrainCallTimeout, constants.RetryMin, constants.RetryMin, func() error {
+	err := kvstore.RetryRateLimited(ctx, constants.DrainCallTimeout, constants.RetryMin, constants.RetryMin, func() error {
 		_, err := r.store.Commit(ctx, txn)
 		return err
 	})
-	var conflict *kvstore.Conflict
+	var conflict *kvstore.ConflictError
 	if errors.As(err, &conflict) {
 		return &drain.FieldError{Field: "drain", Problem: "its record changed meanwhile; look at the status and ask again"}, nil
 	}
@@ -343,26 +343,26 @@
 	case q.Op == peer.OpPause && next.State == records.DrainRunning:
 		next.State = records.DrainPaused
 	case q.Op == peer.OpResume && next.State != records.DrainRunning:
-		next.State, next.Why = records.DrainRunning, ""
+		next.State, next.StopReason = records.DrainRunning, ""
 		next.Attempt++
 	default:
 		return problem("drain", "drain %d is %s already", q.Number, next.State), nil
 	}
 	wrong, err := r.commit(ctx, wire.Txn{
-		If:   []wire.Condition{{Key: stored.Key, Version: stored.Version}},
-		Then: []wire.Change{{Put: stored.Key, Value: records.Encode(next)}},
+		Conditions: []wire.Condition{{Key: stored.Key, Version: stored.Version}},
+		Changes:    []wire.Change{{Put: stored.Key, Value: records.Encode(next)}},
 	})
 	return peer.DrainReply{Number: q.Number, Problem: wrong}, err
 }
 
 // status makes the status of all drains.
 func (s *drainSnapshot) status(node string) *peer.DrainStatus {
-	out := &peer.DrainStatus{Node: node, Drains: []peer.DrainView{}, Damaged: s.damaged}
+	out := &peer.DrainStatus{Controller: node, Drains: []peer.DrainView{}, Damaged: s.damaged}
 	for _, n := range slices.Sorted(maps.Keys(s.drains)) {
 		r := s.drains[n].Record.(*records.Drain)
-		v := peer.DrainView{Number: n, State: r.State, Why: r.Why, StartedS: r.StartedS, Machines: r.Machines, Proven: r.Proven}
+		v := peer.DrainView{Number: n, State: r.State, StopReason: r.StopReason, StartedS: r.StartedS, Machines: r.Machines, Proven: r.Proven}
 		if !r.State.Over() {
-			v.Left = len(s.known.Selected(&r.Selection))
+			v.Remaining = len(s.known.Selected(&r.Selection))
 		}
 		for _, zone := range s.known.Zones {
 			for _, p := range s.views[zone].Drains {
@@ -378,7 +378,7 @@
 			at := slices.IndexFunc(out.Budgets, func(x disruption.Usage) bool { return x.Budget == u.Budget })
 			if at < 0 {
 				out.Budgets = append(out.Budgets, u)
-			} else if u.Down > out.Budgets[at].Down {
+			} else if u.Unavailable > out.Budgets[at].Unavailable {
 				out.Budgets[at] = u
 			}
 		}
--- a/controller/extension.go
+++ b/controller/extension.go
@@ -18,30 +18,30 @@
 }
 
 // asks lists the terms for which lease extensions are asked now.
-func (c *control) asks(now time.Time) []peer.Held {
+func (c *control) asks(now time.Time) []peer.HeldTerm {
 	if !c.quiet(now) || c.lease == 0 || len(c.set.Peers) == 0 {
 		return nil
 	}
-	var out []peer.Held
+	var out []peer.HeldTerm
 	for shard, o := range c.owners {
-		out = append(out, peer.Held{Key: records.KeyShard(shard), Term: o.term, Version: o.version})
+		out = append(out, peer.HeldTerm{Key: records.KeyShard(shard), Term: o.term, Version: o.version})
 	}
 	return out
 }
 
 // grantExtension answers whether this controller claims nothing for a while.
-func (c *control) grantExtension(now time.Time, s peer.Status) peer.Reply {
-	r := peer.Reply{Node: c.set.Node, Cancels: c.cancels.latest}
+func (c *control) grantExtension(now time.Time, s peer.Status) peer.StatusReply {
+	r := peer.StatusReply{Controller: c.set.Controller, LatestCancellation: c.cancels.latest}
 	if c.cancels.all(s.Revision) {
-		r.Named, r.Cancelled = true, c.cancels.since(s.Revision)
+		r.AllCancellationsListed, r.Cancellations = true, c.cancels.since(s.Revision)
 	}
 	if !c.quiet(now) {
 		return r // it can ask the state service, and so could the other one
 	}
-	for _, h := range s.Ask {
+	for _, h := range s.ExtensionRequest {
 		t, version := c.member.Term(h.Key)
 		holder, alive := c.member.Holder(h.Key)
-		if !alive || c.member.Revoked(holder) || holder != s.Node || t.Number != h.Term || version != h.Version {
+		if !alive || c.member.Revoked(holder) || holder != s.Controller || t.Number != h.Term || version != h.Version {
 			return r
 		}
 		if c.claimBusy(now, h.Key) {
@@ -49,7 +49,7 @@
 		}
 	}
 	c.noClaimsUntil = now.Add(constants.ExtensionLife)
-	r.Extends = true
+	r.ExtensionGranted = true
 	return r
 }
 
@@ -67,10 +67,10 @@
 	if !m.asked {
 		return
 	}
-	for _, x := range m.reply.Cancelled {
+	for _, x := range m.reply.Cancellations {
 		c.cancelled(x)
 	}
-	if m.err != nil || !m.reply.Extends || !m.reply.Named && m.reply.Cancels > c.revision {
+	if m.err != nil || !m.reply.ExtensionGranted || !m.reply.AllCancellationsListed && m.reply.LatestCancellation > c.revision {
 		delete(c.grants, m.node)
 		return
 	}
@@ -87,7 +87,7 @@
 	}
 	var first time.Time
 	for _, p := range c.set.Peers {
-		q, ok := c.grants[p.Node]
+		q, ok := c.grants[p.Controller]
 		if !ok {
 			return u
 		}
--- a/controller/faults_test.go
+++ b/controller/faults_test.go
@@ -401,7 +401,7 @@
 				time.Sleep(w.times.cancelWithin())
 				w.mu.Lock()
 				if !n.reported.After(cutAt) {
-					w.fail(t, "no machine reported to the cut-off %s", n.set.Node)
+					w.fail(t, "no machine reported to the cut-off %s", n.set.Controller)
 				}
 				w.mu.Unlock()
 				w.settle(t, 8*time.Minute, b.finishes)
@@ -469,7 +469,7 @@
 				for _, n := range w.nodes { // what is over is not kept
 					if c := n.up(); c != nil {
 						if open := w.openJobs(c); open > 5 {
-							w.fail(t, "%s still holds %d records of jobs that are over", n.set.Node, open)
+							w.fail(t, "%s still holds %d records of jobs that are over", n.set.Controller, open)
 						}
 					}
 				}
--- a/controller/large_fleet_test.go
+++ b/controller/large_fleet_test.go
@@ -66,7 +66,7 @@
 	}
 	for _, n := range w.nodes {
 		n.detect()
-		n.set.Params.Limits.CPU = 0
+		n.set.Deployment.Limits.CPU = 0
 		n.start()
 	}
 	go w.expireLeases()
--- a/controller/lease.go
+++ b/controller/lease.go
@@ -57,25 +57,25 @@
 		return
 	}
 	c.leaseBusy = true
-	life := c.set.Operator.LeaseLife
+	life := c.set.Operator.LeaseTTL
 	c.nextLease = now.Add(life / constants.RenewalsPerLife)
 	sent := now
 	if c.lease == 0 {
 		inc := rand.Uint64()>>1 | 1
-		_, version := c.member.NodeKey(c.set.Node)
-		record := records.Node{Incarnation: inc, Packs: true}
+		_, version := c.member.ControllerKey(c.set.Controller)
+		record := records.Controller{Incarnation: inc, ReadsPacked: true}
 		if c.detect.monitor != nil {
-			record.LifeMS = life.Milliseconds()
+			record.LeaseTTLMS = life.Milliseconds()
 		}
 		go func() {
-			lease, err := c.io.State.Grant(ctx, life)
+			lease, err := c.io.Store.Grant(ctx, life)
 			if err == nil {
 				// Conditional, so that a late copy from an earlier process can
 				// never replace this one's.
-				key := records.KeyNode(c.set.Node)
-				_, err = c.io.First.Commit(ctx, wire.Txn{
-					If:   []wire.Condition{{Key: key, Version: version}},
-					Then: []wire.Change{{Put: key, Value: records.Encode(record), Lease: lease}},
+				key := records.KeyController(c.set.Controller)
+				_, err = c.io.Unthrottled.Commit(ctx, wire.Txn{
+					Conditions: []wire.Condition{{Key: key, Version: version}},
+					Changes:    []wire.Change{{Put: key, Value: records.Encode(record), Lease: lease}},
 				})
 			}
 			c.self.Tell(leased{lease, inc, sent, err})
@@ -84,11 +84,11 @@
 	}
 	lease := c.lease
 	go func() {
-		err := c.io.State.Renew(ctx, lease)
+		err := c.io.Store.Renew(ctx, lease)
 		c.self.Tell(renewed{lease, sent, err})
 		if err == nil {
 			at := time.Now()
-			rev, err := c.io.State.Revision(ctx)
+			rev, err := c.io.Store.Revision(ctx)
 			c.self.Tell(revisionRead{rev, at, err})
 		}
 	}()
@@ -105,7 +105,7 @@
 	c.lease, c.incarnation, c.leaseSent = m.lease, m.incarnation, m.sent
 	c.nextLease = now
 	slog.Info("lease obtained", "lease", m.lease)
-	if c.member.Revoked(c.set.Node) && c.detect.monitor != nil {
+	if c.member.Revoked(c.set.Controller) && c.detect.monitor != nil {
 		slog.Warn("this process was revoked before it knew of its lease")
 		c.endLease(c.authorityGiven().Add(constants.AuthorityMargin))
 		return
@@ -123,7 +123,7 @@
 			c.leaseSent = m.sent
 		}
 		c.spreadAuthority(now)
-	case errors.Is(m.err, kvstore.ErrNoLease):
+	case errors.Is(m.err, kvstore.ErrLeaseExpired):
 		// Others may hold this controller's terms by now. It begins anew.
 		slog.Warn("lease ended", "lease", m.lease)
 		c.endLease(now)
--- a/controller/monitor.go
+++ b/controller/monitor.go
@@ -89,13 +89,13 @@
 }
 
 // newMonitor makes the monitor; the settings were checked when they were read.
-func newMonitor(set *settings.Settings, out Outside, self, control *actor.Ref, failed chan<- error) (*monitor, error) {
+func newMonitor(set *settings.Settings, out Dependencies, self, control *actor.Ref, failed chan<- error) (*monitor, error) {
 	d, err := detector.New(set.DetectorConfig(), time.Now())
 	if err != nil {
 		return nil, err
 	}
 	return &monitor{
-		node: set.Node, set: set.Detection, life: set.Operator.LeaseLife, detector: d, watchdog: watchdog.New(set.Detection.StallAfter),
+		node: set.Controller, set: set.Detection, life: set.Operator.LeaseTTL, detector: d, watchdog: watchdog.New(set.Detection.StallAfter),
 		peers: out.Monitors, self: self, control: control, failed: failed, sending: map[string]bool{},
 	}, nil
 }
@@ -110,16 +110,16 @@
 		m.setView(now, msg)
 	case heartbeatAsked:
 		err := m.count(m.detector.Receive(now, msg.message))
-		msg.answer <- heartbeatAnswer{m.detector.Beat(), err}
+		msg.answer <- heartbeatAnswer{m.detector.Heartbeat(), err}
 	case heartbeatReply:
 		m.sending[msg.node] = false
 		if msg.err == nil {
 			_ = m.count(m.detector.ReceiveAnswer(now, msg.message))
 		}
 	case ownHeartbeat:
-		msg.answer <- m.detector.Beat().Heartbeat
+		msg.answer <- m.detector.Heartbeat().Heartbeat
 	case probeDone:
-		m.detector.Probed(now, msg.probe, msg.heartbeat)
+		m.detector.ProbeResult(now, msg.probe, msg.heartbeat)
 	case revocationSeen:
 		m.record(history.Event(msg))
 	}
@@ -153,7 +153,7 @@
 			m.note(now, c)
 		}
 	}
-	if m.detector.BeatDue() || !now.Before(m.beatAt) {
+	if m.detector.HeartbeatDue() || !now.Before(m.beatAt) {
 		m.beatAt = now.Add(m.set.Interval)
 		m.beat(ctx)
 	}
@@ -186,7 +186,7 @@
 
 // beat sends a heartbeat to every controller that has answered the one before.
 func (m *monitor) beat(ctx context.Context) {
-	message := m.detector.Beat()
+	message := m.detector.Heartbeat()
 	for node, p := range m.peers {
 		if m.sending[node] {
 			continue
@@ -203,7 +203,7 @@
 
 // probe carries out one probe. It runs beside the actor.
 func (m *monitor) probe(ctx context.Context, made detector.Probe) {
-	asked, request := made.Target, peer.ProbeRequest{Node: m.node}
+	asked, request := made.Target, peer.ProbeRequest{Controller: m.node}
 	if made.Via != "" {
 		asked, request.Target = made.Via, made.Target
 	}
@@ -220,7 +220,7 @@
 
 // note logs a change of state and keeps it in the history.
 func (m *monitor) note(now time.Time, c detector.Change) {
-	e := history.Event{At: now, Observer: m.node, Node: c.Node, Process: c.Process, From: string(c.From), To: string(c.To),
+	e := history.Event{At: now, Observer: m.node, Node: c.Controller, Process: c.Process, From: string(c.From), To: string(c.To),
 		Evidence: evidenceNames(c.Evidence), Accusers: c.Accusers}
 	log := slog.Info
 	if c.To == detector.Suspect || c.To == detector.Failed {
@@ -257,8 +257,8 @@
 	seen := membership{dropped: m.dropped}
 	for _, v := range m.detector.Views(now) {
 		seen.members = append(seen.members, MemberStatus{
-			Node: v.Node, State: string(v.State), Evidence: evidenceNames(v.Evidence), Accusers: v.Accusers,
-			Refutation: v.Refutation, SilentMS: v.SilentFor.Milliseconds(), BoundMS: v.Bound.Milliseconds(),
+			Controller: v.Controller, State: string(v.State), Evidence: evidenceNames(v.Evidence), Accusers: v.Accusers,
+			Refutation: v.Refutation, SilentMS: v.SilentFor.Milliseconds(), SilenceLimitMS: v.SilenceLimit.Milliseconds(),
 		})
 	}
 	for _, e := range m.recent {
@@ -293,8 +293,8 @@
 	}
 }
 
-// PeerHeartbeat takes in another controller's heartbeat and answers with this one's.
-func (n *Controller) PeerHeartbeat(ctx context.Context, m detector.Message) (detector.Message, error) {
+// HandlePeerHeartbeat takes in another controller's heartbeat and answers with this one's.
+func (n *Controller) HandlePeerHeartbeat(ctx context.Context, m detector.Message) (detector.Message, error) {
 	answer := make(chan heartbeatAnswer, 1)
 	n.monitor.Tell(heartbeatAsked{m, answer})
 	select {
@@ -305,11 +305,11 @@
 	}
 }
 
-// PeerProbe answers with this controller's heartbeat, or with that of the controller
+// HandlePeerProbe answers with this controller's heartbeat, or with that of the controller
 // that it is asked to probe.
-func (n *Controller) PeerProbe(ctx context.Context, r peer.ProbeRequest) (peer.ProbeReply, error) {
+func (n *Controller) HandlePeerProbe(ctx context.Context, r peer.ProbeRequest) (peer.ProbeReply, error) {
 	if target := n.monitors[r.Target]; target != nil {
-		return target.Probe(ctx, peer.ProbeRequest{Node: n.node})
+		return target.Probe(ctx, peer.ProbeRequest{Controller: n.node})
 	}
 	if r.Target != "" && r.Target != n.node {
 		return peer.ProbeReply{}, fmt.Errorf("%w: %q", detector.ErrUnknownNode, r.Target)
--- a/controller/node.go
+++ b/controller/node.go
@@ -40,10 +40,10 @@
 
 // Cloud is the cloud as a controller uses it.
 type Cloud interface {
-	Types(ctx context.Context) ([]wire.MachineType, error)
-	Rent(ctx context.Context, r wire.RentRequest) ([]string, error)
-	Return(ctx context.Context, names []string) error
-	List(ctx context.Context) ([]wire.CloudMachine, error)
+	MachineTypes(ctx context.Context) ([]wire.MachineType, error)
+	ScaleOut(ctx context.Context, r wire.ScaleOutRequest) ([]string, error)
+	ScaleIn(ctx context.Context, names []string) error
+	Machines(ctx context.Context) ([]wire.CloudMachine, error)
 }
 
 // Workers sends direct commands; done is called on another goroutine.
@@ -56,18 +56,18 @@
 // Peer is another controller.
 type Peer interface {
 	apiserver.Relay
-	Push(ctx context.Context, s peer.Status) (peer.Reply, error)
+	PushStatus(ctx context.Context, s peer.Status) (peer.StatusReply, error)
 }
 
-// Outside is everything a controller calls.
-type Outside struct {
-	State   Store
-	First   Store // the same, for leases and claims, which come before all others
-	Later   Store // and for writes that leave users' writes the way
-	Urgent  Store // and for those that users count the seconds of
-	Cloud   Cloud
-	Workers func() Workers // one for each owner
-	Peers   map[string]Peer
+// Dependencies is everything a controller calls.
+type Dependencies struct {
+	Store       Store
+	Unthrottled Store // the same, for leases and claims, which come before all others
+	Background  Store // and for writes that leave users' writes the way
+	Urgent      Store // and for those that users count the seconds of
+	Cloud       Cloud
+	Workers     func() Workers // one for each owner
+	Peers       map[string]Peer
 	// Monitors are the other controllers, and History, if there is one, keeps what
 	// becomes of them, where failure detection is on.
 	Monitors map[string]MonitorPeer
@@ -90,20 +90,20 @@
 }
 
 // Start starts a controller's actors; they run until ctx ends.
-func Start(ctx context.Context, set *settings.Settings, out Outside) (*Controller, error) {
-	n := &Controller{node: set.Node, store: out.State, self: actor.NewRef(), api: actor.NewRef(), monitors: out.Monitors, failed: make(chan error, 1)}
+func Start(ctx context.Context, set *settings.Settings, out Dependencies) (*Controller, error) {
+	n := &Controller{node: set.Controller, store: out.Store, self: actor.NewRef(), api: actor.NewRef(), monitors: out.Monitors, failed: make(chan error, 1)}
 	if set.Detection != nil {
 		if err := n.startMonitor(ctx, set, out); err != nil {
 			return nil, err
 		}
 	}
 	if set.Draining != nil {
-		n.drains = &drainRequests{node: set.Node, control: n.self, store: out.State, cloud: out.Cloud, peers: out.Drains, stable: set.Draining.Policy.Stable}
+		n.drains = &drainRequests{node: set.Controller, control: n.self, store: out.Store, cloud: out.Cloud, peers: out.Drains, stable: set.Draining.Policy.Stable}
 	}
 	c := newControl(set, out, n.self, n.api, n.monitor)
-	go n.api.Run(ctx, apiserver.New(set, out.State, n.api, n.self))
+	go n.api.Run(ctx, apiserver.New(set, out.Store, n.api, n.self))
 	go n.self.Run(ctx, c)
-	go kvstore.NewFeed(out.State, set.ReadGap(), func(up records.Update) { n.self.Tell(up) }).Run(ctx)
+	go kvstore.NewFeed(out.Store, set.WatchInterval(), func(up records.Update) { n.self.Tell(up) }).Run(ctx)
 	go every(ctx, constants.MemberTick, func(t time.Time) {
 		n.self.Tell(tick(t))
 		n.api.Tell(apiserver.Tick(t))
@@ -112,7 +112,7 @@
 }
 
 // startMonitor starts failure detection.
-func (n *Controller) startMonitor(ctx context.Context, set *settings.Settings, out Outside) error {
+func (n *Controller) startMonitor(ctx context.Context, set *settings.Settings, out Dependencies) error {
 	n.monitor = actor.NewRef()
 	m, err := newMonitor(set, out, n.monitor, n.self, n.failed)
 	if err != nil {
@@ -127,14 +127,14 @@
 	return nil
 }
 
-// PeerStatus takes in what another controller tells of itself, and answers
+// HandlePeerStatus takes in what another controller tells of itself, and answers
 // whether it is promised what it asks for.
-func (n *Controller) PeerStatus(s peer.Status) peer.Reply {
-	if len(s.Ask) == 0 {
+func (n *Controller) HandlePeerStatus(s peer.Status) peer.StatusReply {
+	if len(s.ExtensionRequest) == 0 {
 		n.self.Tell(peerStatus(s))
-		return peer.Reply{Node: n.node}
+		return peer.StatusReply{Controller: n.node}
 	}
-	answer := make(chan peer.Reply, 1)
+	answer := make(chan peer.StatusReply, 1)
 	n.self.Tell(peerAsk{s, answer})
 	t := time.NewTimer(constants.PeerTimeout)
 	defer t.Stop()
@@ -142,13 +142,13 @@
 	case r := <-answer:
 		return r
 	case <-t.C:
-		return peer.Reply{Node: n.node}
+		return peer.StatusReply{Controller: n.node}
 	}
 }
 
-// PeerCommit writes a submission for another controller that is kept from the state
+// HandlePeerCommit writes a submission for another controller that is kept from the state
 // service.
-func (n *Controller) PeerCommit(ctx context.Context, t wire.Txn) peer.CommitReply {
+func (n *Controller) HandlePeerCommit(ctx context.Context, t wire.Txn) peer.CommitReply {
 	if !records.CreatesJob(t) {
 		return peer.CommitReply{Outcome: peer.OutcomeInvalid}
 	}
@@ -161,16 +161,16 @@
 func Run(ctx context.Context, set *settings.Settings) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	limits := set.StateLimits()
+	limits := set.StoreLimits()
 	store := kvstore.NewClient(set.Services.State, limits.RPS, limits.WriteRPS)
-	out := Outside{
-		State:   store,
-		First:   store.First(),
-		Later:   store.Later(),
-		Urgent:  store.Urgent(),
-		Cloud:   cloud.NewClient(set.Services.Cloud, set.CloudShare()),
-		Workers: func() Workers { return worker.NewCommander() },
-		Peers:   map[string]Peer{},
+	out := Dependencies{
+		Store:       store,
+		Unthrottled: store.Unthrottled(),
+		Background:  store.Background(),
+		Urgent:      store.Urgent(),
+		Cloud:       cloud.NewClient(set.Services.Cloud, set.CloudShare()),
+		Workers:     func() Workers { return worker.NewClient() },
+		Peers:       map[string]Peer{},
 	}
 	if err := connect(set, &out); err != nil {
 		return err
@@ -180,9 +180,9 @@
 	if err != nil {
 		return err
 	}
-	handlers := peer.Handlers{Status: n.PeerStatus, Commit: n.PeerCommit}
+	handlers := peer.Handlers{Status: n.HandlePeerStatus, Commit: n.HandlePeerCommit}
 	if n.monitor != nil {
-		handlers.Detection = peer.Detection{Heartbeat: n.PeerHeartbeat, Probe: n.PeerProbe}
+		handlers.Detection = peer.Detection{Heartbeat: n.HandlePeerHeartbeat, Probe: n.HandlePeerProbe}
 	}
 	if n.drains != nil {
 		handlers.Drain = n.drains.Answer
@@ -192,7 +192,7 @@
 	front, _ := set.Sockets()
 	srv := server.New(set.Listen, front, n.route)
 	go func() { failed <- srv.Run() }()
-	slog.Info("controller started", "node", set.Node, "zone", set.Zone, "listen", set.Listen)
+	slog.Info("controller started", "node", set.Controller, "zone", set.Zone, "listen", set.Listen)
 	select {
 	case err := <-failed:
 		return err
@@ -204,7 +204,7 @@
 }
 
 // connect prepares the connections to the other controllers.
-func connect(set *settings.Settings, out *Outside) error {
+func connect(set *settings.Settings, out *Dependencies) error {
 	out.Monitors = map[string]MonitorPeer{}
 	out.Drains = map[string]DrainPeer{}
 	for _, p := range set.Peers {
@@ -212,9 +212,9 @@
 		if err != nil {
 			return err
 		}
-		out.Peers[p.Node] = client
-		out.Monitors[p.Node] = client
-		out.Drains[p.Node] = client
+		out.Peers[p.Controller] = client
+		out.Monitors[p.Controller] = client
+		out.Drains[p.Controller] = client
 	}
 	return nil
 }
@@ -222,7 +222,7 @@
 // openHistory opens the file of membership events, if one is asked for, and returns
 // what closes it. One that is damaged, or cannot be opened, is reported and keeps
 // nobody from starting.
-func openHistory(set *settings.Settings, out *Outside) func() {
+func openHistory(set *settings.Settings, out *Dependencies) func() {
 	if set.Detection == nil || set.Detection.HistoryPath == "" {
 		return func() {}
 	}
@@ -264,11 +264,11 @@
 		return false
 	}
 	switch {
-	case path == wire.PathReport:
+	case path == wire.PathHeartbeat:
 		if !methods("POST") {
 			return
 		}
-		rep, err := wire.ParseReport(r.Body)
+		rep, err := wire.ParseHeartbeat(r.Body)
 		if err != nil {
 			r.Answer(&httpwire.Response{Status: 400, Body: []byte(`{"error":"malformed report"}`)})
 			return
--- a/controller/overload_test.go
+++ b/controller/overload_test.go
@@ -69,16 +69,16 @@
 	c := &overload{rng: rand.New(rand.NewPCG(seed, 3)), now: time.Unix(1_000_000, 0), owners: map[string]*shard.Core{},
 		workers: map[string]*overloadWorker{}, jobs: map[string]*overloadJob{}}
 	set := &settings.Settings{}
-	set.Params.Zones = []string{"a", "b"}
-	set.Params.State.ValueKB, set.Params.State.WriteRPS = 8, 100
-	set.Params.Teams = []settings.Team{{Name: "sure", CPUs: 40, CPUsMax: 60}, {Name: "tight", CPUsMax: 48}, {Name: "free"}}
-	set.Params.Objectives = []settings.Objective{{Kind: "finished", Class: "arrays", WithinS: 60}, {Kind: "finished", Class: "arrays", WithinS: 120}}
+	set.Deployment.Zones = []string{"a", "b"}
+	set.Deployment.Store.ValueKB, set.Deployment.Store.WriteRPS = 8, 100
+	set.Deployment.Teams = []settings.Team{{Name: "sure", CPUs: 40, CPUsMax: 60}, {Name: "tight", CPUsMax: 48}, {Name: "free"}}
+	set.Deployment.Objectives = []settings.Objective{{Kind: "finished", Class: "arrays", WithinS: 60}, {Kind: "finished", Class: "arrays", WithinS: 120}}
 	c.leader = leader.New(set, 1, c.now, nil, nil)
 	c.leader.SetRoundClock(c.tick)
-	types := []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: set.Params.Zones}}
-	for _, z := range set.Params.Zones {
-		c.owners[z] = shard.New(shard.Config{Shard: z, Report: 3 * time.Second, LeaseEnd: 21 * time.Second, IdleSpot: time.Hour, IdleOrdinary: time.Hour,
-			ListLag: 5 * time.Second, Sizes: records.Sizes{Now: 8192, Next: 8192}, TxnOps: 12, WriteRPS: 100, Order: leader.NewOrder(set.Params.Objectives)}, 1, 1, c.now, types, nil, nil, nil, nil)
+	types := []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: set.Deployment.Zones}}
+	for _, z := range set.Deployment.Zones {
+		c.owners[z] = shard.New(shard.Config{Shard: z, HeartbeatPeriod: 3 * time.Second, LeaseEnd: 21 * time.Second, IdleSpot: time.Hour, IdleOnDemand: time.Hour,
+			ListLag: 5 * time.Second, SizeLimits: records.SizeLimits{Now: 8192, Next: 8192}, TxnOps: 12, WriteRPS: 100, Order: leader.NewJobOrder(set.Deployment.Objectives)}, 1, 1, c.now, types, nil, nil, nil, nil)
 		c.owners[z].SetRoundClock(c.tick)
 		for i := range 10 {
 			w := &overloadWorker{name: fmt.Sprintf("m-%s-%d", z, i), zone: z, held: map[string]*overloadTask{}}
@@ -91,7 +91,7 @@
 
 func (c *overload) write(t wire.Txn) uint64 {
 	c.rev++
-	for _, ch := range t.Then {
+	for _, ch := range t.Changes {
 		rec, err := records.Decode(ch.Put, ch.Value)
 		if err != nil {
 			panic(err)
@@ -127,7 +127,7 @@
 
 // valid says that a transaction's conditions on jobs hold.
 func (c *overload) valid(t wire.Txn) bool {
-	for _, k := range t.If {
+	for _, k := range t.Conditions {
 		for id, j := range c.jobs {
 			if k.Key == records.KeyJob(id) && k.Version != j.version {
 				return false
@@ -142,16 +142,16 @@
 	c.leader.SetAuthority(c.now.Add(time.Hour))
 	for _, o := range c.owners {
 		o.SetAuthority(c.now.Add(time.Hour))
-		c.leader.Pushed(c.now, o.Aggregate(c.now, c.rev))
+		c.leader.ApplyAggregate(c.now, o.Aggregate(c.now, c.rev))
 		for _, p := range c.owners {
-			p.Others(c.now, []leader.Aggregate{o.Aggregate(c.now, c.rev)})
+			p.ApplyOtherShards(c.now, []leader.Aggregate{o.Aggregate(c.now, c.rev)})
 		}
 	}
 	for _, cm := range c.leader.Step(c.now) {
 		if c.valid(cm.Txn) {
-			c.leader.Committed(c.now, cm.ID, cm.Urgent, c.write(cm.Txn))
+			c.leader.CommitResult(c.now, cm.ID, cm.Urgent, c.write(cm.Txn))
 		} else {
-			c.leader.Committed(c.now, cm.ID, cm.Urgent, 0)
+			c.leader.CommitResult(c.now, cm.ID, cm.Urgent, 0)
 		}
 	}
 	for _, z := range []string{"a", "b"} {
@@ -160,15 +160,15 @@
 			switch act := act.(type) {
 			case shard.Commit:
 				if c.valid(act.Txn) {
-					o.Committed(c.now, act.ID, c.write(act.Txn))
+					o.CommitResult(c.now, act.ID, c.write(act.Txn))
 				} else {
-					o.Committed(c.now, act.ID, 0)
+					o.CommitResult(c.now, act.ID, 0)
 				}
-			case shard.Rent:
-				o.Rented(c.now, act.Request.Request, nil, true) // no more machines, ever
+			case shard.ScaleOut:
+				o.ScaleOutResult(c.now, act.Request.RequestID, nil, true) // no more machines, ever
 			case shard.SendCommands:
 				w := c.workers[act.Machine]
-				w.token = max(w.token, act.Request.Token)
+				w.token = max(w.token, act.Request.FencingToken)
 				c.execute(w, act.Request.Commands)
 				o.CommandResult(c.now, w.name, w.report())
 			}
@@ -188,9 +188,9 @@
 			continue
 		}
 		w.changed, w.next = false, c.now.Add(3*time.Second)
-		if reply, ok := c.owners[w.zone].Report(c.now, w.report()); ok {
-			w.changed = reply.Token > w.token
-			w.token = max(w.token, reply.Token)
+		if reply, ok := c.owners[w.zone].Heartbeat(c.now, w.report()); ok {
+			w.changed = reply.FencingToken > w.token
+			w.token = max(w.token, reply.FencingToken)
 			c.execute(w, reply.Commands)
 		}
 	}
@@ -204,9 +204,9 @@
 	}
 }
 
-func (w *overloadWorker) report() *wire.Report {
+func (w *overloadWorker) report() *wire.Heartbeat {
 	w.seq++
-	r := &wire.Report{Machine: w.name, Addr: w.name, Type: "box", Zone: w.zone, Session: 1, Seq: w.seq, Token: w.token}
+	r := &wire.Heartbeat{Machine: w.name, Addr: w.name, Type: "box", Zone: w.zone, Epoch: 1, Seq: w.seq, FencingToken: w.token}
 	for _, x := range w.held {
 		r.Tasks = append(r.Tasks, x.status)
 	}
--- a/controller/peers.go
+++ b/controller/peers.go
@@ -34,7 +34,7 @@
 	if due {
 		c.pushAllAt = now
 	}
-	s := peer.Status{Node: c.set.Node, StateOK: c.stateOK(now), Revision: c.revision, Ask: ask, Counts: map[string]records.CountsByJob{}}
+	s := peer.Status{Controller: c.set.Controller, StoreReachable: c.stateOK(now), Revision: c.revision, ExtensionRequest: ask, Counts: map[string]records.CountsByJob{}}
 	for shard, st := range c.status {
 		s.Aggregates = append(s.Aggregates, st.aggregate)
 		if due {
@@ -45,11 +45,11 @@
 		}
 	}
 	for name, x := range c.misroutedReports {
-		if now.Sub(x.at) > time.Duration(constants.MisroutedPeriods*float64(c.set.Report())) {
+		if now.Sub(x.at) > time.Duration(constants.MisroutedPeriods*float64(c.set.HeartbeatPeriod())) {
 			delete(c.misroutedReports, name)
 			continue
 		}
-		s.MisroutedReports = append(s.MisroutedReports, x.MisroutedReport)
+		s.MisroutedHeartbeats = append(s.MisroutedHeartbeats, x.MisroutedHeartbeat)
 	}
 	lead, _ := c.member.Holder(records.KeyLeader)
 	if c.leaderRef != nil {
@@ -61,8 +61,8 @@
 		}
 		c.pushing[name] = true
 		go func() {
-			r, err := p.Push(ctx, s)
-			c.self.Tell(peerReply{name, now, len(s.Ask) > 0, r, err})
+			r, err := p.PushStatus(ctx, s)
+			c.self.Tell(peerReply{name, now, len(s.ExtensionRequest) > 0, r, err})
 		}()
 	}
 }
@@ -85,20 +85,20 @@
 			to = append(to, p)
 		}
 	}
-	c.api.Tell(apiserver.Relays{To: to})
+	c.api.Tell(apiserver.SetRelays{To: to})
 }
 
 func (c *control) peerStatus(now time.Time, s peer.Status) {
 	c.forwardForecast(s.Forecast)
-	c.peersState[s.Node] = peerView{s.StateOK, now, now}
+	c.peersState[s.Controller] = peerView{s.StoreReachable, now, now}
 	c.tellRelays(now)
 	for _, a := range s.Aggregates {
 		if o := c.owners[a.Shard]; o != nil && a.Term > o.term {
 			// This one is cut off from the state service and has been replaced:
 			// its machines must not be kept from the next owner by its lease extension.
-			slog.Info("a sibling owns the shard under a later term", "shard", a.Shard, "term", o.term, "to", s.Node)
+			slog.Info("a sibling owns the shard under a later term", "shard", a.Shard, "term", o.term, "to", s.Controller)
 			c.yielded[records.KeyShard(a.Shard)] = o.term
-			c.successor[a.Shard] = s.Node
+			c.successor[a.Shard] = s.Controller
 			c.stopOwner(a.Shard)
 		}
 		if c.leaderRef != nil {
@@ -109,13 +109,13 @@
 	// machine that none of them has seen does not just miss its owner.
 	all := true
 	for _, p := range c.set.Peers {
-		if c.member.Alive(p.Node) && now.Sub(c.peersState[p.Node].at) > constants.PushEvery*2 {
+		if c.member.Alive(p.Controller) && now.Sub(c.peersState[p.Controller].at) > constants.PushEvery*2 {
 			all = false
 		}
 	}
 	for _, o := range c.owners {
 		o.ref.Tell(s.Aggregates)
-		o.ref.Tell(misroutedReports{s.MisroutedReports, all})
+		o.ref.Tell(misroutedReports{s.MisroutedHeartbeats, all})
 	}
 	for _, v := range s.Drains {
 		if c.owners[v.Shard] == nil {
--- a/controller/push_test.go
+++ b/controller/push_test.go
@@ -16,9 +16,9 @@
 // countingPeer counts what it is told.
 type countingPeer struct{ told atomic.Int32 }
 
-func (p *countingPeer) Push(context.Context, peer.Status) (peer.Reply, error) {
+func (p *countingPeer) PushStatus(context.Context, peer.Status) (peer.StatusReply, error) {
 	p.told.Add(1)
-	return peer.Reply{}, nil
+	return peer.StatusReply{}, nil
 }
 
 func (p *countingPeer) Commit(context.Context, wire.Txn) (uint64, error) {
@@ -32,7 +32,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, []string{"a", "b"}, 3)
 		peers := map[string]*countingPeer{"n-1": {}, "n-2": {}}
-		out := Outside{Peers: map[string]Peer{}}
+		out := Dependencies{Peers: map[string]Peer{}}
 		for name, p := range peers {
 			out.Peers[name] = p
 		}
--- a/controller/relay_test.go
+++ b/controller/relay_test.go
@@ -21,16 +21,16 @@
 		job := wire.Change{Put: "rv/job/run-000001", Value: []byte(`{}`)}
 		for name, txn := range map[string]wire.Txn{
 			"nothing":        {},
-			"no condition":   {Then: []wire.Change{job}},
-			"another key":    {If: []wire.Condition{{Key: "rv/job/run-000002"}}, Then: []wire.Change{job}},
-			"a change":       {If: []wire.Condition{{Key: job.Put, Version: 4}}, Then: []wire.Change{job}},
-			"a term":         {If: []wire.Condition{{Key: "rv/part/a"}}, Then: []wire.Change{{Put: "rv/part/a", Value: []byte(`{}`)}}},
-			"two changes":    {If: []wire.Condition{{Key: job.Put}}, Then: []wire.Change{job, {Delete: "rv/part/a"}}},
-			"under a lease":  {If: []wire.Condition{{Key: job.Put}}, Then: []wire.Change{{Put: job.Put, Value: job.Value, Lease: 1}}},
-			"a deletion too": {If: []wire.Condition{{Key: job.Put}}, Then: []wire.Change{{Put: job.Put, Value: job.Value, Delete: "rv/part/a"}}},
+			"no condition":   {Changes: []wire.Change{job}},
+			"another key":    {Conditions: []wire.Condition{{Key: "rv/job/run-000002"}}, Changes: []wire.Change{job}},
+			"a change":       {Conditions: []wire.Condition{{Key: job.Put, Version: 4}}, Changes: []wire.Change{job}},
+			"a term":         {Conditions: []wire.Condition{{Key: "rv/part/a"}}, Changes: []wire.Change{{Put: "rv/part/a", Value: []byte(`{}`)}}},
+			"two changes":    {Conditions: []wire.Condition{{Key: job.Put}}, Changes: []wire.Change{job, {Delete: "rv/part/a"}}},
+			"under a lease":  {Conditions: []wire.Condition{{Key: job.Put}}, Changes: []wire.Change{{Put: job.Put, Value: job.Value, Lease: 1}}},
+			"a deletion too": {Conditions: []wire.Condition{{Key: job.Put}}, Changes: []wire.Change{{Put: job.Put, Value: job.Value, Delete: "rv/part/a"}}},
 		} {
 			before := w.revision
-			if r := ctl.PeerCommit(t.Context(), txn); r.Outcome != peer.OutcomeInvalid {
+			if r := ctl.HandlePeerCommit(t.Context(), txn); r.Outcome != peer.OutcomeInvalid {
 				t.Errorf("%s: %s", name, r.Outcome)
 			}
 			if w.revision != before {
--- a/controller/revocation.go
+++ b/controller/revocation.go
@@ -54,14 +54,14 @@
 		return
 	}
 	for _, p := range proposals {
-		txn, ok := c.member.Revoke(records.Revocation{Node: p.Node, Incarnation: p.Process, Evidence: evidenceNames(p.Evidence), Accusers: p.Accusers})
+		txn, ok := c.member.Revoke(records.Revocation{Controller: p.Controller, Incarnation: p.Process, Evidence: evidenceNames(p.Evidence), Accusers: p.Accusers})
 		if !ok {
 			continue
 		}
-		slog.Warn("controller is revoked", "node", p.Node, "evidence", p.Evidence, "accusers", p.Accusers)
+		slog.Warn("controller is revoked", "node", p.Controller, "evidence", p.Evidence, "accusers", p.Accusers)
 		c.detect.revoking = true
 		go func() {
-			_, err := c.io.First.Commit(ctx, txn)
+			_, err := c.io.Unthrottled.Commit(ctx, txn)
 			c.self.Tell(revocationDone{err})
 		}()
 		return
@@ -81,8 +81,8 @@
 	if c.detect.monitor == nil {
 		return
 	}
-	c.detect.monitor.Tell(revocationSeen(history.Event{At: now, Observer: r.By, Node: r.Node, Process: r.Incarnation, To: "revoked", Evidence: r.Evidence, Accusers: r.Accusers}))
-	if r.Node == c.set.Node && r.Incarnation == c.incarnation && c.incarnation != 0 {
+	c.detect.monitor.Tell(revocationSeen(history.Event{At: now, Observer: r.By, Node: r.Controller, Process: r.Incarnation, To: "revoked", Evidence: r.Evidence, Accusers: r.Accusers}))
+	if r.Controller == c.set.Controller && r.Incarnation == c.incarnation && c.incarnation != 0 {
 		slog.Warn("this process was revoked", "by", r.By, "evidence", r.Evidence)
 		c.endLease(c.authorityGiven().Add(constants.AuthorityMargin))
 	}
@@ -118,7 +118,7 @@
 	v := clusterView{process: c.incarnation, leases: map[string]uint64{}, unserved: c.unserved(now), actors: map[string]*actor.Ref{"control": c.self, "api server": c.api},
 		feed: watchdog.Sample{Name: "feed", Handled: c.revision, Pending: c.overdueReads(now)}}
 	for _, p := range c.set.Peers {
-		v.leases[p.Node], _ = c.member.NodeKey(p.Node)
+		v.leases[p.Controller], _ = c.member.ControllerKey(p.Controller)
 	}
 	for shard, o := range c.owners {
 		v.actors["owner of "+shard] = o.ref
@@ -159,7 +159,7 @@
 // workersOf counts the machines of the shards that a controller owns.
 func (c *control) workersOf(node string) int {
 	owned := map[string]bool{}
-	for _, zone := range c.set.Params.Zones {
+	for _, zone := range c.set.Deployment.Zones {
 		holder, held := c.member.Holder(records.KeyShard(zone))
 		owned[zone] = held && holder == node
 	}
--- a/controller/roles.go
+++ b/controller/roles.go
@@ -25,13 +25,13 @@
 
 // roles starts and stops the leader and the owners as the terms say.
 func (c *control) roles(ctx context.Context, now time.Time) {
-	for _, shard := range c.set.Params.Zones {
+	for _, shard := range c.set.Deployment.Zones {
 		key := records.KeyShard(shard)
 		t, version := c.member.Term(key)
-		mine := version != 0 && t.Node == c.set.Node && t.Incarnation == c.incarnation && c.incarnation != 0
+		mine := version != 0 && t.Controller == c.set.Controller && t.Incarnation == c.incarnation && c.incarnation != 0
 		o := c.owners[shard]
 		if o != nil && !mine {
-			slog.Info("shard lost", "shard", shard, "term", o.term, "to", t.Node)
+			slog.Info("shard lost", "shard", shard, "term", o.term, "to", t.Controller)
 			c.stopOwner(shard)
 		}
 		if t.Number > c.yielded[key] {
@@ -50,7 +50,7 @@
 		c.startOwner(ctx, now, shard, t.Number, version)
 	}
 	t, version := c.member.Term(records.KeyLeader)
-	mine := version != 0 && t.Node == c.set.Node && t.Incarnation == c.incarnation && c.incarnation != 0 &&
+	mine := version != 0 && t.Controller == c.set.Controller && t.Incarnation == c.incarnation && c.incarnation != 0 &&
 		c.yielded[records.KeyLeader] < t.Number
 	if c.leaderRef != nil && (!mine || c.leaderRef.term != t.Number) {
 		slog.Info("leadership lost", "term", c.leaderRef.term)
@@ -60,10 +60,10 @@
 		slog.Info("leading", "term", t.Number)
 		c.ledSince = now
 		ctx, cancel := context.WithCancel(ctx)
-		a := &leaderActor{core: leader.New(c.set, version, now, c.jobs, c.versions), store: c.io.Later, urgent: c.io.Urgent, self: actor.NewRef(), control: c.self, revision: c.revision}
+		a := &leaderActor{core: leader.New(c.set, version, now, c.jobs, c.versions), store: c.io.Background, urgent: c.io.Urgent, self: actor.NewRef(), control: c.self, revision: c.revision}
 		a.core.SetAuthority(c.until())
 		if c.packs {
-			a.core.SetPacks()
+			a.core.EnablePacking()
 		}
 		c.leaderRef = &child{ref: a.self, cancel: cancel, term: t.Number}
 		for _, s := range c.status {
@@ -131,8 +131,8 @@
 func (c *control) silentPeers(now time.Time, last func(peerView) time.Time) bool {
 	alive := false
 	for _, p := range c.set.Peers {
-		alive = alive || c.member.Alive(p.Node)
-		if now.Sub(last(c.peersState[p.Node])) < constants.PeersAway {
+		alive = alive || c.member.Alive(p.Controller)
+		if now.Sub(last(c.peersState[p.Controller])) < constants.PeersAway {
 			return false
 		}
 	}
@@ -141,7 +141,7 @@
 
 // handOn gives up a term that this controller cannot make use of.
 func (c *control) handOn(ctx context.Context, now time.Time, key string) {
-	cl, ok := c.member.HandOn(now, key)
+	cl, ok := c.member.HandOver(now, key)
 	if !ok || c.claimBusy(now, key) || !c.settled(now) {
 		return
 	}
@@ -157,22 +157,22 @@
 		return // it asks again
 	}
 	slog.Info("the term's numbers are used up: claiming a new one", "shard", shard, "term", c.owners[shard].term)
-	incarnation, version := c.member.NodeKey(c.set.Node)
-	c.yield(now, c.member.ClaimOf(key, c.set.Node, incarnation, version))
+	incarnation, version := c.member.ControllerKey(c.set.Controller)
+	c.yield(now, c.member.AcquisitionOf(key, c.set.Controller, incarnation, version))
 }
 
 // yield ends what this controller does under a term before another begins.
 // The claim that hands the term on is sent only once the actor has said that
 // it stopped: reports that still wait in its mailbox must not be answered
 // after the next owner has begun to count the workers' leases.
-func (c *control) yield(now time.Time, cl member.Claim) {
+func (c *control) yield(now time.Time, cl member.TermAcquisition) {
 	t, _ := c.member.Term(cl.Key)
 	c.yielded[cl.Key] = t.Number
 	c.claiming[cl.Key] = now
 	done := func(end context.CancelFunc) func() {
 		return func() { end(); c.self.Tell(halted{cl}) }
 	}
-	for _, shard := range c.set.Params.Zones {
+	for _, shard := range c.set.Deployment.Zones {
 		if o := c.owners[shard]; records.KeyShard(shard) == cl.Key && o != nil {
 			o.ref.Tell(halt{done(o.cancel)})
 			delete(c.owners, shard)
@@ -195,7 +195,7 @@
 	return ok && now.Sub(at) < constants.StateTimeout+time.Second
 }
 
-func (c *control) send(ctx context.Context, now time.Time, cl member.Claim) {
+func (c *control) send(ctx context.Context, now time.Time, cl member.TermAcquisition) {
 	if c.claimBusy(now, cl.Key) {
 		return
 	}
@@ -208,15 +208,15 @@
 
 // claim writes a claim. One that is refused for rate alone is tried again at
 // once: until it stands nobody owns the shard. It runs beside the actor.
-func (c *control) claim(ctx context.Context, cl member.Claim) error {
-	return kvstore.RetryLimited(ctx, constants.ClaimRetry, constants.RetryMin/4, constants.RetryMin/4, func() error {
-		_, err := c.io.First.Commit(ctx, cl.Txn)
+func (c *control) claim(ctx context.Context, cl member.TermAcquisition) error {
+	return kvstore.RetryRateLimited(ctx, constants.ClaimRetry, constants.RetryMin/4, constants.RetryMin/4, func() error {
+		_, err := c.io.Unthrottled.Commit(ctx, cl.Txn)
 		return err
 	})
 }
 
 func (c *control) claimed(now time.Time, m claimed) {
-	if m.err == nil || errors.Is(m.err, kvstore.ErrUnknown) {
+	if m.err == nil || errors.Is(m.err, kvstore.ErrOutcomeUnknown) {
 		// The feed tells what came of it; until then nothing else is tried,
 		// for a little while.
 		c.claiming[m.claim.Key] = now.Add(-constants.StateTimeout)
--- a/controller/sim_test.go
+++ b/controller/sim_test.go
@@ -370,7 +370,7 @@
 			w := newWorld(9, []string{"a", "b"}, 3)
 			w.late, w.tame = 0, true
 			for _, n := range w.nodes {
-				n.set.Params.Workers.CancelS = 100 // so that much is tended
+				n.set.Deployment.Workers.CancelS = 100 // so that much is tended
 				n.start()
 			}
 			go w.expireLeases()
@@ -397,7 +397,7 @@
 			w.mu.Unlock()
 			if !counted {
 				for _, n := range w.nodes {
-					n.set.Params.Workers.CancelS = 45 // as whoever claims from here on counts
+					n.set.Deployment.Workers.CancelS = 45 // as whoever claims from here on counts
 				}
 			}
 			time.Sleep(120 * time.Second)
@@ -456,11 +456,11 @@
 				w.mu.Unlock()
 				ask := func(z string, seq uint64) bool {
 					a := &simAnswer{got: make(chan *httpwire.Response, 1)}
-					w.nodes[0].up().self.Tell(workerReport{a, &wire.Report{Machine: "m-x", Addr: "m-x", Type: "box", Zone: z, Session: 1, Seq: seq,
+					w.nodes[0].up().self.Tell(workerReport{a, &wire.Heartbeat{Machine: "m-x", Addr: "m-x", Type: "box", Zone: z, Epoch: 1, Seq: seq,
 						Tasks: []wire.TaskStatus{{Task: "run-000009/0", Attempt: 1, State: wire.TaskRunning}}}})
 					select {
 					case r := <-a.got:
-						var rep wire.ReportReply
+						var rep wire.HeartbeatReply
 						if r.Status == 200 && (json.Unmarshal(r.Body, &rep) != nil || len(rep.Commands) > 0) {
 							t.Errorf("commands for %s without authority: %s", z, r.Body)
 						}
@@ -470,13 +470,13 @@
 					}
 				}
 				time.Sleep(10 * time.Second)
-				for _, z := range w.nodes[0].set.Params.Zones {
+				for _, z := range w.nodes[0].set.Deployment.Zones {
 					if ask(z, 1) && name == "refused alone" {
 						t.Errorf("answers for %s though it has been replaced", z)
 					}
 				}
 				time.Sleep(w.nodes[0].set.LeaseExtension())
-				for _, z := range w.nodes[0].set.Params.Zones {
+				for _, z := range w.nodes[0].set.Deployment.Zones {
 					if ask(z, 2) {
 						t.Errorf("answers for %s when its lease extension is over", z)
 					}
@@ -563,9 +563,9 @@
 		w.kv[key] = &entry{value: records.Encode(v), version: w.revision}
 		w.events = append(w.events, wire.Event{Put: key, Value: records.Encode(v), Version: w.revision})
 	}
-	zones := w.nodes[0].set.Params.Zones
+	zones := w.nodes[0].set.Deployment.Zones
 	for i, z := range zones {
-		put(records.KeyShard(z), records.Term{Node: "n-0", Incarnation: 7, Number: uint64(3 + i)})
+		put(records.KeyShard(z), records.Term{Controller: "n-0", Incarnation: 7, Number: uint64(3 + i)})
 	}
 	page := records.Page{}
 	for i := range 180 {
@@ -576,7 +576,7 @@
 		Tasks: 60, CPUs: 1, MemoryGB: 1, Image: "i-0", ImageGB: 1, Spot: true, EstimateS: 5}
 	rec := records.Job{Spec: s, AcceptedMS: time.Now().UnixMilli()}
 	for i := range s.Tasks {
-		rec.Assignments = append(rec.Assignments, records.Assignment{From: i, To: i + 1, Shard: zones[i%len(zones)], Keep: i%3 == 0})
+		rec.Assignments = append(rec.Assignments, records.Assignment{From: i, To: i + 1, Shard: zones[i%len(zones)], KeepWaiting: i%3 == 0})
 	}
 	put(records.KeyJob(s.ID), rec)
 	j := &simJob{spec: s, doneTasks: map[int]bool{}}
--- a/controller/standin_cloud_test.go
+++ b/controller/standin_cloud_test.go
@@ -15,14 +15,14 @@
 
 var simTypes = []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 32, CacheGB: 50, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 8}}
 
-func (c *simCloud) Types(ctx context.Context) ([]wire.MachineType, error) {
+func (c *simCloud) MachineTypes(ctx context.Context) ([]wire.MachineType, error) {
 	time.Sleep(50 * time.Millisecond)
 	t := simTypes[0]
-	t.Zones = c.n.set.Params.Zones
+	t.Zones = c.n.set.Deployment.Zones
 	return []wire.MachineType{t}, nil
 }
 
-func (c *simCloud) Rent(ctx context.Context, r wire.RentRequest) ([]string, error) {
+func (c *simCloud) ScaleOut(ctx context.Context, r wire.ScaleOutRequest) ([]string, error) {
 	w := c.n.w
 	c.n.stand()
 	time.Sleep(100 * time.Millisecond)
@@ -31,7 +31,7 @@
 	if w.cloudOut || w.cutZone == c.n.set.Zone {
 		return nil, cloud.ErrTrouble
 	}
-	if names, ok := w.requests[r.Request]; ok {
+	if names, ok := w.requests[r.RequestID]; ok {
 		return names, nil
 	}
 	kind := r.Zone + "/ordinary"
@@ -57,14 +57,14 @@
 	if len(names) == 0 {
 		return nil, cloud.ErrNoCapacity
 	}
-	w.requests[r.Request] = names
+	w.requests[r.RequestID] = names
 	if !w.tame && w.rng.Float64() < 0.05 {
 		return nil, cloud.ErrTrouble // carried out, the answer lost
 	}
 	return names, nil
 }
 
-func (c *simCloud) Return(ctx context.Context, names []string) error {
+func (c *simCloud) ScaleIn(ctx context.Context, names []string) error {
 	asked := time.Now()
 	c.n.w.do(func() { c.n.w.returnAsked(c.n) })
 	c.n.stand()
@@ -143,7 +143,7 @@
 	}
 }
 
-func (c *simCloud) List(ctx context.Context) ([]wire.CloudMachine, error) {
+func (c *simCloud) Machines(ctx context.Context) ([]wire.CloudMachine, error) {
 	w := c.n.w
 	w.mu.Lock()
 	var out []wire.CloudMachine
--- a/controller/standin_detection_test.go
+++ b/controller/standin_detection_test.go
@@ -29,7 +29,7 @@
 			}
 		}()
 	}
-	answer, err := ctl.PeerHeartbeat(ctx, m)
+	answer, err := ctl.HandlePeerHeartbeat(ctx, m)
 	p.from.stand()
 	return answer, err
 }
@@ -40,7 +40,7 @@
 	if err != nil {
 		return peer.ProbeReply{}, err
 	}
-	answer, err := ctl.PeerProbe(ctx, r)
+	answer, err := ctl.HandlePeerProbe(ctx, r)
 	p.from.stand()
 	return answer, err
 }
@@ -94,7 +94,7 @@
 		}
 	}
 	n.w.mu.Unlock()
-	ctl.self.Tell(workerReport{sleepingAnswer(d), &wire.Report{Machine: name, Addr: name, Type: "box", Zone: zone}})
+	ctl.self.Tell(workerReport{sleepingAnswer(d), &wire.Heartbeat{Machine: name, Addr: name, Type: "box", Zone: zone}})
 }
 
 // sleepingAnswer is a request that takes as long to answer.
@@ -109,16 +109,16 @@
 		return
 	}
 	w.mu.Lock()
-	e := w.kv[records.KeyNode(of.set.Node)]
+	e := w.kv[records.KeyController(of.set.Controller)]
 	w.mu.Unlock()
 	if e == nil {
 		return
 	}
-	record, err := records.Decode(records.KeyNode(of.set.Node), e.value)
+	record, err := records.Decode(records.KeyController(of.set.Controller), e.value)
 	if err != nil {
 		panic(err)
 	}
-	ctl.self.Tell([]detector.Proposal{{Node: of.set.Node, Process: record.(*records.Node).Incarnation, Evidence: []detector.Evidence{"accused at random"}, Accusers: []string{by.set.Node}}})
+	ctl.self.Tell([]detector.Proposal{{Controller: of.set.Controller, Process: record.(*records.Controller).Incarnation, Evidence: []detector.Evidence{"accused at random"}, Accusers: []string{by.set.Controller}}})
 }
 
 // owner is the number of the controller that owns a zone's shard.
--- a/controller/standin_draining_test.go
+++ b/controller/standin_draining_test.go
@@ -411,11 +411,11 @@
 	defer w.mu.Unlock()
 	n := 0
 	for key, e := range w.kv {
-		if !strings.HasPrefix(key, records.KeyClaim("")) {
+		if !strings.HasPrefix(key, records.KeyDisruptionClaim("")) {
 			continue
 		}
 		if record, err := records.Decode(key, e.value); err == nil {
-			for _, down := range record.(*records.Claim).Down {
+			for _, down := range record.(*records.DisruptionClaim).Unavailable {
 				n += down
 			}
 		}
--- a/controller/standin_gang_test.go
+++ b/controller/standin_gang_test.go
@@ -41,7 +41,7 @@
 
 // onMachine says whether a task counts as on its machine.
 func onMachine(state string) bool {
-	return state == wire.TaskRunning || state == wire.TaskWaiting || state == wire.TaskSaving
+	return state == wire.TaskRunning || state == wire.TaskWaitingForGang || state == wire.TaskSaving
 }
 
 // playGangs lets the tasks of gangs see each other.
@@ -102,7 +102,7 @@
 		slog.Debug("stand-in: gang begins", "job", job, "attempt", all[0].t.attempt)
 		for _, x := range all {
 			x.m.changed = true
-			if x.t.state == wire.TaskWaiting {
+			if x.t.state == wire.TaskWaitingForGang {
 				x.t.state = wire.TaskRunning
 			}
 		}
@@ -151,9 +151,9 @@
 		}
 		_, told := g.told[x.i]
 		switch {
-		case x.t.state == wire.TaskWaiting:
+		case x.t.state == wire.TaskWaitingForGang:
 			if now.Sub(x.t.since) > simGangWait {
-				x.m.exit(x.t, wire.CauseAlone)
+				x.m.exit(x.t, wire.CauseGangIncomplete)
 			}
 		case !g.over:
 		case g.done:
@@ -162,7 +162,7 @@
 			x.m.exit(x.t, wire.CauseStopped)
 			x.t.kept = g.kept
 		default:
-			x.m.exit(x.t, wire.CausePeers)
+			x.m.exit(x.t, wire.CauseGangPeerLost)
 		}
 	}
 }
--- a/controller/standin_store_test.go
+++ b/controller/standin_store_test.go
@@ -32,7 +32,7 @@
 	s.n.stand() // what it had decided goes out when it moves on, whatever the time
 	time.Sleep(w.between(time.Millisecond, 12*time.Millisecond) + w.slow)
 	if ctx.Err() != nil && !w.chance(0.5) {
-		return fmt.Errorf("%w: %w", kvstore.ErrUnknown, ctx.Err())
+		return fmt.Errorf("%w: %w", kvstore.ErrOutcomeUnknown, ctx.Err())
 	}
 	w.mu.Lock()
 	shut := w.outage || s.n.cutState || w.cutZone == s.n.set.Zone
@@ -56,7 +56,7 @@
 		}
 		w.mu.Unlock()
 		time.Sleep(time.Second)
-		return 0, kvstore.ErrUnknown
+		return 0, kvstore.ErrOutcomeUnknown
 	case w.chance(w.lateWrites): // carried out much later
 		go func() {
 			time.Sleep(w.between(time.Second, 20*time.Second))
@@ -68,7 +68,7 @@
 			w.mu.Unlock()
 		}()
 		time.Sleep(time.Second)
-		return 0, kvstore.ErrUnknown
+		return 0, kvstore.ErrOutcomeUnknown
 	case w.chance(w.repeats): // repeated later
 		go func() {
 			time.Sleep(w.between(time.Second, 20*time.Second))
@@ -87,33 +87,33 @@
 // apply carries out a transaction. The caller holds the lock.
 func (w *world) apply(t wire.Txn) (uint64, error) {
 	if !w.noConditions {
-		for _, c := range t.If {
+		for _, c := range t.Conditions {
 			v := uint64(0)
 			if e := w.kv[c.Key]; e != nil {
 				v = e.version
 			}
 			if v != c.Version {
-				return 0, &kvstore.Conflict{Failed: []string{c.Key}}
+				return 0, &kvstore.ConflictError{Keys: []string{c.Key}}
 			}
 		}
 	}
-	for _, ch := range t.Then {
+	for _, ch := range t.Changes {
 		if ch.Lease != 0 && w.leases[ch.Lease] == nil {
-			return 0, kvstore.ErrNoLease
+			return 0, kvstore.ErrLeaseExpired
 		}
 	}
 	kb, ops := 8, 12
 	if w.smaller {
 		kb, ops = 1, 2
 	}
-	for _, ch := range t.Then {
-		if len(ch.Value) > kb<<10 || len(t.Then) > ops || len(t.If) > 4*ops {
+	for _, ch := range t.Changes {
+		if len(ch.Value) > kb<<10 || len(t.Changes) > ops || len(t.Conditions) > 4*ops {
 			w.invalid[ch.Put]++
-			return 0, kvstore.ErrInvalid
+			return 0, kvstore.ErrInvalidRequest
 		}
 	}
 	w.revision++
-	for _, ch := range t.Then {
+	for _, ch := range t.Changes {
 		if ch.Delete != "" {
 			delete(w.kv, ch.Delete)
 			w.events = append(w.events, wire.Event{Delete: ch.Delete, Version: w.revision})
@@ -222,7 +222,7 @@
 	defer w.mu.Unlock()
 	l := w.leases[id]
 	if l == nil {
-		return kvstore.ErrNoLease
+		return kvstore.ErrLeaseExpired
 	}
 	l.ends = time.Now().Add(l.life)
 	return nil
@@ -243,10 +243,10 @@
 		var t wire.Txn
 		for k, e := range w.kv {
 			if e.lease == id {
-				t.Then = append(t.Then, wire.Change{Delete: k})
+				t.Changes = append(t.Changes, wire.Change{Delete: k})
 			}
 		}
-		if len(t.Then) > 0 {
+		if len(t.Changes) > 0 {
 			if _, err := w.apply(t); err != nil {
 				panic(err)
 			}
--- a/controller/standin_test.go
+++ b/controller/standin_test.go
@@ -90,9 +90,9 @@
 	repeats     float64       // carried out once more, later
 	slow        time.Duration // how long the state service takes beside
 
-	lateCopies float64        // share of reports of which a copy comes again, up to well over a lease later
-	keepCopies bool           // all reports are kept, to come again
-	copies     []*wire.Report // those kept
+	lateCopies float64           // share of reports of which a copy comes again, up to well over a lease later
+	keepCopies bool              // all reports are kept, to come again
+	copies     []*wire.Heartbeat // those kept
 
 	disruption    *disruptioncheck.Check // nil: stops are not judged
 	interruptions *disruptioncheck.Check // judges those of arrays and gangs; nil: nothing does
@@ -165,7 +165,7 @@
 	ctl := n.ctl
 	n.thaws = time.Now().Add(d)
 	var known []*simWorker
-	for _, z := range n.set.Params.Zones {
+	for _, z := range n.set.Deployment.Zones {
 		for _, m := range w.machines {
 			if m.zone == z {
 				known = append(known, m)
@@ -178,7 +178,7 @@
 		return
 	}
 	for _, m := range known { // through control to the owner, if it is here
-		ctl.self.Tell(workerReport{standing{n}, &wire.Report{Machine: m.name, Addr: m.name, Type: "box", Zone: m.zone}})
+		ctl.self.Tell(workerReport{standing{n}, &wire.Heartbeat{Machine: m.name, Addr: m.name, Type: "box", Zone: m.zone}})
 	}
 	ctl.self.Tell(health{standing{n}})
 	ctl.api.Tell(apiserver.Metrics{Req: standing{n}})
@@ -223,7 +223,7 @@
 		if err != nil {
 			panic(err)
 		}
-		set.Operator.IdleSpot, set.Operator.IdleOrdinary = 15*time.Second, 25*time.Second
+		set.Operator.IdleSpot, set.Operator.IdleOnDemand = 15*time.Second, 25*time.Second
 		w.nodes[i].set = set
 	}
 	for _, z := range zones {
@@ -252,12 +252,12 @@
 
 func (n *simNode) start() {
 	ctx, cancel := context.WithCancel(context.Background())
-	out := Outside{State: &simStore{n}, First: &simStore{n}, Later: &simStore{n}, Urgent: &simStore{n}, Cloud: &simCloud{n}, Workers: func() Workers { return &simCommands{n} }, Peers: map[string]Peer{}, Monitors: map[string]MonitorPeer{}, Drains: map[string]DrainPeer{}}
+	out := Dependencies{Store: &simStore{n}, Unthrottled: &simStore{n}, Background: &simStore{n}, Urgent: &simStore{n}, Cloud: &simCloud{n}, Workers: func() Workers { return &simCommands{n} }, Peers: map[string]Peer{}, Monitors: map[string]MonitorPeer{}, Drains: map[string]DrainPeer{}}
 	for _, o := range n.w.nodes {
 		if o != n {
-			out.Peers[o.set.Node] = simPeer{n, o}
-			out.Monitors[o.set.Node] = simPeer{n, o}
-			out.Drains[o.set.Node] = simPeer{n, o}
+			out.Peers[o.set.Controller] = simPeer{n, o}
+			out.Monitors[o.set.Controller] = simPeer{n, o}
+			out.Drains[o.set.Controller] = simPeer{n, o}
 		}
 	}
 	n.w.mu.Lock()
@@ -300,21 +300,21 @@
 	cut := p.from.cutPeers || p.to.cutPeers || p.from.w.apart(p.from.set.Zone, p.to) || p.to.noCalls
 	p.from.w.mu.Unlock()
 	if ctl == nil || ctx.Err() != nil || cut {
-		return nil, fmt.Errorf("%w: unreachable", kvstore.ErrUnknown)
+		return nil, fmt.Errorf("%w: unreachable", kvstore.ErrOutcomeUnknown)
 	}
 	p.from.stand()
 	return ctl, nil
 }
 
-func (p simPeer) Push(ctx context.Context, s peer.Status) (peer.Reply, error) {
+func (p simPeer) PushStatus(ctx context.Context, s peer.Status) (peer.StatusReply, error) {
 	ctl, err := p.reach(ctx)
 	if err != nil {
-		return peer.Reply{}, err
+		return peer.StatusReply{}, err
 	}
 	p.to.stand()
-	r := ctl.PeerStatus(s)
+	r := ctl.HandlePeerStatus(s)
 	if p.from.w.untold {
-		r.Cancels, r.Cancelled = 0, nil
+		r.LatestCancellation, r.Cancellations = 0, nil
 	}
 	p.from.stand()
 	return r, nil
@@ -326,7 +326,7 @@
 	if err != nil {
 		return 0, err
 	}
-	r := ctl.PeerCommit(ctx, t)
+	r := ctl.HandlePeerCommit(ctx, t)
 	p.from.stand()
 	p.from.w.do(func() { p.from.w.seen["relayed "+string(r.Outcome)]++ })
 	return r.Result()
--- a/controller/standin_user_test.go
+++ b/controller/standin_user_test.go
@@ -183,13 +183,13 @@
 func (w *world) nonsense(ctl *Controller) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	r := &wire.Report{Machine: "m-999999", Addr: "nowhere:1", Type: "box", Zone: "a", Session: 1 + w.rng.Uint64N(5), Seq: w.rng.Uint64N(100)}
+	r := &wire.Heartbeat{Machine: "m-999999", Addr: "nowhere:1", Type: "box", Zone: "a", Epoch: 1 + w.rng.Uint64N(5), Seq: w.rng.Uint64N(100)}
 	for _, m := range w.machines { // a real machine, with what it never said
 		if w.rng.IntN(3) > 0 {
 			r.Machine, r.Addr, r.Zone, r.Spot = m.name, m.name, m.zone, m.spot
 			// Backwards: what says that it is newer is a worker's own word, and
 			// nothing protects from a worker that lies.
-			r.Session, r.Seq = m.session, w.rng.Uint64N(m.taken+1)
+			r.Epoch, r.Seq = m.session, w.rng.Uint64N(m.taken+1)
 		}
 		break
 	}
--- a/controller/standin_worker_test.go
+++ b/controller/standin_worker_test.go
@@ -46,15 +46,15 @@
 	since   time.Time // when its image was there
 }
 
-func (m *simWorker) report() *wire.Report {
+func (m *simWorker) report() *wire.Heartbeat {
 	m.seq++
-	r := &wire.Report{Machine: m.name, Addr: m.name, Type: "box", Zone: m.zone, Spot: m.spot, Session: m.session, Seq: m.seq, Token: m.token}
+	r := &wire.Heartbeat{Machine: m.name, Addr: m.name, Type: "box", Zone: m.zone, Spot: m.spot, Epoch: m.session, Seq: m.seq, FencingToken: m.token}
 	if !m.takenBack.IsZero() {
 		left := max(0, time.Until(m.takenBack).Seconds())
 		r.NoticeS = &left
 	}
 	for _, t := range m.held {
-		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.name, Attempt: t.attempt, State: t.state, Cause: t.cause, Saved: t.kept})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.name, Attempt: t.attempt, State: t.state, Cause: t.cause, Checkpointed: t.kept})
 	}
 	return r
 }
@@ -135,15 +135,15 @@
 		w.mu.Lock()
 		switch {
 		case resp != nil && resp.Status == 200 && !w.dropAnswer(m) && !w.apart(m.zone, n):
-			var rep wire.ReportReply
+			var rep wire.HeartbeatReply
 			if err := json.Unmarshal(resp.Body, &rep); err != nil {
 				panic(err)
 			}
-			if rep.Token >= m.token && m.session == r.Session && !m.hung {
-				if rep.Token > m.token {
+			if rep.FencingToken >= m.token && m.session == r.Epoch && !m.hung {
+				if rep.FencingToken > m.token {
 					m.changed = true
 				}
-				m.token = rep.Token
+				m.token = rep.FencingToken
 				m.renewed = now
 				n.answered = now
 				m.taken = r.Seq
@@ -154,7 +154,7 @@
 			if err := json.Unmarshal(resp.Body, &red); err != nil {
 				panic(err)
 			}
-			to := slices.IndexFunc(w.nodes, func(n *simNode) bool { return n.set.Node == red.ReportTo })
+			to := slices.IndexFunc(w.nodes, func(n *simNode) bool { return n.set.Controller == red.Controller })
 			if to >= 0 && to != node {
 				node = to
 				next = time.Now()
@@ -201,7 +201,7 @@
 			t.since = now
 			if j.spec.IsGang() {
 				m.w.started(m, t, j)
-				if t.state = wire.TaskWaiting; j.doneTasks[i] {
+				if t.state = wire.TaskWaitingForGang; j.doneTasks[i] {
 					m.exit(t, wire.CauseDone)
 				}
 				continue
@@ -258,7 +258,7 @@
 			}
 		}
 		// One that is bound to its other tasks may fit nowhere else for a reason.
-		if !fits || here[id] > 0 || !j.accepted || j.asked || len(j.doneTasks) >= s.Tasks || s.Whole() {
+		if !fits || here[id] > 0 || !j.accepted || j.asked || len(j.doneTasks) >= s.Tasks || s.AllOrNothing() {
 			j.idleSince = time.Time{}
 		} else if j.idleSince.IsZero() {
 			j.idleSince = time.Now()
@@ -371,7 +371,7 @@
 			}
 			job, _, _ := wire.SplitTask(c.Task)
 			if t.state != wire.TaskExited && used+m.w.jobs[job].spec.CPUs > 8+1e-6 {
-				t.state, t.cause = wire.TaskExited, wire.CauseNoRoom
+				t.state, t.cause = wire.TaskExited, wire.CauseNoCapacity
 			}
 			if _, sound := m.w.faulty[m.name]; m.w.faulty != nil && !sound && t.state != wire.TaskExited {
 				t.state, t.cause = wire.TaskExited, wire.CauseError
@@ -473,24 +473,24 @@
 	if m == nil || m.gone || m.hung || m.deaf || time.Now().Before(m.boots) {
 		return worker.Result{Err: fmt.Errorf("gone")}
 	}
-	if (req.Token < m.token || req.Session != m.session) && !w.noTokens {
-		return worker.Result{Report: m.report()}
+	if (req.FencingToken < m.token || req.Epoch != m.session) && !w.noTokens {
+		return worker.Result{Heartbeat: m.report()}
 	}
-	if req.Token > m.token {
+	if req.FencingToken > m.token {
 		m.changed = true
 	}
-	m.token = max(m.token, req.Token)
+	m.token = max(m.token, req.FencingToken)
 	m.execute(req.Commands, false)
-	return worker.Result{Executed: true, Report: m.report()}
+	return worker.Result{Executed: true, Heartbeat: m.report()}
 }
 
 // copy lets a copy of a report come to a controller.
-func (w *world) copy(to *Controller, r *wire.Report) {
+func (w *world) copy(to *Controller, r *wire.Heartbeat) {
 	w.do(func() {
 		w.seen["copies"]++
 		if m := w.machines[r.Machine]; m != nil && w.freshCopies {
 			fresh := *r
-			fresh.Session, fresh.Seq, fresh.Token = m.session, m.seq+1, m.token
+			fresh.Epoch, fresh.Seq, fresh.FencingToken = m.session, m.seq+1, m.token
 			r = &fresh
 		}
 	})
--- a/controller/status.go
+++ b/controller/status.go
@@ -12,15 +12,15 @@
 
 // Status is what /status answers: this controller's view, for operators.
 type Status struct {
-	Node        string        `json:"node"`
-	Zone        string        `json:"zone"`
-	StateOK     bool          `json:"state_ok"`
-	AuthorityMS int64         `json:"authority_ms"` // how long it may still act without hearing from the state service
-	Revision    uint64        `json:"revision"`
-	OpenJobs    int           `json:"open_jobs"`
-	Unassigned  int           `json:"unassigned_jobs"` // with tasks that wait for the leader
-	Leader      Role          `json:"leader"`
-	Shards      []ShardStatus `json:"parts"`
+	Controller     string        `json:"node"`
+	Zone           string        `json:"zone"`
+	StoreReachable bool          `json:"state_ok"`
+	AuthorityMS    int64         `json:"authority_ms"` // how long it may still act without hearing from the state service
+	Revision       uint64        `json:"revision"`
+	OpenJobs       int           `json:"open_jobs"`
+	Unassigned     int           `json:"unassigned_jobs"` // with tasks that wait for the leader
+	Leader         Role          `json:"leader"`
+	Shards         []ShardStatus `json:"parts"`
 	// What failure detection sees, where it is on.
 	Members []MemberStatus `json:"members,omitempty"`
 	Dropped *MessageCounts `json:"heartbeats_dropped,omitempty"`
@@ -29,20 +29,20 @@
 
 // MemberStatus is another controller as failure detection sees it.
 type MemberStatus struct {
-	Node       string   `json:"node"`
-	State      string   `json:"state"`
-	Evidence   []string `json:"evidence,omitempty"`
-	Accusers   []string `json:"accusers,omitempty"` // controllers with evidence of their own
-	Refutation uint64   `json:"refutation,omitempty"`
-	SilentMS   int64    `json:"silent_ms"`
-	BoundMS    int64    `json:"bound_ms"` // silence beyond which it is suspected
+	Controller     string   `json:"node"`
+	State          string   `json:"state"`
+	Evidence       []string `json:"evidence,omitempty"`
+	Accusers       []string `json:"accusers,omitempty"` // controllers with evidence of their own
+	Refutation     uint64   `json:"refutation,omitempty"`
+	SilentMS       int64    `json:"silent_ms"`
+	SilenceLimitMS int64    `json:"bound_ms"` // silence beyond which it is suspected
 }
 
 // Role says who holds a term.
 type Role struct {
-	Node  string `json:"node"`
-	Term  uint64 `json:"term"`
-	Alive bool   `json:"alive"`
+	Controller string `json:"node"`
+	Term       uint64 `json:"term"`
+	Alive      bool   `json:"alive"`
 }
 
 // ShardStatus is one shard; the summary is there on its owner alone.
@@ -56,11 +56,11 @@
 func (c *control) role(key string) Role {
 	t, _ := c.member.Term(key)
 	_, alive := c.member.Holder(key)
-	return Role{Node: t.Node, Term: t.Number, Alive: alive}
+	return Role{Controller: t.Controller, Term: t.Number, Alive: alive}
 }
 
 func (c *control) tellStatus(now time.Time, req request) {
-	s := Status{Node: c.set.Node, Zone: c.set.Zone, StateOK: c.stateOK(now), Revision: c.revision, OpenJobs: len(c.jobs), Leader: c.role(records.KeyLeader)}
+	s := Status{Controller: c.set.Controller, Zone: c.set.Zone, StoreReachable: c.stateOK(now), Revision: c.revision, OpenJobs: len(c.jobs), Leader: c.role(records.KeyLeader)}
 	if u := c.until(); now.Before(u) {
 		s.AuthorityMS = u.Sub(now).Milliseconds()
 	}
@@ -69,7 +69,7 @@
 			s.Unassigned++
 		}
 	}
-	for _, name := range c.set.Params.Zones {
+	for _, name := range c.set.Deployment.Zones {
 		p := ShardStatus{Shard: name, Owner: c.role(records.KeyShard(name))}
 		for _, r := range c.inventory {
 			if r.Shard == name {
--- a/controller/term_test.go
+++ b/controller/term_test.go
@@ -35,12 +35,12 @@
 	quietLogs(t)
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, []string{"a", "b"}, 3)
-		out := Outside{State: &simStore{w.nodes[0]}, First: &simStore{w.nodes[0]}, Later: &simStore{w.nodes[0]}, Urgent: &simStore{w.nodes[0]},
+		out := Dependencies{Store: &simStore{w.nodes[0]}, Unthrottled: &simStore{w.nodes[0]}, Background: &simStore{w.nodes[0]}, Urgent: &simStore{w.nodes[0]},
 			Cloud: &simCloud{w.nodes[0]}, Workers: func() Workers { return &simCommands{w.nodes[0]} }, Peers: map[string]Peer{}}
 		control := actor.NewRef()
 		c := newControl(w.nodes[0].set, out, control, actor.NewRef(), nil)
 		a := newShardActor(c, "a", 3, 7, time.Now(), map[string]*records.Page{}, map[string]uint64{})
-		a.core.SetNumbers(0, 0)
+		a.core.LimitTermNumbers(0, 0)
 		for range 5 {
 			time.Sleep(2 * time.Second)
 			a.Receive(t.Context(), wake{})
--- a/detector/detector.go
+++ b/detector/detector.go
@@ -57,31 +57,31 @@
 
 // Change is a change of a controller's state, with what it rests on.
 type Change struct {
-	Node     string
-	Process  uint64
-	From, To State
-	Evidence []Evidence
-	Accusers []string // controllers with evidence of their own, this one included
+	Controller string
+	Process    uint64
+	From, To   State
+	Evidence   []Evidence
+	Accusers   []string // controllers with evidence of their own, this one included
 }
 
 // Proposal is a controller whose lease lives and that was declared failed.
 type Proposal struct {
-	Node     string
-	Process  uint64
-	Evidence []Evidence
-	Accusers []string
+	Controller string
+	Process    uint64
+	Evidence   []Evidence
+	Accusers   []string
 }
 
 // View is the present view of a controller.
 type View struct {
-	Node       string
-	State      State
-	Process    uint64
-	Refutation uint64
-	Evidence   []Evidence
-	Accusers   []string
-	SilentFor  time.Duration
-	Bound      time.Duration // silence beyond which it is probed and suspected
+	Controller   string
+	State        State
+	Process      uint64
+	Refutation   uint64
+	Evidence     []Evidence
+	Accusers     []string
+	SilentFor    time.Duration
+	SilenceLimit time.Duration // silence beyond which it is probed and suspected
 }
 
 // Detector watches the other controllers.
@@ -129,22 +129,22 @@
 // SetStalled names the own actors that make no progress.
 func (d *Detector) SetStalled(actors []string) { d.own.Stalled = actors }
 
-// Beat returns the next message to be sent to all others, or as an answer.
-func (d *Detector) Beat() Message {
+// Heartbeat returns the next message to be sent to all others, or as an answer.
+func (d *Detector) Heartbeat() Message {
 	d.own.Sequence++
 	d.beatNow = false
-	m := Message{Node: d.cfg.Self, Heartbeat: d.own}
+	m := Message{Controller: d.cfg.Self, Heartbeat: d.own}
 	for _, p := range d.peers {
 		if evidence := p.evidence(); len(evidence) > 0 && p.process() != 0 {
-			m.Accusations = append(m.Accusations, Accusation{Node: p.name, Process: p.process(), Refutation: p.latest.Refutation, Evidence: evidence})
+			m.Accusations = append(m.Accusations, Accusation{Controller: p.name, Process: p.process(), Refutation: p.latest.Refutation, Evidence: evidence})
 		}
 	}
 	return m
 }
 
-// BeatDue says whether a heartbeat should be sent before the interval has passed,
+// HeartbeatDue says whether a heartbeat should be sent before the interval has passed,
 // because a suspicion is to be refuted.
-func (d *Detector) BeatDue() bool { return d.beatNow }
+func (d *Detector) HeartbeatDue() bool { return d.beatNow }
 
 // Receive takes in a message that another controller sent, or drops it with an error
 // that says why. Copies and late messages of an earlier process are dropped without
@@ -165,9 +165,9 @@
 
 // receive returns the sender if the message was new.
 func (d *Detector) receive(now time.Time, m Message) (*peer, error) {
-	p := d.peer(m.Node)
+	p := d.peer(m.Controller)
 	if p == nil {
-		return nil, fmt.Errorf("%w: %q", ErrUnknownNode, m.Node)
+		return nil, fmt.Errorf("%w: %q", ErrUnknownNode, m.Controller)
 	}
 	if err := m.check(len(d.cfg.Members)); err != nil {
 		return nil, err
@@ -180,7 +180,7 @@
 	}
 	p.opinion, p.opinionAt = map[string]Accusation{}, now
 	for _, a := range m.Accusations {
-		p.opinion[a.Node] = a
+		p.opinion[a.Controller] = a
 		d.refute(a)
 	}
 	return p, nil
@@ -214,7 +214,7 @@
 
 // refute answers an accusation of this controller's own silence.
 func (d *Detector) refute(a Accusation) {
-	if a.Node != d.cfg.Self || a.Process != d.own.Process || a.Refutation < d.own.Refutation {
+	if a.Controller != d.cfg.Self || a.Process != d.own.Process || a.Refutation < d.own.Refutation {
 		return
 	}
 	if !slices.Contains(a.Evidence, Unreachable) {
@@ -224,8 +224,8 @@
 	d.beatNow = true
 }
 
-// Probed takes in what came of a probe; no heartbeat means that it failed.
-func (d *Detector) Probed(now time.Time, made Probe, answer *Heartbeat) {
+// ProbeResult takes in what came of a probe; no heartbeat means that it failed.
+func (d *Detector) ProbeResult(now time.Time, made Probe, answer *Heartbeat) {
 	p := d.peer(made.Target)
 	if p == nil {
 		return
@@ -436,7 +436,7 @@
 		return
 	}
 	names, _ := d.accusers(now, p)
-	d.changes = append(d.changes, Change{Node: p.name, Process: p.lastProcess(), From: p.state, To: to, Evidence: evidence, Accusers: names})
+	d.changes = append(d.changes, Change{Controller: p.name, Process: p.lastProcess(), From: p.state, To: to, Evidence: evidence, Accusers: names})
 	p.state = to
 	p.suspectAt = time.Time{}
 	if to == Suspect {
@@ -492,7 +492,7 @@
 		if !aboutWork || len(names) < d.quorum() {
 			continue // others took back what they held against it
 		}
-		out = append(out, Proposal{Node: p.name, Process: p.process(), Evidence: p.evidence(), Accusers: names})
+		out = append(out, Proposal{Controller: p.name, Process: p.process(), Evidence: p.evidence(), Accusers: names})
 	}
 	return out
 }
@@ -502,7 +502,7 @@
 	var out []View
 	for _, p := range d.peers {
 		names, _ := d.accusers(now, p)
-		v := View{Node: p.name, State: p.state, Process: p.process(), Refutation: p.latest.Refutation, Evidence: p.evidence(), Accusers: names, Bound: d.bound(p)}
+		v := View{Controller: p.name, State: p.state, Process: p.process(), Refutation: p.latest.Refutation, Evidence: p.evidence(), Accusers: names, SilenceLimit: d.bound(p)}
 		if p.monitored() && !p.heardAt.IsZero() {
 			v.SilentFor = now.Sub(p.heardAt)
 		}
--- a/detector/detector_test.go
+++ b/detector/detector_test.go
@@ -114,14 +114,14 @@
 
 // beat sends a heartbeat to everybody, whose answers are heartbeats as well.
 func (w *network) beat(c *controller) {
-	m := c.detector.Beat()
+	m := c.detector.Heartbeat()
 	for _, to := range w.controllers {
 		if to == c {
 			continue
 		}
 		w.send(c, to, func(time.Time) {
 			_ = to.detector.Receive(w.clock(to), m)
-			answer := to.detector.Beat()
+			answer := to.detector.Heartbeat()
 			w.send(to, c, func(time.Time) { _ = c.detector.ReceiveAnswer(w.clock(c), answer) })
 		})
 	}
@@ -132,17 +132,17 @@
 	answered := false
 	w.queue = append(w.queue, delivery{w.now.Add(testTimeout), func(time.Time) {
 		if !answered && !w.stopped(c) {
-			c.detector.Probed(w.clock(c), p, nil)
+			c.detector.ProbeResult(w.clock(c), p, nil)
 		}
 	}})
 	ask := func(asker *controller, tell func(now time.Time, h Heartbeat)) {
 		target := w.find(p.Target)
 		w.send(asker, target, func(time.Time) {
-			h := target.detector.Beat().Heartbeat
+			h := target.detector.Heartbeat().Heartbeat
 			w.send(target, asker, func(now time.Time) { tell(now, h) })
 		})
 	}
-	done := func(_ time.Time, h Heartbeat) { answered = true; c.detector.Probed(w.clock(c), p, &h) }
+	done := func(_ time.Time, h Heartbeat) { answered = true; c.detector.ProbeResult(w.clock(c), p, &h) }
 	if p.Via == "" {
 		ask(c, done)
 		return
@@ -181,7 +181,7 @@
 				}
 				c.history = append(c.history, c.detector.Changes()...)
 			}
-			if c.detector.BeatDue() || !w.now.Before(c.beatAt) {
+			if c.detector.HeartbeatDue() || !w.now.Before(c.beatAt) {
 				c.beatAt = w.now.Add(testInterval)
 				w.beat(c)
 			}
@@ -191,12 +191,12 @@
 
 // went says whether an observer ever took a controller for this.
 func (c *controller) went(node string, to State) bool {
-	return slices.ContainsFunc(c.history, func(x Change) bool { return x.Node == node && x.To == to })
+	return slices.ContainsFunc(c.history, func(x Change) bool { return x.Controller == node && x.To == to })
 }
 
 func (c *controller) state(now time.Time, node string) State {
 	for _, v := range c.detector.Views(now) {
-		if v.Node == node {
+		if v.Controller == node {
 			return v.State
 		}
 	}
@@ -326,7 +326,7 @@
 func TestBoundAdapts(t *testing.T) {
 	w := newNetwork(3)
 	w.run(20 * time.Second)
-	bound := func() time.Duration { return w.controllers[0].detector.Views(w.now)[0].Bound }
+	bound := func() time.Duration { return w.controllers[0].detector.Views(w.now)[0].SilenceLimit }
 	if usual := bound(); usual < 2500*time.Millisecond || usual >= 3*time.Second {
 		t.Errorf("%s where none is lost", usual)
 	}
@@ -346,7 +346,7 @@
 func TestLonelyObserverDoubtsItself(t *testing.T) {
 	w := newNetwork(5)
 	w.run(5 * time.Second)
-	bound := func() time.Duration { return w.controllers[0].detector.Views(w.now)[0].Bound }
+	bound := func() time.Duration { return w.controllers[0].detector.Views(w.now)[0].SilenceLimit }
 	usual := bound()
 	w.delay = func(from, to string) (time.Duration, bool) {
 		return 5 * time.Millisecond, from != "n-0" && to != "n-0"
@@ -452,7 +452,7 @@
 		for _, c := range w.controllers {
 			for _, v := range c.detector.Views(w.now) {
 				if v.State != Alive || len(v.Accusers) > 0 {
-					t.Errorf("%s still holds against %s: %+v", c.name, v.Node, v)
+					t.Errorf("%s still holds against %s: %+v", c.name, v.Controller, v)
 				}
 			}
 		}
@@ -465,16 +465,16 @@
 	w := newNetwork(3)
 	w.run(3 * time.Second)
 	suspect, accuser, third := w.controllers[0].detector, w.controllers[1].detector, w.controllers[2].detector
-	accusation := Accusation{Node: "n-0", Process: 1, Evidence: []Evidence{Unreachable}}
-	m := accuser.Beat()
+	accusation := Accusation{Controller: "n-0", Process: 1, Evidence: []Evidence{Unreachable}}
+	m := accuser.Heartbeat()
 	m.Accusations = []Accusation{accusation}
-	if err := suspect.Receive(w.now, m); err != nil || !suspect.BeatDue() {
-		t.Fatalf("err %v, refutes at once: %v", err, suspect.BeatDue())
+	if err := suspect.Receive(w.now, m); err != nil || !suspect.HeartbeatDue() {
+		t.Fatalf("err %v, refutes at once: %v", err, suspect.HeartbeatDue())
 	}
-	if err := third.Receive(w.now, suspect.Beat()); err != nil {
+	if err := third.Receive(w.now, suspect.Heartbeat()); err != nil {
 		t.Fatal(err)
 	}
-	m = accuser.Beat()
+	m = accuser.Heartbeat()
 	m.Accusations = []Accusation{accusation}
 	if err := third.Receive(w.now, m); err != nil {
 		t.Fatal(err)
@@ -498,7 +498,7 @@
 	w := newNetwork(3)
 	w.run(3 * time.Second)
 	d := w.controllers[0].detector
-	old := w.controllers[1].detector.Beat()
+	old := w.controllers[1].detector.Heartbeat()
 	for _, copies := range []int{1, 2} {
 		if err := d.Receive(w.now, old); err != nil {
 			t.Fatal(copies, err)
@@ -522,7 +522,7 @@
 	if v := d.Views(w.now)[0]; v.State != Unmonitored || v.Process != 77 {
 		t.Errorf("a late heartbeat of the old process counted: %+v", v)
 	}
-	fresh := Message{Node: "n-1", Heartbeat: Heartbeat{Process: 77, Sequence: 1}}
+	fresh := Message{Controller: "n-1", Heartbeat: Heartbeat{Process: 77, Sequence: 1}}
 	if err := d.Receive(w.now, fresh); err != nil {
 		t.Fatal(err)
 	}
@@ -540,12 +540,12 @@
 func TestProcessHeardBeforeItsLease(t *testing.T) {
 	w := newNetwork(3)
 	d := w.controllers[0].detector
-	if err := d.Receive(w.now, Message{Node: "n-1", Heartbeat: Heartbeat{Process: 9, Sequence: 1}}); err != nil {
+	if err := d.Receive(w.now, Message{Controller: "n-1", Heartbeat: Heartbeat{Process: 9, Sequence: 1}}); err != nil {
 		t.Fatal(err)
 	}
 	d.SetLease(w.now, "n-1", 8)
 	d.SetLease(w.now, "n-1", 9)
-	if err := d.Receive(w.now, Message{Node: "n-1", Heartbeat: Heartbeat{Process: 9, Sequence: 2}}); err != nil {
+	if err := d.Receive(w.now, Message{Controller: "n-1", Heartbeat: Heartbeat{Process: 9, Sequence: 2}}); err != nil {
 		t.Fatal(err)
 	}
 	d.Tick(w.now)
@@ -563,12 +563,12 @@
 		m    Message
 		want error
 	}{
-		"stranger":                {Message{Node: "x", Heartbeat: Heartbeat{Process: 1}}, ErrUnknownNode},
-		"itself":                  {Message{Node: "n-0", Heartbeat: Heartbeat{Process: 1}}, ErrUnknownNode},
-		"more accusations":        {Message{Node: "n-1", Heartbeat: Heartbeat{Process: 1}, Accusations: many}, ErrMalformed},
-		"accusation of nothing":   {Message{Node: "n-1", Heartbeat: Heartbeat{Process: 1}, Accusations: []Accusation{{Node: "n-2", Process: 3}}}, ErrMalformed},
-		"many stalled actors":     {Message{Node: "n-1", Heartbeat: Heartbeat{Process: 1, Stalled: make([]string, 65)}}, ErrMalformed},
-		"an actor's name is long": {Message{Node: "n-1", Heartbeat: Heartbeat{Process: 1, Stalled: []string{string(make([]byte, 129))}}}, ErrMalformed},
+		"stranger":                {Message{Controller: "x", Heartbeat: Heartbeat{Process: 1}}, ErrUnknownNode},
+		"itself":                  {Message{Controller: "n-0", Heartbeat: Heartbeat{Process: 1}}, ErrUnknownNode},
+		"more accusations":        {Message{Controller: "n-1", Heartbeat: Heartbeat{Process: 1}, Accusations: many}, ErrMalformed},
+		"accusation of nothing":   {Message{Controller: "n-1", Heartbeat: Heartbeat{Process: 1}, Accusations: []Accusation{{Controller: "n-2", Process: 3}}}, ErrMalformed},
+		"many stalled actors":     {Message{Controller: "n-1", Heartbeat: Heartbeat{Process: 1, Stalled: make([]string, 65)}}, ErrMalformed},
+		"an actor's name is long": {Message{Controller: "n-1", Heartbeat: Heartbeat{Process: 1, Stalled: []string{string(make([]byte, 129))}}}, ErrMalformed},
 	} {
 		if err := d.Receive(now, c.m); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", name, err)
--- a/detector/message.go
+++ b/detector/message.go
@@ -46,7 +46,7 @@
 
 // Accusation is the sender's own evidence against a controller's process.
 type Accusation struct {
-	Node       string     `json:"node"`
+	Controller string     `json:"node"`
 	Process    uint64     `json:"proc"`
 	Refutation uint64     `json:"ref,omitempty"` // the latest that the accuser knew
 	Evidence   []Evidence `json:"ev"`
@@ -74,7 +74,7 @@
 
 // Message is what controllers exchange: a heartbeat and the sender's accusations.
 type Message struct {
-	Node        string       `json:"node"`
+	Controller  string       `json:"node"`
 	Heartbeat   Heartbeat    `json:"hb"`
 	Accusations []Accusation `json:"acc,omitempty"`
 }
@@ -106,7 +106,7 @@
 	}
 	for _, a := range m.Accusations {
 		if a.Process == 0 || len(a.Evidence) == 0 {
-			return fmt.Errorf("%w: an accusation of %q without process or evidence", ErrMalformed, a.Node)
+			return fmt.Errorf("%w: an accusation of %q without process or evidence", ErrMalformed, a.Controller)
 		}
 	}
 	return nil
--- a/disruption/ledger.go
+++ b/disruption/ledger.go
@@ -25,17 +25,17 @@
 
 // Refusal is why a task may not be stopped now, and by which budget.
 type Refusal struct {
-	Reason Reason
-	Budget Key
-	Down   int    // unavailable now, as far as is known
-	Most   int    // that may be
-	Shard  string // whose owner has not published
+	Reason      Reason
+	Budget      Key
+	Unavailable int    // unavailable now, as far as is known
+	Limit       int    // that may be
+	Shard       string // whose owner has not published
 }
 
 func (r *Refusal) Error() string {
 	switch r.Reason {
 	case Never, Exhausted:
-		return fmt.Sprintf("%s: %s (%d of %d)", r.Budget, r.Reason, r.Down, r.Most)
+		return fmt.Sprintf("%s: %s (%d of %d)", r.Budget, r.Reason, r.Unavailable, r.Limit)
 	case Unpublished:
 		return fmt.Sprintf("%s: %s", r.Shard, r.Reason)
 	}
@@ -44,7 +44,7 @@
 
 // claim is what the owner of another shard has published.
 type claim struct {
-	record  *records.Claim
+	record  *records.DisruptionClaim
 	version uint64
 }
 
@@ -55,9 +55,9 @@
 	Term    uint64   // of the shard's owner
 	Budgets Budgets
 	Stable  time.Duration // a task that has run for so long is up
-	// Hasty lets a test see what the proof of a claim is worth: stops are allowed
+	// SkipClaimProof lets a test see what the proof of a claim is worth: stops are allowed
 	// without one.
-	Hasty bool
+	SkipClaimProof bool
 }
 
 // Ledger is one shard's view of the account, in one term of its owner.
@@ -99,7 +99,7 @@
 }
 
 // ApplyClaim takes in a shard's claim.
-func (l *Ledger) ApplyClaim(r *records.Claim, version uint64) {
+func (l *Ledger) ApplyClaim(r *records.DisruptionClaim, version uint64) {
 	if version <= l.claims[r.Shard].version {
 		return
 	}
@@ -114,9 +114,9 @@
 	}
 }
 
-// ApplyDamage takes in that the claim of a shard cannot be read. Its owner writes
+// ApplyDamagedClaim takes in that the claim of a shard cannot be read. Its owner writes
 // another one once it can know by itself what earlier ones may have granted.
-func (l *Ledger) ApplyDamage(shard string, version uint64) {
+func (l *Ledger) ApplyDamagedClaim(shard string, version uint64) {
 	if version > l.claims[shard].version {
 		l.claims[shard] = claim{nil, version}
 		l.damaged = l.damaged || shard == l.cfg.Shard
@@ -124,9 +124,9 @@
 }
 
 // countsOf reads a claim's numbers.
-func countsOf(r *records.Claim) Counts {
+func countsOf(r *records.DisruptionClaim) Counts {
 	out := Counts{}
-	for name, n := range r.Down {
+	for name, n := range r.Unavailable {
 		if n > 0 {
 			out[ParseKey(name)] = n
 		}
@@ -172,7 +172,7 @@
 	n := l.population.nobodys(now, k)
 	for _, shard := range l.cfg.Shards {
 		if r := l.claims[shard].record; shard != l.cfg.Shard && r != nil {
-			n += max(0, r.Down[k.String()])
+			n += max(0, r.Unavailable[k.String()])
 		}
 	}
 	return n
@@ -209,9 +209,9 @@
 		down := l.own(now, k) + l.elsewhere(now, k)
 		switch {
 		case most < 1:
-			return &Refusal{Reason: Never, Budget: k, Down: down, Most: most}
+			return &Refusal{Reason: Never, Budget: k, Unavailable: down, Limit: most}
 		case down+1 > most:
-			return &Refusal{Reason: Exhausted, Budget: k, Down: down, Most: most}
+			return &Refusal{Reason: Exhausted, Budget: k, Unavailable: down, Limit: most}
 		}
 	}
 	return nil
@@ -236,7 +236,7 @@
 		return refused
 	}
 	for _, k := range keys {
-		if !l.cfg.Hasty && l.own(now, k)+1 > l.granted[k] {
+		if !l.cfg.SkipClaimProof && l.own(now, k)+1 > l.granted[k] {
 			l.want(now, keys)
 			return &Refusal{Reason: Writing, Budget: k}
 		}
@@ -269,12 +269,12 @@
 	if mine.record != nil && mine.record.Term == l.cfg.Term && maps.Equal(next, l.written) && len(compared) == 0 {
 		return nil, nil
 	}
-	key := records.KeyClaim(l.cfg.Shard)
+	key := records.KeyDisruptionClaim(l.cfg.Shard)
 	conditions := []wire.Condition{{Key: key, Version: mine.version}}
 	if len(compared) > 0 {
 		for _, shard := range l.cfg.Shards {
 			if shard != l.cfg.Shard {
-				conditions = append(conditions, wire.Condition{Key: records.KeyClaim(shard), Version: l.claims[shard].version})
+				conditions = append(conditions, wire.Condition{Key: records.KeyDisruptionClaim(shard), Version: l.claims[shard].version})
 			}
 		}
 	}
@@ -288,10 +288,10 @@
 }
 
 // record is this term's claim of so much.
-func (l *Ledger) record(down Counts) *records.Claim {
-	r := &records.Claim{Shard: l.cfg.Shard, Term: l.cfg.Term, Down: map[string]int{}}
+func (l *Ledger) record(down Counts) *records.DisruptionClaim {
+	r := &records.DisruptionClaim{Shard: l.cfg.Shard, Term: l.cfg.Term, Unavailable: map[string]int{}}
 	for k, n := range down {
-		r.Down[k.String()] = n
+		r.Unavailable[k.String()] = n
 	}
 	return r
 }
@@ -341,11 +341,11 @@
 
 // Usage is how much of a budget is used.
 type Usage struct {
-	Budget string `json:"budget"`
-	Down   int    `json:"down"` // unavailable in all shards, as far as is known here
-	Here   int    `json:"here"` // in this shard
-	Most   int    `json:"most"`
-	Tasks  int    `json:"tasks"` // that should be up
+	Budget             string `json:"budget"`
+	Unavailable        int    `json:"down"` // unavailable in all shards, as far as is known here
+	UnavailableInShard int    `json:"here"` // in this shard
+	Limit              int    `json:"most"`
+	Tasks              int    `json:"tasks"` // that should be up
 }
 
 // Usage lists the budgets that tasks count against now.
--- a/disruption/ledger_test.go
+++ b/disruption/ledger_test.go
@@ -65,7 +65,7 @@
 
 	log      []records.Change
 	versions map[string]uint64
-	claims   map[string]*records.Claim
+	claims   map[string]*records.DisruptionClaim
 	stops    []modelStop
 	late     []*modelWrite
 
@@ -79,7 +79,7 @@
 
 func newModel(pick source) *model {
 	m := &model{pick: pick, now: time.Unix(1000, 0), stable: 10 * time.Second, most: Amount{Tasks: 1 + pick(3)}, shards: []string{"a", "b", "c"},
-		owners: map[string]*modelOwner{}, versions: map[string]uint64{}, claims: map[string]*records.Claim{}, refusals: map[Reason]int{}}
+		owners: map[string]*modelOwner{}, versions: map[string]uint64{}, claims: map[string]*records.DisruptionClaim{}, refusals: map[Reason]int{}}
 	if pick(3) == 0 {
 		m.most = Amount{Percent: 25, IsShare: true}
 	}
@@ -119,7 +119,7 @@
 	var budgets Budgets
 	budgets.SetOthers(m.most)
 	o := &modelOwner{shard: shard, term: term, views: map[int]string{}, stopping: map[int]bool{},
-		ledger: NewLedger(Config{Shard: shard, Shards: m.shards, Term: term, Budgets: budgets, Stable: m.stable, Hasty: m.hasty})}
+		ledger: NewLedger(Config{Shard: shard, Shards: m.shards, Term: term, Budgets: budgets, Stable: m.stable, SkipClaimProof: m.hasty})}
 	m.owners[shard] = o
 	m.deliver(o, len(m.log))
 }
@@ -135,7 +135,7 @@
 			for _, a := range r.Assignments {
 				o.views[a.From] = a.Shard
 			}
-		case *records.Claim:
+		case *records.DisruptionClaim:
 			o.ledger.ApplyClaim(r, ch.Version)
 		case *records.Term:
 			o.ledger.ApplyTerm(r)
@@ -236,11 +236,11 @@
 	if err != nil {
 		panic(err)
 	}
-	claim := v.(*records.Claim)
+	claim := v.(*records.DisruptionClaim)
 	was := m.claims[w.shard]
 	m.claims[w.shard] = claim
 	version := m.store(w.changes[0].Put, claim)
-	if len(w.ifs) > 1 && (was == nil || claim.Down[modelTeam] > was.Down[modelTeam]) {
+	if len(w.ifs) > 1 && (was == nil || claim.Unavailable[modelTeam] > was.Unavailable[modelTeam]) {
 		m.judgeClaims()
 	}
 	return version
@@ -251,7 +251,7 @@
 func (m *model) judgeClaims() {
 	n := 0
 	for _, c := range m.claims {
-		n += c.Down[modelTeam]
+		n += c.Unavailable[modelTeam]
 	}
 	if most := m.most.Of(len(m.tasks)); n > most && m.broken == "" {
 		m.broken = fmt.Sprintf("a raise makes all claims %d, of %d that may be", n, most)
--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -16,7 +16,7 @@
 // wrong.
 func TestSelections(t *testing.T) {
 	spot := true
-	known := Known{Zones: []string{"a", "b"}, Types: []string{"box", "tub"}, Machines: []Machine{{"m-1", "a", "box", false}, {"m-2", "a", "tub", true}, {"m-3", "b", "box", true}}}
+	known := Inventory{Zones: []string{"a", "b"}, Types: []string{"box", "tub"}, Machines: []Machine{{"m-1", "a", "box", false}, {"m-2", "a", "tub", true}, {"m-3", "b", "box", true}}}
 	known.Running = []*records.Drain{{Number: 4, Selection: records.Selection{Zones: []string{"b"}}}}
 	for _, c := range []struct {
 		selection records.Selection
@@ -50,7 +50,7 @@
 func TestStepsComeToAnEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := []string{"a", "b", "c"}
-		policy := Policy{Parallel: float64(rapid.IntRange(0, 100).Draw(t, "parallel")), FailuresMost: rapid.IntRange(1, 4).Draw(t, "failures")}
+		policy := Policy{Parallel: float64(rapid.IntRange(0, 100).Draw(t, "parallel")), MaxFailures: rapid.IntRange(1, 4).Draw(t, "failures")}
 		record, version := &records.Drain{Number: 1, State: records.DrainRunning}, uint64(1)
 		steps, left, cordoned := map[string]*Steps{}, map[string][]string{}, map[string][]string{}
 		for _, z := range zones {
@@ -104,7 +104,7 @@
 		}
 		switch record.State {
 		case records.DrainStopped:
-			if failures < policy.FailuresMost || record.Why == "" {
+			if failures < policy.MaxFailures || record.StopReason == "" {
 				t.Fatalf("stopped after %d failures: %+v", failures, record)
 			}
 		case records.DrainFinished:
@@ -112,7 +112,7 @@
 				t.Fatalf("finished, and %d machines are left", n)
 			}
 		default:
-			if n := len(left["a"]) + len(left["b"]) + len(left["c"]); n == 0 && len(record.Done) == len(zones) {
+			if n := len(left["a"]) + len(left["b"]) + len(left["c"]); n == 0 && len(record.DrainedShards) == len(zones) {
 				t.Fatalf("all are gone, and it goes on: %+v", record)
 			}
 		}
@@ -121,9 +121,9 @@
 
 // The plan's least time is that of the budget that binds, over all shards.
 func TestPlansAreMerged(t *testing.T) {
-	usage := []disruption.Usage{{Budget: "x", Most: 2}, {Budget: "y", Most: 10}}
+	usage := []disruption.Usage{{Budget: "x", Limit: 2}, {Budget: "y", Limit: 10}}
 	p := Merge([]ShardPlan{{Shard: "b", Moves: map[string]int{"x": 3, "y": 9}, Usage: usage, Steps: 4}, {Shard: "a", Moves: map[string]int{"x": 2, "": 50}, Usage: usage, Steps: 2}}, []string{"c"}, 10*time.Second)
-	if p.Binding != "x" || p.LeastS != 30 || p.Steps != 5 || p.Shards[0].Shard != "a" || p.Permanent() != nil {
+	if p.Binding != "x" || p.MinimumS != 30 || p.Steps != 5 || p.Shards[0].Shard != "a" || p.Permanent() != nil {
 		t.Errorf("%+v", p)
 	}
 	p.Shards[1].Obstacles = []Obstacle{{Job: "run-1"}, {Job: "run-2", Permanent: true}}
--- a/drain/plan.go
+++ b/drain/plan.go
@@ -26,7 +26,7 @@
 type Obstacle struct {
 	Job     string `json:"job"`
 	Machine string `json:"machine"`
-	Why     string `json:"why"`
+	Reason  string `json:"why"`
 	// Permanent: it does not end by itself, so the drain would wait for ever.
 	Permanent bool `json:"permanent"`
 }
@@ -35,10 +35,10 @@
 type Plan struct {
 	Shards []ShardPlan `json:"shards"`
 	Steps  int         `json:"steps"`
-	// Binding is the budget that takes longest, and LeastS the least possible time
+	// Binding is the budget that takes longest, and MinimumS the least possible time
 	// under it (s): each move takes a part of the budget for the stable time at least.
-	Binding string  `json:"binding,omitempty"`
-	LeastS  float64 `json:"least_s"`
+	Binding  string  `json:"binding,omitempty"`
+	MinimumS float64 `json:"least_s"`
 	// Missing are shards whose owner could not be asked.
 	Missing []string `json:"missing,omitempty"`
 }
@@ -67,16 +67,16 @@
 			moves[budget] += n
 		}
 		for _, u := range s.Usage {
-			most[u.Budget] = u.Most
+			most[u.Budget] = u.Limit
 		}
 	}
 	for budget, n := range moves {
 		if budget == "" || most[budget] < 1 {
 			continue
 		}
-		least := LeastTime(n, most[budget], stable).Seconds()
-		if least > p.LeastS || least == p.LeastS && budget < p.Binding {
-			p.Binding, p.LeastS = budget, least
+		least := MinimumTime(n, most[budget], stable).Seconds()
+		if least > p.MinimumS || least == p.MinimumS && budget < p.Binding {
+			p.Binding, p.MinimumS = budget, least
 		}
 	}
 	if p.Steps > 0 {
@@ -85,8 +85,8 @@
 	return p
 }
 
-// LeastTime bounds from below how long so many moves take under a budget: each uses one
+// MinimumTime bounds from below how long so many moves take under a budget: each uses one
 // of its tasks for the stable time at least.
-func LeastTime(moves, budget int, stable time.Duration) time.Duration {
+func MinimumTime(moves, budget int, stable time.Duration) time.Duration {
 	return time.Duration(math.Ceil(float64(moves)/float64(budget))) * stable
 }
--- a/drain/selection.go
+++ b/drain/selection.go
@@ -33,8 +33,8 @@
 		(s.Spot == nil || *s.Spot == m.Spot) && (s.Last == "" || m.Name <= s.Last)
 }
 
-// Known is what a selection is checked against.
-type Known struct {
+// Inventory is what a selection is checked against.
+type Inventory struct {
 	Zones    []string
 	Types    []string  // that the cloud has
 	Machines []Machine // in the inventory
@@ -42,7 +42,7 @@
 }
 
 // Selected lists the machines that a selection takes in.
-func (k *Known) Selected(s *records.Selection) []Machine {
+func (k *Inventory) Selected(s *records.Selection) []Machine {
 	var out []Machine
 	for _, m := range k.Machines {
 		if Matches(s, m) {
@@ -53,7 +53,7 @@
 }
 
 // Check returns the first thing that is wrong with a selection, nil if it can be drained.
-func (k *Known) Check(s *records.Selection) *FieldError {
+func (k *Inventory) Check(s *records.Selection) *FieldError {
 	for _, z := range s.Zones {
 		if !slices.Contains(k.Zones, z) {
 			return &FieldError{"zone", fmt.Sprintf("there is no zone %q", z)}
--- a/drain/steps.go
+++ b/drain/steps.go
@@ -18,7 +18,7 @@
 	Stable        time.Duration // a task that has run for so long is up
 	ArrayWait     time.Duration // how long tasks of arrays and gangs get to end by themselves
 	ReplaceWithin time.Duration // within which a moved task must be up elsewhere
-	FailuresMost  int           // failures in a row that stop the drain
+	MaxFailures   int           // failures in a row that stop the drain
 	// Window is when machines may be cordoned; nil: at any time. What was begun is
 	// finished whenever it is.
 	Window *window.Schedule
@@ -99,7 +99,7 @@
 }
 
 func (s *Steps) done(shard string) bool {
-	return slices.Contains(s.record.Done, shard) || !slices.Contains(s.zones, shard)
+	return slices.Contains(s.record.DrainedShards, shard) || !slices.Contains(s.zones, shard)
 }
 
 // Open says whether a maintenance window is open, and if not when the next one opens.
@@ -168,13 +168,13 @@
 	}
 	next := s.record.Clone()
 	switch {
-	case s.failures >= s.policy.FailuresMost:
+	case s.failures >= s.policy.MaxFailures:
 		next.State = records.DrainStopped
-		next.Why = fmt.Sprintf("%d replacements in a row failed in %s, the last: %s", s.failures, s.shard, s.cause)
+		next.StopReason = fmt.Sprintf("%d replacements in a row failed in %s, the last: %s", s.failures, s.shard, s.cause)
 	case s.left == 0 && !s.done(s.shard) && settled:
-		next.Done = append(next.Done, s.shard)
+		next.DrainedShards = append(next.DrainedShards, s.shard)
 		next.Proven = next.Proven || s.replaced > 0
-		if !slices.ContainsFunc(s.zones, func(z string) bool { return !slices.Contains(next.Done, z) }) {
+		if !slices.ContainsFunc(s.zones, func(z string) bool { return !slices.Contains(next.DrainedShards, z) }) {
 			next.State = records.DrainFinished
 		}
 	case !s.record.Proven && s.replaced > 0 && settled:
@@ -203,11 +203,11 @@
 
 // Progress is a drain's progress in a shard, for operators.
 type Progress struct {
-	Drain    int      `json:"drain"`
-	Shard    string   `json:"shard"`
-	Left     int      `json:"left"` // machines
-	Cordoned []string `json:"cordoned,omitempty"`
-	Moving   int      `json:"moving"` // tasks that were stopped and are not up again
-	Waits    string   `json:"waits,omitempty"`
-	Failures int      `json:"failures,omitempty"`
+	Drain      int      `json:"drain"`
+	Shard      string   `json:"shard"`
+	Remaining  int      `json:"left"` // machines
+	Cordoned   []string `json:"cordoned,omitempty"`
+	Moving     int      `json:"moving"` // tasks that were stopped and are not up again
+	WaitingFor string   `json:"waits,omitempty"`
+	Failures   int      `json:"failures,omitempty"`
 }
--- a/failover/takeover.go
+++ b/failover/takeover.go
@@ -24,9 +24,9 @@
 	Zones       []string     // one shard each
 	// Shards counts the shards that a controller owns. Nil: not considered.
 	Shards func(controller string) int
-	// Last says that a controller should be asked only if no other one is there.
+	// LastChoice says that a controller should be asked only if no other one is there.
 	// Nil: none.
-	Last func(controller string) bool
+	LastChoice func(controller string) bool
 }
 
 // Order lists the controllers by their fitness to hold a term: a shard's own zone
@@ -40,8 +40,8 @@
 	} else {
 		out = f.shardOrder(t.Zone)
 	}
-	if f.Last != nil {
-		slices.SortStableFunc(out, func(a, b Controller) int { return rank(f.Last(a.Name)) - rank(f.Last(b.Name)) })
+	if f.LastChoice != nil {
+		slices.SortStableFunc(out, func(a, b Controller) int { return rank(f.LastChoice(a.Name)) - rank(f.LastChoice(b.Name)) })
 	}
 	return out
 }
@@ -130,5 +130,5 @@
 	return p.Gap == 0 || p.last.IsZero() || now.Sub(p.last) >= p.Gap
 }
 
-// Took notes that one was.
-func (p *Pace) Took(now time.Time) { p.last = now }
+// Record notes that one was.
+func (p *Pace) Record(now time.Time) { p.last = now }
--- a/failover/takeover_test.go
+++ b/failover/takeover_test.go
@@ -25,7 +25,7 @@
 			last[c.Name] = rapid.IntRange(0, 4).Draw(t, "last") == 0
 		}
 		f.Shards = func(name string) int { return shards[name] }
-		f.Last = func(name string) bool { return last[name] }
+		f.LastChoice = func(name string) bool { return last[name] }
 		for _, term := range []Term{{Leader: true}, {Zone: zones[0]}, {Zone: zones[len(zones)-1]}} {
 			order := f.Order(term)
 			if again := f.Order(term); !slices.Equal(order, again) {
@@ -57,12 +57,12 @@
 	if !p.Ready(now) {
 		t.Error("the first must wait")
 	}
-	p.Took(now)
+	p.Record(now)
 	if p.Ready(now.Add(999*time.Millisecond)) || !p.Ready(now.Add(time.Second)) {
 		t.Error("the gap is not kept")
 	}
 	free := Pace{}
-	free.Took(now)
+	free.Record(now)
 	if !free.Ready(now) {
 		t.Error("without a gap it must wait")
 	}
--- a/internal/loopback/cloud_test.go
+++ b/internal/loopback/cloud_test.go
@@ -49,7 +49,7 @@
 		t := machineType
 		t.Zones = c.zones
 		answer(r, 200, wire.MachineTypes{Types: []wire.MachineType{t}})
-	case wire.PathReturn:
+	case wire.PathScaleIn:
 		var names wire.MachineNames
 		if err := json.Unmarshal(r.Body, &names); err != nil {
 			answer(r, 400, wire.Problem{Error: err.Error()})
@@ -63,7 +63,7 @@
 			c.list(r, query)
 			return
 		}
-		var req wire.RentRequest
+		var req wire.ScaleOutRequest
 		if err := json.Unmarshal(r.Body, &req); err != nil {
 			answer(r, 400, wire.Problem{Error: err.Error()})
 			return
@@ -74,10 +74,10 @@
 	}
 }
 
-func (c *cloud) rent(r *server.Request, req wire.RentRequest) {
+func (c *cloud) rent(r *server.Request, req wire.ScaleOutRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	names, known := c.requests[req.Request]
+	names, known := c.requests[req.RequestID]
 	if !known {
 		n := min(req.Count, c.left[req.Zone])
 		c.left[req.Zone] -= n
@@ -89,12 +89,12 @@
 		answer(r, 503, wire.Problem{Error: "no capacity"})
 		return
 	}
-	c.requests[req.Request] = names
+	c.requests[req.RequestID] = names
 	answer(r, 200, wire.MachineNames{Machines: names})
 }
 
 // add rents one machine. The caller holds the lock.
-func (c *cloud) add(req wire.RentRequest) string {
+func (c *cloud) add(req wire.ScaleOutRequest) string {
 	n := len(c.names) + 1
 	m := newMachine(fmt.Sprintf("m-%06d", n), machineAddress(n), req.Zone, req.Spot)
 	m.lease, m.record = c.lease, c.record
@@ -156,7 +156,7 @@
 			continue
 		}
 		if len(page.Machines) == limit {
-			page.More = true
+			page.HasMore = true
 			break
 		}
 		shows := wire.MachineRunning
--- a/internal/loopback/drain_points_test.go
+++ b/internal/loopback/drain_points_test.go
@@ -220,9 +220,9 @@
 
 // claimedIn is a zone whose owner claims something of a budget; empty if none does.
 func (s *store) claimedIn() string {
-	for _, record := range s.records(records.KeyClaim("")) {
-		c := record.(*records.Claim)
-		for _, n := range c.Down {
+	for _, record := range s.records(records.KeyDisruptionClaim("")) {
+		c := record.(*records.DisruptionClaim)
+		for _, n := range c.Unavailable {
 			if n > 0 {
 				return c.Shard
 			}
--- a/internal/loopback/machine_test.go
+++ b/internal/loopback/machine_test.go
@@ -151,9 +151,9 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	status := 409
-	if req.Token >= m.token && req.Session == m.session && !m.ended.Load() {
+	if req.FencingToken >= m.token && req.Epoch == m.session && !m.ended.Load() {
 		status = 200
-		m.obey(f, req.Token, req.Commands, time.Now())
+		m.obey(f, req.FencingToken, req.Commands, time.Now())
 	}
 	return &httpwire.Response{Status: status, Body: m.report()}
 }
@@ -173,7 +173,7 @@
 func (m *machine) report() []byte {
 	m.advance()
 	m.seq++
-	r := wire.Report{Machine: m.name, Addr: m.addr, Type: machineType.Name, Zone: m.zone, Spot: m.spot, Session: m.session, Seq: m.seq, Token: m.token, Tasks: []wire.TaskStatus{}}
+	r := wire.Heartbeat{Machine: m.name, Addr: m.addr, Type: machineType.Name, Zone: m.zone, Spot: m.spot, Epoch: m.session, Seq: m.seq, FencingToken: m.token, Tasks: []wire.TaskStatus{}}
 	if !m.takenBack.IsZero() {
 		left := max(0, time.Until(m.takenBack).Seconds())
 		r.NoticeS = &left
@@ -304,29 +304,29 @@
 	m.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), answerTimeout)
 	defer cancel()
-	msg, err := f.client(m, node).Do(ctx, "POST", wire.PathReport, body)
+	msg, err := f.client(m, node).Do(ctx, "POST", wire.PathHeartbeat, body)
 	f.reports.Add(1)
 	switch {
 	case err == nil && msg.Status == 200:
-		var reply wire.ReportReply
+		var reply wire.HeartbeatReply
 		if err := json.Unmarshal(msg.Body, &reply); err != nil {
 			panic(fmt.Sprintf("unreadable answer to a report: %v", err))
 		}
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		if reply.Token < m.token || session != m.session || m.ended.Load() {
+		if reply.FencingToken < m.token || session != m.session || m.ended.Load() {
 			return node, false
 		}
-		if reply.Token > m.token {
+		if reply.FencingToken > m.token {
 			m.notice()
 		}
 		m.renewed = sent
-		m.obey(f, reply.Token, reply.Commands, sent)
+		m.obey(f, reply.FencingToken, reply.Commands, sent)
 		return node, false
 	case err == nil && msg.Status == 421:
 		var redirect wire.Redirect
 		if err := json.Unmarshal(msg.Body, &redirect); err == nil {
-			if to := f.index(redirect.ReportTo); to >= 0 && to != node {
+			if to := f.index(redirect.Controller); to >= 0 && to != node {
 				return to, true
 			}
 		}
--- a/internal/loopback/store_test.go
+++ b/internal/loopback/store_test.go
@@ -81,20 +81,20 @@
 	came := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, c := range txn.If {
+	for _, c := range txn.Conditions {
 		if s.keys[c.Key].version != c.Version {
 			answer(r, 409, wire.TxnReply{Failed: []string{c.Key}, Revision: s.revision})
 			return
 		}
 	}
-	for _, ch := range txn.Then {
+	for _, ch := range txn.Changes {
 		if ch.Lease != 0 && s.leases[ch.Lease] == nil {
 			answer(r, 400, wire.Problem{Error: "no such lease"})
 			return
 		}
 	}
-	s.apply(txn.Then)
-	for _, ch := range txn.Then {
+	s.apply(txn.Changes)
+	for _, ch := range txn.Changes {
 		s.noteClaim(ch, came)
 	}
 	answer(r, 200, wire.TxnReply{Revision: s.revision})
@@ -155,7 +155,7 @@
 		panic(err) // the controllers' own record
 	}
 	t := record.(*records.Term)
-	return t.Node, t.Number
+	return t.Controller, t.Number
 }
 
 // apply carries out changes under one revision. The caller holds the lock.
@@ -200,7 +200,7 @@
 	}
 	slices.SortFunc(page.Items, func(a, b wire.KeyValue) int { return strings.Compare(a.Key, b.Key) })
 	if len(page.Items) > limit {
-		page.Items, page.More = page.Items[:limit], true
+		page.Items, page.HasMore = page.Items[:limit], true
 	}
 	answer(r, 200, page)
 }
--- a/kvstore/client.go
+++ b/kvstore/client.go
@@ -21,23 +21,23 @@
 var (
 	// ErrRefused: the call was surely not carried out.
 	ErrRefused = errors.New("kvstore: refused")
-	// ErrLimited: refused for the allowance alone; it comes with ErrRefused.
-	ErrLimited = errors.New("kvstore: over the allowance")
-	// ErrUnknown: the call may have been, or may yet be, carried out.
-	ErrUnknown = errors.New("kvstore: no answer")
-	// ErrNoLease: the lease has ended.
-	ErrNoLease = errors.New("kvstore: no such lease")
-	// ErrInvalid: the service found fault with the call itself, most likely its
+	// ErrRateLimited: refused for the allowance alone; it comes with ErrRefused.
+	ErrRateLimited = errors.New("kvstore: over the allowance")
+	// ErrOutcomeUnknown: the call may have been, or may yet be, carried out.
+	ErrOutcomeUnknown = errors.New("kvstore: no answer")
+	// ErrLeaseExpired: the lease has ended.
+	ErrLeaseExpired = errors.New("kvstore: no such lease")
+	// ErrInvalidRequest: the service found fault with the call itself, most likely its
 	// size, and will every time.
-	ErrInvalid = errors.New("kvstore: not acceptable")
+	ErrInvalidRequest = errors.New("kvstore: not acceptable")
 	// ErrCompacted: a watch asked for changes that are no longer kept.
 	ErrCompacted = errors.New("kvstore: changes no longer kept")
 )
 
-// Conflict says that a transaction's conditions did not hold.
-type Conflict struct{ Failed []string }
+// ConflictError says that a transaction's conditions did not hold.
+type ConflictError struct{ Keys []string }
 
-func (c *Conflict) Error() string { return fmt.Sprintf("kvstore: conditions failed: %v", c.Failed) }
+func (c *ConflictError) Error() string { return fmt.Sprintf("kvstore: conditions failed: %v", c.Keys) }
 
 // Client calls the state service within this controller's share of the
 // allowance.
@@ -52,9 +52,9 @@
 	urgent  bool          // and this one's wait for their turn alone
 }
 
-// Later returns the same client for writes that can wait: they leave part of
+// Background returns the same client for writes that can wait: they leave part of
 // the allowance to those of users, leases and claims.
-func (c *Client) Later() *Client {
+func (c *Client) Background() *Client {
 	l := *c
 	l.later = true
 	return &l
@@ -68,9 +68,9 @@
 	return &u
 }
 
-// First returns the same client for the few writes that come before all
+// Unthrottled returns the same client for the few writes that come before all
 // others, leases and claims: they do not wait for the own allowance.
-func (c *Client) First() *Client {
+func (c *Client) Unthrottled() *Client {
 	f := *c
 	f.first = true
 	return &f
@@ -93,7 +93,7 @@
 	d := r.Delay()
 	if d > constants.AllowanceWait && !c.later && !c.urgent {
 		r.Cancel()
-		return ErrLimited
+		return ErrRateLimited
 	}
 	if d > 0 {
 		pause(ctx, d)
@@ -127,7 +127,7 @@
 	m, err := c.calls.Do(ctx, method, path, data)
 	switch {
 	case err == nil && m.Status == 429:
-		return nil, fmt.Errorf("%w: %w: status 429", ErrRefused, ErrLimited)
+		return nil, fmt.Errorf("%w: %w: status 429", ErrRefused, ErrRateLimited)
 	case err == nil && m.Status == 503:
 		return nil, fmt.Errorf("%w: status %d", ErrRefused, m.Status)
 	case err == nil:
@@ -135,22 +135,22 @@
 	case httpwire.Unsent(err):
 		return nil, fmt.Errorf("%w: %w", ErrRefused, err)
 	}
-	return nil, fmt.Errorf("%w: %w", ErrUnknown, err)
+	return nil, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 }
 
-// Commit carries out a transaction. After ErrUnknown the caller must read
+// Commit carries out a transaction. After ErrOutcomeUnknown the caller must read
 // what came of it before it concludes anything.
 func (c *Client) Commit(ctx context.Context, t wire.Txn) (uint64, error) {
-	if n := len(t.Then); n > 0 {
+	if n := len(t.Changes); n > 0 {
 		if err := c.allow(ctx, n); err != nil {
 			return 0, fmt.Errorf("%w: own allowance: %w", ErrRefused, err)
 		}
 	}
-	if t.If == nil {
-		t.If = []wire.Condition{}
+	if t.Conditions == nil {
+		t.Conditions = []wire.Condition{}
 	}
-	if t.Then == nil {
-		t.Then = []wire.Change{}
+	if t.Changes == nil {
+		t.Changes = []wire.Change{}
 	}
 	m, err := c.do(ctx, "POST", wire.PathTxn, t)
 	if err != nil {
@@ -158,21 +158,21 @@
 	}
 	var r wire.TxnReply
 	if err := wire.Decode(m.Body, &r); err != nil && m.Status != 400 {
-		return 0, fmt.Errorf("%w: unreadable answer: %w", ErrUnknown, err)
+		return 0, fmt.Errorf("%w: unreadable answer: %w", ErrOutcomeUnknown, err)
 	}
 	switch m.Status {
 	case 200:
 		return r.Revision, nil
 	case 409:
-		return 0, &Conflict{r.Failed}
+		return 0, &ConflictError{r.Failed}
 	case 400:
 		var p wire.Problem
 		if wire.Decode(m.Body, &p) == nil && p.Error == "no such lease" {
-			return 0, ErrNoLease
+			return 0, ErrLeaseExpired
 		}
-		return 0, fmt.Errorf("%w: status 400: %.200s", ErrInvalid, m.Body)
+		return 0, fmt.Errorf("%w: status 400: %.200s", ErrInvalidRequest, m.Body)
 	}
-	return 0, fmt.Errorf("%w: status %d", ErrUnknown, m.Status)
+	return 0, fmt.Errorf("%w: status %d", ErrOutcomeUnknown, m.Status)
 }
 
 // Retry repeats call while it is refused, with backoff and jitter, until ctx
@@ -195,12 +195,12 @@
 	}
 }
 
-// RetryLimited repeats call while it is refused for rate alone, for at most limit.
-func RetryLimited(ctx context.Context, limit, least, spread time.Duration, call func() error) error {
+// RetryRateLimited repeats call while it is refused for rate alone, for at most limit.
+func RetryRateLimited(ctx context.Context, limit, least, spread time.Duration, call func() error) error {
 	began := time.Now()
 	for {
 		err := call()
-		if !errors.Is(err, ErrLimited) || time.Since(began) > limit || ctx.Err() != nil {
+		if !errors.Is(err, ErrRateLimited) || time.Since(began) > limit || ctx.Err() != nil {
 			return err
 		}
 		pause(ctx, least+rand.N(spread))
@@ -216,13 +216,13 @@
 	switch m.Status {
 	case 200:
 		if err := wire.Decode(m.Body, &kv); err != nil {
-			return kv, false, fmt.Errorf("%w: unreadable answer: %w", ErrUnknown, err)
+			return kv, false, fmt.Errorf("%w: unreadable answer: %w", ErrOutcomeUnknown, err)
 		}
 		return kv, true, nil
 	case 404:
 		return kv, false, nil
 	}
-	return kv, false, fmt.Errorf("%w: status %d", ErrUnknown, m.Status)
+	return kv, false, fmt.Errorf("%w: status %d", ErrOutcomeUnknown, m.Status)
 }
 
 // Revision reads the current revision.
@@ -233,7 +233,7 @@
 	}
 	var r wire.TxnReply
 	if err := wire.Decode(m.Body, &r); err != nil || m.Status != 404 {
-		return 0, fmt.Errorf("%w: status %d for the revision", ErrUnknown, m.Status)
+		return 0, fmt.Errorf("%w: status %d for the revision", ErrOutcomeUnknown, m.Status)
 	}
 	return r.Revision, nil
 }
@@ -252,13 +252,13 @@
 		}
 		var page wire.KeyList
 		if err := wire.Decode(m.Body, &page); err != nil || m.Status != 200 {
-			return nil, 0, fmt.Errorf("%w: listing: status %d: %v", ErrUnknown, m.Status, err)
+			return nil, 0, fmt.Errorf("%w: listing: status %d: %v", ErrOutcomeUnknown, m.Status, err)
 		}
 		if after == "" {
 			revision = page.Revision
 		}
 		items = append(items, page.Items...)
-		if !page.More || len(page.Items) == 0 {
+		if !page.HasMore || len(page.Items) == 0 {
 			return items, revision, nil
 		}
 		after = page.Items[len(page.Items)-1].Key
@@ -286,7 +286,7 @@
 	case 410:
 		return nil, ErrCompacted
 	case 429:
-		return nil, fmt.Errorf("%w: %w: watch: status 429", ErrRefused, ErrLimited)
+		return nil, fmt.Errorf("%w: %w: watch: status 429", ErrRefused, ErrRateLimited)
 	}
 	return nil, fmt.Errorf("%w: watch: status %d", ErrRefused, m.Status)
 }
@@ -299,7 +299,7 @@
 	}
 	var r wire.LeaseReply
 	if err := wire.Decode(m.Body, &r); err != nil || m.Status != 200 || r.Lease == 0 {
-		return 0, fmt.Errorf("%w: lease: status %d", ErrUnknown, m.Status)
+		return 0, fmt.Errorf("%w: lease: status %d", ErrOutcomeUnknown, m.Status)
 	}
 	return r.Lease, nil
 }
@@ -314,7 +314,7 @@
 	case 200:
 		return nil
 	case 404:
-		return ErrNoLease
+		return ErrLeaseExpired
 	}
-	return fmt.Errorf("%w: renewal: status %d", ErrUnknown, m.Status)
+	return fmt.Errorf("%w: renewal: status %d", ErrOutcomeUnknown, m.Status)
 }
--- a/kvstore/feed.go
+++ b/kvstore/feed.go
@@ -58,7 +58,7 @@
 			}
 			pause(ctx, f.gap)
 			continue
-		case errors.Is(err, ErrLimited):
+		case errors.Is(err, ErrRateLimited):
 			pause(ctx, f.gap/2+rand.N(f.gap)) // it is there, only busy
 			continue
 		case errors.Is(err, ErrCompacted):
--- a/leader/assign.go
+++ b/leader/assign.go
@@ -48,7 +48,7 @@
 	}
 	c.book(j, d)
 	slog.Debug("assigning", "job", d.record.ID, "plan", fmt.Sprint(plan))
-	return c.commit(d.record.ID, j.version, value, s.Whole()), true
+	return c.commit(d.record.ID, j.version, value, s.AllOrNothing()), true
 }
 
 // commitRest writes that what is left of a gang is over.
@@ -64,11 +64,11 @@
 func (c *Core) admitted(now time.Time, j *jobState, want int) (n int, ok bool) {
 	s := &j.rec.Spec
 	n = c.admit(s, want)
-	if s.Whole() && n < want || n == 0 {
+	if s.AllOrNothing() && n < want || n == 0 {
 		return 0, false
 	}
-	if !s.Whole() && Overdue(now, j.rec, len(j.rec.Assignments) > 0) {
-		n = min(n, BeginShare(want))
+	if !s.AllOrNothing() && Overdue(now, j.rec, len(j.rec.Assignments) > 0) {
+		n = min(n, OverdueShare(want))
 	}
 	return n, true
 }
@@ -106,7 +106,7 @@
 			if guaranteed > d.given {
 				n = min(n, guaranteed-d.given)
 			}
-			d.record.Assignments = append(d.record.Assignments, records.Assignment{From: r.From, To: r.From + n, Shard: p.shard, Keep: p.keep, Guaranteed: d.given < guaranteed})
+			d.record.Assignments = append(d.record.Assignments, records.Assignment{From: r.From, To: r.From + n, Shard: p.shard, KeepWaiting: p.keep, Guaranteed: d.given < guaranteed})
 			r.From += n
 			left -= n
 			d.given += n
@@ -133,7 +133,7 @@
 			cpus: tasks.cpus, gpus: tasks.gpus, mem: float64(given.n) * s.MemoryGB})
 	}
 	j.busy = true
-	if s.Whole() {
+	if s.AllOrNothing() {
 		c.urgent++
 	} else {
 		c.flying++
@@ -146,8 +146,8 @@
 // commit is a write of a job's record that holds only while the term stands.
 func (c *Core) commit(id string, version uint64, value []byte, urgent bool) Commit {
 	return Commit{ID: id, Urgent: urgent, Txn: wire.Txn{
-		If:   []wire.Condition{{Key: records.KeyLeader, Version: c.termVer}, {Key: records.KeyJob(id), Version: version}},
-		Then: []wire.Change{{Put: records.KeyJob(id), Value: value}},
+		Conditions: []wire.Condition{{Key: records.KeyLeader, Version: c.termVer}, {Key: records.KeyJob(id), Version: version}},
+		Changes:    []wire.Change{{Put: records.KeyJob(id), Value: value}},
 	}}
 }
 
--- a/leader/core.go
+++ b/leader/core.go
@@ -14,9 +14,9 @@
 	"ravenport/wire"
 )
 
-// Room is the free room of one kind of machines of a shard, as the paper's
+// FreeCapacity is the free room of one kind of machines of a shard, as the paper's
 // aggregates: sum, mean and standard deviation over the machines.
-type Room struct {
+type FreeCapacity struct {
 	Machines int     `json:"n"`
 	CPUs     Moments `json:"c"`
 	GPUs     Moments `json:"g"`
@@ -25,13 +25,13 @@
 
 // Moments are the aggregate of one resource.
 type Moments struct {
-	Sum  float64 `json:"s"`
-	Mean float64 `json:"e"`
-	Dev  float64 `json:"d"`
+	Sum    float64 `json:"s"`
+	Mean   float64 `json:"e"`
+	StdDev float64 `json:"d"`
 }
 
 // Add counts one machine's free amount; Finish must follow the last.
-func (m *Moments) Add(v float64) { m.Sum += v; m.Dev += v * v }
+func (m *Moments) Add(v float64) { m.Sum += v; m.StdDev += v * v }
 
 // Finish turns sums into mean and standard deviation over n machines.
 func (m *Moments) Finish(n int) {
@@ -39,38 +39,38 @@
 		return
 	}
 	m.Mean = m.Sum / float64(n)
-	m.Dev = math.Sqrt(max(0, m.Dev/float64(n)-m.Mean*m.Mean))
+	m.StdDev = math.Sqrt(max(0, m.StdDev/float64(n)-m.Mean*m.Mean))
 }
 
 // Aggregate is what an owner pushes.
 type Aggregate struct {
-	Shard    string  `json:"part"`
-	Term     uint64  `json:"term"`
-	Revision uint64  `json:"rev"` // the records that the figures reflect
-	Ordinary Room    `json:"ord"` // coming machines included
-	Spot     Room    `json:"spot"`
-	Waiting  float64 `json:"wait"` // CPUs that wait though no room for them is coming
+	Shard       string       `json:"part"`
+	Term        uint64       `json:"term"`
+	Revision    uint64       `json:"rev"` // the records that the figures reflect
+	OnDemand    FreeCapacity `json:"ord"` // coming machines included
+	Spot        FreeCapacity `json:"spot"`
+	WaitingCPUs float64      `json:"wait"` // CPUs that wait though no room for them is coming
 	// Rentable says whether the shard may still get machines of the kind.
-	RentOrdinary bool `json:"ro"`
-	RentSpot     bool `json:"rs"`
-	// Yielding is ordinary room (CPUs) held by work that production work may
+	CanScaleOutOnDemand bool `json:"ro"`
+	CanScaleOutSpot     bool `json:"rs"`
+	// Preemptible is ordinary room (CPUs) held by work that production work may
 	// stop.
-	Yielding float64 `json:"y"`
+	Preemptible float64 `json:"y"`
 	// Capacity is all of the machines that take tasks or are coming (CPUs).
 	Capacity float64 `json:"cap"`
 	// Warm is, by image, ordinary room (CPUs), yielding room included, on
 	// machines that hold the image already.
 	Warm map[string]float64 `json:"w,omitempty"`
 	// Gangs is, by shape, how many tasks of a gang could start now.
-	Gangs map[string]GangRoom `json:"gangs,omitempty"`
-	// GangsKept is the room (CPUs) kept ready for gangs.
-	GangsKept float64 `json:"gk,omitempty"`
+	Gangs map[string]GangCapacity `json:"gangs,omitempty"`
+	// ReservedForGangs is the room (CPUs) kept ready for gangs.
+	ReservedForGangs float64 `json:"gk,omitempty"`
 }
 
 // fits estimates how many tasks of the given size the room takes. The sum
 // alone hides that no single machine may have room: tasks per machine are
 // counted at two deviations above the mean.
-func (r Room) fits(s *wire.Submission) int {
+func (r FreeCapacity) fits(s *wire.Submission) int {
 	if r.Machines == 0 {
 		return 0
 	}
@@ -82,7 +82,7 @@
 		if x.need <= 0 {
 			continue
 		}
-		if x.m.Mean+2*x.m.Dev+1e-6 < x.need && x.m.Sum < x.need {
+		if x.m.Mean+2*x.m.StdDev+1e-6 < x.need && x.m.Sum < x.need {
 			return 0
 		}
 		n = min(n, int(x.m.Sum/x.need+1e-6))
@@ -90,14 +90,14 @@
 	return n
 }
 
-// Takes estimates how many tasks of a job a shard has room for.
-func (a *Aggregate) Takes(s *wire.Submission) int {
-	n := a.Ordinary.fits(s)
+// EstimateTasks estimates how many tasks of a job a shard has room for.
+func (a *Aggregate) EstimateTasks(s *wire.Submission) int {
+	n := a.OnDemand.fits(s)
 	if s.Spot {
 		n += a.Spot.fits(s)
 	}
 	if s.Priority == wire.PriorityProduction && s.CPUs > 0 {
-		n += int(a.Yielding / s.CPUs)
+		n += int(a.Preemptible / s.CPUs)
 	}
 	return n
 }
@@ -124,14 +124,14 @@
 	notAt   time.Time
 	waits   bool   // tasks of it are in no assignment
 	open    amount // of its open assignments
-	place   Place  // in the order of the last look at all that wait
+	place   Rank   // in the order of the last look at all that wait
 }
 
 // Core is the leader in one term.
 type Core struct {
 	set       *settings.Settings
-	order     Order
-	sizes     records.Sizes
+	order     JobOrder
+	sizes     records.SizeLimits
 	termVer   uint64
 	shards    map[string]*shardState
 	jobs      map[string]*jobState // all that are not over
@@ -140,7 +140,7 @@
 	flying    int                  // assignments under way, but for the urgent
 	urgent    int
 	authority time.Time
-	resume    *Place            // where the last round stopped
+	resume    *Rank             // where the last round stopped
 	reserved  map[string]amount // by job: of assignments under way
 	began     time.Time
 	clock     func() time.Time     // what a round's time is taken by
@@ -159,8 +159,8 @@
 
 // New makes the core at the moment when the feed showed the claim.
 func New(set *settings.Settings, termVersion uint64, now time.Time, jobs map[string]*records.Job, versions map[string]uint64) *Core {
-	c := &Core{set: set, sizes: set.Sizes(), order: NewOrder(set.Params.Objectives), termVer: termVersion, began: now, clock: time.Now, budget: set.RoundBudget(), shards: map[string]*shardState{}, jobs: map[string]*jobState{}, waiting: map[string]*jobState{}, use: map[string]amount{}, reserved: map[string]amount{}, heldAt: map[string]time.Time{}}
-	for _, z := range set.Params.Zones {
+	c := &Core{set: set, sizes: set.RecordSizeLimits(), order: NewJobOrder(set.Deployment.Objectives), termVer: termVersion, began: now, clock: time.Now, budget: set.RoundBudget(), shards: map[string]*shardState{}, jobs: map[string]*jobState{}, waiting: map[string]*jobState{}, use: map[string]amount{}, reserved: map[string]amount{}, heldAt: map[string]time.Time{}}
+	for _, z := range set.Deployment.Zones {
 		c.shards[z] = &shardState{}
 	}
 	for id, rec := range jobs {
@@ -176,11 +176,11 @@
 // SetAuthority says until when the leader may assign.
 func (c *Core) SetAuthority(until time.Time) { c.authority = until }
 
-// SetPacks says that no process of the version before can come any more.
-func (c *Core) SetPacks() { c.sizes.Packs = true }
+// EnablePacking says that no process of the version before can come any more.
+func (c *Core) EnablePacking() { c.sizes.Packing = true }
 
-// Pushed takes in a shard's aggregate.
-func (c *Core) Pushed(now time.Time, a Aggregate) {
+// ApplyAggregate takes in a shard's aggregate.
+func (c *Core) ApplyAggregate(now time.Time, a Aggregate) {
 	p := c.shards[a.Shard]
 	if p == nil || a.Term < p.agg.Term {
 		return
@@ -198,7 +198,7 @@
 // ApplyJob takes in a record from the feed. A job counts until it is over and
 // all its assignments are closed: until then its tasks may be somewhere.
 func (c *Core) ApplyJob(now time.Time, id string, rec *records.Job, version uint64) {
-	over := rec.End != "" && rec.AllOver()
+	over := rec.End != "" && rec.AllAssignmentsClosed()
 	j := c.jobs[id]
 	if over {
 		if j != nil {
@@ -250,7 +250,7 @@
 	for _, j := range c.waiting {
 		if !j.busy && !now.Before(j.notAt) && c.mayFly(j) {
 			q = append(q, j)
-			j.place = c.order.Place(now, j.rec, c.guaranteed(&j.rec.Spec) > 0, len(j.rec.Assignments) > 0)
+			j.place = c.order.Rank(now, j.rec, c.guaranteed(&j.rec.Spec) > 0, len(j.rec.Assignments) > 0)
 		}
 	}
 	slices.SortFunc(q, func(a, b *jobState) int { return a.place.Compare(b.place) })
@@ -292,7 +292,7 @@
 // each is repeated until it is written, and hundreds at a cold start took the state
 // service's requests from everything else.
 func (c *Core) mayFly(j *jobState) bool {
-	if j.rec.Spec.Whole() {
+	if j.rec.Spec.AllOrNothing() {
 		return c.urgent < constants.MaxUrgent
 	}
 	return c.flying < constants.MaxAssignments
@@ -307,8 +307,8 @@
 	return Overdue(now, rec, len(rec.Assignments) > 0) && age < constants.BeginWithin+constants.CollectFor
 }
 
-// Committed takes in what came of a commit; revision is 0 when it failed.
-func (c *Core) Committed(now time.Time, id string, urgent bool, revision uint64) {
+// CommitResult takes in what came of a commit; revision is 0 when it failed.
+func (c *Core) CommitResult(now time.Time, id string, urgent bool, revision uint64) {
 	if urgent {
 		c.urgent--
 	} else {
--- a/leader/core_test.go
+++ b/leader/core_test.go
@@ -23,21 +23,21 @@
 
 func facts() *settings.Settings {
 	s := &settings.Settings{}
-	s.Params.Zones = []string{"a", "b", "c"}
-	s.Params.State.ValueKB, s.Params.State.WriteRPS = 8, 100
-	s.Params.Teams = []settings.Team{{Name: "t", CPUs: 6, CPUsMax: 20}, {Name: "free"}}
+	s.Deployment.Zones = []string{"a", "b", "c"}
+	s.Deployment.Store.ValueKB, s.Deployment.Store.WriteRPS = 8, 100
+	s.Deployment.Teams = []settings.Team{{Name: "t", CPUs: 6, CPUsMax: 20}, {Name: "free"}}
 	return s
 }
 
 func figures(shard string, rev uint64, cpus float64, machines int) Aggregate {
-	a := Aggregate{Shard: shard, Term: 1, Revision: rev, RentOrdinary: true, RentSpot: true, Capacity: cpus}
+	a := Aggregate{Shard: shard, Term: 1, Revision: rev, CanScaleOutOnDemand: true, CanScaleOutSpot: true, Capacity: cpus}
 	for range machines {
-		a.Ordinary.Machines++
-		a.Ordinary.CPUs.Add(cpus / float64(machines))
-		a.Ordinary.Memory.Add(1000)
+		a.OnDemand.Machines++
+		a.OnDemand.CPUs.Add(cpus / float64(machines))
+		a.OnDemand.Memory.Add(1000)
 	}
-	a.Ordinary.CPUs.Finish(machines)
-	a.Ordinary.Memory.Finish(machines)
+	a.OnDemand.CPUs.Finish(machines)
+	a.OnDemand.Memory.Finish(machines)
 	return a
 }
 
@@ -55,7 +55,7 @@
 }
 
 func (s *store) try(cm Commit) bool {
-	for _, c := range cm.Txn.If {
+	for _, c := range cm.Txn.Conditions {
 		if c.Key == records.KeyJob(cm.ID) && s.version[cm.ID] != c.Version {
 			return false
 		}
@@ -66,7 +66,7 @@
 
 // written is the record that a commit would write.
 func written(cm Commit) *records.Job {
-	rec, err := records.Decode(cm.Txn.Then[0].Put, cm.Txn.Then[0].Value)
+	rec, err := records.Decode(cm.Txn.Changes[0].Put, cm.Txn.Changes[0].Value)
 	if err != nil {
 		panic(err)
 	}
@@ -90,7 +90,7 @@
 				}
 			}
 			for _, z := range []string{"a", "b", "c"} {
-				c.Pushed(now, figures(z, st.rev, 16, 2))
+				c.ApplyAggregate(now, figures(z, st.rev, 16, 2))
 			}
 		}
 		var late []Commit
@@ -137,16 +137,16 @@
 				switch rapid.IntRange(0, 3).Draw(t, "fate") {
 				case 0, 1:
 					if st.try(cm) {
-						c.Committed(now, cm.ID, cm.Urgent, st.rev)
+						c.CommitResult(now, cm.ID, cm.Urgent, st.rev)
 					} else {
-						c.Committed(now, cm.ID, cm.Urgent, 0)
+						c.CommitResult(now, cm.ID, cm.Urgent, 0)
 					}
 				case 2: // carried out, the answer lost
 					st.try(cm)
-					c.Committed(now, cm.ID, cm.Urgent, 0)
+					c.CommitResult(now, cm.ID, cm.Urgent, 0)
 				case 3: // carried out later, or never
 					late = append(late, cm)
-					c.Committed(now, cm.ID, cm.Urgent, 0)
+					c.CommitResult(now, cm.ID, cm.Urgent, 0)
 				}
 			}
 			use := 0.0
@@ -184,9 +184,9 @@
 	now := time.Unix(1000, 0)
 	c := New(facts(), 1, now, nil, nil)
 	c.SetAuthority(now.Add(time.Hour))
-	c.Pushed(now, figures("a", 1, 64, 4))
-	c.Pushed(now, figures("b", 1, 24, 2))
-	c.Pushed(now, figures("c", 1, 8, 1))
+	c.ApplyAggregate(now, figures("a", 1, 64, 4))
+	c.ApplyAggregate(now, figures("b", 1, 24, 2))
+	c.ApplyAggregate(now, figures("c", 1, 8, 1))
 	job := &records.Job{ID: "run-1", AcceptedMS: now.UnixMilli(), Spec: wire.Submission{ID: "run-1", Team: "free", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 4, CPUs: 4, MemoryGB: 1}}
 	c.ApplyJob(now, "run-1", job, 5)
 	acts := c.Step(now)
@@ -205,7 +205,7 @@
 	c.SetAuthority(now.Add(time.Hour))
 	c.SetRoundClock(func() time.Time { return now }) // a busy machine would cut the round
 	for _, z := range []string{"a", "b", "c"} {
-		c.Pushed(now, figures(z, 1, 16, 1))
+		c.ApplyAggregate(now, figures(z, 1, 16, 1))
 	}
 	got := map[string]int{}
 	for i := range 6 {
@@ -227,7 +227,7 @@
 // A job that can still meet its objective comes before one that missed it;
 // priority, a long wait without a beginning, and guarantee come before both.
 func TestOrder(t *testing.T) {
-	o := NewOrder([]settings.Objective{{Kind: "finished", Class: "c", WithinS: 90}})
+	o := NewJobOrder([]settings.Objective{{Kind: "finished", Class: "c", WithinS: 90}})
 	now := time.Unix(10000, 0)
 	job := func(id string, age, estimate float64, priority string) *records.Job {
 		return &records.Job{ID: id, AcceptedMS: now.UnixMilli() - int64(age*1000), Spec: wire.Submission{ID: id, Class: "c", Kind: wire.KindArray, Priority: priority, Tasks: 1, CPUs: 1, EstimateS: estimate}}
@@ -247,7 +247,7 @@
 	}
 	for i := range in {
 		for k := i + 1; k < len(in); k++ {
-			a, b := o.Place(now, in[i].rec, in[i].guaranteed, in[i].begun), o.Place(now, in[k].rec, in[k].guaranteed, in[k].begun)
+			a, b := o.Rank(now, in[i].rec, in[i].guaranteed, in[i].begun), o.Rank(now, in[k].rec, in[k].guaranteed, in[k].begun)
 			if !a.Before(b) || b.Before(a) {
 				t.Errorf("%s does not come before %s", in[i].rec.ID, in[k].rec.ID)
 			}
@@ -261,7 +261,7 @@
 	c := New(facts(), 1, now, nil, nil)
 	c.SetAuthority(now.Add(time.Hour))
 	for _, z := range []string{"a", "b", "c"} {
-		c.Pushed(now, figures(z, 1, 16, 1))
+		c.ApplyAggregate(now, figures(z, 1, 16, 1))
 	}
 	c.ApplyJob(now, "run-1", &records.Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", Team: "free", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: wire.MaxTasks, CPUs: 1, MemoryGB: 1}}, 5)
 	acts := c.Step(now)
@@ -283,14 +283,14 @@
 	now := time.Unix(1000, 0)
 	c := New(facts(), 1, now, nil, nil)
 	c.SetAuthority(now.Add(time.Hour))
-	c.Pushed(now, figures("a", 1, 64, 4))
+	c.ApplyAggregate(now, figures("a", 1, 64, 4))
 	job := &records.Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", Team: "t", Kind: wire.KindService, Priority: wire.PriorityNormal, Tasks: 2, CPUs: 5, MemoryGB: 1}}
 	c.ApplyJob(now, "run-1", job, 5)
 	acts := c.Step(now)
 	if len(acts) != 1 {
 		t.Fatalf("%d assignments", len(acts))
 	}
-	c.Committed(now, "run-1", false, 0) // the answer was lost, but it was written
+	c.CommitResult(now, "run-1", false, 0) // the answer was lost, but it was written
 	if cpus := c.teamUse("t", "").cpus; cpus != 10 {
 		t.Fatalf("%g CPUs counted while the write may still come, wanted 10", cpus)
 	}
@@ -308,11 +308,11 @@
 	c := New(set, 1, now, nil, nil)
 	c.SetAuthority(now.Add(time.Hour))
 	for _, z := range []string{"a", "b", "c"} {
-		c.Pushed(now, figures(z, 1, 16, 1))
+		c.ApplyAggregate(now, figures(z, 1, 16, 1))
 	}
 	job := &records.Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", Team: "free", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 2000, CPUs: 1, MemoryGB: 1}}
 	for i := 0; len(records.Encode(job)) < set.ValueBytes()-40; i++ { // gaps between assignments of shards in turn
-		job.Assignments = append(job.Assignments, records.Assignment{From: 4 * i, To: 4*i + 2, Shard: string('a' + rune(i%3)), Keep: true})
+		job.Assignments = append(job.Assignments, records.Assignment{From: 4 * i, To: 4*i + 2, Shard: string('a' + rune(i%3)), KeepWaiting: true})
 	}
 	left := 2000
 	for rev := uint64(5); len(job.Unassigned()) > 0; rev++ {
@@ -321,9 +321,9 @@
 		if len(acts) != 1 {
 			t.Fatalf("%d assignments with %d tasks left", len(acts), left)
 		}
-		c.Committed(now, "run-1", false, rev+1)
-		if job = written(acts[0]); len(acts[0].Txn.Then[0].Value) > set.ValueBytes() {
-			t.Fatalf("a record of %d bytes", len(acts[0].Txn.Then[0].Value))
+		c.CommitResult(now, "run-1", false, rev+1)
+		if job = written(acts[0]); len(acts[0].Txn.Changes[0].Value) > set.ValueBytes() {
+			t.Fatalf("a record of %d bytes", len(acts[0].Txn.Changes[0].Value))
 		}
 		n := 0
 		for _, r := range job.Unassigned() {
@@ -335,7 +335,7 @@
 		left = n
 		now = now.Add(time.Second)
 		for _, z := range []string{"a", "b", "c"} {
-			c.Pushed(now, figures(z, rev+1, 16, 1))
+			c.ApplyAggregate(now, figures(z, rev+1, 16, 1))
 		}
 	}
 }
@@ -370,7 +370,7 @@
 			submit("run-large", 10) // all 20 CPUs
 		}
 		for _, z := range []string{"a", "b", "c"} {
-			c.Pushed(now, figures(z, rev, 64, 4))
+			c.ApplyAggregate(now, figures(z, rev, 64, 4))
 		}
 		for _, cm := range c.Step(now) {
 			if cm.ID == "run-large" {
@@ -379,7 +379,7 @@
 			j := written(cm)
 			jobs[cm.ID].job, jobs[cm.ID].end = j, now.Add(40*time.Second)
 			put(j)
-			c.Committed(now, cm.ID, cm.Urgent, rev)
+			c.CommitResult(now, cm.ID, cm.Urgent, rev)
 		}
 		for _, r := range jobs { // what has run for a while is cancelled and closed
 			if len(r.job.Assignments) > 0 && now.After(r.end) && r.job.End == "" {
--- a/leader/forecast.go
+++ b/leader/forecast.go
@@ -13,10 +13,10 @@
 type Forecast struct {
 	Revision uint64  `json:"rev"`  // assignments written later are part of it
 	Spot     float64 `json:"spot"` // CPUs that may go to spot machines
-	Ordinary float64 `json:"ord"`  // CPUs that may not
-	// Held names teams whose limit keeps jobs waiting: what of theirs is done is
+	OnDemand float64 `json:"ord"`  // CPUs that may not
+	// TeamsAtLimit names teams whose limit keeps jobs waiting: what of theirs is done is
 	// recorded without waiting for the rest of its assignment.
-	Held []string `json:"held,omitempty"`
+	TeamsAtLimit []string `json:"held,omitempty"`
 }
 
 // unassignedWork is work in no assignment (CPUs).
@@ -64,7 +64,7 @@
 	out := map[string]Forecast{}
 	shards := float64(len(c.shards))
 	for z := range c.shards {
-		out[z] = Forecast{Revision: revision, Spot: anywhere.spot/shards + bound[z].spot, Ordinary: anywhere.ordinary/shards + bound[z].ordinary, Held: held}
+		out[z] = Forecast{Revision: revision, Spot: anywhere.spot/shards + bound[z].spot, OnDemand: anywhere.ordinary/shards + bound[z].ordinary, TeamsAtLimit: held}
 	}
 	return out
 }
--- a/leader/gang.go
+++ b/leader/gang.go
@@ -12,16 +12,16 @@
 	"ravenport/wire"
 )
 
-// GangRoom is how many tasks of one shape of gang a shard could start now. Sums
+// GangCapacity is how many tasks of one shape of gang a shard could start now. Sums
 // of free room do not tell: a gang needs all its places at one moment, so what
 // is coming or in pieces too small does not count.
-type GangRoom struct {
+type GangCapacity struct {
 	Now  int `json:"n"`
 	Warm int `json:"w,omitempty"` // of them, on machines that hold the image
 }
 
-// ShapeOf names what a gang's places depend on.
-func ShapeOf(s *wire.Submission) string {
+// GangShape names what a gang's places depend on.
+func GangShape(s *wire.Submission) string {
 	return fmt.Sprintf("%g/%g/%g/%s/%t/%s", s.CPUs, s.GPUs, s.MemoryGB, s.Image, s.Spot, strings.Join(s.Types, ","))
 }
 
@@ -34,8 +34,8 @@
 // gangFigures are a shard's for a gang's shape. Where the owner does not know the shape
 // yet, takes stands for it.
 func (p *shardState) gangFigures(s *wire.Submission, takes int) gangFigures {
-	room, known := p.agg.Gangs[ShapeOf(s)]
-	f := gangFigures{kept: p.agg.GangsKept}
+	room, known := p.agg.Gangs[GangShape(s)]
+	f := gangFigures{kept: p.agg.ReservedForGangs}
 	if !known {
 		f.now = takes
 		return f
--- a/leader/gang_test.go
+++ b/leader/gang_test.go
@@ -29,20 +29,20 @@
 	now := time.Unix(1000, 0)
 	set := facts()
 	job := gangJob(6)
-	shape := ShapeOf(&job.Spec)
+	shape := GangShape(&job.Spec)
 	for name, want := range map[string]string{"room": "b", "image": "c"} {
 		c := New(set, 1, now, nil, nil)
 		c.SetAuthority(now.Add(time.Hour))
-		for _, z := range set.Params.Zones {
+		for _, z := range set.Deployment.Zones {
 			a := figures(z, 1, 16, 2) // the sums say that it fits everywhere
-			a.Gangs = map[string]GangRoom{shape: {Now: 4}}
+			a.Gangs = map[string]GangCapacity{shape: {Now: 4}}
 			if z == "b" || z == "c" && name == "image" {
-				a.Gangs[shape] = GangRoom{Now: 6}
+				a.Gangs[shape] = GangCapacity{Now: 6}
 			}
 			if z == "c" && name == "image" {
-				a.Gangs[shape] = GangRoom{Now: 6, Warm: 6}
+				a.Gangs[shape] = GangCapacity{Now: 6, Warm: 6}
 			}
-			c.Pushed(now, a)
+			c.ApplyAggregate(now, a)
 		}
 		c.ApplyJob(now, "run-1", job, 5)
 		acts := c.Step(now)
@@ -63,8 +63,8 @@
 	job := gangJob(5)
 	job.Spec.Spread = true
 	push := func() {
-		for _, z := range set.Params.Zones {
-			c.Pushed(now, figures(z, 1, 16, 2))
+		for _, z := range set.Deployment.Zones {
+			c.ApplyAggregate(now, figures(z, 1, 16, 2))
 		}
 	}
 	rev := uint64(5)
@@ -89,7 +89,7 @@
 			}
 		}
 		rev++
-		c.Committed(now, "run-1", true, rev)
+		c.CommitResult(now, "run-1", true, rev)
 		c.ApplyJob(now, "run-1", rec, rev)
 		half := rec.Clone()
 		half.Assignments = half.Assignments[1:]
@@ -111,8 +111,8 @@
 // all fits, and all of it counts from then on.
 func TestGangIsAdmittedWhole(t *testing.T) {
 	now, set, c := leading()
-	for _, z := range set.Params.Zones {
-		c.Pushed(now, figures(z, 1, 100, 10))
+	for _, z := range set.Deployment.Zones {
+		c.ApplyAggregate(now, figures(z, 1, 100, 10))
 	}
 	for i, tasks := range []int{7, 4} { // of 2 CPUs, where the team may have 20
 		j := gangJob(tasks)
@@ -133,8 +133,8 @@
 // from leases and from all other writes.
 func TestFewUrgentAssignmentsAtOnce(t *testing.T) {
 	now, set, c := leading()
-	for _, z := range set.Params.Zones {
-		c.Pushed(now, figures(z, 1, 1000, 100))
+	for _, z := range set.Deployment.Zones {
+		c.ApplyAggregate(now, figures(z, 1, 1000, 100))
 	}
 	for i := range 300 {
 		j := gangJob(1)
@@ -150,13 +150,13 @@
 		for _, cm := range c.Step(now) {
 			under[cm.Urgent]++
 			if round%2 == 1 {
-				c.Committed(now, cm.ID, cm.Urgent, 0)
+				c.CommitResult(now, cm.ID, cm.Urgent, 0)
 				under[cm.Urgent]--
 			}
 		}
 		now = now.Add(time.Second)
-		for _, z := range set.Params.Zones {
-			c.Pushed(now, figures(z, uint64(1+round), 1000, 100))
+		for _, z := range set.Deployment.Zones {
+			c.ApplyAggregate(now, figures(z, uint64(1+round), 1000, 100))
 		}
 		if under[true] > constants.MaxUrgent || under[false] > constants.MaxAssignments {
 			t.Fatalf("%v assignments under way", under)
--- a/leader/order.go
+++ b/leader/order.go
@@ -12,18 +12,18 @@
 	"ravenport/wire"
 )
 
-// Order ranks jobs that wait: by priority, then those that have waited long and
+// JobOrder ranks jobs that wait: by priority, then those that have waited long and
 // nothing of which has begun, then guaranteed work, then gangs, whose tasks begin
 // together or not at all, then those of which an
 // objective can still be met before those that missed it, then by age and work.
-type Order struct {
+type JobOrder struct {
 	within map[string][]time.Duration // by class, rising
 	start  map[string]time.Duration   // by class, the first
 }
 
-// NewOrder takes in the deployment's objectives.
-func NewOrder(objectives []settings.Objective) Order {
-	o := Order{within: map[string][]time.Duration{}, start: map[string]time.Duration{}}
+// NewJobOrder takes in the deployment's objectives.
+func NewJobOrder(objectives []settings.Objective) JobOrder {
+	o := JobOrder{within: map[string][]time.Duration{}, start: map[string]time.Duration{}}
 	for _, x := range objectives {
 		if x.Kind == "finished" && x.WithinS > 0 {
 			o.within[x.Class] = append(o.within[x.Class], settings.Seconds(x.WithinS))
@@ -38,20 +38,20 @@
 	return o
 }
 
-// Within is the first objective on finishing of a class; 0: it has none.
-func (o Order) Within(class string) time.Duration {
+// FinishObjective is the first objective on finishing of a class; 0: it has none.
+func (o JobOrder) FinishObjective(class string) time.Duration {
 	if w := o.within[class]; len(w) > 0 {
 		return w[0]
 	}
 	return 0
 }
 
-// StartWithin is the first objective on starting of a class; 0: it has none.
-func (o Order) StartWithin(class string) time.Duration { return o.start[class] }
+// StartObjective is the first objective on starting of a class; 0: it has none.
+func (o JobOrder) StartObjective(class string) time.Duration { return o.start[class] }
 
-// Meets is how many objectives on finishing a job of a class meets that is
+// ObjectivesMet is how many objectives on finishing a job of a class meets that is
 // done after that long.
-func (o Order) Meets(class string, after time.Duration) int {
+func (o JobOrder) ObjectivesMet(class string, after time.Duration) int {
 	n := 0
 	for _, w := range o.within[class] {
 		if after <= w {
@@ -61,8 +61,8 @@
 	return n
 }
 
-// Place is a job's place in the order; smaller comes first.
-type Place struct {
+// Rank is a job's place in the order; smaller comes first.
+type Rank struct {
 	priority int
 	overdue  int     // 0: nothing of it has begun, and it is time
 	borrowed int     // 1: beyond the team's guarantee
@@ -80,15 +80,15 @@
 	return !begun && now.UnixMilli()-rec.AcceptedMS > constants.BeginWithin.Milliseconds()
 }
 
-// BeginShare is how many of an overdue array's tasks come before all others: so
+// OverdueShare is how many of an overdue array's tasks come before all others: so
 // that it begins, and does not keep the others from beginning.
-func BeginShare(tasks int) int { return max(1, tasks/constants.BeginShare) }
+func OverdueShare(tasks int) int { return max(1, tasks/constants.BeginShare) }
 
-// Place ranks a job; guaranteed says whether what waits of it is within its
+// Rank ranks a job; guaranteed says whether what waits of it is within its
 // team's guarantee, begun whether any of its tasks runs or is done.
-func (o Order) Place(now time.Time, rec *records.Job, guaranteed, begun bool) Place {
+func (o JobOrder) Rank(now time.Time, rec *records.Job, guaranteed, begun bool) Rank {
 	s := &rec.Spec
-	p := Place{borrowed: 1, overdue: 1, single: 1, priority: -wire.PriorityLevel(s.Priority), accepted: rec.AcceptedMS, id: rec.ID}
+	p := Rank{borrowed: 1, overdue: 1, single: 1, priority: -wire.PriorityLevel(s.Priority), accepted: rec.AcceptedMS, id: rec.ID}
 	if guaranteed {
 		p.borrowed = 0
 	}
@@ -120,7 +120,7 @@
 }
 
 // Compare orders places: the one that comes first is less.
-func (p Place) Compare(q Place) int {
+func (p Rank) Compare(q Rank) int {
 	switch {
 	case p.priority != q.priority:
 		return cmp.Compare(p.priority, q.priority)
@@ -141,4 +141,4 @@
 }
 
 // Before says whether a place comes before another.
-func (p Place) Before(q Place) bool { return p.Compare(q) < 0 }
+func (p Rank) Before(q Rank) bool { return p.Compare(q) < 0 }
--- a/leader/plan.go
+++ b/leader/plan.go
@@ -36,7 +36,7 @@
 func (c *Core) candidates(now time.Time, j *jobState) (list []*candidate, ok bool) {
 	limits := c.caps(j)
 	anyFresh := false
-	for _, zone := range c.set.Params.Zones {
+	for _, zone := range c.set.Deployment.Zones {
 		limit, allowed := limits[zone]
 		if !allowed || limit <= 0 {
 			continue
@@ -58,20 +58,20 @@
 func (k *candidate) take(p *shardState, s *wire.Submission) {
 	a := p.agg
 	k.fresh = true
-	k.waiting = a.Waiting
+	k.waiting = a.WaitingCPUs
 	for _, b := range p.bookings {
-		sub(&a.Ordinary, &a.Spot, b)
+		sub(&a.OnDemand, &a.Spot, b)
 		k.waiting += b.cpus
 		k.size += b.cpus
 	}
-	k.size += a.Capacity + a.Waiting
-	k.takes = a.Takes(s)
-	k.room = a.Ordinary.CPUs.Sum
+	k.size += a.Capacity + a.WaitingCPUs
+	k.takes = a.EstimateTasks(s)
+	k.room = a.OnDemand.CPUs.Sum
 	if s.Spot {
 		k.room += a.Spot.CPUs.Sum
 	}
 	k.maxQueue = a.Capacity * constants.QueueShare
-	k.rentable = a.RentOrdinary || s.Spot && a.RentSpot
+	k.rentable = a.CanScaleOutOnDemand || s.Spot && a.CanScaleOutSpot
 	k.warm = min(p.warmTasks(s), k.takes, k.most)
 	if s.IsGang() {
 		k.gang = p.gangFigures(s, k.takes)
@@ -192,7 +192,7 @@
 }
 
 // sub takes a booking off the free room.
-func sub(ord, spot *Room, b booking) {
+func sub(ord, spot *FreeCapacity, b booking) {
 	r := ord
 	if b.spot && spot.CPUs.Sum >= b.cpus {
 		r = spot
@@ -213,7 +213,7 @@
 		}
 	}
 	out := map[string]int{}
-	for _, z := range c.set.Params.Zones {
+	for _, z := range c.set.Deployment.Zones {
 		if s.Zone != "" && s.Zone != z {
 			continue
 		}
--- a/leader/scale_test.go
+++ b/leader/scale_test.go
@@ -25,7 +25,7 @@
 	c := New(facts(), 5, now, recs, versions)
 	c.SetAuthority(now.Add(time.Hour))
 	for _, p := range []string{"a", "b", "c"} {
-		c.Pushed(now, figures(p, 1, 6400, 400))
+		c.ApplyAggregate(now, figures(p, 1, 6400, 400))
 	}
 	// A round may be cut off by its budget on a slow machine.
 	for i := 0; i < 1000 && (c.urgent < constants.MaxUrgent || c.flying < constants.MaxAssignments); i++ {
--- a/member/core.go
+++ b/member/core.go
@@ -58,25 +58,25 @@
 	return c
 }
 
-// SetSecondShardWait says how long a controller that owns a shard leaves another one
+// SetSecondShardDelay says how long a controller that owns a shard leaves another one
 // vacant before it claims that, too. Its own controller may be back by then. Guards
 // against a small machine that takes over all shards at once and is behind with
 // everything, submissions included, for as long as that.
-func (c *Core) SetSecondShardWait(d time.Duration) { c.secondShardWait = d }
+func (c *Core) SetSecondShardDelay(d time.Duration) { c.secondShardWait = d }
 
 // Apply takes in a change from the feed.
 func (c *Core) Apply(now time.Time, ch records.Change) {
 	switch r := ch.Record.(type) {
-	case *records.Node:
+	case *records.Controller:
 		old, ok := c.nodes[r.Name]
-		n := node{incarnation: r.Incarnation, version: ch.Version, life: time.Duration(r.LifeMS) * time.Millisecond, since: now}
+		n := node{incarnation: r.Incarnation, version: ch.Version, life: time.Duration(r.LeaseTTLMS) * time.Millisecond, since: now}
 		if ok && old.incarnation == r.Incarnation {
 			n.since = old.since
 		}
 		c.nodes[r.Name] = n
-		c.packs[r.Name] = c.packs[r.Name] || r.Packs
+		c.packs[r.Name] = c.packs[r.Name] || r.ReadsPacked
 	case *records.Revocation:
-		c.revocations[r.Node] = revocation{*r, ch.Version, now}
+		c.revocations[r.Controller] = revocation{*r, ch.Version, now}
 	case *records.Term:
 		c.terms[ch.Key] = term{*r, ch.Version, now}
 	case nil:
@@ -92,9 +92,9 @@
 	return t.Term, t.version
 }
 
-// Packs says whether every controller has been seen to read packed records: then
+// AllReadPacked says whether every controller has been seen to read packed records: then
 // each has come back with this version, and none returns with the one before.
-func (c *Core) Packs() bool {
+func (c *Core) AllReadPacked() bool {
 	for _, k := range c.controllers {
 		if !c.packs[k.Name] {
 			return false
@@ -106,8 +106,8 @@
 // Alive says whether a controller's lease is known to live.
 func (c *Core) Alive(name string) bool { _, ok := c.nodes[name]; return ok }
 
-// NodeKey returns the incarnation and version under a controller's key.
-func (c *Core) NodeKey(name string) (incarnation, version uint64) {
+// ControllerKey returns the incarnation and version under a controller's key.
+func (c *Core) ControllerKey(name string) (incarnation, version uint64) {
 	n := c.nodes[name]
 	return n.incarnation, n.version
 }
@@ -118,12 +118,12 @@
 	if !ok {
 		return "", false
 	}
-	n, ok := c.nodes[t.Node]
-	return t.Node, ok && n.incarnation == t.Incarnation
+	n, ok := c.nodes[t.Controller]
+	return t.Controller, ok && n.incarnation == t.Incarnation
 }
 
-// Claim is a transaction that takes or hands on a term.
-type Claim struct {
+// TermAcquisition is a transaction that takes or hands on a term.
+type TermAcquisition struct {
 	Key string
 	To  string // the new holder
 	Txn wire.Txn
@@ -143,7 +143,7 @@
 	fleet := failover.Fleet{Controllers: c.controllers, Zones: c.shards}
 	if c.detection {
 		fleet.Shards = c.ownedBy
-		fleet.Last = func(name string) bool { return c.recentlyRevoked(now, name) }
+		fleet.LastChoice = func(name string) bool { return c.recentlyRevoked(now, name) }
 	}
 	if key == records.KeyLeader {
 		return fleet.Order(failover.Term{Leader: true})
@@ -169,12 +169,12 @@
 
 // Step returns the claims to make now. mine is this process's incarnation;
 // settled says whether its own key is known to stand and it holds authority.
-func (c *Core) Step(now time.Time, mine uint64, settled bool) []Claim {
+func (c *Core) Step(now time.Time, mine uint64, settled bool) []TermAcquisition {
 	me, ok := c.nodes[c.me]
 	if !ok || me.incarnation != mine || !settled {
 		return nil
 	}
-	var out []Claim
+	var out []TermAcquisition
 	owner := c.ownsShard()
 	for _, key := range c.keys() {
 		if holder, held := c.Holder(key); held && !c.outlived(now, key) {
@@ -203,7 +203,7 @@
 			out = append(out, cl)
 			owner = owner || shard
 			if shard {
-				c.pace.Took(now)
+				c.pace.Record(now)
 			}
 		}
 	}
@@ -220,13 +220,13 @@
 	return false
 }
 
-func (c *Core) claim(now time.Time, key string, me node) (Claim, bool) {
+func (c *Core) claim(now time.Time, key string, me node) (TermAcquisition, bool) {
 	position, missing := failover.Position(c.order(now, key), c.me, c.candidate)
 	if now.Sub(c.vacantSince[key]) < time.Duration(position)*constants.ClaimStep {
-		return Claim{}, false
+		return TermAcquisition{}, false
 	}
 	if missing && now.Sub(c.started) < constants.FirstClaimWait {
-		return Claim{}, false
+		return TermAcquisition{}, false
 	}
 	// A shard stays away from a revoked owner for a while. A leadership is not handed
 	// back at all, and must not be kept by the next leader should that be cut off, too.
@@ -237,36 +237,36 @@
 // candidate says whether a controller may claim terms.
 func (c *Core) candidate(name string) bool { return c.Alive(name) && !c.Revoked(name) }
 
-// ClaimOf makes the transaction that gives key to a controller. It holds only
+// AcquisitionOf makes the transaction that gives key to a controller. It holds only
 // while the new holder's key stands and the old one's is as known.
-func (c *Core) ClaimOf(key, to string, incarnation, version uint64) Claim {
+func (c *Core) AcquisitionOf(key, to string, incarnation, version uint64) TermAcquisition {
 	return c.claimOf(key, to, incarnation, version, false)
 }
 
-func (c *Core) claimOf(key, to string, incarnation, version uint64, cut bool) Claim {
+func (c *Core) claimOf(key, to string, incarnation, version uint64, cut bool) TermAcquisition {
 	t := c.terms[key]
-	next := records.Term{Node: to, Incarnation: incarnation, Number: t.Number + 1, Cut: cut}
+	next := records.Term{Controller: to, Incarnation: incarnation, Number: t.Number + 1, HolderUnreachable: cut}
 	txn := wire.Txn{
-		If:   []wire.Condition{{Key: key, Version: t.version}, {Key: records.KeyNode(to), Version: version}},
-		Then: []wire.Change{{Put: key, Value: records.Encode(next)}},
+		Conditions: []wire.Condition{{Key: key, Version: t.version}, {Key: records.KeyController(to), Version: version}},
+		Changes:    []wire.Change{{Put: key, Value: records.Encode(next)}},
 	}
-	if t.version != 0 && t.Node != to {
-		if _, alive := c.nodes[t.Node]; !alive {
-			txn.If = append(txn.If, wire.Condition{Key: records.KeyNode(t.Node), Version: 0})
+	if t.version != 0 && t.Controller != to {
+		if _, alive := c.nodes[t.Controller]; !alive {
+			txn.Conditions = append(txn.Conditions, wire.Condition{Key: records.KeyController(t.Controller), Version: 0})
 		} else if r, ok := c.revocationOf(t.Term); ok {
-			txn.If = append(txn.If, wire.Condition{Key: records.KeyRevoked(t.Node), Version: r.version})
+			txn.Conditions = append(txn.Conditions, wire.Condition{Key: records.KeyRevoked(t.Controller), Version: r.version})
 		}
 	}
-	return Claim{Key: key, To: to, Txn: txn}
+	return TermAcquisition{Key: key, To: to, Txn: txn}
 }
 
-// HandOn gives a held term to the best placed other live controller, because
+// HandOver gives a held term to the best placed other live controller, because
 // this one is cut off from what it takes to make use of it. A leadership that was
 // handed on for that a moment ago stays: where no controller reaches another, it
 // would go round for ever.
-func (c *Core) HandOn(now time.Time, key string) (Claim, bool) {
-	if t := c.terms[key]; key == records.KeyLeader && t.Cut && now.Sub(t.since) < constants.CutPause {
-		return Claim{}, false
+func (c *Core) HandOver(now time.Time, key string) (TermAcquisition, bool) {
+	if t := c.terms[key]; key == records.KeyLeader && t.HolderUnreachable && now.Sub(t.since) < constants.CutPause {
+		return TermAcquisition{}, false
 	}
 	for _, k := range c.order(now, key) {
 		if n, ok := c.nodes[k.Name]; ok && k.Name != c.me && !c.Revoked(k.Name) {
@@ -274,21 +274,21 @@
 			return cl, true
 		}
 	}
-	return Claim{}, false
+	return TermAcquisition{}, false
 }
 
 // handBack gives a held term to a controller that is better placed, once that
 // one has been up for a while.
-func (c *Core) handBack(now time.Time, key string) (Claim, bool) {
+func (c *Core) handBack(now time.Time, key string) (TermAcquisition, bool) {
 	if key == records.KeyLeader {
-		return Claim{}, false // the leader's place matters little; moving it costs
+		return TermAcquisition{}, false // the leader's place matters little; moving it costs
 	}
-	if t := c.terms[key]; t.Cut && now.Sub(t.since) < constants.CutPause {
-		return Claim{}, false
+	if t := c.terms[key]; t.HolderUnreachable && now.Sub(t.since) < constants.CutPause {
+		return TermAcquisition{}, false
 	}
 	for _, k := range c.order(now, key) {
 		if k.Name == c.me {
-			return Claim{}, false
+			return TermAcquisition{}, false
 		}
 		n, ok := c.nodes[k.Name]
 		if !ok || c.Revoked(k.Name) || now.Sub(n.since) < constants.HandBackAfter {
@@ -296,13 +296,13 @@
 		}
 		// Only its own zone is worth a second disturbance.
 		if records.KeyShard(k.Zone) != key {
-			return Claim{}, false
+			return TermAcquisition{}, false
 		}
 		mine := slices.IndexFunc(c.controllers, func(x Controller) bool { return x.Name == c.me })
 		if records.KeyShard(c.controllers[mine].Zone) == key {
-			return Claim{}, false
+			return TermAcquisition{}, false
 		}
-		return c.ClaimOf(key, k.Name, n.incarnation, n.version), true
+		return c.AcquisitionOf(key, k.Name, n.incarnation, n.version), true
 	}
-	return Claim{}, false
+	return TermAcquisition{}, false
 }
