--- a/member/core_test.go
+++ b/member/core_test.go
@@ -35,13 +35,13 @@
 	}
 }
 
-func (s *sim) try(now time.Time, cl Claim) bool {
-	for _, c := range cl.Txn.If {
+func (s *sim) try(now time.Time, cl TermAcquisition) bool {
+	for _, c := range cl.Txn.Conditions {
 		if s.keys[c.Key].Version != c.Version {
 			return false
 		}
 	}
-	rec, err := records.Decode(cl.Key, cl.Txn.Then[0].Value)
+	rec, err := records.Decode(cl.Key, cl.Txn.Changes[0].Value)
 	if err != nil {
 		panic(err)
 	}
@@ -59,18 +59,18 @@
 		wait := time.Duration(rapid.IntRange(0, 5000).Draw(t, "second shard wait")) * time.Millisecond
 		for _, k := range three {
 			s.cores = append(s.cores, New(k.Name, three, []string{"a", "b"}, now))
-			s.cores[len(s.cores)-1].SetSecondShardWait(wait)
+			s.cores[len(s.cores)-1].SetSecondShardDelay(wait)
 		}
 		next := uint64(0)
 		up := func(i int) {
 			next++
 			s.inc[i] = next
-			s.set(now, records.KeyNode(three[i].Name), &records.Node{Name: three[i].Name, Incarnation: next})
+			s.set(now, records.KeyController(three[i].Name), &records.Controller{Name: three[i].Name, Incarnation: next})
 		}
 		down := func(i int) {
 			if s.inc[i] != 0 {
 				s.inc[i] = 0
-				s.set(now, records.KeyNode(three[i].Name), nil)
+				s.set(now, records.KeyController(three[i].Name), nil)
 			}
 		}
 		step := func() {
@@ -137,7 +137,7 @@
 		s.cores = append(s.cores, New(k.Name, three, []string{"a", "b"}, now))
 	}
 	for i, k := range three {
-		s.set(now, records.KeyNode(k.Name), &records.Node{Name: k.Name, Incarnation: uint64(i + 1)})
+		s.set(now, records.KeyController(k.Name), &records.Controller{Name: k.Name, Incarnation: uint64(i + 1)})
 	}
 	return s
 }
@@ -148,8 +148,8 @@
 	now := time.Unix(1000, 0)
 	s := allUp(now)
 	key := records.KeyShard("b")
-	s.set(now, key, &records.Term{Shard: "b", Node: "n-1", Incarnation: 2, Number: 4})
-	cl, ok := s.cores[1].HandOn(now, key)
+	s.set(now, key, &records.Term{Shard: "b", Controller: "n-1", Incarnation: 2, Number: 4})
+	cl, ok := s.cores[1].HandOver(now, key)
 	if !ok || cl.To == "n-1" || !s.try(now, cl) {
 		t.Fatalf("not handed on: %+v", cl)
 	}
@@ -173,14 +173,14 @@
 func TestLeadershipDoesNotGoRound(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := allUp(now)
-	s.set(now, records.KeyLeader, &records.Term{Node: "n-1", Incarnation: 2, Number: 4})
+	s.set(now, records.KeyLeader, &records.Term{Controller: "n-1", Incarnation: 2, Number: 4})
 	moved := 0
 	for at := time.Duration(0); at < constants.CutPause; at += time.Second {
 		for i, k := range three {
 			if holder, _ := s.cores[0].Holder(records.KeyLeader); holder != k.Name {
 				continue
 			}
-			if cl, ok := s.cores[i].HandOn(now.Add(at), records.KeyLeader); ok && s.try(now.Add(at), cl) {
+			if cl, ok := s.cores[i].HandOver(now.Add(at), records.KeyLeader); ok && s.try(now.Add(at), cl) {
 				moved++
 			}
 		}
@@ -199,16 +199,16 @@
 	play := func(owns bool) (claims map[string]time.Duration) {
 		s := allUp(now.Add(-constants.FirstClaimWait)) // not fresh any more
 		for _, c := range s.cores {
-			c.SetSecondShardWait(wait)
+			c.SetSecondShardDelay(wait)
 		}
-		holder := &records.Term{Shard: "a", Node: "n-2", Incarnation: 3, Number: 4}
+		holder := &records.Term{Shard: "a", Controller: "n-2", Incarnation: 3, Number: 4}
 		if !owns { // both shards were n-1's
-			holder = &records.Term{Shard: "a", Node: "n-1", Incarnation: 2, Number: 4}
+			holder = &records.Term{Shard: "a", Controller: "n-1", Incarnation: 2, Number: 4}
 		}
 		s.set(now, records.KeyShard("a"), holder)
-		s.set(now, key, &records.Term{Shard: "b", Node: "n-1", Incarnation: 2, Number: 7})
-		s.set(now, records.KeyNode("n-0"), nil)
-		s.set(now, records.KeyNode("n-1"), nil)
+		s.set(now, key, &records.Term{Shard: "b", Controller: "n-1", Incarnation: 2, Number: 7})
+		s.set(now, records.KeyController("n-0"), nil)
+		s.set(now, records.KeyController("n-1"), nil)
 		claims = map[string]time.Duration{}
 		for at := time.Duration(0); at < 3*wait; at += 100 * time.Millisecond {
 			for _, cl := range s.cores[2].Step(now.Add(at), 3, true) {
--- a/member/revocation.go
+++ b/member/revocation.go
@@ -31,7 +31,7 @@
 // revocationOf returns the revocation of the process that holds a term, if there is
 // one.
 func (c *Core) revocationOf(t records.Term) (revocation, bool) {
-	r, ok := c.revocations[t.Node]
+	r, ok := c.revocations[t.Controller]
 	return r, ok && r.Incarnation == t.Incarnation
 }
 
@@ -43,7 +43,7 @@
 	if !ok || !c.detection {
 		return false
 	}
-	life := time.Duration(r.LifeMS) * time.Millisecond
+	life := time.Duration(r.LeaseTTLMS) * time.Millisecond
 	wait := time.Duration(float64(life)*(1+constants.ClockDrift)) + constants.AuthorityMargin
 	return now.Sub(r.seen) >= wait
 }
@@ -59,18 +59,18 @@
 // while that process and this one are registered as known. Processes that do not
 // heed revocations, or are revoked already, are left alone.
 func (c *Core) Revoke(r records.Revocation) (wire.Txn, bool) {
-	target, ok := c.nodes[r.Node]
+	target, ok := c.nodes[r.Controller]
 	me, registered := c.nodes[c.me]
-	if !ok || !registered || r.Node == c.me || target.incarnation != r.Incarnation || target.life == 0 || c.Revoked(r.Node) {
+	if !ok || !registered || r.Controller == c.me || target.incarnation != r.Incarnation || target.life == 0 || c.Revoked(r.Controller) {
 		return wire.Txn{}, false
 	}
-	r.By, r.LifeMS = c.me, target.life.Milliseconds()
+	r.By, r.LeaseTTLMS = c.me, target.life.Milliseconds()
 	return wire.Txn{
-		If: []wire.Condition{
-			{Key: records.KeyRevoked(r.Node), Version: c.revocations[r.Node].version},
-			{Key: records.KeyNode(r.Node), Version: target.version},
-			{Key: records.KeyNode(c.me), Version: me.version},
+		Conditions: []wire.Condition{
+			{Key: records.KeyRevoked(r.Controller), Version: c.revocations[r.Controller].version},
+			{Key: records.KeyController(r.Controller), Version: target.version},
+			{Key: records.KeyController(c.me), Version: me.version},
 		},
-		Then: []wire.Change{{Put: records.KeyRevoked(r.Node), Value: records.Encode(r)}},
+		Changes: []wire.Change{{Put: records.KeyRevoked(r.Controller), Value: records.Encode(r)}},
 	}, true
 }
--- a/member/revocation_test.go
+++ b/member/revocation_test.go
@@ -21,11 +21,11 @@
 		s.cores = append(s.cores, c)
 	}
 	for i, k := range three {
-		s.set(now, records.KeyNode(k.Name), &records.Node{Name: k.Name, Incarnation: uint64(i + 1), LifeMS: life.Milliseconds()})
+		s.set(now, records.KeyController(k.Name), &records.Controller{Name: k.Name, Incarnation: uint64(i + 1), LeaseTTLMS: life.Milliseconds()})
 	}
-	s.set(now, records.KeyShard("a"), &records.Term{Shard: "a", Node: "n-2", Incarnation: 3, Number: 4})
-	s.set(now, records.KeyShard("b"), &records.Term{Shard: "b", Node: "n-1", Incarnation: 2, Number: 4})
-	s.set(now, records.KeyLeader, &records.Term{Node: "n-2", Incarnation: 3, Number: 4})
+	s.set(now, records.KeyShard("a"), &records.Term{Shard: "a", Controller: "n-2", Incarnation: 3, Number: 4})
+	s.set(now, records.KeyShard("b"), &records.Term{Shard: "b", Controller: "n-1", Incarnation: 2, Number: 4})
+	s.set(now, records.KeyLeader, &records.Term{Controller: "n-2", Incarnation: 3, Number: 4})
 	return s
 }
 
@@ -35,17 +35,17 @@
 	if !ok {
 		return false
 	}
-	for _, c := range txn.If {
+	for _, c := range txn.Conditions {
 		if s.keys[c.Key].Version != c.Version {
 			return false
 		}
 	}
-	rec, err := records.Decode(txn.Then[0].Put, txn.Then[0].Value)
+	rec, err := records.Decode(txn.Changes[0].Put, txn.Changes[0].Value)
 	if err != nil {
 		panic(err)
 	}
 	s.version++
-	ch := records.Change{Key: txn.Then[0].Put, Version: s.version, Record: rec}
+	ch := records.Change{Key: txn.Changes[0].Put, Version: s.version, Record: rec}
 	s.keys[ch.Key] = ch
 	for i, c := range s.cores {
 		c.Apply(now.Add(lag[i]), ch)
@@ -65,7 +65,7 @@
 		for i := range lag {
 			lag[i] = time.Duration(rapid.IntRange(0, 2000).Draw(t, "lag ms")) * time.Millisecond
 		}
-		if !s.revoke(now, 0, records.Revocation{Node: "n-1", Incarnation: 2}, lag) {
+		if !s.revoke(now, 0, records.Revocation{Controller: "n-1", Incarnation: 2}, lag) {
 			t.Fatal("not revoked")
 		}
 		// The holder's last read of the revision that did not show the revocation was
@@ -99,32 +99,32 @@
 func TestWhoIsRevoked(t *testing.T) {
 	now, none := time.Unix(1000, 0), make([]time.Duration, 3)
 	s := detecting(now, 3*time.Second)
-	target := records.Revocation{Node: "n-1", Incarnation: 2}
+	target := records.Revocation{Controller: "n-1", Incarnation: 2}
 	for name, r := range map[string]records.Revocation{
-		"another process": {Node: "n-1", Incarnation: 9},
-		"a stranger":      {Node: "n-7", Incarnation: 2},
-		"itself":          {Node: "n-0", Incarnation: 1},
+		"another process": {Controller: "n-1", Incarnation: 9},
+		"a stranger":      {Controller: "n-7", Incarnation: 2},
+		"itself":          {Controller: "n-0", Incarnation: 1},
 	} {
 		if _, ok := s.cores[0].Revoke(r); ok {
 			t.Errorf("%s is revoked", name)
 		}
 	}
-	s.set(now, records.KeyNode("n-2"), &records.Node{Name: "n-2", Incarnation: 3})
-	if _, ok := s.cores[0].Revoke(records.Revocation{Node: "n-2", Incarnation: 3}); ok {
+	s.set(now, records.KeyController("n-2"), &records.Controller{Name: "n-2", Incarnation: 3})
+	if _, ok := s.cores[0].Revoke(records.Revocation{Controller: "n-2", Incarnation: 3}); ok {
 		t.Error("a process that does not heed revocations is revoked")
 	}
 	late, _ := s.cores[2].Revoke(target)
 	if !s.revoke(now, 0, target, none) || s.revoke(now, 0, target, none) {
 		t.Error("it is not revoked just once")
 	}
-	if late.If[0].Version == s.keys[records.KeyRevoked("n-1")].Version {
+	if late.Conditions[0].Version == s.keys[records.KeyRevoked("n-1")].Version {
 		t.Error("a second revocation, decided at the same time, would be written")
 	}
 	if c := s.cores[2]; !c.Revoked("n-1") || c.outlived(now.Add(2*time.Second), records.KeyShard("b")) {
 		t.Error("a revoked holder is outlived before its lease would have ended")
 	}
-	s.set(now, records.KeyNode("n-1"), &records.Node{Name: "n-1", Incarnation: 5, LifeMS: 3000})
-	s.set(now, records.KeyShard("b"), &records.Term{Shard: "b", Node: "n-1", Incarnation: 5, Number: 6})
+	s.set(now, records.KeyController("n-1"), &records.Controller{Name: "n-1", Incarnation: 5, LeaseTTLMS: 3000})
+	s.set(now, records.KeyShard("b"), &records.Term{Shard: "b", Controller: "n-1", Incarnation: 5, Number: 6})
 	if c := s.cores[2]; c.Revoked("n-1") || c.outlived(now.Add(time.Hour), records.KeyShard("b")) {
 		t.Error("the revocation counts against the next process")
 	}
@@ -146,7 +146,7 @@
 		plain.Apply(now, ch)
 	}
 	s.cores = append(s.cores, plain)
-	if !s.revoke(now, 0, records.Revocation{Node: "n-1", Incarnation: 2}, make([]time.Duration, 4)) {
+	if !s.revoke(now, 0, records.Revocation{Controller: "n-1", Incarnation: 2}, make([]time.Duration, 4)) {
 		t.Fatal("not revoked")
 	}
 	for at := time.Duration(0); at < time.Minute; at += time.Second {
@@ -162,8 +162,8 @@
 func TestOrphanedShardsAreSpacedOut(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := detecting(now, 3*time.Second)
-	s.set(now, records.KeyNode("n-1"), nil)
-	s.set(now, records.KeyNode("n-2"), nil)
+	s.set(now, records.KeyController("n-1"), nil)
+	s.set(now, records.KeyController("n-2"), nil)
 	var claims []time.Duration
 	for at := time.Duration(0); at < 5*time.Second; at += 50 * time.Millisecond {
 		for _, cl := range s.cores[0].Step(now.Add(at), 1, true) {
@@ -182,7 +182,7 @@
 	const life = 3 * time.Second
 	now := time.Now()
 	s := detecting(now, life)
-	if !s.revoke(now, 0, records.Revocation{Node: "n-1", Incarnation: 2}, make([]time.Duration, 3)) {
+	if !s.revoke(now, 0, records.Revocation{Controller: "n-1", Incarnation: 2}, make([]time.Duration, 3)) {
 		t.Fatal("not revoked")
 	}
 	key := records.KeyShard("b")
@@ -203,18 +203,18 @@
 		now := time.Unix(1000, 0)
 		s := detecting(now, 3*time.Second)
 		for _, c := range s.cores {
-			c.SetSecondShardWait(constants.SecondShardWaitMost)
+			c.SetSecondShardDelay(constants.SecondShardWaitMost)
 		}
-		s.set(now, records.KeyShard("a"), &records.Term{Shard: "a", Node: "n-2", Incarnation: 3, Number: 4})
-		if !s.revoke(now, 2, records.Revocation{Node: "n-1", Incarnation: 2}, make([]time.Duration, 3)) {
+		s.set(now, records.KeyShard("a"), &records.Term{Shard: "a", Controller: "n-2", Incarnation: 3, Number: 4})
+		if !s.revoke(now, 2, records.Revocation{Controller: "n-1", Incarnation: 2}, make([]time.Duration, 3)) {
 			t.Fatal("not revoked")
 		}
 		s.inc[1] = 5
-		s.set(now.Add(3*time.Second), records.KeyNode("n-1"), &records.Node{Name: "n-1", Incarnation: 5, LifeMS: 3000})
-		s.set(now, records.KeyNode("n-0"), nil)
+		s.set(now.Add(3*time.Second), records.KeyController("n-1"), &records.Controller{Name: "n-1", Incarnation: 5, LeaseTTLMS: 3000})
+		s.set(now, records.KeyController("n-0"), nil)
 		s.inc[0] = 0
 		if alone {
-			s.set(now, records.KeyNode("n-2"), nil)
+			s.set(now, records.KeyController("n-2"), nil)
 			s.inc[2] = 0
 		}
 		taker := ""
@@ -241,8 +241,8 @@
 func TestLeaderAfterARevocationHandsOn(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := detecting(now, 3*time.Second)
-	s.set(now, records.KeyLeader, &records.Term{Node: "n-1", Incarnation: 2, Number: 4})
-	if !s.revoke(now, 2, records.Revocation{Node: "n-1", Incarnation: 2}, make([]time.Duration, 3)) {
+	s.set(now, records.KeyLeader, &records.Term{Controller: "n-1", Incarnation: 2, Number: 4})
+	if !s.revoke(now, 2, records.Revocation{Controller: "n-1", Incarnation: 2}, make([]time.Duration, 3)) {
 		t.Fatal("not revoked")
 	}
 	for at := time.Duration(0); at < 10*time.Second; at += 50 * time.Millisecond {
@@ -257,7 +257,7 @@
 		if k.Name != leader {
 			continue
 		}
-		cl, ok := s.cores[i].HandOn(now.Add(12*time.Second), records.KeyLeader)
+		cl, ok := s.cores[i].HandOver(now.Add(12*time.Second), records.KeyLeader)
 		if !ok || cl.To == "n-1" || cl.To == leader {
 			t.Errorf("%s leads and hands on to %q", leader, cl.To)
 		}
--- a/peer/drain.go
+++ b/peer/drain.go
@@ -56,23 +56,23 @@
 
 // DrainStatus is what a controller knows of all drains.
 type DrainStatus struct {
-	Node    string             `json:"node"`
-	Drains  []DrainView        `json:"drains"`
-	Budgets []disruption.Usage `json:"budgets"`
+	Controller string             `json:"node"`
+	Drains     []DrainView        `json:"drains"`
+	Budgets    []disruption.Usage `json:"budgets"`
 	// Damaged are drains whose record cannot be read.
 	Damaged []int `json:"damaged,omitempty"`
 }
 
 // DrainView is one drain.
 type DrainView struct {
-	Number   int                `json:"number"`
-	State    records.DrainState `json:"state"`
-	Why      string             `json:"why,omitempty"`
-	StartedS int64              `json:"started_s"`
-	Machines int                `json:"machines"` // at its start
-	Left     int                `json:"left"`     // in the inventory
-	Proven   bool               `json:"proven"`
-	Shards   []drain.Progress   `json:"shards,omitempty"` // as their owners told last
+	Number     int                `json:"number"`
+	State      records.DrainState `json:"state"`
+	StopReason string             `json:"why,omitempty"`
+	StartedS   int64              `json:"started_s"`
+	Machines   int                `json:"machines"` // at its start
+	Remaining  int                `json:"left"`     // in the inventory
+	Proven     bool               `json:"proven"`
+	Shards     []drain.Progress   `json:"shards,omitempty"` // as their owners told last
 }
 
 // DrainHandler answers requests about drains. It is called on a goroutine of its own
--- a/peer/heartbeat.go
+++ b/peer/heartbeat.go
@@ -18,8 +18,8 @@
 
 // ProbeRequest asks a controller for its heartbeat, or to ask another one for its.
 type ProbeRequest struct {
-	Node   string `json:"node"`             // who asks
-	Target string `json:"target,omitempty"` // empty: the one that is asked
+	Controller string `json:"node"`             // who asks
+	Target     string `json:"target,omitempty"` // empty: the one that is asked
 }
 
 // ProbeReply answers a probe.
--- a/peer/heartbeat_test.go
+++ b/peer/heartbeat_test.go
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if _, err := c.Push(t.Context(), Status{}); err == nil {
+		if _, err := c.PushStatus(t.Context(), Status{}); err == nil {
 			return c
 		}
 	}
@@ -41,10 +41,10 @@
 // Heartbeats and probes arrive as they were sent, and a controller without failure
 // detection is told from one that does not answer.
 func TestHeartbeatsAndProbes(t *testing.T) {
-	status := func(Status) Reply { return Reply{} }
-	sent := detector.Message{Node: "n-0", Heartbeat: detector.Heartbeat{Process: 7, Refutation: 1, Sequence: 3, Stalled: []string{"leader"}},
-		Accusations: []detector.Accusation{{Node: "n-2", Process: 9, Refutation: 2, Evidence: []detector.Evidence{detector.Unserved}}}}
-	answer := detector.Message{Node: "n-1", Heartbeat: detector.Heartbeat{Process: 8, Sequence: 1}}
+	status := func(Status) StatusReply { return StatusReply{} }
+	sent := detector.Message{Controller: "n-0", Heartbeat: detector.Heartbeat{Process: 7, Refutation: 1, Sequence: 3, Stalled: []string{"leader"}},
+		Accusations: []detector.Accusation{{Controller: "n-2", Process: 9, Refutation: 2, Evidence: []detector.Evidence{detector.Unserved}}}}
+	answer := detector.Message{Controller: "n-1", Heartbeat: detector.Heartbeat{Process: 8, Sequence: 1}}
 	on := serve(t, Handlers{Status: status, Detection: Detection{
 		Heartbeat: func(_ context.Context, m detector.Message) (detector.Message, error) {
 			if !reflect.DeepEqual(m, sent) {
@@ -53,7 +53,7 @@
 			return answer, nil
 		},
 		Probe: func(_ context.Context, r ProbeRequest) (ProbeReply, error) {
-			if r != (ProbeRequest{Node: "n-0", Target: "n-2"}) {
+			if r != (ProbeRequest{Controller: "n-0", Target: "n-2"}) {
 				t.Errorf("asked for %+v", r)
 			}
 			return ProbeReply{}, nil
@@ -63,7 +63,7 @@
 	if got, err := on.Heartbeat(ctx, sent); err != nil || !reflect.DeepEqual(got, answer) {
 		t.Errorf("%+v, %v", got, err)
 	}
-	if got, err := on.Probe(ctx, ProbeRequest{Node: "n-0", Target: "n-2"}); err != nil || got.Heartbeat != nil {
+	if got, err := on.Probe(ctx, ProbeRequest{Controller: "n-0", Target: "n-2"}); err != nil || got.Heartbeat != nil {
 		t.Errorf("%+v, %v", got, err)
 	}
 	off := serve(t, Handlers{Status: status})
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -25,44 +25,44 @@
 
 // Status is what a controller tells another of itself.
 type Status struct {
-	Node       string             `json:"node"`
-	StateOK    bool               `json:"state_ok"` // it reaches the state service
-	Aggregates []leader.Aggregate `json:"agg,omitempty"`
+	Controller     string             `json:"node"`
+	StoreReachable bool               `json:"state_ok"` // it reaches the state service
+	Aggregates     []leader.Aggregate `json:"agg,omitempty"`
 	// Forecast is what the leader here will assign before long, by shard.
 	Forecast map[string]leader.Forecast `json:"fc,omitempty"`
 	// Misrouted reports are machines that lately reported here although another
 	// controller owns them: they live, and it is their owner that is cut off.
-	MisroutedReports []shard.MisroutedReport `json:"strays,omitempty"`
+	MisroutedHeartbeats []shard.MisroutedHeartbeat `json:"strays,omitempty"`
 	// Revision is what the sender's feed has reached.
 	Revision uint64 `json:"rev,omitempty"`
-	// Ask names the terms under which the sender would go on owning shards while
+	// ExtensionRequest names the terms under which the sender would go on owning shards while
 	// nobody reaches the state service; see docs/safety.md, point 12.
-	Ask []Held `json:"ask,omitempty"`
+	ExtensionRequest []HeldTerm `json:"ask,omitempty"`
 	// Counts are tasks running, and done in open assignments, by shard and job.
 	Counts map[string]records.CountsByJob `json:"counts,omitempty"`
 	// Drains is how far the drains have come in the sender's shards.
 	Drains []drain.ShardView `json:"drains,omitempty"`
 }
 
-// Held is a term that a controller holds.
-type Held struct {
+// HeldTerm is a term that a controller holds.
+type HeldTerm struct {
 	Key     string `json:"key"`
 	Term    uint64 `json:"term"`
 	Version uint64 `json:"ver"`
 }
 
-// Reply answers a status.
-type Reply struct {
-	Node string `json:"node"`
-	// Extends: for constants.ExtensionLife from when it was asked, this controller
+// StatusReply answers a status.
+type StatusReply struct {
+	Controller string `json:"node"`
+	// ExtensionGranted: for constants.ExtensionLife from when it was asked, this controller
 	// claims nothing.
-	Extends bool `json:"promise,omitempty"`
-	// Cancels is the revision of the latest cancellation that it knows of.
-	Cancels uint64 `json:"cancels,omitempty"`
-	// Named: Cancelled lists every cancellation that it knows of beyond the
+	ExtensionGranted bool `json:"promise,omitempty"`
+	// LatestCancellation is the revision of the latest cancellation that it knows of.
+	LatestCancellation uint64 `json:"cancels,omitempty"`
+	// AllCancellationsListed: Cancelled lists every cancellation that it knows of beyond the
 	// revision that it was asked with.
-	Named     bool           `json:"named,omitempty"`
-	Cancelled []Cancellation `json:"cancelled,omitempty"`
+	AllCancellationsListed bool           `json:"named,omitempty"`
+	Cancellations          []Cancellation `json:"cancelled,omitempty"`
 }
 
 // Cancellation is a job's stored cancellation.
@@ -73,7 +73,7 @@
 
 // Handlers take in what other controllers send.
 type Handlers struct {
-	Status func(Status) Reply // must not block
+	Status func(Status) StatusReply // must not block
 	Commit CommitHandler
 	// Detection is empty where failure detection is off.
 	Detection Detection
@@ -143,11 +143,11 @@
 	return &Client{conn}, nil
 }
 
-// Push tells a status and returns the other's answer.
-func (c *Client) Push(ctx context.Context, s Status) (Reply, error) {
+// PushStatus tells a status and returns the other's answer.
+func (c *Client) PushStatus(ctx context.Context, s Status) (StatusReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, constants.PeerTimeout)
 	defer cancel()
-	var r Reply
+	var r StatusReply
 	err := c.conn.Invoke(ctx, method, &s, &r)
 	return r, err
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -51,7 +51,7 @@
 	if aggregates == 0 || len(was.Reply) == 0 {
 		t.Fatal("no messages to read")
 	}
-	same(was.Reply[0], &Reply{})
+	same(was.Reply[0], &StatusReply{})
 	// And the other way round: the version before ignores fields it does not know.
 	var frozen struct {
 		Aggregates []struct {
@@ -59,7 +59,7 @@
 			Wait  float64 `json:"wait"`
 		} `json:"agg"`
 	}
-	b, err := codec{}.Marshal(Status{Aggregates: []leader.Aggregate{{Shard: "a", Waiting: 3, Gangs: map[string]leader.GangRoom{"x": {Now: 1}}, GangsKept: 2}}})
+	b, err := codec{}.Marshal(Status{Aggregates: []leader.Aggregate{{Shard: "a", WaitingCPUs: 3, Gangs: map[string]leader.GangCapacity{"x": {Now: 1}}, ReservedForGangs: 2}}})
 	if err != nil || json.Unmarshal(b, &frozen) != nil || frozen.Aggregates[0].Shard != "a" || frozen.Aggregates[0].Wait != 3 {
 		t.Fatalf("%s: %v", b, err)
 	}
--- a/peer/relay.go
+++ b/peer/relay.go
@@ -41,15 +41,15 @@
 
 // ReplyOf puts what a call of the state service returned into a reply.
 func ReplyOf(revision uint64, err error) CommitReply {
-	var conflict *kvstore.Conflict
+	var conflict *kvstore.ConflictError
 	switch {
 	case err == nil:
 		return CommitReply{Outcome: OutcomeWritten, Revision: revision}
 	case errors.As(err, &conflict):
-		return CommitReply{Outcome: OutcomeConflict, Failed: conflict.Failed}
-	case errors.Is(err, kvstore.ErrInvalid):
+		return CommitReply{Outcome: OutcomeConflict, Failed: conflict.Keys}
+	case errors.Is(err, kvstore.ErrInvalidRequest):
 		return CommitReply{Outcome: OutcomeInvalid}
-	case errors.Is(err, kvstore.ErrLimited):
+	case errors.Is(err, kvstore.ErrRateLimited):
 		return CommitReply{Outcome: OutcomeLimited}
 	case errors.Is(err, kvstore.ErrRefused):
 		return CommitReply{Outcome: OutcomeRefused}
@@ -63,15 +63,15 @@
 	case OutcomeWritten:
 		return r.Revision, nil
 	case OutcomeConflict:
-		return 0, &kvstore.Conflict{Failed: r.Failed}
+		return 0, &kvstore.ConflictError{Keys: r.Failed}
 	case OutcomeInvalid:
-		return 0, fmt.Errorf("%w: relayed", kvstore.ErrInvalid)
+		return 0, fmt.Errorf("%w: relayed", kvstore.ErrInvalidRequest)
 	case OutcomeLimited:
-		return 0, fmt.Errorf("%w: %w: relayed", kvstore.ErrRefused, kvstore.ErrLimited)
+		return 0, fmt.Errorf("%w: %w: relayed", kvstore.ErrRefused, kvstore.ErrRateLimited)
 	case OutcomeRefused:
 		return 0, fmt.Errorf("%w: relayed", kvstore.ErrRefused)
 	}
-	return 0, fmt.Errorf("%w: relayed", kvstore.ErrUnknown)
+	return 0, fmt.Errorf("%w: relayed", kvstore.ErrOutcomeUnknown)
 }
 
 // Commit has the other controller carry out a transaction. One of the version before
@@ -85,7 +85,7 @@
 	case status.Code(err) == codes.Unimplemented:
 		return 0, fmt.Errorf("%w: relay: %w", kvstore.ErrRefused, err)
 	}
-	return 0, fmt.Errorf("%w: relay: %w", kvstore.ErrUnknown, err)
+	return 0, fmt.Errorf("%w: relay: %w", kvstore.ErrOutcomeUnknown, err)
 }
 
 // commitDesc is the method's description for gRPC.
--- a/peer/relay_test.go
+++ b/peer/relay_test.go
@@ -22,12 +22,12 @@
 	}
 	addr := l.Addr().String()
 	l.Close()
-	txn := wire.Txn{If: []wire.Condition{{Key: "k"}}, Then: []wire.Change{{Put: "k", Value: []byte(`{"a":1}`)}}}
+	txn := wire.Txn{Conditions: []wire.Condition{{Key: "k"}}, Changes: []wire.Change{{Put: "k", Value: []byte(`{"a":1}`)}}}
 	answers := make(chan error, 1)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() {
-		h := Handlers{Status: func(Status) Reply { return Reply{} }, Commit: func(_ context.Context, got wire.Txn) CommitReply {
+		h := Handlers{Status: func(Status) StatusReply { return StatusReply{} }, Commit: func(_ context.Context, got wire.Txn) CommitReply {
 			if !reflect.DeepEqual(got, txn) {
 				t.Errorf("asked for %+v", got)
 			}
@@ -42,13 +42,13 @@
 		t.Fatal(err)
 	}
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if _, err := c.Push(ctx, Status{}); err == nil {
+		if _, err := c.PushStatus(ctx, Status{}); err == nil {
 			break // it listens
 		}
 	}
-	kinds := []error{kvstore.ErrRefused, kvstore.ErrLimited, kvstore.ErrUnknown, kvstore.ErrInvalid}
-	for _, want := range []error{nil, kvstore.ErrRefused, fmt.Errorf("%w: %w", kvstore.ErrRefused, kvstore.ErrLimited), kvstore.ErrUnknown, kvstore.ErrInvalid,
-		&kvstore.Conflict{Failed: []string{"k"}}, errors.New("something else")} {
+	kinds := []error{kvstore.ErrRefused, kvstore.ErrRateLimited, kvstore.ErrOutcomeUnknown, kvstore.ErrInvalidRequest}
+	for _, want := range []error{nil, kvstore.ErrRefused, fmt.Errorf("%w: %w", kvstore.ErrRefused, kvstore.ErrRateLimited), kvstore.ErrOutcomeUnknown, kvstore.ErrInvalidRequest,
+		&kvstore.ConflictError{Keys: []string{"k"}}, errors.New("something else")} {
 		answers <- want
 		revision, err := c.Commit(ctx, txn)
 		if want == nil {
@@ -57,12 +57,12 @@
 			}
 			continue
 		}
-		var was, is *kvstore.Conflict
+		var was, is *kvstore.ConflictError
 		if errors.As(want, &was) != errors.As(err, &is) || was != nil && !reflect.DeepEqual(was, is) {
 			t.Errorf("%v became %v", want, err)
 		}
 		for _, kind := range kinds {
-			known := errors.Is(want, kind) || kind == kvstore.ErrUnknown && want.Error() == "something else"
+			known := errors.Is(want, kind) || kind == kvstore.ErrOutcomeUnknown && want.Error() == "something else"
 			if errors.Is(err, kind) != known {
 				t.Errorf("%v became %v", want, err)
 			}
@@ -79,7 +79,7 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
-	if _, err := c.Commit(ctx, wire.Txn{}); !errors.Is(err, kvstore.ErrUnknown) {
+	if _, err := c.Commit(ctx, wire.Txn{}); !errors.Is(err, kvstore.ErrOutcomeUnknown) {
 		t.Errorf("no answer became %v", err)
 	}
 }
--- a/records/draining.go
+++ b/records/draining.go
@@ -16,15 +16,15 @@
 // KeyDrain is the key of a drain. Numbers are padded so that keys are in their order.
 func KeyDrain(number int) string { return drainPrefix + fmt.Sprintf("%06d", number) }
 
-// KeyClaim is the key of a shard's claim.
-func KeyClaim(shard string) string { return claimPrefix + shard }
+// KeyDisruptionClaim is the key of a shard's claim.
+func KeyDisruptionClaim(shard string) string { return claimPrefix + shard }
 
-// Claim is what a shard's owner counts against the budgets of disruption: tasks that are
+// DisruptionClaim is what a shard's owner counts against the budgets of disruption: tasks that are
 // unavailable, or that it may stop. See docs/draining.md.
-type Claim struct {
-	Shard string         `json:"-"`
-	Term  uint64         `json:"term"` // of the owner that wrote it
-	Down  map[string]int `json:"down,omitempty"`
+type DisruptionClaim struct {
+	Shard       string         `json:"-"`
+	Term        uint64         `json:"term"` // of the owner that wrote it
+	Unavailable map[string]int `json:"down,omitempty"`
 }
 
 // DrainState is how far a drain has come.
@@ -55,15 +55,15 @@
 
 // Drain is the record of a drain.
 type Drain struct {
-	Number    int        `json:"-"`
-	Selection Selection  `json:"sel"`
-	State     DrainState `json:"state"`
-	Why       string     `json:"why,omitempty"`      // it stopped
-	StartedS  int64      `json:"at"`                 // time of day (s)
-	Machines  int        `json:"machines"`           // that it took in when it was started
-	Proven    bool       `json:"proven,omitempty"`   // the first machine was replaced
-	Done      []string   `json:"done,omitempty"`     // shards without machines of it
-	Attempt   int        `json:"attempts,omitempty"` // how often it was resumed
+	Number        int        `json:"-"`
+	Selection     Selection  `json:"sel"`
+	State         DrainState `json:"state"`
+	StopReason    string     `json:"why,omitempty"`      // it stopped
+	StartedS      int64      `json:"at"`                 // time of day (s)
+	Machines      int        `json:"machines"`           // that it took in when it was started
+	Proven        bool       `json:"proven,omitempty"`   // the first machine was replaced
+	DrainedShards []string   `json:"done,omitempty"`     // shards without machines of it
+	Attempt       int        `json:"attempts,omitempty"` // how often it was resumed
 }
 
 // Damaged stands for a record of a drain or a claim that cannot be read.
@@ -78,15 +78,15 @@
 	return r.Number, true
 }
 
-// Claim is the shard of the damaged claim; ok is false if it is none.
-func (d *Damaged) Claim() (shard string, ok bool) {
+// DisruptionClaim is the shard of the damaged claim; ok is false if it is none.
+func (d *Damaged) DisruptionClaim() (shard string, ok bool) {
 	return strings.CutPrefix(d.Key, claimPrefix)
 }
 
 // Clone copies the record, so that the copy can be changed.
 func (d *Drain) Clone() *Drain {
 	c := *d
-	c.Done = append([]string(nil), d.Done...)
+	c.DrainedShards = append([]string(nil), d.DrainedShards...)
 	return &c
 }
 
@@ -94,7 +94,7 @@
 // of another kind.
 func decodeDraining(key string) any {
 	if shard, ok := strings.CutPrefix(key, claimPrefix); ok {
-		return &Claim{Shard: shard}
+		return &DisruptionClaim{Shard: shard}
 	}
 	if text, ok := strings.CutPrefix(key, drainPrefix); ok {
 		if number, err := strconv.Atoi(text); err == nil {
--- a/records/golden_test.go
+++ b/records/golden_test.go
@@ -12,25 +12,25 @@
 func TestStoredFormsAreFixed(t *testing.T) {
 	page := &Page{}
 	page.Add(Machine{Name: "m-1", Type: "box", Addr: "10.0.0.9:9000"})
-	page.Add(Machine{Name: "m-2", Type: "box", RentedS: 17})
+	page.Add(Machine{Name: "m-2", Type: "box", RequestedS: 17})
 	closing := &Page{}
 	closing.Add(Machine{Name: "m-1", Type: "box", Spot: true, Addr: "10.0.0.9:9000", Closed: true})
 	for _, c := range []struct {
 		name, key, want string
 		record          any
 	}{
-		{"controller", KeyNode("n-0"), `{"inc":7,"pack":true}`, Node{Name: "n-0", Incarnation: 7, Packs: true}},
-		{"controller that heeds revocations", KeyNode("n-0"), `{"inc":7,"life":3500}`, Node{Name: "n-0", Incarnation: 7, LifeMS: 3500}},
+		{"controller", KeyController("n-0"), `{"inc":7,"pack":true}`, Controller{Name: "n-0", Incarnation: 7, ReadsPacked: true}},
+		{"controller that heeds revocations", KeyController("n-0"), `{"inc":7,"life":3500}`, Controller{Name: "n-0", Incarnation: 7, LeaseTTLMS: 3500}},
 		{"revocation", KeyRevoked("n-0"), `{"inc":7,"life":3500,"by":"n-1","ev":["unserved"],"acc":["n-1","n-2"]}`,
-			Revocation{Node: "n-0", Incarnation: 7, LifeMS: 3500, By: "n-1", Evidence: []string{"unserved"}, Accusers: []string{"n-1", "n-2"}}},
-		{"term", KeyShard("a"), `{"node":"n-0","inc":7,"term":3,"cut":true}`, Term{Shard: "a", Node: "n-0", Incarnation: 7, Number: 3, Cut: true}},
-		{"leader's term", KeyLeader, `{"node":"n-0","inc":7,"term":3}`, Term{Node: "n-0", Incarnation: 7, Number: 3}},
+			Revocation{Controller: "n-0", Incarnation: 7, LeaseTTLMS: 3500, By: "n-1", Evidence: []string{"unserved"}, Accusers: []string{"n-1", "n-2"}}},
+		{"term", KeyShard("a"), `{"node":"n-0","inc":7,"term":3,"cut":true}`, Term{Shard: "a", Controller: "n-0", Incarnation: 7, Number: 3, HolderUnreachable: true}},
+		{"leader's term", KeyLeader, `{"node":"n-0","inc":7,"term":3}`, Term{Controller: "n-0", Incarnation: 7, Number: 3}},
 		{"page", KeyInventory("a", 2), `{"g":[{"t":"box","u":{"m-1":"10.0.0.9:9000"},"c":{"m-2":17}}]}`, page},
 		{"page with a closed machine", KeyInventory("a", 3), `{"g":[{"t":"box","s":true,"u":{"m-1":"10.0.0.9:9000"},"x":["m-1"]}]}`, closing},
 		{"job", KeyJob("run-000001"), `{"spec":{"uid":"","lane":"c","crew":"t","shape":"sweep","rank":"standard","pieces":4,"cpus":1,"cards":0,"mem_gb":2,"kit":"i","pull_gb":0.5,"guess_s":9,"mark_every_s":0,"stow_s":0},"at":5,"end":"done","ch":[{"f":0,"t":4,"p":"a","c":true,"k":true,"g":true}],"try":6}`,
 			Job{ID: "run-000001", AcceptedMS: 5, End: wire.JobDone, Attempt: 6,
 				Spec:        wire.Submission{Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 4, CPUs: 1, MemoryGB: 2, Image: "i", ImageGB: 0.5, EstimateS: 9},
-				Assignments: []Assignment{{From: 0, To: 4, Shard: "a", Closed: true, Keep: true, Guaranteed: true}}}},
+				Assignments: []Assignment{{From: 0, To: 4, Shard: "a", Closed: true, KeepWaiting: true, Guaranteed: true}}}},
 	} {
 		if got := string(Encode(c.record)); got != c.want {
 			t.Errorf("%s is stored as\n%s, not as\n%s", c.name, got, c.want)
--- a/records/packed.go
+++ b/records/packed.go
@@ -14,24 +14,24 @@
 	"ravenport/wire"
 )
 
-// Sizes are the limits on a record, as they are and as they will be.
-type Sizes struct {
+// SizeLimits are the limits on a record, as they are and as they will be.
+type SizeLimits struct {
 	Now, Next int // bytes; Next is the smaller
-	// Packs: no process of the version before can come any more, which could not
+	// Packing: no process of the version before can come any more, which could not
 	// read a packed record.
-	Packs bool
+	Packing bool
 }
 
 // Encode writes a job's record so that it can be stored; ok is false if it cannot
 // be. A record of usual size is written plainly. One that the version before left
 // larger than the limit to come stays plain while that version may still read it,
 // as the old limit holds as long, and is packed afterwards.
-func (z Sizes) Encode(j, was *Job) (value json.RawMessage, ok bool) {
+func (z SizeLimits) Encode(j, was *Job) (value json.RawMessage, ok bool) {
 	plain := Encode(j)
 	switch {
 	case len(plain) <= z.Next:
 		return plain, true
-	case z.Packs:
+	case z.Packing:
 		packed := pack(j)
 		if len(packed) > z.Next && j.End != "" {
 			// A job that is over is placed nowhere any more: what says where it
@@ -46,9 +46,9 @@
 }
 
 // Grows says whether a record with new pieces can be stored now and to its end.
-func (z Sizes) Grows(j, was *Job) (value json.RawMessage, ok bool) {
+func (z SizeLimits) Grows(j, was *Job) (value json.RawMessage, ok bool) {
 	value, ok = z.Encode(j, was)
-	return value, ok && (z.Packs || grown(j) <= max(z.Next, grown(was)))
+	return value, ok && (z.Packing || grown(j) <= max(z.Next, grown(was)))
 }
 
 // grown is the most that a record takes later without new pieces: all of them
@@ -65,12 +65,12 @@
 
 // Storable says whether a job could be stored to its end: with a piece in each of
 // so many shards, closed or not, and its end told.
-func (z Sizes) Storable(j *Job, shards []string) bool {
+func (z SizeLimits) Storable(j *Job, shards []string) bool {
 	full := *j
 	full.End = "cancelled "
 	full.Attempt = 1 << 32
 	for i, p := range shards {
-		full.Assignments = append(full.Assignments, Assignment{From: j.Spec.Tasks - i, To: j.Spec.Tasks, Shard: p, Closed: true, Keep: true, Guaranteed: true})
+		full.Assignments = append(full.Assignments, Assignment{From: j.Spec.Tasks - i, To: j.Spec.Tasks, Shard: p, Closed: true, KeepWaiting: true, Guaranteed: true})
 	}
 	return len(Encode(full)) <= z.Next
 }
@@ -127,7 +127,7 @@
 			shards = append(shards, ch.Shard)
 		}
 		code := codeOpen + i*codesAShard
-		if ch.Keep {
+		if ch.KeepWaiting {
 			code += codeKeep
 		}
 		if ch.Guaranteed {
@@ -215,7 +215,7 @@
 				return errPacked
 			}
 			ch.Shard = names[code/codesAShard]
-			ch.Keep = code%codesAShard&codeKeep != 0
+			ch.KeepWaiting = code%codesAShard&codeKeep != 0
 			ch.Guaranteed = code%codesAShard&codeGuaranteed != 0
 		}
 		j.Assignments = append(j.Assignments, ch)
--- a/records/packed_test.go
+++ b/records/packed_test.go
@@ -22,7 +22,7 @@
 		at += rapid.IntRange(0, 2).Draw(t, "gap")
 		n := rapid.IntRange(1, 40).Draw(t, "tasks")
 		j.Assignments = append(j.Assignments, Assignment{From: at, To: at + n, Shard: rapid.SampledFrom([]string{"back-room", "loading-dock", "mill-annex"}).Draw(t, "part"),
-			Closed: rapid.Bool().Draw(t, "closed"), Keep: rapid.Bool().Draw(t, "keep"), Guaranteed: rapid.Bool().Draw(t, "guaranteed")})
+			Closed: rapid.Bool().Draw(t, "closed"), KeepWaiting: rapid.Bool().Draw(t, "keep"), Guaranteed: rapid.Bool().Draw(t, "guaranteed")})
 		at += n
 	}
 	j.Spec.Tasks = at + rapid.IntRange(1, 5).Draw(t, "rest")
@@ -35,7 +35,7 @@
 	c := j.Clone()
 	for i := range c.Assignments {
 		if ch := &c.Assignments[i]; ch.Closed {
-			ch.Shard, ch.Keep, ch.Guaranteed = "", false, false
+			ch.Shard, ch.KeepWaiting, ch.Guaranteed = "", false, false
 		}
 	}
 	c.Normalize()
@@ -50,14 +50,14 @@
 func TestLargeRecordIsPacked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		j := drawJob(t)
-		old := Sizes{Now: 16 << 10, Next: 2 << 10}
+		old := SizeLimits{Now: 16 << 10, Next: 2 << 10}
 		if len(Encode(j)) > old.Now {
 			t.Skip("the version before could not have written it")
 		}
 		if v, ok := old.Encode(j, j); !ok || string(v) != string(Encode(j)) {
 			t.Fatalf("not written plainly (%v) while the version before may read it", ok)
 		}
-		old.Packs = true
+		old.Packing = true
 		value, ok := old.Encode(j, j)
 		if !ok || len(value) > old.Next {
 			t.Fatalf("%d bytes of %d for %d assignments", len(value), old.Next, len(j.Assignments))
@@ -78,8 +78,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		was := drawJob(t)
 		j := was.Clone()
-		j.Assignments = append(j.Assignments, Assignment{From: j.Spec.Tasks - 1, To: j.Spec.Tasks, Shard: "mill-annex", Keep: true})
-		z := Sizes{Now: 16 << 10, Next: rapid.IntRange(300, 8<<10).Draw(t, "next")}
+		j.Assignments = append(j.Assignments, Assignment{From: j.Spec.Tasks - 1, To: j.Spec.Tasks, Shard: "mill-annex", KeepWaiting: true})
+		z := SizeLimits{Now: 16 << 10, Next: rapid.IntRange(300, 8<<10).Draw(t, "next")}
 		if _, ok := z.Grows(j, was); !ok {
 			return
 		}
@@ -101,7 +101,7 @@
 	for i := range 32 {
 		j.Spec.Types = append(j.Spec.Types, fmt.Sprintf("%0100d-kind-%02d", 7, i))
 	}
-	z := Sizes{Now: 8 << 10, Next: 2 << 10, Packs: true}
+	z := SizeLimits{Now: 8 << 10, Next: 2 << 10, Packing: true}
 	if z.Storable(j, []string{"a", "b"}) {
 		t.Error("accepted though it cannot be stored plainly")
 	}
@@ -126,7 +126,7 @@
 		j.Assignments = []Assignment{{From: 0, To: 4, Shard: "a"}, {From: 4, To: 9, Shard: "b", Closed: true}}
 		was := *j
 		was.End = ""
-		value, ok := Sizes{Now: 8 << 10, Next: 2 << 10, Packs: true}.Encode(j, &was)
+		value, ok := SizeLimits{Now: 8 << 10, Next: 2 << 10, Packing: true}.Encode(j, &was)
 		if !ok {
 			t.Fatalf("%d bytes", len(value))
 		}
--- a/records/records.go
+++ b/records/records.go
@@ -24,8 +24,8 @@
 	jobPrefix       = Prefix + "job/"
 )
 
-// KeyNode is the key that lives as long as a controller's lease.
-func KeyNode(node string) string { return nodePrefix + node }
+// KeyController is the key that lives as long as a controller's lease.
+func KeyController(node string) string { return nodePrefix + node }
 
 // KeyRevoked is the key of the latest revocation of a controller's process.
 func KeyRevoked(node string) string { return revokePrefix + node }
@@ -41,24 +41,24 @@
 // KeyJob is the key of a job.
 func KeyJob(id string) string { return jobPrefix + id }
 
-// Node says that a controller is alive; the key is attached to its lease.
-type Node struct {
+// Controller says that a controller is alive; the key is attached to its lease.
+type Controller struct {
 	Name        string `json:"-"`
 	Incarnation uint64 `json:"inc"`
-	// Packs: this version reads packed records.
-	Packs bool `json:"pack,omitempty"`
-	// LifeMS is the life of the process's lease (ms), if it heeds revocations; one
+	// ReadsPacked: this version reads packed records.
+	ReadsPacked bool `json:"pack,omitempty"`
+	// LeaseTTLMS is the life of the process's lease (ms), if it heeds revocations; one
 	// that does not must not be revoked.
-	LifeMS int64 `json:"life,omitempty"`
+	LeaseTTLMS int64 `json:"life,omitempty"`
 }
 
 // Revocation ends the authority of one process of a controller, although its lease
 // lives: at most the lease's life after this was written. It is never deleted, and
 // says nothing of any other process.
 type Revocation struct {
-	Node        string   `json:"-"`
+	Controller  string   `json:"-"`
 	Incarnation uint64   `json:"inc"`
-	LifeMS      int64    `json:"life"`
+	LeaseTTLMS  int64    `json:"life"`
 	By          string   `json:"by"`
 	Evidence    []string `json:"ev,omitempty"`
 	Accusers    []string `json:"acc,omitempty"`
@@ -68,32 +68,32 @@
 // deleted, so that they only rise.
 type Term struct {
 	Shard       string `json:"-"` // empty: the leader's
-	Node        string `json:"node"`
+	Controller  string `json:"node"`
 	Incarnation uint64 `json:"inc"`
 	Number      uint64 `json:"term"`
-	// Cut: the holder before gave the term up because its machines could not
+	// HolderUnreachable: the holder before gave the term up because its machines could not
 	// reach it. It gets it back only after a while.
-	Cut bool `json:"cut,omitempty"`
+	HolderUnreachable bool `json:"cut,omitempty"`
 }
 
 // Page is one page of a shard's inventory. An inventory of a thousand machines with a
 // key for each would take minutes of the state service's changes; grouped by
 // kind, a page of 8 KiB takes some two hundred.
 type Page struct {
-	Shard  string  `json:"-"`
-	Number int     `json:"-"`
-	Groups []Group `json:"g"`
+	Shard  string         `json:"-"`
+	Number int            `json:"-"`
+	Groups []MachineGroup `json:"g"`
 }
 
-// Group lists machines of one kind that may hold tasks.
-type Group struct {
+// MachineGroup lists machines of one kind that may hold tasks.
+type MachineGroup struct {
 	Type string `json:"t"`
 	Spot bool   `json:"s,omitempty"`
 	// Up are those that have reported, with their addresses.
 	Up map[string]string `json:"u,omitempty"`
-	// Coming are those that have not, with the time of day of their rental (s):
+	// Pending are those that have not, with the time of day of their rental (s):
 	// nothing was ever sent to them.
-	Coming map[string]int64 `json:"c,omitempty"`
+	Pending map[string]int64 `json:"c,omitempty"`
 	// Closed are those of both that are to be returned: they never take a task again.
 	Closed []string `json:"x,omitempty"`
 }
@@ -102,7 +102,7 @@
 type Machine struct {
 	Name, Type, Addr string // no address: it has not come up
 	Spot             bool
-	RentedS          int64
+	RequestedS       int64
 	Closed           bool // it is to be returned, and never takes a task again
 }
 
@@ -116,12 +116,12 @@
 	}
 	if at < 0 {
 		at = len(p.Groups)
-		p.Groups = append(p.Groups, Group{Type: m.Type, Spot: m.Spot, Up: map[string]string{}, Coming: map[string]int64{}})
+		p.Groups = append(p.Groups, MachineGroup{Type: m.Type, Spot: m.Spot, Up: map[string]string{}, Pending: map[string]int64{}})
 	}
 	if m.Addr != "" {
 		p.Groups[at].Up[m.Name] = m.Addr
 	} else {
-		p.Groups[at].Coming[m.Name] = m.RentedS
+		p.Groups[at].Pending[m.Name] = m.RequestedS
 	}
 	if m.Closed {
 		p.Groups[at].Closed = append(p.Groups[at].Closed, m.Name)
@@ -135,8 +135,8 @@
 		for name, addr := range g.Up {
 			out = append(out, Machine{Name: name, Type: g.Type, Spot: g.Spot, Addr: addr, Closed: slices.Contains(g.Closed, name)})
 		}
-		for name, at := range g.Coming {
-			out = append(out, Machine{Name: name, Type: g.Type, Spot: g.Spot, RentedS: at, Closed: slices.Contains(g.Closed, name)})
+		for name, at := range g.Pending {
+			out = append(out, Machine{Name: name, Type: g.Type, Spot: g.Spot, RequestedS: at, Closed: slices.Contains(g.Closed, name)})
 		}
 	}
 	slices.SortFunc(out, func(a, b Machine) int { return strings.Compare(a.Name, b.Name) })
@@ -164,9 +164,9 @@
 	// Closed: every task of the range is done or, for a job that ended, is
 	// surely on no machine any more. A closed assignment takes up no room.
 	Closed bool `json:"c,omitempty"`
-	// Keep: other shards have been asked or are known to be full, so the owner
+	// KeepWaiting: other shards have been asked or are known to be full, so the owner
 	// waits for room or rents instead of sending the tasks back.
-	Keep bool `json:"k,omitempty"`
+	KeepWaiting bool `json:"k,omitempty"`
 	// Guaranteed: the leader found the work within its team's guarantee.
 	Guaranteed bool `json:"g,omitempty"`
 }
@@ -220,9 +220,9 @@
 	return at == j.Spec.Tasks
 }
 
-// AllOver says whether no assignment is open any more, so that no task of the job
+// AllAssignmentsClosed says whether no assignment is open any more, so that no task of the job
 // can be on any machine.
-func (j *Job) AllOver() bool {
+func (j *Job) AllAssignmentsClosed() bool {
 	for _, c := range j.Assignments {
 		if !c.Closed {
 			return false
@@ -253,7 +253,7 @@
 		}
 		// Of a closed assignment nothing but its range matters any more.
 		if n := len(out); n > 0 && out[n-1].To == c.From && out[n-1].Closed == c.Closed &&
-			(c.Closed || out[n-1].Shard == c.Shard && out[n-1].Keep == c.Keep && out[n-1].Guaranteed == c.Guaranteed) {
+			(c.Closed || out[n-1].Shard == c.Shard && out[n-1].KeepWaiting == c.KeepWaiting && out[n-1].Guaranteed == c.Guaranteed) {
 			out[n-1].To = c.To
 			continue
 		}
@@ -282,9 +282,9 @@
 	case strings.HasPrefix(key, shardPrefix):
 		v = &Term{Shard: key[len(shardPrefix):]}
 	case strings.HasPrefix(key, nodePrefix):
-		v = &Node{Name: key[len(nodePrefix):]}
+		v = &Controller{Name: key[len(nodePrefix):]}
 	case strings.HasPrefix(key, revokePrefix):
-		v = &Revocation{Node: key[len(revokePrefix):]}
+		v = &Revocation{Controller: key[len(revokePrefix):]}
 	case strings.HasPrefix(key, inventoryPrefix):
 		shard, page, _ := strings.Cut(key[len(inventoryPrefix):], "/")
 		n, err := strconv.Atoi(page)
@@ -321,10 +321,10 @@
 // CreatesJob says that a transaction creates one job's record and does nothing else:
 // carried out twice, or late, it changes nothing that exists.
 func CreatesJob(t wire.Txn) bool {
-	if len(t.If) != 1 || len(t.Then) != 1 {
+	if len(t.Conditions) != 1 || len(t.Changes) != 1 {
 		return false
 	}
-	key, change := t.If[0], t.Then[0]
+	key, change := t.Conditions[0], t.Changes[0]
 	return key.Version == 0 && change.Put == key.Key && change.Delete == "" && change.Lease == 0 &&
 		strings.HasPrefix(key.Key, KeyJob(""))
 }
--- a/settings/detection.go
+++ b/settings/detection.go
@@ -58,7 +58,7 @@
 func LoadDetection(path string) (*Detection, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, &Error{path, err.Error()}
+		return nil, &FieldError{path, err.Error()}
 	}
 	d, err := ParseDetection(text)
 	if err != nil {
@@ -66,7 +66,7 @@
 	}
 	if d.HistoryPath != "" {
 		if info, err := os.Stat(filepath.Dir(d.HistoryPath)); err != nil || !info.IsDir() {
-			return nil, &Error{"detection.history.path", fmt.Sprintf("%q is not in a directory", d.HistoryPath)}
+			return nil, &FieldError{"detection.history.path", fmt.Sprintf("%q is not in a directory", d.HistoryPath)}
 		}
 	}
 	return d, nil
@@ -77,7 +77,7 @@
 func ParseDetection(text []byte) (*Detection, error) {
 	p, err := properties.Load(text, properties.UTF8)
 	if err != nil {
-		return nil, &Error{"detection", err.Error()}
+		return nil, &FieldError{"detection", err.Error()}
 	}
 	d := defaultDetection()
 	for _, f := range d.durations() {
@@ -106,11 +106,11 @@
 func (d *Detection) check() error {
 	switch {
 	case d.SuspectMin <= d.Interval:
-		return &Error{"detection.suspect.min.ms", "must be larger than detection.heartbeat.ms"}
+		return &FieldError{"detection.suspect.min.ms", "must be larger than detection.heartbeat.ms"}
 	case d.SuspectMax < d.SuspectMin:
-		return &Error{"detection.suspect.max.ms", "must not be smaller than detection.suspect.min.ms"}
+		return &FieldError{"detection.suspect.max.ms", "must not be smaller than detection.suspect.min.ms"}
 	case d.DeclareAfter <= d.SuspectMin:
-		return &Error{"detection.declare.ms", "must be larger than detection.suspect.min.ms"}
+		return &FieldError{"detection.declare.ms", "must be larger than detection.suspect.min.ms"}
 	}
 	return nil
 }
@@ -122,7 +122,7 @@
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil || n < lo || n > hi {
-		return otherwise, &Error{key, fmt.Sprintf("must be a whole number from %d to %d", lo, hi)}
+		return otherwise, &FieldError{key, fmt.Sprintf("must be a whole number from %d to %d", lo, hi)}
 	}
 	return n, nil
 }
@@ -134,15 +134,15 @@
 	case text == "true" || text == "false":
 		return text == "true", nil
 	}
-	return otherwise, &Error{key, "must be true or false"}
+	return otherwise, &FieldError{key, "must be true or false"}
 }
 
 // DetectorConfig is the configuration of this controller's failure detector.
 func (s *Settings) DetectorConfig() detector.Config {
 	d := s.Detection
-	cfg := detector.Config{Self: s.Node, Interval: d.Interval, SuspectMin: d.SuspectMin, SuspectMax: d.SuspectMax, DeclareAfter: d.DeclareAfter, ProbeTimeout: d.ProbeTimeout}
-	for _, n := range s.Nodes() {
-		cfg.Members = append(cfg.Members, n.Node)
+	cfg := detector.Config{Self: s.Controller, Interval: d.Interval, SuspectMin: d.SuspectMin, SuspectMax: d.SuspectMax, DeclareAfter: d.DeclareAfter, ProbeTimeout: d.ProbeTimeout}
+	for _, n := range s.AllControllers() {
+		cfg.Members = append(cfg.Members, n.Controller)
 	}
 	return cfg
 }
--- a/settings/detection_test.go
+++ b/settings/detection_test.go
@@ -42,7 +42,7 @@
 		"detection.history.path = /nowhere/at/all\ndetection.revoke = maybe": "detection.revoke",
 	} {
 		_, err := ParseDetection([]byte(text))
-		var bad *Error
+		var bad *FieldError
 		if !errors.As(err, &bad) || bad.Field != field {
 			t.Errorf("%q: %v", text, err)
 		}
@@ -51,7 +51,7 @@
 	if err := os.WriteFile(path, []byte("detection.history.path = /nowhere/at/all"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	var bad *Error
+	var bad *FieldError
 	if _, err := LoadDetection(path); !errors.As(err, &bad) || bad.Field != "detection.history.path" {
 		t.Errorf("%v", err)
 	}
--- a/settings/draining.go
+++ b/settings/draining.go
@@ -48,7 +48,7 @@
 func (s *Settings) LoadDraining(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return &Error{path, err.Error()}
+		return &FieldError{path, err.Error()}
 	}
 	s.Draining, err = s.ParseDraining(text)
 	return err
@@ -60,9 +60,9 @@
 	loader := properties.Loader{Encoding: properties.UTF8, DisableExpansion: true}
 	p, err := loader.LoadBytes(text)
 	if err != nil {
-		return nil, &Error{"draining", err.Error()}
+		return nil, &FieldError{"draining", err.Error()}
 	}
-	d := &Draining{Policy: drain.Policy{Stable: 10 * time.Second, ArrayWait: 2 * time.Minute, ReplaceWithin: 3 * time.Minute, Parallel: 10, FailuresMost: 3}}
+	d := &Draining{Policy: drain.Policy{Stable: 10 * time.Second, ArrayWait: 2 * time.Minute, ReplaceWithin: 3 * time.Minute, Parallel: 10, MaxFailures: 3}}
 	for _, f := range []durationField{
 		{"disruption.stable.ms", &d.Policy.Stable, time.Second, drainLongest},
 		{"drain.array.wait.ms", &d.Policy.ArrayWait, 0, drainLongest},
@@ -73,14 +73,14 @@
 		}
 	}
 	if d.Policy.ReplaceWithin <= d.Policy.Stable {
-		return nil, &Error{"drain.replace.within.ms", "must be larger than disruption.stable.ms"}
+		return nil, &FieldError{"drain.replace.within.ms", "must be larger than disruption.stable.ms"}
 	}
-	if d.Policy.FailuresMost, err = whole(p, "drain.failures.most", d.Policy.FailuresMost, failuresLeast, failuresMost); err != nil {
+	if d.Policy.MaxFailures, err = whole(p, "drain.failures.most", d.Policy.MaxFailures, failuresLeast, failuresMost); err != nil {
 		return nil, err
 	}
 	if text, ok := p.Get("drain.parallel.percent"); ok {
 		if d.Policy.Parallel, err = strconv.ParseFloat(text, 64); err != nil || !(d.Policy.Parallel >= 0 && d.Policy.Parallel <= parallelMost) {
-			return nil, &Error{"drain.parallel.percent", "must be a share from 0 to 100"}
+			return nil, &FieldError{"drain.parallel.percent", "must be a share from 0 to 100"}
 		}
 	}
 	if d.Policy.Window, err = readWindow(p); err != nil {
@@ -105,11 +105,11 @@
 	schedule, err := window.Parse(rule, p.GetString("drain.window.zone", "UTC"), time.Duration(minutes)*time.Minute, time.Now())
 	switch {
 	case errors.Is(err, window.ErrZone):
-		return nil, &Error{"drain.window.zone", err.Error()}
+		return nil, &FieldError{"drain.window.zone", err.Error()}
 	case errors.Is(err, window.ErrLength):
-		return nil, &Error{"drain.window.minutes", err.Error()}
+		return nil, &FieldError{"drain.window.minutes", err.Error()}
 	case err != nil:
-		return nil, &Error{"drain.window.rule", err.Error()}
+		return nil, &FieldError{"drain.window.rule", err.Error()}
 	}
 	return schedule, nil
 }
@@ -135,10 +135,10 @@
 		}
 		amount, err := disruption.ParseAmount(strings.TrimSpace(text))
 		if err != nil {
-			return &Error{key, err.Error()}
+			return &FieldError{key, err.Error()}
 		}
 		if isInterruptions && amount.IsShare {
-			return &Error{key, "must be a number: a share is of services, whose tasks should all be up"}
+			return &FieldError{key, "must be a number: a share is of services, whose tasks should all be up"}
 		}
 		if name == anyTeam {
 			setOthers(amount)
@@ -146,16 +146,16 @@
 		}
 		k := disruption.ParseKey(name)
 		k.Interruptions = isInterruptions
-		if !slices.ContainsFunc(s.Params.Teams, func(t Team) bool { return t.Name == k.Team }) {
-			return &Error{key, fmt.Sprintf("there is no team %q", k.Team)}
+		if !slices.ContainsFunc(s.Deployment.Teams, func(t Team) bool { return t.Name == k.Team }) {
+			return &FieldError{key, fmt.Sprintf("there is no team %q", k.Team)}
 		}
-		if k.Class != "" && !slices.ContainsFunc(s.Params.Objectives, func(o Objective) bool { return o.Class == k.Class }) {
-			return &Error{key, fmt.Sprintf("no objective names a class %q", k.Class)}
+		if k.Class != "" && !slices.ContainsFunc(s.Deployment.Objectives, func(o Objective) bool { return o.Class == k.Class }) {
+			return &FieldError{key, fmt.Sprintf("no objective names a class %q", k.Class)}
 		}
 		d.Budgets.Set(k, amount)
 	}
 	if !isNamed {
-		return &Error{budgetPrefix + anyTeam, "must be set, to " + unlimited + " if there is to be no budget"}
+		return &FieldError{budgetPrefix + anyTeam, "must be set, to " + unlimited + " if there is to be no budget"}
 	}
 	return nil
 }
@@ -163,19 +163,19 @@
 // checkClaims sees to it that a shard's claim fits into a value, and its conditions into
 // a transaction, of the state service.
 func (s *Settings) checkClaims(d *Draining) error {
-	limits := s.StateLimits()
+	limits := s.StoreLimits()
 	bytes := claimBytes
 	for _, k := range d.Budgets.Keys() {
 		bytes += len(k.String()) + claimNumber
 	}
-	for _, t := range s.Params.Teams {
+	for _, t := range s.Deployment.Teams {
 		bytes += 2*len(t.Name) + len(disruption.InterruptionsPrefix) + 2*claimNumber // of services, and of interruptions
 	}
 	if most := int(limits.ValueKB * 1024); bytes > most {
-		return &Error{budgetPrefix + "…", fmt.Sprintf("%d budgets take %d bytes of the state service, which has %d for a value", len(d.Budgets.Keys()), bytes, most)}
+		return &FieldError{budgetPrefix + "…", fmt.Sprintf("%d budgets take %d bytes of the state service, which has %d for a value", len(d.Budgets.Keys()), bytes, most)}
 	}
-	if most := limits.TxnOps*conditionsAOp - claimCondition + 1; len(s.Params.Zones) > most {
-		return &Error{"facts.zones", fmt.Sprintf("draining serves at most %d zones with these limits of the state service", most)}
+	if most := limits.TxnOps*conditionsAOp - claimCondition + 1; len(s.Deployment.Zones) > most {
+		return &FieldError{"facts.zones", fmt.Sprintf("draining serves at most %d zones with these limits of the state service", most)}
 	}
 	return nil
 }
--- a/settings/draining_test.go
+++ b/settings/draining_test.go
@@ -42,7 +42,7 @@
 		"drain.window.zone":          "drain.window.rule = FREQ=DAILY\ndrain.window.minutes = 60\ndrain.window.zone = Mars/Olympus",
 		"drain.window.minutes":       "drain.window.rule = FREQ=DAILY",
 	} {
-		var bad *Error
+		var bad *FieldError
 		if _, err := s.ParseDraining(append(shipped, "\n"+line...)); !errors.As(err, &bad) || bad.Field != field {
 			t.Errorf("%s: %v", line, err)
 		}
@@ -50,7 +50,7 @@
 	if d, err := s.ParseDraining([]byte("disruption.budget.* = unlimited\ndisruption.interruptions.t = 2")); err != nil || len(d.Budgets.Of("t", "train", true)) != 0 || len(d.Budgets.Of("t", "train", false)) != 1 {
 		t.Errorf("%+v, %v", d, err)
 	}
-	var bad *Error
+	var bad *FieldError
 	for _, cut := range []string{"", "disruption.stable.ms = 2000\ndisruption.interruptions.* = 1"} {
 		if _, err := s.ParseDraining([]byte(cut)); !errors.As(err, &bad) || bad.Field != "disruption.budget.*" {
 			t.Errorf("a file without a budget of services: %v", err)
--- a/settings/duties.go
+++ b/settings/duties.go
@@ -18,7 +18,7 @@
 func LoadDuties(path string) (Duties, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return Duties{}, &Error{path, err.Error()}
+		return Duties{}, &FieldError{path, err.Error()}
 	}
 	return ParseDuties(text)
 }
@@ -27,7 +27,7 @@
 func ParseDuties(text []byte) (Duties, error) {
 	p, err := properties.Load(text, properties.UTF8)
 	if err != nil {
-		return Duties{}, &Error{"duties", err.Error()}
+		return Duties{}, &FieldError{"duties", err.Error()}
 	}
 	closeFirst, err := boolean(p, "duties.close.before.return", true)
 	return Duties{CloseFirst: closeFirst}, err
--- a/settings/duties_test.go
+++ b/settings/duties_test.go
@@ -14,7 +14,7 @@
 	if d, err := ParseDuties([]byte("duties.close.before.return = false\nduties.other = 1")); err != nil || d.CloseFirst {
 		t.Errorf("%+v, %v", d, err)
 	}
-	var bad *Error
+	var bad *FieldError
 	if _, err := ParseDuties([]byte("duties.close.before.return = 1")); !errors.As(err, &bad) || bad.Field != "duties.close.before.return" {
 		t.Errorf("%v", err)
 	}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(s.Nodes()) != 2 || s.Team("t") == nil || s.Team("x") != nil {
+	if len(s.AllControllers()) != 2 || s.Team("t") == nil || s.Team("x") != nil {
 		t.Fatalf("%+v", s)
 	}
 }
@@ -82,7 +82,7 @@
 			t.Fatalf("%q is not in the text", c.from)
 		}
 		_, err := Parse([]byte(text))
-		var bad *Error
+		var bad *FieldError
 		if !errors.As(err, &bad) || bad.Field != c.field {
 			t.Errorf("%s: %v, wanted the field %s", c.to, err, c.field)
 		}
@@ -101,7 +101,7 @@
 		if d <= 0 {
 			t.Errorf("cancel_s %s: authority %s", cancel, d)
 		}
-		if end := d + s.LeaseEnd(); !short && end >= Seconds(s.Params.Workers.CancelS) {
+		if end := d + s.LeaseEnd(); !short && end >= Seconds(s.Deployment.Workers.CancelS) {
 			t.Errorf("cancel_s %s: a task may run for %s", cancel, end)
 		}
 		if !short && cancel == "20.0" {
@@ -112,11 +112,11 @@
 
 func TestOperatorsSettings(t *testing.T) {
 	o, err := ParseOperator([]byte("# ours\nmembership.lease.ms = 6000\nrent.spot: false\nrent.idle.spot.s=12.5\n"))
-	if err != nil || o.LeaseLife != 6*time.Second || o.UseSpot || o.IdleSpot != 12500*time.Millisecond {
+	if err != nil || o.LeaseTTL != 6*time.Second || o.UseSpot || o.IdleSpot != 12500*time.Millisecond {
 		t.Fatalf("%+v, %v", o, err)
 	}
 	for _, bad := range []string{"membership.lease.ms = soon", "rent.spot = maybe", "rent.idle.spot.s = -1"} {
-		var e *Error
+		var e *FieldError
 		if _, err := ParseOperator([]byte(bad)); !errors.As(err, &e) {
 			t.Errorf("%s: %v", bad, err)
 		}
@@ -128,19 +128,19 @@
 func TestSocketsStayWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Settings
-		s.Params.Limits.MaxConnections = rapid.IntRange(200, 20000).Draw(t, "limit")
-		s.Params.Zones = make([]string, rapid.IntRange(1, 9).Draw(t, "zones"))
+		s.Deployment.Limits.MaxConnections = rapid.IntRange(200, 20000).Draw(t, "limit")
+		s.Deployment.Zones = make([]string, rapid.IntRange(1, 9).Draw(t, "zones"))
 		front, commands := s.Sockets()
-		if front < s.Params.Limits.MaxConnections/2 || commands < 1 {
+		if front < s.Deployment.Limits.MaxConnections/2 || commands < 1 {
 			t.Fatalf("front %d, commands %d", front, commands)
 		}
-		all := front + commands*len(s.Params.Zones)
-		if commands > constants.CommandsLeast && all > s.Params.Limits.MaxConnections-constants.OwnSockets {
-			t.Fatalf("front %d and %d commands for each of %d shards: more than %d", front, commands, len(s.Params.Zones), s.Params.Limits.MaxConnections)
+		all := front + commands*len(s.Deployment.Zones)
+		if commands > constants.CommandsLeast && all > s.Deployment.Limits.MaxConnections-constants.OwnSockets {
+			t.Fatalf("front %d and %d commands for each of %d shards: more than %d", front, commands, len(s.Deployment.Zones), s.Deployment.Limits.MaxConnections)
 		}
 	})
 	s := Settings{}
-	s.Params.Limits.MaxConnections, s.Params.Zones = 3130, []string{"a", "b"}
+	s.Deployment.Limits.MaxConnections, s.Deployment.Zones = 3130, []string{"a", "b"}
 	if front, _ := s.Sockets(); front < 2600 {
 		t.Fatalf("2600 workers do not fit the front's %d sockets", front)
 	}
@@ -151,18 +151,18 @@
 func TestLimitsToCome(t *testing.T) {
 	for _, c := range []struct {
 		next string
-		want StateLimits
+		want StoreLimits
 	}{
-		{"", StateLimits{200, 20, 8, 12}},
-		{"[facts.state.next]\n", StateLimits{200, 20, 8, 12}},
-		{"[facts.state.next]\nvalue_kb = 2.0\n", StateLimits{200, 20, 2, 12}},
-		{"[facts.state.next]\nrps = 500.0\nwrite_rps = 15.0\nvalue_kb = 64.0\ntxn_ops = 4\n", StateLimits{200, 15, 8, 4}},
+		{"", StoreLimits{200, 20, 8, 12}},
+		{"[facts.state.next]\n", StoreLimits{200, 20, 8, 12}},
+		{"[facts.state.next]\nvalue_kb = 2.0\n", StoreLimits{200, 20, 2, 12}},
+		{"[facts.state.next]\nrps = 500.0\nwrite_rps = 15.0\nvalue_kb = 64.0\ntxn_ops = 4\n", StoreLimits{200, 15, 8, 4}},
 	} {
 		s, err := Parse([]byte(strings.Replace(good, "[facts.cloud]", c.next+"[facts.cloud]", 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := s.StateLimits(); got != c.want || s.ValueBytes() != int(c.want.ValueKB*1024) {
+		if got := s.StoreLimits(); got != c.want || s.ValueBytes() != int(c.want.ValueKB*1024) {
 			t.Errorf("%q: %+v, wanted %+v", c.next, got, c.want)
 		}
 	}
@@ -173,7 +173,7 @@
 func TestProcessorsOfAShare(t *testing.T) {
 	for share, want := range map[float64]int{0: 0, 0.072: 1, 0.5: 1, 1: 1, 1.5: 2, 8: 8} {
 		var s Settings
-		s.Params.Limits.CPU = share
+		s.Deployment.Limits.CPU = share
 		if got := s.Processors(); got != want {
 			t.Errorf("%g of a processor: %d, wanted %d", share, got, want)
 		}
@@ -185,7 +185,7 @@
 func TestSecondShardWaitFollowsTheShare(t *testing.T) {
 	var s Settings
 	for share, want := range map[float64]time.Duration{0: 0, 8: 50 * time.Millisecond, 1: 400 * time.Millisecond, 0.1: 4 * time.Second, 0.01: constants.SecondShardWaitMost} {
-		s.Params.Limits.CPU = share
+		s.Deployment.Limits.CPU = share
 		if got := s.SecondShardWait(); got != want {
 			t.Errorf("with %g of a processor: %s, wanted %s", share, got, want)
 		}
@@ -196,7 +196,7 @@
 func TestRoundBudgetFollowsTheShare(t *testing.T) {
 	var s Settings
 	for share, want := range map[float64]time.Duration{0: 5 * time.Millisecond, 4: 5 * time.Millisecond, 1: 5 * time.Millisecond, 0.5: 10 * time.Millisecond, 0.01: constants.RoundBudgetMost} {
-		s.Params.Limits.CPU = share
+		s.Deployment.Limits.CPU = share
 		if got := s.RoundBudget(); got != want {
 			t.Errorf("with %g of a processor: %s, wanted %s", share, got, want)
 		}
--- a/shard/action.go
+++ b/shard/action.go
@@ -7,9 +7,9 @@
 
 func (SendCommands) isAction() {}
 func (Commit) isAction()       {}
-func (Rent) isAction()         {}
+func (ScaleOut) isAction()     {}
 func (Gone) isAction()         {}
-func (Return) isAction()       {}
+func (ScaleIn) isAction()      {}
 
 // SendCommands is a direct command to a machine.
 type SendCommands struct {
@@ -23,11 +23,11 @@
 	Txn wire.Txn
 }
 
-// Rent asks the cloud for machines.
-type Rent struct{ Request wire.RentRequest }
+// ScaleOut asks the cloud for machines.
+type ScaleOut struct{ Request wire.ScaleOutRequest }
 
 // Gone says that a machine is gone and its connection can be closed.
 type Gone struct{ Addr string }
 
-// Return gives machines back.
-type Return struct{ Names []string }
+// ScaleIn gives machines back.
+type ScaleIn struct{ Names []string }
--- a/shard/assignments.go
+++ b/shard/assignments.go
@@ -128,7 +128,7 @@
 	}
 	rec.Normalize()
 	plain := len(records.Encode(rec))
-	if plain <= v.cfg.Sizes.Next*9/10 || plain <= len(records.Encode(j.rec)) {
+	if plain <= v.cfg.SizeLimits.Next*9/10 || plain <= len(records.Encode(j.rec)) {
 		return rec
 	}
 	for _, t := range j.tasks {
@@ -144,7 +144,7 @@
 
 // writeJob writes a job's record.
 func (c *Core) writeJob(now time.Time, id string, j *job, rec *records.Job) {
-	value, ok := c.cfg.Sizes.Encode(rec, j.rec)
+	value, ok := c.cfg.SizeLimits.Encode(rec, j.rec)
 	if !ok {
 		slog.Error("job's record does not fit", "job", id, "bytes", len(value))
 		j.retryAt = now.Add(constants.RetryMax)
@@ -202,7 +202,7 @@
 	}
 	rec.Assignments = split
 	rec.Normalize()
-	if len(records.Encode(rec)) > v.cfg.Sizes.Next/2 {
+	if len(records.Encode(rec)) > v.cfg.SizeLimits.Next/2 {
 		rec.Assignments = whole
 		return false
 	}
--- a/shard/bestfit.go
+++ b/shard/bestfit.go
@@ -32,7 +32,7 @@
 	}
 	var cs []cand
 	for _, m := range r.room {
-		if free := k.free(m); n.fits(free) && allowed(s, m.typeName, m.spot) && (m.keptFor == nil || m.keptFor.rec.ID == s.ID) && (!m.forGangs || s.Whole()) {
+		if free := k.free(m); n.fits(free) && allowed(s, m.typeName, m.spot) && (m.keptFor == nil || m.keptFor.rec.ID == s.ID) && (!m.forGangs || s.AllOrNothing()) {
 			cs = append(cs, cand{m, k.score(s, n, m, free)})
 		}
 	}
@@ -89,7 +89,7 @@
 			continue
 		}
 		free := v.free(m)
-		if !n.fits(free) || m.keptFor != nil && m.keptFor.rec.ID != s.ID || m.forGangs && !s.Whole() || except != nil && !except(m) {
+		if !n.fits(free) || m.keptFor != nil && m.keptFor.rec.ID != s.ID || m.forGangs && !s.AllOrNothing() || except != nil && !except(m) {
 			continue
 		}
 		if score := v.score(s, n, m, free); best == nil || score < least || score == least && m.name < best.name {
--- a/shard/closing_test.go
+++ b/shard/closing_test.go
@@ -13,7 +13,7 @@
 func returns(acts []Action) []string {
 	var names []string
 	for _, a := range acts {
-		if r, ok := a.(Return); ok {
+		if r, ok := a.(ScaleIn); ok {
 			names = append(names, r.Names...)
 		}
 	}
@@ -29,7 +29,7 @@
 		if !ok {
 			continue
 		}
-		for _, ch := range cm.Txn.Then {
+		for _, ch := range cm.Txn.Changes {
 			record, err := records.Decode(ch.Put, ch.Value)
 			if err != nil {
 				t.Fatal(err)
@@ -50,13 +50,13 @@
 // out, however often that fails, and takes nothing from the decision on.
 func TestMachineIsClosedBeforeItsReturn(t *testing.T) {
 	r := newRig(nil)
-	r.cfg.CloseFirst, r.cfg.IdleSpot, r.cfg.IdleOrdinary = true, 10*time.Second, 10*time.Second
+	r.cfg.CloseFirst, r.cfg.IdleSpot, r.cfg.IdleOnDemand = true, 10*time.Second, 10*time.Second
 	r.fleet(3)
 	closed, refused := 0, 0
 	for range 200 {
 		r.now = r.now.Add(300 * time.Millisecond)
 		for name := range r.machines {
-			r.Report(r.now, report(name, 1, uint64(10+r.now.UnixMilli()), r.shown(name)))
+			r.Heartbeat(r.now, report(name, 1, uint64(10+r.now.UnixMilli()), r.shown(name)))
 		}
 		acts := r.Step(r.now)
 		if names := returns(acts); len(names) > 0 && closed == 0 {
@@ -65,7 +65,7 @@
 		if names := closes(t, acts); len(names) > 0 {
 			if refused < 3 { // the write fails; nobody may be returned for it
 				refused++
-				r.Committed(r.now, "roster/", 0)
+				r.CommitResult(r.now, "roster/", 0)
 				continue
 			}
 			closed = len(names)
@@ -96,7 +96,7 @@
 			r.now = r.now.Add(300 * time.Millisecond)
 			for _, name := range []string{"m-1", "m-2"} {
 				if r.machines[name] != nil {
-					r.Report(r.now, report(name, 1, uint64(1+i), r.term<<constants.EpochBits))
+					r.Heartbeat(r.now, report(name, 1, uint64(1+i), r.term<<constants.EpochBits))
 				}
 			}
 			acts := r.Step(r.now)
--- a/shard/comeback_test.go
+++ b/shard/comeback_test.go
@@ -20,7 +20,7 @@
 		for i := range services {
 			id := fmt.Sprintf("run-s%04d", i)
 			jobs[id] = &records.Job{ID: id, Spec: wire.Submission{ID: id, Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 16, CPUs: 2, MemoryGB: 3, Image: fmt.Sprintf("i%d", i%12), Spread: true},
-				Assignments: []records.Assignment{{From: 0, To: 8, Shard: "a", Keep: true}, {From: 8, To: 16, Shard: "b", Keep: true}}}
+				Assignments: []records.Assignment{{From: 0, To: 8, Shard: "a", KeepWaiting: true}, {From: 8, To: 16, Shard: "b", KeepWaiting: true}}}
 		}
 		for i := range arrays {
 			id := fmt.Sprintf("run-a%04d", i)
@@ -38,8 +38,8 @@
 		for step := range 300 { // 6 s
 			for i := range 2 {
 				name := fmt.Sprintf("m-%05d", step*2+i)
-				r.Report(r.now, report(name, 2, 1, 0))
-				r.Report(r.now, report(name, 2, 2, r.shown(name)))
+				r.Heartbeat(r.now, report(name, 2, 1, 0))
+				r.Heartbeat(r.now, report(name, 2, 2, r.shown(name)))
 			}
 			for _, a := range r.wait(20 * time.Millisecond) {
 				if s, ok := a.(SendCommands); ok {
--- a/shard/core.go
+++ b/shard/core.go
@@ -15,24 +15,24 @@
 
 // Config is what the owner needs to know of the deployment.
 type Config struct {
-	Shard          string
-	Report         time.Duration // workers' report period
-	LeaseEnd       time.Duration // after the last answer that could count, a worker's lease has surely ended
-	LeaseExtension time.Duration // how long an owner answers reports after the end of its authority
-	IdleSpot       time.Duration
-	IdleOrdinary   time.Duration
-	UseSpot        bool
-	CloseFirst     bool // a machine is durably closed before it is returned
-	ListLag        time.Duration
-	CloudGap       time.Duration // between calls of one kind to the cloud that can wait for each other
-	Sizes          records.Sizes // the state service's limits on a record
-	Calls          int           // direct commands that may be under way at once
-	GangWait       time.Duration // how long a gang's tasks wait for each other
-	GangPeer       time.Duration // within which they notice that one is gone, or must all be told to stop
-	TxnOps         int           // and on the changes of a transaction
-	WriteRPS       float64       // and on changes a second, of all controllers
-	Order          leader.Order
-	Budget         time.Duration // of a round of placing; 0: the usual one
+	Shard             string
+	HeartbeatPeriod   time.Duration // workers' report period
+	LeaseEnd          time.Duration // after the last answer that could count, a worker's lease has surely ended
+	LeaseExtension    time.Duration // how long an owner answers reports after the end of its authority
+	IdleSpot          time.Duration
+	IdleOnDemand      time.Duration
+	UseSpot           bool
+	CloseFirst        bool // a machine is durably closed before it is returned
+	ListLag           time.Duration
+	CloudGap          time.Duration      // between calls of one kind to the cloud that can wait for each other
+	SizeLimits        records.SizeLimits // the state service's limits on a record
+	MaxDirectCommands int                // direct commands that may be under way at once
+	GangWait          time.Duration      // how long a gang's tasks wait for each other
+	GangPeer          time.Duration      // within which they notice that one is gone, or must all be told to stop
+	TxnOps            int                // and on the changes of a transaction
+	WriteRPS          float64            // and on changes a second, of all controllers
+	Order             leader.JobOrder
+	RoundBudget       time.Duration // of a round of placing; 0: the usual one
 }
 
 // Core is one shard's owner in one term: what holds for the whole term, and the states
@@ -75,7 +75,7 @@
 }
 
 type rental struct {
-	req wire.RentRequest
+	req wire.ScaleOutRequest
 	at  time.Time
 }
 
@@ -101,9 +101,9 @@
 		fleetView: fleetView{
 			ownership: ownership{cfg: cfg, term: term, numbers: newNumbers(term), termVer: termVersion, claimed: now},
 			knowledge: newKnowledge(),
-			hearing:   hearing{period: cfg.Report, leaseLasts: cfg.LeaseEnd, began: now, gone: map[string]time.Time{}},
+			hearing:   hearing{period: cfg.HeartbeatPeriod, leaseLasts: cfg.LeaseEnd, began: now, gone: map[string]time.Time{}},
 		},
-		placement: newPlacement(cfg.Budget), closings: closings{toClose: map[string]*job{}}, pageBook: newPageBook(cfg.Sizes),
+		placement: newPlacement(cfg.RoundBudget), closings: closings{toClose: map[string]*job{}}, pageBook: newPageBook(cfg.SizeLimits),
 		capacity:     capacity{pendingRents: map[string]*rental{}, refused: map[bool]time.Time{}},
 		gangReserves: gangReserves{shapes: map[string]gangShape{}}, figures: figures{others: map[string]other{}, pushDirty: true},
 	}
@@ -283,23 +283,23 @@
 // commit gathers a transaction that holds only while the term stands.
 func (q *outgoing) commit(v *fleetView, id string, changes []wire.Change, conds ...wire.Condition) {
 	q.actions = append(q.actions, Commit{ID: id, Txn: wire.Txn{
-		If:   append([]wire.Condition{{Key: records.KeyShard(v.cfg.Shard), Version: v.termVer}}, conds...),
-		Then: changes,
+		Conditions: append([]wire.Condition{{Key: records.KeyShard(v.cfg.Shard), Version: v.termVer}}, conds...),
+		Changes:    changes,
 	}})
 }
 
-// SetPacks says that no process of the version before can come any more.
-func (o *ownership) SetPacks() { o.cfg.Sizes.Packs = true }
+// EnablePacking says that no process of the version before can come any more.
+func (o *ownership) EnablePacking() { o.cfg.SizeLimits.Packing = true }
 
-// Invalid takes note that the state service found fault with a write: smaller
+// CommitInvalid takes note that the state service found fault with a write: smaller
 // ones follow.
-func (c *Core) Invalid(id string) {
+func (c *Core) CommitInvalid(id string) {
 	switch kind, _, _ := strings.Cut(id, "/"); kind {
 	case "roster":
 	case commitClaim, commitDrain:
 		return // nothing of them can be made smaller
 	default:
-		c.SetPacks()
+		c.EnablePacking()
 		return
 	}
 	c.cfg.TxnOps = 1
@@ -310,16 +310,16 @@
 		}
 	}
 	// Pages are of 90% of a value at most, so nine tenths of it are a smaller one.
-	c.cfg.Sizes.Next = max(constants.LeastValue, min(c.cfg.Sizes.Next, largest)*constants.PageFill/100)
-	c.limit(c.cfg.Sizes)
+	c.cfg.SizeLimits.Next = max(constants.LeastValue, min(c.cfg.SizeLimits.Next, largest)*constants.PageFill/100)
+	c.limit(c.cfg.SizeLimits)
 	for _, p := range c.pages {
 		c.split(&c.fleetView, p)
 	}
 }
 
-// Committed takes in what came of a transaction. A conflict needs nothing: the
+// CommitResult takes in what came of a transaction. A conflict needs nothing: the
 // feed brings the change that caused it.
-func (c *Core) Committed(now time.Time, id string, revision uint64) {
+func (c *Core) CommitResult(now time.Time, id string, revision uint64) {
 	kind, rest, _ := strings.Cut(id, "/")
 	switch kind {
 	case "roster":
--- a/shard/core_test.go
+++ b/shard/core_test.go
@@ -39,7 +39,7 @@
 			pages[k].Add(m)
 		}
 	}
-	cfg := Config{Shard: "a", Report: 3 * time.Second, LeaseEnd: leaseEnd, IdleSpot: time.Hour, IdleOrdinary: time.Hour, UseSpot: true, ListLag: 5 * time.Second, Sizes: records.Sizes{Now: 8192, Next: 8192}, Calls: 200, TxnOps: 12, WriteRPS: 100, Order: leader.NewOrder(nil)}
+	cfg := Config{Shard: "a", HeartbeatPeriod: 3 * time.Second, LeaseEnd: leaseEnd, IdleSpot: time.Hour, IdleOnDemand: time.Hour, UseSpot: true, ListLag: 5 * time.Second, SizeLimits: records.SizeLimits{Now: 8192, Next: 8192}, MaxDirectCommands: 200, TxnOps: 12, WriteRPS: 100, Order: leader.NewJobOrder(nil)}
 	types := []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.4, BootS: 10, Zones: []string{"a"}}}
 	r.Core = New(cfg, r.term, 50, r.now, types, jobs, versions, pages, pageV)
 	r.SetAuthority(r.now.Add(time.Hour))
@@ -59,8 +59,8 @@
 			continue
 		}
 		r.version++
-		r.Committed(r.now, cm.ID, r.version)
-		for _, ch := range cm.Txn.Then {
+		r.CommitResult(r.now, cm.ID, r.version)
+		for _, ch := range cm.Txn.Changes {
 			rec, err := records.Decode(ch.Put, ch.Value)
 			if err != nil {
 				panic(err)
@@ -73,23 +73,23 @@
 // token is what a worker shows that has seen the n-th token of a term.
 func token(term, n uint64) uint64 { return term<<constants.EpochBits | n }
 
-func report(name string, session, seq, token uint64, tasks ...wire.TaskStatus) *wire.Report {
-	return &wire.Report{Machine: name, Addr: name + ":1", Type: "box", Zone: "a", Session: session, Seq: seq, Token: token, Tasks: tasks}
+func report(name string, session, seq, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+	return &wire.Heartbeat{Machine: name, Addr: name + ":1", Type: "box", Zone: "a", Epoch: session, Seq: seq, FencingToken: token, Tasks: tasks}
 }
 
 func array(id string, tasks int, shard string) *records.Job {
 	return &records.Job{ID: id, Spec: wire.Submission{ID: id, Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: tasks, CPUs: 2, MemoryGB: 1, Image: "i", EstimateS: 10, Spot: true},
-		Assignments: []records.Assignment{{From: 0, To: tasks, Shard: shard, Keep: true}}}
+		Assignments: []records.Assignment{{From: 0, To: tasks, Shard: shard, KeepWaiting: true}}}
 }
 
 // up brings a machine up in the owner's eyes, in the inventory and verified.
 func (r *rig) up(name string) {
-	if _, ok := r.Report(r.now, report(name, 1, 1, 0)); !ok {
+	if _, ok := r.Heartbeat(r.now, report(name, 1, 1, 0)); !ok {
 		panic("report refused")
 	}
 	r.now = r.now.Add(constants.InventoryGap)
 	r.write(r.Step(r.now))
-	r.Report(r.now, report(name, 1, 2, r.shown(name)))
+	r.Heartbeat(r.now, report(name, 1, 2, r.shown(name)))
 }
 
 // shown is the token that a worker shows which got the last answer.
@@ -119,9 +119,9 @@
 			switch a := a.(type) {
 			case SendCommands:
 				r.CommandResult(r.now, a.Machine, nil)
-			case Return:
+			case ScaleIn:
 				returned = append(returned, a.Names...)
-				r.Returned(r.now, a.Names)
+				r.ScaleInResult(r.now, a.Names)
 			}
 		}
 	}
@@ -153,12 +153,12 @@
 		if s := started(r.wait(time.Second), "m-2"); len(s) > 0 && s[0].Task == "run-1/0" {
 			t.Fatalf("started after %s, within the lease", d)
 		}
-		r.Report(r.now, report("m-2", 1, uint64(10+d/time.Second), r.shown("m-2")))
+		r.Heartbeat(r.now, report("m-2", 1, uint64(10+d/time.Second), r.shown("m-2")))
 	}
 	found := false
 	for range 4 {
 		r.now = r.now.Add(time.Second)
-		if reply, ok := r.Report(r.now, report("m-2", 1, uint64(100+r.now.Unix()), r.shown("m-2"))); ok {
+		if reply, ok := r.Heartbeat(r.now, report("m-2", 1, uint64(100+r.now.Unix()), r.shown("m-2"))); ok {
 			for _, c := range reply.Commands {
 				found = found || c.Op == wire.OpStart && c.Task == "run-1/0"
 			}
@@ -186,13 +186,13 @@
 	r.up("m-2")
 	for i := range uint64(5) {
 		r.wait(time.Second)
-		r.Report(r.now, report("m-1", 1, 10+i, token(r.term, 0)))
+		r.Heartbeat(r.now, report("m-1", 1, 10+i, token(r.term, 0)))
 		if s := started(r.Step(r.now), "m-2"); len(s) > 0 {
 			t.Fatalf("placed a second time: %v", s)
 		}
 	}
 	// The session's end settles it.
-	r.Report(r.now, report("m-1", 2, 20, token(r.term, 0)))
+	r.Heartbeat(r.now, report("m-1", 2, 20, token(r.term, 0)))
 	if h := len(r.machines["m-1"].holds); h > 1 {
 		t.Fatalf("%d attempts after the session ended", h)
 	}
@@ -206,14 +206,14 @@
 	r.submit(array("run-1", 1, "a"))
 	s := started(r.wait(time.Millisecond), "m-1")
 	failed := wire.TaskStatus{Task: s[0].Task, Attempt: s[0].Attempt, State: wire.TaskExited, Cause: wire.CauseStopped}
-	reply, _ := r.Report(r.now, report("m-1", 1, 5, token(r.term, 0), failed))
+	reply, _ := r.Heartbeat(r.now, report("m-1", 1, 5, token(r.term, 0), failed))
 	for _, c := range reply.Commands {
 		if c.Op == wire.OpForget {
 			t.Fatal("forgotten while a late copy could start it again")
 		}
 	}
 	r.machines["m-1"].epoch++
-	reply, _ = r.Report(r.now, report("m-1", 1, 6, r.shown("m-1"), failed))
+	reply, _ = r.Heartbeat(r.now, report("m-1", 1, 6, r.shown("m-1"), failed))
 	forgot := false
 	for _, c := range reply.Commands {
 		forgot = forgot || c.Op == wire.OpForget && c.Attempt == s[0].Attempt
@@ -232,7 +232,7 @@
 		r.up("m-1")
 		r.machines["m-1"].returning = true
 		r.wait(10 * time.Second)
-		if _, ok := r.Report(r.now, report("m-1", 1, 9, token(r.term, 0))); ok && r.machines["m-1"].leaseUntil.Before(r.now.Add(leaseEnd)) {
+		if _, ok := r.Heartbeat(r.now, report("m-1", 1, 9, token(r.term, 0))); ok && r.machines["m-1"].leaseUntil.Before(r.now.Add(leaseEnd)) {
 			t.Fatal("an answer renewed the lease without being counted")
 		}
 	})
@@ -257,7 +257,7 @@
 			s := rapid.Uint64Range(1, 4).Draw(t, "session")
 			q := rapid.Uint64Range(1, 30).Draw(t, "seq")
 			newer := s > session || s == session && q > seq
-			_, ok := r.Report(r.now, report("m-1", s, q, token(r.term, 0)))
+			_, ok := r.Heartbeat(r.now, report("m-1", s, q, token(r.term, 0)))
 			if ok != newer {
 				t.Fatalf("(%d,%d) after (%d,%d): taken %v", s, q, session, seq, ok)
 			}
@@ -301,7 +301,7 @@
 	if acts := r.wait(time.Second); len(acts) != 0 {
 		t.Fatalf("acted without authority: %v", acts)
 	}
-	if _, ok := r.Report(r.now, report("m-1", 1, 9, token(r.term, 0))); ok {
+	if _, ok := r.Heartbeat(r.now, report("m-1", 1, 9, token(r.term, 0))); ok {
 		t.Fatal("answered a report without authority")
 	}
 }
@@ -321,7 +321,7 @@
 		for i := 1; i < 4; i++ {
 			rep := report(fmt.Sprintf("m-%d", i), 1, seq, r.shown(fmt.Sprintf("m-%d", i)))
 			rep.Spot = true // idle ordinary ones would be given back
-			r.Report(r.now, rep)
+			r.Heartbeat(r.now, rep)
 		}
 		for _, a := range r.Step(r.now) {
 			switch a := a.(type) {
@@ -329,7 +329,7 @@
 				if a.Machine == "m-0" {
 					r.CommandResult(r.now, "m-0", nil)
 				}
-			case Return:
+			case ScaleIn:
 				for _, n := range a.Names {
 					returned[n] = true
 				}
@@ -342,16 +342,16 @@
 	for range 80 {
 		r.wait(100 * time.Millisecond)
 	}
-	r.MisroutedReports(r.now, []MisroutedReport{{"m-1", 1, 3}, {"m-2", 1, 3}, {"m-3", 1, 3}}, true)
+	r.ApplyMisroutedHeartbeats(r.now, []MisroutedHeartbeat{{"m-1", 1, 3}, {"m-2", 1, 3}, {"m-3", 1, 3}}, true)
 	if _, misroutedReports := r.CutOff(r.now); misroutedReports {
 		t.Fatal("late copies of old reports count as evidence")
 	}
-	r.MisroutedReports(r.now, []MisroutedReport{{"m-1", 1, 900}, {"m-2", 1, 900}, {"m-3", 1, 900}}, true)
+	r.ApplyMisroutedHeartbeats(r.now, []MisroutedHeartbeat{{"m-1", 1, 900}, {"m-2", 1, 900}, {"m-3", 1, 900}}, true)
 	if silent, misroutedReports := r.CutOff(r.now); !silent || !misroutedReports {
 		t.Fatalf("silent %v, misrouted reports %v: the owner does not see that it is cut off", silent, misroutedReports)
 	}
 	for _, a := range r.Step(r.now) {
-		if ret, ok := a.(Return); ok {
+		if ret, ok := a.(ScaleIn); ok {
 			t.Fatalf("returned %v although they report to others", ret.Names)
 		}
 	}
@@ -382,7 +382,7 @@
 		left := 20 - r.now.Sub(noticed).Seconds()
 		rep.NoticeS = &left
 		r.Step(r.now)
-		reply, _ := r.Report(r.now, rep)
+		reply, _ := r.Heartbeat(r.now, rep)
 		for _, c := range reply.Commands {
 			if c.Op != wire.OpStop {
 				continue
@@ -432,7 +432,7 @@
 	if stops != 1 {
 		t.Fatalf("%d stops", stops)
 	}
-	status.State, status.Cause, status.Saved = wire.TaskExited, wire.CauseStopped, true
+	status.State, status.Cause, status.Checkpointed = wire.TaskExited, wire.CauseStopped, true
 	r.CommandResult(r.now, "m-1", report("m-1", 1, 11, token(r.term, 0), status))
 	if s := started(r.wait(time.Second), "m-1"); len(s) != 1 || s[0].Task != "run-2/0" {
 		t.Fatalf("started %v, wanted run-2/0", s)
@@ -451,13 +451,13 @@
 		return wire.TaskStatus{Task: "run-1/0", Attempt: attempt, State: wire.TaskRunning}
 	}
 	before := token(r.term-1, 3)
-	r.Report(r.now, report("m-1", 1, 5, before, running(7))) // the copy
+	r.Heartbeat(r.now, report("m-1", 1, 5, before, running(7))) // the copy
 	r.Step(r.now)
 	r.now = r.now.Add(100 * time.Millisecond)
-	r.Report(r.now, report("m-1", 1, 90, before)) // its own word, now
+	r.Heartbeat(r.now, report("m-1", 1, 90, before)) // its own word, now
 	r.now = r.now.Add(100 * time.Millisecond)
-	r.Report(r.now, report("m-1", 1, 91, r.shown("m-1")))
-	r.Report(r.now, report("m-3", 1, 3, r.shown("m-3")))
+	r.Heartbeat(r.now, report("m-1", 1, 91, r.shown("m-1")))
+	r.Heartbeat(r.now, report("m-3", 1, 3, r.shown("m-3")))
 	for range 20 {
 		for _, m := range []string{"m-1", "m-3"} {
 			if s := started(r.wait(100*time.Millisecond), m); len(s) > 0 {
@@ -465,9 +465,9 @@
 			}
 		}
 	}
-	r.Report(r.now, report("m-2", 1, 40, before, running(9)))
+	r.Heartbeat(r.now, report("m-2", 1, 40, before, running(9)))
 	r.now = r.now.Add(100 * time.Millisecond)
-	r.Report(r.now, report("m-2", 1, 41, r.shown("m-2"), running(9)))
+	r.Heartbeat(r.now, report("m-2", 1, 41, r.shown("m-2"), running(9)))
 	if h := r.jobs["run-1"].tasks[0].hold; h == nil || h.m.name != "m-2" {
 		t.Fatalf("the running attempt was not adopted: %+v", h)
 	}
@@ -488,7 +488,7 @@
 	last := time.Time{}
 	for ; old.now.Before(over.Add(2 * leaseExtension)); old.now = old.now.Add(time.Second) {
 		seq++
-		reply, ok := old.Report(old.now, report("m-0", 1, seq, old.shown("m-0")))
+		reply, ok := old.Heartbeat(old.now, report("m-0", 1, seq, old.shown("m-0")))
 		if !ok {
 			break
 		}
@@ -503,7 +503,7 @@
 	for name, shows := range map[string]bool{"silent": false, "shows the new token": true} {
 		t.Run(name, func(t *testing.T) {
 			next := newRig(map[string]*records.Job{"run-1": array("run-1", 2, "a")}, records.Machine{Name: "m-0", Type: "box", Addr: "m-0:1"})
-			next.Core = New(Config{Shard: "a", Report: 3 * time.Second, LeaseEnd: leaseEnd, LeaseExtension: leaseExtension, Sizes: records.Sizes{Now: 8192, Next: 8192}, Calls: 200, TxnOps: 12, WriteRPS: 100, Order: leader.NewOrder(nil)},
+			next.Core = New(Config{Shard: "a", HeartbeatPeriod: 3 * time.Second, LeaseEnd: leaseEnd, LeaseExtension: leaseExtension, SizeLimits: records.SizeLimits{Now: 8192, Next: 8192}, MaxDirectCommands: 200, TxnOps: 12, WriteRPS: 100, Order: leader.NewJobOrder(nil)},
 				6, 51, over, nil, nil, nil, nil, nil)
 			next.SetAuthority(over.Add(time.Hour))
 			// It is heard once, but its answer may be lost, and then the old owner
@@ -512,7 +512,7 @@
 			if shows {
 				tok = token(6, 0)
 			}
-			next.Report(over, report("m-0", 1, 50, tok))
+			next.Heartbeat(over, report("m-0", 1, 50, tok))
 			m := next.machines["m-0"]
 			ends := m.leaseUntil.Sub(over)
 			if shows && ends != leaseEnd || !shows && (ends < leaseExtension+leaseEnd || m.leaseUntil.Before(last.Add(leaseEnd))) {
@@ -546,14 +546,14 @@
 	if !r.isUnreachable || len(returned) > 0 || len(r.pendingRents) > 0 {
 		t.Fatalf("dark %v, returned %d, rentals %d", r.isUnreachable, len(returned), len(r.pendingRents))
 	}
-	if a := r.Aggregate(r.now, 1); a.RentOrdinary || a.RentSpot || a.Ordinary.CPUs.Sum > 0 {
+	if a := r.Aggregate(r.now, 1); a.CanScaleOutOnDemand || a.CanScaleOutSpot || a.OnDemand.CPUs.Sum > 0 {
 		t.Fatalf("a dark part offers room: %+v", a)
 	}
 	for i := range 20 {
 		name := fmt.Sprintf("m-%05d", i)
 		rep := report(name, 1, 100, r.shown(name))
 		rep.Spot = true
-		r.Report(r.now, rep)
+		r.Heartbeat(r.now, rep)
 	}
 	look(2 * time.Second)
 	if r.isUnreachable || len(returned) > 0 {
@@ -572,17 +572,17 @@
 		m.spot = true
 		list = append(list, wire.CloudMachine{Name: m.name, Zone: "a", Type: "box", Spot: true, State: wire.MachineRunning, AgeS: 100})
 	}
-	r.Listed(r.now, list)
+	r.ApplyMachineList(r.now, list)
 	returned := 0
 	look := func(d time.Duration) { returned += len(r.unacknowledged(d, func() { r.siblingsAt = r.now })) }
 	look(9 * time.Second)
-	r.Listed(r.now, list)
-	r.Listed(r.now, nil) // one list may be older than the one before
+	r.ApplyMachineList(r.now, list)
+	r.ApplyMachineList(r.now, nil) // one list may be older than the one before
 	look(time.Second)
 	if returned > 0 || !r.isUnreachable {
 		t.Fatalf("returned %d machines that are listed, dark %v", returned, r.isUnreachable)
 	}
-	r.Listed(r.now, nil)
+	r.ApplyMachineList(r.now, nil)
 	look(7 * time.Second)
 	if returned != 5 || r.isUnreachable {
 		t.Fatalf("returned %d of 5 machines that are gone, dark %v", returned, r.isUnreachable)
@@ -601,22 +601,22 @@
 		for range 120 {
 			for _, a := range r.wait(500 * time.Millisecond) {
 				switch a := a.(type) {
-				case Rent: // refused each time
-					r.Rented(r.now, a.Request.Request, nil, true)
+				case ScaleOut: // refused each time
+					r.ScaleOutResult(r.now, a.Request.RequestID, nil, true)
 				case Commit:
-					if rec, err := records.Decode(a.Txn.Then[0].Put, a.Txn.Then[0].Value); err == nil {
+					if rec, err := records.Decode(a.Txn.Changes[0].Put, a.Txn.Changes[0].Value); err == nil {
 						if j, ok := rec.(*records.Job); ok {
 							left += len(j.Unassigned())
 						}
 					}
 				}
 			}
-			agg := leader.Aggregate{Shard: "b", Term: 1, Ordinary: leader.Room{Machines: 1}}
-			for _, m := range []*leader.Moments{&agg.Ordinary.CPUs, &agg.Ordinary.Memory} {
+			agg := leader.Aggregate{Shard: "b", Term: 1, OnDemand: leader.FreeCapacity{Machines: 1}}
+			for _, m := range []*leader.Moments{&agg.OnDemand.CPUs, &agg.OnDemand.Memory} {
 				m.Add(room)
 				m.Finish(1)
 			}
-			r.Others(r.now, []leader.Aggregate{agg, {Shard: "c", Term: 1}})
+			r.ApplyOtherShards(r.now, []leader.Aggregate{agg, {Shard: "c", Term: 1}})
 		}
 		if (left > 0) != (room > 0) {
 			t.Errorf("%g CPUs elsewhere, and %d ranges were sent back", room, left)
@@ -644,14 +644,14 @@
 	for _, h := range r.machines["m-1"].holds {
 		names = append(names, wire.TaskStatus{Task: h.key.task, Attempt: h.key.attempt, State: wire.TaskRunning})
 	}
-	reply, ok := r.Report(r.now, report("m-1", 1, 3, r.shown("m-1"), names...))
+	reply, ok := r.Heartbeat(r.now, report("m-1", 1, 3, r.shown("m-1"), names...))
 	if !ok || len(reply.Commands) != 2 || reply.Commands[0].Op != wire.OpStop {
 		t.Fatalf("answered %+v, wanted two stops", reply.Commands)
 	}
 	for i := range names {
 		names[i].State, names[i].Cause = wire.TaskExited, wire.CauseStopped
 	}
-	r.Report(r.now, report("m-1", 1, 4, r.shown("m-1"), names...))
+	r.Heartbeat(r.now, report("m-1", 1, 4, r.shown("m-1"), names...))
 	for range 20 {
 		for _, a := range r.wait(time.Second) {
 			if cm, ok := a.(Commit); ok && cm.ID == "job/run-1" {
@@ -692,12 +692,12 @@
 		}
 		seq := uint64(50)
 		r.unacknowledged(time.Second, func() {})
-		r.Report(r.now, report("m-0", 1, seq, seen))
+		r.Heartbeat(r.now, report("m-0", 1, seq, seen))
 		returned := r.unacknowledged(15*time.Second, func() {
 			r.siblingsAt = r.now
 			if !copied {
 				seq++
-				r.Report(r.now, report("m-0", 1, seq, r.shown("m-0")))
+				r.Heartbeat(r.now, report("m-0", 1, seq, r.shown("m-0")))
 			}
 		})
 		if want := map[bool]int{true: 0, false: 2}[copied]; len(returned) != want {
--- a/shard/cutoff_test.go
+++ b/shard/cutoff_test.go
@@ -12,11 +12,11 @@
 	seq := uint64(100)
 	return r.unacknowledged(d, func() {
 		seq++
-		var seen []MisroutedReport
+		var seen []MisroutedHeartbeat
 		for name := range r.machines {
-			seen = append(seen, MisroutedReport{Machine: name, Session: 1, Seq: seq})
+			seen = append(seen, MisroutedHeartbeat{Machine: name, Epoch: 1, Seq: seq})
 		}
-		r.MisroutedReports(r.now, seen, true)
+		r.ApplyMisroutedHeartbeats(r.now, seen, true)
 	})
 }
 
@@ -28,7 +28,7 @@
 	for _, machines := range []int{2, 3} {
 		r := newRig(nil)
 		if machines > 2 {
-			r.cfg.IdleSpot, r.cfg.IdleOrdinary = 12*time.Second, 12*time.Second
+			r.cfg.IdleSpot, r.cfg.IdleOnDemand = 12*time.Second, 12*time.Second
 		}
 		for i := range machines {
 			r.up(fmt.Sprintf("m-%d", i))
--- a/shard/direct.go
+++ b/shard/direct.go
@@ -77,7 +77,7 @@
 
 // roomForCall says whether one more direct command may be under way.
 func (q *outgoing) roomForCall(v *fleetView) bool {
-	most := v.cfg.Calls
+	most := v.cfg.MaxDirectCommands
 	if v.isUnreachable {
 		most = min(most, constants.UnreachableCalls)
 	}
@@ -102,7 +102,7 @@
 	m.inFlight = true
 	q.inFlight++
 	m.nextDirect = now.Add(constants.RepeatCommand / 4)
-	req := wire.CommandRequest{Token: v.token(m), Session: max(m.session, 1), Commands: commands}
+	req := wire.CommandRequest{FencingToken: v.token(m), Epoch: max(m.session, 1), Commands: commands}
 	q.actions = append(q.actions, SendCommands{Machine: m.name, Addr: m.addr, Request: req})
 }
 
--- a/shard/direct_test.go
+++ b/shard/direct_test.go
@@ -41,7 +41,7 @@
 		for i := range machines {
 			r.up(fmt.Sprintf("m-%d", i))
 		}
-		r.cfg.Calls = rapid.IntRange(1, 4).Draw(t, "calls")
+		r.cfg.MaxDirectCommands = rapid.IntRange(1, 4).Draw(t, "calls")
 		open := map[string]bool{}
 		take := func(acts []Action) {
 			for _, a := range acts {
@@ -54,8 +54,8 @@
 				}
 				open[s.Machine] = true
 			}
-			if len(open) > r.cfg.Calls {
-				t.Fatalf("%d commands under way, %d allowed", len(open), r.cfg.Calls)
+			if len(open) > r.cfg.MaxDirectCommands {
+				t.Fatalf("%d commands under way, %d allowed", len(open), r.cfg.MaxDirectCommands)
 			}
 			if r.inFlight != len(open) {
 				t.Fatalf("%d commands under way, counted as %d", len(open), r.inFlight)
@@ -73,7 +73,7 @@
 				}
 			case 2: // its return is confirmed while a command may be under way
 				if r.machines[name] != nil {
-					r.Returned(r.now, []string{name})
+					r.ScaleInResult(r.now, []string{name})
 					r.removeMachine(&r.outgoing, r.machines[name])
 					delete(open, name)
 				}
@@ -129,7 +129,7 @@
 	r.fleet(machines)
 	r.Step(r.now)
 	asked := 0
-	for end := r.now.Add(2 * r.cfg.Report); asked == 0 && r.now.Before(end); {
+	for end := r.now.Add(2 * r.cfg.HeartbeatPeriod); asked == 0 && r.now.Before(end); {
 		for _, a := range r.wait(time.Second) {
 			if s, ok := a.(SendCommands); ok && len(s.Request.Commands) == 0 {
 				asked++
--- a/shard/draining.go
+++ b/shard/draining.go
@@ -19,9 +19,9 @@
 	Shards  []string // all of the deployment, in its order
 	Budgets disruption.Budgets
 	Policy  drain.Policy
-	// Hasty and HastyProof let a test see what the claims and the stable time are
+	// SkipClaimProof and SkipStableTime let a test see what the claims and the stable time are
 	// worth: stops without a claim, and tasks that are up as soon as they run.
-	Hasty, HastyProof bool
+	SkipClaimProof, SkipStableTime bool
 }
 
 // draining is the owner's state of drains and of its shard's account of disruption.
@@ -63,7 +63,7 @@
 	c.draining = &draining{
 		cfg: cfg, drains: map[int]*drain.Steps{}, damaged: map[int]bool{}, moves: map[*task]*move{}, waits: map[int]string{},
 		interruptions: newInterruptions(cfg.Policy.ReplaceWithin),
-		ledger:        disruption.NewLedger(disruption.Config{Shard: c.cfg.Shard, Shards: cfg.Shards, Term: c.term, Budgets: cfg.Budgets, Stable: cfg.Policy.Stable, Hasty: cfg.Hasty}),
+		ledger:        disruption.NewLedger(disruption.Config{Shard: c.cfg.Shard, Shards: cfg.Shards, Term: c.term, Budgets: cfg.Budgets, Stable: cfg.Policy.Stable, SkipClaimProof: cfg.SkipClaimProof}),
 	}
 	for _, j := range jobs {
 		c.draining.ledger.ApplyJob(now, j)
@@ -80,7 +80,7 @@
 		d.ledger.ApplyJob(now, r)
 	case *records.Term:
 		d.ledger.ApplyTerm(r)
-	case *records.Claim:
+	case *records.DisruptionClaim:
 		d.ledger.ApplyClaim(r, ch.Version)
 	case *records.Drain:
 		d.applyDrain(shard, r, ch.Version)
@@ -89,8 +89,8 @@
 			delete(d.drains, number) // an old one was cleared away
 		}
 	case *records.Damaged:
-		if claimOf, ok := r.Claim(); ok {
-			d.ledger.ApplyDamage(claimOf, ch.Version)
+		if claimOf, ok := r.DisruptionClaim(); ok {
+			d.ledger.ApplyDamagedClaim(claimOf, ch.Version)
 		}
 		if number, ok := r.Drain(); ok {
 			d.damaged[number] = true
@@ -160,7 +160,7 @@
 	if !v.runs(now, t) {
 		return false
 	}
-	return h.adopted || d.cfg.HastyProof || now.Sub(h.runSince) >= d.cfg.Policy.Stable
+	return h.adopted || d.cfg.SkipStableTime || now.Sub(h.runSince) >= d.cfg.Policy.Stable
 }
 
 // unavailable counts the shard's tasks of services that should be up and are not, and the
@@ -348,9 +348,9 @@
 }
 
 func (d *draining) progress(v *fleetView, number int, s *drain.Steps) drain.Progress {
-	p := drain.Progress{Drain: number, Shard: v.cfg.Shard, Waits: d.waits[number], Failures: s.Failures()}
+	p := drain.Progress{Drain: number, Shard: v.cfg.Shard, WaitingFor: d.waits[number], Failures: s.Failures()}
 	for _, m := range v.selected(&s.Record().Selection) {
-		p.Left++
+		p.Remaining++
 		if m.cordon != nil && m.cordon.drain == number && len(p.Cordoned) < constants.DrainNames {
 			p.Cordoned = append(p.Cordoned, m.name)
 		}
--- a/shard/draining_test.go
+++ b/shard/draining_test.go
@@ -15,11 +15,11 @@
 func (r *rig) withAccount() *job {
 	var budgets disruption.Budgets
 	budgets.SetOthers(disruption.Amount{Tasks: 1})
-	r.StartDraining(r.now, DrainingConfig{Shards: []string{"a"}, Budgets: budgets, Policy: drain.Policy{Stable: 5 * time.Second, ReplaceWithin: time.Minute, FailuresMost: 2, Parallel: 100}}, nil, nil)
+	r.StartDraining(r.now, DrainingConfig{Shards: []string{"a"}, Budgets: budgets, Policy: drain.Policy{Stable: 5 * time.Second, ReplaceWithin: time.Minute, MaxFailures: 2, Parallel: 100}}, nil, nil)
 	r.up("m-0")
 	r.up("m-1")
 	spec := wire.Submission{ID: "run-1", Team: "t", Class: "c", Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 3, CPUs: 2, MemoryGB: 1, Image: "i"}
-	r.submit(&records.Job{ID: spec.ID, Spec: spec, Assignments: []records.Assignment{{From: 0, To: 3, Shard: "a", Keep: true}}})
+	r.submit(&records.Job{ID: spec.ID, Spec: spec, Assignments: []records.Assignment{{From: 0, To: 3, Shard: "a", KeepWaiting: true}}})
 	r.write(r.wait(time.Second))
 	r.serve(8 * time.Second)
 	return r.jobs["run-1"]
@@ -39,7 +39,7 @@
 				}
 				tasks = append(tasks, s)
 			}
-			r.Report(r.now, report(m.name, 1, m.seq+1, r.token(m), tasks...))
+			r.Heartbeat(r.now, report(m.name, 1, m.seq+1, r.token(m), tasks...))
 		}
 	}
 }
@@ -152,13 +152,13 @@
 		r := newRig(nil)
 		var budgets disruption.Budgets
 		budgets.SetOtherInterruptions(disruption.Amount{Tasks: 1})
-		cfg := DrainingConfig{Shards: []string{"a"}, Budgets: budgets, Policy: drain.Policy{Stable: 5 * time.Second, ReplaceWithin: time.Minute, FailuresMost: 2, Parallel: 100}}
+		cfg := DrainingConfig{Shards: []string{"a"}, Budgets: budgets, Policy: drain.Policy{Stable: 5 * time.Second, ReplaceWithin: time.Minute, MaxFailures: 2, Parallel: 100}}
 		r.StartDraining(r.now, cfg, nil, nil)
 		r.up("m-0")
 		r.up("m-1")
 		for _, id := range []string{"run-1", "run-2"} {
 			spec := wire.Submission{ID: id, Team: "t", Class: "c", Kind: kind, Priority: wire.PriorityNormal, Tasks: 2, CPUs: 2, MemoryGB: 1, Image: "i", EstimateS: 600}
-			r.submit(&records.Job{ID: spec.ID, Spec: spec, Assignments: []records.Assignment{{From: 0, To: 2, Shard: "a", Keep: true}}})
+			r.submit(&records.Job{ID: spec.ID, Spec: spec, Assignments: []records.Assignment{{From: 0, To: 2, Shard: "a", KeepWaiting: true}}})
 		}
 		r.serve(15 * time.Second)
 		r.up("m-2")
@@ -197,14 +197,14 @@
 // as the claim of the last one says, until they run again.
 func TestNextOwnerCountsInterruptions(t *testing.T) {
 	spec := wire.Submission{ID: "run-1", Team: "t", Class: "c", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 3, CPUs: 2, MemoryGB: 1, Image: "i", EstimateS: 600}
-	j := &records.Job{ID: spec.ID, Spec: spec, Assignments: []records.Assignment{{From: 0, To: 3, Shard: "a", Keep: true}}}
+	j := &records.Job{ID: spec.ID, Spec: spec, Assignments: []records.Assignment{{From: 0, To: 3, Shard: "a", KeepWaiting: true}}}
 	r := newRig(map[string]*records.Job{j.ID: j})
 	var budgets disruption.Budgets
 	budgets.SetOtherInterruptions(disruption.Amount{Tasks: 2})
 	key := disruption.Key{Team: "t", Interruptions: true}
-	last := records.Claim{Shard: "a", Term: r.term - 1, Down: map[string]int{key.String(): 2}}
-	cfg := DrainingConfig{Shards: []string{"a"}, Budgets: budgets, Policy: drain.Policy{Stable: 5 * time.Second, ReplaceWithin: time.Minute, FailuresMost: 2}}
-	r.StartDraining(r.now, cfg, map[string]*records.Job{j.ID: j}, []records.Change{{Key: records.KeyClaim("a"), Version: 90, Record: &last}})
+	last := records.DisruptionClaim{Shard: "a", Term: r.term - 1, Unavailable: map[string]int{key.String(): 2}}
+	cfg := DrainingConfig{Shards: []string{"a"}, Budgets: budgets, Policy: drain.Policy{Stable: 5 * time.Second, ReplaceWithin: time.Minute, MaxFailures: 2}}
+	r.StartDraining(r.now, cfg, map[string]*records.Job{j.ID: j}, []records.Change{{Key: records.KeyDisruptionClaim("a"), Version: 90, Record: &last}})
 	r.write(r.wait(time.Second))
 	if n := r.draining.unavailable(&r.fleetView, r.now)[key]; n != 2 {
 		t.Errorf("%d of 3 that wait count, 2 were claimed", n)
--- a/shard/elsewhere.go
+++ b/shard/elsewhere.go
@@ -41,7 +41,7 @@
 	n := 0
 	for _, o := range f.others {
 		if now.Sub(o.at) < constants.StaleAggregate && (s.Zone == "" || s.Zone == o.agg.Shard) {
-			n += o.agg.Takes(s)
+			n += o.agg.EstimateTasks(s)
 		}
 	}
 	// spread may leave no place for it outside this shard, whatever the room.
--- a/shard/forecast.go
+++ b/shard/forecast.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// Forecast takes in what the leader will assign here before long.
-func (c *Core) Forecast(now time.Time, f leader.Forecast) {
+// ApplyForecast takes in what the leader will assign here before long.
+func (c *Core) ApplyForecast(now time.Time, f leader.Forecast) {
 	if f.Revision < c.forecast.Revision {
 		return
 	}
@@ -49,7 +49,7 @@
 		}
 	}
 	c.since = kept
-	if len(f.Held) > 0 && now.Sub(c.heldAt) >= constants.CloseWait {
+	if len(f.TeamsAtLimit) > 0 && now.Sub(c.heldAt) >= constants.CloseWait {
 		c.heldAt = now
 		for _, j := range c.jobs {
 			if c.held(now, j) {
@@ -62,7 +62,7 @@
 // held says whether the done tasks of a job keep others of its team waiting for
 // their limit, as the leader has it.
 func (c *capacity) held(now time.Time, j *job) bool {
-	return j.gang == nil && j.rec.End == "" && now.Sub(c.forecastAt) <= constants.ForecastLife && slices.Contains(c.forecast.Held, j.rec.Spec.Team)
+	return j.gang == nil && j.rec.End == "" && now.Sub(c.forecastAt) <= constants.ForecastLife && slices.Contains(c.forecast.TeamsAtLimit, j.rec.Spec.Team)
 }
 
 // foreseen is how much work (CPUs) is still to come of what the leader forecast,
@@ -73,7 +73,7 @@
 		c.since = nil
 		return s, 0
 	}
-	cpus := c.forecast.Ordinary
+	cpus := c.forecast.OnDemand
 	if spot {
 		cpus = c.forecast.Spot
 	}
--- a/shard/gang.go
+++ b/shard/gang.go
@@ -101,7 +101,7 @@
 
 // refused says that a start was refused, so that the attempt lost nothing by it.
 func refused(cause string) bool {
-	return cause == wire.CauseNoRoom || cause == wire.CauseBusy || cause == wire.CauseUnknown
+	return cause == wire.CauseNoCapacity || cause == wire.CauseBusy || cause == wire.CauseUnknown
 }
 
 // endAttempt gives up the attempt under way: a task of it is gone. Nothing that
@@ -115,7 +115,7 @@
 	slog.Info("gang's attempt ends", "job", j.rec.ID, "attempt", g.attempt, "why", why, "begun", g.begun)
 	for _, t := range j.tasks {
 		if h := t.hold; h != nil && !h.exited() {
-			if why == wire.CauseAlone && (h.state == stateSent || h.state == wire.TaskFetching) {
+			if why == wire.CauseGangIncomplete && (h.state == stateSent || h.state == wire.TaskFetching) {
 				h.m.avoidUntil = c.stepped.Add(constants.FaultPause) // the others waited for it in vain
 			}
 			c.stopNow(h)
@@ -290,7 +290,7 @@
 // takesGang says whether another shard is known to take all of a gang now.
 func (f *figures) takesGang(now time.Time, s *wire.Submission) bool {
 	for _, o := range f.others {
-		if now.Sub(o.at) < constants.StaleAggregate && (s.Zone == "" || s.Zone == o.agg.Shard) && o.agg.Gangs[leader.ShapeOf(s)].Now >= s.Tasks {
+		if now.Sub(o.at) < constants.StaleAggregate && (s.Zone == "" || s.Zone == o.agg.Shard) && o.agg.Gangs[leader.GangShape(s)].Now >= s.Tasks {
 			return true
 		}
 	}
--- a/shard/gang_test.go
+++ b/shard/gang_test.go
@@ -71,7 +71,7 @@
 }
 
 // says is what a machine reports.
-func (h *hands) says(m string) *wire.Report {
+func (h *hands) says(m string) *wire.Heartbeat {
 	r := report(m, 1, h.seq[m], h.shown(m), h.held[m]...)
 	r.Spot = m == h.spot
 	return r
@@ -80,7 +80,7 @@
 // tell lets a machine report and obey the answer.
 func (h *hands) tell(m string) []wire.Command {
 	h.seq[m]++
-	reply, _ := h.Report(h.now, h.says(m))
+	reply, _ := h.Heartbeat(h.now, h.says(m))
 	return h.obey(m, reply.Commands)
 }
 
@@ -191,7 +191,7 @@
 			h.set(other, wire.TaskRunning, "")
 		}
 		delete(h.seq, lost)
-		h.Returned(h.now, []string{lost})
+		h.ScaleInResult(h.now, []string{lost})
 		again := h.run(2 * time.Second)
 		if !begun {
 			if len(again) != 2 || again[0].Attempt != s[0].Attempt || again[1].Attempt != s[0].Attempt {
@@ -205,7 +205,7 @@
 		if len(h.stops) != 4 || h.stops["run-1/0"] != 0 {
 			t.Fatalf("stops %v, wanted four without time to save", h.stops)
 		}
-		h.set(other, wire.TaskExited, wire.CausePeers)
+		h.set(other, wire.TaskExited, wire.CauseGangPeerLost)
 		again = h.run(3 * time.Second)
 		if len(again) != 6 || again[0].Attempt == s[0].Attempt {
 			t.Fatalf("restarted %v after attempt %d", again, s[0].Attempt)
@@ -232,7 +232,7 @@
 		t.Fatalf("started %v and stopped %v of a healthy gang", s, h.stops)
 	}
 	delete(h.seq, "m-1") // gone as it completed
-	h.Returned(h.now, []string{"m-1"})
+	h.ScaleInResult(h.now, []string{"m-1"})
 	h.held["m-2"][0].State, h.held["m-2"][0].Cause = wire.TaskExited, wire.CauseDone
 	h.held["m-2"][1].State, h.held["m-2"][1].Cause = wire.TaskExited, wire.CauseDone
 	if s := h.run(10 * time.Second); len(s) > 0 {
@@ -255,7 +255,7 @@
 	h.seq["m-1"]++
 	rep := report("m-1", 1, h.seq["m-1"], h.shown("m-1"), h.held["m-1"]...)
 	rep.NoticeS = &left
-	h.Report(h.now, rep)
+	h.Heartbeat(h.now, rep)
 	if h.carry(h.wait(200 * time.Millisecond)); len(h.stops) != 6 {
 		t.Fatalf("%d of 6 tasks were told to stop together", len(h.stops))
 	}
@@ -288,7 +288,7 @@
 		for term := uint64(5); term < 9; term++ {
 			r := newRig(nil)
 			cfg := r.cfg
-			cfg.Sizes, cfg.TxnOps = records.Sizes{Now: 8192, Next: limit}, rapid.IntRange(1, 4).Draw(t, "ops")
+			cfg.SizeLimits, cfg.TxnOps = records.SizeLimits{Now: 8192, Next: limit}, rapid.IntRange(1, 4).Draw(t, "ops")
 			now := r.now
 			c := New(cfg, term, 50, now, []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 32, Zones: []string{"a"}}}, nil, nil, pages, versions)
 			c.SetAuthority(now.Add(time.Hour))
@@ -304,11 +304,11 @@
 					if !ok {
 						continue
 					}
-					if len(cm.Txn.Then) > cfg.TxnOps {
-						t.Fatalf("%d changes where %d are allowed", len(cm.Txn.Then), cfg.TxnOps)
+					if len(cm.Txn.Changes) > cfg.TxnOps {
+						t.Fatalf("%d changes where %d are allowed", len(cm.Txn.Changes), cfg.TxnOps)
 					}
 					rev++
-					for _, ch := range cm.Txn.Then {
+					for _, ch := range cm.Txn.Changes {
 						if len(ch.Value) > limit {
 							t.Fatalf("a page of %d bytes", len(ch.Value))
 						}
@@ -328,10 +328,10 @@
 						t.Fatalf("%d of %d machines on durable pages", len(on), len(names))
 					}
 					if rapid.Bool().Draw(t, "answered") {
-						c.Committed(now, cm.ID, rev)
+						c.CommitResult(now, cm.ID, rev)
 					} else {
-						c.Committed(now, cm.ID, 0)
-						for _, ch := range cm.Txn.Then {
+						c.CommitResult(now, cm.ID, 0)
+						for _, ch := range cm.Txn.Changes {
 							c.Apply(now, records.Change{Key: ch.Put, Version: rev, Record: pages[ch.Put]})
 						}
 					}
@@ -401,14 +401,14 @@
 	job := func() *records.Job {
 		j := gangOf("run-1", 4, "a")
 		j.Spec.OneZone, j.Spec.Spread, j.Attempt = false, true, 1
-		j.Assignments = []records.Assignment{{From: 0, To: 2, Shard: "a", Keep: true}, {From: 2, To: 4, Shard: "b", Keep: true}}
+		j.Assignments = []records.Assignment{{From: 0, To: 2, Shard: "a", KeepWaiting: true}, {From: 2, To: 4, Shard: "b", KeepWaiting: true}}
 		return j
 	}
 	given := func(h *hands) bool { return h.jobs["run-1"] == nil }
 
 	h := newHands(newRig(map[string]*records.Job{"run-1": job()}, records.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"}))
 	h.seq["m-1"] = 10
-	h.held["m-1"] = []wire.TaskStatus{{Task: "run-1/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CausePeers}}
+	h.held["m-1"] = []wire.TaskStatus{{Task: "run-1/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseGangPeerLost}}
 	if s := h.run(5 * time.Second); len(s) > 0 || !given(h) {
 		t.Fatalf("found used up: started %v, given back %v", s, given(h))
 	}
@@ -418,7 +418,7 @@
 	if s := h.run(time.Second); len(s) != 2 || s[0].Attempt != 1 {
 		t.Fatalf("started %v, wanted two tasks under the leader's number", s)
 	}
-	h.set("m-1", wire.TaskWaiting, "")
+	h.set("m-1", wire.TaskWaitingForGang, "")
 	shard := job()
 	shard.Assignments = shard.Assignments[:1]
 	h.submit(shard)
--- a/shard/gangfit.go
+++ b/shard/gangfit.go
@@ -58,7 +58,7 @@
 // missesByFetch says whether a gang that has to fetch its image may well miss its
 // class's aim on starting by that alone: the slowest of its machines counts.
 func (v *fleetView) missesByFetch(s *wire.Submission) bool {
-	within := v.cfg.Order.StartWithin(s.Class)
+	within := v.cfg.Order.StartObjective(s.Class)
 	for _, t := range v.types {
 		if t.FetchGBPerS > 0 && allowed(s, t.Name, false) && within > 0 && s.ImageGB/t.FetchGBPerS*constants.FetchSlow < within.Seconds() {
 			return false
--- a/shard/gangreserve.go
+++ b/shard/gangreserve.go
@@ -23,7 +23,7 @@
 	if !rec.Spec.IsGang() || rec.End != "" {
 		return
 	}
-	key := leader.ShapeOf(&rec.Spec)
+	key := leader.GangShape(&rec.Spec)
 	if _, known := g.shapes[key]; !known && len(g.shapes) >= constants.MaxShapes {
 		oldest := key
 		for k, sh := range g.shapes {
@@ -43,8 +43,8 @@
 
 // gangFigures is how many tasks of each shape of gang seen lately would start
 // now, and how many of them on machines that hold the image.
-func (reserves *gangReserves) gangFigures(v *fleetView, now time.Time) map[string]leader.GangRoom {
-	out := map[string]leader.GangRoom{}
+func (reserves *gangReserves) gangFigures(v *fleetView, now time.Time) map[string]leader.GangCapacity {
+	out := map[string]leader.GangCapacity{}
 	for key, sh := range reserves.shapes {
 		if now.Sub(sh.at) > constants.ShapeMemory {
 			delete(reserves.shapes, key)
@@ -52,7 +52,7 @@
 		}
 		s := &sh.spec
 		n := need(s)
-		var g leader.GangRoom
+		var g leader.GangCapacity
 		for _, m := range v.fleet {
 			if m.draining || !allowed(s, m.typeName, m.spot) || !v.usable(now, m) {
 				continue
@@ -130,7 +130,7 @@
 		}
 		k := &gangMachine{m: m, room: v.free(m)}
 		for _, h := range m.holds {
-			if t := v.taskOf(h); t != nil && !h.exited() && !t.job.rec.Spec.Whole() {
+			if t := v.taskOf(h); t != nil && !h.exited() && !t.job.rec.Spec.AllOrNothing() {
 				k.room = k.room.plus(h.needs)
 			}
 		}
--- a/shard/inventory.go
+++ b/shard/inventory.go
@@ -23,14 +23,16 @@
 	inventoryNext time.Time // when the next one may be sent
 }
 
-func newPageBook(sizes records.Sizes) pageBook {
+func newPageBook(sizes records.SizeLimits) pageBook {
 	b := pageBook{pages: map[int]*page{}}
 	b.limit(sizes)
 	return b
 }
 
 // limit has pages written so that they fit what the state service takes.
-func (b *pageBook) limit(sizes records.Sizes) { b.entriesMost = sizes.Next * constants.PageFill / 100 }
+func (b *pageBook) limit(sizes records.SizeLimits) {
+	b.entriesMost = sizes.Next * constants.PageFill / 100
+}
 
 // page is one page of the shard's inventory. It is written as a whole, one write
 // at a time, so that a rental or a wave of boots costs a change or two and not
@@ -83,7 +85,7 @@
 		}
 		if m.rentedAt.IsZero() {
 			m.rentedAt = now
-			if age := now.Unix() - e.RentedS; e.RentedS > 0 && age > 0 && age < 3600 {
+			if age := now.Unix() - e.RequestedS; e.RequestedS > 0 && age > 0 && age < 3600 {
 				m.rentedAt = now.Add(-time.Duration(age) * time.Second)
 			}
 		}
@@ -203,7 +205,7 @@
 		if m == nil || m.leaving {
 			continue
 		}
-		out = append(out, records.Machine{Name: name, Type: m.typeName, Spot: m.spot, Addr: m.addr, RentedS: m.rentedAt.Unix(), Closed: m.closing.decided})
+		out = append(out, records.Machine{Name: name, Type: m.typeName, Spot: m.spot, Addr: m.addr, RequestedS: m.rentedAt.Unix(), Closed: m.closing.decided})
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].Name < out[b].Name })
 	return out
@@ -243,7 +245,7 @@
 			r.Add(e)
 		}
 		value := records.Encode(r)
-		if len(value) > c.cfg.Sizes.Next && len(entries) > 1 {
+		if len(value) > c.cfg.SizeLimits.Next && len(entries) > 1 {
 			// Many kinds of machine or long addresses take more than was allowed
 			// for: half of them go to another page, and this one waits for that.
 			for _, e := range entries[len(entries)/2:] {
--- a/shard/jobs.go
+++ b/shard/jobs.go
@@ -58,7 +58,7 @@
 					c.prod.add(now, time.Duration(now.UnixMilli()-rec.AcceptedMS)*time.Millisecond, need(&rec.Spec))
 				}
 			}
-			t.keep, t.guarantee = ch.Keep, ch.Guaranteed
+			t.keep, t.guarantee = ch.KeepWaiting, ch.Guaranteed
 		}
 	}
 	for i, t := range j.tasks {
--- a/shard/model.go
+++ b/shard/model.go
@@ -312,7 +312,7 @@
 	stale   bool    // waiting and begun are to be made anew
 	waiting []*task // those within the guarantee first, then by index
 
-	place leader.Place // in the order of the last look at all that wait
+	place leader.Rank // in the order of the last look at all that wait
 }
 
 // task is one task of an open assignment.
--- a/shard/moving.go
+++ b/shard/moving.go
@@ -201,7 +201,7 @@
 	}
 	obstacle := func(why string, permanent bool) {
 		if len(p.Obstacles) < constants.DrainNames {
-			p.Obstacles = append(p.Obstacles, drain.Obstacle{Job: s.ID, Machine: t.hold.m.name, Why: why, Permanent: permanent})
+			p.Obstacles = append(p.Obstacles, drain.Obstacle{Job: s.ID, Machine: t.hold.m.name, Reason: why, Permanent: permanent})
 		}
 	}
 	if refused := c.draining.ledger.Check(now, keys); refused != nil && refused.Reason == disruption.Never {
--- a/shard/numbers.go
+++ b/shard/numbers.go
@@ -41,11 +41,11 @@
 	return n.attempts >= n.mostAttempts-n.mostAttempts/step || n.epochs >= n.mostEpochs-n.mostEpochs/step
 }
 
-// TermUsedUp says that the owner should be given a new term before this one's numbers
+// TermNumbersLow says that the owner should be given a new term before this one's numbers
 // run out.
-func (o *ownership) TermUsedUp() bool { return o.numbers.low() }
+func (o *ownership) TermNumbersLow() bool { return o.numbers.low() }
 
-// SetNumbers has the numbers of the term run out earlier, for tests.
-func (o *ownership) SetNumbers(attempts, epochs uint64) {
+// LimitTermNumbers has the numbers of the term run out earlier, for tests.
+func (o *ownership) LimitTermNumbers(attempts, epochs uint64) {
 	o.numbers.mostAttempts, o.numbers.mostEpochs = attempts, epochs
 }
--- a/shard/numbers_test.go
+++ b/shard/numbers_test.go
@@ -16,7 +16,7 @@
 	const attempts = 2048
 	r := newRig(nil)
 	r.fleet(4)
-	r.SetNumbers(attempts, 1<<constants.EpochBits)
+	r.LimitTermNumbers(attempts, 1<<constants.EpochBits)
 	asked, started := 0, 0
 	for i := range 2 * attempts / 8 {
 		r.submit(array(fmt.Sprintf("run-%06d", i), 8, "a"))
@@ -30,9 +30,9 @@
 					t.Fatalf("attempt %d of term %d with %d numbers", h.key.attempt, r.term, attempts)
 				}
 			}
-			r.Report(r.now, report(name, 1, uint64(10+i), r.shown(name), tasks...))
+			r.Heartbeat(r.now, report(name, 1, uint64(10+i), r.shown(name), tasks...))
 		}
-		if r.TermUsedUp() && asked == 0 {
+		if r.TermNumbersLow() && asked == 0 {
 			asked = started
 		}
 	}
@@ -49,14 +49,14 @@
 	const epochs = 512
 	r := newRig(nil)
 	r.fleet(1)
-	r.SetNumbers(1<<constants.AttemptBits, epochs)
+	r.LimitTermNumbers(1<<constants.AttemptBits, epochs)
 	m := r.machines["m-00000"]
 	asked := uint64(0)
 	for range 2 * epochs {
 		if r.may(r.now) {
 			r.numbers.raise(m)
 		}
-		if r.TermUsedUp() && asked == 0 {
+		if r.TermNumbersLow() && asked == 0 {
 			asked = m.epoch
 		}
 	}
--- a/shard/place.go
+++ b/shard/place.go
@@ -18,7 +18,7 @@
 	waiting   map[*job]bool    // jobs with waiting tasks
 	order     []*job           // waiting jobs in the order of the last round
 	scratch   []*task          // ready tasks of the job that a round looks at
-	resume    *leader.Place    // where the last round stopped
+	resume    *leader.Rank     // where the last round stopped
 	budget    time.Duration    // of a round
 	clock     func() time.Time // what a round's time is taken by
 	dirty     bool             // something changed that placing may use
@@ -89,7 +89,7 @@
 	q := make([]*job, 0, len(p.waiting))
 	for j := range p.waiting {
 		q = append(q, j)
-		j.place = v.cfg.Order.Place(now, j.rec, j.waiting[0].guarantee, j.begun)
+		j.place = v.cfg.Order.Rank(now, j.rec, j.waiting[0].guarantee, j.begun)
 	}
 	slices.SortFunc(q, func(a, b *job) int { return a.place.Compare(b.place) })
 	return q
@@ -156,7 +156,7 @@
 		tasks = kept
 	}
 	if !s.IsService() && overdue {
-		tasks = tasks[:min(len(tasks), leader.BeginShare(s.Tasks))]
+		tasks = tasks[:min(len(tasks), leader.OverdueShare(s.Tasks))]
 	}
 	var fit []*machine
 	if !full {
--- a/shard/preempt.go
+++ b/shard/preempt.go
@@ -147,7 +147,7 @@
 	whole := time.Duration(rec.Spec.EstimateS * float64(time.Second))
 	age := time.Duration(now.UnixMilli()-rec.AcceptedMS) * time.Millisecond
 	left := max(whole-now.Sub(began), constants.LeastLeft)
-	return v.cfg.Order.Meets(rec.Spec.Class, age+left) > v.cfg.Order.Meets(rec.Spec.Class, age+whole)
+	return v.cfg.Order.ObjectivesMet(rec.Spec.Class, age+left) > v.cfg.Order.ObjectivesMet(rec.Spec.Class, age+whole)
 }
 
 // askToSave makes room for a task where only work that can save stands in its
--- a/shard/push.go
+++ b/shard/push.go
@@ -19,10 +19,10 @@
 // machines that take tasks and, less what already waits for it, of those that
 // are coming.
 func (c *Core) Aggregate(now time.Time, revision uint64) leader.Aggregate {
-	a := leader.Aggregate{Shard: c.cfg.Shard, Term: c.term, Revision: revision, Waiting: c.excess,
-		Warm: map[string]float64{}, RentOrdinary: c.rentable(&c.fleetView, now, false), RentSpot: c.cfg.UseSpot && c.rentable(&c.fleetView, now, true)}
+	a := leader.Aggregate{Shard: c.cfg.Shard, Term: c.term, Revision: revision, WaitingCPUs: c.excess,
+		Warm: map[string]float64{}, CanScaleOutOnDemand: c.rentable(&c.fleetView, now, false), CanScaleOutSpot: c.cfg.UseSpot && c.rentable(&c.fleetView, now, true)}
 	add := func(free resources, spot bool) {
-		r := &a.Ordinary
+		r := &a.OnDemand
 		if spot {
 			r = &a.Spot
 		}
@@ -43,13 +43,13 @@
 		if m.spot {
 			continue
 		}
-		a.Yielding += c.sumsOf(m).yielding
+		a.Preemptible += c.sumsOf(m).yielding
 		room := c.prodRoom(m)
 		for image := range m.images {
 			a.Warm[image] += room
 		}
 	}
-	a.Gangs, a.GangsKept = c.gangFigures(&c.fleetView, now), c.gangNeed
+	a.Gangs, a.ReservedForGangs = c.gangFigures(&c.fleetView, now), c.gangNeed
 	for _, b := range c.roomComing {
 		add(b.free, b.spot)
 	}
@@ -58,7 +58,7 @@
 			a.Capacity += t.CPUs * float64(r.req.Count)
 		}
 	}
-	for _, r := range []*leader.Room{&a.Ordinary, &a.Spot} {
+	for _, r := range []*leader.FreeCapacity{&a.OnDemand, &a.Spot} {
 		r.CPUs.Finish(r.Machines)
 		r.GPUs.Finish(r.Machines)
 		r.Memory.Finish(r.Machines)
@@ -69,9 +69,9 @@
 // PushDue says whether the aggregate has changed since it was last taken.
 func (f *figures) PushDue() bool { d := f.pushDirty; f.pushDirty = false; return d }
 
-// Others takes in what the other shards push. Tasks that wait for machines that
+// ApplyOtherShards takes in what the other shards push. Tasks that wait for machines that
 // are not to be had go up again only when some other shard has room.
-func (c *Core) Others(now time.Time, as []leader.Aggregate) {
+func (c *Core) ApplyOtherShards(now time.Time, as []leader.Aggregate) {
 	for _, a := range as {
 		if a.Shard != c.cfg.Shard {
 			c.others[a.Shard] = other{a, now}
@@ -107,30 +107,30 @@
 
 // Summary is an owner's view of its shard, for operators.
 type Summary struct {
-	Rebuilt     bool    `json:"rebuilt"`
-	Up          int     `json:"machines_up"`
-	Spot        int     `json:"machines_spot"`
-	Booting     int     `json:"machines_booting"`
-	Silent      int     `json:"machines_silent"`
-	Deaf        int     `json:"machines_in_doubt"` // heard, but not known to hear
-	Draining    int     `json:"machines_draining"`
-	Returning   int     `json:"machines_returning"`
-	Attempts    int     `json:"attempts"` // tasks that are, or may be, on machines
-	Waiting     int     `json:"tasks_waiting"`
-	WaitingCPUs float64 `json:"waiting_cpus"`
-	RefusedSpot bool    `json:"spot_refused"` // the cloud had none a moment ago
-	Refused     bool    `json:"ordinary_refused"`
-	Unreachable bool    `json:"out_of_reach"` // all its machines together
-	ForGangs    float64 `json:"cpus_kept_for_gangs"`
+	Rebuilt          bool    `json:"rebuilt"`
+	Up               int     `json:"machines_up"`
+	Spot             int     `json:"machines_spot"`
+	Booting          int     `json:"machines_booting"`
+	Silent           int     `json:"machines_silent"`
+	Unconfirmed      int     `json:"machines_in_doubt"` // heard, but not known to hear
+	Draining         int     `json:"machines_draining"`
+	ScalingIn        int     `json:"machines_returning"`
+	ActiveAttempts   int     `json:"attempts"` // tasks that are, or may be, on machines
+	Waiting          int     `json:"tasks_waiting"`
+	WaitingCPUs      float64 `json:"waiting_cpus"`
+	RefusedSpot      bool    `json:"spot_refused"` // the cloud had none a moment ago
+	RefusedOnDemand  bool    `json:"ordinary_refused"`
+	Unreachable      bool    `json:"out_of_reach"` // all its machines together
+	ReservedForGangs float64 `json:"cpus_kept_for_gangs"`
 }
 
 // Summary counts what the owner knows.
 func (c *Core) Summary(now time.Time) Summary {
-	s := Summary{Rebuilt: c.rebuilt, WaitingCPUs: c.unplaced.cpus, RefusedSpot: now.Before(c.refused[true]), Refused: now.Before(c.refused[false]), Unreachable: c.isUnreachable, ForGangs: c.gangNeed}
+	s := Summary{Rebuilt: c.rebuilt, WaitingCPUs: c.unplaced.cpus, RefusedSpot: now.Before(c.refused[true]), RefusedOnDemand: now.Before(c.refused[false]), Unreachable: c.isUnreachable, ReservedForGangs: c.gangNeed}
 	for _, m := range c.fleet {
 		switch {
 		case m.returning:
-			s.Returning++
+			s.ScalingIn++
 		case !m.up:
 			s.Booting++
 		default:
@@ -142,13 +142,13 @@
 				s.Silent++
 			}
 			if m.unconfirmed() {
-				s.Deaf++
+				s.Unconfirmed++
 			}
 			if m.draining {
 				s.Draining++
 			}
 		}
-		s.Attempts += c.sumsOf(m).live
+		s.ActiveAttempts += c.sumsOf(m).live
 	}
 	c.refresh(&c.fleetView)
 	for j := range c.waiting {
@@ -157,7 +157,7 @@
 	return s
 }
 
-// PushGap is the least time between two pushes of a part of this size.
-func (k *knowledge) PushGap() time.Duration {
+// PushInterval is the least time between two pushes of a part of this size.
+func (k *knowledge) PushInterval() time.Duration {
 	return constants.PushGap + time.Duration(len(k.fleet))*constants.PushGapMachine
 }
--- a/shard/rent.go
+++ b/shard/rent.go
@@ -203,13 +203,13 @@
 	for _, n := range want {
 		total += n
 	}
-	if total == 0 || total < wire.MaxRent/2 && now.Sub(c.rentedAt) < c.cfg.CloudGap {
+	if total == 0 || total < wire.MaxScaleOut/2 && now.Sub(c.rentedAt) < c.cfg.CloudGap {
 		return
 	}
 	c.rentedAt = now
 	for k, n := range want {
-		for ; n > 0; n -= wire.MaxRent {
-			c.requestMachines(now, k, min(n, wire.MaxRent))
+		for ; n > 0; n -= wire.MaxScaleOut {
+			c.requestMachines(now, k, min(n, wire.MaxScaleOut))
 		}
 	}
 }
@@ -217,13 +217,13 @@
 // requestMachines makes one rental.
 func (c *Core) requestMachines(now time.Time, k kind, count int) {
 	c.rentSeq++
-	req := wire.RentRequest{
+	req := wire.ScaleOutRequest{
 		// The term makes the name this owner's alone, for ever.
-		Request: fmt.Sprintf("rv-%s-%d-%d", c.cfg.Shard, c.term, c.rentSeq),
-		Type:    k.typ, Zone: c.cfg.Shard, Spot: k.spot, Count: count,
+		RequestID: fmt.Sprintf("rv-%s-%d-%d", c.cfg.Shard, c.term, c.rentSeq),
+		Type:      k.typ, Zone: c.cfg.Shard, Spot: k.spot, Count: count,
 	}
-	c.pendingRents[req.Request] = &rental{req: req, at: now}
-	c.actions = append(c.actions, Rent{req})
+	c.pendingRents[req.RequestID] = &rental{req: req, at: now}
+	c.actions = append(c.actions, ScaleOut{req})
 	slog.Info("renting", "shard", c.cfg.Shard, "type", k.typ, "spot", k.spot, "count", count)
 }
 
@@ -232,7 +232,7 @@
 // class's objective: renting for it would only cost.
 func (c *capacity) drains(v *fleetView, now time.Time, j *job, t *task) bool {
 	s := &j.rec.Spec
-	within := v.cfg.Order.Within(s.Class)
+	within := v.cfg.Order.FinishObjective(s.Class)
 	boot := v.bootS()
 	// Estimates may be far too low: what has waited in vain is rented for.
 	if s.IsService() || within == 0 || t.guarantee || now.Sub(t.waitSince).Seconds() > boot*constants.DrainWait {
@@ -302,9 +302,9 @@
 	return best, bestSpot, best != nil
 }
 
-// Rented takes in the answer to a rental: the machines, or that none is to be
+// ScaleOutResult takes in the answer to a rental: the machines, or that none is to be
 // had. An unanswered rental is repeated by the actor under the same name.
-func (c *Core) Rented(now time.Time, request string, names []string, refused bool) {
+func (c *Core) ScaleOutResult(now time.Time, request string, names []string, refused bool) {
 	r := c.pendingRents[request]
 	if r == nil {
 		return
--- a/shard/report.go
+++ b/shard/report.go
@@ -8,13 +8,13 @@
 	"ravenport/wire"
 )
 
-// Report answers a worker's report; ok is false when the owner must not.
-func (c *Core) Report(now time.Time, r *wire.Report) (reply wire.ReportReply, ok bool) {
+// Heartbeat answers a worker's report; ok is false when the owner must not.
+func (c *Core) Heartbeat(now time.Time, r *wire.Heartbeat) (reply wire.HeartbeatReply, ok bool) {
 	if r.Zone != c.cfg.Shard {
 		return reply, false
 	}
 	c.outranked(r)
-	if !c.may(now) && (!c.extendsLeases(now) || r.Token>>constants.EpochBits > c.term) {
+	if !c.may(now) && (!c.extendsLeases(now) || r.FencingToken>>constants.EpochBits > c.term) {
 		return reply, false
 	}
 	if _, gone := c.gone[r.Machine]; gone {
@@ -32,7 +32,7 @@
 	c.heard(&c.fleetView, now, m)
 	m.leaseUntil = c.leaseEnd(now, m)
 	if !c.may(now) {
-		return wire.ReportReply{Token: c.token(m), Commands: []wire.Command{}}, true
+		return wire.HeartbeatReply{FencingToken: c.token(m), Commands: []wire.Command{}}, true
 	}
 	if c.usable(now, m) && !c.fill(now, m) || m.forGangs && c.freed {
 		c.dirty = true
@@ -40,7 +40,7 @@
 	if (m.lost || c.heldBack(m) >= constants.ExitedRaise) && m.token == c.token(m) {
 		c.numbers.raise(m) // once the machine shows the new token they can be forgotten
 	}
-	reply = wire.ReportReply{Token: c.token(m), Commands: c.orders(now, m, true)}
+	reply = wire.HeartbeatReply{FencingToken: c.token(m), Commands: c.orders(now, m, true)}
 	return reply, true
 }
 
@@ -61,22 +61,22 @@
 }
 
 // outranked stops the owner for good once a machine has seen a later term.
-func (o *ownership) outranked(r *wire.Report) {
-	if r.Token>>constants.EpochBits <= o.term {
+func (o *ownership) outranked(r *wire.Heartbeat) {
+	if r.FencingToken>>constants.EpochBits <= o.term {
 		return
 	}
 	if !o.deposed {
-		slog.Warn("a machine has seen a higher token", "machine", r.Machine, "token", r.Token, "term", o.term)
+		slog.Warn("a machine has seen a higher token", "machine", r.Machine, "token", r.FencingToken, "term", o.term)
 	}
 	o.deposed = true
 }
 
 // isNew says whether a report was made after all that are known of the machine.
-func (m *machine) isNew(r *wire.Report) bool {
-	if r.Session < m.minSession {
+func (m *machine) isNew(r *wire.Heartbeat) bool {
+	if r.Epoch < m.minSession {
 		return false
 	}
-	return r.Session > m.session || r.Session == m.session && r.Seq > m.seq
+	return r.Epoch > m.session || r.Epoch == m.session && r.Seq > m.seq
 }
 
 // heard takes note that a machine lives. Whether it hears is another matter:
@@ -118,7 +118,7 @@
 }
 
 // arrive notes what a report says of the machine itself.
-func (c *Core) arrive(now time.Time, m *machine, r *wire.Report) {
+func (c *Core) arrive(now time.Time, m *machine, r *wire.Heartbeat) {
 	if !m.up {
 		m.up, m.lapsed = true, false
 		m.idleSince = now
@@ -141,11 +141,11 @@
 
 // absorb takes in a report's task list. beat tells an own report of the
 // worker from the answer to a direct command.
-func (c *Core) absorb(now time.Time, m *machine, r *wire.Report, beat bool) {
-	if r.Session > m.session {
+func (c *Core) absorb(now time.Time, m *machine, r *wire.Heartbeat, beat bool) {
+	if r.Epoch > m.session {
 		// The earlier session's end killed and forgot everything.
 		c.releaseAll(now, m)
-		m.session = r.Session
+		m.session = r.Epoch
 		m.token = 0
 		m.answersSince = 0
 		// A session has a lease of its own from its first moment on, also when
@@ -153,15 +153,15 @@
 		m.leaseUntil = c.leaseEnd(now, m)
 	}
 	// Who is answered stays, and its next report is the next in number.
-	m.missed = beat && m.answeredAt != 0 && r.Session == m.lastSession && r.Seq > m.answeredAt+1
+	m.missed = beat && m.answeredAt != 0 && r.Epoch == m.lastSession && r.Seq > m.answeredAt+1
 	if beat {
-		m.lastSession, m.lastSequence, m.answeredAt = r.Session, r.Seq, r.Seq
-	} else if r.Session == m.lastSession && r.Seq == m.seq+1 {
+		m.lastSession, m.lastSequence, m.answeredAt = r.Epoch, r.Seq, r.Seq
+	} else if r.Epoch == m.lastSession && r.Seq == m.seq+1 {
 		m.answeredAt = r.Seq // the answer to a direct command counts as well
 	}
 	m.seq = r.Seq
-	if was := m.token; r.Token > was {
-		m.token = r.Token
+	if was := m.token; r.FencingToken > was {
+		m.token = r.FencingToken
 		if !(m.up && was>>constants.EpochBits == c.term) && m.verified(c.term) {
 			c.dirty = true // it may take tasks now
 		}
@@ -249,7 +249,7 @@
 				"accepted_s", float64(now.UnixMilli()-j.rec.AcceptedMS)/1000, "sent_s", now.Sub(h.sentAt).Seconds(), "cached", m.images[h.image])
 		}
 	}
-	if (h.state == wire.TaskRunning || h.state == wire.TaskWaiting) && h.image != "" {
+	if (h.state == wire.TaskRunning || h.state == wire.TaskWaitingForGang) && h.image != "" {
 		m.images[h.image] = true
 	}
 	if h.exited() && was != wire.TaskExited && !h.runSince.IsZero() {
@@ -279,7 +279,7 @@
 func (c *Core) failed(now time.Time, t *task, h *hold) {
 	t.waitSince = now
 	switch h.cause {
-	case wire.CauseStopped, wire.CausePeers, wire.CauseAlone:
+	case wire.CauseStopped, wire.CauseGangPeerLost, wire.CauseGangIncomplete:
 		return // nobody's fault
 	case wire.CauseError, wire.CauseUnknown:
 		slog.Warn("task failed", "task", h.key.task, "machine", h.m.name, "cause", h.cause)
@@ -304,7 +304,7 @@
 
 // CommandResult takes in what came of a direct command. r is nil without an
 // answer; the commands may then still be carried out.
-func (c *Core) CommandResult(now time.Time, name string, r *wire.Report) {
+func (c *Core) CommandResult(now time.Time, name string, r *wire.Heartbeat) {
 	m := c.machines[name]
 	if m == nil {
 		return
@@ -334,7 +334,7 @@
 		m.heard = now
 	}
 	if c.overdueReport(now, m) {
-		m.nextDirect = now.Add(c.cfg.Report / 2)
+		m.nextDirect = now.Add(c.cfg.HeartbeatPeriod / 2)
 	}
 	if m.unconfirmed() && m.token >= m.confirmingToken {
 		c.trust(m)
--- a/shard/scale_test.go
+++ b/shard/scale_test.go
@@ -16,7 +16,7 @@
 // fleet brings many machines up at once, verified and in the inventory.
 func (r *rig) fleet(n int) {
 	for i := range n {
-		r.Report(r.now, report(fmt.Sprintf("m-%05d", i), 1, 1, 0))
+		r.Heartbeat(r.now, report(fmt.Sprintf("m-%05d", i), 1, 1, 0))
 	}
 	for range 10 {
 		r.now = r.now.Add(300 * time.Millisecond)
@@ -24,7 +24,7 @@
 	}
 	for i := range n {
 		name := fmt.Sprintf("m-%05d", i)
-		r.Report(r.now, report(name, 1, 2, r.shown(name)))
+		r.Heartbeat(r.now, report(name, 1, 2, r.shown(name)))
 	}
 	for name, m := range r.machines {
 		if !m.durable || !r.usable(r.now, m) {
@@ -40,13 +40,13 @@
 	const machines = 600
 	writes := 0
 	for i := range machines {
-		r.Report(r.now, report(fmt.Sprintf("m-%05d", i), 1, 1, 0))
+		r.Heartbeat(r.now, report(fmt.Sprintf("m-%05d", i), 1, 1, 0))
 		r.now = r.now.Add(20 * time.Millisecond)
 		for _, a := range r.Step(r.now) {
 			if cm, ok := a.(Commit); ok {
-				writes += len(cm.Txn.Then)
-				for _, ch := range cm.Txn.Then {
-					if len(ch.Value) > r.cfg.Sizes.Next {
+				writes += len(cm.Txn.Changes)
+				for _, ch := range cm.Txn.Changes {
+					if len(ch.Value) > r.cfg.SizeLimits.Next {
 						t.Fatalf("a page of %d bytes", len(ch.Value))
 					}
 				}
@@ -90,7 +90,7 @@
 		}
 		return testing.AllocsPerRun(50, func() {
 			seq++
-			if _, ok := r.Report(r.now, report("m-00000", 1, seq, r.shown("m-00000"), tasks...)); !ok {
+			if _, ok := r.Heartbeat(r.now, report("m-00000", 1, seq, r.shown("m-00000"), tasks...)); !ok {
 				t.Fatal("refused")
 			}
 		})
@@ -154,9 +154,9 @@
 			switch a := a.(type) {
 			case SendCommands:
 				flying = append(flying, call{a.Machine, r.now})
-			case Return:
+			case ScaleIn:
 				returned += len(a.Names)
-				r.Returned(r.now, a.Names)
+				r.ScaleInResult(r.now, a.Names)
 			}
 		}
 		kept := flying[:0]
@@ -174,7 +174,7 @@
 		// The others also report, each in its turn of the 3 s.
 		for i := 70 + step%150; i < 200 && step > 75; i += 150 {
 			name := fmt.Sprintf("m-%05d", i)
-			r.Report(r.now, report(name, 1, uint64(100+step), r.shown(name)))
+			r.Heartbeat(r.now, report(name, 1, uint64(100+step), r.shown(name)))
 		}
 		back := 0
 		for name, m := range r.machines {
@@ -200,19 +200,19 @@
 	}
 	r.now = r.now.Add(time.Second)
 	for i := range 4 {
-		r.Report(r.now, report(fmt.Sprintf("m-%d", i), 1, 3, r.shown(fmt.Sprintf("m-%d", i))))
+		r.Heartbeat(r.now, report(fmt.Sprintf("m-%d", i), 1, 3, r.shown(fmt.Sprintf("m-%d", i))))
 	}
 	m := r.machines["m-0"]
 	stale := r.shown("m-0")
-	r.Report(r.now, report("m-0", 1, 6, stale)) // it has reported elsewhere since
+	r.Heartbeat(r.now, report("m-0", 1, 6, stale)) // it has reported elsewhere since
 	if !m.unconfirmed() || r.usable(r.now, m) {
 		t.Fatal("it stays trusted though it did not stay")
 	}
-	r.Report(r.now, report("m-0", 1, 7, stale))
+	r.Heartbeat(r.now, report("m-0", 1, 7, stale))
 	if !m.unconfirmed() {
 		t.Fatal("an old token ended the doubt")
 	}
-	r.Report(r.now, report("m-0", 1, 8, r.shown("m-0")))
+	r.Heartbeat(r.now, report("m-0", 1, 8, r.shown("m-0")))
 	if m.unconfirmed() || !r.usable(r.now, m) {
 		t.Fatal("the new token did not end the doubt")
 	}
@@ -232,7 +232,7 @@
 			name := fmt.Sprintf("m-%d", i)
 			rep := report(name, 1, seq, r.shown(name))
 			rep.Spot = true // idle ordinary ones would be given back
-			r.Report(r.now, rep)
+			r.Heartbeat(r.now, rep)
 		}
 		for _, a := range r.Step(r.now) {
 			switch a := a.(type) {
@@ -240,7 +240,7 @@
 				rep := report(a.Machine, 1, seq, r.shown(a.Machine))
 				rep.Spot = true
 				r.CommandResult(r.now, a.Machine, rep)
-			case Return:
+			case ScaleIn:
 				for _, n := range a.Names {
 					returned[n] = true
 				}
@@ -269,7 +269,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		rep.Seq++
-		r.Report(r.now, rep)
+		r.Heartbeat(r.now, rep)
 	}
 }
 
@@ -322,7 +322,7 @@
 					seq[i]++
 					rep := report(name, 1, 2+seq[i], r.shown(name))
 					rep.Spot = true
-					r.Report(r.now, rep)
+					r.Heartbeat(r.now, rep)
 				}
 			}
 		})
@@ -339,11 +339,11 @@
 	if silent, misroutedReports := r.CutOff(r.now); !silent || misroutedReports {
 		t.Fatalf("silent %v, misrouted reports %v", silent, misroutedReports)
 	}
-	var seen []MisroutedReport
+	var seen []MisroutedHeartbeat
 	for i := range 30 {
-		seen = append(seen, MisroutedReport{fmt.Sprintf("m-%05d", 60+i), 1, 900})
+		seen = append(seen, MisroutedHeartbeat{fmt.Sprintf("m-%05d", 60+i), 1, 900})
 	}
-	r.MisroutedReports(r.now, seen, true)
+	r.ApplyMisroutedHeartbeats(r.now, seen, true)
 	if silent, misroutedReports := r.CutOff(r.now); !silent || !misroutedReports {
 		t.Fatalf("silent %v, misrouted reports %v: the owner does not see that it is cut off", silent, misroutedReports)
 	}
@@ -376,7 +376,7 @@
 		for _, h := range m.holds {
 			rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: h.key.task, Attempt: h.key.attempt, State: wire.TaskRunning})
 		}
-		r.Report(r.now, rep)
+		r.Heartbeat(r.now, rep)
 	}
 }
 
@@ -473,7 +473,7 @@
 					}
 					rep.Tasks = append(rep.Tasks, s)
 				}
-				r.Report(r.now, rep)
+				r.Heartbeat(r.now, rep)
 			default:
 				r.write(r.wait(time.Duration(rapid.IntRange(20, 900).Draw(t, "ms")) * time.Millisecond))
 			}
@@ -549,7 +549,7 @@
 		if len(rep.Tasks) != constants.ExitedRaise {
 			t.Fatalf("%d tasks sent by a direct command", len(rep.Tasks))
 		}
-		if _, ok := r.Report(r.now, rep); !ok {
+		if _, ok := r.Heartbeat(r.now, rep); !ok {
 			t.Fatal("refused")
 		}
 		raised = m.epoch - was
@@ -572,7 +572,7 @@
 	}
 	n := testing.AllocsPerRun(100, func() {
 		rep.Seq++
-		if _, ok := r.Report(r.now, rep); !ok {
+		if _, ok := r.Heartbeat(r.now, rep); !ok {
 			t.Fatal("refused")
 		}
 	})
--- a/shard/silence.go
+++ b/shard/silence.go
@@ -119,11 +119,11 @@
 		}
 	}
 	for _, m := range c.fleet {
-		if m.returning || len(names) >= wire.MaxReturn {
+		if m.returning || len(names) >= wire.MaxScaleIn {
 			continue
 		}
 		why := ""
-		idle := c.cfg.IdleOrdinary
+		idle := c.cfg.IdleOnDemand
 		if m.spot {
 			idle = c.cfg.IdleSpot
 		}
@@ -166,10 +166,10 @@
 			names = append(names, m.name)
 		}
 	}
-	names = append(names, c.closedToReturn(wire.MaxReturn-len(names))...)
+	names = append(names, c.closedToReturn(wire.MaxScaleIn-len(names))...)
 	if len(names) > 0 {
 		c.returnedAt = now
-		c.actions = append(c.actions, Return{names})
+		c.actions = append(c.actions, ScaleIn{names})
 	}
 }
 
@@ -299,19 +299,19 @@
 		now.Sub(hear.rested) > hear.periods(constants.LateReport)
 }
 
-// MisroutedReport is a report that a machine made to another controller.
-type MisroutedReport struct {
+// MisroutedHeartbeat is a report that a machine made to another controller.
+type MisroutedHeartbeat struct {
 	Machine string `json:"m"`
-	Session uint64 `json:"s"`
+	Epoch   uint64 `json:"s"`
 	Seq     uint64 `json:"q"`
 }
 
-// MisroutedReports takes in which machines reported to another controller. A report that
+// ApplyMisroutedHeartbeats takes in which machines reported to another controller. A report that
 // is no newer than the machine's last one here may be a late copy and says
 // nothing.
-func (v *fleetView) MisroutedReports(now time.Time, list []MisroutedReport, all bool) {
+func (v *fleetView) ApplyMisroutedHeartbeats(now time.Time, list []MisroutedHeartbeat, all bool) {
 	for _, s := range list {
-		if m := v.machines[s.Machine]; m != nil && (s.Session > m.lastSession || s.Session == m.lastSession && s.Seq > m.lastSequence) {
+		if m := v.machines[s.Machine]; m != nil && (s.Epoch > m.lastSession || s.Epoch == m.lastSession && s.Seq > m.lastSequence) {
 			m.misroutedAt = now
 		}
 	}
@@ -320,8 +320,8 @@
 	}
 }
 
-// Returned takes in the cloud's word that machines and all on them are gone.
-func (c *Core) Returned(now time.Time, names []string) {
+// ScaleInResult takes in the cloud's word that machines and all on them are gone.
+func (c *Core) ScaleInResult(now time.Time, names []string) {
 	for _, name := range names {
 		m := c.machines[name]
 		if m == nil {
@@ -341,9 +341,9 @@
 	c.checkRebuilt(now)
 }
 
-// Listed takes in the cloud's list, which lags: it brings unexpected machines
+// ApplyMachineList takes in the cloud's list, which lags: it brings unexpected machines
 // to light and those that failed, and proves nothing else.
-func (c *Core) Listed(now time.Time, list []wire.CloudMachine) {
+func (c *Core) ApplyMachineList(now time.Time, list []wire.CloudMachine) {
 	for name, at := range c.gone {
 		if now.Sub(at) > constants.GoneMemory {
 			delete(c.gone, name)
@@ -388,8 +388,8 @@
 		}
 	}
 	for len(failed) > 0 {
-		k := min(len(failed), wire.MaxReturn)
-		c.actions = append(c.actions, Return{failed[:k]})
+		k := min(len(failed), wire.MaxScaleIn)
+		c.actions = append(c.actions, ScaleIn{failed[:k]})
 		failed = failed[k:]
 	}
 }
--- a/shard/states_test.go
+++ b/shard/states_test.go
@@ -81,11 +81,11 @@
 	if o.may(now.Add(time.Second)) || !o.extendsLeases(now.Add(2*time.Second)) || o.extendsLeases(now.Add(6*time.Second)) {
 		t.Error("its authority, or the extension of leases, does not end in time")
 	}
-	o.outranked(&wire.Report{Token: first})
+	o.outranked(&wire.Heartbeat{FencingToken: first})
 	if !o.may(now) {
 		t.Error("its own token ends it")
 	}
-	if o.outranked(&wire.Report{Token: 6 << constants.EpochBits}); o.may(now) {
+	if o.outranked(&wire.Heartbeat{FencingToken: 6 << constants.EpochBits}); o.may(now) {
 		t.Error("it goes on after a later term was seen")
 	}
 }
@@ -117,7 +117,7 @@
 		p.sent = []records.Machine{{Name: "m-1"}}
 	}
 	before := r.entriesMost
-	if r.Invalid("roster/"); r.entriesMost >= before {
+	if r.CommitInvalid("roster/"); r.entriesMost >= before {
 		t.Errorf("%d bytes a page, %d before it was refused", r.entriesMost, before)
 	}
 }
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -4,14 +4,14 @@
 const (
 	PathTypes    = "/flavors"
 	PathMachines = "/machines"
-	PathReturn   = "/machines/return"
+	PathScaleIn  = "/machines/return"
 )
 
 // Limits of the cloud's calls.
 const (
-	MaxRent   = 50
-	MaxReturn = 100
-	MaxList   = 500
+	MaxScaleOut = 50
+	MaxScaleIn  = 100
+	MaxList     = 500
 )
 
 // MachineType is what the cloud says of one type.
@@ -33,13 +33,13 @@
 	Types []MachineType `json:"builds"`
 }
 
-// RentRequest asks for machines.
-type RentRequest struct {
-	Request string `json:"requisition"`
-	Type    string `json:"build"`
-	Zone    string `json:"yard"`
-	Spot    bool   `json:"loaners"`
-	Count   int    `json:"number"`
+// ScaleOutRequest asks for machines.
+type ScaleOutRequest struct {
+	RequestID string `json:"requisition"`
+	Type      string `json:"build"`
+	Zone      string `json:"yard"`
+	Spot      bool   `json:"loaners"`
+	Count     int    `json:"number"`
 }
 
 // MachineNames carries the names of machines, rented or to be returned.
@@ -68,5 +68,5 @@
 // MachineList is one page of the cloud's list.
 type MachineList struct {
 	Machines []CloudMachine `json:"hosts"`
-	More     bool           `json:"has_next"`
+	HasMore  bool           `json:"has_next"`
 }
--- a/wire/decode_test.go
+++ b/wire/decode_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-func drawReport(t *rapid.T) Report {
+func drawReport(t *rapid.T) Heartbeat {
 	name := rapid.StringMatching(`[a-z0-9-]{1,20}`)
-	r := Report{Machine: name.Draw(t, "machine"), Addr: "10.0.0.1:7000", Type: name.Draw(t, "type"), Zone: name.Draw(t, "zone"),
-		Spot: rapid.Bool().Draw(t, "spot"), Session: rapid.Uint64Min(1).Draw(t, "session"), Seq: rapid.Uint64().Draw(t, "seq"), Token: rapid.Uint64().Draw(t, "token")}
+	r := Heartbeat{Machine: name.Draw(t, "machine"), Addr: "10.0.0.1:7000", Type: name.Draw(t, "type"), Zone: name.Draw(t, "zone"),
+		Spot: rapid.Bool().Draw(t, "spot"), Epoch: rapid.Uint64Min(1).Draw(t, "session"), Seq: rapid.Uint64().Draw(t, "seq"), FencingToken: rapid.Uint64().Draw(t, "token")}
 	for range rapid.IntRange(0, 6).Draw(t, "tasks") {
 		r.Tasks = append(r.Tasks, TaskStatus{Task: "run-" + name.Draw(t, "job") + "/3", Attempt: rapid.Uint64().Draw(t, "attempt"),
 			State: rapid.SampledFrom([]string{TaskFetching, TaskRunning, TaskExited}).Draw(t, "state"), Cause: rapid.SampledFrom([]string{"", CauseDone, CauseError}).Draw(t, "cause")})
@@ -43,7 +43,7 @@
 			to := min(len(body), from+rapid.IntRange(0, 8).Draw(t, "length"))
 			body = append(append(append([]byte{}, body[:from]...), rapid.SampledFrom(junk).Draw(t, "junk")...), body[to:]...)
 		}
-		for _, new := range []func() any{func() any { return &Report{} }, func() any { return &rawSubmission{} }} {
+		for _, new := range []func() any{func() any { return &Heartbeat{} }, func() any { return &rawSubmission{} }} {
 			want, got := new(), new()
 			wantErr, gotErr := json.Unmarshal(body, want), Decode(body, got)
 			if (wantErr == nil) != (gotErr == nil) {
@@ -74,7 +74,7 @@
 func TestQuietReportIsReadWithFewAllocations(t *testing.T) {
 	body := quietReport()
 	n := testing.AllocsPerRun(200, func() {
-		if _, err := ParseReport(body); err != nil {
+		if _, err := ParseHeartbeat(body); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -87,7 +87,7 @@
 	body := quietReport()
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := ParseReport(body); err != nil {
+		if _, err := ParseHeartbeat(body); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/wire/state.go
+++ b/wire/state.go
@@ -23,7 +23,7 @@
 // KeyList is one page of keys.
 type KeyList struct {
 	Items    []KeyValue `json:"entries"`
-	More     bool       `json:"has_next"`
+	HasMore  bool       `json:"has_next"`
 	Revision uint64     `json:"ledger_count"`
 }
 
@@ -43,8 +43,8 @@
 
 // Txn is a transaction.
 type Txn struct {
-	If   []Condition `json:"if"`
-	Then []Change    `json:"apply"`
+	Conditions []Condition `json:"if"`
+	Changes    []Change    `json:"apply"`
 }
 
 // TxnReply answers a transaction.
--- a/wire/users.go
+++ b/wire/users.go
@@ -104,9 +104,9 @@
 // IsGang says whether the job's tasks run at the same time or not at all.
 func (s *Submission) IsGang() bool { return s.Kind == KindGang }
 
-// Whole says whether the job's tasks are admitted together: all of them have to
+// AllOrNothing says whether the job's tasks are admitted together: all of them have to
 // fit their team's limit.
-func (s *Submission) Whole() bool { return s.IsService() || s.IsGang() }
+func (s *Submission) AllOrNothing() bool { return s.IsService() || s.IsGang() }
 
 // rawSubmission tells a missing field from a zero one.
 type rawSubmission struct {
--- a/wire/workers.go
+++ b/wire/workers.go
@@ -8,30 +8,30 @@
 
 // Paths of the interface between workers and controllers.
 const (
-	PathReport   = "/agent/beat"
-	PathCommands = "/commands"
-	PathShow     = "/show"
+	PathHeartbeat = "/agent/beat"
+	PathCommands  = "/commands"
+	PathShow      = "/show"
 )
 
 // States of a task in a worker's report.
 const (
-	TaskFetching = "pulling"
-	TaskWaiting  = "waiting" // a gang's, for the other tasks of its attempt
-	TaskRunning  = "running"
-	TaskSaving   = "saving"
-	TaskExited   = "exited"
+	TaskFetching       = "pulling"
+	TaskWaitingForGang = "waiting" // a gang's, for the other tasks of its attempt
+	TaskRunning        = "running"
+	TaskSaving         = "saving"
+	TaskExited         = "exited"
 )
 
 // Causes of a task's exit.
 const (
-	CauseDone    = "done"
-	CauseStopped = "halted"
-	CauseError   = "error"
-	CauseNoRoom  = "full"
-	CauseBusy    = "busy"
-	CauseUnknown = "unknown"
-	CausePeers   = "peers" // a gang's: another task of it is gone
-	CauseAlone   = "alone" // a gang's: it was not complete in time
+	CauseDone           = "done"
+	CauseStopped        = "halted"
+	CauseError          = "error"
+	CauseNoCapacity     = "full"
+	CauseBusy           = "busy"
+	CauseUnknown        = "unknown"
+	CauseGangPeerLost   = "peers" // a gang's: another task of it is gone
+	CauseGangIncomplete = "alone" // a gang's: it was not complete in time
 )
 
 // Operations of a command.
@@ -41,32 +41,32 @@
 	OpForget = "clear"
 )
 
-// Report is what a worker says of itself and of all its tasks.
-type Report struct {
-	Machine string       `json:"host"`
-	Addr    string       `json:"addr"`
-	Type    string       `json:"build"`
-	Zone    string       `json:"yard"`
-	Spot    bool         `json:"loaners"`
-	Session uint64       `json:"shift"`
-	Seq     uint64       `json:"tally"`
-	Token   uint64       `json:"baton"`
-	NoticeS *float64     `json:"warning_s"`
-	Tasks   []TaskStatus `json:"pieces"`
+// Heartbeat is what a worker says of itself and of all its tasks.
+type Heartbeat struct {
+	Machine      string       `json:"host"`
+	Addr         string       `json:"addr"`
+	Type         string       `json:"build"`
+	Zone         string       `json:"yard"`
+	Spot         bool         `json:"loaners"`
+	Epoch        uint64       `json:"shift"`
+	Seq          uint64       `json:"tally"`
+	FencingToken uint64       `json:"baton"`
+	NoticeS      *float64     `json:"warning_s"`
+	Tasks        []TaskStatus `json:"pieces"`
 }
 
 // TaskStatus is one task in a report.
 type TaskStatus struct {
-	Task    string `json:"piece"`
-	Attempt uint64 `json:"try"`
-	State   string `json:"status"`
-	Cause   string `json:"cause,omitempty"`
-	Saved   bool   `json:"kept,omitempty"`
+	Task         string `json:"piece"`
+	Attempt      uint64 `json:"try"`
+	State        string `json:"status"`
+	Cause        string `json:"cause,omitempty"`
+	Checkpointed bool   `json:"kept,omitempty"`
 }
 
-// ParseReport reads and checks a report.
-func ParseReport(body []byte) (*Report, error) {
-	var r Report
+// ParseHeartbeat reads and checks a report.
+func ParseHeartbeat(body []byte) (*Heartbeat, error) {
+	var r Heartbeat
 	if !isObject(body) {
 		return nil, &FieldError{"body", "is not a JSON object"}
 	}
@@ -76,7 +76,7 @@
 	switch {
 	case r.Machine == "" || len(r.Machine) > maxName:
 		return nil, &FieldError{"host", "is missing or too long"}
-	case r.Session == 0:
+	case r.Epoch == 0:
 		return nil, &FieldError{"shift", "is missing"}
 	case r.NoticeS != nil && (math.IsNaN(*r.NoticeS) || *r.NoticeS < 0):
 		return nil, &FieldError{"warning_s", "is out of range"}
@@ -92,22 +92,22 @@
 	GraceS  *float64 `json:"wind_down_s,omitempty"`
 }
 
-// ReportReply answers a report.
-type ReportReply struct {
-	Token    uint64    `json:"baton"`
-	Commands []Command `json:"orders"`
+// HeartbeatReply answers a report.
+type HeartbeatReply struct {
+	FencingToken uint64    `json:"baton"`
+	Commands     []Command `json:"orders"`
 }
 
 // Redirect answers a report at a node that does not own the machine.
 type Redirect struct {
-	ReportTo string `json:"foreman,omitempty"`
+	Controller string `json:"foreman,omitempty"`
 }
 
 // CommandRequest is the body of a direct command.
 type CommandRequest struct {
-	Token    uint64    `json:"baton"`
-	Session  uint64    `json:"shift"`
-	Commands []Command `json:"orders"`
+	FencingToken uint64    `json:"baton"`
+	Epoch        uint64    `json:"shift"`
+	Commands     []Command `json:"orders"`
 }
 
 // TaskName writes the name of a job's task.
--- a/worker/commands.go
+++ b/worker/commands.go
@@ -12,26 +12,26 @@
 	"ravenport/wire"
 )
 
-// Commander keeps connections to the workers that it called last. It belongs
+// Client keeps connections to the workers that it called last. It belongs
 // to one actor; only Send's calls run on goroutines of their own.
-type Commander struct {
+type Client struct {
 	clients map[string]*httpwire.Client
 	recent  []string // whose connections may be open, the oldest first
 }
 
-// NewCommander makes a commander without connections.
-func NewCommander() *Commander { return &Commander{clients: map[string]*httpwire.Client{}} }
+// NewClient makes a commander without connections.
+func NewClient() *Client { return &Client{clients: map[string]*httpwire.Client{}} }
 
 // Result is what came of a direct command. Report is nil without an answer:
 // the commands may then still be carried out.
 type Result struct {
-	Executed bool
-	Report   *wire.Report
-	Err      error
+	Executed  bool
+	Heartbeat *wire.Heartbeat
+	Err       error
 }
 
 // Send makes a call that done is told the result of, on another goroutine.
-func (c *Commander) Send(ctx context.Context, addr string, req wire.CommandRequest, done func(Result)) {
+func (c *Client) Send(ctx context.Context, addr string, req wire.CommandRequest, done func(Result)) {
 	cl := c.clients[addr]
 	if cl == nil {
 		cl = httpwire.NewClient(addr, 1, constants.DialTimeout,
@@ -64,15 +64,15 @@
 	if m.Status != 200 && m.Status != 409 {
 		return Result{Err: fmt.Errorf("worker: status %d", m.Status)}
 	}
-	r, err := wire.ParseReport(m.Body)
+	r, err := wire.ParseHeartbeat(m.Body)
 	if err != nil {
 		return Result{Err: fmt.Errorf("worker: unreadable report: %w", err)}
 	}
-	return Result{Executed: m.Status == 200, Report: r}
+	return Result{Executed: m.Status == 200, Heartbeat: r}
 }
 
 // Forget closes the connections to a worker that is gone.
-func (c *Commander) Forget(addr string) {
+func (c *Client) Forget(addr string) {
 	if cl := c.clients[addr]; cl != nil {
 		cl.Close()
 		delete(c.clients, addr)
@@ -83,7 +83,7 @@
 }
 
 // Close closes all connections, when the owner that used them has ended.
-func (c *Commander) Close() {
+func (c *Client) Close() {
 	for addr := range c.clients {
 		c.Forget(addr)
 	}
--- a/worker/commands_test.go
+++ b/worker/commands_test.go
@@ -45,12 +45,12 @@
 		}()
 		return l.Addr().String()
 	}
-	cmd := NewCommander()
+	cmd := NewClient()
 	defer cmd.Close()
 	done := make(chan Result, 1)
 	const machines = 3 * constants.IdleCommands
 	for i := range machines {
-		cmd.Send(context.Background(), listen(), wire.CommandRequest{Token: 1, Session: 1}, func(r Result) { done <- r })
+		cmd.Send(context.Background(), listen(), wire.CommandRequest{FencingToken: 1, Epoch: 1}, func(r Result) { done <- r })
 		if r := <-done; r.Err != nil {
 			t.Fatalf("call %d: %v", i, r.Err)
 		}
