--- a/controller/control.go
+++ b/controller/control.go
@@ -1,4 +1,4 @@
-// Package node puts a controller together: its actors, their inputs and
+// Package controller puts a controller together: its actors, their inputs and
 // outputs, and the servers that users, workers and peers call.
 package controller
 
