--- a/cmd/ravenport/main.go
+++ b/cmd/ravenport/main.go
@@ -157,7 +157,7 @@
 // limitMemory keeps the heap well within the machine's memory.
 func limitMemory(set *settings.Settings) {
 	if mb := set.Deployment.Limits.MemoryMB; mb > 0 {
-		debug.SetMemoryLimit(int64(mb * constants.HeapShare * (1 << 20)))
+		debug.SetMemoryLimit(int64(mb * constants.HeapMemoryShare * (1 << 20)))
 		// Collections cost processor time, of which there is little, while
 		// the limit keeps the heap in bounds.
 		debug.SetGCPercent(constants.GCPercent)
--- a/controller/control.go
+++ b/controller/control.go
@@ -279,7 +279,7 @@
 		c.typesNext = now.Add(constants.RetryMax / 2)
 		return
 	}
-	c.typesNext = now.Add(constants.TypesEvery)
+	c.typesNext = now.Add(constants.MachineTypesInterval)
 	c.types = m.types
 	c.api.Tell(apiserver.MachineTypes(m.types))
 	for _, o := range c.owners {
@@ -372,15 +372,15 @@
 	c.keepLease(ctx, now)
 	c.readTypes(ctx, now)
 	c.roles(ctx, now)
-	for _, cl := range c.member.Step(now, c.incarnation, c.settled(now) && !c.claimsHeld(now)) {
+	for _, cl := range c.member.DueAcquisitions(now, c.incarnation, c.settled(now) && !c.claimsHeld(now)) {
 		if c.claimBusy(now, cl.Key) {
 			continue
 		}
-		if cl.To != c.set.Controller {
-			if now.Sub(c.unsettled[cl.Key]) < constants.HandBackSettled {
+		if cl.NewHolder != c.set.Controller {
+			if now.Sub(c.unsettled[cl.Key]) < constants.FailbackSettleTime {
 				continue // a second rebuild right after the first leaves more waiting for longer
 			}
-			slog.Info("handing on", "key", cl.Key, "to", cl.To)
+			slog.Info("handing on", "key", cl.Key, "to", cl.NewHolder)
 			c.yield(now, cl)
 			continue
 		}
@@ -401,7 +401,7 @@
 			c.send(ctx, now, c.member.AcquisitionOf(key, c.set.Controller, inc, version))
 		}
 	}
-	if c.leaderRef != nil && c.toldByNobody(now) && now.Sub(c.ledSince) > 2*constants.PeersAway {
+	if c.leaderRef != nil && c.toldByNobody(now) && now.Sub(c.ledSince) > 2*constants.PeerSilenceTimeout {
 		c.handOn(ctx, now, records.KeyLeader)
 	}
 	c.push(ctx, now)
--- a/controller/detection_test.go
+++ b/controller/detection_test.go
@@ -19,7 +19,7 @@
 
 // takeoverBound is within which time a shard whose owner is gone must have another:
 // its lease, the places in the order, a write and the feeds.
-const takeoverBound = leaseLife + 3*constants.ClaimStep + 2*time.Second
+const takeoverBound = leaseLife + 3*constants.AcquisitionRankDelay + 2*time.Second
 
 // revocationBound is the same for an owner that holds its lease and does no work: the
 // silence of its workers, the declaration, widened once, and then the takeover.
@@ -145,7 +145,7 @@
 		w.nodes[first].restart(25 * time.Second)
 		w.nodes[second].restart(25 * time.Second)
 		third := 3 - first - second
-		w.until(t, "the third one owns both", takeoverBound+constants.SecondShardWaitMost, func() bool { return w.owner("a") == third && w.owner("b") == third })
+		w.until(t, "the third one owns both", takeoverBound+constants.MaxSecondShardDelay, func() bool { return w.owner("a") == third && w.owner("b") == third })
 		w.nodes[third].restart(45 * time.Second)
 		w.until(t, "both have owners again", time.Minute, func() bool { return w.owner("a") != third && w.owner("b") != third })
 		time.Sleep(30 * time.Second)
--- a/controller/extension.go
+++ b/controller/extension.go
@@ -14,7 +14,7 @@
 
 // quiet says that nothing has come from the state service for a moment.
 func (c *control) quiet(now time.Time) bool {
-	return c.synced && now.Sub(c.heardAt) > constants.ExtensionQuiet
+	return c.synced && now.Sub(c.heardAt) > constants.ExtensionStoreSilence
 }
 
 // asks lists the terms for which lease extensions are asked now.
@@ -41,14 +41,14 @@
 	for _, h := range s.ExtensionRequest {
 		t, version := c.member.Term(h.Key)
 		holder, alive := c.member.Holder(h.Key)
-		if !alive || c.member.Revoked(holder) || holder != s.Controller || t.Number != h.Term || version != h.Version {
+		if !alive || c.member.IsRevoked(holder) || holder != s.Controller || t.Number != h.Term || version != h.Version {
 			return r
 		}
 		if c.claimBusy(now, h.Key) {
 			return r
 		}
 	}
-	c.noClaimsUntil = now.Add(constants.ExtensionLife)
+	c.noClaimsUntil = now.Add(constants.ExtensionTTL)
 	r.ExtensionGranted = true
 	return r
 }
@@ -56,7 +56,7 @@
 // claimsHeld says that no claim may be made: this controller has promised, or
 // its forerunner, ended a moment ago, may have.
 func (c *control) claimsHeld(now time.Time) bool {
-	return now.Before(c.noClaimsUntil) || now.Sub(c.started) < constants.ExtensionLife
+	return now.Before(c.noClaimsUntil) || now.Sub(c.started) < constants.ExtensionTTL
 }
 
 // granted takes in what another controller answered. A lease extension counts from
@@ -95,7 +95,7 @@
 			first = q
 		}
 	}
-	life := time.Duration(float64(min(c.authority, constants.ExtensionLife))*(1-constants.ClockDrift)) - constants.AuthorityMargin
+	life := time.Duration(float64(min(c.authority, constants.ExtensionTTL))*(1-constants.MaxClockDrift)) - constants.AuthorityMargin
 	if x := first.Add(life); x.After(u) {
 		return x
 	}
--- a/controller/leader_test.go
+++ b/controller/leader_test.go
@@ -30,7 +30,7 @@
 		leader := w.holder(records.KeyLeader)
 		w.do(func() { w.nodes[leader].noCalls, w.nodes[leader].cutReports = true, true })
 		cut := time.Now()
-		w.until(t, "another leader", 3*constants.PeersAway, func() bool { return w.holder(records.KeyLeader) != leader })
+		w.until(t, "another leader", 3*constants.PeerSilenceTimeout, func() bool { return w.holder(records.KeyLeader) != leader })
 		t.Logf("another one leads after %s", time.Since(cut))
 		j := w.newArray("run-000100", 4, 2, 5)
 		go w.user(j, 0, 0)
--- a/controller/lease.go
+++ b/controller/lease.go
@@ -58,7 +58,7 @@
 	}
 	c.leaseBusy = true
 	life := c.set.Operator.LeaseTTL
-	c.nextLease = now.Add(life / constants.RenewalsPerLife)
+	c.nextLease = now.Add(life / constants.RenewalsPerTTL)
 	sent := now
 	if c.lease == 0 {
 		inc := rand.Uint64()>>1 | 1
@@ -105,7 +105,7 @@
 	c.lease, c.incarnation, c.leaseSent = m.lease, m.incarnation, m.sent
 	c.nextLease = now
 	slog.Info("lease obtained", "lease", m.lease)
-	if c.member.Revoked(c.set.Controller) && c.detect.monitor != nil {
+	if c.member.IsRevoked(c.set.Controller) && c.detect.monitor != nil {
 		slog.Warn("this process was revoked before it knew of its lease")
 		c.endLease(c.authorityGiven().Add(constants.AuthorityMargin))
 		return
--- a/controller/monitor.go
+++ b/controller/monitor.go
@@ -158,7 +158,7 @@
 		m.beat(ctx)
 	}
 	if !now.Before(m.tellAt) {
-		m.tellAt = now.Add(constants.MonitorTell)
+		m.tellAt = now.Add(constants.MonitorPublishInterval)
 		m.tell(now)
 	}
 }
@@ -232,7 +232,7 @@
 
 func (m *monitor) record(e history.Event) {
 	m.recent = append(m.recent, e)
-	m.recent = m.recent[max(0, len(m.recent)-constants.StatusEvents):]
+	m.recent = m.recent[max(0, len(m.recent)-constants.StatusEventCount):]
 	if m.history != nil {
 		m.history.Tell(e)
 	}
--- a/controller/node.go
+++ b/controller/node.go
@@ -104,7 +104,7 @@
 	go n.api.Run(ctx, apiserver.New(set, out.Store, n.api, n.self))
 	go n.self.Run(ctx, c)
 	go kvstore.NewFeed(out.Store, set.WatchInterval(), func(up records.Update) { n.self.Tell(up) }).Run(ctx)
-	go every(ctx, constants.MemberTick, func(t time.Time) {
+	go every(ctx, constants.MembershipTickInterval, func(t time.Time) {
 		n.self.Tell(tick(t))
 		n.api.Tell(apiserver.Tick(t))
 	})
@@ -123,7 +123,7 @@
 		go m.history.Run(ctx, historyActor{out.History})
 	}
 	go n.monitor.Run(ctx, m)
-	go every(ctx, constants.MemberTick, func(t time.Time) { n.monitor.Tell(monitorTick(t)) })
+	go every(ctx, constants.MembershipTickInterval, func(t time.Time) { n.monitor.Tell(monitorTick(t)) })
 	return nil
 }
 
--- a/controller/peers.go
+++ b/controller/peers.go
@@ -26,7 +26,7 @@
 // put that off: from it owners know that they are cut off, and users' counts.
 func (c *control) push(ctx context.Context, now time.Time) {
 	ask := c.asks(now)
-	due := now.Sub(c.pushAllAt) > constants.PushEvery || len(ask) > 0 && now.Sub(c.pushAllAt) > constants.ExtensionEvery
+	due := now.Sub(c.pushAllAt) > constants.PushEvery || len(ask) > 0 && now.Sub(c.pushAllAt) > constants.ExtensionRequestInterval
 	if !due && !(c.pushNow && now.Sub(c.pushAt) >= constants.PushGap) {
 		return
 	}
@@ -109,7 +109,7 @@
 	// machine that none of them has seen does not just miss its owner.
 	all := true
 	for _, p := range c.set.Peers {
-		if c.member.Alive(p.Controller) && now.Sub(c.peersState[p.Controller].at) > constants.PushEvery*2 {
+		if c.member.IsAlive(p.Controller) && now.Sub(c.peersState[p.Controller].at) > constants.PushEvery*2 {
 			all = false
 		}
 	}
--- a/controller/revocation.go
+++ b/controller/revocation.go
@@ -151,7 +151,7 @@
 	}
 	out := map[string]bool{}
 	for node, machines := range c.detect.returning.count(now) {
-		out[node] = machines >= max(constants.UnservedLeast, (c.workersOf(node)+constants.HearingShare-1)/constants.HearingShare)
+		out[node] = machines >= max(constants.MinUnservedMachines, (c.workersOf(node)+constants.HearingShare-1)/constants.HearingShare)
 	}
 	return out
 }
--- a/controller/roles.go
+++ b/controller/roles.go
@@ -131,8 +131,8 @@
 func (c *control) silentPeers(now time.Time, last func(peerView) time.Time) bool {
 	alive := false
 	for _, p := range c.set.Peers {
-		alive = alive || c.member.Alive(p.Controller)
-		if now.Sub(last(c.peersState[p.Controller])) < constants.PeersAway {
+		alive = alive || c.member.IsAlive(p.Controller)
+		if now.Sub(last(c.peersState[p.Controller])) < constants.PeerSilenceTimeout {
 			return false
 		}
 	}
@@ -141,11 +141,11 @@
 
 // handOn gives up a term that this controller cannot make use of.
 func (c *control) handOn(ctx context.Context, now time.Time, key string) {
-	cl, ok := c.member.HandOver(now, key)
+	cl, ok := c.member.TransferAway(now, key)
 	if !ok || c.claimBusy(now, key) || !c.settled(now) {
 		return
 	}
-	slog.Warn("cut off: handing on", "key", key, "to", cl.To)
+	slog.Warn("cut off: handing on", "key", key, "to", cl.NewHolder)
 	c.yield(now, cl)
 }
 
@@ -209,7 +209,7 @@
 // claim writes a claim. One that is refused for rate alone is tried again at
 // once: until it stands nobody owns the shard. It runs beside the actor.
 func (c *control) claim(ctx context.Context, cl member.TermAcquisition) error {
-	return kvstore.RetryRateLimited(ctx, constants.ClaimRetry, constants.RetryMin/4, constants.RetryMin/4, func() error {
+	return kvstore.RetryRateLimited(ctx, constants.AcquisitionRetryTime, constants.RetryMin/4, constants.RetryMin/4, func() error {
 		_, err := c.io.Unthrottled.Commit(ctx, cl.Txn)
 		return err
 	})
@@ -223,5 +223,5 @@
 		return
 	}
 	delete(c.claiming, m.claim.Key)
-	slog.Info("claim failed", "key", m.claim.Key, "to", m.claim.To, "err", m.err)
+	slog.Info("claim failed", "key", m.claim.Key, "to", m.claim.NewHolder, "err", m.err)
 }
--- a/failover/takeover.go
+++ b/failover/takeover.go
@@ -12,49 +12,49 @@
 // Controller is one of the configured controllers.
 type Controller struct{ Name, Zone string }
 
-// Term names what is taken over: the leader's term, or that of a zone's shard.
-type Term struct {
+// Role names what is taken over: the leader's term, or that of a zone's shard.
+type Role struct {
 	Leader bool
 	Zone   string
 }
 
-// Fleet is what the order depends on.
-type Fleet struct {
+// Candidates is what the order depends on.
+type Candidates struct {
 	Controllers []Controller // sorted by name
 	Zones       []string     // one shard each
-	// Shards counts the shards that a controller owns. Nil: not considered.
-	Shards func(controller string) int
-	// LastChoice says that a controller should be asked only if no other one is there.
+	// OwnedShards counts the shards that a controller owns. Nil: not considered.
+	OwnedShards func(controller string) int
+	// Deprioritized says that a controller should be asked only if no other one is there.
 	// Nil: none.
-	LastChoice func(controller string) bool
+	Deprioritized func(controller string) bool
 }
 
-// Order lists the controllers by their fitness to hold a term: a shard's own zone
+// Ranked lists the controllers by their fitness to hold a term: a shard's own zone
 // first; the leader, where possible, on a controller that is no shard's first
 // choice, so that one failure costs one role; then whoever owns fewer shards; the
 // rest is spread by name. Those that Last names come last.
-func (f Fleet) Order(t Term) []Controller {
+func (f Candidates) Ranked(t Role) []Controller {
 	var out []Controller
 	if t.Leader {
-		out = f.leaderOrder()
+		out = f.rankedForLeader()
 	} else {
-		out = f.shardOrder(t.Zone)
+		out = f.rankedForShard(t.Zone)
 	}
-	if f.LastChoice != nil {
-		slices.SortStableFunc(out, func(a, b Controller) int { return rank(f.LastChoice(a.Name)) - rank(f.LastChoice(b.Name)) })
+	if f.Deprioritized != nil {
+		slices.SortStableFunc(out, func(a, b Controller) int { return rank(f.Deprioritized(a.Name)) - rank(f.Deprioritized(b.Name)) })
 	}
 	return out
 }
 
-func (f Fleet) leaderOrder() []Controller {
-	first := f.firstChoices()
+func (f Candidates) rankedForLeader() []Controller {
+	first := f.preferredOwners()
 	out := slices.Clone(f.Controllers)
 	slices.SortStableFunc(out, func(a, b Controller) int { return rank(first[a.Name]) - rank(first[b.Name]) })
 	return out
 }
 
-func (f Fleet) shardOrder(zone string) []Controller {
-	first := f.firstChoices()
+func (f Candidates) rankedForShard(zone string) []Controller {
+	first := f.preferredOwners()
 	// Rotated, so that two orphaned shards go to different controllers.
 	turn := max(0, slices.Index(f.Zones, zone)) % len(f.Controllers)
 	out := slices.Concat(f.Controllers[turn:], f.Controllers[:turn])
@@ -65,7 +65,7 @@
 		if a.Zone == zone { // in its zone, by name
 			return rank(!first[a.Name]) - rank(!first[b.Name])
 		}
-		if d := f.shards(a.Name) - f.shards(b.Name); d != 0 {
+		if d := f.ownedShards(a.Name) - f.ownedShards(b.Name); d != 0 {
 			return d
 		}
 		return rank(first[a.Name]) - rank(first[b.Name])
@@ -73,8 +73,8 @@
 	return out
 }
 
-// firstChoices are the controllers that come first for their own zone's shard.
-func (f Fleet) firstChoices() map[string]bool {
+// preferredOwners are the controllers that come first for their own zone's shard.
+func (f Candidates) preferredOwners() map[string]bool {
 	first := map[string]bool{}
 	for _, zone := range f.Zones {
 		for _, c := range f.Controllers {
@@ -87,11 +87,11 @@
 	return first
 }
 
-func (f Fleet) shards(controller string) int {
-	if f.Shards == nil {
+func (f Candidates) ownedShards(controller string) int {
+	if f.OwnedShards == nil {
 		return 0
 	}
-	return f.Shards(controller)
+	return f.OwnedShards(controller)
 }
 
 func rank(last bool) int {
@@ -103,32 +103,32 @@
 
 // Position is a controller's place among the live ones of an order, and whether one
 // before it is missing.
-func Position(order []Controller, me string, alive func(string) bool) (position int, missing bool) {
+func Position(order []Controller, self string, isCandidate func(string) bool) (position int, predecessorMissing bool) {
 	for _, c := range order {
-		if c.Name == me {
+		if c.Name == self {
 			break
 		}
-		if alive(c.Name) {
+		if isCandidate(c.Name) {
 			position++
 		} else {
-			missing = true
+			predecessorMissing = true
 		}
 	}
-	return position, missing
+	return position, predecessorMissing
 }
 
-// Pace spaces out the shards that one controller takes over, so that it has the
+// Pacer spaces out the shards that one controller takes over, so that it has the
 // first of them in hand before the next, and others may come before it. Its zero
 // value allows everything at once.
-type Pace struct {
-	Gap  time.Duration
-	last time.Time
+type Pacer struct {
+	MinInterval  time.Duration
+	lastTakeover time.Time
 }
 
-// Ready says whether another shard may be taken over now.
-func (p *Pace) Ready(now time.Time) bool {
-	return p.Gap == 0 || p.last.IsZero() || now.Sub(p.last) >= p.Gap
+// IsReady says whether another shard may be taken over now.
+func (p *Pacer) IsReady(now time.Time) bool {
+	return p.MinInterval == 0 || p.lastTakeover.IsZero() || now.Sub(p.lastTakeover) >= p.MinInterval
 }
 
 // Record notes that one was.
-func (p *Pace) Record(now time.Time) { p.last = now }
+func (p *Pacer) Record(now time.Time) { p.lastTakeover = now }
--- a/failover/takeover_test.go
+++ b/failover/takeover_test.go
@@ -16,7 +16,7 @@
 func TestOrderIsCompleteAndRanked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := []string{"a", "b", "c"}[:rapid.IntRange(1, 3).Draw(t, "zones")]
-		f := Fleet{Zones: zones}
+		f := Candidates{Zones: zones}
 		shards, last := map[string]int{}, map[string]bool{}
 		for i := range rapid.IntRange(1, 9).Draw(t, "controllers") {
 			c := Controller{Name: fmt.Sprintf("n-%d", i), Zone: rapid.SampledFrom(zones).Draw(t, "zone")}
@@ -24,11 +24,11 @@
 			shards[c.Name] = rapid.IntRange(0, 3).Draw(t, "shards")
 			last[c.Name] = rapid.IntRange(0, 4).Draw(t, "last") == 0
 		}
-		f.Shards = func(name string) int { return shards[name] }
-		f.LastChoice = func(name string) bool { return last[name] }
-		for _, term := range []Term{{Leader: true}, {Zone: zones[0]}, {Zone: zones[len(zones)-1]}} {
-			order := f.Order(term)
-			if again := f.Order(term); !slices.Equal(order, again) {
+		f.OwnedShards = func(name string) int { return shards[name] }
+		f.Deprioritized = func(name string) bool { return last[name] }
+		for _, term := range []Role{{Leader: true}, {Zone: zones[0]}, {Zone: zones[len(zones)-1]}} {
+			order := f.Ranked(term)
+			if again := f.Ranked(term); !slices.Equal(order, again) {
 				t.Fatalf("two orders: %v, %v", order, again)
 			}
 			if len(order) != len(f.Controllers) {
@@ -52,18 +52,18 @@
 
 // A controller claims one orphaned shard at a time.
 func TestPace(t *testing.T) {
-	p := Pace{Gap: time.Second}
+	p := Pacer{MinInterval: time.Second}
 	now := time.Unix(0, 0)
-	if !p.Ready(now) {
+	if !p.IsReady(now) {
 		t.Error("the first must wait")
 	}
 	p.Record(now)
-	if p.Ready(now.Add(999*time.Millisecond)) || !p.Ready(now.Add(time.Second)) {
+	if p.IsReady(now.Add(999*time.Millisecond)) || !p.IsReady(now.Add(time.Second)) {
 		t.Error("the gap is not kept")
 	}
-	free := Pace{}
+	free := Pacer{}
 	free.Record(now)
-	if !free.Ready(now) {
+	if !free.IsReady(now) {
 		t.Error("without a gap it must wait")
 	}
 }
--- a/member/core_test.go
+++ b/member/core_test.go
@@ -14,15 +14,15 @@
 
 var three = []Controller{{Name: "n-0", Zone: "a"}, {Name: "n-1", Zone: "b"}, {Name: "n-2", Zone: "a"}}
 
-// sim is a state service shared by three cores.
-type sim struct {
-	version uint64
-	keys    map[string]records.Change
-	cores   []*Core
-	inc     []uint64
+// storeSim is a state service shared by three cores.
+type storeSim struct {
+	version      uint64
+	keys         map[string]records.Change
+	cores        []*Core
+	incarnations []uint64
 }
 
-func (s *sim) set(now time.Time, key string, rec any) {
+func (s *storeSim) set(now time.Time, key string, rec any) {
 	s.version++
 	ch := records.Change{Key: key, Version: s.version, Record: rec}
 	if rec == nil {
@@ -35,7 +35,7 @@
 	}
 }
 
-func (s *sim) try(now time.Time, cl TermAcquisition) bool {
+func (s *storeSim) commit(now time.Time, cl TermAcquisition) bool {
 	for _, c := range cl.Txn.Conditions {
 		if s.keys[c.Key].Version != c.Version {
 			return false
@@ -55,7 +55,7 @@
 func TestTermsRiseAndSettle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
-		s := &sim{keys: map[string]records.Change{}, inc: make([]uint64, 3)}
+		s := &storeSim{keys: map[string]records.Change{}, incarnations: make([]uint64, 3)}
 		wait := time.Duration(rapid.IntRange(0, 5000).Draw(t, "second shard wait")) * time.Millisecond
 		for _, k := range three {
 			s.cores = append(s.cores, New(k.Name, three, []string{"a", "b"}, now))
@@ -64,27 +64,27 @@
 		next := uint64(0)
 		up := func(i int) {
 			next++
-			s.inc[i] = next
+			s.incarnations[i] = next
 			s.set(now, records.KeyController(three[i].Name), &records.Controller{Name: three[i].Name, Incarnation: next})
 		}
 		down := func(i int) {
-			if s.inc[i] != 0 {
-				s.inc[i] = 0
+			if s.incarnations[i] != 0 {
+				s.incarnations[i] = 0
 				s.set(now, records.KeyController(three[i].Name), nil)
 			}
 		}
 		step := func() {
 			for i, c := range s.cores {
-				if s.inc[i] == 0 {
+				if s.incarnations[i] == 0 {
 					continue
 				}
-				for _, cl := range c.Step(now, s.inc[i], true) {
+				for _, cl := range c.DueAcquisitions(now, s.incarnations[i], true) {
 					before, _ := c.Term(cl.Key)
 					holder, held := c.Holder(cl.Key)
 					if held && holder != three[i].Name {
 						t.Fatalf("%s claims %s from live %s", three[i].Name, cl.Key, holder)
 					}
-					if s.try(now, cl) {
+					if s.commit(now, cl) {
 						after, _ := c.Term(cl.Key)
 						if after.Number != before.Number+1 {
 							t.Fatalf("%s went from term %d to %d", cl.Key, before.Number, after.Number)
@@ -104,7 +104,7 @@
 			step()
 		}
 		for i := range three {
-			if s.inc[i] == 0 {
+			if s.incarnations[i] == 0 {
 				up(i)
 			}
 		}
@@ -131,8 +131,8 @@
 }
 
 // allUp is three controllers that are up and know of each other.
-func allUp(now time.Time) *sim {
-	s := &sim{keys: map[string]records.Change{}, inc: []uint64{1, 2, 3}}
+func allUp(now time.Time) *storeSim {
+	s := &storeSim{keys: map[string]records.Change{}, incarnations: []uint64{1, 2, 3}}
 	for _, k := range three {
 		s.cores = append(s.cores, New(k.Name, three, []string{"a", "b"}, now))
 	}
@@ -149,15 +149,15 @@
 	s := allUp(now)
 	key := records.KeyShard("b")
 	s.set(now, key, &records.Term{Shard: "b", Controller: "n-1", Incarnation: 2, Number: 4})
-	cl, ok := s.cores[1].HandOver(now, key)
-	if !ok || cl.To == "n-1" || !s.try(now, cl) {
+	cl, ok := s.cores[1].TransferAway(now, key)
+	if !ok || cl.NewHolder == "n-1" || !s.commit(now, cl) {
 		t.Fatalf("not handed on: %+v", cl)
 	}
 	back := time.Duration(0)
 	for at := time.Duration(0); at < 2*time.Minute && back == 0; at += time.Second {
 		for i, c := range s.cores {
-			for _, cl := range c.Step(now.Add(at), s.inc[i], true) {
-				if cl.Key == key && cl.To == "n-1" && s.try(now.Add(at), cl) {
+			for _, cl := range c.DueAcquisitions(now.Add(at), s.incarnations[i], true) {
+				if cl.Key == key && cl.NewHolder == "n-1" && s.commit(now.Add(at), cl) {
 					back = at
 				}
 			}
@@ -175,12 +175,12 @@
 	s := allUp(now)
 	s.set(now, records.KeyLeader, &records.Term{Controller: "n-1", Incarnation: 2, Number: 4})
 	moved := 0
-	for at := time.Duration(0); at < constants.CutPause; at += time.Second {
+	for at := time.Duration(0); at < constants.FailbackCooldown; at += time.Second {
 		for i, k := range three {
 			if holder, _ := s.cores[0].Holder(records.KeyLeader); holder != k.Name {
 				continue
 			}
-			if cl, ok := s.cores[i].HandOver(now.Add(at), records.KeyLeader); ok && s.try(now.Add(at), cl) {
+			if cl, ok := s.cores[i].TransferAway(now.Add(at), records.KeyLeader); ok && s.commit(now.Add(at), cl) {
 				moved++
 			}
 		}
@@ -197,7 +197,7 @@
 	now := time.Unix(1000, 0)
 	key := records.KeyShard("b")
 	play := func(owns bool) (claims map[string]time.Duration) {
-		s := allUp(now.Add(-constants.FirstClaimWait)) // not fresh any more
+		s := allUp(now.Add(-constants.StartupAcquisitionDelay)) // not fresh any more
 		for _, c := range s.cores {
 			c.SetSecondShardDelay(wait)
 		}
@@ -211,8 +211,8 @@
 		s.set(now, records.KeyController("n-1"), nil)
 		claims = map[string]time.Duration{}
 		for at := time.Duration(0); at < 3*wait; at += 100 * time.Millisecond {
-			for _, cl := range s.cores[2].Step(now.Add(at), 3, true) {
-				if s.try(now.Add(at), cl) && cl.Key != records.KeyLeader {
+			for _, cl := range s.cores[2].DueAcquisitions(now.Add(at), 3, true) {
+				if s.commit(now.Add(at), cl) && cl.Key != records.KeyLeader {
 					claims[cl.Key] = at
 				}
 			}
@@ -224,7 +224,7 @@
 	}
 	claims := play(false)
 	first, second := min(claims[records.KeyShard("a")], claims[key]), max(claims[records.KeyShard("a")], claims[key])
-	if len(claims) != 2 || first > 2*constants.ClaimStep || second < wait || second > wait+time.Second {
+	if len(claims) != 2 || first > 2*constants.AcquisitionRankDelay || second < wait || second > wait+time.Second {
 		t.Errorf("one that owns nothing claims %v, wanted one at once and one after %s", claims, wait)
 	}
 }
--- a/member/revocation_test.go
+++ b/member/revocation_test.go
@@ -13,8 +13,8 @@
 
 // detecting is three controllers with failure detection that are up; n-1 owns the
 // shard of b, n-2 that of a.
-func detecting(now time.Time, life time.Duration) *sim {
-	s := &sim{keys: map[string]records.Change{}, inc: []uint64{1, 2, 3}}
+func detecting(now time.Time, life time.Duration) *storeSim {
+	s := &storeSim{keys: map[string]records.Change{}, incarnations: []uint64{1, 2, 3}}
 	for _, k := range three {
 		c := New(k.Name, three, []string{"a", "b"}, now.Add(-time.Minute))
 		c.EnableDetection()
@@ -30,7 +30,7 @@
 }
 
 // revoke writes the revocation that a core asks for; each core sees it after its lag.
-func (s *sim) revoke(now time.Time, by int, r records.Revocation, lag []time.Duration) bool {
+func (s *storeSim) revoke(now time.Time, by int, r records.Revocation, lag []time.Duration) bool {
 	txn, ok := s.cores[by].Revoke(r)
 	if !ok {
 		return false
@@ -72,13 +72,13 @@
 		// sent before it was written. Its clock may be slow by the protocol's bound.
 		drift := float64(rapid.IntRange(-5, 5).Draw(t, "drift")) / 10000
 		lastRead := now.Add(-time.Duration(rapid.IntRange(0, 1000).Draw(t, "last read ms")) * time.Millisecond)
-		authority := time.Duration(float64(life)*(1-constants.ClockDrift)) - constants.AuthorityMargin
+		authority := time.Duration(float64(life)*(1-constants.MaxClockDrift)) - constants.AuthorityMargin
 		ends := lastRead.Add(time.Duration(float64(authority) / (1 + drift)))
 		key, taken := records.KeyShard("b"), time.Duration(0)
 		for at := time.Duration(0); at < life+6*time.Second && taken == 0; at += 50 * time.Millisecond {
 			for _, i := range []int{0, 2} {
-				for _, cl := range s.cores[i].Step(now.Add(at), s.inc[i], true) {
-					if cl.Key != key || cl.To == "n-1" || !s.try(now.Add(at), cl) {
+				for _, cl := range s.cores[i].DueAcquisitions(now.Add(at), s.incarnations[i], true) {
+					if cl.Key != key || cl.NewHolder == "n-1" || !s.commit(now.Add(at), cl) {
 						continue
 					}
 					taken = at
@@ -120,19 +120,19 @@
 	if late.Conditions[0].Version == s.keys[records.KeyRevoked("n-1")].Version {
 		t.Error("a second revocation, decided at the same time, would be written")
 	}
-	if c := s.cores[2]; !c.Revoked("n-1") || c.outlived(now.Add(2*time.Second), records.KeyShard("b")) {
+	if c := s.cores[2]; !c.IsRevoked("n-1") || c.revokedAuthorityEnded(now.Add(2*time.Second), records.KeyShard("b")) {
 		t.Error("a revoked holder is outlived before its lease would have ended")
 	}
 	s.set(now, records.KeyController("n-1"), &records.Controller{Name: "n-1", Incarnation: 5, LeaseTTLMS: 3000})
 	s.set(now, records.KeyShard("b"), &records.Term{Shard: "b", Controller: "n-1", Incarnation: 5, Number: 6})
-	if c := s.cores[2]; c.Revoked("n-1") || c.outlived(now.Add(time.Hour), records.KeyShard("b")) {
+	if c := s.cores[2]; c.IsRevoked("n-1") || c.revokedAuthorityEnded(now.Add(time.Hour), records.KeyShard("b")) {
 		t.Error("the revocation counts against the next process")
 	}
-	order := s.cores[0].order(now.Add(time.Second), records.KeyShard("b"))
+	order := s.cores[0].rankedControllers(now.Add(time.Second), records.KeyShard("b"))
 	if order[2].Name != "n-1" {
 		t.Errorf("a controller that was revoked a moment ago is asked before others: %v", order)
 	}
-	if order = s.cores[0].order(now.Add(constants.CutPause), records.KeyShard("b")); order[0].Name != "n-1" {
+	if order = s.cores[0].rankedControllers(now.Add(constants.FailbackCooldown), records.KeyShard("b")); order[0].Name != "n-1" {
 		t.Errorf("its own zone's controller is not trusted again: %v", order)
 	}
 }
@@ -150,7 +150,7 @@
 		t.Fatal("not revoked")
 	}
 	for at := time.Duration(0); at < time.Minute; at += time.Second {
-		for _, cl := range plain.Step(now.Add(at), 1, true) {
+		for _, cl := range plain.DueAcquisitions(now.Add(at), 1, true) {
 			if cl.Key != records.KeyLeader {
 				t.Fatalf("it claims %s after %s", cl.Key, at)
 			}
@@ -166,13 +166,13 @@
 	s.set(now, records.KeyController("n-2"), nil)
 	var claims []time.Duration
 	for at := time.Duration(0); at < 5*time.Second; at += 50 * time.Millisecond {
-		for _, cl := range s.cores[0].Step(now.Add(at), 1, true) {
-			if cl.Key != records.KeyLeader && s.try(now.Add(at), cl) {
+		for _, cl := range s.cores[0].DueAcquisitions(now.Add(at), 1, true) {
+			if cl.Key != records.KeyLeader && s.commit(now.Add(at), cl) {
 				claims = append(claims, at)
 			}
 		}
 	}
-	if len(claims) != 2 || claims[1]-claims[0] < constants.TakeoverGap {
+	if len(claims) != 2 || claims[1]-claims[0] < constants.MinFailoverInterval {
 		t.Errorf("claimed at %v", claims)
 	}
 }
@@ -188,7 +188,7 @@
 	key := records.KeyShard("b")
 	for _, seconds := range []int64{-86400, -3, 3, 86400} {
 		early, late := now.Add(life), now.Add(life+constants.AuthorityMargin+10*time.Millisecond)
-		if s.cores[0].outlived(testclock.JumpWall(early, seconds), key) || !s.cores[0].outlived(testclock.JumpWall(late, seconds), key) {
+		if s.cores[0].revokedAuthorityEnded(testclock.JumpWall(early, seconds), key) || !s.cores[0].revokedAuthorityEnded(testclock.JumpWall(late, seconds), key) {
 			t.Errorf("a jump of %d s changes the wait", seconds)
 		}
 	}
@@ -203,29 +203,29 @@
 		now := time.Unix(1000, 0)
 		s := detecting(now, 3*time.Second)
 		for _, c := range s.cores {
-			c.SetSecondShardDelay(constants.SecondShardWaitMost)
+			c.SetSecondShardDelay(constants.MaxSecondShardDelay)
 		}
 		s.set(now, records.KeyShard("a"), &records.Term{Shard: "a", Controller: "n-2", Incarnation: 3, Number: 4})
 		if !s.revoke(now, 2, records.Revocation{Controller: "n-1", Incarnation: 2}, make([]time.Duration, 3)) {
 			t.Fatal("not revoked")
 		}
-		s.inc[1] = 5
+		s.incarnations[1] = 5
 		s.set(now.Add(3*time.Second), records.KeyController("n-1"), &records.Controller{Name: "n-1", Incarnation: 5, LeaseTTLMS: 3000})
 		s.set(now, records.KeyController("n-0"), nil)
-		s.inc[0] = 0
+		s.incarnations[0] = 0
 		if alone {
 			s.set(now, records.KeyController("n-2"), nil)
-			s.inc[2] = 0
+			s.incarnations[2] = 0
 		}
 		taker := ""
 		for at := 3 * time.Second; at < 20*time.Second && taker == ""; at += 50 * time.Millisecond {
 			for i, c := range s.cores {
-				if s.inc[i] == 0 {
+				if s.incarnations[i] == 0 {
 					continue
 				}
-				for _, cl := range c.Step(now.Add(at), s.inc[i], true) {
-					if s.try(now.Add(at), cl) && cl.Key == records.KeyShard("b") {
-						taker = cl.To
+				for _, cl := range c.DueAcquisitions(now.Add(at), s.incarnations[i], true) {
+					if s.commit(now.Add(at), cl) && cl.Key == records.KeyShard("b") {
+						taker = cl.NewHolder
 					}
 				}
 			}
@@ -247,8 +247,8 @@
 	}
 	for at := time.Duration(0); at < 10*time.Second; at += 50 * time.Millisecond {
 		for _, i := range []int{0, 2} {
-			for _, cl := range s.cores[i].Step(now.Add(at), s.inc[i], true) {
-				s.try(now.Add(at), cl)
+			for _, cl := range s.cores[i].DueAcquisitions(now.Add(at), s.incarnations[i], true) {
+				s.commit(now.Add(at), cl)
 			}
 		}
 	}
@@ -257,9 +257,9 @@
 		if k.Name != leader {
 			continue
 		}
-		cl, ok := s.cores[i].HandOver(now.Add(12*time.Second), records.KeyLeader)
-		if !ok || cl.To == "n-1" || cl.To == leader {
-			t.Errorf("%s leads and hands on to %q", leader, cl.To)
+		cl, ok := s.cores[i].TransferAway(now.Add(12*time.Second), records.KeyLeader)
+		if !ok || cl.NewHolder == "n-1" || cl.NewHolder == leader {
+			t.Errorf("%s leads and hands on to %q", leader, cl.NewHolder)
 		}
 	}
 	if leader == "n-1" || leader == "" {
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -54,7 +54,7 @@
 // StatusReply answers a status.
 type StatusReply struct {
 	Controller string `json:"node"`
-	// ExtensionGranted: for constants.ExtensionLife from when it was asked, this controller
+	// ExtensionGranted: for constants.ExtensionTTL from when it was asked, this controller
 	// claims nothing.
 	ExtensionGranted bool `json:"promise,omitempty"`
 	// LatestCancellation is the revision of the latest cancellation that it knows of.
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -393,14 +393,14 @@
 // LeaseEnd is how long after the last moment at which an answer could have
 // counted a worker's lease has surely ended, whatever the clocks' drift.
 func (s *Settings) LeaseEnd() time.Duration {
-	return time.Duration(float64(s.WorkerLease())*(1+constants.ClockDrift)) + constants.LeaseMargin
+	return time.Duration(float64(s.WorkerLease())*(1+constants.MaxClockDrift)) + constants.WorkerLeaseMargin
 }
 
 // Authority is how long a controller may act after it last heard from the
 // state service. It is shortened where a cancellation might otherwise come
 // too late; short is true when it was.
 func (s *Settings) Authority() (d time.Duration, short bool) {
-	d = time.Duration(float64(s.Operator.LeaseTTL)*(1-constants.ClockDrift)) - constants.AuthorityMargin
+	d = time.Duration(float64(s.Operator.LeaseTTL)*(1-constants.MaxClockDrift)) - constants.AuthorityMargin
 	room := s.cancelRoom()
 	if d > room {
 		return max(room, 500*time.Millisecond), true
@@ -418,7 +418,7 @@
 
 // cancelRoom is what cancel_s leaves beside a worker's lease.
 func (s *Settings) cancelRoom() time.Duration {
-	return Seconds(s.Deployment.Workers.CancelS) - s.LeaseEnd() - 2*constants.LeaseMargin
+	return Seconds(s.Deployment.Workers.CancelS) - s.LeaseEnd() - 2*constants.WorkerLeaseMargin
 }
 
 // Sockets divides the machine's sockets: how many the front may use, and how many
@@ -452,7 +452,7 @@
 	if s.Deployment.Limits.CPU <= 0 {
 		return 0
 	}
-	return s.onShare(constants.TakeoverWork, constants.SecondShardWaitMost)
+	return s.onShare(constants.FailoverCPUTime, constants.MaxSecondShardDelay)
 }
 
 // onShare is how long so much processor time takes on this machine's share of a
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -184,7 +184,7 @@
 // controller, within bounds; one whose share is not known does not wait.
 func TestSecondShardWaitFollowsTheShare(t *testing.T) {
 	var s Settings
-	for share, want := range map[float64]time.Duration{0: 0, 8: 50 * time.Millisecond, 1: 400 * time.Millisecond, 0.1: 4 * time.Second, 0.01: constants.SecondShardWaitMost} {
+	for share, want := range map[float64]time.Duration{0: 0, 8: 50 * time.Millisecond, 1: 400 * time.Millisecond, 0.1: 4 * time.Second, 0.01: constants.MaxSecondShardDelay} {
 		s.Deployment.Limits.CPU = share
 		if got := s.SecondShardWait(); got != want {
 			t.Errorf("with %g of a processor: %s, wanted %s", share, got, want)
--- a/shard/core.go
+++ b/shard/core.go
@@ -164,14 +164,14 @@
 // has nobody else, and its machines would end what they run. It gives no commands
 // then, and does not keep a machine that has seen a later token.
 func (o *ownership) extendsLeases(now time.Time) bool {
-	extension := time.Duration(float64(o.cfg.LeaseExtension)*(1-constants.ClockDrift)) - constants.AuthorityMargin
+	extension := time.Duration(float64(o.cfg.LeaseExtension)*(1-constants.MaxClockDrift)) - constants.AuthorityMargin
 	return !o.authority.IsZero() && now.Before(o.authority.Add(extension))
 }
 
 // leaseEnd is when the lease of a machine has surely ended that is answered now.
 // Until it shows a token of this term the owner before may be lease extension it.
 func (o *ownership) leaseEnd(now time.Time, m *machine) time.Time {
-	extendedUntil := o.claimed.Add(time.Duration(float64(o.cfg.LeaseExtension)*(1+constants.ClockDrift)) + constants.AuthorityMargin)
+	extendedUntil := o.claimed.Add(time.Duration(float64(o.cfg.LeaseExtension)*(1+constants.MaxClockDrift)) + constants.AuthorityMargin)
 	if !m.verified(o.term) && extendedUntil.After(now) {
 		now = extendedUntil
 	}
