--- a/constants/rounds.go
+++ b/constants/rounds.go
@@ -6,7 +6,7 @@
 const (
 	// RoundBudget bounds one round; the next goes on where it stopped. It is meant as
 	// processor time: on a share of a processor a round may take longer, up to
-	// RoundBudgetMost, since what comes meanwhile waits for its end.
-	RoundBudget     = 5 * time.Millisecond
-	RoundBudgetMost = 50 * time.Millisecond
+	// MaxRoundBudget, since what comes meanwhile waits for its end.
+	RoundBudget    = 5 * time.Millisecond
+	MaxRoundBudget = 50 * time.Millisecond
 )
--- a/controller/actors.go
+++ b/controller/actors.go
@@ -172,11 +172,11 @@
 		if m.invalid {
 			a.core.EnablePacking()
 		}
-		a.core.CommitResult(now, m.id, m.urgent, m.revision)
+		a.core.ApplyCommitResult(now, m.id, m.urgent, m.revision)
 	case wake:
 		a.pace.woke(m)
 	}
-	if !a.pace.due(now, constants.LeaderGap, a.self) {
+	if !a.pace.due(now, constants.LeaderRoundGap, a.self) {
 		return
 	}
 	for _, cm := range a.core.Step(now) {
@@ -185,14 +185,14 @@
 			if cm.Urgent {
 				store = a.urgent
 			}
-			r := commit(ctx, store, cm.Txn, "assignment of "+cm.ID, cm.Urgent)
-			r.id, r.urgent = cm.ID, cm.Urgent
+			r := commit(ctx, store, cm.Txn, "assignment of "+cm.JobID, cm.Urgent)
+			r.id, r.urgent = cm.JobID, cm.Urgent
 			a.self.Tell(r)
 		}()
 	}
-	if now.Sub(a.forecastAt) >= constants.ForecastEvery {
+	if now.Sub(a.forecastAt) >= constants.ForecastInterval {
 		a.forecastAt = now
-		a.control.Tell(forecast(a.core.Forecast(now, a.revision)))
+		a.control.Tell(forecast(a.core.BuildForecasts(now, a.revision)))
 	}
 	a.pace.tick(constants.LeaderTick, a.self)
 }
--- a/controller/overload_test.go
+++ b/controller/overload_test.go
@@ -149,9 +149,9 @@
 	}
 	for _, cm := range c.leader.Step(c.now) {
 		if c.valid(cm.Txn) {
-			c.leader.CommitResult(c.now, cm.ID, cm.Urgent, c.write(cm.Txn))
+			c.leader.ApplyCommitResult(c.now, cm.JobID, cm.Urgent, c.write(cm.Txn))
 		} else {
-			c.leader.CommitResult(c.now, cm.ID, cm.Urgent, 0)
+			c.leader.ApplyCommitResult(c.now, cm.JobID, cm.Urgent, 0)
 		}
 	}
 	for _, z := range []string{"a", "b"} {
--- a/leader/core.go
+++ b/leader/core.go
@@ -67,10 +67,10 @@
 	ReservedForGangs float64 `json:"gk,omitempty"`
 }
 
-// fits estimates how many tasks of the given size the room takes. The sum
+// estimateTasks estimates how many tasks of the given size the room takes. The sum
 // alone hides that no single machine may have room: tasks per machine are
 // counted at two deviations above the mean.
-func (r FreeCapacity) fits(s *wire.Submission) int {
+func (r FreeCapacity) estimateTasks(s *wire.Submission) int {
 	if r.Machines == 0 {
 		return 0
 	}
@@ -92,9 +92,9 @@
 
 // EstimateTasks estimates how many tasks of a job a shard has room for.
 func (a *Aggregate) EstimateTasks(s *wire.Submission) int {
-	n := a.OnDemand.fits(s)
+	n := a.OnDemand.estimateTasks(s)
 	if s.Spot {
-		n += a.Spot.fits(s)
+		n += a.Spot.estimateTasks(s)
 	}
 	if s.Priority == wire.PriorityProduction && s.CPUs > 0 {
 		n += int(a.Preemptible / s.CPUs)
@@ -102,8 +102,8 @@
 	return n
 }
 
-// booking is an assignment that a shard's figures do not show yet.
-type booking struct {
+// capacityReservation is an assignment that a shard's figures do not show yet.
+type capacityReservation struct {
 	revision        uint64 // 0: under way
 	cpus, gpus, mem float64
 	spot, gang      bool
@@ -111,55 +111,55 @@
 }
 
 type shardState struct {
-	agg      Aggregate
-	at       time.Time
-	bookings []booking
+	aggregate    Aggregate
+	updatedAt    time.Time
+	reservations []capacityReservation
 }
 
 type jobState struct {
-	rec     *records.Job
-	version uint64
-	busy    bool
-	tries   int
-	notAt   time.Time
-	waits   bool   // tasks of it are in no assignment
-	open    amount // of its open assignments
-	place   Rank   // in the order of the last look at all that wait
+	record        *records.Job
+	version       uint64
+	isInFlight    bool
+	reassignments int
+	retryAt       time.Time
+	hasUnassigned bool        // tasks of it are in no assignment
+	openQuota     quotaAmount // of its open assignments
+	rank          Rank        // in the order of the last look at all that wait
 }
 
 // Core is the leader in one term.
 type Core struct {
-	set       *settings.Settings
-	order     JobOrder
-	sizes     records.SizeLimits
-	termVer   uint64
-	shards    map[string]*shardState
-	jobs      map[string]*jobState // all that are not over
-	waiting   map[string]*jobState // those with tasks in no assignment
-	use       map[string]amount    // by team: of open assignments and of assignments under way
-	flying    int                  // assignments under way, but for the urgent
-	urgent    int
-	authority time.Time
-	resume    *Rank             // where the last round stopped
-	reserved  map[string]amount // by job: of assignments under way
-	began     time.Time
-	clock     func() time.Time     // what a round's time is taken by
-	budget    time.Duration        // of a round
-	limited   bool                 // the last job was kept waiting by its team's limit
-	heldAt    map[string]time.Time // by team: when its limit last kept a job waiting
+	settings       *settings.Settings
+	order          JobOrder
+	sizes          records.SizeLimits
+	termVersion    uint64
+	shards         map[string]*shardState
+	jobs           map[string]*jobState   // all that are not over
+	waiting        map[string]*jobState   // those with tasks in no assignment
+	usedQuota      map[string]quotaAmount // by team: of open assignments and of assignments under way
+	inFlight       int                    // assignments under way, but for the urgent
+	urgentInFlight int
+	authorityUntil time.Time
+	resumeAfter    *Rank                  // where the last round stopped
+	reservedQuota  map[string]quotaAmount // by job: of assignments under way
+	startedAt      time.Time
+	clock          func() time.Time     // what a round's time is taken by
+	budget         time.Duration        // of a round
+	limited        bool                 // the last job was kept waiting by its team's limit
+	limitedAt      map[string]time.Time // by team: when its limit last kept a job waiting
 }
 
 // Commit is a changed record to be written.
 type Commit struct {
-	ID  string
-	Txn wire.Txn
+	JobID string
+	Txn   wire.Txn
 	// Urgent: users count the seconds until the job begins.
 	Urgent bool
 }
 
 // New makes the core at the moment when the feed showed the claim.
 func New(set *settings.Settings, termVersion uint64, now time.Time, jobs map[string]*records.Job, versions map[string]uint64) *Core {
-	c := &Core{set: set, sizes: set.RecordSizeLimits(), order: NewJobOrder(set.Deployment.Objectives), termVer: termVersion, began: now, clock: time.Now, budget: set.RoundBudget(), shards: map[string]*shardState{}, jobs: map[string]*jobState{}, waiting: map[string]*jobState{}, use: map[string]amount{}, reserved: map[string]amount{}, heldAt: map[string]time.Time{}}
+	c := &Core{settings: set, sizes: set.RecordSizeLimits(), order: NewJobOrder(set.Deployment.Objectives), termVersion: termVersion, startedAt: now, clock: time.Now, budget: set.RoundBudget(), shards: map[string]*shardState{}, jobs: map[string]*jobState{}, waiting: map[string]*jobState{}, usedQuota: map[string]quotaAmount{}, reservedQuota: map[string]quotaAmount{}, limitedAt: map[string]time.Time{}}
 	for _, z := range set.Deployment.Zones {
 		c.shards[z] = &shardState{}
 	}
@@ -174,7 +174,7 @@
 func (c *Core) SetRoundClock(clock func() time.Time) { c.clock = clock }
 
 // SetAuthority says until when the leader may assign.
-func (c *Core) SetAuthority(until time.Time) { c.authority = until }
+func (c *Core) SetAuthority(until time.Time) { c.authorityUntil = until }
 
 // EnablePacking says that no process of the version before can come any more.
 func (c *Core) EnablePacking() { c.sizes.Packing = true }
@@ -182,17 +182,17 @@
 // ApplyAggregate takes in a shard's aggregate.
 func (c *Core) ApplyAggregate(now time.Time, a Aggregate) {
 	p := c.shards[a.Shard]
-	if p == nil || a.Term < p.agg.Term {
+	if p == nil || a.Term < p.aggregate.Term {
 		return
 	}
-	p.agg, p.at = a, now
-	kept := p.bookings[:0]
-	for _, b := range p.bookings {
+	p.aggregate, p.updatedAt = a, now
+	kept := p.reservations[:0]
+	for _, b := range p.reservations {
 		if b.revision == 0 || b.revision > a.Revision {
 			kept = append(kept, b)
 		}
 	}
-	p.bookings = kept
+	p.reservations = kept
 }
 
 // ApplyJob takes in a record from the feed. A job counts until it is over and
@@ -202,8 +202,8 @@
 	j := c.jobs[id]
 	if over {
 		if j != nil {
-			c.count(j, amount{})
-			c.reserve(id, j.rec.Spec.Team, amount{})
+			c.setOpenQuota(j, quotaAmount{})
+			c.setReservedQuota(id, j.record.Spec.Team, quotaAmount{})
 		}
 		delete(c.jobs, id)
 		delete(c.waiting, id)
@@ -218,15 +218,15 @@
 	}
 	// Whatever was under way was based on an older record and has been written
 	// by now or can only fail: the newer record says what a team uses.
-	j.busy = false
-	c.reserve(id, rec.Spec.Team, amount{})
+	j.isInFlight = false
+	c.setReservedQuota(id, rec.Spec.Team, quotaAmount{})
 	waits := rec.End == "" && len(rec.Unassigned()) > 0
-	if j.rec != nil && waits && !j.waits {
+	if j.record != nil && waits && !j.hasUnassigned {
 		// Sent back: other shards are asked, a little later each time.
-		j.tries++
-		j.notAt = now.Add(time.Duration(min(j.tries-1, 8)) * 500 * time.Millisecond)
+		j.reassignments++
+		j.retryAt = now.Add(time.Duration(min(j.reassignments-1, 8)) * 500 * time.Millisecond)
 	}
-	j.rec, j.version, j.waits = rec, version, waits
+	j.record, j.version, j.hasUnassigned = rec, version, waits
 	if waits {
 		c.waiting[id] = j
 	} else {
@@ -238,94 +238,94 @@
 			n += ch.Tasks()
 		}
 	}
-	c.count(j, amountOf(&rec.Spec, n))
+	c.setOpenQuota(j, quotaOf(&rec.Spec, n))
 }
 
 // Step assigns what waits, within a budget of time.
 func (c *Core) Step(now time.Time) []Commit {
-	if !now.Before(c.authority) {
+	if !now.Before(c.authorityUntil) {
 		return nil
 	}
 	q := make([]*jobState, 0, len(c.waiting))
 	for _, j := range c.waiting {
-		if !j.busy && !now.Before(j.notAt) && c.mayFly(j) {
+		if !j.isInFlight && !now.Before(j.retryAt) && c.hasInFlightSlot(j) {
 			q = append(q, j)
-			j.place = c.order.Rank(now, j.rec, c.guaranteed(&j.rec.Spec) > 0, len(j.rec.Assignments) > 0)
+			j.rank = c.order.Rank(now, j.record, c.tasksWithinGuarantee(&j.record.Spec) > 0, len(j.record.Assignments) > 0)
 		}
 	}
-	slices.SortFunc(q, func(a, b *jobState) int { return a.place.Compare(b.place) })
+	slices.SortFunc(q, func(a, b *jobState) int { return a.rank.Compare(b.rank) })
 	began := c.clock()
 	start := 0
-	if c.resume != nil {
+	if c.resumeAfter != nil {
 		// Whatever came or went in between: after the job where it stopped.
-		start = sort.Search(len(q), func(i int) bool { return c.resume.Before(q[i].place) })
-		c.resume = nil
+		start = sort.Search(len(q), func(i int) bool { return c.resumeAfter.Before(q[i].rank) })
+		c.resumeAfter = nil
 	}
 	var out []Commit
 	held := map[string]bool{} // teams whose room is being collected
 	for i := start; i < len(q); i++ {
-		if held[q[i].rec.Spec.Team] {
+		if held[q[i].record.Spec.Team] {
 			continue
 		}
-		if !c.mayFly(q[i]) {
+		if !c.hasInFlightSlot(q[i]) {
 			continue
 		}
 		if cm, ok := c.assign(now, q[i]); ok {
 			out = append(out, cm)
 		} else if c.limited {
-			c.heldAt[q[i].rec.Spec.Team] = now
-			if c.collects(now, q[i].rec) {
-				held[q[i].rec.Spec.Team] = true
+			c.limitedAt[q[i].record.Spec.Team] = now
+			if c.blocksTeam(now, q[i].record) {
+				held[q[i].record.Spec.Team] = true
 			}
 		}
 		if i+1 < len(q) && c.clock().Sub(began) > c.budget {
-			p := q[i].place
-			c.resume = &p
+			p := q[i].rank
+			c.resumeAfter = &p
 			break
 		}
 	}
 	return out
 }
 
-// mayFly says whether one more assignment of a job's kind may be under way: those
+// hasInFlightSlot says whether one more assignment of a job's kind may be under way: those
 // that come first go first once some have been written. The urgent are few at once:
 // each is repeated until it is written, and hundreds at a cold start took the state
 // service's requests from everything else.
-func (c *Core) mayFly(j *jobState) bool {
-	if j.rec.Spec.AllOrNothing() {
-		return c.urgent < constants.MaxUrgent
+func (c *Core) hasInFlightSlot(j *jobState) bool {
+	if j.record.Spec.AllOrNothing() {
+		return c.urgentInFlight < constants.MaxUrgentInFlight
 	}
-	return c.flying < constants.MaxAssignments
+	return c.inFlight < constants.MaxAssignmentsInFlight
 }
 
-// collects says whether a job that its team's limit keeps waiting holds back
+// blocksTeam says whether a job that its team's limit keeps waiting holds back
 // the team's others, so that room comes together for it: a large service is
 // admitted whole, and small ones would take every bit that falls free. It does
 // so for a while only, since services may never make room.
-func (c *Core) collects(now time.Time, rec *records.Job) bool {
+func (c *Core) blocksTeam(now time.Time, rec *records.Job) bool {
 	age := time.Duration(now.UnixMilli()-rec.AcceptedMS) * time.Millisecond
-	return Overdue(now, rec, len(rec.Assignments) > 0) && age < constants.BeginWithin+constants.CollectFor
+	return IsOverdue(now, rec, len(rec.Assignments) > 0) && age < constants.OverdueAfter+constants.CapacityHoldTime
 }
 
-// CommitResult takes in what came of a commit; revision is 0 when it failed.
-func (c *Core) CommitResult(now time.Time, id string, urgent bool, revision uint64) {
+// ApplyCommitResult takes in what came of a commit; revision is 0 when it failed.
+func (c *Core) ApplyCommitResult(now time.Time, id string, urgent bool, revision uint64) {
 	if urgent {
-		c.urgent--
+		c.urgentInFlight--
 	} else {
-		c.flying--
+		c.inFlight--
 	}
 	for _, p := range c.shards {
-		kept := p.bookings[:0]
-		for _, b := range p.bookings {
+		kept := p.reservations[:0]
+		for _, b := range p.reservations {
 			if b.job == id && b.revision == 0 {
-				if revision == 0 || revision <= p.agg.Revision {
+				if revision == 0 || revision <= p.aggregate.Revision {
 					continue
 				}
 				b.revision = revision
 			}
 			kept = append(kept, b)
 		}
-		p.bookings = kept
+		p.reservations = kept
 	}
 	j := c.jobs[id]
 	if revision != 0 || j == nil {
@@ -334,6 +334,6 @@
 	// Not known to have been written: if the feed brings a newer record, it
 	// decides; if not, the same is tried again. The reservation stays until
 	// then, since a late transaction may still be applied.
-	j.busy = false
-	j.notAt = now.Add(constants.LeaderTick)
+	j.isInFlight = false
+	j.retryAt = now.Add(constants.LeaderTick)
 }
--- a/leader/core_test.go
+++ b/leader/core_test.go
@@ -21,7 +21,7 @@
 	os.Exit(m.Run())
 }
 
-func facts() *settings.Settings {
+func testSettings() *settings.Settings {
 	s := &settings.Settings{}
 	s.Deployment.Zones = []string{"a", "b", "c"}
 	s.Deployment.Store.ValueKB, s.Deployment.Store.WriteRPS = 8, 100
@@ -29,7 +29,7 @@
 	return s
 }
 
-func figures(shard string, rev uint64, cpus float64, machines int) Aggregate {
+func testAggregate(shard string, rev uint64, cpus float64, machines int) Aggregate {
 	a := Aggregate{Shard: shard, Term: 1, Revision: rev, CanScaleOutOnDemand: true, CanScaleOutSpot: true, Capacity: cpus}
 	for range machines {
 		a.OnDemand.Machines++
@@ -56,16 +56,16 @@
 
 func (s *store) try(cm Commit) bool {
 	for _, c := range cm.Txn.Conditions {
-		if c.Key == records.KeyJob(cm.ID) && s.version[cm.ID] != c.Version {
+		if c.Key == records.KeyJob(cm.JobID) && s.version[cm.JobID] != c.Version {
 			return false
 		}
 	}
-	s.put(written(cm))
+	s.put(decodeCommit(cm))
 	return true
 }
 
-// written is the record that a commit would write.
-func written(cm Commit) *records.Job {
+// decodeCommit is the record that a commit would write.
+func decodeCommit(cm Commit) *records.Job {
 	rec, err := records.Decode(cm.Txn.Changes[0].Put, cm.Txn.Changes[0].Value)
 	if err != nil {
 		panic(err)
@@ -79,7 +79,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		st := &store{jobs: map[string]*records.Job{}, version: map[string]uint64{}}
-		c := New(facts(), 1, now, nil, nil)
+		c := New(testSettings(), 1, now, nil, nil)
 		c.SetAuthority(now.Add(time.Hour))
 		seen := map[string]uint64{}
 		feed := func() {
@@ -90,7 +90,7 @@
 				}
 			}
 			for _, z := range []string{"a", "b", "c"} {
-				c.ApplyAggregate(now, figures(z, st.rev, 16, 2))
+				c.ApplyAggregate(now, testAggregate(z, st.rev, 16, 2))
 			}
 		}
 		var late []Commit
@@ -137,16 +137,16 @@
 				switch rapid.IntRange(0, 3).Draw(t, "fate") {
 				case 0, 1:
 					if st.try(cm) {
-						c.CommitResult(now, cm.ID, cm.Urgent, st.rev)
+						c.ApplyCommitResult(now, cm.JobID, cm.Urgent, st.rev)
 					} else {
-						c.CommitResult(now, cm.ID, cm.Urgent, 0)
+						c.ApplyCommitResult(now, cm.JobID, cm.Urgent, 0)
 					}
 				case 2: // carried out, the answer lost
 					st.try(cm)
-					c.CommitResult(now, cm.ID, cm.Urgent, 0)
+					c.ApplyCommitResult(now, cm.JobID, cm.Urgent, 0)
 				case 3: // carried out later, or never
 					late = append(late, cm)
-					c.CommitResult(now, cm.ID, cm.Urgent, 0)
+					c.ApplyCommitResult(now, cm.JobID, cm.Urgent, 0)
 				}
 			}
 			use := 0.0
@@ -182,18 +182,18 @@
 // Of the shards that take a whole job, the one left with the least comes first.
 func TestLeastRoomLeftComesFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := New(facts(), 1, now, nil, nil)
+	c := New(testSettings(), 1, now, nil, nil)
 	c.SetAuthority(now.Add(time.Hour))
-	c.ApplyAggregate(now, figures("a", 1, 64, 4))
-	c.ApplyAggregate(now, figures("b", 1, 24, 2))
-	c.ApplyAggregate(now, figures("c", 1, 8, 1))
+	c.ApplyAggregate(now, testAggregate("a", 1, 64, 4))
+	c.ApplyAggregate(now, testAggregate("b", 1, 24, 2))
+	c.ApplyAggregate(now, testAggregate("c", 1, 8, 1))
 	job := &records.Job{ID: "run-1", AcceptedMS: now.UnixMilli(), Spec: wire.Submission{ID: "run-1", Team: "free", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 4, CPUs: 4, MemoryGB: 1}}
 	c.ApplyJob(now, "run-1", job, 5)
 	acts := c.Step(now)
 	if len(acts) != 1 {
 		t.Fatalf("%d assignments", len(acts))
 	}
-	if ch := written(acts[0]).Assignments; len(ch) != 1 || ch[0].Shard != "b" {
+	if ch := decodeCommit(acts[0]).Assignments; len(ch) != 1 || ch[0].Shard != "b" {
 		t.Fatalf("assignments %+v, wanted all in b", ch)
 	}
 }
@@ -201,11 +201,11 @@
 // Between two pushes the leader counts what it has just assigned.
 func TestBurstDoesNotPileUp(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := New(facts(), 1, now, nil, nil)
+	c := New(testSettings(), 1, now, nil, nil)
 	c.SetAuthority(now.Add(time.Hour))
 	c.SetRoundClock(func() time.Time { return now }) // a busy machine would cut the round
 	for _, z := range []string{"a", "b", "c"} {
-		c.ApplyAggregate(now, figures(z, 1, 16, 1))
+		c.ApplyAggregate(now, testAggregate(z, 1, 16, 1))
 	}
 	got := map[string]int{}
 	for i := range 6 {
@@ -213,7 +213,7 @@
 		c.ApplyJob(now, id, &records.Job{ID: id, AcceptedMS: now.UnixMilli() + int64(i), Spec: wire.Submission{ID: id, Team: "free", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 2, CPUs: 4, MemoryGB: 1}}, uint64(10+i))
 	}
 	for _, cm := range c.Step(now) {
-		for _, ch := range written(cm).Assignments {
+		for _, ch := range decodeCommit(cm).Assignments {
 			got[ch.Shard] += ch.Tasks()
 		}
 	}
@@ -237,11 +237,11 @@
 		guaranteed, begun bool
 	}{
 		{job("prod", 0, 10, wire.PriorityProduction), false, false},
-		{job("overdue", constants.BeginWithin.Seconds()+1, 10, wire.PriorityNormal), false, false},
+		{job("overdue", constants.OverdueAfter.Seconds()+1, 10, wire.PriorityNormal), false, false},
 		{job("guaranteed", 0, 10, wire.PriorityNormal), true, false},
 		{job("older", 50, 10, wire.PriorityNormal), false, false},
 		{job("newer", 5, 10, wire.PriorityNormal), false, false},
-		{job("begun", constants.BeginWithin.Seconds()+1, 10, wire.PriorityNormal), false, true},
+		{job("begun", constants.OverdueAfter.Seconds()+1, 10, wire.PriorityNormal), false, true},
 		{job("missed", 100, 10, wire.PriorityNormal), false, false},
 		{job("low", 50, 10, wire.PriorityLow), true, false},
 	}
@@ -258,10 +258,10 @@
 // A job of the largest size is handed over in portions.
 func TestHugeJobComesInPortions(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := New(facts(), 1, now, nil, nil)
+	c := New(testSettings(), 1, now, nil, nil)
 	c.SetAuthority(now.Add(time.Hour))
 	for _, z := range []string{"a", "b", "c"} {
-		c.ApplyAggregate(now, figures(z, 1, 16, 1))
+		c.ApplyAggregate(now, testAggregate(z, 1, 16, 1))
 	}
 	c.ApplyJob(now, "run-1", &records.Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", Team: "free", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: wire.MaxTasks, CPUs: 1, MemoryGB: 1}}, 5)
 	acts := c.Step(now)
@@ -269,7 +269,7 @@
 		t.Fatalf("%d assignments", len(acts))
 	}
 	n := 0
-	for _, ch := range written(acts[0]).Assignments {
+	for _, ch := range decodeCommit(acts[0]).Assignments {
 		n += ch.Tasks()
 	}
 	if n == 0 || n > 5000 {
@@ -281,21 +281,21 @@
 // team's room for as long as the job lives.
 func TestReservationEndsWithNewerRecord(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := New(facts(), 1, now, nil, nil)
+	c := New(testSettings(), 1, now, nil, nil)
 	c.SetAuthority(now.Add(time.Hour))
-	c.ApplyAggregate(now, figures("a", 1, 64, 4))
+	c.ApplyAggregate(now, testAggregate("a", 1, 64, 4))
 	job := &records.Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", Team: "t", Kind: wire.KindService, Priority: wire.PriorityNormal, Tasks: 2, CPUs: 5, MemoryGB: 1}}
 	c.ApplyJob(now, "run-1", job, 5)
 	acts := c.Step(now)
 	if len(acts) != 1 {
 		t.Fatalf("%d assignments", len(acts))
 	}
-	c.CommitResult(now, "run-1", false, 0) // the answer was lost, but it was written
-	if cpus := c.teamUse("t", "").cpus; cpus != 10 {
+	c.ApplyCommitResult(now, "run-1", false, 0) // the answer was lost, but it was written
+	if cpus := c.quotaUsedByOthers("t", "").cpus; cpus != 10 {
 		t.Fatalf("%g CPUs counted while the write may still come, wanted 10", cpus)
 	}
-	c.ApplyJob(now, "run-1", written(acts[0]), 6)
-	if cpus := c.teamUse("t", "").cpus; cpus != 10 {
+	c.ApplyJob(now, "run-1", decodeCommit(acts[0]), 6)
+	if cpus := c.quotaUsedByOthers("t", "").cpus; cpus != 10 {
 		t.Fatalf("%g CPUs counted, wanted the 10 of the record", cpus)
 	}
 }
@@ -304,11 +304,11 @@
 // assignment that is there: a job in many pieces is not put off for ever.
 func TestFullRecordStillGrows(t *testing.T) {
 	now := time.Unix(1000, 0)
-	set := facts()
+	set := testSettings()
 	c := New(set, 1, now, nil, nil)
 	c.SetAuthority(now.Add(time.Hour))
 	for _, z := range []string{"a", "b", "c"} {
-		c.ApplyAggregate(now, figures(z, 1, 16, 1))
+		c.ApplyAggregate(now, testAggregate(z, 1, 16, 1))
 	}
 	job := &records.Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", Team: "free", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 2000, CPUs: 1, MemoryGB: 1}}
 	for i := 0; len(records.Encode(job)) < set.ValueBytes()-40; i++ { // gaps between assignments of shards in turn
@@ -321,8 +321,8 @@
 		if len(acts) != 1 {
 			t.Fatalf("%d assignments with %d tasks left", len(acts), left)
 		}
-		c.CommitResult(now, "run-1", false, rev+1)
-		if job = written(acts[0]); len(acts[0].Txn.Changes[0].Value) > set.ValueBytes() {
+		c.ApplyCommitResult(now, "run-1", false, rev+1)
+		if job = decodeCommit(acts[0]); len(acts[0].Txn.Changes[0].Value) > set.ValueBytes() {
 			t.Fatalf("a record of %d bytes", len(acts[0].Txn.Changes[0].Value))
 		}
 		n := 0
@@ -335,7 +335,7 @@
 		left = n
 		now = now.Add(time.Second)
 		for _, z := range []string{"a", "b", "c"} {
-			c.ApplyAggregate(now, figures(z, rev+1, 16, 1))
+			c.ApplyAggregate(now, testAggregate(z, rev+1, 16, 1))
 		}
 	}
 }
@@ -344,7 +344,7 @@
 // the team come past all the time.
 func TestLargeServiceIsAdmitted(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := New(facts(), 1, now, nil, nil)
+	c := New(testSettings(), 1, now, nil, nil)
 	rev := uint64(0)
 	type run struct {
 		job *records.Job
@@ -370,16 +370,16 @@
 			submit("run-large", 10) // all 20 CPUs
 		}
 		for _, z := range []string{"a", "b", "c"} {
-			c.ApplyAggregate(now, figures(z, rev, 64, 4))
+			c.ApplyAggregate(now, testAggregate(z, rev, 64, 4))
 		}
 		for _, cm := range c.Step(now) {
-			if cm.ID == "run-large" {
+			if cm.JobID == "run-large" {
 				return
 			}
-			j := written(cm)
-			jobs[cm.ID].job, jobs[cm.ID].end = j, now.Add(40*time.Second)
+			j := decodeCommit(cm)
+			jobs[cm.JobID].job, jobs[cm.JobID].end = j, now.Add(40*time.Second)
 			put(j)
-			c.CommitResult(now, cm.ID, cm.Urgent, rev)
+			c.ApplyCommitResult(now, cm.JobID, cm.Urgent, rev)
 		}
 		for _, r := range jobs { // what has run for a while is cancelled and closed
 			if len(r.job.Assignments) > 0 && now.After(r.end) && r.job.End == "" {
--- a/leader/forecast.go
+++ b/leader/forecast.go
@@ -20,28 +20,28 @@
 }
 
 // unassignedWork is work in no assignment (CPUs).
-type unassignedWork struct{ spot, ordinary float64 }
+type unassignedWork struct{ spot, onDemand float64 }
 
 // add adds n tasks of a job.
 func (b *unassignedWork) add(s *wire.Submission, n int) {
 	if s.Spot {
 		b.spot += float64(n) * s.CPUs
 	} else {
-		b.ordinary += float64(n) * s.CPUs
+		b.onDemand += float64(n) * s.CPUs
 	}
 }
 
-// Forecast tells each shard its share of what is in no assignment yet, so that it can
+// BuildForecasts tells each shard its share of what is in no assignment yet, so that it can
 // rent for it meanwhile. revision is that of the records known.
-func (c *Core) Forecast(now time.Time, revision uint64) map[string]Forecast {
+func (c *Core) BuildForecasts(now time.Time, revision uint64) map[string]Forecast {
 	var anywhere unassignedWork
 	bound := map[string]unassignedWork{} // by zone, of jobs that may run in one alone
 	for _, j := range c.waiting {
-		s := &j.rec.Spec
-		if now.UnixMilli()-j.rec.AcceptedMS < constants.ForecastAfter.Milliseconds() {
+		s := &j.record.Spec
+		if now.UnixMilli()-j.record.AcceptedMS < constants.ForecastMinWait.Milliseconds() {
 			continue // its turn comes at once, and its owner may see no need to rent
 		}
-		n := c.admit(s, records.TasksIn(j.rec.Unassigned()))
+		n := c.tasksWithinLimit(s, records.TasksIn(j.record.Unassigned()))
 		if s.Zone == "" {
 			anywhere.add(s, n)
 			continue
@@ -51,11 +51,11 @@
 		bound[s.Zone] = b
 	}
 	var held []string
-	for team, at := range c.heldAt {
-		if now.Sub(at) < constants.ForecastLife {
+	for team, at := range c.limitedAt {
+		if now.Sub(at) < constants.ForecastTTL {
 			held = append(held, team)
 		} else {
-			delete(c.heldAt, team)
+			delete(c.limitedAt, team)
 		}
 	}
 	if anywhere == (unassignedWork{}) && len(bound) == 0 && len(held) == 0 {
@@ -64,7 +64,7 @@
 	out := map[string]Forecast{}
 	shards := float64(len(c.shards))
 	for z := range c.shards {
-		out[z] = Forecast{Revision: revision, Spot: anywhere.spot/shards + bound[z].spot, OnDemand: anywhere.ordinary/shards + bound[z].ordinary, TeamsAtLimit: held}
+		out[z] = Forecast{Revision: revision, Spot: anywhere.spot/shards + bound[z].spot, OnDemand: anywhere.onDemand/shards + bound[z].onDemand, TeamsAtLimit: held}
 	}
 	return out
 }
--- a/leader/gang_test.go
+++ b/leader/gang_test.go
@@ -15,9 +15,9 @@
 		Tasks: tasks, CPUs: 2, MemoryGB: 1, Image: "i"}}
 }
 
-// leading is a leader with authority that has heard nothing yet.
-func leading() (time.Time, *settings.Settings, *Core) {
-	now, set := time.Unix(1000, 0), facts()
+// newTestLeader is a leader with authority that has heard nothing yet.
+func newTestLeader() (time.Time, *settings.Settings, *Core) {
+	now, set := time.Unix(1000, 0), testSettings()
 	c := New(set, 1, now, nil, nil)
 	c.SetAuthority(now.Add(time.Hour))
 	return now, set, c
@@ -27,14 +27,14 @@
 // however little is left elsewhere, and with its image if there is one.
 func TestGangGoesWhole(t *testing.T) {
 	now := time.Unix(1000, 0)
-	set := facts()
+	set := testSettings()
 	job := gangJob(6)
 	shape := GangShape(&job.Spec)
 	for name, want := range map[string]string{"room": "b", "image": "c"} {
 		c := New(set, 1, now, nil, nil)
 		c.SetAuthority(now.Add(time.Hour))
 		for _, z := range set.Deployment.Zones {
-			a := figures(z, 1, 16, 2) // the sums say that it fits everywhere
+			a := testAggregate(z, 1, 16, 2) // the sums say that it fits everywhere
 			a.Gangs = map[string]GangCapacity{shape: {Now: 4}}
 			if z == "b" || z == "c" && name == "image" {
 				a.Gangs[shape] = GangCapacity{Now: 6}
@@ -49,7 +49,7 @@
 		if len(acts) != 1 {
 			t.Fatalf("%s: %d assignments", name, len(acts))
 		}
-		rec := written(acts[0])
+		rec := decodeCommit(acts[0])
 		if len(rec.Assignments) != 1 || rec.Assignments[0].Tasks() != 6 || rec.Assignments[0].Shard != want || rec.Attempt != 0 {
 			t.Fatalf("%s: %+v, wanted all in %s", name, rec, want)
 		}
@@ -59,12 +59,12 @@
 // A gang that may not be in one shard is spread under a number that rises with each
 // assignment, and is assigned again only when all of it has come back.
 func TestSpreadGangIsNumbered(t *testing.T) {
-	now, set, c := leading()
+	now, set, c := newTestLeader()
 	job := gangJob(5)
 	job.Spec.Spread = true
 	push := func() {
 		for _, z := range set.Deployment.Zones {
-			c.ApplyAggregate(now, figures(z, 1, 16, 2))
+			c.ApplyAggregate(now, testAggregate(z, 1, 16, 2))
 		}
 	}
 	rev := uint64(5)
@@ -75,7 +75,7 @@
 		if len(acts) != 1 {
 			t.Fatalf("%d assignments", len(acts))
 		}
-		rec := written(acts[0])
+		rec := decodeCommit(acts[0])
 		in := map[string]int{}
 		for _, ch := range rec.Assignments {
 			in[ch.Shard] += ch.Tasks()
@@ -89,7 +89,7 @@
 			}
 		}
 		rev++
-		c.CommitResult(now, "run-1", true, rev)
+		c.ApplyCommitResult(now, "run-1", true, rev)
 		c.ApplyJob(now, "run-1", rec, rev)
 		half := rec.Clone()
 		half.Assignments = half.Assignments[1:]
@@ -110,9 +110,9 @@
 // A gang counts whole towards its team's limit: nothing of it is assigned before
 // all fits, and all of it counts from then on.
 func TestGangIsAdmittedWhole(t *testing.T) {
-	now, set, c := leading()
+	now, set, c := newTestLeader()
 	for _, z := range set.Deployment.Zones {
-		c.ApplyAggregate(now, figures(z, 1, 100, 10))
+		c.ApplyAggregate(now, testAggregate(z, 1, 100, 10))
 	}
 	for i, tasks := range []int{7, 4} { // of 2 CPUs, where the team may have 20
 		j := gangJob(tasks)
@@ -123,7 +123,7 @@
 	if len(acts) != 1 {
 		t.Fatalf("%d gangs of 14 and 8 CPUs were assigned within 20", len(acts))
 	}
-	if rec := written(acts[0]); len(rec.Unassigned()) > 0 {
+	if rec := decodeCommit(acts[0]); len(rec.Unassigned()) > 0 {
 		t.Fatalf("%+v: not whole", rec)
 	}
 }
@@ -132,9 +132,9 @@
 // many services a cold start brings: hundreds took the state service's requests
 // from leases and from all other writes.
 func TestFewUrgentAssignmentsAtOnce(t *testing.T) {
-	now, set, c := leading()
+	now, set, c := newTestLeader()
 	for _, z := range set.Deployment.Zones {
-		c.ApplyAggregate(now, figures(z, 1, 1000, 100))
+		c.ApplyAggregate(now, testAggregate(z, 1, 1000, 100))
 	}
 	for i := range 300 {
 		j := gangJob(1)
@@ -150,15 +150,15 @@
 		for _, cm := range c.Step(now) {
 			under[cm.Urgent]++
 			if round%2 == 1 {
-				c.CommitResult(now, cm.ID, cm.Urgent, 0)
+				c.ApplyCommitResult(now, cm.JobID, cm.Urgent, 0)
 				under[cm.Urgent]--
 			}
 		}
 		now = now.Add(time.Second)
 		for _, z := range set.Deployment.Zones {
-			c.ApplyAggregate(now, figures(z, uint64(1+round), 1000, 100))
+			c.ApplyAggregate(now, testAggregate(z, uint64(1+round), 1000, 100))
 		}
-		if under[true] > constants.MaxUrgent || under[false] > constants.MaxAssignments {
+		if under[true] > constants.MaxUrgentInFlight || under[false] > constants.MaxAssignmentsInFlight {
 			t.Fatalf("%v assignments under way", under)
 		}
 	}
@@ -171,7 +171,7 @@
 // closed share says that all is done. Found by a generated day on which the gang
 // was done and never told as such.
 func TestRestOfDoneGangIsClosed(t *testing.T) {
-	now, _, c := leading()
+	now, _, c := newTestLeader()
 	job := gangJob(4)
 	job.Spec.Spread, job.Attempt = true, 1
 	job.Assignments = []records.Assignment{{From: 0, To: 2, Shard: "a", Closed: true}}
@@ -180,7 +180,7 @@
 	if len(acts) != 1 {
 		t.Fatalf("%d writes", len(acts))
 	}
-	if rec := written(acts[0]); rec.End != wire.JobDone || !rec.AllClosed() {
+	if rec := decodeCommit(acts[0]); rec.End != wire.JobDone || !rec.AllClosed() {
 		t.Fatalf("%+v", rec)
 	}
 }
--- a/leader/order.go
+++ b/leader/order.go
@@ -17,22 +17,22 @@
 // together or not at all, then those of which an
 // objective can still be met before those that missed it, then by age and work.
 type JobOrder struct {
-	within map[string][]time.Duration // by class, rising
-	start  map[string]time.Duration   // by class, the first
+	finishObjectives map[string][]time.Duration // by class, rising
+	startObjectives  map[string]time.Duration   // by class, the first
 }
 
 // NewJobOrder takes in the deployment's objectives.
 func NewJobOrder(objectives []settings.Objective) JobOrder {
-	o := JobOrder{within: map[string][]time.Duration{}, start: map[string]time.Duration{}}
+	o := JobOrder{finishObjectives: map[string][]time.Duration{}, startObjectives: map[string]time.Duration{}}
 	for _, x := range objectives {
 		if x.Kind == "finished" && x.WithinS > 0 {
-			o.within[x.Class] = append(o.within[x.Class], settings.Seconds(x.WithinS))
+			o.finishObjectives[x.Class] = append(o.finishObjectives[x.Class], settings.Seconds(x.WithinS))
 		}
-		if w := settings.Seconds(x.WithinS); x.Kind == "wait" && w > 0 && (o.start[x.Class] == 0 || w < o.start[x.Class]) {
-			o.start[x.Class] = w
+		if w := settings.Seconds(x.WithinS); x.Kind == "wait" && w > 0 && (o.startObjectives[x.Class] == 0 || w < o.startObjectives[x.Class]) {
+			o.startObjectives[x.Class] = w
 		}
 	}
-	for _, w := range o.within {
+	for _, w := range o.finishObjectives {
 		sort.Slice(w, func(a, b int) bool { return w[a] < w[b] })
 	}
 	return o
@@ -40,20 +40,20 @@
 
 // FinishObjective is the first objective on finishing of a class; 0: it has none.
 func (o JobOrder) FinishObjective(class string) time.Duration {
-	if w := o.within[class]; len(w) > 0 {
+	if w := o.finishObjectives[class]; len(w) > 0 {
 		return w[0]
 	}
 	return 0
 }
 
 // StartObjective is the first objective on starting of a class; 0: it has none.
-func (o JobOrder) StartObjective(class string) time.Duration { return o.start[class] }
+func (o JobOrder) StartObjective(class string) time.Duration { return o.startObjectives[class] }
 
 // ObjectivesMet is how many objectives on finishing a job of a class meets that is
 // done after that long.
 func (o JobOrder) ObjectivesMet(class string, after time.Duration) int {
 	n := 0
-	for _, w := range o.within[class] {
+	for _, w := range o.finishObjectives[class] {
 		if after <= w {
 			n++
 		}
@@ -63,59 +63,59 @@
 
 // Rank is a job's place in the order; smaller comes first.
 type Rank struct {
-	priority int
-	overdue  int     // 0: nothing of it has begun, and it is time
-	borrowed int     // 1: beyond the team's guarantee
-	single   int     // 0: a gang, which needs all its room at one moment
-	band     int     // objectives missed so far
-	score    float64 // seconds: when it was accepted, later for more work
-	accepted int64
-	id       string
+	priority         int
+	notOverdue       int     // 0: nothing of it has begun, and it is time
+	beyondGuarantee  int     // 1: beyond the team's guarantee
+	notGang          int     // 0: a gang, which needs all its room at one moment
+	missedObjectives int     // objectives missed so far
+	score            float64 // seconds: when it was accepted, later for more work
+	acceptedMS       int64
+	id               string
 }
 
-// Overdue says whether a job of which nothing has begun has waited so long that
+// IsOverdue says whether a job of which nothing has begun has waited so long that
 // it comes before all others of its priority: without this, large jobs and those
 // that missed their objectives would starve under lasting overload.
-func Overdue(now time.Time, rec *records.Job, begun bool) bool {
-	return !begun && now.UnixMilli()-rec.AcceptedMS > constants.BeginWithin.Milliseconds()
+func IsOverdue(now time.Time, rec *records.Job, begun bool) bool {
+	return !begun && now.UnixMilli()-rec.AcceptedMS > constants.OverdueAfter.Milliseconds()
 }
 
-// OverdueShare is how many of an overdue array's tasks come before all others: so
+// OverdueBatch is how many of an overdue array's tasks come before all others: so
 // that it begins, and does not keep the others from beginning.
-func OverdueShare(tasks int) int { return max(1, tasks/constants.BeginShare) }
+func OverdueBatch(tasks int) int { return max(1, tasks/constants.OverdueDivisor) }
 
 // Rank ranks a job; guaranteed says whether what waits of it is within its
 // team's guarantee, begun whether any of its tasks runs or is done.
 func (o JobOrder) Rank(now time.Time, rec *records.Job, guaranteed, begun bool) Rank {
 	s := &rec.Spec
-	p := Rank{borrowed: 1, overdue: 1, single: 1, priority: -wire.PriorityLevel(s.Priority), accepted: rec.AcceptedMS, id: rec.ID}
+	p := Rank{beyondGuarantee: 1, notOverdue: 1, notGang: 1, priority: -wire.PriorityLevel(s.Priority), acceptedMS: rec.AcceptedMS, id: rec.ID}
 	if guaranteed {
-		p.borrowed = 0
+		p.beyondGuarantee = 0
 	}
-	if Overdue(now, rec, begun) {
-		p.overdue = 0
+	if IsOverdue(now, rec, begun) {
+		p.notOverdue = 0
 	}
 	if s.IsService() {
 		return p
 	}
 	if s.IsGang() {
-		p.single = 0
+		p.notGang = 0
 	}
 	age := time.Duration(now.UnixMilli()-rec.AcceptedMS) * time.Millisecond
 	end := age + settings.Seconds(s.EstimateS)
 	last := time.Duration(0)
-	for _, w := range o.within[s.Class] {
+	for _, w := range o.finishObjectives[s.Class] {
 		last = w
 		if end > w {
-			p.band++
+			p.missedObjectives++
 		}
 	}
 	// Beyond the last objective every doubling of the time counts as one more,
 	// the other way round: what has waited longest must not starve.
 	if last > 0 && end > 4*last {
-		p.band = 0
+		p.missedObjectives = 0
 	}
-	p.score = float64(rec.AcceptedMS)/1000 + float64(s.Tasks)*s.CPUs*s.EstimateS/constants.WorkPerSecond
+	p.score = float64(rec.AcceptedMS)/1000 + float64(s.Tasks)*s.CPUs*s.EstimateS/constants.RankWorkPerSecond
 	return p
 }
 
@@ -124,18 +124,18 @@
 	switch {
 	case p.priority != q.priority:
 		return cmp.Compare(p.priority, q.priority)
-	case p.overdue != q.overdue:
-		return cmp.Compare(p.overdue, q.overdue)
-	case p.borrowed != q.borrowed:
-		return cmp.Compare(p.borrowed, q.borrowed)
-	case p.single != q.single:
-		return cmp.Compare(p.single, q.single)
-	case p.band != q.band:
-		return cmp.Compare(p.band, q.band)
+	case p.notOverdue != q.notOverdue:
+		return cmp.Compare(p.notOverdue, q.notOverdue)
+	case p.beyondGuarantee != q.beyondGuarantee:
+		return cmp.Compare(p.beyondGuarantee, q.beyondGuarantee)
+	case p.notGang != q.notGang:
+		return cmp.Compare(p.notGang, q.notGang)
+	case p.missedObjectives != q.missedObjectives:
+		return cmp.Compare(p.missedObjectives, q.missedObjectives)
 	case p.score != q.score:
 		return cmp.Compare(p.score, q.score)
-	case p.accepted != q.accepted:
-		return cmp.Compare(p.accepted, q.accepted)
+	case p.acceptedMS != q.acceptedMS:
+		return cmp.Compare(p.acceptedMS, q.acceptedMS)
 	}
 	return strings.Compare(p.id, q.id)
 }
--- a/leader/plan.go
+++ b/leader/plan.go
@@ -8,83 +8,83 @@
 	"ravenport/wire"
 )
 
-// share is a number of tasks for a shard.
-type share struct {
-	shard string
-	n     int
-	keep  bool
+// plannedAssignment is a number of tasks for a shard.
+type plannedAssignment struct {
+	shard       string
+	tasks       int
+	keepWaiting bool
 }
 
 // candidate is a shard that may take tasks of a job, with the figures that it is
 // ranked by. All of them count what was assigned since the owner took them.
 type candidate struct {
-	name     string
-	most     int     // tasks of the job that the zone rules leave it
-	fresh    bool    // its owner has sent figures lately
-	takes    int     // tasks that it is estimated to have room for
-	room     float64 // summed free room (CPUs)
-	waiting  float64 // CPUs that wait there
-	size     float64 // CPUs of machines that are there, coming or will be rented
-	rentable bool    // it may still get machines of a kind that the job may use
-	maxQueue float64 // CPUs that may wait there though no machine is coming
-	warm     int     // production tasks that need not wait for their image
-	gang     gangFigures
+	shard          string
+	maxTasks       int     // tasks of the job that the zone rules leave it
+	isFresh        bool    // its owner has sent figures lately
+	estimatedTasks int     // tasks that it is estimated to have room for
+	freeCPUs       float64 // summed free room (CPUs)
+	queuedCPUs     float64 // CPUs that wait there
+	totalCPUs      float64 // CPUs of machines that are there, coming or will be rented
+	canScaleOut    bool    // it may still get machines of a kind that the job may use
+	maxQueuedCPUs  float64 // CPUs that may wait there though no machine is coming
+	warmTasks      int     // production tasks that need not wait for their image
+	gang           gangEstimate
 }
 
 // candidates lists the shards that the zone rules allow. ok is false while a new leader
 // has no figures yet and should wait for some.
 func (c *Core) candidates(now time.Time, j *jobState) (list []*candidate, ok bool) {
-	limits := c.caps(j)
+	limits := c.remainingTasksByShard(j)
 	anyFresh := false
-	for _, zone := range c.set.Deployment.Zones {
+	for _, zone := range c.settings.Deployment.Zones {
 		limit, allowed := limits[zone]
 		if !allowed || limit <= 0 {
 			continue
 		}
-		k := &candidate{name: zone, most: limit}
-		if p := c.shards[zone]; now.Sub(p.at) < constants.StaleAggregate {
-			k.take(p, &j.rec.Spec)
+		k := &candidate{shard: zone, maxTasks: limit}
+		if p := c.shards[zone]; now.Sub(p.updatedAt) < constants.AggregateStaleAfter {
+			k.loadAggregate(p, &j.record.Spec)
 			anyFresh = true
 		}
 		list = append(list, k)
 	}
-	if !anyFresh && now.Sub(c.began) < constants.StaleAggregate {
+	if !anyFresh && now.Sub(c.startedAt) < constants.AggregateStaleAfter {
 		return nil, false
 	}
 	return list, len(list) > 0
 }
 
-// take fills in a shard's figures.
-func (k *candidate) take(p *shardState, s *wire.Submission) {
-	a := p.agg
-	k.fresh = true
-	k.waiting = a.WaitingCPUs
-	for _, b := range p.bookings {
-		sub(&a.OnDemand, &a.Spot, b)
-		k.waiting += b.cpus
-		k.size += b.cpus
+// loadAggregate fills in a shard's figures.
+func (k *candidate) loadAggregate(p *shardState, s *wire.Submission) {
+	a := p.aggregate
+	k.isFresh = true
+	k.queuedCPUs = a.WaitingCPUs
+	for _, b := range p.reservations {
+		subtractReservation(&a.OnDemand, &a.Spot, b)
+		k.queuedCPUs += b.cpus
+		k.totalCPUs += b.cpus
 	}
-	k.size += a.Capacity + a.WaitingCPUs
-	k.takes = a.EstimateTasks(s)
-	k.room = a.OnDemand.CPUs.Sum
+	k.totalCPUs += a.Capacity + a.WaitingCPUs
+	k.estimatedTasks = a.EstimateTasks(s)
+	k.freeCPUs = a.OnDemand.CPUs.Sum
 	if s.Spot {
-		k.room += a.Spot.CPUs.Sum
+		k.freeCPUs += a.Spot.CPUs.Sum
 	}
-	k.maxQueue = a.Capacity * constants.QueueShare
-	k.rentable = a.CanScaleOutOnDemand || s.Spot && a.CanScaleOutSpot
-	k.warm = min(p.warmTasks(s), k.takes, k.most)
+	k.maxQueuedCPUs = a.Capacity * constants.MaxQueueShare
+	k.canScaleOut = a.CanScaleOutOnDemand || s.Spot && a.CanScaleOutSpot
+	k.warmTasks = min(p.countWarmTasks(s), k.estimatedTasks, k.maxTasks)
 	if s.IsGang() {
-		k.gang = p.gangFigures(s, k.takes)
+		k.gang = p.estimateGang(s, k.estimatedTasks)
 	}
 }
 
-// warmTasks estimates how many production tasks find their image in a shard.
-func (p *shardState) warmTasks(s *wire.Submission) int {
+// countWarmTasks estimates how many production tasks find their image in a shard.
+func (p *shardState) countWarmTasks(s *wire.Submission) int {
 	if s.Priority != wire.PriorityProduction || s.CPUs <= 0 {
 		return 0
 	}
-	warm := p.agg.Warm[s.Image]
-	for _, b := range p.bookings {
+	warm := p.aggregate.Warm[s.Image]
+	for _, b := range p.reservations {
 		if !b.spot {
 			warm -= b.cpus
 		}
@@ -92,107 +92,107 @@
 	return max(0, int(warm/s.CPUs))
 }
 
-// fits is how many tasks it takes at once, by its room and by the zone rules.
-func (k *candidate) fits() int { return min(k.takes, k.most) }
+// fittingTasks is how many tasks it takes at once, by its room and by the zone rules.
+func (k *candidate) fittingTasks() int { return min(k.estimatedTasks, k.maxTasks) }
 
-// plan spreads n tasks over the shards in the order of the design: of the
+// planIndependentTasks spreads n tasks over the shards in the order of the design: of the
 // shards that take all, the one left with the least summed room; what does not
 // fit goes on to the next. What fits nowhere is kept by the shard that waits
 // least and can still rent.
-func (c *Core) plan(now time.Time, j *jobState, n int) []share {
+func (c *Core) planIndependentTasks(now time.Time, j *jobState, n int) []plannedAssignment {
 	list, ok := c.candidates(now, j)
 	if !ok {
 		return nil
 	}
-	s := &j.rec.Spec
-	rankByRoom(list, n, s.CPUs*float64(n))
-	out, left := giveRoom(list, s, n, j.tries > 2)
+	s := &j.record.Spec
+	rankByFit(list, n, s.CPUs*float64(n))
+	out, left := assignToFreeCapacity(list, s, n, j.reassignments > 2)
 	if left == 0 || s.OneZone && len(out) > 0 {
 		return out
 	}
-	rankByQueue(list)
-	return append(out, giveQueue(list, s, left)...)
+	rankForQueueing(list)
+	return append(out, assignToQueues(list, s, left)...)
 }
 
-// rankByRoom puts shards that take everything first, by least room left after it, then
+// rankByFit puts shards that take everything first, by least room left after it, then
 // the others by what they take. Where production tasks find their image, they start at
 // once, so those shards come before all others.
-func rankByRoom(list []*candidate, n int, need float64) {
+func rankByFit(list []*candidate, n int, need float64) {
 	sort.SliceStable(list, func(a, b int) bool {
 		x, y := list[a], list[b]
-		if x, y := min(x.warm, n), min(y.warm, n); x != y {
+		if x, y := min(x.warmTasks, n), min(y.warmTasks, n); x != y {
 			return x > y
 		}
-		if (x.fits() >= n) != (y.fits() >= n) {
-			return x.fits() >= n
+		if (x.fittingTasks() >= n) != (y.fittingTasks() >= n) {
+			return x.fittingTasks() >= n
 		}
-		if x.fits() >= n {
-			return x.room-need < y.room-need
+		if x.fittingTasks() >= n {
+			return x.freeCPUs-need < y.freeCPUs-need
 		}
-		return x.fits() > y.fits()
+		return x.fittingTasks() > y.fittingTasks()
 	})
 }
 
-// giveRoom gives each shard in turn what it has room for, and returns what is left.
-func giveRoom(list []*candidate, s *wire.Submission, n int, keep bool) (out []share, left int) {
+// assignToFreeCapacity gives each shard in turn what it has room for, and returns what is left.
+func assignToFreeCapacity(list []*candidate, s *wire.Submission, n int, keep bool) (out []plannedAssignment, left int) {
 	left = n
 	for _, k := range list {
-		fits := k.fits()
+		fits := k.fittingTasks()
 		if s.OneZone && fits < left {
 			continue
 		}
 		if t := min(fits, left); t > 0 {
-			out = append(out, share{k.name, t, keep})
-			k.most -= t
+			out = append(out, plannedAssignment{k.shard, t, keep})
+			k.maxTasks -= t
 			left -= t
 		}
 	}
 	return out, left
 }
 
-// rankByQueue is for tasks with no room in sight: whoever can rent and is smallest
+// rankForQueueing is for tasks with no room in sight: whoever can rent and is smallest
 // first, so that the shards grow alike; then whoever has the shortest queue.
-func rankByQueue(list []*candidate) {
+func rankForQueueing(list []*candidate) {
 	sort.SliceStable(list, func(a, b int) bool {
 		x, y := list[a], list[b]
-		if x.fresh != y.fresh {
-			return x.fresh
+		if x.isFresh != y.isFresh {
+			return x.isFresh
 		}
-		if x.rentable != y.rentable {
-			return x.rentable
+		if x.canScaleOut != y.canScaleOut {
+			return x.canScaleOut
 		}
-		if x.rentable {
-			return x.size < y.size
+		if x.canScaleOut {
+			return x.totalCPUs < y.totalCPUs
 		}
-		return x.waiting < y.waiting
+		return x.queuedCPUs < y.queuedCPUs
 	})
 }
 
-// giveQueue gives shards tasks that wait there for room.
-func giveQueue(list []*candidate, s *wire.Submission, left int) (out []share) {
+// assignToQueues gives shards tasks that wait there for room.
+func assignToQueues(list []*candidate, s *wire.Submission, left int) (out []plannedAssignment) {
 	for _, k := range list {
-		if s.OneZone && (k.most < left || len(out) > 0) {
+		if s.OneZone && (k.maxTasks < left || len(out) > 0) {
 			continue
 		}
 		// An owner is not given more than it could rent for in a while: what
 		// waits with it costs it time in every round.
-		t := min(k.most, left, constants.MaxGiven, max(0, int((constants.MaxQueued-k.waiting)/max(s.CPUs, 0.1))))
-		if !k.rentable && k.fresh && !s.IsService() {
+		t := min(k.maxTasks, left, constants.MaxQueuedTasks, max(0, int((constants.MaxQueuedCPUs-k.queuedCPUs)/max(s.CPUs, 0.1))))
+		if !k.canScaleOut && k.isFresh && !s.IsService() {
 			// No machine is to be had: the tasks wait here for the first room
 			// of any shard. A few wait with the owner, so that what falls free
 			// there is taken again at once.
-			t = min(t, int((k.maxQueue-k.waiting)/max(s.CPUs, 0.1)))
+			t = min(t, int((k.maxQueuedCPUs-k.queuedCPUs)/max(s.CPUs, 0.1)))
 		}
 		if t > 0 {
-			out = append(out, share{k.name, t, true})
+			out = append(out, plannedAssignment{k.shard, t, true})
 			left -= t
 		}
 	}
 	return out
 }
 
-// sub takes a booking off the free room.
-func sub(ord, spot *FreeCapacity, b booking) {
+// subtractReservation takes a booking off the free room.
+func subtractReservation(ord, spot *FreeCapacity, b capacityReservation) {
 	r := ord
 	if b.spot && spot.CPUs.Sum >= b.cpus {
 		r = spot
@@ -202,18 +202,18 @@
 	r.Memory.Sum -= b.mem
 }
 
-// caps says how many more tasks of a job each allowed shard may take, by the
+// remainingTasksByShard says how many more tasks of a job each allowed shard may take, by the
 // job's zone rules, counting every task that may be running.
-func (c *Core) caps(j *jobState) map[string]int {
-	s := &j.rec.Spec
+func (c *Core) remainingTasksByShard(j *jobState) map[string]int {
+	s := &j.record.Spec
 	held := map[string]int{}
-	for _, ch := range j.rec.Assignments {
+	for _, ch := range j.record.Assignments {
 		if !ch.Closed {
 			held[ch.Shard] += ch.Tasks()
 		}
 	}
 	out := map[string]int{}
-	for _, z := range c.set.Deployment.Zones {
+	for _, z := range c.settings.Deployment.Zones {
 		if s.Zone != "" && s.Zone != z {
 			continue
 		}
--- a/leader/scale_test.go
+++ b/leader/scale_test.go
@@ -22,13 +22,13 @@
 		}
 		recs[s.ID], versions[s.ID] = &records.Job{ID: s.ID, Spec: s, AcceptedMS: now.UnixMilli() - int64(i)*100}, uint64(10+i)
 	}
-	c := New(facts(), 5, now, recs, versions)
+	c := New(testSettings(), 5, now, recs, versions)
 	c.SetAuthority(now.Add(time.Hour))
 	for _, p := range []string{"a", "b", "c"} {
-		c.ApplyAggregate(now, figures(p, 1, 6400, 400))
+		c.ApplyAggregate(now, testAggregate(p, 1, 6400, 400))
 	}
 	// A round may be cut off by its budget on a slow machine.
-	for i := 0; i < 1000 && (c.urgent < constants.MaxUrgent || c.flying < constants.MaxAssignments); i++ {
+	for i := 0; i < 1000 && (c.urgentInFlight < constants.MaxUrgentInFlight || c.inFlight < constants.MaxAssignmentsInFlight); i++ {
 		c.Step(now)
 	}
 	return c, now
@@ -47,7 +47,7 @@
 // what waits: it allocates nothing for a job.
 func TestBacklogStepAllocatesLittle(t *testing.T) {
 	c, now := backlog(600)
-	if c.urgent == 0 || c.flying == 0 {
+	if c.urgentInFlight == 0 || c.inFlight == 0 {
 		t.Fatal("nothing is under way")
 	}
 	n := testing.AllocsPerRun(50, func() {
--- a/leader/usage.go
+++ b/leader/usage.go
@@ -2,79 +2,85 @@
 
 import "ravenport/wire"
 
-// amount is what counts against a team's guarantee and limit.
-type amount struct{ cpus, gpus float64 }
+// quotaAmount is what counts against a team's guarantee and limit.
+type quotaAmount struct{ cpus, gpus float64 }
 
-// amountOf is what n tasks of a job take.
-func amountOf(s *wire.Submission, n int) amount {
-	return amount{float64(n) * s.CPUs, float64(n) * s.GPUs}
+// quotaOf is what n tasks of a job take.
+func quotaOf(s *wire.Submission, n int) quotaAmount {
+	return quotaAmount{float64(n) * s.CPUs, float64(n) * s.GPUs}
 }
 
-func (a amount) plus(b amount) amount { return amount{a.cpus + b.cpus, a.gpus + b.gpus} }
+func (a quotaAmount) plus(b quotaAmount) quotaAmount {
+	return quotaAmount{a.cpus + b.cpus, a.gpus + b.gpus}
+}
 
-func (a amount) minus(b amount) amount { return amount{a.cpus - b.cpus, a.gpus - b.gpus} }
+func (a quotaAmount) minus(b quotaAmount) quotaAmount {
+	return quotaAmount{a.cpus - b.cpus, a.gpus - b.gpus}
+}
 
 // larger is the larger of both, each by itself.
-func (a amount) larger(b amount) amount { return amount{max(a.cpus, b.cpus), max(a.gpus, b.gpus)} }
+func (a quotaAmount) larger(b quotaAmount) quotaAmount {
+	return quotaAmount{max(a.cpus, b.cpus), max(a.gpus, b.gpus)}
+}
 
-// count keeps the sum of what a team's open assignments may take. Only durable
+// setOpenQuota keeps the sum of what a team's open assignments may take. Only durable
 // evidence frees room: an assignment counts until it is closed.
-func (c *Core) count(j *jobState, open amount) {
-	c.add(j.rec.Spec.Team, j.open, open)
-	j.open = open
+func (c *Core) setOpenQuota(j *jobState, open quotaAmount) {
+	c.replaceUsedQuota(j.record.Spec.Team, j.openQuota, open)
+	j.openQuota = open
 }
 
-// reserve notes what an assignment under way may take.
-func (c *Core) reserve(id, team string, r amount) {
-	c.add(team, c.reserved[id], r)
-	if r == (amount{}) {
-		delete(c.reserved, id)
+// setReservedQuota notes what an assignment under way may take.
+func (c *Core) setReservedQuota(id, team string, r quotaAmount) {
+	c.replaceUsedQuota(team, c.reservedQuota[id], r)
+	if r == (quotaAmount{}) {
+		delete(c.reservedQuota, id)
 	} else {
-		c.reserved[id] = r
+		c.reservedQuota[id] = r
 	}
 }
 
-func (c *Core) add(team string, was, is amount) {
-	c.use[team] = c.use[team].minus(was).plus(is)
+func (c *Core) replaceUsedQuota(team string, was, is quotaAmount) {
+	c.usedQuota[team] = c.usedQuota[team].minus(was).plus(is)
 }
 
-// teamUse is what a team's open assignments may take, assignments of jobs other
+// quotaUsedByOthers is what a team's open assignments may take, assignments of jobs other
 // than one under way included.
-func (c *Core) teamUse(team, except string) amount {
-	return c.use[team].minus(c.reserved[except])
+func (c *Core) quotaUsedByOthers(team, except string) quotaAmount {
+	return c.usedQuota[team].minus(c.reservedQuota[except])
 }
 
-// admit says how many of n more tasks a team's limit allows.
-func (c *Core) admit(s *wire.Submission, n int) int {
-	t := c.set.Team(s.Team)
+// tasksWithinLimit says how many of n more tasks a team's limit allows.
+func (c *Core) tasksWithinLimit(s *wire.Submission, n int) int {
+	t := c.settings.Team(s.Team)
 	if t == nil || t.CPUsMax <= 0 && t.GPUsMax <= 0 {
 		return n
 	}
-	used := c.teamUse(s.Team, s.ID)
+	used := c.quotaUsedByOthers(s.Team, s.ID)
 	if t.CPUsMax > 0 {
-		n = within(n, t.CPUsMax-used.cpus, s.CPUs)
+		n = tasksThatFit(n, t.CPUsMax-used.cpus, s.CPUs)
 	}
 	if t.GPUsMax > 0 {
-		n = within(n, t.GPUsMax-used.gpus, s.GPUs)
+		n = tasksThatFit(n, t.GPUsMax-used.gpus, s.GPUs)
 	}
 	return max(n, 0)
 }
 
-// within is how many of n tasks fit what is left of one resource.
-func within(n int, left, each float64) int {
+// tasksThatFit is how many of n tasks fit what is left of one resource.
+func tasksThatFit(n int, left, each float64) int {
 	if each <= 0 {
 		return n
 	}
 	return min(n, int(left/each+1e-6))
 }
 
-// guaranteed is how many more tasks of a job fit its team's guarantee beside
+// tasksWithinGuarantee is how many more tasks of a job fit its team's guarantee beside
 // the team's other open work.
-func (c *Core) guaranteed(s *wire.Submission) int {
-	t := c.set.Team(s.Team)
+func (c *Core) tasksWithinGuarantee(s *wire.Submission) int {
+	t := c.settings.Team(s.Team)
 	if t == nil || t.CPUs <= 0 && t.GPUs <= 0 {
 		return 0
 	}
-	used := c.teamUse(s.Team, s.ID)
-	return max(within(within(s.Tasks, t.CPUs-used.cpus, s.CPUs), t.GPUs-used.gpus, s.GPUs), 0)
+	used := c.quotaUsedByOthers(s.Team, s.ID)
+	return max(tasksThatFit(tasksThatFit(s.Tasks, t.CPUs-used.cpus, s.CPUs), t.GPUs-used.gpus, s.GPUs), 0)
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -467,7 +467,7 @@
 	if share := s.Deployment.Limits.CPU; share <= 0 || share >= 1 {
 		return constants.RoundBudget
 	}
-	return s.onShare(constants.RoundBudget, constants.RoundBudgetMost)
+	return s.onShare(constants.RoundBudget, constants.MaxRoundBudget)
 }
 
 // CloudShare is how many calls a second this controller makes of the cloud.
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -195,7 +195,7 @@
 // A round may have the same processor time on a part of a processor, within bounds.
 func TestRoundBudgetFollowsTheShare(t *testing.T) {
 	var s Settings
-	for share, want := range map[float64]time.Duration{0: 5 * time.Millisecond, 4: 5 * time.Millisecond, 1: 5 * time.Millisecond, 0.5: 10 * time.Millisecond, 0.01: constants.RoundBudgetMost} {
+	for share, want := range map[float64]time.Duration{0: 5 * time.Millisecond, 4: 5 * time.Millisecond, 1: 5 * time.Millisecond, 0.5: 10 * time.Millisecond, 0.01: constants.MaxRoundBudget} {
 		s.Deployment.Limits.CPU = share
 		if got := s.RoundBudget(); got != want {
 			t.Errorf("with %g of a processor: %s, wanted %s", share, got, want)
--- a/shard/elsewhere.go
+++ b/shard/elsewhere.go
@@ -20,7 +20,7 @@
 		}
 	}
 	for _, o := range f.others {
-		if now.Sub(o.at) < constants.StaleAggregate && o.agg.Warm[s.Image] >= s.CPUs {
+		if now.Sub(o.at) < constants.AggregateStaleAfter && o.agg.Warm[s.Image] >= s.CPUs {
 			return true
 		}
 	}
@@ -40,7 +40,7 @@
 	s := &rec.Spec
 	n := 0
 	for _, o := range f.others {
-		if now.Sub(o.at) < constants.StaleAggregate && (s.Zone == "" || s.Zone == o.agg.Shard) {
+		if now.Sub(o.at) < constants.AggregateStaleAfter && (s.Zone == "" || s.Zone == o.agg.Shard) {
 			n += o.agg.EstimateTasks(s)
 		}
 	}
--- a/shard/forecast.go
+++ b/shard/forecast.go
@@ -62,14 +62,14 @@
 // held says whether the done tasks of a job keep others of its team waiting for
 // their limit, as the leader has it.
 func (c *capacity) held(now time.Time, j *job) bool {
-	return j.gang == nil && j.rec.End == "" && now.Sub(c.forecastAt) <= constants.ForecastLife && slices.Contains(c.forecast.TeamsAtLimit, j.rec.Spec.Team)
+	return j.gang == nil && j.rec.End == "" && now.Sub(c.forecastAt) <= constants.ForecastTTL && slices.Contains(c.forecast.TeamsAtLimit, j.rec.Spec.Team)
 }
 
 // foreseen is how much work (CPUs) is still to come of what the leader forecast,
 // and a task that stands for it. What was forecast before is as good as nothing.
 func (c *capacity) foreseen(now time.Time, spot bool) (*wire.Submission, float64) {
 	s := &wire.Submission{Spot: spot, CPUs: 1}
-	if now.Sub(c.forecastAt) > constants.ForecastLife {
+	if now.Sub(c.forecastAt) > constants.ForecastTTL {
 		c.since = nil
 		return s, 0
 	}
--- a/shard/gang.go
+++ b/shard/gang.go
@@ -272,7 +272,7 @@
 	back := now.Sub(j.backAt) > constants.KeepWait && !shared(j.rec, c.cfg.Shard)
 	// Where it has waited for long and the cloud has no more, no shard may hold it
 	// whole: then the leader spreads it, if it may.
-	apart := !ok && !s.OneZone && s.Zone == "" && waited > constants.KeepWait && leader.Overdue(now, j.rec, false)
+	apart := !ok && !s.OneZone && s.Zone == "" && waited > constants.KeepWait && leader.IsOverdue(now, j.rec, false)
 	if back && ((!ok || waited > constants.GangPatience) && c.takesGang(now, s) || apart) {
 		slog.Info("gang goes back to the leader", "job", s.ID, "spread", apart)
 		c.sendBackGang(now, j)
@@ -290,7 +290,7 @@
 // takesGang says whether another shard is known to take all of a gang now.
 func (f *figures) takesGang(now time.Time, s *wire.Submission) bool {
 	for _, o := range f.others {
-		if now.Sub(o.at) < constants.StaleAggregate && (s.Zone == "" || s.Zone == o.agg.Shard) && o.agg.Gangs[leader.GangShape(s)].Now >= s.Tasks {
+		if now.Sub(o.at) < constants.AggregateStaleAfter && (s.Zone == "" || s.Zone == o.agg.Shard) && o.agg.Gangs[leader.GangShape(s)].Now >= s.Tasks {
 			return true
 		}
 	}
--- a/shard/place.go
+++ b/shard/place.go
@@ -134,7 +134,7 @@
 	s := &j.rec.Spec
 	n := need(s)
 	d := demandOf(s)
-	overdue := leader.Overdue(now, j.rec, j.begun)
+	overdue := leader.IsOverdue(now, j.rec, j.begun)
 	full := r.known(r.full, d, n)
 	if full && r.nothingToStop(j, d, n) && !(overdue && !r.crowded) && (s.Priority != wire.PriorityProduction || s.Spread && s.Tasks > 1) {
 		return // nothing can come of a look at its tasks
@@ -156,7 +156,7 @@
 		tasks = kept
 	}
 	if !s.IsService() && overdue {
-		tasks = tasks[:min(len(tasks), leader.OverdueShare(s.Tasks))]
+		tasks = tasks[:min(len(tasks), leader.OverdueBatch(s.Tasks))]
 	}
 	var fit []*machine
 	if !full {
@@ -228,7 +228,7 @@
 		return
 	}
 	slog.Info("keeping room for a job that waits", "job", s.ID, "machine", best.name)
-	best.keptFor, best.keptUntil = j, now.Add(constants.CollectFor)
+	best.keptFor, best.keptUntil = j, now.Add(constants.CapacityHoldTime)
 }
 
 // letGo ends the keeping of room that was used or not used in time.
