--- a/shard/assignments.go
+++ b/shard/assignments.go
@@ -223,3 +223,9 @@
 		return
 	}
 }
+
+// check says that a job's assignments may have something to record.
+func (s *closings) check(j *job) {
+	s.toClose[j.rec.ID] = j
+	j.changed = true
+}
--- a/shard/direct.go
+++ b/shard/directcommands.go
@@ -90,30 +90,6 @@
 	return m.session == 0 && m.wantCommand || v.questionable(now, m)
 }
 
-// sendOrders sends a machine what it should do, if there is anything.
-func (q *outgoing) sendOrders(v *fleetView, now time.Time, m *machine) {
-	if commands := v.orders(now, m, false); len(commands) > 0 {
-		q.call(v, now, m, commands)
-	}
-}
-
-// call makes a direct command.
-func (q *outgoing) call(v *fleetView, now time.Time, m *machine, commands []wire.Command) {
-	m.inFlight = true
-	q.inFlight++
-	m.nextDirect = now.Add(constants.RepeatCommand / 4)
-	req := wire.CommandRequest{FencingToken: v.token(m), Epoch: max(m.session, 1), Commands: commands}
-	q.actions = append(q.actions, SendCommands{Machine: m.name, Addr: m.addr, Request: req})
-}
-
-// landed notes that a direct command to a machine is no longer under way.
-func (q *outgoing) landed(m *machine) {
-	if m.inFlight {
-		m.inFlight = false
-		q.inFlight--
-	}
-}
-
 // questionable says whether a machine is asked directly: an inherited one for
 // what is on it, once it had the time to report by itself, one that missed its
 // report whether it still is there, one whose lease ended unheard whether it is
@@ -144,3 +120,66 @@
 	}
 	return false
 }
+
+// sendOrders sends a machine what it should do, if there is anything.
+func (q *outgoing) sendOrders(v *fleetView, now time.Time, m *machine) {
+	if commands := v.orders(now, m, false); len(commands) > 0 {
+		q.call(v, now, m, commands)
+	}
+}
+
+// call makes a direct command.
+func (q *outgoing) call(v *fleetView, now time.Time, m *machine, commands []wire.Command) {
+	m.inFlight = true
+	q.inFlight++
+	m.nextDirect = now.Add(constants.RepeatCommand / 4)
+	req := wire.CommandRequest{FencingToken: v.token(m), Epoch: max(m.session, 1), Commands: commands}
+	q.actions = append(q.actions, SendCommands{Machine: m.name, Addr: m.addr, Request: req})
+}
+
+// landed notes that a direct command to a machine is no longer under way.
+func (q *outgoing) landed(m *machine) {
+	if m.inFlight {
+		m.inFlight = false
+		q.inFlight--
+	}
+}
+
+// CommandResult takes in what came of a direct command. r is nil without an
+// answer; the commands may then still be carried out.
+func (c *Core) CommandResult(now time.Time, name string, r *wire.Heartbeat) {
+	m := c.machines[name]
+	if m == nil {
+		return
+	}
+	c.landed(m)
+	if r == nil {
+		m.unanswered++
+		m.unheeded++
+		m.nextDirect = now.Add(constants.RepeatCommand)
+		if !m.up || c.questionable(now, m) {
+			m.nextDirect = now // a takeover waits for it, or what was on it
+		}
+		c.requestConfirmation(now, m)
+		return
+	}
+	c.outranked(r)
+	if r.Machine != name || c.deposed || !m.isNew(r) {
+		return
+	}
+	c.arrive(now, m, r)
+	c.absorb(now, m, r, false)
+	c.dirty = c.dirty || c.freed
+	// It answered a call: commands do reach it. But only a report of its own
+	// renews its lease, so an answer does not count for one, except at first.
+	m.unanswered, m.unheeded = 0, 0
+	if m.heard.IsZero() {
+		m.heard = now
+	}
+	if c.overdueReport(now, m) {
+		m.nextDirect = now.Add(c.cfg.HeartbeatPeriod / 2)
+	}
+	if m.unconfirmed() && m.token >= m.confirmingToken {
+		c.trust(m)
+	}
+}
--- a/shard/jobs.go
+++ b/shard/jobrecords.go
@@ -115,88 +115,9 @@
 	c.dirty, c.pushDirty = true, true
 }
 
-// adoptKnown looks for a task that is already known to be on a machine.
-func (c *Core) adoptKnown(t *task) {
-	for _, h := range c.byTask[taskKey{t.job.rec.ID, t.index}] {
-		h.fill(t.job)
-		c.matchHold(t, h)
-	}
-}
-
-// wanted says whether an attempt is the one its task should have.
-func (k *knowledge) wanted(h *hold) bool {
-	t := k.taskOf(h)
-	return t != nil && t.hold == h && !t.done && !h.stop && t.job.rec.End == ""
-}
-
-func (k *knowledge) taskOf(h *hold) *task {
-	j := k.jobs[h.jobID]
-	if j == nil {
-		return nil
-	}
-	return j.tasks[h.index]
-}
-
-// fill takes in what the job says of its tasks.
-func (h *hold) fill(j *job) {
-	s := &j.rec.Spec
-	h.needs, h.image = need(s), s.Image
-	h.instant = s.CheckpointS == 0
-	h.m.stale = true
-}
-
-// release takes an attempt that is surely gone off its machine and its task.
-func (c *Core) release(now time.Time, h *hold) {
-	c.dropHold(h)
-	if !h.exited() {
-		c.dirty = true
-	}
-	c.pushDirty = true
-	if j := c.jobs[h.jobID]; j != nil {
-		if t := j.tasks[h.index]; t != nil && t.hold == h {
-			t.hold = nil
-			t.waitSince = now
-			t.keep = false // lost its machine: what does not fit here goes up at once
-			if j.gang != nil {
-				c.lostOne(j, h)
-			}
-		}
-		c.touch(j)
-		c.check(j)
-	}
-}
-
-// releaseAll is release for all that was on a machine.
-func (c *Core) releaseAll(now time.Time, m *machine) {
-	for len(m.holds) > 0 {
-		c.release(now, m.holds[len(m.holds)-1])
-	}
-}
-
-// matchHold brings a task in line with an attempt that a report showed.
-func (c *Core) matchHold(t *task, h *hold) {
-	h.m.stale = true
-	c.touch(t.job)
-	if t.job.gang != nil {
-		c.matchGang(t, h)
-		return
-	}
-	if h.exited() {
-		if h.cause == wire.CauseDone && !t.job.rec.Spec.IsService() {
-			t.done = true
-			t.uncertain = false
-		}
-		if t.hold == h {
-			t.hold = nil
-		}
-		c.check(t.job)
-		return
-	}
-	if t.hold == nil && !t.done {
-		t.hold = h
-		// Only a machine that shows this term's token speaks of now. A late copy
-		// may name a machine that the task has left since, for another that has
-		// not reported yet.
-		t.uncertain = t.uncertain && !h.m.verified(c.term)
-	}
+// given is work that a record brought.
+type given struct {
+	version uint64
+	spot    bool
+	cpus    float64
 }
--- /dev/null
+++ b/shard/summary.go
@@ -0,0 +1,55 @@
+package shard
+
+import "time"
+
+// Summary is an owner's view of its shard, for operators.
+type Summary struct {
+	Rebuilt          bool    `json:"rebuilt"`
+	Up               int     `json:"machines_up"`
+	Spot             int     `json:"machines_spot"`
+	Booting          int     `json:"machines_booting"`
+	Silent           int     `json:"machines_silent"`
+	Unconfirmed      int     `json:"machines_in_doubt"` // heard, but not known to hear
+	Draining         int     `json:"machines_draining"`
+	ScalingIn        int     `json:"machines_returning"`
+	ActiveAttempts   int     `json:"attempts"` // tasks that are, or may be, on machines
+	Waiting          int     `json:"tasks_waiting"`
+	WaitingCPUs      float64 `json:"waiting_cpus"`
+	RefusedSpot      bool    `json:"spot_refused"` // the cloud had none a moment ago
+	RefusedOnDemand  bool    `json:"ordinary_refused"`
+	Unreachable      bool    `json:"out_of_reach"` // all its machines together
+	ReservedForGangs float64 `json:"cpus_kept_for_gangs"`
+}
+
+// Summary counts what the owner knows.
+func (c *Core) Summary(now time.Time) Summary {
+	s := Summary{Rebuilt: c.rebuilt, WaitingCPUs: c.unplaced.cpus, RefusedSpot: now.Before(c.refused[true]), RefusedOnDemand: now.Before(c.refused[false]), Unreachable: c.isUnreachable, ReservedForGangs: c.gangNeed}
+	for _, m := range c.fleet {
+		switch {
+		case m.returning:
+			s.ScalingIn++
+		case !m.up:
+			s.Booting++
+		default:
+			s.Up++
+			if m.spot {
+				s.Spot++
+			}
+			if c.silent(now, m) {
+				s.Silent++
+			}
+			if m.unconfirmed() {
+				s.Unconfirmed++
+			}
+			if m.draining {
+				s.Draining++
+			}
+		}
+		s.ActiveAttempts += c.sumsOf(m).live
+	}
+	c.refresh(&c.fleetView)
+	for j := range c.waiting {
+		s.Waiting += len(j.waiting)
+	}
+	return s
+}
--- /dev/null
+++ b/shard/waiting.go
@@ -0,0 +1,62 @@
+package shard
+
+import (
+	"sort"
+	"time"
+)
+
+// touch says that a job's tasks have changed, so that a round's cost follows
+// what changed.
+func (p *placement) touch(j *job) {
+	if !j.stale {
+		j.stale = true
+		p.touched = append(p.touched, j)
+	}
+}
+
+// refresh brings the lists of waiting tasks up to date.
+func (p *placement) refresh(v *fleetView) {
+	for _, j := range p.touched {
+		j.stale = false
+		j.waiting, j.begun = j.waiting[:0], false
+		for i := range j.rec.Assignments {
+			j.begun = j.begun || j.rec.Assignments[i].Closed
+		}
+		if v.jobs[j.rec.ID] == j && j.rec.End == "" {
+			for _, t := range j.tasks {
+				j.begun = j.begun || t.done || t.hold != nil
+				if t.waiting() {
+					j.waiting = append(j.waiting, t)
+				}
+			}
+		}
+		if len(j.waiting) == 0 {
+			delete(p.waiting, j)
+			continue
+		}
+		sort.Slice(j.waiting, func(a, b int) bool {
+			x, y := j.waiting[a], j.waiting[b]
+			if x.guarantee != y.guarantee {
+				return x.guarantee
+			}
+			return x.index < y.index
+		})
+		p.waiting[j] = true
+	}
+	p.touched = p.touched[:0]
+}
+
+// ready lists a job's waiting tasks that may start now.
+func (k *knowledge) ready(now time.Time, j *job) []*task { return k.appendReady(nil, now, j) }
+
+// appendReady is ready for rounds, which look at one job after the other: the list
+// of the last one makes room for the next.
+func (k *knowledge) appendReady(out []*task, now time.Time, j *job) []*task {
+	for _, t := range j.waiting {
+		// A stray attempt must be gone first.
+		if t.waiting() && !now.Before(t.notBefore) && !k.somewhere(j.rec.ID, t.index) {
+			out = append(out, t)
+		}
+	}
+	return out
+}
