--- a/cmd/ravenport/drain.go
+++ b/cmd/ravenport/drain.go
@@ -19,6 +19,7 @@
 	"ravenport/peer"
 	"ravenport/records"
 	"ravenport/settings"
+	"ravenport/settings/load"
 )
 
 // drainFlags are the flags of the drain commands.
@@ -143,7 +144,7 @@
 	case f.config == "":
 		return "", &settings.FieldError{Field: "controller", Problem: "is missing; give --controller or --config"}
 	}
-	set, err := settings.Load(f.config, "")
+	set, err := load.Settings(f.config, "")
 	if err != nil {
 		return "", err
 	}
--- a/cmd/ravenport/main.go
+++ b/cmd/ravenport/main.go
@@ -17,6 +17,7 @@
 	"ravenport/constants"
 	"ravenport/controller"
 	"ravenport/settings"
+	"ravenport/settings/load"
 )
 
 // version is the release; a build may set it.
@@ -39,7 +40,7 @@
 // flags adds the flags that name the settings files to a command.
 func (f *files) flags(cmd *cobra.Command) {
 	cmd.Flags().StringVar(&f.config, "config", "", "path of the platform's settings file (TOML)")
-	cmd.Flags().StringVar(&f.properties, "properties", "", "path of the operators' own settings (Java-style properties;\ndefault: "+settings.PropertiesName+" beside the settings file, if there)")
+	cmd.Flags().StringVar(&f.properties, "properties", "", "path of the operators' own settings (Java-style properties;\ndefault: "+load.PropertiesName+" beside the settings file, if there)")
 	cmd.Flags().StringVar(&f.detection, "failure-detection", "", "path of the settings of failure detection (Java-style properties;\nwithout it there is none)")
 	cmd.Flags().StringVar(&f.duties, "duties", "", "path of the settings of duties (Java-style properties;\nwithout it they are done as ever)")
 	cmd.Flags().StringVar(&f.draining, "draining", "", "path of the settings of drains and budgets (Java-style properties;\nwithout it there are none)")
@@ -50,15 +51,15 @@
 
 // load reads and checks the files.
 func (f *files) load() (*settings.Settings, error) {
-	set, err := settings.Load(f.config, f.properties)
+	set, err := load.Settings(f.config, f.properties)
 	if err == nil && f.detection != "" {
-		set.Detection, err = settings.LoadDetection(f.detection)
+		set.Detection, err = load.Detection(f.detection)
 	}
 	if err == nil && f.duties != "" {
-		set.Duties, err = settings.LoadDuties(f.duties)
+		set.Duties, err = load.Duties(f.duties)
 	}
 	if err == nil && f.draining != "" {
-		err = set.LoadDraining(f.draining)
+		set.Draining, err = load.Draining(f.draining, set)
 	}
 	return set, err
 }
--- a/controller/standin_detection_test.go
+++ b/controller/standin_detection_test.go
@@ -10,7 +10,7 @@
 	"ravenport/httpwire"
 	"ravenport/peer"
 	"ravenport/records"
-	"ravenport/settings"
+	"ravenport/settings/load"
 	"ravenport/wire"
 )
 
@@ -77,7 +77,7 @@
 
 // detect switches failure detection on at a controller that is started after this.
 func (n *simNode) detect() {
-	d, err := settings.ParseDetection(nil)
+	d, err := load.ParseDetection(nil)
 	if err != nil {
 		panic(err)
 	}
--- a/controller/standin_draining_test.go
+++ b/controller/standin_draining_test.go
@@ -12,6 +12,7 @@
 	"ravenport/peer"
 	"ravenport/records"
 	"ravenport/settings"
+	"ravenport/settings/load"
 	"ravenport/shard"
 	"ravenport/wire"
 )
@@ -144,7 +145,7 @@
 // drainTo switches draining on at all controllers, under these settings.
 func (w *world) drainTo(text string) {
 	for _, n := range w.nodes {
-		d, err := n.set.ParseDraining([]byte(text))
+		d, err := load.ParseDraining([]byte(text), n.set)
 		if err != nil {
 			panic(err)
 		}
@@ -398,7 +399,7 @@
 
 // parseDraining reads settings of drains for a controller.
 func (n *simNode) parseDraining(text string) *settings.Draining {
-	d, err := n.set.ParseDraining([]byte(text))
+	d, err := load.ParseDraining([]byte(text), n.set)
 	if err != nil {
 		panic(err)
 	}
--- a/controller/standin_test.go
+++ b/controller/standin_test.go
@@ -15,6 +15,7 @@
 	"ravenport/kvstore"
 	"ravenport/peer"
 	"ravenport/settings"
+	"ravenport/settings/load"
 	"ravenport/shard"
 	"ravenport/wire"
 )
@@ -219,7 +220,7 @@
 		if seed%2 == 1 { // as if on small machines, which take over a second shard late
 			b.WriteString("[facts.machine_limits]\ncpu = 0.09\n")
 		}
-		set, err := settings.Parse([]byte(b.String()))
+		set, err := load.ParseSettings([]byte(b.String()))
 		if err != nil {
 			panic(err)
 		}
--- /dev/null
+++ b/settings/limits.go
@@ -0,0 +1,104 @@
+package settings
+
+import (
+	"math"
+	"time"
+
+	"ravenport/constants"
+	"ravenport/records"
+)
+
+// bytesPerKB converts the store's size of a value.
+const bytesPerKB = 1024
+
+// StoreLimits are the smaller of the store's present and later limits: whatever keeps
+// within them can be written whenever the later ones come into force.
+func (s *Settings) StoreLimits() StoreLimits {
+	limits := s.Deployment.Store.StoreLimits
+	next := s.Deployment.Store.Next
+	lower(&limits.RPS, next.RPS)
+	lower(&limits.WriteRPS, next.WriteRPS)
+	lower(&limits.ValueKB, next.ValueKB)
+	lower(&limits.TxnOps, next.TxnOps)
+	return limits
+}
+
+// lower lowers a limit to a later one, if there is one that is smaller.
+func lower[N int | float64](limit, next *N) {
+	if next != nil {
+		*limit = min(*limit, *next)
+	}
+}
+
+// ValueBytes is the store's limit on a value, now and later (bytes).
+func (s *Settings) ValueBytes() int { return int(s.StoreLimits().ValueKB * bytesPerKB) }
+
+// RecordSizeLimits are the limits on a job's record, now and later.
+func (s *Settings) RecordSizeLimits() records.SizeLimits {
+	return records.SizeLimits{
+		Now:  int(s.Deployment.Store.ValueKB * bytesPerKB),
+		Next: s.ValueBytes(),
+	}
+}
+
+// Sockets divides the machine's sockets: how many the server may use, and how many
+// direct commands a shard's owner may have in flight if this controller owned all shards.
+func (s *Settings) Sockets() (front, commands int) {
+	limit := s.Deployment.Limits.MaxConnections
+	if limit <= 0 {
+		limit = 4 * constants.ReservedSockets
+	}
+	reserved := min(max(constants.ReservedSockets, limit/constants.ReservedShare), limit/2)
+	commands = (reserved - constants.OwnSockets) / max(1, len(s.Deployment.Zones))
+	return limit - reserved, min(max(commands, constants.CommandsLeast), constants.CommandFanout)
+}
+
+// WatchInterval is the least time between two watches of one controller, and between two
+// reads of the revision: together they use up to their share of the store's requests,
+// which all controllers have together.
+func (s *Settings) WatchInterval() time.Duration {
+	rps := max(s.StoreLimits().RPS, 1) * constants.ReadShare / s.controllerCount()
+	return min(max(Seconds(1/rps), constants.ReadGapMin), constants.ReadGapMax)
+}
+
+// CloudShare is how many calls a second this controller may make to the cloud.
+func (s *Settings) CloudShare() float64 {
+	share := max(constants.CloudShare, 1/s.controllerCount())
+	return max(s.Deployment.Cloud.RPS, 0.1) * share
+}
+
+// CloudCallInterval is the time that two calls take of this controller's calls to the
+// cloud.
+func (s *Settings) CloudCallInterval() time.Duration { return Seconds(2 / s.CloudShare()) }
+
+// controllerCount is the number of controllers, this one included.
+func (s *Settings) controllerCount() float64 { return float64(1 + len(s.Peers)) }
+
+// Processors is how many processors the machine's share of them can keep busy at once;
+// 0: the settings do not say.
+func (s *Settings) Processors() int { return int(math.Ceil(max(0, s.Deployment.Limits.CPU))) }
+
+// SecondShardWait is how long a controller that owns a shard leaves another vacant one to
+// others: the time that its failover would keep this machine's share of a processor busy.
+// Without such a share there is nothing to wait for.
+func (s *Settings) SecondShardWait() time.Duration {
+	if s.Deployment.Limits.CPU <= 0 {
+		return 0
+	}
+	return s.processorTime(constants.FailoverCPUTime, constants.MaxSecondShardDelay)
+}
+
+// RoundBudget is how long a round of decisions may take: as much processor time as the
+// same round may have on a whole processor, of which this machine has a share.
+func (s *Settings) RoundBudget() time.Duration {
+	if share := s.Deployment.Limits.CPU; share <= 0 || share >= 1 {
+		return constants.RoundBudget
+	}
+	return s.processorTime(constants.RoundBudget, constants.MaxRoundBudget)
+}
+
+// processorTime is how long an amount of processor time takes on this machine's share of
+// a processor, and at most the bound.
+func (s *Settings) processorTime(work, most time.Duration) time.Duration {
+	return min(time.Duration(float64(work)/s.Deployment.Limits.CPU), most)
+}
--- a/settings/detection_test.go
+++ b/settings/load/detection_test.go
@@ -1,20 +1,21 @@
-package settings
+package load
 
 import (
-	"errors"
 	"os"
 	"path/filepath"
 	"testing"
 	"time"
+
+	"ravenport/settings"
 )
 
 // The file that is shipped says what the defaults are.
 func TestShippedDetectionFile(t *testing.T) {
-	d, err := LoadDetection("../deploy/failure-detection.properties")
+	d, err := Detection("../../deploy/failure-detection.properties")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := defaultDetection(); *d != want {
+	if want := settings.DefaultDetection(); *d != want {
 		t.Errorf("%+v, not %+v", *d, want)
 	}
 }
@@ -42,20 +43,15 @@
 		"detection.history.path = /nowhere/at/all\ndetection.revoke = maybe": "detection.revoke",
 	} {
 		_, err := ParseDetection([]byte(text))
-		var bad *FieldError
-		if !errors.As(err, &bad) || bad.Field != field {
-			t.Errorf("%q: %v", text, err)
-		}
+		wantFieldError(t, err, field, text)
 	}
 	path := filepath.Join(t.TempDir(), "file")
-	if err := os.WriteFile(path, []byte("detection.history.path = /nowhere/at/all"), 0o600); err != nil {
+	const line = "detection.history.path = /nowhere/at/all"
+	if err := os.WriteFile(path, []byte(line), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	var bad *FieldError
-	if _, err := LoadDetection(path); !errors.As(err, &bad) || bad.Field != "detection.history.path" {
-		t.Errorf("%v", err)
-	}
-	if _, err := LoadDetection(path + ".not"); !errors.As(err, &bad) {
-		t.Errorf("%v", err)
-	}
+	_, err = Detection(path)
+	wantFieldError(t, err, "detection.history.path", line)
+	_, err = Detection(path + ".not")
+	wantFieldError(t, err, path+".not", "no file")
 }
--- /dev/null
+++ b/settings/load/draining.go
@@ -0,0 +1,193 @@
+package load
+
+import (
+	"errors"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/magiconair/properties"
+
+	"ravenport/disruption"
+	"ravenport/drain"
+	"ravenport/settings"
+	"ravenport/window"
+)
+
+// unlimited stands in place of a number where there is no budget.
+const unlimited = "unlimited"
+
+// Bounds of the settings of drains.
+const (
+	longestDrainWait   = 24 * time.Hour
+	maxParallelPercent = 100
+)
+
+var failureBounds = intBounds{1, 1000}
+
+// Draining reads the file of drains and checks it against the deployment of s.
+func Draining(path string, s *settings.Settings) (*settings.Draining, error) {
+	text, err := readFile(path)
+	if err != nil {
+		return nil, err
+	}
+	return ParseDraining(text, s)
+}
+
+// ParseDraining parses the settings of drains and checks them against the deployment of
+// s. Unknown teams and classes are refused.
+func ParseDraining(text []byte, s *settings.Settings) (*settings.Draining, error) {
+	loader := properties.Loader{Encoding: properties.UTF8, DisableExpansion: true}
+	p, err := loader.LoadBytes(text)
+	if err != nil {
+		return nil, settings.Invalid("draining", "%w", err)
+	}
+	d := &settings.Draining{Policy: settings.DefaultDrainPolicy()}
+	if err := readDrainPolicy(p, &d.Policy); err != nil {
+		return nil, err
+	}
+	if err := readBudgets(p, &d.Budgets, s); err != nil {
+		return nil, err
+	}
+	if err := s.CheckDraining(d); err != nil {
+		return nil, err
+	}
+	return d, nil
+}
+
+// readDrainPolicy reads everything but the budgets.
+func readDrainPolicy(p *properties.Properties, policy *drain.Policy) error {
+	err := readDurations(p, []durationField{
+		{"disruption.stable.ms", &policy.Stable, time.Second, longestDrainWait},
+		{"drain.array.wait.ms", &policy.ArrayWait, 0, longestDrainWait},
+		{"drain.replace.within.ms", &policy.ReplaceWithin, time.Second, longestDrainWait},
+	})
+	if err != nil {
+		return err
+	}
+	if policy.ReplaceWithin <= policy.Stable {
+		return settings.Invalid("drain.replace.within.ms", "must be larger than disruption.stable.ms")
+	}
+	if policy.MaxFailures, err = readInt(p, "drain.failures.most", policy.MaxFailures, failureBounds); err != nil {
+		return err
+	}
+	if policy.Parallel, err = readPercent(p, "drain.parallel.percent", policy.Parallel); err != nil {
+		return err
+	}
+	policy.Window, err = readWindow(p)
+	return err
+}
+
+// readPercent reads a share in percent; a missing one is the default.
+func readPercent(p *properties.Properties, key string, defaultValue float64) (float64, error) {
+	text, ok := p.Get(key)
+	if !ok {
+		return defaultValue, nil
+	}
+	percent, err := strconv.ParseFloat(text, 64)
+	if err != nil || !(percent >= 0 && percent <= maxParallelPercent) {
+		return 0, settings.Invalid(key, "must be a share from 0 to 100")
+	}
+	return percent, nil
+}
+
+// readWindow reads the maintenance window; nil if there is none.
+func readWindow(p *properties.Properties) (*window.Schedule, error) {
+	rule := p.GetString("drain.window.rule", "")
+	if rule == "" {
+		return nil, nil
+	}
+	minutes, err := readInt(p, "drain.window.minutes", 0, intBounds{1, int(window.Longest.Minutes())})
+	if err != nil {
+		return nil, err
+	}
+	zone := p.GetString("drain.window.zone", "UTC")
+	schedule, err := window.Parse(rule, zone, time.Duration(minutes)*time.Minute, time.Now())
+	switch {
+	case errors.Is(err, window.ErrZone):
+		return nil, settings.Invalid("drain.window.zone", "%w", err)
+	case errors.Is(err, window.ErrLength):
+		return nil, settings.Invalid("drain.window.minutes", "%w", err)
+	case err != nil:
+		return nil, settings.Invalid("drain.window.rule", "%w", err)
+	}
+	return schedule, nil
+}
+
+// readBudgets reads the budgets. A file without any is refused: it may have been read
+// while it was written, and drains would take everything down at once.
+func readBudgets(p *properties.Properties, budgets *disruption.Budgets, s *settings.Settings) error {
+	hasServiceBudget := false
+	for _, key := range p.Keys() {
+		text, _ := p.Get(key)
+		line, ok := newBudgetLine(key, text)
+		if !ok {
+			continue
+		}
+		if !line.isInterruptions {
+			hasServiceBudget = true
+		}
+		if err := line.addTo(budgets, s); err != nil {
+			return err
+		}
+	}
+	if !hasServiceBudget {
+		return settings.Invalid(settings.BudgetPrefix+settings.AnyTeam, "must be set, to %s if there is to be no budget", unlimited)
+	}
+	return nil
+}
+
+// budgetLine is one budget as it stands in the file.
+type budgetLine struct {
+	key             string // the whole properties key
+	name            string // TEAM, TEAM/CLASS or settings.AnyTeam
+	text            string // the amount, or unlimited
+	isInterruptions bool   // a budget of interruptions of job arrays and gangs, not of services
+}
+
+// newBudgetLine returns the budget of a properties key, and false for a key that is not
+// one of a budget.
+func newBudgetLine(key, text string) (budgetLine, bool) {
+	line := budgetLine{key: key, text: strings.TrimSpace(text)}
+	var found bool
+	if line.name, found = strings.CutPrefix(key, settings.BudgetPrefix); found {
+		return line, true
+	}
+	line.isInterruptions = true
+	line.name, found = strings.CutPrefix(key, settings.InterruptionsPrefix)
+	return line, found
+}
+
+// addTo checks the budget and adds it to those that were read before.
+func (l budgetLine) addTo(budgets *disruption.Budgets, s *settings.Settings) error {
+	if l.text == unlimited && l.name == settings.AnyTeam {
+		return nil
+	}
+	amount, err := disruption.ParseAmount(l.text)
+	if err != nil {
+		return settings.Invalid(l.key, "%w", err)
+	}
+	if l.isInterruptions && amount.IsShare {
+		return settings.Invalid(l.key, "must be a number: a share is of services, whose tasks should all be up")
+	}
+	switch {
+	case l.name == settings.AnyTeam && l.isInterruptions:
+		budgets.SetOtherInterruptions(amount)
+		return nil
+	case l.name == settings.AnyTeam:
+		budgets.SetOthers(amount)
+		return nil
+	}
+	key := disruption.ParseKey(l.name)
+	key.Interruptions = l.isInterruptions
+	if s.Team(key.Team) == nil {
+		return settings.Invalid(l.key, "there is no team %q", key.Team)
+	}
+	hasClass := func(o settings.Objective) bool { return o.Class == key.Class }
+	if key.Class != "" && !slices.ContainsFunc(s.Deployment.Objectives, hasClass) {
+		return settings.Invalid(l.key, "no objective names a class %q", key.Class)
+	}
+	budgets.Set(key, amount)
+	return nil
+}
--- a/settings/draining_test.go
+++ b/settings/load/draining_test.go
@@ -1,7 +1,6 @@
-package settings
+package load
 
 import (
-	"errors"
 	"os"
 	"strings"
 	"testing"
@@ -12,18 +11,18 @@
 // The shipped file gives every team a budget; a bad field is named, whatever is wrong
 // with it, and an unknown one ignored.
 func TestDrainingSettings(t *testing.T) {
-	s, err := Parse([]byte(strings.Replace(good, "[facts.workers]", "[[facts.objectives]]\nkind = \"wait\"\nclass = \"train\"\nwithin_s = 1.0\nshare = 0.9\n[facts.workers]", 1)))
+	s, err := ParseSettings([]byte(strings.Replace(validSettings(t), "[facts.workers]", "[[facts.objectives]]\nkind = \"wait\"\nclass = \"train\"\nwithin_s = 1.0\nshare = 0.9\n[facts.workers]", 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.LoadDraining("../deploy/draining.properties"); err != nil || len(s.Draining.Budgets.Of("t", "train", true)) != 1 {
-		t.Fatalf("%+v, %v", s.Draining, err)
+	if d, err := Draining("../../deploy/draining.properties", s); err != nil || len(d.Budgets.Of("t", "train", true)) != 1 {
+		t.Fatalf("%+v, %v", d, err)
 	}
-	shipped, err := os.ReadFile("../deploy/draining.properties")
+	shipped, err := os.ReadFile("../../deploy/draining.properties")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := s.ParseDraining([]byte("disruption.budget.t = 25%\ndisruption.budget.t/train = 2\ndrain.other = x"))
+	d, err := ParseDraining([]byte("disruption.budget.t = 25%\ndisruption.budget.t/train = 2\ndrain.other = x"), s)
 	if want := []disruption.Key{{Team: "t"}, {Team: "t", Class: "train"}}; err != nil || len(d.Budgets.Of("t", "train", true)) != len(want) || len(d.Budgets.Of("x", "train", true)) != 0 {
 		t.Errorf("%+v, %v", d, err)
 	}
@@ -42,21 +41,16 @@
 		"drain.window.zone":          "drain.window.rule = FREQ=DAILY\ndrain.window.minutes = 60\ndrain.window.zone = Mars/Olympus",
 		"drain.window.minutes":       "drain.window.rule = FREQ=DAILY",
 	} {
-		var bad *FieldError
-		if _, err := s.ParseDraining(append(shipped, "\n"+line...)); !errors.As(err, &bad) || bad.Field != field {
-			t.Errorf("%s: %v", line, err)
-		}
+		_, err := ParseDraining(append(shipped, "\n"+line...), s)
+		wantFieldError(t, err, field, line)
 	}
-	if d, err := s.ParseDraining([]byte("disruption.budget.* = unlimited\ndisruption.interruptions.t = 2")); err != nil || len(d.Budgets.Of("t", "train", true)) != 0 || len(d.Budgets.Of("t", "train", false)) != 1 {
+	if d, err := ParseDraining([]byte("disruption.budget.* = unlimited\ndisruption.interruptions.t = 2"), s); err != nil || len(d.Budgets.Of("t", "train", true)) != 0 || len(d.Budgets.Of("t", "train", false)) != 1 {
 		t.Errorf("%+v, %v", d, err)
 	}
-	var bad *FieldError
-	for _, cut := range []string{"", "disruption.stable.ms = 2000\ndisruption.interruptions.* = 1"} {
-		if _, err := s.ParseDraining([]byte(cut)); !errors.As(err, &bad) || bad.Field != "disruption.budget.*" {
-			t.Errorf("a file without a budget of services: %v", err)
-		}
-	}
-	if err := s.LoadDraining("not there"); !errors.As(err, &bad) {
-		t.Errorf("%v", err)
+	for _, withoutServices := range []string{"", "disruption.stable.ms = 2000\ndisruption.interruptions.* = 1"} {
+		_, err := ParseDraining([]byte(withoutServices), s)
+		wantFieldError(t, err, "disruption.budget.*", withoutServices)
 	}
+	_, err = Draining("not there", s)
+	wantFieldError(t, err, "not there", "no file")
 }
--- /dev/null
+++ b/settings/load/duties.go
@@ -0,0 +1,22 @@
+package load
+
+import "ravenport/settings"
+
+// Duties reads and checks the file of duties.
+func Duties(path string) (settings.Duties, error) {
+	text, err := readFile(path)
+	if err != nil {
+		return settings.Duties{}, err
+	}
+	return ParseDuties(text)
+}
+
+// ParseDuties parses and checks the settings of duties.
+func ParseDuties(text []byte) (settings.Duties, error) {
+	p, err := parseProperties("duties", text)
+	if err != nil {
+		return settings.Duties{}, err
+	}
+	closeFirst, err := readBool(p, "duties.close.before.return", true)
+	return settings.Duties{CloseFirst: closeFirst}, err
+}
--- /dev/null
+++ b/settings/load/duties_test.go
@@ -0,0 +1,19 @@
+package load
+
+import "testing"
+
+// The shipped file switches everything on; a bad field is named, an unknown one
+// ignored.
+func TestDutiesSettings(t *testing.T) {
+	if d, err := Duties("../../deploy/duties.properties"); err != nil || !d.CloseFirst {
+		t.Errorf("%+v, %v", d, err)
+	}
+	if d, err := ParseDuties([]byte("duties.close.before.return = false\nduties.other = 1")); err != nil || d.CloseFirst {
+		t.Errorf("%+v, %v", d, err)
+	}
+	const line = "duties.close.before.return = 1"
+	_, err := ParseDuties([]byte(line))
+	wantFieldError(t, err, "duties.close.before.return", line)
+	_, err = Duties("not there")
+	wantFieldError(t, err, "not there", "no file")
+}
--- /dev/null
+++ b/settings/timing_test.go
@@ -0,0 +1,23 @@
+package settings
+
+import "testing"
+
+// Cancellation: an owner that no longer hears of one must have stopped answering, and its
+// workers' leases expired, before cancel_s is over.
+func TestAuthorityLeavesTimeForCancellation(t *testing.T) {
+	for _, cancelS := range []float64{56, 30, 20} {
+		s := Settings{Operator: DefaultOperator()}
+		s.Deployment.Workers.LeaseS = 26
+		s.Deployment.Workers.CancelS = cancelS
+		authority, short := s.Authority()
+		if authority <= 0 {
+			t.Errorf("cancel_s %g: authority %s", cancelS, authority)
+		}
+		if end := authority + s.LeaseEnd(); !short && end >= Seconds(cancelS) {
+			t.Errorf("cancel_s %g: a task may run for %s", cancelS, end)
+		}
+		if !short && cancelS == 20 {
+			t.Error("no warning although cancel_s is shorter than the lease")
+		}
+	}
+}
