--- /dev/null
+++ b/constants/runtime.go
@@ -0,0 +1,10 @@
+package constants
+
+// Limits of the Go runtime.
+const (
+	// HeapMemoryShare is the part of the machine's memory that the heap may take
+	// before the collector works harder (share).
+	HeapMemoryShare = 0.6
+	// GCPercent is how much the heap may grow between two collections (percent).
+	GCPercent = 400
+)
--- a/controller/control.go
+++ b/controller/control.go
@@ -397,8 +397,7 @@
 			continue
 		}
 		if !c.claimBusy(now, key) && c.settled(now) {
-			inc, version := c.member.ControllerKey(c.set.Controller)
-			c.send(ctx, now, c.member.AcquisitionOf(key, c.set.Controller, inc, version))
+			c.send(ctx, now, c.member.AcquisitionFor(key, c.set.Controller))
 		}
 	}
 	if c.leaderRef != nil && c.toldByNobody(now) && now.Sub(c.ledSince) > 2*constants.PeerSilenceTimeout {
--- a/controller/lease.go
+++ b/controller/lease.go
@@ -62,7 +62,7 @@
 	sent := now
 	if c.lease == 0 {
 		inc := rand.Uint64()>>1 | 1
-		_, version := c.member.ControllerKey(c.set.Controller)
+		version := c.member.RegistrationVersion(c.set.Controller)
 		record := records.Controller{Incarnation: inc, ReadsPacked: true}
 		if c.detect.monitor != nil {
 			record.LeaseTTLMS = life.Milliseconds()
--- a/controller/revocation.go
+++ b/controller/revocation.go
@@ -118,7 +118,7 @@
 	v := clusterView{process: c.incarnation, leases: map[string]uint64{}, unserved: c.unserved(now), actors: map[string]*actor.Ref{"control": c.self, "api server": c.api},
 		feed: watchdog.Sample{Name: "feed", Handled: c.revision, Pending: c.overdueReads(now)}}
 	for _, p := range c.set.Peers {
-		v.leases[p.Controller], _ = c.member.ControllerKey(p.Controller)
+		v.leases[p.Controller] = c.member.Incarnation(p.Controller)
 	}
 	for shard, o := range c.owners {
 		v.actors["owner of "+shard] = o.ref
--- a/controller/roles.go
+++ b/controller/roles.go
@@ -157,8 +157,7 @@
 		return // it asks again
 	}
 	slog.Info("the term's numbers are used up: claiming a new one", "shard", shard, "term", c.owners[shard].term)
-	incarnation, version := c.member.ControllerKey(c.set.Controller)
-	c.yield(now, c.member.AcquisitionOf(key, c.set.Controller, incarnation, version))
+	c.yield(now, c.member.AcquisitionFor(key, c.set.Controller))
 }
 
 // yield ends what this controller does under a term before another begins.
--- a/member/core_test.go
+++ b/member/core_test.go
@@ -12,9 +12,9 @@
 	"ravenport/records"
 )
 
-var three = []Controller{{Name: "n-0", Zone: "a"}, {Name: "n-1", Zone: "b"}, {Name: "n-2", Zone: "a"}}
+var testControllers = []Controller{{Name: "n-0", Zone: "a"}, {Name: "n-1", Zone: "b"}, {Name: "n-2", Zone: "a"}}
 
-// storeSim is a state service shared by three cores.
+// storeSim is a key-value store whose feed three cores apply.
 type storeSim struct {
 	version      uint64
 	keys         map[string]records.Change
@@ -22,7 +22,7 @@
 	incarnations []uint64
 }
 
-func (s *storeSim) set(now time.Time, key string, rec any) {
+func (s *storeSim) apply(now time.Time, key string, rec any) {
 	s.version++
 	ch := records.Change{Key: key, Version: s.version, Record: rec}
 	if rec == nil {
@@ -35,42 +35,42 @@
 	}
 }
 
-func (s *storeSim) commit(now time.Time, cl TermAcquisition) bool {
-	for _, c := range cl.Txn.Conditions {
+func (s *storeSim) commit(now time.Time, acquisition TermAcquisition) bool {
+	for _, c := range acquisition.Txn.Conditions {
 		if s.keys[c.Key].Version != c.Version {
 			return false
 		}
 	}
-	rec, err := records.Decode(cl.Key, cl.Txn.Changes[0].Value)
+	rec, err := records.Decode(acquisition.Key, acquisition.Txn.Changes[0].Value)
 	if err != nil {
 		panic(err)
 	}
-	s.set(now, cl.Key, rec)
+	s.apply(now, acquisition.Key, rec)
 	return true
 }
 
 // Through any run of failures and returns: terms only rise, nobody takes a
-// term from a live holder unless it was handed on, and once all is calm every
+// term from a live holder unless it was transferred, and once all is calm every
 // shard is held in its own zone.
 func TestTermsRiseAndSettle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		s := &storeSim{keys: map[string]records.Change{}, incarnations: make([]uint64, 3)}
 		wait := time.Duration(rapid.IntRange(0, 5000).Draw(t, "second shard wait")) * time.Millisecond
-		for _, k := range three {
-			s.cores = append(s.cores, New(k.Name, three, []string{"a", "b"}, now))
+		for _, k := range testControllers {
+			s.cores = append(s.cores, New(k.Name, testControllers, []string{"a", "b"}, now))
 			s.cores[len(s.cores)-1].SetSecondShardDelay(wait)
 		}
 		next := uint64(0)
 		up := func(i int) {
 			next++
 			s.incarnations[i] = next
-			s.set(now, records.KeyController(three[i].Name), &records.Controller{Name: three[i].Name, Incarnation: next})
+			s.apply(now, records.KeyController(testControllers[i].Name), &records.Controller{Name: testControllers[i].Name, Incarnation: next})
 		}
 		down := func(i int) {
 			if s.incarnations[i] != 0 {
 				s.incarnations[i] = 0
-				s.set(now, records.KeyController(three[i].Name), nil)
+				s.apply(now, records.KeyController(testControllers[i].Name), nil)
 			}
 		}
 		step := func() {
@@ -78,16 +78,16 @@
 				if s.incarnations[i] == 0 {
 					continue
 				}
-				for _, cl := range c.DueAcquisitions(now, s.incarnations[i], true) {
-					before, _ := c.Term(cl.Key)
-					holder, held := c.Holder(cl.Key)
-					if held && holder != three[i].Name {
-						t.Fatalf("%s claims %s from live %s", three[i].Name, cl.Key, holder)
+				for _, acquisition := range c.DueAcquisitions(now, s.incarnations[i], true) {
+					before, _ := c.Term(acquisition.Key)
+					holder, held := c.Holder(acquisition.Key)
+					if held && holder != testControllers[i].Name {
+						t.Fatalf("%s acquired %s from live %s", testControllers[i].Name, acquisition.Key, holder)
 					}
-					if s.commit(now, cl) {
-						after, _ := c.Term(cl.Key)
+					if s.commit(now, acquisition) {
+						after, _ := c.Term(acquisition.Key)
 						if after.Number != before.Number+1 {
-							t.Fatalf("%s went from term %d to %d", cl.Key, before.Number, after.Number)
+							t.Fatalf("%s went from term %d to %d", acquisition.Key, before.Number, after.Number)
 						}
 					}
 				}
@@ -103,7 +103,7 @@
 			}
 			step()
 		}
-		for i := range three {
+		for i := range testControllers {
 			if s.incarnations[i] == 0 {
 				up(i)
 			}
@@ -115,7 +115,7 @@
 		for _, shard := range []string{"a", "b"} {
 			holder, held := s.cores[0].Holder(records.KeyShard(shard))
 			zone := ""
-			for _, k := range three {
+			for _, k := range testControllers {
 				if k.Name == holder {
 					zone = k.Zone
 				}
@@ -130,63 +130,63 @@
 	})
 }
 
-// allUp is three controllers that are up and know of each other.
-func allUp(now time.Time) *storeSim {
+// newSim makes three controllers that are up and know of each other.
+func newSim(now time.Time) *storeSim {
 	s := &storeSim{keys: map[string]records.Change{}, incarnations: []uint64{1, 2, 3}}
-	for _, k := range three {
-		s.cores = append(s.cores, New(k.Name, three, []string{"a", "b"}, now))
+	for _, k := range testControllers {
+		s.cores = append(s.cores, New(k.Name, testControllers, []string{"a", "b"}, now))
 	}
-	for i, k := range three {
-		s.set(now, records.KeyController(k.Name), &records.Controller{Name: k.Name, Incarnation: uint64(i + 1)})
+	for i, k := range testControllers {
+		s.apply(now, records.KeyController(k.Name), &records.Controller{Name: k.Name, Incarnation: uint64(i + 1)})
 	}
 	return s
 }
 
-// A shard that was given up because its machines could not reach the owner is
-// not given back at once.
+// A shard that was transferred away because its machines could not reach the owner does
+// not fail back at once.
 func TestCutShardStaysAway(t *testing.T) {
 	now := time.Unix(1000, 0)
-	s := allUp(now)
+	s := newSim(now)
 	key := records.KeyShard("b")
-	s.set(now, key, &records.Term{Shard: "b", Controller: "n-1", Incarnation: 2, Number: 4})
-	cl, ok := s.cores[1].TransferAway(now, key)
-	if !ok || cl.NewHolder == "n-1" || !s.commit(now, cl) {
-		t.Fatalf("not handed on: %+v", cl)
+	s.apply(now, key, &records.Term{Shard: "b", Controller: "n-1", Incarnation: 2, Number: 4})
+	acquisition, ok := s.cores[1].TransferAway(now, key)
+	if !ok || acquisition.NewHolder == "n-1" || !s.commit(now, acquisition) {
+		t.Fatalf("not transferred: %+v", acquisition)
 	}
 	back := time.Duration(0)
 	for at := time.Duration(0); at < 2*time.Minute && back == 0; at += time.Second {
 		for i, c := range s.cores {
-			for _, cl := range c.DueAcquisitions(now.Add(at), s.incarnations[i], true) {
-				if cl.Key == key && cl.NewHolder == "n-1" && s.commit(now.Add(at), cl) {
+			for _, acquisition := range c.DueAcquisitions(now.Add(at), s.incarnations[i], true) {
+				if acquisition.Key == key && acquisition.NewHolder == "n-1" && s.commit(now.Add(at), acquisition) {
 					back = at
 				}
 			}
 		}
 	}
 	if back < 30*time.Second {
-		t.Fatalf("back after %s", back)
+		t.Fatalf("failed back after %s", back)
 	}
-	fmt.Fprintln(t.Output(), "given back after", back)
+	fmt.Fprintln(t.Output(), "failed back after", back)
 }
 
 // Where no controller reaches another, the leadership goes round once and stays.
 func TestLeadershipDoesNotGoRound(t *testing.T) {
 	now := time.Unix(1000, 0)
-	s := allUp(now)
-	s.set(now, records.KeyLeader, &records.Term{Controller: "n-1", Incarnation: 2, Number: 4})
+	s := newSim(now)
+	s.apply(now, records.KeyLeader, &records.Term{Controller: "n-1", Incarnation: 2, Number: 4})
 	moved := 0
 	for at := time.Duration(0); at < constants.FailbackCooldown; at += time.Second {
-		for i, k := range three {
+		for i, k := range testControllers {
 			if holder, _ := s.cores[0].Holder(records.KeyLeader); holder != k.Name {
 				continue
 			}
-			if cl, ok := s.cores[i].TransferAway(now.Add(at), records.KeyLeader); ok && s.commit(now.Add(at), cl) {
+			if acquisition, ok := s.cores[i].TransferAway(now.Add(at), records.KeyLeader); ok && s.commit(now.Add(at), acquisition) {
 				moved++
 			}
 		}
 	}
 	if moved != 1 {
-		t.Fatalf("handed on %d times", moved)
+		t.Fatalf("transferred %d times", moved)
 	}
 }
 
@@ -196,8 +196,8 @@
 	const wait = 4 * time.Second
 	now := time.Unix(1000, 0)
 	key := records.KeyShard("b")
-	play := func(owns bool) (claims map[string]time.Duration) {
-		s := allUp(now.Add(-constants.StartupAcquisitionDelay)) // not fresh any more
+	play := func(owns bool) (acquired map[string]time.Duration) {
+		s := newSim(now.Add(-constants.StartupAcquisitionDelay)) // not fresh any more
 		for _, c := range s.cores {
 			c.SetSecondShardDelay(wait)
 		}
@@ -205,26 +205,26 @@
 		if !owns { // both shards were n-1's
 			holder = &records.Term{Shard: "a", Controller: "n-1", Incarnation: 2, Number: 4}
 		}
-		s.set(now, records.KeyShard("a"), holder)
-		s.set(now, key, &records.Term{Shard: "b", Controller: "n-1", Incarnation: 2, Number: 7})
-		s.set(now, records.KeyController("n-0"), nil)
-		s.set(now, records.KeyController("n-1"), nil)
-		claims = map[string]time.Duration{}
+		s.apply(now, records.KeyShard("a"), holder)
+		s.apply(now, key, &records.Term{Shard: "b", Controller: "n-1", Incarnation: 2, Number: 7})
+		s.apply(now, records.KeyController("n-0"), nil)
+		s.apply(now, records.KeyController("n-1"), nil)
+		acquired = map[string]time.Duration{}
 		for at := time.Duration(0); at < 3*wait; at += 100 * time.Millisecond {
-			for _, cl := range s.cores[2].DueAcquisitions(now.Add(at), 3, true) {
-				if s.commit(now.Add(at), cl) && cl.Key != records.KeyLeader {
-					claims[cl.Key] = at
+			for _, acquisition := range s.cores[2].DueAcquisitions(now.Add(at), 3, true) {
+				if s.commit(now.Add(at), acquisition) && acquisition.Key != records.KeyLeader {
+					acquired[acquisition.Key] = at
 				}
 			}
 		}
-		return claims
+		return acquired
 	}
-	if claims := play(true); len(claims) != 1 || claims[key] < wait || claims[key] > wait+time.Second {
-		t.Errorf("an owner claims %v, wanted the other shard after %s", claims, wait)
+	if acquired := play(true); len(acquired) != 1 || acquired[key] < wait || acquired[key] > wait+time.Second {
+		t.Errorf("an owner acquires %v, wanted the other shard after %s", acquired, wait)
 	}
-	claims := play(false)
-	first, second := min(claims[records.KeyShard("a")], claims[key]), max(claims[records.KeyShard("a")], claims[key])
-	if len(claims) != 2 || first > 2*constants.AcquisitionRankDelay || second < wait || second > wait+time.Second {
-		t.Errorf("one that owns nothing claims %v, wanted one at once and one after %s", claims, wait)
+	acquired := play(false)
+	first, second := min(acquired[records.KeyShard("a")], acquired[key]), max(acquired[records.KeyShard("a")], acquired[key])
+	if len(acquired) != 2 || first > 2*constants.AcquisitionRankDelay || second < wait || second > wait+time.Second {
+		t.Errorf("one that owns nothing acquires %v, wanted one at once and one after %s", acquired, wait)
 	}
 }
--- a/member/revocation.go
+++ b/member/revocation.go
@@ -8,69 +8,80 @@
 	"ravenport/wire"
 )
 
-// revocationState is a stored revocation, and when this controller first knew of it.
+// revocationState is the record of a controller's latest revocation.
 type revocationState struct {
 	records.Revocation
-	version   uint64
-	firstSeen time.Time
+	version   uint64    // of the key
+	firstSeen time.Time // by this controller, so after the record was written
 }
 
-// EnableDetection has the core heed revocations of other controllers when it ranks
-// them, rank them by what they own, and take over one shard at a time.
+// EnableDetection makes the core treat revoked controllers as failed, rank candidates by
+// the shards that they own, and space out takeovers.
 func (c *Core) EnableDetection() {
 	c.detectionEnabled = true
 	c.takeoverPacer.MinInterval = constants.MinFailoverInterval
 }
 
-// IsRevoked says whether the process that holds a controller's key was revoked.
+// IsRevoked reports whether the process that is registered under a controller's name was
+// revoked.
 func (c *Core) IsRevoked(name string) bool {
-	r, ok := c.revocations[name]
-	return ok && c.registrations[name].incarnation == r.Incarnation
+	revoked, ok := c.revocations[name]
+	return ok && c.registrations[name].incarnation == revoked.Incarnation
 }
 
 // revocationOfHolder returns the revocation of the process that holds a term, if there is
 // one.
-func (c *Core) revocationOfHolder(t records.Term) (revocationState, bool) {
-	r, ok := c.revocations[t.Controller]
-	return r, ok && r.Incarnation == t.Incarnation
+func (c *Core) revocationOfHolder(term records.Term) (revocationState, bool) {
+	revoked, ok := c.revocations[term.Controller]
+	return revoked, ok && revoked.Incarnation == term.Incarnation
 }
 
-// revokedAuthorityEnded says that the holder of a term was revoked, and that its authority has
-// surely ended since: its lease's life has passed, with drift and margin, since this
+// revokedAuthorityEnded reports whether the holder of a term was revoked and its authority
+// has surely ended since: its lease's TTL has passed, with drift and margin, since this
 // controller saw the revocation, which was after it was written.
 func (c *Core) revokedAuthorityEnded(now time.Time, key string) bool {
-	r, ok := c.revocationOfHolder(c.terms[key].Term)
+	revoked, ok := c.revocationOfHolder(c.terms[key].Term)
 	if !ok || !c.detectionEnabled {
 		return false
 	}
-	life := time.Duration(r.LeaseTTLMS) * time.Millisecond
-	wait := time.Duration(float64(life)*(1+constants.MaxClockDrift)) + constants.AuthorityMargin
-	return now.Sub(r.firstSeen) >= wait
+	leaseTTL := time.Duration(revoked.LeaseTTLMS) * time.Millisecond
+	wait := time.Duration(float64(leaseTTL)*(1+constants.MaxClockDrift)) + constants.AuthorityMargin
+	return now.Sub(revoked.firstSeen) >= wait
 }
 
-// recentlyRevoked says whether any process of a controller was revoked a short while
-// ago. It then gets terms only if nobody else is there.
+// recentlyRevoked reports whether any process of a controller was revoked a short while
+// ago. The controller then gets terms only if there is no other candidate.
 func (c *Core) recentlyRevoked(now time.Time, name string) bool {
-	r, ok := c.revocations[name]
-	return ok && now.Sub(r.firstSeen) < constants.FailbackCooldown
+	revoked, ok := c.revocations[name]
+	return ok && now.Sub(revoked.firstSeen) < constants.FailbackCooldown
 }
 
-// Revoke makes the transaction that revokes a controller's process. It holds only
-// while that process and this one are registered as known. Processes that do not
-// heed revocations, or are revoked already, are left alone.
-func (c *Core) Revoke(r records.Revocation) (wire.Txn, bool) {
-	target, ok := c.registrations[r.Controller]
-	me, registered := c.registrations[c.self]
-	if !ok || !registered || r.Controller == c.self || target.incarnation != r.Incarnation || target.leaseTTL == 0 || c.IsRevoked(r.Controller) {
+// Revoke completes a revocation and returns the transaction that writes it. The
+// transaction holds only while the target's process and this one are registered as known
+// here. There is none for this controller itself, and none for a process that is not
+// registered, does not heed revocations or is revoked already.
+func (c *Core) Revoke(revocation records.Revocation) (wire.Txn, bool) {
+	target, ok := c.registrations[revocation.Controller]
+	if !ok || target.incarnation != revocation.Incarnation {
 		return wire.Txn{}, false
 	}
-	r.By, r.LeaseTTLMS = c.self, target.leaseTTL.Milliseconds()
+	heedsRevocations := target.leaseTTL != 0
+	if !heedsRevocations || c.IsRevoked(revocation.Controller) {
+		return wire.Txn{}, false
+	}
+	self, ok := c.registrations[c.self]
+	if !ok || revocation.Controller == c.self {
+		return wire.Txn{}, false
+	}
+	revocation.By = c.self
+	revocation.LeaseTTLMS = target.leaseTTL.Milliseconds()
+	key := records.KeyRevoked(revocation.Controller)
 	return wire.Txn{
 		Conditions: []wire.Condition{
-			{Key: records.KeyRevoked(r.Controller), Version: c.revocations[r.Controller].version},
-			{Key: records.KeyController(r.Controller), Version: target.version},
-			{Key: records.KeyController(c.self), Version: me.version},
+			{Key: key, Version: c.revocations[revocation.Controller].version},
+			{Key: records.KeyController(revocation.Controller), Version: target.version},
+			{Key: records.KeyController(c.self), Version: self.version},
 		},
-		Changes: []wire.Change{{Put: records.KeyRevoked(r.Controller), Value: records.Encode(r)}},
+		Changes: []wire.Change{{Put: key, Value: records.Encode(revocation)}},
 	}, true
 }
--- a/member/revocation_test.go
+++ b/member/revocation_test.go
@@ -11,25 +11,25 @@
 	"ravenport/records"
 )
 
-// detecting is three controllers with failure detection that are up; n-1 owns the
+// newSimWithDetection makes three controllers with failure detection that are up; n-1 owns the
 // shard of b, n-2 that of a.
-func detecting(now time.Time, life time.Duration) *storeSim {
+func newSimWithDetection(now time.Time, life time.Duration) *storeSim {
 	s := &storeSim{keys: map[string]records.Change{}, incarnations: []uint64{1, 2, 3}}
-	for _, k := range three {
-		c := New(k.Name, three, []string{"a", "b"}, now.Add(-time.Minute))
+	for _, k := range testControllers {
+		c := New(k.Name, testControllers, []string{"a", "b"}, now.Add(-time.Minute))
 		c.EnableDetection()
 		s.cores = append(s.cores, c)
 	}
-	for i, k := range three {
-		s.set(now, records.KeyController(k.Name), &records.Controller{Name: k.Name, Incarnation: uint64(i + 1), LeaseTTLMS: life.Milliseconds()})
+	for i, k := range testControllers {
+		s.apply(now, records.KeyController(k.Name), &records.Controller{Name: k.Name, Incarnation: uint64(i + 1), LeaseTTLMS: life.Milliseconds()})
 	}
-	s.set(now, records.KeyShard("a"), &records.Term{Shard: "a", Controller: "n-2", Incarnation: 3, Number: 4})
-	s.set(now, records.KeyShard("b"), &records.Term{Shard: "b", Controller: "n-1", Incarnation: 2, Number: 4})
-	s.set(now, records.KeyLeader, &records.Term{Controller: "n-2", Incarnation: 3, Number: 4})
+	s.apply(now, records.KeyShard("a"), &records.Term{Shard: "a", Controller: "n-2", Incarnation: 3, Number: 4})
+	s.apply(now, records.KeyShard("b"), &records.Term{Shard: "b", Controller: "n-1", Incarnation: 2, Number: 4})
+	s.apply(now, records.KeyLeader, &records.Term{Controller: "n-2", Incarnation: 3, Number: 4})
 	return s
 }
 
-// revoke writes the revocation that a core asks for; each core sees it after its lag.
+// revoke commits the revocation of a core; each core sees it after its lag.
 func (s *storeSim) revoke(now time.Time, by int, r records.Revocation, lag []time.Duration) bool {
 	txn, ok := s.cores[by].Revoke(r)
 	if !ok {
@@ -60,7 +60,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		life := time.Duration(rapid.IntRange(2000, 10000).Draw(t, "life ms")) * time.Millisecond
 		now := time.Unix(1000, 0)
-		s := detecting(now, life)
+		s := newSimWithDetection(now, life)
 		lag := make([]time.Duration, 3)
 		for i := range lag {
 			lag[i] = time.Duration(rapid.IntRange(0, 2000).Draw(t, "lag ms")) * time.Millisecond
@@ -77,8 +77,8 @@
 		key, taken := records.KeyShard("b"), time.Duration(0)
 		for at := time.Duration(0); at < life+6*time.Second && taken == 0; at += 50 * time.Millisecond {
 			for _, i := range []int{0, 2} {
-				for _, cl := range s.cores[i].DueAcquisitions(now.Add(at), s.incarnations[i], true) {
-					if cl.Key != key || cl.NewHolder == "n-1" || !s.commit(now.Add(at), cl) {
+				for _, acquisition := range s.cores[i].DueAcquisitions(now.Add(at), s.incarnations[i], true) {
+					if acquisition.Key != key || acquisition.NewHolder == "n-1" || !s.commit(now.Add(at), acquisition) {
 						continue
 					}
 					taken = at
@@ -98,7 +98,7 @@
 // registered itself; a revocation says nothing of the next process of its name.
 func TestWhoIsRevoked(t *testing.T) {
 	now, none := time.Unix(1000, 0), make([]time.Duration, 3)
-	s := detecting(now, 3*time.Second)
+	s := newSimWithDetection(now, 3*time.Second)
 	target := records.Revocation{Controller: "n-1", Incarnation: 2}
 	for name, r := range map[string]records.Revocation{
 		"another process": {Controller: "n-1", Incarnation: 9},
@@ -109,7 +109,7 @@
 			t.Errorf("%s is revoked", name)
 		}
 	}
-	s.set(now, records.KeyController("n-2"), &records.Controller{Name: "n-2", Incarnation: 3})
+	s.apply(now, records.KeyController("n-2"), &records.Controller{Name: "n-2", Incarnation: 3})
 	if _, ok := s.cores[0].Revoke(records.Revocation{Controller: "n-2", Incarnation: 3}); ok {
 		t.Error("a process that does not heed revocations is revoked")
 	}
@@ -123,8 +123,8 @@
 	if c := s.cores[2]; !c.IsRevoked("n-1") || c.revokedAuthorityEnded(now.Add(2*time.Second), records.KeyShard("b")) {
 		t.Error("a revoked holder is outlived before its lease would have ended")
 	}
-	s.set(now, records.KeyController("n-1"), &records.Controller{Name: "n-1", Incarnation: 5, LeaseTTLMS: 3000})
-	s.set(now, records.KeyShard("b"), &records.Term{Shard: "b", Controller: "n-1", Incarnation: 5, Number: 6})
+	s.apply(now, records.KeyController("n-1"), &records.Controller{Name: "n-1", Incarnation: 5, LeaseTTLMS: 3000})
+	s.apply(now, records.KeyShard("b"), &records.Term{Shard: "b", Controller: "n-1", Incarnation: 5, Number: 6})
 	if c := s.cores[2]; c.IsRevoked("n-1") || c.revokedAuthorityEnded(now.Add(time.Hour), records.KeyShard("b")) {
 		t.Error("the revocation counts against the next process")
 	}
@@ -140,8 +140,8 @@
 // Without detection here the core is what it was: a revocation changes nothing.
 func TestRevocationWithoutDetectionChangesNothing(t *testing.T) {
 	now := time.Unix(1000, 0)
-	s := detecting(now, 3*time.Second)
-	plain := New("n-0", three, []string{"a", "b"}, now.Add(-time.Minute))
+	s := newSimWithDetection(now, 3*time.Second)
+	plain := New("n-0", testControllers, []string{"a", "b"}, now.Add(-time.Minute))
 	for _, ch := range s.keys {
 		plain.Apply(now, ch)
 	}
@@ -150,9 +150,9 @@
 		t.Fatal("not revoked")
 	}
 	for at := time.Duration(0); at < time.Minute; at += time.Second {
-		for _, cl := range plain.DueAcquisitions(now.Add(at), 1, true) {
-			if cl.Key != records.KeyLeader {
-				t.Fatalf("it claims %s after %s", cl.Key, at)
+		for _, acquisition := range plain.DueAcquisitions(now.Add(at), 1, true) {
+			if acquisition.Key != records.KeyLeader {
+				t.Fatalf("it acquired %s after %s", acquisition.Key, at)
 			}
 		}
 	}
@@ -161,19 +161,19 @@
 // Shards of controllers that fail together are taken one at a time.
 func TestOrphanedShardsAreSpacedOut(t *testing.T) {
 	now := time.Unix(1000, 0)
-	s := detecting(now, 3*time.Second)
-	s.set(now, records.KeyController("n-1"), nil)
-	s.set(now, records.KeyController("n-2"), nil)
-	var claims []time.Duration
+	s := newSimWithDetection(now, 3*time.Second)
+	s.apply(now, records.KeyController("n-1"), nil)
+	s.apply(now, records.KeyController("n-2"), nil)
+	var acquired []time.Duration
 	for at := time.Duration(0); at < 5*time.Second; at += 50 * time.Millisecond {
-		for _, cl := range s.cores[0].DueAcquisitions(now.Add(at), 1, true) {
-			if cl.Key != records.KeyLeader && s.commit(now.Add(at), cl) {
-				claims = append(claims, at)
+		for _, acquisition := range s.cores[0].DueAcquisitions(now.Add(at), 1, true) {
+			if acquisition.Key != records.KeyLeader && s.commit(now.Add(at), acquisition) {
+				acquired = append(acquired, at)
 			}
 		}
 	}
-	if len(claims) != 2 || claims[1]-claims[0] < constants.MinFailoverInterval {
-		t.Errorf("claimed at %v", claims)
+	if len(acquired) != 2 || acquired[1]-acquired[0] < constants.MinFailoverInterval {
+		t.Errorf("acquired at %v", acquired)
 	}
 }
 
@@ -181,7 +181,7 @@
 func TestWallClockJumpLeavesTheWait(t *testing.T) {
 	const life = 3 * time.Second
 	now := time.Now()
-	s := detecting(now, life)
+	s := newSimWithDetection(now, life)
 	if !s.revoke(now, 0, records.Revocation{Controller: "n-1", Incarnation: 2}, make([]time.Duration, 3)) {
 		t.Fatal("not revoked")
 	}
@@ -201,20 +201,20 @@
 func TestRevokedControllerLeavesItsShard(t *testing.T) {
 	for _, alone := range []bool{false, true} {
 		now := time.Unix(1000, 0)
-		s := detecting(now, 3*time.Second)
+		s := newSimWithDetection(now, 3*time.Second)
 		for _, c := range s.cores {
 			c.SetSecondShardDelay(constants.MaxSecondShardDelay)
 		}
-		s.set(now, records.KeyShard("a"), &records.Term{Shard: "a", Controller: "n-2", Incarnation: 3, Number: 4})
+		s.apply(now, records.KeyShard("a"), &records.Term{Shard: "a", Controller: "n-2", Incarnation: 3, Number: 4})
 		if !s.revoke(now, 2, records.Revocation{Controller: "n-1", Incarnation: 2}, make([]time.Duration, 3)) {
 			t.Fatal("not revoked")
 		}
 		s.incarnations[1] = 5
-		s.set(now.Add(3*time.Second), records.KeyController("n-1"), &records.Controller{Name: "n-1", Incarnation: 5, LeaseTTLMS: 3000})
-		s.set(now, records.KeyController("n-0"), nil)
+		s.apply(now.Add(3*time.Second), records.KeyController("n-1"), &records.Controller{Name: "n-1", Incarnation: 5, LeaseTTLMS: 3000})
+		s.apply(now, records.KeyController("n-0"), nil)
 		s.incarnations[0] = 0
 		if alone {
-			s.set(now, records.KeyController("n-2"), nil)
+			s.apply(now, records.KeyController("n-2"), nil)
 			s.incarnations[2] = 0
 		}
 		taker := ""
@@ -223,9 +223,9 @@
 				if s.incarnations[i] == 0 {
 					continue
 				}
-				for _, cl := range c.DueAcquisitions(now.Add(at), s.incarnations[i], true) {
-					if s.commit(now.Add(at), cl) && cl.Key == records.KeyShard("b") {
-						taker = cl.NewHolder
+				for _, acquisition := range c.DueAcquisitions(now.Add(at), s.incarnations[i], true) {
+					if s.commit(now.Add(at), acquisition) && acquisition.Key == records.KeyShard("b") {
+						taker = acquisition.NewHolder
 					}
 				}
 			}
@@ -236,30 +236,30 @@
 	}
 }
 
-// A leader that took over from a revoked one hands on at once if it is cut off itself,
+// A leader that took over from a revoked one transfers it at once if it is cut off itself,
 // and not to the revoked one.
 func TestLeaderAfterARevocationHandsOn(t *testing.T) {
 	now := time.Unix(1000, 0)
-	s := detecting(now, 3*time.Second)
-	s.set(now, records.KeyLeader, &records.Term{Controller: "n-1", Incarnation: 2, Number: 4})
+	s := newSimWithDetection(now, 3*time.Second)
+	s.apply(now, records.KeyLeader, &records.Term{Controller: "n-1", Incarnation: 2, Number: 4})
 	if !s.revoke(now, 2, records.Revocation{Controller: "n-1", Incarnation: 2}, make([]time.Duration, 3)) {
 		t.Fatal("not revoked")
 	}
 	for at := time.Duration(0); at < 10*time.Second; at += 50 * time.Millisecond {
 		for _, i := range []int{0, 2} {
-			for _, cl := range s.cores[i].DueAcquisitions(now.Add(at), s.incarnations[i], true) {
-				s.commit(now.Add(at), cl)
+			for _, acquisition := range s.cores[i].DueAcquisitions(now.Add(at), s.incarnations[i], true) {
+				s.commit(now.Add(at), acquisition)
 			}
 		}
 	}
 	leader, _ := s.cores[0].Holder(records.KeyLeader)
-	for i, k := range three {
+	for i, k := range testControllers {
 		if k.Name != leader {
 			continue
 		}
-		cl, ok := s.cores[i].TransferAway(now.Add(12*time.Second), records.KeyLeader)
-		if !ok || cl.NewHolder == "n-1" || cl.NewHolder == leader {
-			t.Errorf("%s leads and hands on to %q", leader, cl.NewHolder)
+		acquisition, ok := s.cores[i].TransferAway(now.Add(12*time.Second), records.KeyLeader)
+		if !ok || acquisition.NewHolder == "n-1" || acquisition.NewHolder == leader {
+			t.Errorf("%s leads and transfers to %q", leader, acquisition.NewHolder)
 		}
 	}
 	if leader == "n-1" || leader == "" {
