--- a/member/revocation_test.go
+++ b/member/revocation_test.go
@@ -13,7 +13,7 @@
 
 // newSimWithDetection makes three controllers with failure detection that are up; n-1 owns the
 // shard of b, n-2 that of a.
-func newSimWithDetection(now time.Time, life time.Duration) *storeSim {
+func newSimWithDetection(now time.Time, leaseTTL time.Duration) *storeSim {
 	s := &storeSim{keys: map[string]records.Change{}, incarnations: []uint64{1, 2, 3}}
 	for _, k := range testControllers {
 		c := New(k.Name, testControllers, []string{"a", "b"}, now.Add(-time.Minute))
@@ -21,7 +21,7 @@
 		s.cores = append(s.cores, c)
 	}
 	for i, k := range testControllers {
-		s.apply(now, records.KeyController(k.Name), &records.Controller{Name: k.Name, Incarnation: uint64(i + 1), LeaseTTLMS: life.Milliseconds()})
+		s.apply(now, records.KeyController(k.Name), &records.Controller{Name: k.Name, Incarnation: uint64(i + 1), LeaseTTLMS: leaseTTL.Milliseconds()})
 	}
 	s.apply(now, records.KeyShard("a"), &records.Term{Shard: "a", Controller: "n-2", Incarnation: 3, Number: 4})
 	s.apply(now, records.KeyShard("b"), &records.Term{Shard: "b", Controller: "n-1", Incarnation: 2, Number: 4})
