--- a/shard/aggregate.go
+++ b/shard/aggregate.go
@@ -22,8 +22,8 @@
 // machines that take tasks and, less what already waits for it, of those that
 // are coming.
 func (c *Core) Aggregate(now time.Time, revision uint64) leader.Aggregate {
-	a := leader.Aggregate{Shard: c.cfg.Shard, Term: c.term, Revision: revision, WaitingCPUs: c.excess,
-		Warm: map[string]float64{}, CanScaleOutOnDemand: c.rentable(&c.fleetView, now, false), CanScaleOutSpot: c.cfg.UseSpot && c.rentable(&c.fleetView, now, true)}
+	a := leader.Aggregate{Shard: c.cfg.Shard, Term: c.term, Revision: revision, WaitingCPUs: c.excessCPUs,
+		Warm: map[string]float64{}, CanScaleOutOnDemand: c.canScaleOut(&c.fleetView, now, false), CanScaleOutSpot: c.cfg.UseSpot && c.canScaleOut(&c.fleetView, now, true)}
 	add := func(free resources, spot bool) {
 		r := &a.OnDemand
 		if spot {
@@ -35,8 +35,8 @@
 		r.Memory.Add(free.mem)
 	}
 	for _, m := range c.fleet {
-		if !c.usable(now, m) {
-			if c.coming(now, m) {
+		if !c.isSchedulable(now, m) {
+			if c.isPendingMachine(now, m) {
 				a.Capacity += m.capacity.cpus
 			}
 			continue
@@ -52,13 +52,13 @@
 			a.Warm[image] += room
 		}
 	}
-	a.Gangs, a.ReservedForGangs = c.gangFigures(&c.fleetView, now), c.gangNeed
-	for _, b := range c.roomComing {
+	a.Gangs, a.ReservedForGangs = c.gangCapacities(&c.fleetView, now), c.gangReserveCPUs
+	for _, b := range c.pendingCapacity {
 		add(b.free, b.spot)
 	}
-	for _, r := range c.pendingRents {
-		if t := c.types[r.req.Type]; t != nil {
-			a.Capacity += t.CPUs * float64(r.req.Count)
+	for _, r := range c.pendingScaleOuts {
+		if t := c.types[r.request.Type]; t != nil {
+			a.Capacity += t.CPUs * float64(r.request.Count)
 		}
 	}
 	for _, r := range []*leader.FreeCapacity{&a.OnDemand, &a.Spot} {
--- a/shard/assignments.go
+++ b/shard/assignments.go
@@ -75,9 +75,9 @@
 }
 
 // finished looks at a job's assignments here.
-func (c *capacity) finished(v *fleetView, now time.Time, j *job) finish {
+func (c *scaleOutState) finished(v *fleetView, now time.Time, j *job) finish {
 	var f finish
-	held := c.held(now, j)
+	held := c.blocksTeamAtLimit(now, j)
 	for i := range j.rec.Assignments {
 		ch := &j.rec.Assignments[i]
 		if ch.Shard != v.cfg.Shard || ch.Closed {
--- a/shard/attempt.go
+++ b/shard/attempt.go
@@ -66,7 +66,7 @@
 	h.m.stale = true
 	c.touch(t.job)
 	if t.job.gang != nil {
-		c.matchGang(t, h)
+		c.reconcileGangAttempt(t, h)
 		return
 	}
 	if h.exited() {
@@ -93,7 +93,7 @@
 func (c *Core) release(now time.Time, h *hold) {
 	c.dropHold(h)
 	if !h.exited() {
-		c.dirty = true
+		c.needsPlacement = true
 	}
 	c.pushDirty = true
 	if j := c.jobs[h.jobID]; j != nil {
@@ -102,7 +102,7 @@
 			t.waitSince = now
 			t.keep = false // lost its machine: what does not fit here goes up at once
 			if j.gang != nil {
-				c.lostOne(j, h)
+				c.handleLostGangTask(j, h)
 			}
 		}
 		c.touch(j)
@@ -137,7 +137,7 @@
 		}
 		wait := time.Second << min(t.fails, 5)
 		t.notBefore = now.Add(min(wait, constants.JobFaultRetry))
-		c.draining.moveFailed(t, h.m.name)
+		c.draining.migrationFailed(t, h.m.name)
 	default: // refused for room, or as busy
 		slog.Warn("start refused", "task", h.key.task, "machine", h.m.name, "cause", h.cause)
 		t.notBefore = now.Add(constants.RefusedRetry)
--- a/shard/bestfit.go
+++ b/shard/bestfit.go
@@ -8,32 +8,32 @@
 	"ravenport/wire"
 )
 
-// usable says whether new tasks may go to a machine now.
-func (v *fleetView) usable(now time.Time, m *machine) bool {
+// isSchedulable says whether new tasks may go to a machine now.
+func (v *fleetView) isSchedulable(now time.Time, m *machine) bool {
 	return m.verified(v.term) && m.durable && m.inventoryAddr == m.addr && m.typ != nil && !m.unconfirmed() &&
 		!m.returning && m.cordon == nil && m.notice.IsZero() && !v.silent(now, m) && !now.Before(m.avoidUntil)
 }
 
-// allowed says whether a job's tasks may run on a kind of machine.
-func allowed(s *wire.Submission, typ string, spot bool) bool {
+// isEligible says whether a job's tasks may run on a kind of machine.
+func isEligible(s *wire.Submission, typ string, spot bool) bool {
 	return (s.Spot || !spot) && (len(s.Types) == 0 || slices.Contains(s.Types, typ))
 }
 
-// candidates is the paper's Resource-Only Match: the machines that have room
+// rankCandidates is the paper's Resource-Only Match: the machines that have room
 // in the order in which they are filled, the one that is left with the least
 // first. A machine that got a task is left with less and so stays the best fit
 // for the job's next, until it is full. Machines that hold the image already
 // come first, and spot machines before ordinary ones where both are allowed:
 // ordinary room is the only room for those that may not use spot.
-func (k *knowledge) candidates(s *wire.Submission, n resources, r *round) []*machine {
+func (k *knowledge) rankCandidates(s *wire.Submission, n resources, r *placementRound) []*machine {
 	type cand struct {
 		m     *machine
 		score float64
 	}
 	var cs []cand
-	for _, m := range r.room {
-		if free := k.free(m); n.fits(free) && allowed(s, m.typeName, m.spot) && (m.keptFor == nil || m.keptFor.rec.ID == s.ID) && (!m.forGangs || s.AllOrNothing()) {
-			cs = append(cs, cand{m, k.score(s, n, m, free)})
+	for _, m := range r.freeMachines {
+		if free := k.free(m); n.fits(free) && isEligible(s, m.typeName, m.spot) && (m.keptFor == nil || m.keptFor.rec.ID == s.ID) && (!m.forGangs || s.AllOrNothing()) {
+			cs = append(cs, cand{m, k.placementScore(s, n, m, free)})
 		}
 	}
 	slices.SortFunc(cs, func(a, b cand) int {
@@ -54,9 +54,9 @@
 	return out
 }
 
-// score ranks a machine with room for a job's task; less is better.
-func (k *knowledge) score(s *wire.Submission, n resources, m *machine, free resources) float64 {
-	score := m.left(free.minus(n))
+// placementScore ranks a machine with room for a job's task; less is better.
+func (k *knowledge) placementScore(s *wire.Submission, n resources, m *machine, free resources) float64 {
+	score := m.freeShare(free.minus(n))
 	if !m.images[s.Image] {
 		score += constants.ScoreCold
 	}
@@ -85,22 +85,22 @@
 	var best *machine
 	var least float64
 	for _, m := range v.fleet {
-		if !allowed(s, m.typeName, m.spot) || !v.usable(now, m) {
+		if !isEligible(s, m.typeName, m.spot) || !v.isSchedulable(now, m) {
 			continue
 		}
 		free := v.free(m)
 		if !n.fits(free) || m.keptFor != nil && m.keptFor.rec.ID != s.ID || m.forGangs && !s.AllOrNothing() || except != nil && !except(m) {
 			continue
 		}
-		if score := v.score(s, n, m, free); best == nil || score < least || score == least && m.name < best.name {
+		if score := v.placementScore(s, n, m, free); best == nil || score < least || score == least && m.name < best.name {
 			best, least = m, score
 		}
 	}
 	return best
 }
 
-// left is the share of a machine that stays free, from 0 to 2.
-func (m *machine) left(free resources) float64 {
+// freeShare is the share of a machine that stays free, from 0 to 2.
+func (m *machine) freeShare(free resources) float64 {
 	l := 0.0
 	if m.capacity.cpus > 0 {
 		l += free.cpus / m.capacity.cpus
--- a/shard/commits.go
+++ b/shard/commits.go
@@ -59,6 +59,6 @@
 			c.check(j)
 		}
 	default:
-		c.draining.drainCommitted(now, kind, rest, revision)
+		c.draining.applyCommitResult(now, kind, rest, revision)
 	}
 }
--- a/shard/core.go
+++ b/shard/core.go
@@ -46,7 +46,7 @@
 	placement
 	closings
 	pageBook
-	capacity
+	scaleOutState
 	gangReserves
 	consolidation
 	figures
@@ -73,8 +73,8 @@
 			hearing:   hearing{period: cfg.HeartbeatPeriod, leaseLasts: cfg.LeaseEnd, began: now, gone: map[string]time.Time{}},
 		},
 		placement: newPlacement(cfg.RoundBudget), closings: closings{toClose: map[string]*job{}}, pageBook: newPageBook(cfg.SizeLimits),
-		capacity:     capacity{pendingRents: map[string]*rental{}, refused: map[bool]time.Time{}},
-		gangReserves: gangReserves{shapes: map[string]gangShape{}}, figures: figures{others: map[string]other{}, pushDirty: true},
+		scaleOutState: scaleOutState{pendingScaleOuts: map[string]*pendingScaleOut{}, refusedUntil: map[bool]time.Time{}},
+		gangReserves:  gangReserves{gangShapes: map[string]gangShape{}}, figures: figures{others: map[string]other{}, pushDirty: true},
 	}
 	c.SetTypes(types)
 	// Pages split off a large one have higher numbers: a machine found on both
@@ -100,12 +100,12 @@
 
 // SetRoundClock has a round's time taken by another clock than the machine's, which
 // a busy machine would make run differently every time.
-func (p *placement) SetRoundClock(clock func() time.Time) { p.clock = clock }
+func (p *placement) SetRoundClock(clock func() time.Time) { p.roundClock = clock }
 
 // Apply takes in a change from the feed.
 func (c *Core) Apply(now time.Time, ch records.Change) {
 	if c.draining != nil {
-		c.draining.apply(now, c.cfg.Shard, ch)
+		c.draining.applyChange(now, c.cfg.Shard, ch)
 	}
 	switch r := ch.Record.(type) {
 	case *records.Job:
@@ -127,22 +127,22 @@
 	slow := c.slowSteps.due(now, constants.SlowStep)
 	if slow {
 		c.lapse(now)
-		c.keepForGangs(now)
+		c.reserveMachinesForGangs(now)
 	}
 	if c.may(now) {
 		c.inventory(now)
-		if c.dirty || now.Sub(c.lastPlace) > constants.PlaceEvery {
-			c.place(now)
+		if c.needsPlacement || now.Sub(c.lastPlacement) > constants.PlaceEvery {
+			c.runPlacementRound(now)
 		}
-		if c.resume == nil && c.rentals.due(now, constants.RentGap) {
-			c.rent(now)
+		if c.resumeRank == nil && c.scaleOutPace.due(now, constants.RentGap) {
+			c.planScaleOut(now)
 		}
 		if slow {
-			c.letGo(&c.fleetView, now)
-			c.leaveNoticed(&c.fleetView, now)
+			c.releaseReservations(&c.fleetView, now)
+			c.evictFromNoticedMachines(&c.fleetView, now)
 			c.consolidate(now)
 		}
-		c.drain(now)
+		c.advanceDrains(now)
 		if c.censuses.due(now, constants.CensusEvery) {
 			c.giveBack(now)
 		}
--- a/shard/core_test.go
+++ b/shard/core_test.go
@@ -543,8 +543,8 @@
 	look(4 * time.Second)
 	r.submit(array("run-2", 400, "a"))
 	look(4 * time.Second)
-	if !r.isUnreachable || len(returned) > 0 || len(r.pendingRents) > 0 {
-		t.Fatalf("dark %v, returned %d, rentals %d", r.isUnreachable, len(returned), len(r.pendingRents))
+	if !r.isUnreachable || len(returned) > 0 || len(r.pendingScaleOuts) > 0 {
+		t.Fatalf("dark %v, returned %d, rentals %d", r.isUnreachable, len(returned), len(r.pendingScaleOuts))
 	}
 	if a := r.Aggregate(r.now, 1); a.CanScaleOutOnDemand || a.CanScaleOutSpot || a.OnDemand.CPUs.Sum > 0 {
 		t.Fatalf("a dark part offers room: %+v", a)
--- a/shard/directcommands.go
+++ b/shard/directcommands.go
@@ -169,7 +169,7 @@
 	}
 	c.arrive(now, m, r)
 	c.absorb(now, m, r, false)
-	c.dirty = c.dirty || c.freed
+	c.needsPlacement = c.needsPlacement || c.freed
 	// It answered a call: commands do reach it. But only a report of its own
 	// renews its lease, so an answer does not count for one, except at first.
 	m.unanswered, m.unheeded = 0, 0
--- a/shard/draining.go
+++ b/shard/draining.go
@@ -26,29 +26,29 @@
 
 // draining is the owner's state of drains and of its shard's account of disruption.
 type draining struct {
-	cfg      DrainingConfig
-	ledger   *disruption.Ledger
-	drains   map[int]*drain.Steps   // those that are not over, by number
-	damaged  map[int]bool           // drains whose record cannot be read
-	moves    map[*task]*move        // tasks that were stopped and are not up again
-	promised map[*machine]resources // room for those, as this step keeps it
-	surge    []*task                // that may be moved and find no room
-	headroom disruption.Counts      // how many more of those the budgets allow
-	waits    map[int]string         // by drain: why it waits
-	steps    pace                   // counts and goes on with drains
-	looks    int                    // for machines with room, in this step
-	turn     int                    // counts steps: each begins with another machine
+	cfg              DrainingConfig
+	ledger           *disruption.Ledger
+	drains           map[int]*drain.Steps   // those that are not over, by number
+	damagedRecords   map[int]bool           // drains whose record cannot be read
+	migrations       map[*task]*migration   // tasks that were stopped and are not up again
+	reservedCapacity map[*machine]resources // room for those, as this step keeps it
+	surgeTasks       []*task                // that may be moved and find no room
+	surgeCounts      disruption.Counts      // how many more of those the budgets allow
+	waitReasons      map[int]string         // by drain: why it waits
+	drainPace        pace                   // counts and goes on with drains
+	targetSearches   int                    // for machines with room, in this step
+	rotation         int                    // counts steps: each begins with another machine
 
-	interruptions interruptions
-	inherited     bool // those that earlier owners claimed are among them
+	interruptions             interruptions
+	hasInheritedInterruptions bool // those that earlier owners claimed are among them
 }
 
-// move is a service's task on its way to another machine.
-type move struct {
-	drain int
-	to    *machine // that had room for it
-	needs resources
-	since time.Time
+// migration is a service's task on its way to another machine.
+type migration struct {
+	drain     int
+	target    *machine // that had room for it
+	needs     resources
+	startedAt time.Time
 }
 
 // cordon says that a machine takes no new task.
@@ -61,7 +61,7 @@
 // the records of all jobs, and records the drains, claims and terms that are stored.
 func (c *Core) StartDraining(now time.Time, cfg DrainingConfig, jobs map[string]*records.Job, records []records.Change) {
 	c.draining = &draining{
-		cfg: cfg, drains: map[int]*drain.Steps{}, damaged: map[int]bool{}, moves: map[*task]*move{}, waits: map[int]string{},
+		cfg: cfg, drains: map[int]*drain.Steps{}, damagedRecords: map[int]bool{}, migrations: map[*task]*migration{}, waitReasons: map[int]string{},
 		interruptions: newInterruptions(cfg.Policy.ReplaceWithin),
 		ledger:        disruption.NewLedger(disruption.Config{Shard: c.cfg.Shard, Shards: cfg.Shards, Term: c.term, Budgets: cfg.Budgets, Stable: cfg.Policy.Stable, SkipClaimProof: cfg.SkipClaimProof}),
 	}
@@ -69,12 +69,12 @@
 		c.draining.ledger.ApplyJob(now, j)
 	}
 	for _, ch := range records {
-		c.draining.apply(now, c.cfg.Shard, ch)
+		c.draining.applyChange(now, c.cfg.Shard, ch)
 	}
 }
 
-// apply takes in a change from the feed.
-func (d *draining) apply(now time.Time, shard string, ch records.Change) {
+// applyChange takes in a change from the feed.
+func (d *draining) applyChange(now time.Time, shard string, ch records.Change) {
 	switch r := ch.Record.(type) {
 	case *records.Job:
 		d.ledger.ApplyJob(now, r)
@@ -93,19 +93,19 @@
 			d.ledger.ApplyDamagedClaim(claimOf, ch.Version)
 		}
 		if number, ok := r.Drain(); ok {
-			d.damaged[number] = true
+			d.damagedRecords[number] = true
 			delete(d.drains, number)
 		}
 	}
 }
 
 func (d *draining) applyDrain(shard string, r *records.Drain, version uint64) {
-	delete(d.damaged, r.Number)
+	delete(d.damagedRecords, r.Number)
 	steps := d.drains[r.Number]
 	switch {
 	case r.State.Over():
 		delete(d.drains, r.Number)
-		delete(d.waits, r.Number)
+		delete(d.waitReasons, r.Number)
 	case steps != nil:
 		steps.Apply(r, version)
 	default:
@@ -113,13 +113,13 @@
 	}
 }
 
-// numbers lists the drains that are not over, in order.
-func (d *draining) numbers() []int {
+// drainNumbers lists the drains that are not over, in order.
+func (d *draining) drainNumbers() []int {
 	return slices.Sorted(maps.Keys(d.drains))
 }
 
-// active says whether any drain runs.
-func (d *draining) active() bool {
+// hasRunningDrain says whether any drain runs.
+func (d *draining) hasRunningDrain() bool {
 	for _, s := range d.drains {
 		if s.Record().State == records.DrainRunning {
 			return true
@@ -128,52 +128,52 @@
 	return false
 }
 
-// drain counts what is unavailable, goes on with all drains, and writes the shard's
+// advanceDrains counts what is unavailable, goes on with all drains, and writes the shard's
 // claim.
-func (c *Core) drain(now time.Time) {
+func (c *Core) advanceDrains(now time.Time) {
 	d := c.draining
-	if d == nil || !d.steps.due(now, constants.DrainEvery) {
+	if d == nil || !d.drainPace.due(now, constants.DrainEvery) {
 		return
 	}
-	d.ledger.Observe(now, d.unavailable(&c.fleetView, now), c.rebuilt)
-	d.surge, d.headroom, d.looks = d.surge[:0], disruption.Counts{}, 0
-	d.turn++
-	d.settleMoves(&c.fleetView, now)
-	d.promised = d.roomPromised()
-	c.liftCordons()
+	d.ledger.Observe(now, d.countUnavailable(&c.fleetView, now), c.rebuilt)
+	d.surgeTasks, d.surgeCounts, d.targetSearches = d.surgeTasks[:0], disruption.Counts{}, 0
+	d.rotation++
+	d.settleMigrations(&c.fleetView, now)
+	d.reservedCapacity = d.reservedForMigrations()
+	c.uncordonMachines()
 	for _, m := range c.fleet {
 		m.leavesNext = false
 	}
 	if c.rebuilt && !c.isUnreachable {
-		for _, number := range d.numbers() {
+		for _, number := range d.drainNumbers() {
 			c.advanceDrain(now, number, d.drains[number])
 		}
 	}
-	if changes, conditions := d.ledger.Write(now, d.active()); changes != nil {
+	if changes, conditions := d.ledger.Write(now, d.hasRunningDrain()); changes != nil {
 		c.commit(&c.fleetView, commitClaim+"/", changes, conditions...)
 	}
 }
 
-// isUp says whether a task runs and has proved itself.
-func (d *draining) isUp(v *fleetView, now time.Time, t *task) bool {
+// isAvailable says whether a task runs and has proved itself.
+func (d *draining) isAvailable(v *fleetView, now time.Time, t *task) bool {
 	h := t.hold
-	if !v.runs(now, t) {
+	if !v.isRunningTask(now, t) {
 		return false
 	}
 	return h.adopted || d.cfg.SkipStableTime || now.Sub(h.runSince) >= d.cfg.Policy.Stable
 }
 
-// unavailable counts the shard's tasks of services that should be up and are not, and the
+// countUnavailable counts the shard's tasks of services that should be up and are not, and the
 // arrays' tasks and gangs that were interrupted.
-func (d *draining) unavailable(v *fleetView, now time.Time) disruption.Counts {
-	down := d.lookAtInterruptions(v, now)
+func (d *draining) countUnavailable(v *fleetView, now time.Time) disruption.Counts {
+	down := d.observeInterruptions(v, now)
 	for _, j := range v.jobs {
 		if j.rec.End != "" || !j.rec.Spec.IsService() {
 			continue
 		}
 		n := 0
 		for _, t := range j.tasks {
-			if !d.isUp(v, now, t) {
+			if !d.isAvailable(v, now, t) {
 				n++
 			}
 		}
@@ -189,17 +189,17 @@
 	return d.ledger.KeysOf(&j.rec.Spec)
 }
 
-// settleMoves looks which moved tasks are up again, and which never came up.
-func (d *draining) settleMoves(v *fleetView, now time.Time) {
-	for t, m := range d.moves {
+// settleMigrations looks which moved tasks are up again, and which never came up.
+func (d *draining) settleMigrations(v *fleetView, now time.Time) {
+	for t, m := range d.migrations {
 		steps := d.drains[m.drain]
 		switch {
 		case v.jobs[t.job.rec.ID] != t.job || t.job.tasks[t.index] != t || t.job.rec.End != "":
-			delete(d.moves, t) // it ended, or another shard looks after it
-		case d.isUp(v, now, t):
-			delete(d.moves, t)
-		case now.Sub(m.since) > d.cfg.Policy.ReplaceWithin:
-			delete(d.moves, t)
+			delete(d.migrations, t) // it ended, or another shard looks after it
+		case d.isAvailable(v, now, t):
+			delete(d.migrations, t)
+		case now.Sub(m.startedAt) > d.cfg.Policy.ReplaceWithin:
+			delete(d.migrations, t)
 			if steps != nil {
 				steps.Failed("a task of " + t.job.rec.ID + " was not up in time")
 			}
@@ -207,12 +207,12 @@
 	}
 }
 
-// moveFailed notes that a moved task ended with an error before it was up.
-func (d *draining) moveFailed(t *task, machine string) {
+// migrationFailed notes that a moved task ended with an error before it was up.
+func (d *draining) migrationFailed(t *task, machine string) {
 	if d == nil {
 		return
 	}
-	if m := d.moves[t]; m != nil {
+	if m := d.migrations[t]; m != nil {
 		if steps := d.drains[m.drain]; steps != nil {
 			steps.Failed("a task of " + t.job.rec.ID + " failed on " + machine)
 		}
@@ -226,14 +226,14 @@
 		return
 	}
 	for _, steps := range d.drains {
-		if steps.Acts() && !drain.Matches(&steps.Record().Selection, v.selectable(m)) {
+		if steps.Acts() && !drain.Matches(&steps.Record().Selection, v.selectableMachine(m)) {
 			steps.Failed(m.name + " did not come up")
 		}
 	}
 }
 
-// liftCordons lets machines take tasks again whose drain does not run any more.
-func (c *Core) liftCordons() {
+// uncordonMachines lets machines take tasks again whose drain does not run any more.
+func (c *Core) uncordonMachines() {
 	for _, m := range c.fleet {
 		if m.cordon == nil {
 			continue
@@ -241,21 +241,21 @@
 		if s := c.draining.drains[m.cordon.drain]; s == nil || s.Record().State != records.DrainRunning {
 			slog.Info("cordon is lifted", "machine", m.name, "drain", m.cordon.drain)
 			m.cordon = nil
-			c.dirty, c.pushDirty = true, true
+			c.needsPlacement, c.pushDirty = true, true
 		}
 	}
 }
 
-// selectable is a machine as a selection looks at it.
-func (o *ownership) selectable(m *machine) drain.Machine {
+// selectableMachine is a machine as a selection looks at it.
+func (o *ownership) selectableMachine(m *machine) drain.Machine {
 	return drain.Machine{Name: m.name, Zone: o.cfg.Shard, Type: m.typeName, Spot: m.spot}
 }
 
-// selected lists the machines that a drain takes in and that are still there.
-func (v *fleetView) selected(s *records.Selection) []*machine {
+// selectedMachines lists the machines that a drain takes in and that are still there.
+func (v *fleetView) selectedMachines(s *records.Selection) []*machine {
 	var out []*machine
 	for _, m := range v.fleet {
-		if !m.leaving && drain.Matches(s, v.selectable(m)) {
+		if !m.leaving && drain.Matches(s, v.selectableMachine(m)) {
 			out = append(out, m)
 		}
 	}
@@ -265,7 +265,7 @@
 // advanceDrain makes a drain's next step in this shard: it cordons machines, moves
 // what runs on them, and records how far the drain has come.
 func (c *Core) advanceDrain(now time.Time, number int, s *drain.Steps) {
-	machines := c.selected(&s.Record().Selection)
+	machines := c.selectedMachines(&s.Record().Selection)
 	for _, m := range machines {
 		m.leavesNext = s.Record().State == records.DrainRunning
 	}
@@ -281,20 +281,20 @@
 		byName[name].cordon = &cordon{number, now}
 		c.pushDirty = true
 	}
-	c.draining.waits[number] = whyIdle(now, s)
+	c.draining.waitReasons[number] = idleReason(now, s)
 	for i := range machines {
-		if m := machines[(i+c.draining.turn)%len(machines)]; m.cordon != nil && m.cordon.drain == number && !m.returning {
-			c.empty(now, m, number)
+		if m := machines[(i+c.draining.rotation)%len(machines)]; m.cordon != nil && m.cordon.drain == number && !m.returning {
+			c.evictFromCordoned(now, m, number)
 		}
 	}
-	if record, version := s.Write(c.draining.settled(number)); record != nil {
+	if record, version := s.Write(c.draining.migrationsSettled(number)); record != nil {
 		key := records.KeyDrain(number)
 		c.commit(&c.fleetView, commitDrain+"/"+strconv.Itoa(number), []wire.Change{{Put: key, Value: records.Encode(record)}}, wire.Condition{Key: key, Version: version})
 	}
 }
 
-// whyIdle says why a drain has nothing to do in this shard at present; empty if it has.
-func whyIdle(now time.Time, s *drain.Steps) string {
+// idleReason says why a drain has nothing to do in this shard at present; empty if it has.
+func idleReason(now time.Time, s *drain.Steps) string {
 	switch open, next := s.Open(now); {
 	case s.Record().State != records.DrainRunning:
 		return string(s.Record().State)
@@ -306,9 +306,9 @@
 	return ""
 }
 
-// settled says whether no task that a drain moved is on its way.
-func (d *draining) settled(number int) bool {
-	for _, m := range d.moves {
+// migrationsSettled says whether no task that a drain moved is on its way.
+func (d *draining) migrationsSettled(number int) bool {
+	for _, m := range d.migrations {
 		if m.drain == number {
 			return false
 		}
@@ -322,8 +322,8 @@
 	commitDrain = "drain"
 )
 
-// drainCommitted takes in what came of a transaction of a drain or a claim.
-func (d *draining) drainCommitted(now time.Time, kind, rest string, revision uint64) {
+// applyCommitResult takes in what came of a transaction of a drain or a claim.
+func (d *draining) applyCommitResult(now time.Time, kind, rest string, revision uint64) {
 	switch kind {
 	case commitClaim:
 		d.ledger.Written(now, revision)
@@ -341,21 +341,21 @@
 		return nil
 	}
 	var out []drain.Progress
-	for _, number := range c.draining.numbers() {
+	for _, number := range c.draining.drainNumbers() {
 		out = append(out, c.draining.progress(&c.fleetView, number, c.draining.drains[number]))
 	}
 	return out
 }
 
 func (d *draining) progress(v *fleetView, number int, s *drain.Steps) drain.Progress {
-	p := drain.Progress{Drain: number, Shard: v.cfg.Shard, WaitingFor: d.waits[number], Failures: s.Failures()}
-	for _, m := range v.selected(&s.Record().Selection) {
+	p := drain.Progress{Drain: number, Shard: v.cfg.Shard, WaitingFor: d.waitReasons[number], Failures: s.Failures()}
+	for _, m := range v.selectedMachines(&s.Record().Selection) {
 		p.Remaining++
 		if m.cordon != nil && m.cordon.drain == number && len(p.Cordoned) < constants.DrainNames {
 			p.Cordoned = append(p.Cordoned, m.name)
 		}
 	}
-	for _, m := range d.moves {
+	for _, m := range d.migrations {
 		if m.drain == number {
 			p.Moving++
 		}
@@ -371,8 +371,8 @@
 	return c.draining.ledger.Usage(now)
 }
 
-// drained notes that a cordoned machine is gone for good.
-func (d *draining) drained(m *machine) {
+// machineDrained notes that a cordoned machine is gone for good.
+func (d *draining) machineDrained(m *machine) {
 	if m.cordon == nil || d == nil {
 		return
 	}
--- a/shard/draining_test.go
+++ b/shard/draining_test.go
@@ -50,23 +50,23 @@
 	r := newRig(nil)
 	j := r.withAccount()
 	first, second := j.tasks[0], j.tasks[1]
-	if r.draining.mayConsolidate(r.now, first) {
+	if r.draining.allowsConsolidation(r.now, first) {
 		t.Fatal("moved without a claim")
 	}
 	moved := false
 	for i := 0; i < 40 && !moved; i++ {
 		r.serve(250 * time.Millisecond) // the wish is written, if there is room for it
-		moved = r.draining.mayConsolidate(r.now, first)
+		moved = r.draining.allowsConsolidation(r.now, first)
 	}
 	if !moved {
 		t.Fatal("never moved, though no other task is down")
 	}
-	if r.draining.mayConsolidate(r.now, second) {
+	if r.draining.allowsConsolidation(r.now, second) {
 		t.Error("a second one is moved beside the first")
 	}
-	r.stopHold(first.hold)
+	r.evict(first.hold)
 	r.serve(2 * time.Second)
-	if r.draining.mayConsolidate(r.now, second) {
+	if r.draining.allowsConsolidation(r.now, second) {
 		t.Error("a second one is moved before the first has proved itself")
 	}
 }
@@ -88,11 +88,11 @@
 		r.serve(250 * time.Millisecond)
 		notUp := 0
 		for _, task := range j.tasks {
-			if !r.draining.isUp(&r.fleetView, r.now, task) {
+			if !r.draining.isAvailable(&r.fleetView, r.now, task) {
 				notUp++
 			}
 		}
-		for task := range r.draining.moves {
+		for task := range r.draining.migrations {
 			if !moved[task] && notUp > 1 {
 				t.Fatalf("a task is stopped while %d are not up, of which one may be", notUp)
 			}
@@ -135,10 +135,10 @@
 	} {
 		now = now.Add(time.Second + step.after)
 		if step.here {
-			s.look(now, unit{j, 0}, keys, step.runs, step.isUp)
+			s.observe(now, interruptionUnit{j, 0}, keys, step.runs, step.isUp)
 		}
 		if step.stopped {
-			s.units[unit{j, 0}].stop()
+			s.units[interruptionUnit{j, 0}].markInterrupted()
 		}
 		if got := s.count(now)[keys[0]]; got != step.want {
 			t.Fatalf("%s: %d count, %d should", step.name, got, step.want)
@@ -162,18 +162,18 @@
 		}
 		r.serve(15 * time.Second)
 		r.up("m-2")
-		units := map[unit]bool{}
+		units := map[interruptionUnit]bool{}
 		for _, j := range r.jobs {
 			for _, task := range j.tasks {
-				if !r.draining.isUp(&r.fleetView, r.now, task) {
+				if !r.draining.isAvailable(&r.fleetView, r.now, task) {
 					t.Fatalf("%s: %s does not run", kind, j.rec.ID)
 				}
-				units[unitOf(task)] = true
+				units[interruptionUnitOf(task)] = true
 			}
 		}
 		record := records.Drain{Number: 1, State: records.DrainRunning, Proven: true, Selection: records.Selection{Machines: []string{"m-0", "m-1"}}}
 		r.Apply(r.now, records.Change{Key: records.KeyDrain(1), Version: r.version, Record: &record})
-		interrupted := map[unit]bool{}
+		interrupted := map[interruptionUnit]bool{}
 		for range 300 {
 			r.serve(250 * time.Millisecond)
 			n := 0
@@ -206,12 +206,12 @@
 	cfg := DrainingConfig{Shards: []string{"a"}, Budgets: budgets, Policy: drain.Policy{Stable: 5 * time.Second, ReplaceWithin: time.Minute, MaxFailures: 2}}
 	r.StartDraining(r.now, cfg, map[string]*records.Job{j.ID: j}, []records.Change{{Key: records.KeyDisruptionClaim("a"), Version: 90, Record: &last}})
 	r.write(r.wait(time.Second))
-	if n := r.draining.unavailable(&r.fleetView, r.now)[key]; n != 2 {
+	if n := r.draining.countUnavailable(&r.fleetView, r.now)[key]; n != 2 {
 		t.Errorf("%d of 3 that wait count, 2 were claimed", n)
 	}
 	r.up("m-0")
 	r.serve(15 * time.Second)
-	if n := r.draining.unavailable(&r.fleetView, r.now)[key]; n != 0 {
+	if n := r.draining.countUnavailable(&r.fleetView, r.now)[key]; n != 0 {
 		t.Errorf("%d count though all run", n)
 	}
 }
--- a/shard/elsewhere.go
+++ b/shard/elsewhere.go
@@ -8,14 +8,14 @@
 	"ravenport/wire"
 )
 
-// warmerElsewhere says whether a production task would wait for its image
+// isImageWarmInOtherShard says whether a production task would wait for its image
 // here, and would not in another shard.
-func (f *figures) warmerElsewhere(v *fleetView, now time.Time, s *wire.Submission) bool {
+func (f *figures) isImageWarmInOtherShard(v *fleetView, now time.Time, s *wire.Submission) bool {
 	if s.Priority != wire.PriorityProduction || s.OneZone || s.Spread && s.Tasks > 1 || s.Zone != "" {
 		return false
 	}
 	for _, m := range v.fleet {
-		if m.images[s.Image] && v.usable(now, m) && allowed(s, m.typeName, m.spot) && v.prodRoom(m) >= s.CPUs {
+		if m.images[s.Image] && v.isSchedulable(now, m) && isEligible(s, m.typeName, m.spot) && v.prodRoom(m) >= s.CPUs {
 			return false
 		}
 	}
@@ -27,16 +27,16 @@
 	return false
 }
 
-// elsewhere says whether another shard is known to have room for one more of a
+// otherShardsFitOneMore says whether another shard is known to have room for one more of a
 // job's tasks, after so many.
-func (f *figures) elsewhere(now time.Time, rec *records.Job, after int) bool {
+func (f *figures) otherShardsFitOneMore(now time.Time, rec *records.Job, after int) bool {
 	// Others see the same room.
-	return f.roomElsewhere(now, rec) > (after+1)*max(1, len(f.others))
+	return f.taskSlotsInOtherShards(now, rec) > (after+1)*max(1, len(f.others))
 }
 
-// roomElsewhere is for how many more of a job's tasks other shards are known to have
+// taskSlotsInOtherShards is for how many more of a job's tasks other shards are known to have
 // room.
-func (f *figures) roomElsewhere(now time.Time, rec *records.Job) int {
+func (f *figures) taskSlotsInOtherShards(now time.Time, rec *records.Job) int {
 	s := &rec.Spec
 	n := 0
 	for _, o := range f.others {
@@ -46,14 +46,14 @@
 	}
 	// spread may leave no place for it outside this shard, whatever the room.
 	if s.Spread && s.Tasks > 1 {
-		n = min(n, f.spreadElsewhere(rec))
+		n = min(n, f.spreadSlotsInOtherShards(rec))
 	}
 	return n
 }
 
-// spreadElsewhere is how many more tasks of a job may be in the other shards,
+// spreadSlotsInOtherShards is how many more tasks of a job may be in the other shards,
 // beside those there: at most half of all in each.
-func (f *figures) spreadElsewhere(rec *records.Job) int {
+func (f *figures) spreadSlotsInOtherShards(rec *records.Job) int {
 	n := 0
 	for name := range f.others {
 		left := (rec.Spec.Tasks + 1) / 2
@@ -67,9 +67,9 @@
 	return n
 }
 
-// sendBack marks a waiting task to be sent back to the leader. From here on
+// offloadTask marks a waiting task to be sent back to the leader. From here on
 // it is not placed, until a newer record says what became of it.
-func (c *Core) sendBack(j *job, t *task) {
+func (c *Core) offloadTask(j *job, t *task) {
 	if !j.recordChanges() && !c.somewhere(j.rec.ID, t.index) {
 		t.leaving = true
 		c.touch(j)
--- a/shard/empty.go
+++ b/shard/empty.go
@@ -11,12 +11,12 @@
 )
 
 // consolidation is how often services are moved to do without machines.
-type consolidation struct{ moves pace }
+type consolidation struct{ consolidationPace pace }
 
-// leaveNoticed moves work off machines that the cloud is about to take: what
+// evictFromNoticedMachines moves work off machines that the cloud is about to take: what
 // can save is told to in time, services and arrays that will not be done start
 // again elsewhere while there is room.
-func (q *outgoing) leaveNoticed(v *fleetView, now time.Time) {
+func (q *outgoing) evictFromNoticedMachines(v *fleetView, now time.Time) {
 	for _, m := range v.fleet {
 		if m.notice.IsZero() || m.returning || !m.up {
 			continue
@@ -25,7 +25,7 @@
 		moves := 0
 		for _, h := range m.holds {
 			t := v.taskOf(h)
-			if !stoppable(h, t) || moves >= constants.NoticeMoves {
+			if !isEvictable(h, t) || moves >= constants.NoticeMoves {
 				continue
 			}
 			s := &t.job.rec.Spec
@@ -33,7 +33,7 @@
 				// It saves whole, at the last moment at which all can be told, or
 				// is left to end by itself.
 				if !h.instant && left <= v.grace(h)+v.cfg.GangPeer+constants.NoticeMargin {
-					q.stopGang(t.job, "a machine will be taken back")
+					q.stopGangWithCheckpoint(t.job, "a machine will be taken back")
 				}
 				continue
 			}
@@ -50,7 +50,7 @@
 			case v.bestFit(now, s, nil) == nil:
 				continue
 			}
-			q.stopHold(h)
+			q.evict(h)
 			moves++
 		}
 	}
@@ -61,14 +61,14 @@
 // is away for a moment, while a machine with one service on it costs as much
 // as a full one. How many are emptied at once grows with the shard.
 func (c *Core) consolidate(now time.Time) {
-	if !c.rebuilt || !c.moves.due(now, constants.MoveGap) {
+	if !c.rebuilt || !c.consolidationPace.due(now, constants.MoveGap) {
 		return
 	}
 	var ms []*machine
 	moving, draining := 0, 0
 	total := 0.0
 	for _, m := range c.fleet {
-		if m.spot || !c.usable(now, m) {
+		if m.spot || !c.isSchedulable(now, m) {
 			m.spareSince = time.Time{}
 			continue
 		}
@@ -84,7 +84,7 @@
 		}
 	}
 	most := 1 + len(ms)/constants.MachinesAMove
-	if moving >= most || len(ms) < 2 || c.unplaced.cpus > 0 {
+	if moving >= most || len(ms) < 2 || c.unplacedDemand.cpus > 0 {
 		return
 	}
 	sort.Slice(ms, func(a, b int) bool {
@@ -93,8 +93,8 @@
 		}
 		return ms[a].name > ms[b].name
 	})
-	keep := c.reserve(&c.fleetView, now) + c.prod.largest.cpus + c.gangNeed
-	others := c.withRoom(now)
+	keep := c.productionReserve(&c.fleetView, now) + c.productionArrivals.largest.cpus + c.gangReserveCPUs
+	others := c.machinesWithFreeCapacity(now)
 	looked := 0
 	for _, m := range ms {
 		// Without it the shard must keep its room ready, and have room for what
@@ -107,7 +107,7 @@
 			m.spareSince = time.Time{}
 			continue
 		}
-		if looked++; looked > 4*most || !c.spare(m, others) {
+		if looked++; looked > 4*most || !c.isRedundant(m, others) {
 			if m.draining {
 				m.draining = false
 				draining--
@@ -118,7 +118,7 @@
 		total -= m.capacity.cpus
 		switch {
 		case m.draining:
-			if moving < most && c.moveOne(now, m) {
+			if moving < most && c.migrateOneService(now, m) {
 				moving++
 			}
 		case m.spareSince.IsZero():
@@ -131,13 +131,13 @@
 	}
 }
 
-// withRoom lists the machines that could take something, as few of a busy shard can.
+// machinesWithFreeCapacity lists the machines that could take something, as few of a busy shard can.
 // Guards against a look at the whole shard for each task that might move: with
 // hundreds of machines that stood in the way of everything else for 10 ms.
-func (v *fleetView) withRoom(now time.Time) []*machine {
+func (v *fleetView) machinesWithFreeCapacity(now time.Time) []*machine {
 	var list []*machine
 	for _, m := range v.fleet {
-		if !v.usable(now, m) {
+		if !v.isSchedulable(now, m) {
 			continue
 		}
 		if free := v.free(m); free.cpus > slack && free.mem > slack {
@@ -147,9 +147,9 @@
 	return list
 }
 
-// spare says whether all that is on a machine would fit on others with room,
+// isRedundant says whether all that is on a machine would fit on others with room,
 // services on ordinary ones that hold their image.
-func (k *knowledge) spare(m *machine, others []*machine) bool {
+func (k *knowledge) isRedundant(m *machine, others []*machine) bool {
 	taken := map[*machine]resources{}
 	for _, h := range m.holds {
 		t := k.taskOf(h)
@@ -160,7 +160,7 @@
 		var to *machine
 		var left float64
 		for _, o := range others {
-			if o == m || o.draining || s.IsService() && !o.images[s.Image] || !allowed(s, o.typeName, o.spot) {
+			if o == m || o.draining || s.IsService() && !o.images[s.Image] || !isEligible(s, o.typeName, o.spot) {
 				continue
 			}
 			free := k.free(o).minus(taken[o])
@@ -176,16 +176,16 @@
 	return true
 }
 
-// moveOne stops one service of a draining machine; it starts again at once
+// migrateOneService stops one service of a draining machine; it starts again at once
 // where there is room for it.
-func (c *Core) moveOne(now time.Time, m *machine) bool {
+func (c *Core) migrateOneService(now time.Time, m *machine) bool {
 	for _, h := range m.holds {
 		t := c.taskOf(h)
 		if h.state != wire.TaskRunning || t == nil || t.hold != h || h.stop || !t.job.rec.Spec.IsService() || !h.instant {
 			continue
 		}
-		if to := c.bestFit(now, &t.job.rec.Spec, nil); to != nil && !to.draining && to.images[t.job.rec.Spec.Image] && c.draining.mayConsolidate(now, t) {
-			c.stopHold(h)
+		if to := c.bestFit(now, &t.job.rec.Spec, nil); to != nil && !to.draining && to.images[t.job.rec.Spec.Image] && c.draining.allowsConsolidation(now, t) {
+			c.evict(h)
 			slog.Debug("moving service", "task", h.key.task, "from", m.name, "to", to.name)
 			return true
 		}
--- a/shard/gang_test.go
+++ b/shard/gang_test.go
@@ -360,7 +360,7 @@
 	for m := range h.seq {
 		h.set(m, wire.TaskRunning, "")
 	}
-	h.stopGang(h.jobs["run-1"], "test")
+	h.stopGangWithCheckpoint(h.jobs["run-1"], "test")
 	h.run(time.Second)
 	if len(h.stops) != 6 || h.stops["run-1/0"] < 3 {
 		t.Fatalf("stops %v, wanted six with time to save", h.stops)
--- a/shard/gangreserve.go
+++ b/shard/gangreserve.go
@@ -12,49 +12,49 @@
 
 // gangReserves is the room to be held ready for gangs.
 type gangReserves struct {
-	gangs    arrivals // each as a whole
-	shapes   map[string]gangShape
-	gangNeed float64 // CPUs
+	gangArrivals    arrivals // each as a whole
+	gangShapes      map[string]gangShape
+	gangReserveCPUs float64 // CPUs
 }
 
-// noteGang remembers what gangs look like, whichever shard has them: the leader
+// recordGangShape remembers what gangs look like, whichever shard has them: the leader
 // wants to know whether one of that shape would start here.
-func (g *gangReserves) noteGang(now time.Time, rec *records.Job) {
+func (g *gangReserves) recordGangShape(now time.Time, rec *records.Job) {
 	if !rec.Spec.IsGang() || rec.End != "" {
 		return
 	}
 	key := leader.GangShape(&rec.Spec)
-	if _, known := g.shapes[key]; !known && len(g.shapes) >= constants.MaxShapes {
+	if _, known := g.gangShapes[key]; !known && len(g.gangShapes) >= constants.MaxShapes {
 		oldest := key
-		for k, sh := range g.shapes {
-			if oldest == key || sh.at.Before(g.shapes[oldest].at) || sh.at.Equal(g.shapes[oldest].at) && k < oldest {
+		for k, sh := range g.gangShapes {
+			if oldest == key || sh.lastSeen.Before(g.gangShapes[oldest].lastSeen) || sh.lastSeen.Equal(g.gangShapes[oldest].lastSeen) && k < oldest {
 				oldest = k
 			}
 		}
-		delete(g.shapes, oldest)
+		delete(g.gangShapes, oldest)
 	}
-	g.shapes[key] = gangShape{rec.Spec, now}
+	g.gangShapes[key] = gangShape{rec.Spec, now}
 }
 
 type gangShape struct {
-	spec wire.Submission
-	at   time.Time
+	spec     wire.Submission
+	lastSeen time.Time
 }
 
-// gangFigures is how many tasks of each shape of gang seen lately would start
+// gangCapacities is how many tasks of each shape of gang seen lately would start
 // now, and how many of them on machines that hold the image.
-func (reserves *gangReserves) gangFigures(v *fleetView, now time.Time) map[string]leader.GangCapacity {
+func (reserves *gangReserves) gangCapacities(v *fleetView, now time.Time) map[string]leader.GangCapacity {
 	out := map[string]leader.GangCapacity{}
-	for key, sh := range reserves.shapes {
-		if now.Sub(sh.at) > constants.ShapeMemory {
-			delete(reserves.shapes, key)
+	for key, sh := range reserves.gangShapes {
+		if now.Sub(sh.lastSeen) > constants.ShapeMemory {
+			delete(reserves.gangShapes, key)
 			continue
 		}
 		s := &sh.spec
 		n := need(s)
 		var g leader.GangCapacity
 		for _, m := range v.fleet {
-			if m.draining || !allowed(s, m.typeName, m.spot) || !v.usable(now, m) {
+			if m.draining || !isEligible(s, m.typeName, m.spot) || !v.isSchedulable(now, m) {
 				continue
 			}
 			k := v.free(m).holdsOf(n)
@@ -68,32 +68,32 @@
 	return out
 }
 
-// keepForGangs picks the machines on which no array begins, so that gangs find
+// reserveMachinesForGangs picks the machines on which no array begins, so that gangs find
 // room at once: enough for those that wait and for what is expected to come. A
 // gang needs all its places at the same moment, and arrays would take each that
 // falls free. It is made anew each time, so none outlives its reason.
-func (c *Core) keepForGangs(now time.Time) {
+func (c *Core) reserveMachinesForGangs(now time.Time) {
 	c.refresh(&c.fleetView)
-	c.gangNeed = c.gangReserve(&c.fleetView, now)
+	c.gangReserveCPUs = c.targetGangReserve(&c.fleetView, now)
 	waiting := c.waitingGangs()
 	for _, m := range c.fleet {
 		m.forGangs = false
 	}
-	if c.gangNeed == 0 && len(waiting) == 0 {
+	if c.gangReserveCPUs == 0 && len(waiting) == 0 {
 		return
 	}
-	machines := c.machinesForGangs(&c.fleetView, now)
+	machines := c.gangReserveCandidates(&c.fleetView, now)
 	for _, j := range waiting {
-		keepForGang(machines, j)
+		reserveForGang(machines, j)
 	}
-	left := c.gangNeed
+	left := c.gangReserveCPUs
 	for _, k := range machines {
 		if left <= slack {
 			break
 		}
-		if !k.m.spot && k.room.cpus > slack {
-			k.m.forGangs = true
-			left -= k.room.cpus
+		if !k.machine.spot && k.available.cpus > slack {
+			k.machine.forGangs = true
+			left -= k.available.cpus
 		}
 	}
 }
@@ -115,31 +115,31 @@
 
 // gangMachine is a machine whose room may be kept for gangs.
 type gangMachine struct {
-	m    *machine
-	warm int       // shapes of gangs whose image it holds
-	room resources // free, or held by arrays, which end soon
+	machine      *machine
+	cachedShapes int       // shapes of gangs whose image it holds
+	available    resources // free, or held by arrays, which end soon
 }
 
-// machinesForGangs lists the machines whose room may be kept for gangs, those with the
+// gangReserveCandidates lists the machines whose room may be kept for gangs, those with the
 // most of their images first, then by room.
-func (g *gangReserves) machinesForGangs(v *fleetView, now time.Time) []*gangMachine {
+func (g *gangReserves) gangReserveCandidates(v *fleetView, now time.Time) []*gangMachine {
 	var list []*gangMachine
 	for _, m := range v.fleet {
-		if m.draining || m.keptFor != nil || !v.usable(now, m) {
+		if m.draining || m.keptFor != nil || !v.isSchedulable(now, m) {
 			continue
 		}
-		k := &gangMachine{m: m, room: v.free(m)}
+		k := &gangMachine{machine: m, available: v.free(m)}
 		for _, h := range m.holds {
 			if t := v.taskOf(h); t != nil && !h.exited() && !t.job.rec.Spec.AllOrNothing() {
-				k.room = k.room.plus(h.needs)
+				k.available = k.available.plus(h.needs)
 			}
 		}
-		if k.room.cpus < slack {
+		if k.available.cpus < slack {
 			continue
 		}
-		for _, sh := range g.shapes {
+		for _, sh := range g.gangShapes {
 			if m.images[sh.spec.Image] {
-				k.warm++
+				k.cachedShapes++
 			}
 		}
 		list = append(list, k)
@@ -147,60 +147,60 @@
 	sort.Slice(list, func(a, b int) bool {
 		x, y := list[a], list[b]
 		switch {
-		case x.warm != y.warm:
-			return x.warm > y.warm
-		case x.room.cpus != y.room.cpus:
-			return x.room.cpus > y.room.cpus
+		case x.cachedShapes != y.cachedShapes:
+			return x.cachedShapes > y.cachedShapes
+		case x.available.cpus != y.available.cpus:
+			return x.available.cpus > y.available.cpus
 		}
-		return x.m.name < y.m.name
+		return x.machine.name < y.machine.name
 	})
 	return list
 }
 
-// keepForGang keeps room for all tasks of a gang that waits, as far as there is any.
-func keepForGang(machines []*gangMachine, j *job) {
+// reserveForGang keeps room for all tasks of a gang that waits, as far as there is any.
+func reserveForGang(machines []*gangMachine, j *job) {
 	s := &j.rec.Spec
 	n, left := need(s), len(j.tasks)
 	for _, k := range machines {
 		if left == 0 {
 			return
 		}
-		if !allowed(s, k.m.typeName, k.m.spot) {
+		if !isEligible(s, k.machine.typeName, k.machine.spot) {
 			continue
 		}
-		if t := min(left, k.room.holdsOf(n)); t > 0 {
-			k.m.forGangs = true
-			k.room = k.room.minus(n.times(t))
+		if t := min(left, k.available.holdsOf(n)); t > 0 {
+			k.machine.forGangs = true
+			k.available = k.available.minus(n.times(t))
 			left -= t
 		}
 	}
 }
 
-// gangReserve is the room (CPUs) held ready for gangs: what is expected to
+// targetGangReserve is the room (CPUs) held ready for gangs: what is expected to
 // arrive while a machine would boot, and the largest of late at least.
-func (g *gangReserves) gangReserve(v *fleetView, now time.Time) float64 {
-	if g.gangs.largest.cpus == 0 {
+func (g *gangReserves) targetGangReserve(v *fleetView, now time.Time) float64 {
+	if g.gangArrivals.largest.cpus == 0 {
 		return 0
 	}
-	within := g.gangs.within(now, time.Duration(v.bootS()*float64(time.Second)))
-	if within < g.gangs.largest.cpus*constants.GangsFaint {
+	within := g.gangArrivals.within(now, time.Duration(v.maxBootSeconds()*float64(time.Second)))
+	if within < g.gangArrivals.largest.cpus*constants.GangsFaint {
 		return 0 // they have stopped coming
 	}
-	return max(g.gangs.largest.cpus, constants.ReserveFactor*within)
+	return max(g.gangArrivals.largest.cpus, constants.ReserveFactor*within)
 }
 
-// gangRoomMissing is how much of that reserve (CPUs) is neither free nor coming.
-func (c *Core) gangRoomMissing() float64 {
-	if c.gangNeed == 0 {
+// missingGangReserve is how much of that reserve (CPUs) is neither free nor coming.
+func (c *Core) missingGangReserve() float64 {
+	if c.gangReserveCPUs == 0 {
 		return 0
 	}
-	missing := c.gangNeed
+	missing := c.gangReserveCPUs
 	for _, m := range c.fleet {
 		if m.forGangs {
 			missing -= max(0, c.free(m).cpus)
 		}
 	}
-	for _, b := range c.roomComing {
+	for _, b := range c.pendingCapacity {
 		if !b.spot {
 			missing -= b.free.cpus
 		}
--- a/shard/heartbeat.go
+++ b/shard/heartbeat.go
@@ -34,8 +34,8 @@
 	if !c.may(now) {
 		return wire.HeartbeatReply{FencingToken: c.token(m), Commands: []wire.Command{}}, true
 	}
-	if c.usable(now, m) && !c.fill(now, m) || m.forGangs && c.freed {
-		c.dirty = true
+	if c.isSchedulable(now, m) && !c.fillFreedMachine(now, m) || m.forGangs && c.freed {
+		c.needsPlacement = true
 	}
 	if (m.lost || c.heldBack(m) >= constants.ExitedRaise) && m.token == c.token(m) {
 		c.numbers.raise(m) // once the machine shows the new token they can be forgotten
@@ -49,7 +49,7 @@
 	if !m.up {
 		m.up, m.lapsed = true, false
 		m.idleSince = now
-		c.dirty, c.pushDirty = true, true
+		c.needsPlacement, c.pushDirty = true, true
 		if m.typeName == "" {
 			slog.Info("unexpected machine adopted", "machine", m.name)
 			m.rentedAt = now
@@ -92,7 +92,7 @@
 // trust confirms a machine: the machine has shown that it hears.
 func (p *placement) trust(m *machine) {
 	m.unconfirmedSince, m.unheeded = time.Time{}, 0
-	p.dirty = true
+	p.needsPlacement = true
 }
 
 // heldBack is how many exited attempts the machine's token keeps from being
--- a/shard/interruptions.go
+++ b/shard/interruptions.go
@@ -6,8 +6,8 @@
 	"ravenport/disruption"
 )
 
-// unit is what a budget of interruptions counts as one: a task of an array, or a gang.
-type unit struct {
+// interruptionUnit is what a budget of interruptions counts as one: a task of an array, or a gang.
+type interruptionUnit struct {
 	job   *job
 	index int
 }
@@ -18,57 +18,57 @@
 // interruption is what is known of one unit.
 type interruption struct {
 	keys        []disruption.Key
-	began       bool // it runs, or did when it was last looked at
+	hasRun      bool // it runs, or did when it was last looked at
 	interrupted bool // it ran, and has not proved itself again since
-	lookedAt    time.Time
+	observedAt  time.Time
 }
 
-// stop takes in that the unit is told to stop, at once: it may be sent on to another
+// markInterrupted takes in that the unit is told to stop, at once: it may be sent on to another
 // shard before it is looked at again.
-func (i *interruption) stop() { i.began, i.interrupted = false, true }
+func (i *interruption) markInterrupted() { i.hasRun, i.interrupted = false, true }
 
 // interruptions is the owner's state of arrays and gangs that budgets count. Those may
 // wait for long before they begin, so a unit counts only from when it ran and does not any
 // more until it runs again and has proved itself, or its job ends. One that is sent on to
 // another shard meanwhile counts for some time more.
 type interruptions struct {
-	units  map[unit]*interruption
-	linger time.Duration // for how long one that was sent on counts
+	units     map[interruptionUnit]*interruption
+	retention time.Duration // for how long one that was sent on counts
 }
 
 func newInterruptions(linger time.Duration) interruptions {
-	return interruptions{units: map[unit]*interruption{}, linger: linger}
+	return interruptions{units: map[interruptionUnit]*interruption{}, retention: linger}
 }
 
-// look takes in whether a unit runs now, and whether it has proved itself.
-func (s *interruptions) look(now time.Time, u unit, keys []disruption.Key, runs, isUp bool) {
+// observe takes in whether a unit runs now, and whether it has proved itself.
+func (s *interruptions) observe(now time.Time, u interruptionUnit, keys []disruption.Key, runs, isUp bool) {
 	i := s.units[u]
 	if i == nil {
 		i = &interruption{keys: keys}
 		s.units[u] = i
 	}
-	i.lookedAt = now
+	i.observedAt = now
 	switch {
 	case runs:
-		i.began = true
+		i.hasRun = true
 		i.interrupted = i.interrupted && !isUp
-	case i.began:
-		i.began, i.interrupted = false, true
+	case i.hasRun:
+		i.hasRun, i.interrupted = false, true
 	}
 }
 
-// inherit takes a unit that waits for one that an earlier owner saw interrupted.
-func (s *interruptions) inherit(u unit) { s.units[u].interrupted = true }
+// markInterrupted takes a unit that waits for one that an earlier owner saw interrupted.
+func (s *interruptions) markInterrupted(u interruptionUnit) { s.units[u].interrupted = true }
 
-// done forgets a unit that is done.
-func (s *interruptions) done(u unit) { delete(s.units, u) }
+// forget forgets a unit that is done.
+func (s *interruptions) forget(u interruptionUnit) { delete(s.units, u) }
 
 // count says how many units are interrupted, once all that are here were looked at.
 func (s *interruptions) count(now time.Time) disruption.Counts {
 	out := disruption.Counts{}
 	for u, i := range s.units {
-		isHere := i.lookedAt.Equal(now)
-		if !isHere && (!i.interrupted || u.job.rec.End != "" || now.Sub(i.lookedAt) > s.linger) {
+		isHere := i.observedAt.Equal(now)
+		if !isHere && (!i.interrupted || u.job.rec.End != "" || now.Sub(i.observedAt) > s.retention) {
 			delete(s.units, u)
 			continue
 		}
@@ -79,16 +79,16 @@
 	return out
 }
 
-// unitOf is the unit that a task is, or is part of.
-func unitOf(t *task) unit {
+// interruptionUnitOf is the unit that a task is, or is part of.
+func interruptionUnitOf(t *task) interruptionUnit {
 	if t.job.gang != nil {
-		return unit{t.job, wholeGang}
+		return interruptionUnit{t.job, wholeGang}
 	}
-	return unit{t.job, t.index}
+	return interruptionUnit{t.job, t.index}
 }
 
-// lookAtInterruptions looks at all arrays and gangs that budgets count.
-func (d *draining) lookAtInterruptions(v *fleetView, now time.Time) disruption.Counts {
+// observeInterruptions looks at all arrays and gangs that budgets count.
+func (d *draining) observeInterruptions(v *fleetView, now time.Time) disruption.Counts {
 	s := &d.interruptions
 	for _, j := range v.jobs {
 		if j.rec.End != "" || j.rec.Spec.IsService() {
@@ -99,37 +99,37 @@
 			continue
 		}
 		if j.gang != nil {
-			d.lookAtGang(v, now, j, keys)
+			d.observeGang(v, now, j, keys)
 			continue
 		}
 		for _, t := range j.tasks {
 			if t.done {
-				s.done(unitOf(t))
+				s.forget(interruptionUnitOf(t))
 				continue
 			}
-			s.look(now, unitOf(t), keys, v.runs(now, t), d.isUp(v, now, t))
+			s.observe(now, interruptionUnitOf(t), keys, v.isRunningTask(now, t), d.isAvailable(v, now, t))
 		}
 	}
-	if v.rebuilt && !d.inherited {
-		d.inherited = true
+	if v.rebuilt && !d.hasInheritedInterruptions {
+		d.hasInheritedInterruptions = true
 		d.inheritInterruptions()
 	}
 	return s.count(now)
 }
 
-// lookAtGang looks at a gang, which runs if all its tasks here do.
-func (d *draining) lookAtGang(v *fleetView, now time.Time, j *job, keys []disruption.Key) {
-	whole := unit{j, wholeGang}
+// observeGang looks at a gang, which runs if all its tasks here do.
+func (d *draining) observeGang(v *fleetView, now time.Time, j *job, keys []disruption.Key) {
+	whole := interruptionUnit{j, wholeGang}
 	if j.gang.done {
-		d.interruptions.done(whole)
+		d.interruptions.forget(whole)
 		return
 	}
 	runs, isUp := true, true
 	for _, t := range j.tasks {
-		runs = runs && v.runs(now, t)
-		isUp = isUp && d.isUp(v, now, t)
+		runs = runs && v.isRunningTask(now, t)
+		isUp = isUp && d.isAvailable(v, now, t)
 	}
-	d.interruptions.look(now, whole, keys, runs, isUp)
+	d.interruptions.observe(now, whole, keys, runs, isUp)
 }
 
 // inheritInterruptions takes as many units that wait as earlier owners claimed for those
@@ -138,12 +138,12 @@
 	s := &d.interruptions
 	taken := disruption.Counts{}
 	for u, i := range s.units {
-		if i.began {
+		if i.hasRun {
 			continue
 		}
 		for _, k := range i.keys {
 			if taken[k] < d.ledger.Inherited(k) {
-				s.inherit(u)
+				s.markInterrupted(u)
 				taken.Add(i.keys, 1)
 				break
 			}
@@ -151,27 +151,27 @@
 	}
 }
 
-// runs says whether a task runs, as far as is known, and is not told to stop.
-func (hear *hearing) runs(now time.Time, t *task) bool {
+// isRunningTask says whether a task runs, as far as is known, and is not told to stop.
+func (hear *hearing) isRunningTask(now time.Time, t *task) bool {
 	h := t.hold
 	return h != nil && !h.stop && h.isRunning() && !hear.silent(now, h.m)
 }
 
-// interrupt asks the account whether a task of an array, or the gang that it is in, may be
+// tryInterrupt asks the account whether a task of an array, or the gang that it is in, may be
 // interrupted, and says why not.
-func (d *draining) interrupt(now time.Time, t *task) string {
-	i := d.interruptions.units[unitOf(t)]
+func (d *draining) tryInterrupt(now time.Time, t *task) string {
+	i := d.interruptions.units[interruptionUnitOf(t)]
 	switch {
 	case i == nil:
 		return "" // no budget counts it
-	case i.interrupted && d.mayComeUp(now, t.hold):
+	case i.interrupted && d.mayBecomeAvailable(now, t.hold):
 		return "a task of " + t.job.rec.ID + " is not up yet"
-	case !i.began:
+	case !i.hasRun:
 		return "" // nothing that ran is lost
 	}
 	if refused := d.ledger.Stop(now, i.keys); refused != nil {
 		return refused.Error()
 	}
-	i.stop()
+	i.markInterrupted()
 	return ""
 }
--- a/shard/inventory.go
+++ b/shard/inventory.go
@@ -55,7 +55,7 @@
 		}
 	}
 	c.split(&c.fleetView, p)
-	c.dirty = true
+	c.needsPlacement = true
 }
 
 // stored notes what a page durably holds: a machine on no durable page gets no
@@ -180,7 +180,7 @@
 				}
 			}
 		}
-		c.dirty = true
+		c.needsPlacement = true
 	}
 }
 
--- a/shard/jobrecords.go
+++ b/shard/jobrecords.go
@@ -12,7 +12,7 @@
 func (c *Core) applyJob(now time.Time, id string, rec *records.Job, version uint64, inherited bool) {
 	j := c.jobs[id]
 	mine := 0
-	c.noteGang(now, rec)
+	c.recordGangShape(now, rec)
 	for _, ch := range rec.Assignments {
 		if ch.Shard == c.cfg.Shard && !ch.Closed {
 			mine += ch.Tasks()
@@ -26,7 +26,7 @@
 		c.jobs[id] = j
 		if rec.Spec.IsGang() {
 			j.gang, j.gangSince = &gang{}, now
-			c.gangs.add(now, time.Duration(now.UnixMilli()-rec.AcceptedMS)*time.Millisecond, need(&rec.Spec).times(rec.Spec.Tasks))
+			c.gangArrivals.add(now, time.Duration(now.UnixMilli()-rec.AcceptedMS)*time.Millisecond, need(&rec.Spec).times(rec.Spec.Tasks))
 		}
 	}
 	if version <= j.version {
@@ -55,7 +55,7 @@
 				fresh++
 				c.adoptKnown(t)
 				if rec.Spec.Priority == wire.PriorityProduction {
-					c.prod.add(now, time.Duration(now.UnixMilli()-rec.AcceptedMS)*time.Millisecond, need(&rec.Spec))
+					c.productionArrivals.add(now, time.Duration(now.UnixMilli()-rec.AcceptedMS)*time.Millisecond, need(&rec.Spec))
 				}
 			}
 			t.keep, t.guarantee = ch.KeepWaiting, ch.Guaranteed
@@ -71,17 +71,17 @@
 		}
 	}
 	if fresh > 0 && !inherited {
-		c.since = append(c.since, given{version, rec.Spec.Spot, float64(fresh) * rec.Spec.CPUs})
+		c.assignedSinceForecast = append(c.assignedSinceForecast, assignedWork{version, rec.Spec.Spot, float64(fresh) * rec.Spec.CPUs})
 	}
 	if rec.End != "" {
 		c.stopAll(j)
 	}
 	if j.gang != nil {
-		c.gangRecord(j)
+		c.reconcileGangRecord(j)
 	}
 	c.touch(j)
 	c.check(j)
-	c.dirty, c.pushDirty = true, true
+	c.needsPlacement, c.pushDirty = true, true
 	if len(j.tasks) == 0 {
 		delete(c.jobs, id)
 	}
@@ -112,11 +112,11 @@
 	j.awaited = true
 	c.stopAll(j)
 	c.touch(j)
-	c.dirty, c.pushDirty = true, true
+	c.needsPlacement, c.pushDirty = true, true
 }
 
-// given is work that a record brought.
-type given struct {
+// assignedWork is work that a record brought.
+type assignedWork struct {
 	version uint64
 	spot    bool
 	cpus    float64
--- a/shard/liveness.go
+++ b/shard/liveness.go
@@ -79,7 +79,7 @@
 		m.inherited = false
 		m.up = false
 		m.leaseUntil = time.Time{}
-		c.dirty = true
+		c.needsPlacement = true
 		c.checkRebuilt(now)
 	}
 }
--- a/shard/pendingcapacity.go
+++ b/shard/pendingcapacity.go
@@ -6,14 +6,14 @@
 	"ravenport/wire"
 )
 
-type rental struct {
-	req wire.ScaleOutRequest
-	at  time.Time
+type pendingScaleOut struct {
+	request     wire.ScaleOutRequest
+	requestedAt time.Time
 }
 
-// coming is the room of a machine that is not up yet.
-type coming struct {
-	free resources
-	typ  string
-	spot bool
+// pendingMachine is the room of a machine that is not up yet.
+type pendingMachine struct {
+	free     resources
+	typeName string
+	spot     bool
 }
--- a/shard/place.go
+++ b/shard/place.go
@@ -14,46 +14,46 @@
 
 // placement is which tasks wait, and how far rounds of placing have come.
 type placement struct {
-	touched   []*job           // jobs whose waiting tasks are to be listed anew
-	waiting   map[*job]bool    // jobs with waiting tasks
-	order     []*job           // waiting jobs in the order of the last round
-	scratch   []*task          // ready tasks of the job that a round looks at
-	resume    *leader.Rank     // where the last round stopped
-	budget    time.Duration    // of a round
-	clock     func() time.Time // what a round's time is taken by
-	dirty     bool             // something changed that placing may use
-	lastPlace time.Time
+	changedJobs    []*job           // jobs whose waiting tasks are to be listed anew
+	waiting        map[*job]bool    // jobs with waiting tasks
+	lastQueue      []*job           // waiting jobs in the order of the last round
+	taskBuffer     []*task          // ready tasks of the job that a round looks at
+	resumeRank     *leader.Rank     // where the last round stopped
+	roundBudget    time.Duration    // of a round
+	roundClock     func() time.Time // what a round's time is taken by
+	needsPlacement bool             // something changed that placing may use
+	lastPlacement  time.Time
 }
 
 func newPlacement(budget time.Duration) placement {
-	return placement{waiting: map[*job]bool{}, budget: cmp.Or(budget, constants.RoundBudget), clock: time.Now, dirty: true}
+	return placement{waiting: map[*job]bool{}, roundBudget: cmp.Or(budget, constants.RoundBudget), roundClock: time.Now, needsPlacement: true}
 }
 
-// round is what a round of placing has found out.
-type round struct {
-	room []*machine // usable machines with anything free
-	// full are demands that found no room, and so will no larger ones; stuck
+// placementRound is what a round of placing has found out.
+type placementRound struct {
+	freeMachines []*machine // usable machines with anything free
+	// unplaceable are demands that found no room, and so will no larger ones; stuck
 	// are those for which nothing could be stopped either.
-	full, stuck map[demand][]resources
+	unplaceable, unpreemptable map[demandClass][]resources
 	// lowest is the lowest priority among what could be stopped, and loose the
 	// teams that run arrays beyond their guarantee; made when first asked for.
-	scanned bool
-	crowded bool // as many machines are kept for single jobs as may be
-	saving  bool // some of it saves first
-	lowest  int
-	loose   map[string]bool
+	preemptionScanned     bool
+	reservationsExhausted bool // as many machines are kept for single jobs as may be
+	hasCheckpointing      bool // some of it saves first
+	lowestPriority        int
+	overGuaranteeTeams    map[string]bool
 }
 
-// demand is what the room for a task depends on beside its size.
-type demand struct {
-	spot      bool
-	types     string
-	level     int
-	guarantee string // the team, for work within its guarantee
-	image     string // for a search among machines that hold it
+// demandClass is what the room for a task depends on beside its size.
+type demandClass struct {
+	spot           bool
+	types          string
+	priorityLevel  int
+	guaranteedTeam string // the team, for work within its guarantee
+	image          string // for a search among machines that hold it
 }
 
-func (r *round) known(in map[demand][]resources, d demand, n resources) bool {
+func (r *placementRound) known(in map[demandClass][]resources, d demandClass, n resources) bool {
 	for _, f := range in[d] {
 		if f.fits(n) {
 			return true
@@ -63,28 +63,28 @@
 }
 
 // hopeless says that nothing can be stopped for a job's first waiting task either.
-func (r *round) nothingToStop(j *job, d demand, n resources) bool {
-	d.level = wire.PriorityLevel(j.rec.Spec.Priority)
+func (r *placementRound) preemptionIsFutile(j *job, d demandClass, n resources) bool {
+	d.priorityLevel = wire.PriorityLevel(j.rec.Spec.Priority)
 	if len(j.waiting) > 0 && j.waiting[0].guarantee {
-		d.guarantee = j.rec.Spec.Team
+		d.guaranteedTeam = j.rec.Spec.Team
 	}
-	return !r.saving && r.known(r.stuck, d, n)
+	return !r.hasCheckpointing && r.known(r.unpreemptable, d, n)
 }
 
-func demandOf(s *wire.Submission) demand {
-	d := demand{spot: s.Spot}
+func demandClassOf(s *wire.Submission) demandClass {
+	d := demandClass{spot: s.Spot}
 	for _, t := range s.Types {
 		d.types += t + " "
 	}
 	return d
 }
 
-func (v *fleetView) newRound(now time.Time) *round {
-	return &round{full: map[demand][]resources{}, stuck: map[demand][]resources{}, room: v.withRoom(now)}
+func (v *fleetView) newPlacementRound(now time.Time) *placementRound {
+	return &placementRound{unplaceable: map[demandClass][]resources{}, unpreemptable: map[demandClass][]resources{}, freeMachines: v.machinesWithFreeCapacity(now)}
 }
 
-// queue lists the jobs with waiting tasks in their order, each with its place.
-func (p *placement) queue(v *fleetView, now time.Time) []*job {
+// rankWaitingJobs lists the jobs with waiting tasks in their order, each with its place.
+func (p *placement) rankWaitingJobs(v *fleetView, now time.Time) []*job {
 	p.refresh(v)
 	q := make([]*job, 0, len(p.waiting))
 	for j := range p.waiting {
@@ -95,62 +95,62 @@
 	return q
 }
 
-// place gives waiting tasks to machines, best fit first, within a budget of
+// runPlacementRound gives waiting tasks to machines, best fit first, within a budget of
 // time. The next round goes on after the job where this one stopped, whatever
 // came or went in between, and only a round that reached the end begins anew:
 // so every job's turn comes.
-func (c *Core) place(now time.Time) {
-	c.dirty = false
-	c.lastPlace = now
-	q := c.queue(&c.fleetView, now)
-	c.order = q
+func (c *Core) runPlacementRound(now time.Time) {
+	c.needsPlacement = false
+	c.lastPlacement = now
+	q := c.rankWaitingJobs(&c.fleetView, now)
+	c.lastQueue = q
 	start := 0
-	if c.resume != nil {
-		start = sort.Search(len(q), func(i int) bool { return c.resume.Before(q[i].place) })
-		c.resume = nil
-		c.dirty = true
+	if c.resumeRank != nil {
+		start = sort.Search(len(q), func(i int) bool { return c.resumeRank.Before(q[i].place) })
+		c.resumeRank = nil
+		c.needsPlacement = true
 	}
 	if start == len(q) {
 		return
 	}
-	r := c.newRound(now)
-	began := c.clock()
+	r := c.newPlacementRound(now)
+	began := c.roundClock()
 	for i := start; i < len(q); i++ {
 		c.placeJob(now, q[i], r)
-		if i+1 < len(q) && c.clock().Sub(began) > c.budget {
+		if i+1 < len(q) && c.roundClock().Sub(began) > c.roundBudget {
 			p := q[i].place
-			c.resume, c.dirty = &p, true
+			c.resumeRank, c.needsPlacement = &p, true
 			return
 		}
 	}
 }
 
 // placeJob places what it can of a job's waiting tasks.
-func (c *Core) placeJob(now time.Time, j *job, r *round) {
+func (c *Core) placeJob(now time.Time, j *job, r *placementRound) {
 	if j.gang != nil {
 		c.placeGang(now, j, r)
 		return
 	}
 	s := &j.rec.Spec
 	n := need(s)
-	d := demandOf(s)
+	d := demandClassOf(s)
 	overdue := leader.IsOverdue(now, j.rec, j.begun)
-	full := r.known(r.full, d, n)
-	if full && r.nothingToStop(j, d, n) && !(overdue && !r.crowded) && (s.Priority != wire.PriorityProduction || s.Spread && s.Tasks > 1) {
+	full := r.known(r.unplaceable, d, n)
+	if full && r.preemptionIsFutile(j, d, n) && !(overdue && !r.reservationsExhausted) && (s.Priority != wire.PriorityProduction || s.Spread && s.Tasks > 1) {
 		return // nothing can come of a look at its tasks
 	}
-	tasks := c.appendReady(c.scratch[:0], now, j)
-	c.scratch = tasks
+	tasks := c.appendReady(c.taskBuffer[:0], now, j)
+	c.taskBuffer = tasks
 	if len(tasks) == 0 {
 		return
 	}
-	if c.warmerElsewhere(&c.fleetView, now, s) {
+	if c.isImageWarmInOtherShard(&c.fleetView, now, s) {
 		kept := tasks[:0]
 		for _, t := range tasks {
 			if t.keep {
 				kept = append(kept, t)
 			} else {
-				c.sendBack(j, t)
+				c.offloadTask(j, t)
 			}
 		}
 		tasks = kept
@@ -160,7 +160,7 @@
 	}
 	var fit []*machine
 	if !full {
-		fit = c.candidates(s, n, r)
+		fit = c.rankCandidates(s, n, r)
 	}
 	prod := s.Priority == wire.PriorityProduction
 	noWarm := false
@@ -182,24 +182,24 @@
 				noWarm = true
 			}
 		case m == nil:
-			r.full[d] = append(r.full[d], n)
+			r.unplaceable[d] = append(r.unplaceable[d], n)
 			if m = c.preempt(now, t, false, r); m == nil {
-				c.askToSave(&c.fleetView, now, t, r)
+				c.preemptWithCheckpoint(&c.fleetView, now, t, r)
 				if overdue {
-					c.collect(now, j, r)
+					c.reserveMachineFor(now, j, r)
 				}
 				return // the job's other tasks need the same, and rank no higher
 			}
 		}
-		c.start(now, t, m)
+		c.startTask(now, t, m)
 	}
 }
 
-// collect keeps the room that falls free on a machine for a job that has long
+// reserveMachineFor keeps the room that falls free on a machine for a job that has long
 // found none: its tasks may be larger than what others leave, and smaller ones
 // would take every gap before one was large enough.
-func (v *fleetView) collect(now time.Time, j *job, r *round) {
-	if r.crowded {
+func (v *fleetView) reserveMachineFor(now time.Time, j *job, r *placementRound) {
+	if r.reservationsExhausted {
 		return // hundreds of jobs may be waiting after a shard has lost all
 	}
 	s := &j.rec.Spec
@@ -215,71 +215,71 @@
 			kept++
 			continue
 		}
-		if !allowed(s, m.typeName, m.spot) || !n.fits(m.capacity) || !v.usable(now, m) {
+		if !isEligible(s, m.typeName, m.spot) || !n.fits(m.capacity) || !v.isSchedulable(now, m) {
 			continue
 		}
 		// Where the least must still fall free, arrays count as good as gone.
-		room := m.left(v.free(m))
+		room := m.freeShare(v.free(m))
 		if room += v.sumsOf(m).arrays / max(m.capacity.cpus, 1); best == nil || room > most || room == most && m.name < best.name {
 			best, most = m, room
 		}
 	}
-	if r.crowded = kept > len(v.fleet)/constants.MachinesACollect; best == nil || r.crowded {
+	if r.reservationsExhausted = kept > len(v.fleet)/constants.MachinesACollect; best == nil || r.reservationsExhausted {
 		return
 	}
 	slog.Info("keeping room for a job that waits", "job", s.ID, "machine", best.name)
 	best.keptFor, best.keptUntil = j, now.Add(constants.CapacityHoldTime)
 }
 
-// letGo ends the keeping of room that was used or not used in time.
-func (p *placement) letGo(v *fleetView, now time.Time) {
+// releaseReservations ends the keeping of room that was used or not used in time.
+func (p *placement) releaseReservations(v *fleetView, now time.Time) {
 	for _, m := range v.fleet {
 		if j := m.keptFor; j != nil && (now.After(m.keptUntil) || j.begun || len(j.waiting) == 0 || v.jobs[j.rec.ID] != j) {
 			m.keptFor = nil
-			p.dirty = true
+			p.needsPlacement = true
 		}
 	}
 }
 
-// fill gives a machine, of which room has just fallen free, to those who
+// fillFreedMachine gives a machine, of which room has just fallen free, to those who
 // waited longest for it: after a whole round nothing else has room for them.
 // It returns false if a whole round is due anyway.
-func (c *Core) fill(now time.Time, m *machine) bool {
-	if c.dirty {
+func (c *Core) fillFreedMachine(now time.Time, m *machine) bool {
+	if c.needsPlacement {
 		return false
 	}
 	c.refresh(&c.fleetView)
 	free := c.free(m)
 	looked := 0
-	for _, j := range c.order {
+	for _, j := range c.lastQueue {
 		if free.cpus < slack || looked >= constants.FillLooks {
 			break
 		}
 		s := &j.rec.Spec
 		n := need(s)
-		if j.gang != nil || m.forGangs && !s.IsService() || m.keptFor != nil && m.keptFor != j || len(j.waiting) == 0 || !n.fits(free) || !allowed(s, m.typeName, m.spot) || c.jobs[s.ID] != j || j.rec.End != "" {
+		if j.gang != nil || m.forGangs && !s.IsService() || m.keptFor != nil && m.keptFor != j || len(j.waiting) == 0 || !n.fits(free) || !isEligible(s, m.typeName, m.spot) || c.jobs[s.ID] != j || j.rec.End != "" {
 			continue
 		}
 		looked++
-		c.scratch = c.appendReady(c.scratch[:0], now, j)
-		for _, t := range c.scratch {
+		c.taskBuffer = c.appendReady(c.taskBuffer[:0], now, j)
+		for _, t := range c.taskBuffer {
 			if !n.fits(free) {
 				break
 			}
-			c.start(now, t, m)
+			c.startTask(now, t, m)
 			free = free.minus(n)
 		}
 	}
 	return true
 }
 
-// start decides an attempt of its own.
-func (c *Core) start(now time.Time, t *task, m *machine) {
-	c.startAs(now, t, m, c.numbers.attempt())
+// startTask decides an attempt of its own.
+func (c *Core) startTask(now time.Time, t *task, m *machine) {
+	c.startAttempt(now, t, m, c.numbers.attempt())
 }
 
-// startAs decides an attempt. From here on the task counts as maybe there.
-func (c *Core) startAs(now time.Time, t *task, m *machine, attempt uint64) {
+// startAttempt decides an attempt. From here on the task counts as maybe there.
+func (c *Core) startAttempt(now time.Time, t *task, m *machine, attempt uint64) {
 	h := &hold{
 		key:   holdKey{wire.TaskName(t.job.rec.ID, t.index), attempt},
 		jobID: t.job.rec.ID, index: t.index, m: m, state: stateSent, sentAt: now,
--- a/shard/reconcile.go
+++ b/shard/reconcile.go
@@ -32,7 +32,7 @@
 	if was := m.token; r.FencingToken > was {
 		m.token = r.FencingToken
 		if !(m.up && was>>constants.EpochBits == c.term) && m.verified(c.term) {
-			c.dirty = true // it may take tasks now
+			c.needsPlacement = true // it may take tasks now
 		}
 	}
 	if r.NoticeS != nil && m.notice.IsZero() {
@@ -136,7 +136,7 @@
 		return
 	}
 	if h.exited() && was != wire.TaskExited && h.cause != wire.CauseDone {
-		c.dirty = true
+		c.needsPlacement = true
 		if t.hold == h {
 			c.failed(now, t, h)
 		}
@@ -163,6 +163,6 @@
 		c.touch(j)
 		c.check(j)
 	}
-	c.dirty = true
+	c.needsPlacement = true
 	slog.Info("shard rebuilt", "shard", c.cfg.Shard, "term", c.term, "after_ms", now.Sub(c.claimed).Milliseconds(), "machines", len(c.machines))
 }
--- a/shard/rent.go
+++ b/shard/rent.go
@@ -21,8 +21,8 @@
 	return now.Sub(m.rentedAt).Seconds() / boot
 }
 
-// bootS is the longest nominal boot time (s).
-func (k *knowledge) bootS() float64 {
+// maxBootSeconds is the longest nominal boot time (s).
+func (k *knowledge) maxBootSeconds() float64 {
 	boot := 0.0
 	for _, t := range k.types {
 		boot = max(boot, t.BootS)
@@ -30,116 +30,116 @@
 	return boot
 }
 
-// coming says whether a machine that has not come up yet is still counted on.
-func (hear *hearing) coming(now time.Time, m *machine) bool {
+// isPendingMachine says whether a machine that has not come up yet is still counted on.
+func (hear *hearing) isPendingMachine(now time.Time, m *machine) bool {
 	return !m.up && !m.inherited && !hear.isUnreachable && !m.returning && m.typ != nil && m.bootAge(now) < constants.BootUsual
 }
 
-// arriving lists the room of machines that are not up yet or may not take
+// listPendingMachines lists the room of machines that are not up yet or may not take
 // tasks yet.
-func (c *capacity) arriving(v *fleetView, now time.Time) []coming {
-	out := c.roomComing[:0] // made anew each time, in the same place
+func (c *scaleOutState) listPendingMachines(v *fleetView, now time.Time) []pendingMachine {
+	out := c.pendingCapacity[:0] // made anew each time, in the same place
 	for _, m := range v.fleet {
-		if v.coming(now, m) {
-			out = append(out, coming{m.capacity, m.typeName, m.spot})
+		if v.isPendingMachine(now, m) {
+			out = append(out, pendingMachine{m.capacity, m.typeName, m.spot})
 		} else if m.up && (!m.verified(v.term) || !m.durable || m.inventoryAddr != m.addr) && !m.returning && m.typ != nil && !v.silent(now, m) {
-			out = append(out, coming{v.free(m), m.typeName, m.spot})
+			out = append(out, pendingMachine{v.free(m), m.typeName, m.spot})
 		}
 	}
-	for _, r := range c.pendingRents {
-		if t := v.types[r.req.Type]; t != nil {
-			for range r.req.Count {
-				out = append(out, coming{sizeOf(t), t.Name, r.req.Spot})
+	for _, r := range c.pendingScaleOuts {
+		if t := v.types[r.request.Type]; t != nil {
+			for range r.request.Count {
+				out = append(out, pendingMachine{sizeOf(t), t.Name, r.request.Spot})
 			}
 		}
 	}
 	return out
 }
 
-// capacity is what is being rented, and for which demand.
-type capacity struct {
-	pendingRents map[string]*rental
-	rentSeq      int
-	refused      map[bool]time.Time // by spot: no more is to be had until then
-	rentals      pace               // looks at what to rent
-	rentedAt     time.Time          // when the cloud was last asked for machines
-	overdueAt    time.Time          // when tasks were last sent back for having waited too long
-	unplaced     resources          // waiting demand after the last round
-	excess       float64            // what of it (CPUs) nothing that is coming will take
-	roomComing   []coming           // room of machines that are coming and not spoken for
-	prod         arrivals           // of production work
-	forecast     leader.Forecast
-	forecastAt   time.Time
-	since        []given // assignments that are newer than the forecast, or may be
-	drainAt      time.Time
-	drainWork    float64 // CPU seconds before the machines that are there
-	drainCPUs    float64 // what those can give to arrays
+// scaleOutState is what is being rented, and for which demand.
+type scaleOutState struct {
+	pendingScaleOuts      map[string]*pendingScaleOut
+	scaleOutSeq           int
+	refusedUntil          map[bool]time.Time // by spot: no more is to be had until then
+	scaleOutPace          pace               // looks at what to rent
+	scaleOutRequestedAt   time.Time          // when the cloud was last asked for machines
+	overdueOffloadAt      time.Time          // when tasks were last sent back for having waited too long
+	unplacedDemand        resources          // waiting demand after the last round
+	excessCPUs            float64            // what of it (CPUs) nothing that is coming will take
+	pendingCapacity       []pendingMachine   // room of machines that are coming and not spoken for
+	productionArrivals    arrivals           // of production work
+	forecast              leader.Forecast
+	forecastReceivedAt    time.Time
+	assignedSinceForecast []assignedWork // assignments that are newer than the forecast, or may be
+	backlogAt             time.Time
+	backlogCPUSeconds     float64 // CPU seconds before the machines that are there
+	backlogCPUs           float64 // what those can give to arrays
 }
 
-// kind is a kind of machine to rent.
-type kind struct {
-	typ  string
-	spot bool
+// machineKind is a kind of machine to rent.
+type machineKind struct {
+	typeName string
+	spot     bool
 }
 
-// rentRound is one look at what to rent.
-type rentRound struct {
-	want map[kind]int
-	// longWaits: tasks that have waited for long may be sent back in this round; sent
+// scaleOutRound is one look at what to rent.
+type scaleOutRound struct {
+	wanted map[machineKind]int
+	// mayOffloadOverdue: tasks that have waited for long may be sent back in this round; sent
 	// counts those of all jobs.
-	longWaits bool
-	sent      int
+	mayOffloadOverdue bool
+	offloaded         int
 }
 
-// rent asks for machines for what waits and fits on nothing that is coming.
-func (c *Core) rent(now time.Time) {
-	c.unplaced, c.excess = resources{}, 0
-	c.roomComing = c.arriving(&c.fleetView, now)
+// planScaleOut asks for machines for what waits and fits on nothing that is coming.
+func (c *Core) planScaleOut(now time.Time) {
+	c.unplacedDemand, c.excessCPUs = resources{}, 0
+	c.pendingCapacity = c.listPendingMachines(&c.fleetView, now)
 	if len(c.types) == 0 || !c.rebuilt {
 		return
 	}
-	r := rentRound{want: map[kind]int{}, longWaits: now.Sub(c.overdueAt) > constants.KeepWait}
-	for _, j := range c.queue(&c.fleetView, now) {
+	r := scaleOutRound{wanted: map[machineKind]int{}, mayOffloadOverdue: now.Sub(c.overdueOffloadAt) > constants.KeepWait}
+	for _, j := range c.rankWaitingJobs(&c.fleetView, now) {
 		if j.gang != nil {
-			c.rentForGang(now, j, r.want)
+			c.scaleOutForGang(now, j, r.wanted)
 			continue
 		}
-		if tasks := c.beyondComing(now, j); len(tasks) > 0 {
-			c.rentFor(now, j, tasks, &r)
+		if tasks := c.tasksBeyondPending(now, j); len(tasks) > 0 {
+			c.scaleOutForJob(now, j, tasks, &r)
 		}
 	}
-	c.rentForDrains(now, r.want)
-	c.rentForForecast(&c.fleetView, now, r.want)
-	if len(r.want) == 0 {
-		if typ, n := c.reserveMissing(now); n > 0 {
-			r.want[kind{typ, false}] = n
+	c.scaleOutForDrains(now, r.wanted)
+	c.scaleOutForForecast(&c.fleetView, now, r.wanted)
+	if len(r.wanted) == 0 {
+		if typ, n := c.missingReserve(now); n > 0 {
+			r.wanted[machineKind{typ, false}] = n
 		}
 	}
-	c.request(now, r.want)
+	c.requestScaleOuts(now, r.wanted)
 }
 
-// beyondComing gives a job's ready tasks the room that is coming and returns those that
+// tasksBeyondPending gives a job's ready tasks the room that is coming and returns those that
 // it does not take.
-func (c *Core) beyondComing(now time.Time, j *job) []*task {
+func (c *Core) tasksBeyondPending(now time.Time, j *job) []*task {
 	s := &j.rec.Spec
-	tasks := c.appendReady(c.scratch[:0], now, j)
-	c.scratch = tasks
-	c.unplaced = c.unplaced.plus(need(s).times(len(tasks)))
-	return tasks[c.takeComing(s, len(tasks)):]
+	tasks := c.appendReady(c.taskBuffer[:0], now, j)
+	c.taskBuffer = tasks
+	c.unplacedDemand = c.unplacedDemand.plus(need(s).times(len(tasks)))
+	return tasks[c.takePendingCapacity(s, len(tasks)):]
 }
 
-// takeComing gives so many tasks of a job room that is coming, spot room first since
+// takePendingCapacity gives so many tasks of a job room that is coming, spot room first since
 // ordinary room is all that some may use, and returns how many it takes.
-func (c *capacity) takeComing(s *wire.Submission, tasks int) int {
+func (c *scaleOutState) takePendingCapacity(s *wire.Submission, tasks int) int {
 	n := need(s)
 	left := tasks
 	for _, spot := range []bool{true, false} {
-		for i := range c.roomComing {
+		for i := range c.pendingCapacity {
 			if left == 0 {
 				return tasks
 			}
-			b := &c.roomComing[i]
-			if b.spot == spot && n.fits(b.free) && allowed(s, b.typ, b.spot) {
+			b := &c.pendingCapacity[i]
+			if b.spot == spot && n.fits(b.free) && isEligible(s, b.typeName, b.spot) {
 				k := min(left, b.free.holdsOf(n))
 				b.free = b.free.minus(n.times(k))
 				left -= k
@@ -149,45 +149,45 @@
 	return tasks - left
 }
 
-// expect has one more machine rented, and counts its room beside what is taken of it as
+// planMachine has one more machine rented, and counts its room beside what is taken of it as
 // coming, which is returned.
-func (c *capacity) expect(typ *wire.MachineType, spot bool, taken resources, want map[kind]int) *coming {
-	want[kind{typ.Name, spot}]++
-	c.roomComing = append(c.roomComing, coming{sizeOf(typ).minus(taken), typ.Name, spot})
-	return &c.roomComing[len(c.roomComing)-1]
+func (c *scaleOutState) planMachine(typ *wire.MachineType, spot bool, taken resources, want map[machineKind]int) *pendingMachine {
+	want[machineKind{typ.Name, spot}]++
+	c.pendingCapacity = append(c.pendingCapacity, pendingMachine{sizeOf(typ).minus(taken), typ.Name, spot})
+	return &c.pendingCapacity[len(c.pendingCapacity)-1]
 }
 
-// rentFor rents for a job's tasks that nothing coming takes, or sends them back.
-func (c *Core) rentFor(now time.Time, j *job, tasks []*task, r *rentRound) {
+// scaleOutForJob rents for a job's tasks that nothing coming takes, or sends them back.
+func (c *Core) scaleOutForJob(now time.Time, j *job, tasks []*task, r *scaleOutRound) {
 	s := &j.rec.Spec
 	n := need(s)
-	typ, spot, ok := c.pick(&c.fleetView, now, s)
+	typ, spot, ok := c.cheapestMachineKind(&c.fleetView, now, s)
 	away := 0
 	back := now.Sub(j.backAt) > constants.KeepWait // together, and not over and over
-	var bin *coming
+	var bin *pendingMachine
 	for _, t := range tasks {
-		c.excess += n.cpus
+		c.excessCPUs += n.cpus
 		switch {
 		case bin != nil && n.fits(bin.free):
 			bin.free = bin.free.minus(n)
-			c.excess -= n.cpus
-		case !t.keep && back && c.elsewhere(now, j.rec, away):
+			c.excessCPUs -= n.cpus
+		case !t.keep && back && c.otherShardsFitOneMore(now, j.rec, away):
 			// It does not fit: the next shard is asked, if one is known to
 			// have room. Otherwise it would come back, for two writes more.
-			c.sendBack(j, t)
+			c.offloadTask(j, t)
 			away++
-		case r.longWaits && now.Sub(t.waitSince) > constants.KeepLong && c.roomElsewhere(now, j.rec) > r.sent:
+		case r.mayOffloadOverdue && now.Sub(t.waitSince) > constants.KeepLong && c.taskSlotsInOtherShards(now, j.rec) > r.offloaded:
 			// However little the room elsewhere is and whatever may yet be had
 			// here: it must not wait beside it for ever.
-			c.sendBack(j, t)
-			c.overdueAt = now
-			r.sent++
-		case c.drains(&c.fleetView, now, j, t):
+			c.offloadTask(j, t)
+			c.overdueOffloadAt = now
+			r.offloaded++
+		case c.backlogClearsInTime(&c.fleetView, now, j, t):
 		case ok:
-			bin = c.expect(typ, spot, n, r.want)
-			c.excess -= n.cpus
-		case now.Sub(t.waitSince) > constants.KeepWait && back && c.elsewhere(now, j.rec, away):
-			c.sendBack(j, t)
+			bin = c.planMachine(typ, spot, n, r.wanted)
+			c.excessCPUs -= n.cpus
+		case now.Sub(t.waitSince) > constants.KeepWait && back && c.otherShardsFitOneMore(now, j.rec, away):
+			c.offloadTask(j, t)
 			away++
 		}
 	}
@@ -196,97 +196,97 @@
 	}
 }
 
-// request makes the rentals. The cloud takes few calls: what comes within a moment is
+// requestScaleOuts makes the rentals. The cloud takes few calls: what comes within a moment is
 // asked for together, unless it fills a rental of its own.
-func (c *Core) request(now time.Time, want map[kind]int) {
+func (c *Core) requestScaleOuts(now time.Time, want map[machineKind]int) {
 	total := 0
 	for _, n := range want {
 		total += n
 	}
-	if total == 0 || total < wire.MaxScaleOut/2 && now.Sub(c.rentedAt) < c.cfg.CloudGap {
+	if total == 0 || total < wire.MaxScaleOut/2 && now.Sub(c.scaleOutRequestedAt) < c.cfg.CloudGap {
 		return
 	}
-	c.rentedAt = now
+	c.scaleOutRequestedAt = now
 	for k, n := range want {
 		for ; n > 0; n -= wire.MaxScaleOut {
-			c.requestMachines(now, k, min(n, wire.MaxScaleOut))
+			c.requestScaleOut(now, k, min(n, wire.MaxScaleOut))
 		}
 	}
 }
 
-// requestMachines makes one rental.
-func (c *Core) requestMachines(now time.Time, k kind, count int) {
-	c.rentSeq++
+// requestScaleOut makes one rental.
+func (c *Core) requestScaleOut(now time.Time, k machineKind, count int) {
+	c.scaleOutSeq++
 	req := wire.ScaleOutRequest{
 		// The term makes the name this owner's alone, for ever.
-		RequestID: fmt.Sprintf("rv-%s-%d-%d", c.cfg.Shard, c.term, c.rentSeq),
-		Type:      k.typ, Zone: c.cfg.Shard, Spot: k.spot, Count: count,
+		RequestID: fmt.Sprintf("rv-%s-%d-%d", c.cfg.Shard, c.term, c.scaleOutSeq),
+		Type:      k.typeName, Zone: c.cfg.Shard, Spot: k.spot, Count: count,
 	}
-	c.pendingRents[req.RequestID] = &rental{req: req, at: now}
+	c.pendingScaleOuts[req.RequestID] = &pendingScaleOut{request: req, requestedAt: now}
 	c.actions = append(c.actions, ScaleOut{req})
-	slog.Info("renting", "shard", c.cfg.Shard, "type", k.typ, "spot", k.spot, "count", count)
+	slog.Info("renting", "shard", c.cfg.Shard, "type", k.typeName, "spot", k.spot, "count", count)
 }
 
-// drains says whether the machines that are there will get round to a waiting
+// backlogClearsInTime says whether the machines that are there will get round to a waiting
 // task before a machine rented for it could be up, and well within its
 // class's objective: renting for it would only cost.
-func (c *capacity) drains(v *fleetView, now time.Time, j *job, t *task) bool {
+func (c *scaleOutState) backlogClearsInTime(v *fleetView, now time.Time, j *job, t *task) bool {
 	s := &j.rec.Spec
 	within := v.cfg.Order.FinishObjective(s.Class)
-	boot := v.bootS()
+	boot := v.maxBootSeconds()
 	// Estimates may be far too low: what has waited in vain is rented for.
 	if s.IsService() || within == 0 || t.guarantee || now.Sub(t.waitSince).Seconds() > boot*constants.DrainWait {
 		return false
 	}
-	if c.drainAt != now {
-		c.drainAt, c.drainWork, c.drainCPUs = now, 0, 0
+	if c.backlogAt != now {
+		c.backlogAt, c.backlogCPUSeconds, c.backlogCPUs = now, 0, 0
 		for _, m := range v.fleet {
-			if m.draining || !v.usable(now, m) {
+			if m.draining || !v.isSchedulable(now, m) {
 				continue
 			}
-			c.drainCPUs += m.capacity.cpus
+			c.backlogCPUs += m.capacity.cpus
 			for _, h := range m.holds {
 				o := v.taskOf(h)
 				if h.exited() || o == nil {
 					continue
 				}
 				if o.job.rec.Spec.IsService() {
-					c.drainCPUs -= h.needs.cpus
+					c.backlogCPUs -= h.needs.cpus
 					continue
 				}
 				left := o.job.rec.Spec.EstimateS
 				if !h.runSince.IsZero() {
 					left -= now.Sub(h.runSince).Seconds()
 				}
-				c.drainWork += h.needs.cpus * max(left, constants.LeastLeft.Seconds())
+				c.backlogCPUSeconds += h.needs.cpus * max(left, constants.LeastLeft.Seconds())
 			}
 		}
 	}
-	work := c.drainWork + s.CPUs*s.EstimateS
+	work := c.backlogCPUSeconds + s.CPUs*s.EstimateS
 	limit := min(boot*constants.DrainBoots, within.Seconds()*constants.DrainShare)
-	if c.drainCPUs < s.CPUs || work > c.drainCPUs*limit {
+	if c.backlogCPUs < s.CPUs || work > c.backlogCPUs*limit {
 		return false
 	}
-	c.drainWork = work
+	c.backlogCPUSeconds = work
 	return true
 }
 
-// rentable says whether the shard may get more machines of a kind: the cloud had
+// canScaleOut says whether the shard may get more machines of a kind: the cloud had
 // some a moment ago, and they would not be out of reach like all others.
-func (c *capacity) rentable(v *fleetView, now time.Time, spot bool) bool {
-	return !v.isUnreachable && !now.Before(c.refused[spot])
+func (c *scaleOutState) canScaleOut(v *fleetView, now time.Time, spot bool) bool {
+	return !v.isUnreachable && !now.Before(c.refusedUntil[spot])
 }
 
-// pick chooses the cheapest kind of machine for a task that can be had.
-func (c *capacity) pick(v *fleetView, now time.Time, s *wire.Submission) (*wire.MachineType, bool, bool) {
+// cheapestMachineKind chooses the cheapest kind of machine for a task that can be had.
+func (c *scaleOutState) cheapestMachineKind(v *fleetView, now time.Time, s *wire.Submission) (*wire.MachineType, bool, bool) {
 	var best *wire.MachineType
 	bestSpot, bestPrice := false, math.Inf(1)
 	for _, t := range v.types {
-		if !need(s).fits(sizeOf(t)) || !allowed(s, t.Name, false) || !slices.Contains(t.Zones, v.cfg.Shard) {
+		if !need(s).fits(sizeOf(t)) || !isEligible(s, t.Name, false) || !slices.Contains(t.Zones, v.cfg.Shard) {
 			continue
 		}
 		for _, spot := range []bool{false, true} {
-			if spot && (!s.Spot || !v.cfg.UseSpot) || !c.rentable(v, now, spot) {
+			if spot && (!s.Spot || !v.cfg.UseSpot) || !c.canScaleOut(v, now, spot) {
 				continue
 			}
 			price := t.Price
@@ -305,22 +305,22 @@
 // ScaleOutResult takes in the answer to a rental: the machines, or that none is to be
 // had. An unanswered rental is repeated by the actor under the same name.
 func (c *Core) ScaleOutResult(now time.Time, request string, names []string, refused bool) {
-	r := c.pendingRents[request]
+	r := c.pendingScaleOuts[request]
 	if r == nil {
 		return
 	}
-	delete(c.pendingRents, request)
-	if refused || len(names) < r.req.Count {
-		slog.Info("cloud has no more machines", "shard", c.cfg.Shard, "spot", r.req.Spot, "asked", r.req.Count, "got", len(names))
-		c.refused[r.req.Spot] = now.Add(constants.RefusedPause)
+	delete(c.pendingScaleOuts, request)
+	if refused || len(names) < r.request.Count {
+		slog.Info("cloud has no more machines", "shard", c.cfg.Shard, "spot", r.request.Spot, "asked", r.request.Count, "got", len(names))
+		c.refusedUntil[r.request.Spot] = now.Add(constants.RefusedPause)
 	}
 	for _, name := range names {
 		m := c.machine(name)
 		if m.typeName == "" {
-			m.typeName, m.spot, m.rentedAt = r.req.Type, r.req.Spot, r.at
+			m.typeName, m.spot, m.rentedAt = r.request.Type, r.request.Spot, r.requestedAt
 			c.size(m)
 		}
 		c.enrol(m)
 	}
-	c.dirty, c.pushDirty = true, true
+	c.needsPlacement, c.pushDirty = true, true
 }
--- a/shard/scale_test.go
+++ b/shard/scale_test.go
@@ -27,7 +27,7 @@
 		r.Heartbeat(r.now, report(name, 1, 2, r.shown(name)))
 	}
 	for name, m := range r.machines {
-		if !m.durable || !r.usable(r.now, m) {
+		if !m.durable || !r.isSchedulable(r.now, m) {
 			panic(name + " is not usable")
 		}
 	}
@@ -109,11 +109,11 @@
 		for i := range 30 {
 			r.up(fmt.Sprintf("m-%d", i))
 		}
-		r.budget = 0
+		r.roundBudget = 0
 		n := rapid.IntRange(2, 40).Draw(t, "jobs")
 		came, stuck := 0, 0
 		rounds := 0
-		for ; came < n || len(r.waiting) > stuck || len(r.touched) > 0; rounds++ {
+		for ; came < n || len(r.waiting) > stuck || len(r.changedJobs) > 0; rounds++ {
 			if came < n && rapid.Bool().Draw(t, "comes") {
 				j := array(fmt.Sprintf("run-%d", came), 1, "a")
 				j.Spec.CPUs = 0.5
@@ -205,7 +205,7 @@
 	m := r.machines["m-0"]
 	stale := r.shown("m-0")
 	r.Heartbeat(r.now, report("m-0", 1, 6, stale)) // it has reported elsewhere since
-	if !m.unconfirmed() || r.usable(r.now, m) {
+	if !m.unconfirmed() || r.isSchedulable(r.now, m) {
 		t.Fatal("it stays trusted though it did not stay")
 	}
 	r.Heartbeat(r.now, report("m-0", 1, 7, stale))
@@ -213,7 +213,7 @@
 		t.Fatal("an old token ended the doubt")
 	}
 	r.Heartbeat(r.now, report("m-0", 1, 8, r.shown("m-0")))
-	if m.unconfirmed() || !r.usable(r.now, m) {
+	if m.unconfirmed() || !r.isSchedulable(r.now, m) {
 		t.Fatal("the new token did not end the doubt")
 	}
 }
@@ -276,7 +276,7 @@
 // crowded is an owner whose machines are full, with thousands of tasks waiting.
 func crowded(machines int) *rig {
 	r := newRig(nil)
-	r.budget = time.Hour
+	r.roundBudget = time.Hour
 	r.fleet(machines)
 	for i := range 200 {
 		j := array(fmt.Sprintf("run-%d", i), 50, "a")
@@ -295,7 +295,7 @@
 	r := crowded(1000)
 	b.ReportAllocs()
 	for b.Loop() {
-		r.dirty = true
+		r.needsPlacement = true
 		r.wait(20 * time.Millisecond)
 	}
 }
@@ -519,7 +519,7 @@
 func TestCrowdedRoundAllocatesLittle(t *testing.T) {
 	r := crowded(400)
 	n := testing.AllocsPerRun(50, func() {
-		r.dirty = true
+		r.needsPlacement = true
 		r.wait(20 * time.Millisecond)
 	})
 	t.Logf("%g allocations", n)
--- a/shard/scalein.go
+++ b/shard/scalein.go
@@ -20,7 +20,7 @@
 	}
 	sum := c.census(now)
 	if unreachable := c.unreachable(now, sum); unreachable != c.isUnreachable {
-		c.isUnreachable, c.dirty, c.pushDirty = unreachable, true, true
+		c.isUnreachable, c.needsPlacement, c.pushDirty = unreachable, true, true
 		if !unreachable {
 			c.rest(now)
 		}
@@ -126,7 +126,7 @@
 func (p *placement) noteClosed(m *machine) {
 	m.closing.decided, m.closing.stored = true, true
 	m.returning = true
-	p.dirty = true
+	p.needsPlacement = true
 }
 
 // closedToReturn lists up to so many machines that are durably closed, and for whose
@@ -157,7 +157,7 @@
 		m.returning = true
 		m.leaseUntil = time.Time{}
 		c.gone[name] = now
-		c.draining.drained(m)
+		c.draining.machineDrained(m)
 		if m.addr != "" {
 			c.actions = append(c.actions, Gone{m.addr})
 		}
--- a/shard/state.go
+++ b/shard/state.go
@@ -55,7 +55,7 @@
 	for _, m := range c.machines {
 		c.size(m)
 	}
-	c.dirty = true
+	c.needsPlacement = true
 }
 
 func (v *fleetView) removeMachine(q *outgoing, m *machine) {
--- a/shard/state_test.go
+++ b/shard/state_test.go
@@ -14,12 +14,12 @@
 func TestComingRoomIsGivenAwayOnce(t *testing.T) {
 	anywhere := &wire.Submission{CPUs: 2, Spot: true}
 	ordinary := &wire.Submission{CPUs: 2}
-	c := capacity{roomComing: []coming{{free: resources{cpus: 4}, typ: "box"}, {free: resources{cpus: 5}, typ: "box", spot: true}}}
+	c := scaleOutState{pendingCapacity: []pendingMachine{{free: resources{cpus: 4}, typeName: "box"}, {free: resources{cpus: 5}, typeName: "box", spot: true}}}
 	for _, step := range []struct {
 		what        *wire.Submission
 		tasks, want int
 	}{{anywhere, 1, 1}, {ordinary, 3, 2}, {anywhere, 3, 1}, {anywhere, 1, 0}} {
-		if got := c.takeComing(step.what, step.tasks); got != step.want {
+		if got := c.takePendingCapacity(step.what, step.tasks); got != step.want {
 			t.Errorf("%d of %d tasks take room, %d should (spot %v)", got, step.tasks, step.want, step.what.Spot)
 		}
 	}
--- a/shard/summary.go
+++ b/shard/summary.go
@@ -23,7 +23,7 @@
 
 // Summary counts what the owner knows.
 func (c *Core) Summary(now time.Time) Summary {
-	s := Summary{Rebuilt: c.rebuilt, WaitingCPUs: c.unplaced.cpus, RefusedSpot: now.Before(c.refused[true]), RefusedOnDemand: now.Before(c.refused[false]), Unreachable: c.isUnreachable, ReservedForGangs: c.gangNeed}
+	s := Summary{Rebuilt: c.rebuilt, WaitingCPUs: c.unplacedDemand.cpus, RefusedSpot: now.Before(c.refusedUntil[true]), RefusedOnDemand: now.Before(c.refusedUntil[false]), Unreachable: c.isUnreachable, ReservedForGangs: c.gangReserveCPUs}
 	for _, m := range c.fleet {
 		switch {
 		case m.returning:
--- a/shard/usage.go
+++ b/shard/usage.go
@@ -54,14 +54,14 @@
 		} else {
 			m.sums.arrays += h.needs.cpus
 		}
-		if stoppable(h, t) {
+		if isEvictable(h, t) {
 			m.sums.saving = m.sums.saving || !h.instant || t.job.gang != nil
 			m.sums.lowest = min(m.sums.lowest, wire.PriorityLevel(s.Priority))
 			if !t.guarantee && !s.IsService() && !slices.Contains(m.sums.loose, s.Team) {
 				m.sums.loose = append(m.sums.loose, s.Team)
 			}
 		}
-		if h.instant && !s.IsGang() && stoppable(h, t) && wire.PriorityLevel(s.Priority) < wire.PriorityLevel(wire.PriorityProduction) {
+		if h.instant && !s.IsGang() && isEvictable(h, t) && wire.PriorityLevel(s.Priority) < wire.PriorityLevel(wire.PriorityProduction) {
 			m.sums.yielding += h.needs.cpus
 		}
 	}
--- a/shard/waiting.go
+++ b/shard/waiting.go
@@ -10,13 +10,13 @@
 func (p *placement) touch(j *job) {
 	if !j.stale {
 		j.stale = true
-		p.touched = append(p.touched, j)
+		p.changedJobs = append(p.changedJobs, j)
 	}
 }
 
 // refresh brings the lists of waiting tasks up to date.
 func (p *placement) refresh(v *fleetView) {
-	for _, j := range p.touched {
+	for _, j := range p.changedJobs {
 		j.stale = false
 		j.waiting, j.begun = j.waiting[:0], false
 		for i := range j.rec.Assignments {
@@ -43,7 +43,7 @@
 		})
 		p.waiting[j] = true
 	}
-	p.touched = p.touched[:0]
+	p.changedJobs = p.changedJobs[:0]
 }
 
 // ready lists a job's waiting tasks that may start now.
