--- a/apiserver/apiserver.go
+++ b/apiserver/apiserver.go
@@ -28,41 +28,41 @@
 
 // Request is one user's request and its way back.
 type Request interface {
-	Answer(*httpwire.Response)
+	Respond(*httpwire.Response)
 }
 
 // Messages to the API server.
 type (
 	// Submit carries a submission's body.
 	Submit struct {
-		Req  Request
-		Body []byte
+		Request Request
+		Body    []byte
 	}
 	// Poll asks for a job's state.
 	Poll struct {
-		Req Request
-		ID  string
+		Request Request
+		JobID   string
 	}
 	// Cancel asks to cancel a job.
 	Cancel struct {
-		Req Request
-		ID  string
+		Request Request
+		JobID   string
 	}
 	// MachineTypes carries the cloud's machine types.
 	MachineTypes []wire.MachineType
-	// Counts carries a shard's counts of running and done tasks by job.
-	Counts struct {
+	// ShardCounts carries a shard's counts of running and done tasks by job.
+	ShardCounts struct {
 		Shard string
-		Jobs  records.CountsByJob
+		ByJob records.CountsByJob
 	}
-	// Metrics asks for figures in the text format that Prometheus reads.
-	Metrics struct{ Req Request }
+	// GetMetrics asks for figures in the text format that Prometheus reads.
+	GetMetrics struct{ Request Request }
 	// PackingEnabled says that every controller reads packed records.
 	PackingEnabled struct{}
-	// Cancelled is what the API server tells of a cancellation that it knows of
+	// JobCancelled is what the API server tells of a cancellation that it knows of
 	// beside the feed, before it tells any user.
-	Cancelled struct {
-		ID       string
+	JobCancelled struct {
+		JobID    string
 		Revision uint64 // at which it was stored, or later
 	}
 	// Tick lets waiting requests be looked at.
@@ -84,103 +84,103 @@
 	readNow  struct{}
 )
 
-// known is what the API server remembers of a job.
-type known struct {
-	end    string
-	tasks  int
-	closed int
+// jobSummary is what the API server remembers of a job.
+type jobSummary struct {
+	endState    string
+	taskCount   int
+	closedTasks int
 }
 
 // Server is the API server's actor.
 type Server struct {
-	set     *settings.Settings
-	store   Store
-	self    *actor.Ref
-	jobs    map[string]known
-	rev     uint64
-	types   []wire.MachineType
-	counts  map[string]records.CountsByJob
-	next    []*poll // arrived since the last read began
-	reading bool
-	readAt  time.Time     // when the last read began
-	gap     time.Duration // between two reads
-	waiting []*poll       // read, waiting for the feed
-	busy    int           // requests that wait for the state service
-	stats   stats
-	control *actor.Ref // is told of cancellations
-	sizes   records.SizeLimits
-	down    time.Time // until then the state service counts as away
-	relays  relaying
+	settings        *settings.Settings
+	store           Store
+	self            *actor.Ref
+	jobs            map[string]jobSummary
+	appliedRevision uint64
+	machineTypes    []wire.MachineType
+	countsByShard   map[string]records.CountsByJob
+	unreadPolls     []*poll // arrived since the last read began
+	readPending     bool
+	lastReadAt      time.Time     // when the last read began
+	readInterval    time.Duration // between two reads
+	readPolls       []*poll       // read, waiting for the feed
+	pendingRequests int           // requests that wait for the state service
+	stats           stats
+	controller      *actor.Ref // is told of cancellations
+	sizeLimits      records.SizeLimits
+	storeDownUntil  time.Time // until then the state service counts as away
+	path            storePath
 }
 
 // New makes an API server that is spoken to through self and tells control of
 // cancellations.
 func New(set *settings.Settings, store Store, self, control *actor.Ref) *Server {
-	return &Server{control: control, set: set, sizes: set.RecordSizeLimits(), store: store, self: self, jobs: map[string]known{}, counts: map[string]records.CountsByJob{}, stats: newStats(), gap: set.WatchInterval()}
+	return &Server{controller: control, settings: set, sizeLimits: set.RecordSizeLimits(), store: store, self: self, jobs: map[string]jobSummary{}, countsByShard: map[string]records.CountsByJob{}, stats: newStats(), readInterval: set.WatchInterval()}
 }
 
 // Receive implements actor.Handler.
 func (d *Server) Receive(ctx context.Context, msg any) {
 	switch m := msg.(type) {
 	case records.Update:
-		d.update(m)
+		d.applyUpdate(m)
 	case Submit:
 		d.submit(ctx, m)
 	case Poll:
-		d.ask(ctx, &poll{req: m.Req, id: m.ID})
+		d.ask(ctx, &poll{req: m.Request, id: m.JobID})
 	case Cancel:
 		d.cancel(ctx, m)
 	case MachineTypes:
-		d.types = m
-	case Counts:
-		d.counts[m.Shard] = m.Jobs
+		d.machineTypes = m
+	case ShardCounts:
+		d.countsByShard[m.Shard] = m.ByJob
 	case readDone:
 		d.readDone(ctx, m)
 	case created:
 		d.created(ctx, m)
 	case finished:
-		d.busy--
+		d.pendingRequests--
 	case readNow:
-		d.reading = false
+		d.readPending = false
 		d.read(ctx)
-	case Metrics:
-		d.metrics(m.Req)
+	case GetMetrics:
+		d.metrics(m.Request)
 	case PackingEnabled:
-		d.sizes.Packing = true
+		d.sizeLimits.Packing = true
 	case SetRelays:
-		d.relays.to, d.relays.at = m.To, time.Now()
+		d.path.relays, d.path.relaysNamedAt = m.Relays, time.Now()
 	case Tick:
 		d.tick(ctx, time.Time(m))
 	}
 }
 
-func (d *Server) update(up records.Update) {
+func (d *Server) applyUpdate(up records.Update) {
 	for _, ch := range up.Changes {
 		j, ok := ch.Record.(*records.Job)
 		if !ok {
 			continue
 		}
-		d.jobs[j.ID] = summary(j)
+		d.jobs[j.ID] = summarize(j)
 	}
-	d.rev = up.Revision
-	d.down, d.relays.shut = time.Time{}, false
-	kept := d.waiting[:0]
-	for _, p := range d.waiting {
-		if p.revision <= d.rev {
+	d.appliedRevision = up.Revision
+	d.storeDownUntil, d.path.directBlocked = time.Time{}, false
+	kept := d.readPolls[:0]
+	for _, p := range d.readPolls {
+		if p.revision <= d.appliedRevision {
 			d.answer(p)
 		} else {
 			kept = append(kept, p)
 		}
 	}
-	clear(d.waiting[len(kept):])
-	d.waiting = kept
+	clear(d.readPolls[len(kept):])
+	d.readPolls = kept
 }
 
-func summary(j *records.Job) known {
-	k := known{end: j.End, tasks: j.Spec.Tasks}
+func summarize(j *records.Job) jobSummary {
+	k := jobSummary{endState: j.End, taskCount: j.Spec.Tasks}
 	for _, ch := range j.Assignments {
 		if ch.Closed {
-			k.closed += ch.Tasks()
+			k.closedTasks += ch.Tasks()
 		}
 	}
 	return k
@@ -190,7 +190,7 @@
 func Refuse(req Request, status int, why string) { refuse(req, status, why, constants.RetryAfterS) }
 
 func refuse(req Request, status int, why string, retryAfterS int) {
-	req.Answer(&httpwire.Response{Status: status, Body: body(wire.Problem{Error: why}), RetryAfterS: retryAfterS})
+	req.Respond(&httpwire.Response{Status: status, Body: body(wire.Problem{Error: why}), RetryAfterS: retryAfterS})
 }
 
 func body(v any) []byte {
--- a/apiserver/apiserver_test.go
+++ b/apiserver/apiserver_test.go
@@ -24,28 +24,28 @@
 }
 
 // slowStore is a state service whose reads take their time.
-type slowStore struct{ takes time.Duration }
+type slowStore struct{ readTime time.Duration }
 
 func (s slowStore) Commit(context.Context, wire.Txn) (uint64, error) { return 0, kvstore.ErrRefused }
 func (s slowStore) Get(context.Context, string) (wire.KeyValue, bool, error) {
 	return wire.KeyValue{}, false, kvstore.ErrRefused
 }
-func (s slowStore) Revision(context.Context) (uint64, error) { time.Sleep(s.takes); return 1, nil }
+func (s slowStore) Revision(context.Context) (uint64, error) { time.Sleep(s.readTime); return 1, nil }
 
-type answer struct{ to func(*httpwire.Response) }
+type responder struct{ deliver func(*httpwire.Response) }
 
-func (a answer) Answer(r *httpwire.Response) { a.to(r) }
+func (a responder) Respond(r *httpwire.Response) { a.deliver(r) }
 
 // When more polls come than can wait, every job's user is answered within 75 s
 // all the same, though they ask in the same order every time.
-func TestNoPollLosesEveryTime(t *testing.T) {
+func TestNoPollIsStarvedUnderOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		self := actor.NewRef()
 		d := New(&settings.Settings{}, slowStore{time.Second}, self, actor.NewRef())
 		up := records.Update{Revision: 1}
-		const jobs = 4 * constants.MaxWaiting
+		const jobs = 4 * constants.MaxPendingRequests
 		for i := range jobs {
 			up.Changes = append(up.Changes, records.Change{Version: 1, Record: &records.Job{ID: fmt.Sprintf("run-%d", i)}})
 		}
@@ -59,7 +59,7 @@
 		refused := 0
 		for time.Since(began) < 4*time.Minute {
 			for i := range jobs {
-				self.Tell(Poll{Req: answer{func(r *httpwire.Response) {
+				self.Tell(Poll{Request: responder{func(r *httpwire.Response) {
 					if r.Status == 200 {
 						last[i] = time.Now()
 					} else {
@@ -68,7 +68,7 @@
 							t.Error("refused without saying when to come back")
 						}
 					}
-				}}, ID: fmt.Sprintf("run-%d", i)})
+				}}, JobID: fmt.Sprintf("run-%d", i)})
 			}
 			time.Sleep(5 * time.Second)
 			synctest.Wait() // the actor is at rest: what it wrote may be read
--- a/apiserver/cancellations.go
+++ b/apiserver/cancellations.go
@@ -16,33 +16,33 @@
 // the actor.
 func (d *Server) note(rec *records.Job, revision uint64) {
 	if rec.End == wire.JobCancelled {
-		d.control.Tell(Cancelled{rec.ID, revision})
+		d.controller.Tell(JobCancelled{rec.ID, revision})
 	}
 }
 
 func (d *Server) cancel(ctx context.Context, m Cancel) {
-	if k, ok := d.jobs[m.ID]; ok && k.end != "" {
-		m.Req.Answer(&httpwire.Response{Status: 200, Body: body(wire.Accepted{ID: m.ID, Status: k.end})})
+	if k, ok := d.jobs[m.JobID]; ok && k.endState != "" {
+		m.Request.Respond(&httpwire.Response{Status: 200, Body: body(wire.Accepted{ID: m.JobID, Status: k.endState})})
 		return
 	}
-	if d.busy >= constants.MaxWaiting {
-		Refuse(m.Req, 429, "overloaded")
+	if d.pendingRequests >= constants.MaxPendingRequests {
+		Refuse(m.Request, 429, "overloaded")
 		return
 	}
-	d.busy++
-	sizes := d.sizes
+	d.pendingRequests++
+	sizes := d.sizeLimits
 	go func() {
 		defer d.self.Tell(finished{})
-		ctx, cancel := context.WithTimeout(ctx, constants.AnswerLimit)
+		ctx, cancel := context.WithTimeout(ctx, constants.UserRequestTimeout)
 		defer cancel()
-		end, err := d.end(ctx, m.ID, sizes)
+		end, err := d.end(ctx, m.JobID, sizes)
 		switch {
 		case err != nil:
-			Refuse(m.Req, 503, "state service away")
+			Refuse(m.Request, 503, "state service away")
 		case end == "":
-			m.Req.Answer(&httpwire.Response{Status: 404, Body: body(wire.Problem{Error: "no such job"})})
+			m.Request.Respond(&httpwire.Response{Status: 404, Body: body(wire.Problem{Error: "no such job"})})
 		default:
-			m.Req.Answer(&httpwire.Response{Status: 200, Body: body(wire.Accepted{ID: m.ID, Status: end})})
+			m.Request.Respond(&httpwire.Response{Status: 200, Body: body(wire.Accepted{ID: m.JobID, Status: end})})
 		}
 	}()
 }
--- a/apiserver/metrics.go
+++ b/apiserver/metrics.go
@@ -35,7 +35,7 @@
 	var b bytes.Buffer
 	over := 0
 	for _, k := range d.jobs {
-		if k.end != "" {
+		if k.endState != "" {
 			over++
 		}
 	}
@@ -44,8 +44,8 @@
 	counter("ravenport_submissions_refused_total", "counter", d.stats.refused)
 	counter("ravenport_jobs_open", "gauge", int64(len(d.jobs)-over))
 	counter("ravenport_jobs_over", "gauge", int64(over))
-	counter("ravenport_requests_waiting", "gauge", int64(d.busy))
-	counter("ravenport_state_revision", "gauge", int64(d.rev))
+	counter("ravenport_requests_waiting", "gauge", int64(d.pendingRequests))
+	counter("ravenport_state_revision", "gauge", int64(d.appliedRevision))
 	for _, h := range []struct {
 		name string
 		l    latency
@@ -56,5 +56,5 @@
 		}
 		fmt.Fprintf(&b, "%s_count %d\n", h.name, h.l.TotalCount())
 	}
-	req.Answer(&httpwire.Response{Status: 200, ContentType: "text/plain; version=0.0.4", Body: b.Bytes()})
+	req.Respond(&httpwire.Response{Status: 200, ContentType: "text/plain; version=0.0.4", Body: b.Bytes()})
 }
--- a/apiserver/polls.go
+++ b/apiserver/polls.go
@@ -26,7 +26,7 @@
 
 // ask answers a poll: at once if the job is over, else after a read.
 func (d *Server) ask(ctx context.Context, p *poll) {
-	if k, ok := d.jobs[p.id]; ok && k.end != "" {
+	if k, ok := d.jobs[p.id]; ok && k.endState != "" {
 		d.tell(p, k)
 		return
 	}
@@ -34,13 +34,13 @@
 		Refuse(p.req, 503, "overloaded")
 		return
 	}
-	if time.Now().Before(d.down) {
+	if time.Now().Before(d.storeDownUntil) {
 		Refuse(p.req, 503, "state service away")
 		return
 	}
-	d.busy++
+	d.pendingRequests++
 	p.came = time.Now()
-	d.next = append(d.next, p)
+	d.unreadPolls = append(d.unreadPolls, p)
 	d.read(ctx)
 }
 
@@ -48,31 +48,31 @@
 // half is for a part of all jobs, another one every few seconds: whatever order
 // they come in, no job's polls lose every time.
 func (d *Server) admits(id string) bool {
-	if d.busy < constants.MaxWaiting/2 {
+	if d.pendingRequests < constants.MaxPendingRequests/2 {
 		return true
 	}
 	h := fnv.New32a()
 	io.WriteString(h, id)
-	turn := time.Now().Unix() / int64(constants.TurnLength.Seconds()) % constants.Turns
-	return d.busy < constants.MaxWaiting && int64(h.Sum32()%constants.Turns) == turn
+	turn := time.Now().Unix() / int64(constants.PollGroupTurn.Seconds()) % constants.PollGroups
+	return d.pendingRequests < constants.MaxPendingRequests && int64(h.Sum32()%constants.PollGroups) == turn
 }
 
 // read reads the current revision for all polls that wait for a read.
 func (d *Server) read(ctx context.Context) {
-	if d.reading || len(d.next) == 0 {
+	if d.readPending || len(d.unreadPolls) == 0 {
 		return
 	}
-	d.reading = true
-	if wait := time.Until(d.readAt.Add(d.gap)); wait > 0 {
+	d.readPending = true
+	if wait := time.Until(d.lastReadAt.Add(d.readInterval)); wait > 0 {
 		// The polls that come until then share one read.
 		time.AfterFunc(wait, func() { d.self.Tell(readNow{}) })
 		return
 	}
-	d.readAt = time.Now()
-	polls := d.next
-	d.next = nil
+	d.lastReadAt = time.Now()
+	polls := d.unreadPolls
+	d.unreadPolls = nil
 	go func() {
-		ctx, cancel := context.WithTimeout(ctx, constants.AnswerLimit)
+		ctx, cancel := context.WithTimeout(ctx, constants.UserRequestTimeout)
 		defer cancel()
 		rev, err := d.store.Revision(ctx)
 		d.self.Tell(readDone{polls, rev, err})
@@ -80,23 +80,23 @@
 }
 
 func (d *Server) readDone(ctx context.Context, m readDone) {
-	d.reading = false
+	d.readPending = false
 	limited := errors.Is(m.err, kvstore.ErrRateLimited)
 	if m.err != nil && !limited {
-		d.down = time.Now().Add(constants.DownFor)
+		d.storeDownUntil = time.Now().Add(constants.StoreFailureBackoff)
 	}
 	for _, p := range m.polls {
 		switch {
-		case limited && time.Since(p.came) < constants.AnswerLimit/2:
-			d.next = append(d.next, p) // another read, with those that came since
+		case limited && time.Since(p.came) < constants.UserRequestTimeout/2:
+			d.unreadPolls = append(d.unreadPolls, p) // another read, with those that came since
 		case m.err != nil:
-			d.busy--
+			d.pendingRequests--
 			Refuse(p.req, 503, "state service away")
-		case m.revision <= d.rev:
+		case m.revision <= d.appliedRevision:
 			d.answer(p)
 		default:
 			p.revision = m.revision
-			d.waiting = append(d.waiting, p)
+			d.readPolls = append(d.readPolls, p)
 		}
 	}
 	d.read(ctx)
@@ -104,7 +104,7 @@
 
 // answer tells a poll what the feed knows, which is new enough for it.
 func (d *Server) answer(p *poll) {
-	d.busy--
+	d.pendingRequests--
 	d.stats.poll.record(time.Since(p.came).Milliseconds())
 	k, ok := d.jobs[p.id]
 	if ok {
@@ -119,45 +119,45 @@
 		p.missing()
 		return
 	}
-	p.req.Answer(&httpwire.Response{Status: 404, Body: body(wire.Problem{Error: "no such job"})})
+	p.req.Respond(&httpwire.Response{Status: 404, Body: body(wire.Problem{Error: "no such job"})})
 }
 
-func (d *Server) tell(p *poll, k known) {
-	s := wire.JobState{ID: p.id, Status: k.end, Done: k.closed}
-	if k.end == "" {
+func (d *Server) tell(p *poll, k jobSummary) {
+	s := wire.JobState{ID: p.id, Status: k.endState, Done: k.closedTasks}
+	if k.endState == "" {
 		s.Status = wire.JobQueued
 		var tasks records.TaskCounts
-		for _, jobs := range d.counts {
+		for _, jobs := range d.countsByShard {
 			tasks = tasks.Plus(jobs[p.id])
 		}
-		s.Done = min(s.Done+tasks.Done(), k.tasks)
-		s.Running = min(tasks.Running(), k.tasks-s.Done)
+		s.Done = min(s.Done+tasks.Done(), k.taskCount)
+		s.Running = min(tasks.Running(), k.taskCount-s.Done)
 		if s.Running > 0 {
 			s.Status = wire.JobRunning
 		}
 	}
-	p.req.Answer(&httpwire.Response{Status: 200, Body: body(s)})
+	p.req.Respond(&httpwire.Response{Status: 200, Body: body(s)})
 }
 
 // tick reads keys themselves for polls that the feed keeps waiting.
 func (d *Server) tick(ctx context.Context, now time.Time) {
-	kept := d.waiting[:0]
-	for _, p := range d.waiting {
-		if now.Sub(p.came) < constants.BarrierWait {
+	kept := d.readPolls[:0]
+	for _, p := range d.readPolls {
+		if now.Sub(p.came) < constants.FeedCatchUpTimeout {
 			kept = append(kept, p)
 			continue
 		}
 		go d.direct(ctx, p)
 	}
-	clear(d.waiting[len(kept):])
-	d.waiting = kept
+	clear(d.readPolls[len(kept):])
+	d.readPolls = kept
 }
 
 // direct answers a poll from the key itself. It runs beside the actor and
 // touches none of its state.
 func (d *Server) direct(ctx context.Context, p *poll) {
 	defer d.self.Tell(finished{})
-	ctx, cancel := context.WithTimeout(ctx, constants.AnswerLimit)
+	ctx, cancel := context.WithTimeout(ctx, constants.UserRequestTimeout)
 	defer cancel()
 	rec, version, err := d.fetch(ctx, p.id)
 	switch {
@@ -167,12 +167,12 @@
 		d.absent(p)
 	default:
 		d.note(rec, version)
-		k := summary(rec)
-		s := wire.JobState{ID: p.id, Status: k.end, Done: k.closed}
-		if k.end == "" {
+		k := summarize(rec)
+		s := wire.JobState{ID: p.id, Status: k.endState, Done: k.closedTasks}
+		if k.endState == "" {
 			s.Status = wire.JobQueued
 		}
-		p.req.Answer(&httpwire.Response{Status: 200, Body: body(s)})
+		p.req.Respond(&httpwire.Response{Status: 200, Body: body(s)})
 	}
 }
 
--- a/apiserver/relay.go
+++ b/apiserver/relay.go
@@ -17,22 +17,22 @@
 }
 
 // SetRelays names the controllers that reach the state service, as far as is known.
-type SetRelays struct{ To []Relay }
+type SetRelays struct{ Relays []Relay }
 
-// relaying is what the API server knows of its own way to the state service and of
+// storePath is what the API server knows of its own way to the state service and of
 // the ways round.
-type relaying struct {
-	to   []Relay
-	at   time.Time // when they were named
-	shut bool      // the last call of this controller's own had no answer or was refused
+type storePath struct {
+	relays        []Relay
+	relaysNamedAt time.Time // when they were named
+	directBlocked bool      // the last call of this controller's own had no answer or was refused
 }
 
-// known lists the relays, if they were named lately.
-func (r *relaying) known(now time.Time) []Relay {
-	if now.Sub(r.at) > constants.StateSilence {
+// currentRelays lists the relays, if they were named lately.
+func (r *storePath) currentRelays(now time.Time) []Relay {
+	if now.Sub(r.relaysNamedAt) > constants.StateSilence {
 		return nil
 	}
-	return r.to
+	return r.relays
 }
 
 // away says that an error means that the state service cannot be reached, not that
--- a/apiserver/relay_test.go
+++ b/apiserver/relay_test.go
@@ -17,14 +17,14 @@
 	"ravenport/wire"
 )
 
-// way is a way to the state service that gives one answer and counts what it is asked.
-type way struct {
+// pathStub is a way to the state service that gives one answer and counts what it is asked.
+type pathStub struct {
 	slowStore
 	err    error
 	writes int
 }
 
-func (w *way) Commit(context.Context, wire.Txn) (uint64, error) {
+func (w *pathStub) Commit(context.Context, wire.Txn) (uint64, error) {
 	w.writes++
 	return 5, w.err
 }
@@ -65,23 +65,23 @@
 				set := &settings.Settings{}
 				set.Deployment.Teams = []settings.Team{{Name: "team"}}
 				set.Deployment.Zones = []string{"a"}
-				own := &way{err: c.own}
+				own := &pathStub{err: c.own}
 				self := actor.NewRef()
 				d := New(set, own, self, actor.NewRef())
-				d.sizes = records.SizeLimits{Now: 8192, Next: 8192}
-				var relays []*way
+				d.sizeLimits = records.SizeLimits{Now: 8192, Next: 8192}
+				var relays []*pathStub
 				var to []Relay
 				for _, err := range c.relays {
-					w := &way{err: err}
+					w := &pathStub{err: err}
 					relays, to = append(relays, w), append(to, w)
 				}
 				self.Tell(MachineTypes{{Name: "box", CPUs: 8, MemoryGB: 32, Zones: []string{"a"}}})
-				self.Tell(SetRelays{To: to})
+				self.Tell(SetRelays{Relays: to})
 				go self.Run(ctx, d)
 				for i := range 2 {
 					answers := make(chan *httpwire.Response, 1)
 					began := time.Now()
-					self.Tell(Submit{Req: answer{func(r *httpwire.Response) { answers <- r }}, Body: submission(fmt.Sprintf("run-00000%d", i))})
+					self.Tell(Submit{Request: responder{func(r *httpwire.Response) { answers <- r }}, Body: submission(fmt.Sprintf("run-00000%d", i))})
 					got := <-answers // nothing at all would be a deadlock, which fails the test
 					if got.Status != c.status {
 						t.Fatalf("submission %d: answered %+v, wanted %d", i, got, c.status)
@@ -90,7 +90,7 @@
 					if c.status != 201 && got.RetryAfterS == 0 {
 						t.Error("refused without saying when to come back")
 					}
-					if took := time.Since(began); took > constants.AllowanceWait+constants.AnswerLimit/2 {
+					if took := time.Since(began); took > constants.RateLimitWait+constants.UserRequestTimeout/2 {
 						t.Errorf("answered after %s", took)
 					}
 				}
@@ -112,18 +112,18 @@
 
 // The own way is taken again once the feed has brought something, and relays that
 // nobody has named for a while are not asked.
-func TestOwnWayIsTakenAgain(t *testing.T) {
-	r := relaying{to: []Relay{&way{}}, at: time.Unix(100, 0), shut: true}
-	if got := r.known(time.Unix(100, 0).Add(constants.StateSilence)); len(got) != 1 {
+func TestDirectPathIsTakenAgain(t *testing.T) {
+	r := storePath{relays: []Relay{&pathStub{}}, relaysNamedAt: time.Unix(100, 0), directBlocked: true}
+	if got := r.currentRelays(time.Unix(100, 0).Add(constants.StateSilence)); len(got) != 1 {
 		t.Error("a relay that was just named is not known")
 	}
-	if got := r.known(time.Unix(101, 0).Add(constants.StateSilence)); len(got) != 0 {
+	if got := r.currentRelays(time.Unix(101, 0).Add(constants.StateSilence)); len(got) != 0 {
 		t.Error("a relay named long ago is known still")
 	}
 	d := New(&settings.Settings{}, slowStore{}, actor.NewRef(), actor.NewRef())
-	d.relays = r
-	d.update(records.Update{Revision: 1})
-	if d.relays.shut {
+	d.path = r
+	d.applyUpdate(records.Update{Revision: 1})
+	if d.path.directBlocked {
 		t.Error("after an update of the feed the own way counts as shut")
 	}
 }
--- a/cloud/client.go
+++ b/cloud/client.go
@@ -33,7 +33,7 @@
 func NewClient(addr string, rps float64) *Client {
 	return &Client{
 		http: httpwire.NewClient(addr, 2, constants.DialTimeout,
-			httpwire.Limits{Header: constants.MaxHeader, Body: constants.ClientMaxBody}),
+			httpwire.Limits{Header: constants.MaxHeaderBytes, Body: constants.MaxResponseBody}),
 		calls: rate.NewLimiter(rate.Limit(rps), max(1, int(rps))),
 	}
 }
--- a/controller/actors.go
+++ b/controller/actors.go
@@ -60,7 +60,7 @@
 // conditions make that safe. One that the service found fault with is not.
 // Urgent ones are repeated at once where the allowance alone was in the way.
 func commit(ctx context.Context, store Store, txn wire.Txn, what string, urgent bool) committed {
-	ctx, cancel := context.WithTimeout(ctx, 2*constants.StateTimeout)
+	ctx, cancel := context.WithTimeout(ctx, 2*constants.StoreTimeout)
 	defer cancel()
 	began := time.Now()
 	var rev uint64
@@ -72,7 +72,7 @@
 		if !urgent {
 			return once()
 		}
-		return kvstore.RetryRateLimited(ctx, 2*constants.StateTimeout, constants.UrgentRetry, constants.UrgentRetry, once)
+		return kvstore.RetryRateLimited(ctx, 2*constants.StoreTimeout, constants.UrgentRetryInterval, constants.UrgentRetryInterval, once)
 	})
 	if err != nil {
 		var conflict *kvstore.ConflictError
@@ -261,8 +261,8 @@
 			a.core.Apply(now, ch)
 		}
 		a.revision = m.Revision
-	case apiserver.Cancelled:
-		a.core.Cancelled(m.ID)
+	case apiserver.JobCancelled:
+		a.core.Cancelled(m.JobID)
 	case workerReport:
 		a.workerReport(now, m)
 	case authority:
@@ -315,7 +315,7 @@
 }
 
 func refuseReport(m workerReport) {
-	m.req.Answer(&httpwire.Response{Status: 503, Body: []byte(`{"error":"not entitled"}`), RetryAfterS: constants.RetryAfterS})
+	m.req.Respond(&httpwire.Response{Status: 503, Body: []byte(`{"error":"not entitled"}`), RetryAfterS: constants.RetryAfterS})
 }
 
 func (a *shardActor) workerReport(now time.Time, m workerReport) {
@@ -324,7 +324,7 @@
 		refuseReport(m)
 		return
 	}
-	m.req.Answer(&httpwire.Response{Status: 200, Body: records.Encode(reply)})
+	m.req.Respond(&httpwire.Response{Status: 200, Body: records.Encode(reply)})
 }
 
 // after does what is not the core's: ticks, pushes and the cloud's list.
@@ -392,7 +392,7 @@
 
 // insist repeats a call to the cloud until it is answered or ctx ends.
 func insist(ctx context.Context, what string, call func() error) error {
-	wait := constants.RetryMin
+	wait := constants.RetryBackoffMin
 	for {
 		err := call()
 		if !errors.Is(err, cloud.ErrTrouble) {
@@ -406,6 +406,6 @@
 			return ctx.Err()
 		case <-t.C:
 		}
-		wait = min(2*wait, constants.RetryMax)
+		wait = min(2*wait, constants.RetryBackoffMax)
 	}
 }
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -68,6 +68,6 @@
 		return
 	}
 	for _, o := range c.owners {
-		o.ref.Tell(apiserver.Cancelled{ID: x.Job, Revision: x.Revision})
+		o.ref.Tell(apiserver.JobCancelled{JobID: x.Job, Revision: x.Revision})
 	}
 }
--- a/controller/control.go
+++ b/controller/control.go
@@ -83,7 +83,7 @@
 
 // request is one HTTP request's way back.
 type request interface {
-	Answer(*httpwire.Response)
+	Respond(*httpwire.Response)
 }
 
 // control keeps the lease, makes claims, starts and stops the leader and the
@@ -189,8 +189,8 @@
 		c.tellStatus(now, m.req)
 	case tick:
 		c.tick(ctx, now)
-	case apiserver.Cancelled:
-		c.cancelled(peer.Cancellation{Job: m.ID, Revision: m.Revision})
+	case apiserver.JobCancelled:
+		c.cancelled(peer.Cancellation{Job: m.JobID, Revision: m.Revision})
 	case typesRead:
 		c.typesRead(now, m)
 	case forecast:
@@ -276,7 +276,7 @@
 	c.typesBusy = false
 	if m.err != nil {
 		slog.Info("machine types not read", "err", m.err)
-		c.typesNext = now.Add(constants.RetryMax / 2)
+		c.typesNext = now.Add(constants.RetryBackoffMax / 2)
 		return
 	}
 	c.typesNext = now.Add(constants.MachineTypesInterval)
@@ -294,7 +294,7 @@
 		if m.summary.Unreachable || !m.summary.Rebuilt {
 			c.unsettled[records.KeyShard(m.shard)] = now
 		}
-		c.api.Tell(apiserver.Counts{Shard: m.shard, Jobs: m.counts})
+		c.api.Tell(apiserver.ShardCounts{Shard: m.shard, ByJob: m.counts})
 	} else {
 		m.counts, m.summary, m.drains = c.status[m.shard].counts, c.status[m.shard].summary, c.status[m.shard].drains
 	}
@@ -450,7 +450,7 @@
 	if err != nil {
 		slog.Error("encoding an answer", "err", err)
 	}
-	m.req.Answer(&httpwire.Response{Status: 421, Body: body})
+	m.req.Respond(&httpwire.Response{Status: 421, Body: body})
 }
 
 // health says whether this controller can serve users. While the state
@@ -458,7 +458,7 @@
 // it answers at once when to come back, and is there the moment it returns.
 func (c *control) health(now time.Time, m health) {
 	ok := c.synced && len(c.types) > 0 && !c.detect.resigned
-	if ok && now.Sub(c.heardAt) > constants.StateSilence+constants.WatchWait/2 {
+	if ok && now.Sub(c.heardAt) > constants.StateSilence+constants.WatchTimeout/2 {
 		for _, p := range c.peersState {
 			if p.stateOK && now.Sub(p.at) < constants.StateSilence {
 				ok = false
@@ -466,8 +466,8 @@
 		}
 	}
 	if !ok {
-		m.req.Answer(&httpwire.Response{Status: 503, Body: []byte(`{"status":"unready"}`)})
+		m.req.Respond(&httpwire.Response{Status: 503, Body: []byte(`{"status":"unready"}`)})
 		return
 	}
-	m.req.Answer(&httpwire.Response{Status: 200, Body: []byte(`{"status":"ok"}`)})
+	m.req.Respond(&httpwire.Response{Status: 200, Body: []byte(`{"status":"ok"}`)})
 }
--- a/controller/drains.go
+++ b/controller/drains.go
@@ -309,7 +309,7 @@
 
 // commit writes what an operator asked for.
 func (r *drainRequests) commit(ctx context.Context, txn wire.Txn) (*drain.FieldError, error) {
-	err := kvstore.RetryRateLimited(ctx, constants.DrainCallTimeout, constants.RetryMin, constants.RetryMin, func() error {
+	err := kvstore.RetryRateLimited(ctx, constants.DrainCallTimeout, constants.RetryBackoffMin, constants.RetryBackoffMin, func() error {
 		_, err := r.store.Commit(ctx, txn)
 		return err
 	})
--- a/controller/faults_test.go
+++ b/controller/faults_test.go
@@ -133,9 +133,9 @@
 				repeat := w.chance(0.3)
 				r := w.askAt(node, func(q apiserver.Request) any {
 					if repeat {
-						return apiserver.Submit{Req: q, Body: records.Encode(fields(j.spec))}
+						return apiserver.Submit{Request: q, Body: records.Encode(fields(j.spec))}
 					}
-					return apiserver.Poll{Req: q, ID: j.spec.ID}
+					return apiserver.Poll{Request: q, JobID: j.spec.ID}
 				})
 				if r == nil || r.Status == 503 || r.Status == 429 {
 					return
@@ -753,7 +753,7 @@
 		answered := 0
 		ask := func(what string, f map[string]any, want int) {
 			for node := range w.nodes {
-				r := w.askAt(node, func(q apiserver.Request) any { return apiserver.Submit{Req: q, Body: records.Encode(f)} })
+				r := w.askAt(node, func(q apiserver.Request) any { return apiserver.Submit{Request: q, Body: records.Encode(f)} })
 				if r == nil || r.Status == 503 {
 					continue
 				}
@@ -789,12 +789,12 @@
 				f := fields(done.spec)
 				delete(f, "cpus")
 				for _, r := range []*httpwire.Response{
-					w.askAt(node, func(q apiserver.Request) any { return apiserver.Submit{Req: q, Body: records.Encode(f)} }),
-					w.askAt(node, func(q apiserver.Request) any { return apiserver.Cancel{Req: q, ID: done.spec.ID} }),
+					w.askAt(node, func(q apiserver.Request) any { return apiserver.Submit{Request: q, Body: records.Encode(f)} }),
+					w.askAt(node, func(q apiserver.Request) any { return apiserver.Cancel{Request: q, JobID: done.spec.ID} }),
 				} {
 					w.check(done, r, true)
 				}
-				r := w.askAt(node, func(q apiserver.Request) any { return apiserver.Poll{Req: q, ID: "run-odd"} })
+				r := w.askAt(node, func(q apiserver.Request) any { return apiserver.Poll{Request: q, JobID: "run-odd"} })
 				if r != nil && r.Status != 404 && r.Status != 503 {
 					w.fail(t, "a job that nobody could submit: status %d", r.Status)
 				}
--- a/controller/lease.go
+++ b/controller/lease.go
@@ -98,7 +98,7 @@
 	c.leaseBusy = false
 	if m.err != nil {
 		slog.Info("no lease yet", "err", m.err)
-		c.nextLease = now.Add(constants.RetryMin + rand.N(constants.RetryMin))
+		c.nextLease = now.Add(constants.RetryBackoffMin + rand.N(constants.RetryBackoffMin))
 		return
 	}
 	c.heardAt = now
@@ -129,6 +129,6 @@
 		c.endLease(now)
 	default:
 		slog.Info("renewal failed", "err", m.err)
-		c.nextLease = now.Add(constants.RetryMin + rand.N(constants.RetryMin))
+		c.nextLease = now.Add(constants.RetryBackoffMin + rand.N(constants.RetryBackoffMin))
 	}
 }
--- a/controller/node.go
+++ b/controller/node.go
@@ -152,7 +152,7 @@
 	if !records.CreatesJob(t) {
 		return peer.CommitReply{Outcome: peer.OutcomeInvalid}
 	}
-	ctx, cancel := context.WithTimeout(ctx, constants.AnswerLimit)
+	ctx, cancel := context.WithTimeout(ctx, constants.UserRequestTimeout)
 	defer cancel()
 	return peer.ReplyOf(n.store.Commit(ctx, t))
 }
@@ -260,7 +260,7 @@
 		if r.Method == want {
 			return true
 		}
-		r.Answer(&httpwire.Response{Status: 405, Allow: want, Body: []byte(`{"error":"method not allowed"}`)})
+		r.Respond(&httpwire.Response{Status: 405, Allow: want, Body: []byte(`{"error":"method not allowed"}`)})
 		return false
 	}
 	switch {
@@ -270,7 +270,7 @@
 		}
 		rep, err := wire.ParseHeartbeat(r.Body)
 		if err != nil {
-			r.Answer(&httpwire.Response{Status: 400, Body: []byte(`{"error":"malformed report"}`)})
+			r.Respond(&httpwire.Response{Status: 400, Body: []byte(`{"error":"malformed report"}`)})
 			return
 		}
 		n.self.Tell(workerReport{r, rep})
@@ -280,7 +280,7 @@
 		}
 	case path == wire.PathJobs:
 		if methods("POST") {
-			n.api.Tell(apiserver.Submit{Req: r, Body: r.Body})
+			n.api.Tell(apiserver.Submit{Request: r, Body: r.Body})
 		}
 	case strings.HasPrefix(path, wire.PathJobs+"/"):
 		id, rest, sub := strings.Cut(path[len(wire.PathJobs)+1:], "/")
@@ -293,7 +293,7 @@
 				notFound(r)
 				return
 			}
-			n.api.Tell(apiserver.Cancel{Req: r, ID: id})
+			n.api.Tell(apiserver.Cancel{Request: r, JobID: id})
 		case sub:
 			notFound(r)
 		default:
@@ -304,7 +304,7 @@
 				notFound(r)
 				return
 			}
-			n.api.Tell(apiserver.Poll{Req: r, ID: id})
+			n.api.Tell(apiserver.Poll{Request: r, JobID: id})
 		}
 	case path == PathStatus:
 		if methods("GET") {
@@ -312,7 +312,7 @@
 		}
 	case path == PathMetrics:
 		if methods("GET") {
-			n.api.Tell(apiserver.Metrics{Req: r})
+			n.api.Tell(apiserver.GetMetrics{Request: r})
 		}
 	default:
 		notFound(r)
@@ -320,5 +320,5 @@
 }
 
 func notFound(r *server.Request) {
-	r.Answer(&httpwire.Response{Status: 404, Body: []byte(`{"error":"not found"}`)})
+	r.Respond(&httpwire.Response{Status: 404, Body: []byte(`{"error":"not found"}`)})
 }
--- a/controller/peers.go
+++ b/controller/peers.go
@@ -85,7 +85,7 @@
 			to = append(to, p)
 		}
 	}
-	c.api.Tell(apiserver.SetRelays{To: to})
+	c.api.Tell(apiserver.SetRelays{Relays: to})
 }
 
 func (c *control) peerStatus(now time.Time, s peer.Status) {
@@ -124,7 +124,7 @@
 	}
 	for shard, jobs := range s.Counts {
 		if c.owners[shard] == nil {
-			c.api.Tell(apiserver.Counts{Shard: shard, Jobs: jobs})
+			c.api.Tell(apiserver.ShardCounts{Shard: shard, ByJob: jobs})
 		}
 	}
 }
--- a/controller/relay_test.go
+++ b/controller/relay_test.go
@@ -58,7 +58,7 @@
 				t.Fatal(err)
 			}
 			began := time.Now()
-			r := w.askAt(1, func(req apiserver.Request) any { return apiserver.Submit{Req: req, Body: body} })
+			r := w.askAt(1, func(req apiserver.Request) any { return apiserver.Submit{Request: req, Body: body} })
 			if r == nil || r.Status != 201 {
 				t.Fatalf("submission %d: %+v", i, r)
 			}
--- a/controller/revocation.go
+++ b/controller/revocation.go
@@ -134,7 +134,7 @@
 func (c *control) overdueReads(now time.Time) int {
 	overdue := 0
 	for _, r := range c.reads {
-		if now.Sub(r.sent) > constants.WatchWait {
+		if now.Sub(r.sent) > constants.WatchTimeout {
 			overdue++
 		}
 	}
--- a/controller/roles.go
+++ b/controller/roles.go
@@ -83,7 +83,7 @@
 	}
 	a := newShardActor(c, shard, term, version, now, inventory, inventoryV)
 	for _, x := range c.cancels.since(c.revision) {
-		a.self.Tell(apiserver.Cancelled{ID: x.Job, Revision: x.Revision})
+		a.self.Tell(apiserver.JobCancelled{JobID: x.Job, Revision: x.Revision})
 	}
 	c.owners[shard] = &child{ref: a.self, cancel: cancel, term: term, version: version}
 	clear(c.grants) // they were given for other terms
@@ -191,7 +191,7 @@
 // must end by itself: an owner that once claimed its shard could never hand it on.
 func (c *control) claimBusy(now time.Time, key string) bool {
 	at, ok := c.claiming[key]
-	return ok && now.Sub(at) < constants.StateTimeout+time.Second
+	return ok && now.Sub(at) < constants.StoreTimeout+time.Second
 }
 
 func (c *control) send(ctx context.Context, now time.Time, cl member.TermAcquisition) {
@@ -208,7 +208,7 @@
 // claim writes a claim. One that is refused for rate alone is tried again at
 // once: until it stands nobody owns the shard. It runs beside the actor.
 func (c *control) claim(ctx context.Context, cl member.TermAcquisition) error {
-	return kvstore.RetryRateLimited(ctx, constants.AcquisitionRetryTime, constants.RetryMin/4, constants.RetryMin/4, func() error {
+	return kvstore.RetryRateLimited(ctx, constants.AcquisitionRetryTime, constants.RetryBackoffMin/4, constants.RetryBackoffMin/4, func() error {
 		_, err := c.io.Unthrottled.Commit(ctx, cl.Txn)
 		return err
 	})
@@ -218,7 +218,7 @@
 	if m.err == nil || errors.Is(m.err, kvstore.ErrOutcomeUnknown) {
 		// The feed tells what came of it; until then nothing else is tried,
 		// for a little while.
-		c.claiming[m.claim.Key] = now.Add(-constants.StateTimeout)
+		c.claiming[m.claim.Key] = now.Add(-constants.StoreTimeout)
 		return
 	}
 	delete(c.claiming, m.claim.Key)
--- a/controller/scenario_test.go
+++ b/controller/scenario_test.go
@@ -132,7 +132,7 @@
 // cancelAt cancels a job through one controller and says whether that confirmed it.
 func (w *world) cancelAt(node int, j *simJob) bool {
 	w.do(func() { j.asked = true })
-	r := w.askAt(node, func(q apiserver.Request) any { return apiserver.Cancel{Req: q, ID: j.spec.ID} })
+	r := w.askAt(node, func(q apiserver.Request) any { return apiserver.Cancel{Request: q, JobID: j.spec.ID} })
 	w.check(j, r, true)
 	var s wire.JobState
 	return r != nil && r.Status == 200 && json.Unmarshal(r.Body, &s) == nil && s.Status == wire.JobCancelled
--- a/controller/standin_detection_test.go
+++ b/controller/standin_detection_test.go
@@ -100,7 +100,7 @@
 // sleepingAnswer is a request that takes as long to answer.
 type sleepingAnswer time.Duration
 
-func (d sleepingAnswer) Answer(*httpwire.Response) { time.Sleep(time.Duration(d)) }
+func (d sleepingAnswer) Respond(*httpwire.Response) { time.Sleep(time.Duration(d)) }
 
 // accuse has a controller take another one for failed, whatever there is to that.
 func (w *world) accuse(by, of *simNode) {
--- a/controller/standin_test.go
+++ b/controller/standin_test.go
@@ -182,14 +182,14 @@
 		ctl.self.Tell(workerReport{standing{n}, &wire.Heartbeat{Machine: m.name, Addr: m.name, Type: "box", Zone: m.zone}})
 	}
 	ctl.self.Tell(health{standing{n}})
-	ctl.api.Tell(apiserver.Metrics{Req: standing{n}})
+	ctl.api.Tell(apiserver.GetMetrics{Request: standing{n}})
 }
 
 // standing is a request whose answer takes an actor as long as its controller
 // stands still.
 type standing struct{ n *simNode }
 
-func (s standing) Answer(*httpwire.Response) { s.n.stand() }
+func (s standing) Respond(*httpwire.Response) { s.n.stand() }
 
 func newWorld(seed uint64, zones []string, nodes int) *world {
 	return newWorldOf(seed, zones, nodes, dayTimes)
--- a/controller/standin_user_test.go
+++ b/controller/standin_user_test.go
@@ -26,7 +26,7 @@
 
 type simAnswer struct{ got chan *httpwire.Response }
 
-func (a *simAnswer) Answer(r *httpwire.Response) { a.got <- r }
+func (a *simAnswer) Respond(r *httpwire.Response) { a.got <- r }
 
 // ask sends one request to any controller and waits as long as users do.
 func (w *world) ask(msg func(apiserver.Request) any) *httpwire.Response {
@@ -63,7 +63,7 @@
 		panic(err)
 	}
 	for {
-		r := w.ask(func(q apiserver.Request) any { return apiserver.Submit{Req: q, Body: body} })
+		r := w.ask(func(q apiserver.Request) any { return apiserver.Submit{Request: q, Body: body} })
 		if r != nil && (r.Status == 201 || r.Status == 200) {
 			w.mu.Lock()
 			j.accepted = true
@@ -93,18 +93,18 @@
 			w.mu.Lock()
 			j.asked = true
 			w.mu.Unlock()
-			r := w.ask(func(q apiserver.Request) any { return apiserver.Cancel{Req: q, ID: j.spec.ID} })
+			r := w.ask(func(q apiserver.Request) any { return apiserver.Cancel{Request: q, JobID: j.spec.ID} })
 			w.check(j, r, true)
 			continue
 		}
-		r := w.ask(func(q apiserver.Request) any { return apiserver.Poll{Req: q, ID: j.spec.ID} })
+		r := w.ask(func(q apiserver.Request) any { return apiserver.Poll{Request: q, JobID: j.spec.ID} })
 		if w.mute == j.spec.ID {
 			r = nil
 		}
 		w.check(j, r, false)
 		w.known(j)
 		if w.chance(0.1) { // a late repeat of the submission
-			r = w.ask(func(q apiserver.Request) any { return apiserver.Submit{Req: q, Body: body} })
+			r = w.ask(func(q apiserver.Request) any { return apiserver.Submit{Request: q, Body: body} })
 			if r != nil && r.Status == 201 {
 				w.mu.Lock()
 				w.broke("forgotten", "%s accepted twice", j.spec.ID)
--- a/controller/status.go
+++ b/controller/status.go
@@ -88,5 +88,5 @@
 	if err != nil {
 		slog.Error("encoding the status", "err", err)
 	}
-	req.Answer(&httpwire.Response{Status: 200, Body: append(body, '\n')})
+	req.Respond(&httpwire.Response{Status: 200, Body: append(body, '\n')})
 }
--- a/disruption/ledger.go
+++ b/disruption/ledger.go
@@ -326,7 +326,7 @@
 	sent, compared := l.sent, l.compared
 	l.writing, l.sent, l.compared = false, nil, nil
 	if revision == 0 {
-		l.nextWrite = now.Add(constants.RetryMin)
+		l.nextWrite = now.Add(constants.RetryBackoffMin)
 		return
 	}
 	if revision < l.claims[l.cfg.Shard].version {
--- a/internal/loopback/store_test.go
+++ b/internal/loopback/store_test.go
@@ -282,5 +282,5 @@
 	if err != nil {
 		panic(err) // the stand-ins' own types
 	}
-	r.Answer(&httpwire.Response{Status: status, Body: body})
+	r.Respond(&httpwire.Response{Status: status, Body: body})
 }
--- a/kvstore/client.go
+++ b/kvstore/client.go
@@ -91,7 +91,7 @@
 	}
 	r := c.writes.ReserveN(time.Now(), min(n, c.writes.Burst()))
 	d := r.Delay()
-	if d > constants.AllowanceWait && !c.later && !c.urgent {
+	if d > constants.RateLimitWait && !c.later && !c.urgent {
 		r.Cancel()
 		return ErrRateLimited
 	}
@@ -103,16 +103,16 @@
 
 // NewClient makes a client of the service at addr with the settings' limits.
 func NewClient(addr string, rps, writeRPS float64) *Client {
-	lim := httpwire.Limits{Header: constants.MaxHeader, Body: constants.ClientMaxBody}
+	lim := httpwire.Limits{Header: constants.MaxHeaderBytes, Body: constants.MaxResponseBody}
 	share := func(r, shard float64) *rate.Limiter {
 		return rate.NewLimiter(rate.Limit(r*shard), max(1, int(r*shard)))
 	}
 	return &Client{
-		calls:   httpwire.NewClient(addr, constants.IdleConns, constants.DialTimeout, lim),
+		calls:   httpwire.NewClient(addr, constants.MaxIdleConns, constants.DialTimeout, lim),
 		watches: httpwire.NewClient(addr, 1, constants.DialTimeout, lim),
-		reads:   share(rps, constants.StateShare),
-		writes:  share(writeRPS, constants.StateShare),
-		waiting: share(writeRPS, constants.LaterShare),
+		reads:   share(rps, constants.StoreRateShare),
+		writes:  share(writeRPS, constants.StoreRateShare),
+		waiting: share(writeRPS, constants.BackgroundWriteShare),
 	}
 }
 
@@ -122,7 +122,7 @@
 	if body != nil {
 		data = records.Encode(body)
 	}
-	ctx, cancel := context.WithTimeout(ctx, constants.StateTimeout)
+	ctx, cancel := context.WithTimeout(ctx, constants.StoreTimeout)
 	defer cancel()
 	m, err := c.calls.Do(ctx, method, path, data)
 	switch {
@@ -178,7 +178,7 @@
 // Retry repeats call while it is refused, with backoff and jitter, until ctx
 // ends.
 func Retry(ctx context.Context, call func() error) error {
-	wait := constants.RetryMin
+	wait := constants.RetryBackoffMin
 	for {
 		err := call()
 		if !errors.Is(err, ErrRefused) {
@@ -191,7 +191,7 @@
 			return err
 		case <-t.C:
 		}
-		wait = min(2*wait, constants.RetryMax)
+		wait = min(2*wait, constants.RetryBackoffMax)
 	}
 }
 
@@ -246,7 +246,7 @@
 		if err := c.reads.Wait(ctx); err != nil {
 			return nil, 0, err
 		}
-		m, err := c.do(ctx, "GET", wire.ListPath(prefix, after, constants.StatePage), nil)
+		m, err := c.do(ctx, "GET", wire.ListPath(prefix, after, constants.StorePageSize), nil)
 		if err != nil {
 			return nil, 0, err
 		}
@@ -270,7 +270,7 @@
 	if err := c.reads.Wait(ctx); err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, wait+constants.StateTimeout)
+	ctx, cancel := context.WithTimeout(ctx, wait+constants.StoreTimeout)
 	defer cancel()
 	m, err := c.watches.Do(ctx, "GET", wire.WatchPath(prefix, from, wait.Milliseconds()), nil)
 	if err != nil {
--- a/kvstore/feed.go
+++ b/kvstore/feed.go
@@ -35,7 +35,7 @@
 // Run follows the state service until ctx ends.
 func (f *Feed) Run(ctx context.Context) {
 	revision, listed := uint64(0), false
-	wait := constants.RetryMin
+	wait := constants.RetryBackoffMin
 	var lost time.Time
 	for ctx.Err() == nil {
 		var err error
@@ -51,7 +51,7 @@
 		}
 		switch {
 		case err == nil:
-			wait = constants.RetryMin
+			wait = constants.RetryBackoffMin
 			if !lost.IsZero() {
 				slog.Info("feed reaches the state service again", "after_ms", time.Since(lost).Milliseconds())
 				lost = time.Time{}
@@ -73,7 +73,7 @@
 			slog.Warn("feed cannot reach the state service", "err", err)
 		}
 		pause(ctx, wait/2+rand.N(wait))
-		wait = min(2*wait, constants.RetryMax/2)
+		wait = min(2*wait, constants.RetryBackoffMax/2)
 	}
 }
 
@@ -101,7 +101,7 @@
 }
 
 func (f *Feed) follow(ctx context.Context, from uint64) (uint64, error) {
-	ev, err := f.client.Watch(ctx, records.Prefix, from, constants.WatchWait)
+	ev, err := f.client.Watch(ctx, records.Prefix, from, constants.WatchTimeout)
 	if err != nil {
 		return 0, err
 	}
--- a/leader/assign.go
+++ b/leader/assign.go
@@ -40,7 +40,7 @@
 		// A piece that joins its neighbour takes no room: so it is never put
 		// off for ever.
 		if d.record = c.extendAdjacentAssignment(j, n); d.record == nil {
-			j.retryAt = now.Add(constants.RetryMax)
+			j.retryAt = now.Add(constants.RetryBackoffMax)
 			return Commit{}, false
 		}
 		value, _ = c.sizes.Encode(d.record, j.record)
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -134,7 +134,7 @@
 		grpc.WithDisableServiceConfig(),
 		grpc.WithReadBufferSize(constants.PeerBuffer), grpc.WithWriteBufferSize(constants.PeerBuffer),
 		grpc.WithConnectParams(grpc.ConnectParams{
-			Backoff:           backoff.Config{BaseDelay: 200 * time.Millisecond, Multiplier: 1.5, Jitter: 0.2, MaxDelay: constants.RetryMax},
+			Backoff:           backoff.Config{BaseDelay: 200 * time.Millisecond, Multiplier: 1.5, Jitter: 0.2, MaxDelay: constants.RetryBackoffMax},
 			MinConnectTimeout: constants.DialTimeout,
 		}))
 	if err != nil {
--- a/server/server.go
+++ b/server/server.go
@@ -19,14 +19,14 @@
 // any goroutine, once.
 type Request struct {
 	*httpwire.Message
-	conn gnet.Conn
-	srv  *Server
-	done atomic.Bool
+	conn     gnet.Conn
+	srv      *Server
+	answered atomic.Bool
 }
 
-// Answer sends the response.
-func (r *Request) Answer(resp *httpwire.Response) {
-	if r.done.Swap(true) {
+// Respond sends the response.
+func (r *Request) Respond(resp *httpwire.Response) {
+	if r.answered.Swap(true) {
 		return
 	}
 	resp.Close = resp.Close || r.Close || r.srv.crowded.Load()
@@ -80,7 +80,7 @@
 
 // New makes a server for addr with at most maxConn open connections.
 func New(addr string, maxConn int, h Handler) *Server {
-	return &Server{addr: addr, maxConn: maxConn, spare: constants.ServerSpare, tick: constants.ServerTick, handle: h,
+	return &Server{addr: addr, maxConn: maxConn, spare: constants.ServerReclaimIdle, tick: constants.ServerIdleCheckInterval, handle: h,
 		conns: map[gnet.Conn]*session{}, ready: make(chan struct{}), toTick: make(chan gnet.EventLoop, 1)}
 }
 
@@ -90,7 +90,7 @@
 		gnet.WithNumEventLoop(1),
 		gnet.WithTicker(true),
 		gnet.WithReuseAddr(true),
-		gnet.WithReadBufferCap(constants.ServerReadBuffer),
+		gnet.WithReadBufferCap(constants.ServerReadBufferSize),
 		gnet.WithLogger(quiet{}),
 		gnet.WithLogLevel(logging.ErrorLevel))
 }
@@ -150,7 +150,9 @@
 }
 
 // count notes whether sockets are running out.
-func (s *Server) count() { s.crowded.Store(len(s.conns) > s.maxConn*constants.ServerCrowded/8+1) }
+func (s *Server) count() {
+	s.crowded.Store(len(s.conns) > s.maxConn*constants.ServerCrowdedEighths/8+1)
+}
 
 // OnTick implements gnet.EventHandler. It runs on a goroutine of its own, beside
 // the event loop that owns the connections, so it only asks that loop to look:
@@ -174,9 +176,9 @@
 // forgotten clients cannot hold all sockets. It runs on the event loop.
 func (s *Server) closeIdle(now time.Time) {
 	for c, ses := range s.conns {
-		limit := constants.ServerIdle
+		limit := constants.ServerIdleTimeout
 		if c.InboundBuffered() > 0 {
-			limit = constants.ServerSlowRequest
+			limit = constants.ServerSlowRequestTimeout
 		}
 		if !ses.busy && now.Sub(ses.since) > limit {
 			if err := c.Close(); err != nil {
@@ -194,7 +196,7 @@
 		return gnet.Close
 	}
 	if ses.busy {
-		if c.InboundBuffered() > constants.MaxBody+constants.MaxHeader {
+		if c.InboundBuffered() > constants.MaxRequestBody+constants.MaxHeaderBytes {
 			return gnet.Close
 		}
 		return gnet.None
@@ -206,7 +208,7 @@
 	if err != nil {
 		return gnet.Close
 	}
-	m, n, err := httpwire.ParseRequest(buf, httpwire.Limits{Header: constants.MaxHeader, Body: constants.MaxBody})
+	m, n, err := httpwire.ParseRequest(buf, httpwire.Limits{Header: constants.MaxHeaderBytes, Body: constants.MaxRequestBody})
 	if err != nil {
 		// The protocol knows no 413: a body over the limit is malformed too.
 		resp := httpwire.AppendResponse(nil, &httpwire.Response{Status: 400, Close: true, Body: []byte(`{"error":"malformed request"}`)})
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -28,7 +28,7 @@
 	addr := l.Addr().String()
 	l.Close()
 	s := New(addr, maxConn, func(r *Request) {
-		go r.Answer(&httpwire.Response{Status: 200, Body: []byte(r.Method + " " + r.Target)})
+		go r.Respond(&httpwire.Response{Status: 200, Body: []byte(r.Method + " " + r.Target)})
 	})
 	s.spare, s.tick = spare, tick
 	go func() {
--- a/settings/limits.go
+++ b/settings/limits.go
@@ -48,22 +48,22 @@
 	if limit <= 0 {
 		limit = 4 * constants.ReservedSockets
 	}
-	reserved := min(max(constants.ReservedSockets, limit/constants.ReservedShare), limit/2)
-	commands = (reserved - constants.OwnSockets) / max(1, len(s.Deployment.Zones))
-	return limit - reserved, min(max(commands, constants.CommandsLeast), constants.CommandFanout)
+	reserved := min(max(constants.ReservedSockets, limit/constants.ReservedSocketsDivisor), limit/2)
+	commands = (reserved - constants.NonCommandSockets) / max(1, len(s.Deployment.Zones))
+	return limit - reserved, min(max(commands, constants.MinConcurrentCommands), constants.MaxConcurrentCommands)
 }
 
 // WatchInterval is the least time between two watches of one controller, and between two
 // reads of the revision: together they use up to their share of the store's requests,
 // which all controllers have together.
 func (s *Settings) WatchInterval() time.Duration {
-	rps := max(s.StoreLimits().RPS, 1) * constants.ReadShare / s.controllerCount()
-	return min(max(Seconds(1/rps), constants.ReadGapMin), constants.ReadGapMax)
+	rps := max(s.StoreLimits().RPS, 1) * constants.ReadRateShare / s.controllerCount()
+	return min(max(Seconds(1/rps), constants.ReadIntervalMin), constants.ReadIntervalMax)
 }
 
 // CloudShare is how many calls a second this controller may make to the cloud.
 func (s *Settings) CloudShare() float64 {
-	share := max(constants.CloudShare, 1/s.controllerCount())
+	share := max(constants.CloudRateShare, 1/s.controllerCount())
 	return max(s.Deployment.Cloud.RPS, 0.1) * share
 }
 
--- a/settings/limits_test.go
+++ b/settings/limits_test.go
@@ -22,7 +22,7 @@
 			t.Fatalf("front %d, commands %d", front, commands)
 		}
 		all := front + commands*len(s.Deployment.Zones)
-		if commands > constants.CommandsLeast && all > s.Deployment.Limits.MaxConnections-constants.OwnSockets {
+		if commands > constants.MinConcurrentCommands && all > s.Deployment.Limits.MaxConnections-constants.NonCommandSockets {
 			t.Fatalf("front %d and %d commands for each of %d shards: more than %d", front, commands, len(s.Deployment.Zones), s.Deployment.Limits.MaxConnections)
 		}
 	})
--- a/shard/assignments.go
+++ b/shard/assignments.go
@@ -147,7 +147,7 @@
 	value, ok := c.cfg.SizeLimits.Encode(rec, j.rec)
 	if !ok {
 		slog.Error("job's record does not fit", "job", id, "bytes", len(value))
-		j.retryAt = now.Add(constants.RetryMax)
+		j.retryAt = now.Add(constants.RetryBackoffMax)
 		c.check(j)
 		return
 	}
--- a/shard/commits.go
+++ b/shard/commits.go
@@ -55,7 +55,7 @@
 			// Either the feed will bring a newer version, or the write is
 			// tried again.
 			j.writing = false
-			j.retryAt = now.Add(constants.RetryMax)
+			j.retryAt = now.Add(constants.RetryBackoffMax)
 			c.check(j)
 		}
 	default:
--- a/shard/inventory.go
+++ b/shard/inventory.go
@@ -165,7 +165,7 @@
 			// If it was carried out all the same the feed brings the page, and
 			// the next write is based on that.
 			p.dirty = true
-			c.inventoryNext = now.Add(constants.RetryMin)
+			c.inventoryNext = now.Add(constants.RetryBackoffMin)
 			continue
 		}
 		if revision <= p.version {
--- a/worker/commands.go
+++ b/worker/commands.go
@@ -35,11 +35,11 @@
 	cl := c.clients[addr]
 	if cl == nil {
 		cl = httpwire.NewClient(addr, 1, constants.DialTimeout,
-			httpwire.Limits{Header: constants.MaxHeader, Body: constants.ClientMaxBody})
+			httpwire.Limits{Header: constants.MaxHeaderBytes, Body: constants.MaxResponseBody})
 		c.clients[addr] = cl
 		c.recent = append(c.recent, addr)
 		// A fleet has more machines than this process has sockets to spare.
-		for len(c.recent) > constants.IdleCommands {
+		for len(c.recent) > constants.MaxIdleWorkerConns {
 			c.Forget(c.recent[0])
 		}
 	}
--- a/worker/commands_test.go
+++ b/worker/commands_test.go
@@ -48,17 +48,17 @@
 	cmd := NewClient()
 	defer cmd.Close()
 	done := make(chan Result, 1)
-	const machines = 3 * constants.IdleCommands
+	const machines = 3 * constants.MaxIdleWorkerConns
 	for i := range machines {
 		cmd.Send(context.Background(), listen(), wire.CommandRequest{FencingToken: 1, Epoch: 1}, func(r Result) { done <- r })
 		if r := <-done; r.Err != nil {
 			t.Fatalf("call %d: %v", i, r.Err)
 		}
 	}
-	for end := time.Now().Add(5 * time.Second); open.Load() > constants.IdleCommands && time.Now().Before(end); {
+	for end := time.Now().Add(5 * time.Second); open.Load() > constants.MaxIdleWorkerConns && time.Now().Before(end); {
 		time.Sleep(5 * time.Millisecond) // closing takes its way through the kernel
 	}
-	if n := open.Load(); n > constants.IdleCommands {
+	if n := open.Load(); n > constants.MaxIdleWorkerConns {
 		t.Fatalf("%d connections open after calls to %d machines", n, machines)
 	}
 }
