--- a/kvstore/client.go
+++ b/kvstore/client.go
@@ -1,12 +1,9 @@
-// Package kvstore calls the consensus-backed key-value store that holds all of
-// ravenport's durable state: a client, retries, and a feed that mirrors every key.
 package kvstore
 
 import (
 	"context"
-	"errors"
 	"fmt"
-	"math/rand/v2"
+	"net/http"
 	"time"
 
 	"golang.org/x/time/rate"
@@ -17,243 +14,143 @@
 	"ravenport/wire"
 )
 
-// Errors of calls to the state service.
-var (
-	// ErrRefused: the call was surely not carried out.
-	ErrRefused = errors.New("kvstore: refused")
-	// ErrRateLimited: refused for the allowance alone; it comes with ErrRefused.
-	ErrRateLimited = errors.New("kvstore: over the allowance")
-	// ErrOutcomeUnknown: the call may have been, or may yet be, carried out.
-	ErrOutcomeUnknown = errors.New("kvstore: no answer")
-	// ErrLeaseExpired: the lease has ended.
-	ErrLeaseExpired = errors.New("kvstore: no such lease")
-	// ErrInvalidRequest: the service found fault with the call itself, most likely its
-	// size, and will every time.
-	ErrInvalidRequest = errors.New("kvstore: not acceptable")
-	// ErrCompacted: a watch asked for changes that are no longer kept.
-	ErrCompacted = errors.New("kvstore: changes no longer kept")
-)
-
-// ConflictError says that a transaction's conditions did not hold.
-type ConflictError struct{ Keys []string }
-
-func (c *ConflictError) Error() string { return fmt.Sprintf("kvstore: conditions failed: %v", c.Keys) }
-
-// Client calls the state service within this controller's share of the
-// allowance.
+// Client calls the key-value store within this controller's share of its rate limits.
+// It is safe for concurrent use.
 type Client struct {
-	calls   *httpwire.Client
-	watches *httpwire.Client
-	reads   *rate.Limiter
-	writes  *rate.Limiter
-	waiting *rate.Limiter // of writes that can wait
-	later   bool          // this client's writes can wait
-	first   bool          // and this one's cannot at all
-	urgent  bool          // and this one's wait for their turn alone
-}
-
-// Background returns the same client for writes that can wait: they leave part of
-// the allowance to those of users, leases and claims.
-func (c *Client) Background() *Client {
-	l := *c
-	l.later = true
-	return &l
-}
-
-// Urgent returns the same client for writes that wait for their turn however long
-// it takes, and for no longer than that.
-func (c *Client) Urgent() *Client {
-	u := *c
-	u.urgent = true
-	return &u
-}
+	httpClient *httpwire.Client
+	// watchClient has a connection of its own, which a watch holds while it waits.
+	watchClient *httpwire.Client
 
-// Unthrottled returns the same client for the few writes that come before all
-// others, leases and claims: they do not wait for the own allowance.
-func (c *Client) Unthrottled() *Client {
-	f := *c
-	f.first = true
-	return &f
+	priority          writePriority
+	readLimiter       *rate.Limiter // of lists and watches (requests)
+	writeLimiter      *rate.Limiter // of all writes (changes)
+	backgroundLimiter *rate.Limiter // of background writes, besides writeLimiter (changes)
 }
 
-// allow waits for the write allowance. Writes that users wait for are refused
-// at once when it would take long; the user is told when to come back. Those
-// that can wait do so in the order in which they came.
-func (c *Client) allow(ctx context.Context, n int) error {
-	if c.first {
-		c.writes.ReserveN(time.Now(), min(n, c.writes.Burst())) // the others wait for them
-		return ctx.Err()
-	}
-	if c.later {
-		if err := c.waiting.WaitN(ctx, min(n, c.waiting.Burst())); err != nil {
-			return err
-		}
-	}
-	r := c.writes.ReserveN(time.Now(), min(n, c.writes.Burst()))
-	d := r.Delay()
-	if d > constants.RateLimitWait && !c.later && !c.urgent {
-		r.Cancel()
-		return ErrRateLimited
-	}
-	if d > 0 {
-		pause(ctx, d)
-	}
-	return ctx.Err()
-}
-
-// NewClient makes a client of the service at addr with the settings' limits.
-func NewClient(addr string, rps, writeRPS float64) *Client {
-	lim := httpwire.Limits{Header: constants.MaxHeaderBytes, Body: constants.MaxResponseBody}
-	share := func(r, shard float64) *rate.Limiter {
-		return rate.NewLimiter(rate.Limit(r*shard), max(1, int(r*shard)))
-	}
+// NewClient makes a client of the store at addr, whose rate limits are requestsPerSecond
+// and changesPerSecond. Its writes are interactive: see Background, Urgent and
+// Unthrottled for others.
+func NewClient(addr string, requestsPerSecond, changesPerSecond float64) *Client {
+	limits := httpwire.Limits{Header: constants.MaxHeaderBytes, Body: constants.MaxResponseBody}
 	return &Client{
-		calls:   httpwire.NewClient(addr, constants.MaxIdleConns, constants.DialTimeout, lim),
-		watches: httpwire.NewClient(addr, 1, constants.DialTimeout, lim),
-		reads:   share(rps, constants.StoreRateShare),
-		writes:  share(writeRPS, constants.StoreRateShare),
-		waiting: share(writeRPS, constants.BackgroundWriteShare),
+		httpClient:        httpwire.NewClient(addr, constants.MaxIdleConns, constants.DialTimeout, limits),
+		watchClient:       httpwire.NewClient(addr, 1, constants.DialTimeout, limits),
+		readLimiter:       newLimiter(requestsPerSecond, constants.StoreRateShare),
+		writeLimiter:      newLimiter(changesPerSecond, constants.StoreRateShare),
+		backgroundLimiter: newLimiter(changesPerSecond, constants.BackgroundWriteShare),
 	}
 }
 
-// do makes one call and sorts what came of it.
-func (c *Client) do(ctx context.Context, method, path string, body any) (*httpwire.Message, error) {
+// call sends one request with body, if there is one, as JSON. Its error tells whether
+// the request may have been executed; a response of any other status than 429 and 503 is
+// left to the caller.
+func (c *Client) call(ctx context.Context, method, path string, body any) (*httpwire.Message, error) {
 	var data []byte
 	if body != nil {
 		data = records.Encode(body)
 	}
 	ctx, cancel := context.WithTimeout(ctx, constants.StoreTimeout)
 	defer cancel()
-	m, err := c.calls.Do(ctx, method, path, data)
+	response, err := c.httpClient.Do(ctx, method, path, data)
 	switch {
-	case err == nil && m.Status == 429:
-		return nil, fmt.Errorf("%w: %w: status 429", ErrRefused, ErrRateLimited)
-	case err == nil && m.Status == 503:
-		return nil, fmt.Errorf("%w: status %d", ErrRefused, m.Status)
-	case err == nil:
-		return m, nil
 	case httpwire.Unsent(err):
 		return nil, fmt.Errorf("%w: %w", ErrRefused, err)
-	}
-	return nil, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
-}
-
-// Commit carries out a transaction. After ErrOutcomeUnknown the caller must read
-// what came of it before it concludes anything.
-func (c *Client) Commit(ctx context.Context, t wire.Txn) (uint64, error) {
-	if n := len(t.Changes); n > 0 {
-		if err := c.allow(ctx, n); err != nil {
-			return 0, fmt.Errorf("%w: own allowance: %w", ErrRefused, err)
+	case err != nil:
+		return nil, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
+	case response.Status == http.StatusTooManyRequests:
+		return nil, fmt.Errorf("%w: %w: status %d", ErrRefused, ErrRateLimited, response.Status)
+	case response.Status == http.StatusServiceUnavailable:
+		return nil, fmt.Errorf("%w: status %d", ErrRefused, response.Status)
+	}
+	return response, nil
+}
+
+// Commit executes a compare-and-swap transaction and returns its revision. After
+// ErrOutcomeUnknown the caller must read the keys before it concludes anything; other
+// errors are ErrRefused, ErrLeaseExpired, ErrInvalidRequest and ConflictError.
+func (c *Client) Commit(ctx context.Context, txn wire.Txn) (revision uint64, err error) {
+	if n := len(txn.Changes); n > 0 {
+		if err := c.waitForWriteLimit(ctx, n); err != nil {
+			return 0, fmt.Errorf("%w: own rate limit: %w", ErrRefused, err)
 		}
 	}
-	if t.Conditions == nil {
-		t.Conditions = []wire.Condition{}
+	// The store expects empty lists in place of null.
+	if txn.Conditions == nil {
+		txn.Conditions = []wire.Condition{}
 	}
-	if t.Changes == nil {
-		t.Changes = []wire.Change{}
+	if txn.Changes == nil {
+		txn.Changes = []wire.Change{}
 	}
-	m, err := c.do(ctx, "POST", wire.PathTxn, t)
+	response, err := c.call(ctx, http.MethodPost, wire.PathTxn, txn)
 	if err != nil {
 		return 0, err
 	}
-	var r wire.TxnReply
-	if err := wire.Decode(m.Body, &r); err != nil && m.Status != 400 {
-		return 0, fmt.Errorf("%w: unreadable answer: %w", ErrOutcomeUnknown, err)
-	}
-	switch m.Status {
-	case 200:
-		return r.Revision, nil
-	case 409:
-		return 0, &ConflictError{r.Failed}
-	case 400:
-		var p wire.Problem
-		if wire.Decode(m.Body, &p) == nil && p.Error == "no such lease" {
-			return 0, ErrLeaseExpired
-		}
-		return 0, fmt.Errorf("%w: status 400: %.200s", ErrInvalidRequest, m.Body)
-	}
-	return 0, fmt.Errorf("%w: status %d", ErrOutcomeUnknown, m.Status)
+	return commitResult(response)
 }
 
-// Retry repeats call while it is refused, with backoff and jitter, until ctx
-// ends.
-func Retry(ctx context.Context, call func() error) error {
-	wait := constants.RetryBackoffMin
-	for {
-		err := call()
-		if !errors.Is(err, ErrRefused) {
-			return err
-		}
-		t := time.NewTimer(wait/2 + rand.N(wait))
-		select {
-		case <-ctx.Done():
-			t.Stop()
-			return err
-		case <-t.C:
+// commitResult reads the response to a transaction.
+func commitResult(response *httpwire.Message) (revision uint64, err error) {
+	if response.Status == http.StatusBadRequest {
+		var problem wire.Problem
+		if wire.Decode(response.Body, &problem) == nil && problem.Error == wire.ProblemLeaseExpired {
+			return 0, ErrLeaseExpired
 		}
-		wait = min(2*wait, constants.RetryBackoffMax)
+		return 0, fmt.Errorf("%w: status %d: %.200s", ErrInvalidRequest, response.Status, response.Body)
 	}
-}
-
-// RetryRateLimited repeats call while it is refused for rate alone, for at most limit.
-func RetryRateLimited(ctx context.Context, limit, least, spread time.Duration, call func() error) error {
-	began := time.Now()
-	for {
-		err := call()
-		if !errors.Is(err, ErrRateLimited) || time.Since(began) > limit || ctx.Err() != nil {
-			return err
-		}
-		pause(ctx, least+rand.N(spread))
+	var reply wire.TxnReply
+	if err := wire.Decode(response.Body, &reply); err != nil {
+		return 0, unreadableResponse(err)
+	}
+	switch response.Status {
+	case http.StatusOK:
+		return reply.Revision, nil
+	case http.StatusConflict:
+		return 0, &ConflictError{Keys: reply.Failed}
 	}
+	return 0, unexpectedStatus("transaction", response)
 }
 
 // Get reads one key; found is false when it does not exist.
 func (c *Client) Get(ctx context.Context, key string) (kv wire.KeyValue, found bool, err error) {
-	m, err := c.do(ctx, "GET", wire.KeyPath(key), nil)
+	response, err := c.call(ctx, http.MethodGet, wire.KeyPath(key), nil)
 	if err != nil {
 		return kv, false, err
 	}
-	switch m.Status {
-	case 200:
-		if err := wire.Decode(m.Body, &kv); err != nil {
-			return kv, false, fmt.Errorf("%w: unreadable answer: %w", ErrOutcomeUnknown, err)
+	switch response.Status {
+	case http.StatusOK:
+		if err := wire.Decode(response.Body, &kv); err != nil {
+			return kv, false, unreadableResponse(err)
 		}
 		return kv, true, nil
-	case 404:
+	case http.StatusNotFound:
 		return kv, false, nil
 	}
-	return kv, false, fmt.Errorf("%w: status %d", ErrOutcomeUnknown, m.Status)
+	return kv, false, unexpectedStatus("key", response)
 }
 
-// Revision reads the current revision.
+// Revision reads the store's current revision.
 func (c *Client) Revision(ctx context.Context) (uint64, error) {
-	m, err := c.do(ctx, "GET", wire.KeyPath(records.KeyBarrier), nil)
+	// The response for a key that does not exist carries nothing but the revision.
+	response, err := c.call(ctx, http.MethodGet, wire.KeyPath(records.KeyBarrier), nil)
 	if err != nil {
 		return 0, err
 	}
-	var r wire.TxnReply
-	if err := wire.Decode(m.Body, &r); err != nil || m.Status != 404 {
-		return 0, fmt.Errorf("%w: status %d for the revision", ErrOutcomeUnknown, m.Status)
+	var reply wire.TxnReply
+	if err := wire.Decode(response.Body, &reply); err != nil || response.Status != http.StatusNotFound {
+		return 0, unexpectedStatus("revision", response)
 	}
-	return r.Revision, nil
+	return reply.Revision, nil
 }
 
-// List reads all keys under prefix. The revision is one at which every change
-// up to it is contained; later ones may be, too.
+// List reads all keys under prefix, page by page. The result contains every change up to
+// revision, and may contain later ones.
 func (c *Client) List(ctx context.Context, prefix string) (items []wire.KeyValue, revision uint64, err error) {
 	after := ""
 	for {
-		if err := c.reads.Wait(ctx); err != nil {
-			return nil, 0, err
-		}
-		m, err := c.do(ctx, "GET", wire.ListPath(prefix, after, constants.StorePageSize), nil)
+		page, err := c.listPage(ctx, prefix, after)
 		if err != nil {
 			return nil, 0, err
 		}
-		var page wire.KeyList
-		if err := wire.Decode(m.Body, &page); err != nil || m.Status != 200 {
-			return nil, 0, fmt.Errorf("%w: listing: status %d: %v", ErrOutcomeUnknown, m.Status, err)
-		}
 		if after == "" {
 			revision = page.Revision
 		}
@@ -265,56 +162,85 @@
 	}
 }
 
-// Watch waits for changes under prefix after a revision.
-func (c *Client) Watch(ctx context.Context, prefix string, from uint64, wait time.Duration) (*wire.Events, error) {
-	if err := c.reads.Wait(ctx); err != nil {
+// listPage reads one page of the keys under prefix that follow the key after.
+func (c *Client) listPage(ctx context.Context, prefix, after string) (page wire.KeyList, err error) {
+	if err := c.readLimiter.Wait(ctx); err != nil {
+		return page, err
+	}
+	response, err := c.call(ctx, http.MethodGet, wire.ListPath(prefix, after, constants.StorePageSize), nil)
+	if err != nil {
+		return page, err
+	}
+	if err := wire.Decode(response.Body, &page); err != nil || response.Status != http.StatusOK {
+		return page, fmt.Errorf("%w: list: status %d: %v", ErrOutcomeUnknown, response.Status, err)
+	}
+	return page, nil
+}
+
+// Watch waits for at most wait until a key under prefix has changed after a revision,
+// and returns all such changes. It returns ErrCompacted when the store no longer keeps
+// them, and ErrRefused for every other failure, since a watch changes nothing.
+func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (*wire.Events, error) {
+	if err := c.readLimiter.Wait(ctx); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait+constants.StoreTimeout)
 	defer cancel()
-	m, err := c.watches.Do(ctx, "GET", wire.WatchPath(prefix, from, wait.Milliseconds()), nil)
+	response, err := c.watchClient.Do(ctx, http.MethodGet, wire.WatchPath(prefix, after, wait.Milliseconds()), nil)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrRefused, err)
 	}
-	switch m.Status {
-	case 200:
-		var ev wire.Events
-		if err := wire.Decode(m.Body, &ev); err != nil {
+	switch response.Status {
+	case http.StatusOK:
+		var events wire.Events
+		if err := wire.Decode(response.Body, &events); err != nil {
 			return nil, fmt.Errorf("%w: unreadable events: %w", ErrRefused, err)
 		}
-		return &ev, nil
-	case 410:
+		return &events, nil
+	case http.StatusGone:
 		return nil, ErrCompacted
-	case 429:
-		return nil, fmt.Errorf("%w: %w: watch: status 429", ErrRefused, ErrRateLimited)
+	case http.StatusTooManyRequests:
+		return nil, fmt.Errorf("%w: %w: watch: status %d", ErrRefused, ErrRateLimited, response.Status)
 	}
-	return nil, fmt.Errorf("%w: watch: status %d", ErrRefused, m.Status)
+	return nil, fmt.Errorf("%w: watch: status %d", ErrRefused, response.Status)
 }
 
-// Grant obtains a lease.
-func (c *Client) Grant(ctx context.Context, life time.Duration) (uint64, error) {
-	m, err := c.do(ctx, "POST", wire.PathLeases, wire.LeaseRequest{TTLMS: life.Milliseconds()})
+// Grant obtains a lease that expires unless it is renewed within ttl, and returns its id.
+func (c *Client) Grant(ctx context.Context, ttl time.Duration) (lease uint64, err error) {
+	request := wire.LeaseRequest{TTLMS: ttl.Milliseconds()}
+	response, err := c.call(ctx, http.MethodPost, wire.PathLeases, request)
 	if err != nil {
 		return 0, err
 	}
-	var r wire.LeaseReply
-	if err := wire.Decode(m.Body, &r); err != nil || m.Status != 200 || r.Lease == 0 {
-		return 0, fmt.Errorf("%w: lease: status %d", ErrOutcomeUnknown, m.Status)
+	var reply wire.LeaseReply
+	if err := wire.Decode(response.Body, &reply); err != nil || response.Status != http.StatusOK || reply.Lease == 0 {
+		return 0, unexpectedStatus("lease grant", response)
 	}
-	return r.Lease, nil
+	return reply.Lease, nil
 }
 
-// Renew renews a lease.
+// Renew renews a lease. It returns ErrLeaseExpired when the lease has expired.
 func (c *Client) Renew(ctx context.Context, lease uint64) error {
-	m, err := c.do(ctx, "POST", wire.LeasePath(lease)+"/"+wire.RenewSuffix, struct{}{})
+	response, err := c.call(ctx, http.MethodPost, wire.RenewPath(lease), struct{}{})
 	if err != nil {
 		return err
 	}
-	switch m.Status {
-	case 200:
+	switch response.Status {
+	case http.StatusOK:
 		return nil
-	case 404:
+	case http.StatusNotFound:
 		return ErrLeaseExpired
 	}
-	return fmt.Errorf("%w: renewal: status %d", ErrOutcomeUnknown, m.Status)
+	return unexpectedStatus("lease renewal", response)
+}
+
+// unexpectedStatus is the error for a response whose status, or content, does not fit
+// the request.
+func unexpectedStatus(request string, response *httpwire.Message) error {
+	return fmt.Errorf("%w: %s: status %d", ErrOutcomeUnknown, request, response.Status)
+}
+
+// unreadableResponse is the error for a response whose body is not the expected JSON.
+func unreadableResponse(err error) error {
+	return fmt.Errorf("%w: unreadable response: %w", ErrOutcomeUnknown, err)
 }
--- a/kvstore/feed.go
+++ b/kvstore/feed.go
@@ -8,139 +8,153 @@
 	"time"
 
 	"ravenport/constants"
+	"ravenport/logkey"
 	"ravenport/records"
 	"ravenport/wire"
 )
 
-// Source is where a feed reads from.
-type Source interface {
-	List(ctx context.Context, prefix string) ([]wire.KeyValue, uint64, error)
-	Watch(ctx context.Context, prefix string, from uint64, wait time.Duration) (*wire.Events, error)
+// ListWatcher is what a feed needs of the key-value store; see [Client.List] and
+// [Client.Watch].
+type ListWatcher interface {
+	List(ctx context.Context, prefix string) (items []wire.KeyValue, revision uint64, err error)
+	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (*wire.Events, error)
 }
 
-// Feed mirrors all keys under Prefix.
+// Feed mirrors all of ravenport's keys: it lists them once, watches them from there on,
+// and lists them again only when the watch has fallen too far behind.
 type Feed struct {
-	client Source
-	sink   func(records.Update)
-	known  map[string]uint64
-	gap    time.Duration // between two watches
+	store    ListWatcher
+	deliver  func(records.Update)
+	interval time.Duration // between two watches
+
+	versions    map[string]uint64 // of all keys that were delivered and not deleted since
+	listed      bool              // revision is valid
+	revision    uint64            // up to which all changes were delivered
+	outageSince time.Time         // zero while the store is reachable
 }
 
-// NewFeed makes a feed that hands its updates to sink, in order. It leaves gap
-// between two watches, so that a burst of changes comes in few answers.
-func NewFeed(c Source, gap time.Duration, sink func(records.Update)) *Feed {
-	return &Feed{client: c, sink: sink, known: map[string]uint64{}, gap: gap}
+// NewFeed makes a feed that passes its updates to deliver, in order. It leaves interval,
+// which must be positive, between two watches, so that a burst of changes arrives in few
+// responses.
+func NewFeed(store ListWatcher, interval time.Duration, deliver func(records.Update)) *Feed {
+	return &Feed{store: store, deliver: deliver, versions: map[string]uint64{}, interval: interval}
 }
 
-// Run follows the state service until ctx ends.
+// Run follows the store until ctx ends.
 func (f *Feed) Run(ctx context.Context) {
-	revision, listed := uint64(0), false
-	wait := constants.RetryBackoffMin
-	var lost time.Time
+	retryDelay := constants.RetryBackoffMin
 	for ctx.Err() == nil {
-		var err error
-		if !listed {
-			revision, err = f.list(ctx)
-			listed = err == nil
-		} else {
-			var next uint64
-			next, err = f.follow(ctx, revision)
-			if err == nil {
-				revision = next
-			}
-		}
+		err := f.step(ctx)
 		switch {
 		case err == nil:
-			wait = constants.RetryBackoffMin
-			if !lost.IsZero() {
-				slog.Info("feed reaches the state service again", "after_ms", time.Since(lost).Milliseconds())
-				lost = time.Time{}
-			}
-			pause(ctx, f.gap)
-			continue
+			retryDelay = constants.RetryBackoffMin
+			f.logRecovery()
+			sleep(ctx, f.interval)
 		case errors.Is(err, ErrRateLimited):
-			pause(ctx, f.gap/2+rand.N(f.gap)) // it is there, only busy
-			continue
+			// The store is reachable, only busy: no outage, and no backoff.
+			sleep(ctx, f.interval/2+rand.N(f.interval))
 		case errors.Is(err, ErrCompacted):
-			slog.Warn("feed fell behind and reads everything again")
-			listed = false
-			continue
+			slog.Warn("watch revision compacted, listing all keys again")
+			f.listed = false
 		case ctx.Err() != nil:
 			return
+		default:
+			f.logOutage(err)
+			sleep(ctx, withJitter(retryDelay))
+			retryDelay = min(2*retryDelay, constants.RetryBackoffMax/2)
 		}
-		if lost.IsZero() {
-			lost = time.Now()
-			slog.Warn("feed cannot reach the state service", "err", err)
-		}
-		pause(ctx, wait/2+rand.N(wait))
-		wait = min(2*wait, constants.RetryBackoffMax/2)
 	}
 }
 
-func (f *Feed) list(ctx context.Context) (uint64, error) {
-	items, revision, err := f.client.List(ctx, records.Prefix)
+// step lists all keys or, once that has been done, waits for the next changes.
+func (f *Feed) step(ctx context.Context) error {
+	if !f.listed {
+		return f.list(ctx)
+	}
+	return f.watch(ctx)
+}
+
+// logOutage logs the first failure of a row.
+func (f *Feed) logOutage(err error) {
+	if f.outageSince.IsZero() {
+		f.outageSince = time.Now()
+		slog.Warn("key-value store unreachable", logkey.Err, err)
+	}
+}
+
+// logRecovery logs the first success after a failure.
+func (f *Feed) logRecovery() {
+	if !f.outageSince.IsZero() {
+		slog.Info("key-value store reachable again", "after_ms", time.Since(f.outageSince).Milliseconds())
+		f.outageSince = time.Time{}
+	}
+}
+
+// list reads all keys and delivers the differences from what was delivered before.
+func (f *Feed) list(ctx context.Context) error {
+	items, revision, err := f.store.List(ctx, records.Prefix)
 	if err != nil {
-		return 0, err
+		return err
 	}
-	up := records.Update{Revision: revision}
+	update := records.Update{Revision: revision}
 	present := make(map[string]bool, len(items))
 	for _, kv := range items {
 		present[kv.Key] = true
-		if f.known[kv.Key] < kv.Version {
-			f.add(&up, kv.Key, kv.Value, kv.Version)
+		if f.versions[kv.Key] < kv.Version {
+			f.appendPut(&update, kv.Key, kv.Value, kv.Version)
 		}
 	}
-	for key := range f.known {
+	for key := range f.versions {
 		if !present[key] {
-			delete(f.known, key)
-			up.Changes = append(up.Changes, records.Change{Key: key, Version: revision})
+			f.appendDelete(&update, key, revision)
 		}
 	}
-	f.sink(up)
-	return revision, nil
+	f.listed = true
+	f.revision = revision
+	f.deliver(update)
+	return nil
 }
 
-func (f *Feed) follow(ctx context.Context, from uint64) (uint64, error) {
-	ev, err := f.client.Watch(ctx, records.Prefix, from, constants.WatchTimeout)
+// watch waits for changes after the present revision and delivers them.
+func (f *Feed) watch(ctx context.Context) error {
+	watched, err := f.store.Watch(ctx, records.Prefix, f.revision, constants.WatchTimeout)
 	if err != nil {
-		return 0, err
+		return err
 	}
-	up := records.Update{Revision: max(ev.Revision, from)}
-	for _, e := range ev.Events {
-		up.Revision = max(up.Revision, e.Version)
+	update := records.Update{Revision: max(watched.Revision, f.revision)}
+	for _, event := range watched.Events {
+		update.Revision = max(update.Revision, event.Version)
 		switch {
-		case e.Delete != "":
+		case event.Delete != "":
 			// A list read in pages may hold a newer key than this deletion.
-			if v, ok := f.known[e.Delete]; ok && v < e.Version {
-				delete(f.known, e.Delete)
-				up.Changes = append(up.Changes, records.Change{Key: e.Delete, Version: e.Version})
+			if version, ok := f.versions[event.Delete]; ok && version < event.Version {
+				f.appendDelete(&update, event.Delete, event.Version)
 			}
-		case f.known[e.Put] < e.Version:
-			f.add(&up, e.Put, e.Value, e.Version)
+		case f.versions[event.Put] < event.Version:
+			f.appendPut(&update, event.Put, event.Value, event.Version)
 		}
 	}
-	f.sink(up)
-	return up.Revision, nil
+	f.revision = update.Revision
+	f.deliver(update)
+	return nil
 }
 
-// add decodes a changed key into the update, and notes its version as known.
-func (f *Feed) add(update *records.Update, key string, value []byte, version uint64) {
+// appendPut adds a changed key to the update and remembers its version. A record that
+// cannot be decoded is logged, and dropped unless it has to be delivered as corrupt.
+func (f *Feed) appendPut(update *records.Update, key string, value []byte, version uint64) {
 	change, err := records.DecodeChange(key, value, version)
 	if err != nil {
-		slog.Error("unreadable record", "key", key, "err", err)
+		slog.Error("cannot decode record", "key", key, logkey.Err, err)
 		if change.Record == nil {
 			return
 		}
 	}
-	f.known[key] = version
+	f.versions[key] = version
 	update.Changes = append(update.Changes, change)
 }
 
-func pause(ctx context.Context, d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-ctx.Done():
-	case <-t.C:
-	}
+// appendDelete adds a deleted key to the update and forgets its version.
+func (f *Feed) appendDelete(update *records.Update, key string, version uint64) {
+	delete(f.versions, key)
+	update.Changes = append(update.Changes, records.Change{Key: key, Version: version})
 }
--- a/wire/paths.go
+++ b/wire/paths.go
@@ -25,8 +25,10 @@
 		"&block_ms=" + strconv.FormatInt(waitMS, 10)
 }
 
-// LeasePath is the path of one lease.
-func LeasePath(lease uint64) string { return PathLeases + "/" + strconv.FormatUint(lease, 10) }
+// RenewPath is the path that renews a lease.
+func RenewPath(lease uint64) string {
+	return PathLeases + "/" + strconv.FormatUint(lease, 10) + "/" + renewSuffix
+}
 
 // MachinesPath is the path that lists machines after a name.
 func MachinesPath(after string, limit int) string {
--- a/wire/state.go
+++ b/wire/state.go
@@ -8,10 +8,14 @@
 	PathTxn    = "/multi"
 	PathLeases = "/holds"
 	PathWatch  = "/follow"
-	// RenewSuffix follows a lease's path in a renewal.
-	RenewSuffix = "renew"
+	// renewSuffix follows a lease's path in a renewal.
+	renewSuffix = "renew"
 )
 
+// ProblemLeaseExpired is the error of the response (status 400) to a transaction that
+// puts a key under an expired lease.
+const ProblemLeaseExpired = "no such lease"
+
 // KeyValue is one key of the state service.
 type KeyValue struct {
 	Key     string          `json:"path"`
