--- a/cmd/ravenport/main.go
+++ b/cmd/ravenport/main.go
@@ -150,7 +150,7 @@
 // processors keeps busy. On a small part of one, more only wake each other up and
 // look for work in vain. Whoever sets GOMAXPROCS has decided otherwise.
 func limitProcessors(set *settings.Settings) {
-	if n := set.Processors(); n > 0 && os.Getenv("GOMAXPROCS") == "" {
+	if n := set.ProcessorCount(); n > 0 && os.Getenv("GOMAXPROCS") == "" {
 		runtime.GOMAXPROCS(min(n, runtime.GOMAXPROCS(0)))
 	}
 }
--- a/controller/actors.go
+++ b/controller/actors.go
@@ -221,13 +221,13 @@
 	set := c.set
 	limits := set.StoreLimits()
 	cfg := shard.Config{
-		Shard: name, HeartbeatPeriod: set.HeartbeatPeriod(), LeaseEnd: set.LeaseEnd(), LeaseExtension: set.LeaseExtension(),
-		IdleSpot: set.Operator.IdleSpot, IdleOnDemand: set.Operator.IdleOnDemand, UseSpot: set.Operator.UseSpot, CloseFirst: set.Duties.CloseFirst,
-		GangWait: settings.Seconds(set.Deployment.Workers.GangWaitS), GangPeer: settings.Seconds(set.Deployment.Workers.GangPeerS),
+		Shard: name, HeartbeatPeriod: set.HeartbeatPeriod(), LeaseEnd: set.WorkerLeaseExpiry(), LeaseExtension: set.LeaseExtension(),
+		IdleSpot: set.Operator.SpotIdleTimeout, IdleOnDemand: set.Operator.OnDemandIdleTimeout, UseSpot: set.Operator.UseSpot, CloseFirst: set.Duties.CordonBeforeScaleIn,
+		GangWait: settings.Seconds(set.Deployment.Workers.GangWaitTimeoutS), GangPeer: settings.Seconds(set.Deployment.Workers.GangPeerTimeoutS),
 		ListLag:    time.Duration(set.Deployment.Cloud.ListLagS * float64(time.Second)),
 		SizeLimits: set.RecordSizeLimits(), TxnOps: limits.TxnOps, WriteRPS: max(limits.WriteRPS, 1), CloudGap: set.CloudCallInterval(), Order: leader.NewJobOrder(set.Deployment.Objectives), RoundBudget: set.RoundBudget(),
 	}
-	_, cfg.MaxDirectCommands = set.Sockets()
+	cfg.MaxDirectCommands = set.SocketLimits().DirectCommands
 	a := &shardActor{shard: name, store: c.io.Background, cloud: c.io.Cloud, self: actor.NewRef(), control: c.self,
 		workers: c.io.Workers(), revision: c.revision}
 	a.core = shard.New(cfg, term, version, now, c.types, c.jobs, c.versions, inventory, inventoryV)
--- a/controller/closing_test.go
+++ b/controller/closing_test.go
@@ -23,7 +23,7 @@
 		}
 		w.capacity["a/ordinary"] = 2
 		for _, n := range w.nodes {
-			n.set.Duties.CloseFirst = closeFirst
+			n.set.Duties.CordonBeforeScaleIn = closeFirst
 			n.start()
 		}
 		go w.expireLeases()
@@ -97,8 +97,8 @@
 	w := newWorldOf(seed, []string{"a", "b"}, 3, magnoliaTimes)
 	w.late, w.tame, w.lateCopies = 0, true, 0
 	for _, n := range w.nodes {
-		n.set.Duties.CloseFirst = true
-		n.set.Operator.IdleSpot, n.set.Operator.IdleOnDemand = 3*time.Second, 3*time.Second
+		n.set.Duties.CordonBeforeScaleIn = true
+		n.set.Operator.SpotIdleTimeout, n.set.Operator.OnDemandIdleTimeout = 3*time.Second, 3*time.Second
 		n.start()
 	}
 	go w.expireLeases()
--- a/controller/control.go
+++ b/controller/control.go
@@ -165,7 +165,7 @@
 		all = append(all, member.Controller{Name: n.Controller, Zone: n.Zone})
 	}
 	c.member = member.New(set.Controller, all, set.Deployment.Zones, time.Now())
-	c.member.SetSecondShardDelay(set.SecondShardWait())
+	c.member.SetSecondShardDelay(set.SecondShardDelay())
 	if monitor != nil {
 		c.member.EnableDetection()
 		// A worker that is not served comes back after it has waited for an answer.
--- a/controller/node.go
+++ b/controller/node.go
@@ -162,13 +162,13 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	limits := set.StoreLimits()
-	store := kvstore.NewClient(set.Services.State, limits.RPS, limits.WriteRPS)
+	store := kvstore.NewClient(set.Services.Store, limits.RPS, limits.WriteRPS)
 	out := Dependencies{
 		Store:       store,
 		Unthrottled: store.Unthrottled(),
 		Background:  store.Background(),
 		Urgent:      store.Urgent(),
-		Cloud:       cloud.NewClient(set.Services.Cloud, set.CloudShare()),
+		Cloud:       cloud.NewClient(set.Services.Cloud, set.CloudCallRate()),
 		Workers:     func() Workers { return worker.NewClient() },
 		Peers:       map[string]Peer{},
 	}
@@ -189,8 +189,8 @@
 	}
 	failed := make(chan error, 2)
 	go func() { failed <- peer.Serve(ctx, set.PeerAddr, handlers) }()
-	front, _ := set.Sockets()
-	srv := server.New(set.Listen, front, n.route)
+	serverSockets := set.SocketLimits().Server
+	srv := server.New(set.Listen, serverSockets, n.route)
 	go func() { failed <- srv.Run() }()
 	slog.Info("controller started", "node", set.Controller, "zone", set.Zone, "listen", set.Listen)
 	select {
--- a/controller/sim_test.go
+++ b/controller/sim_test.go
@@ -370,7 +370,7 @@
 			w := newWorld(9, []string{"a", "b"}, 3)
 			w.late, w.tame = 0, true
 			for _, n := range w.nodes {
-				n.set.Deployment.Workers.CancelS = 100 // so that much is tended
+				n.set.Deployment.Workers.CancelTimeoutS = 100 // so that much is tended
 				n.start()
 			}
 			go w.expireLeases()
@@ -397,7 +397,7 @@
 			w.mu.Unlock()
 			if !counted {
 				for _, n := range w.nodes {
-					n.set.Deployment.Workers.CancelS = 45 // as whoever claims from here on counts
+					n.set.Deployment.Workers.CancelTimeoutS = 45 // as whoever claims from here on counts
 				}
 			}
 			time.Sleep(120 * time.Second)
--- a/controller/standin_test.go
+++ b/controller/standin_test.go
@@ -224,7 +224,7 @@
 		if err != nil {
 			panic(err)
 		}
-		set.Operator.IdleSpot, set.Operator.IdleOnDemand = 15*time.Second, 25*time.Second
+		set.Operator.SpotIdleTimeout, set.Operator.OnDemandIdleTimeout = 15*time.Second, 25*time.Second
 		w.nodes[i].set = set
 	}
 	for _, z := range zones {
--- a/settings/check.go
+++ b/settings/check.go
@@ -30,7 +30,7 @@
 	}
 	for _, f := range []struct{ field, addr string }{
 		{"bind", s.Listen}, {"back", s.PeerAddr},
-		{"outside.cloud", s.Services.Cloud}, {"outside.state", s.Services.State},
+		{"outside.cloud", s.Services.Cloud}, {"outside.state", s.Services.Store},
 	} {
 		if err := checkAddr(f.field, f.addr); err != nil {
 			return err
@@ -76,9 +76,9 @@
 	}{
 		{"facts.workers.report_s", d.Workers.HeartbeatS},
 		{"facts.workers.lease_s", d.Workers.LeaseS},
-		{"facts.workers.cancel_s", d.Workers.CancelS},
-		{"facts.workers.gang_wait_s", d.Workers.GangWaitS},
-		{"facts.workers.gang_peer_s", d.Workers.GangPeerS},
+		{"facts.workers.cancel_s", d.Workers.CancelTimeoutS},
+		{"facts.workers.gang_wait_s", d.Workers.GangWaitTimeoutS},
+		{"facts.workers.gang_peer_s", d.Workers.GangPeerTimeoutS},
 		{"facts.state.rps", d.Store.RPS},
 		{"facts.state.write_rps", d.Store.WriteRPS},
 		{"facts.state.value_kb", d.Store.ValueKB},
--- a/settings/duties.go
+++ b/settings/duties.go
@@ -4,7 +4,7 @@
 // docs/operators-duties.md. The zero value, without a file for them, leaves all of them
 // off.
 type Duties struct {
-	// CloseFirst (duties.close.before.return): a machine is durably cordoned before it is
+	// CordonBeforeScaleIn (duties.close.before.return): a machine is durably cordoned before it is
 	// returned to the cloud.
-	CloseFirst bool
+	CordonBeforeScaleIn bool
 }
--- a/settings/limits.go
+++ b/settings/limits.go
@@ -41,16 +41,29 @@
 	}
 }
 
-// Sockets divides the machine's sockets: how many the server may use, and how many
-// direct commands a shard's owner may have in flight if this controller owned all shards.
-func (s *Settings) Sockets() (front, commands int) {
+// SocketLimits are the parts of the machine's sockets.
+type SocketLimits struct {
+	// Server is how many connections the server for users, workers and health checks may
+	// have open.
+	Server int
+	// DirectCommands is how many direct commands the owner of one shard may have in
+	// flight, so that there are enough sockets if this controller owns all shards.
+	DirectCommands int
+}
+
+// SocketLimits divides the machine's sockets.
+func (s *Settings) SocketLimits() SocketLimits {
 	limit := s.Deployment.Limits.MaxConnections
 	if limit <= 0 {
 		limit = 4 * constants.ReservedSockets
 	}
-	reserved := min(max(constants.ReservedSockets, limit/constants.ReservedSocketsDivisor), limit/2)
-	commands = (reserved - constants.NonCommandSockets) / max(1, len(s.Deployment.Zones))
-	return limit - reserved, min(max(commands, constants.MinConcurrentCommands), constants.MaxConcurrentCommands)
+	reserved := max(constants.ReservedSockets, limit/constants.ReservedSocketsDivisor)
+	reserved = min(reserved, limit/2)
+	commands := (reserved - constants.NonCommandSockets) / max(1, len(s.Deployment.Zones))
+	return SocketLimits{
+		Server:         limit - reserved,
+		DirectCommands: min(max(commands, constants.MinConcurrentCommands), constants.MaxConcurrentCommands),
+	}
 }
 
 // WatchInterval is the least time between two watches of one controller, and between two
@@ -61,27 +74,27 @@
 	return min(max(Seconds(1/rps), constants.ReadIntervalMin), constants.ReadIntervalMax)
 }
 
-// CloudShare is how many calls a second this controller may make to the cloud.
-func (s *Settings) CloudShare() float64 {
+// CloudCallRate is how many calls a second this controller may make to the cloud.
+func (s *Settings) CloudCallRate() float64 {
 	share := max(constants.CloudRateShare, 1/s.controllerCount())
 	return max(s.Deployment.Cloud.RPS, 0.1) * share
 }
 
 // CloudCallInterval is the time that two calls take of this controller's calls to the
 // cloud.
-func (s *Settings) CloudCallInterval() time.Duration { return Seconds(2 / s.CloudShare()) }
+func (s *Settings) CloudCallInterval() time.Duration { return Seconds(2 / s.CloudCallRate()) }
 
 // controllerCount is the number of controllers, this one included.
 func (s *Settings) controllerCount() float64 { return float64(1 + len(s.Peers)) }
 
-// Processors is how many processors the machine's share of them can keep busy at once;
+// ProcessorCount is how many processors the machine's share of them can keep busy at once;
 // 0: the settings do not say.
-func (s *Settings) Processors() int { return int(math.Ceil(max(0, s.Deployment.Limits.CPU))) }
+func (s *Settings) ProcessorCount() int { return int(math.Ceil(max(0, s.Deployment.Limits.CPU))) }
 
-// SecondShardWait is how long a controller that owns a shard leaves another vacant one to
+// SecondShardDelay is how long a controller that owns a shard leaves another vacant one to
 // others: the time that its failover would keep this machine's share of a processor busy.
 // Without such a share there is nothing to wait for.
-func (s *Settings) SecondShardWait() time.Duration {
+func (s *Settings) SecondShardDelay() time.Duration {
 	if s.Deployment.Limits.CPU <= 0 {
 		return 0
 	}
--- a/settings/limits_test.go
+++ b/settings/limits_test.go
@@ -11,25 +11,26 @@
 )
 
 // All sockets together stay within the machine's limit for any number of shards,
-// and a fleet half as large again as any seen finds room at one controller.
-func TestSocketsStayWithinTheLimit(t *testing.T) {
+// and a fleet half as large again as any seen is served by one controller.
+func TestSocketLimitsStayWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Settings
 		s.Deployment.Limits.MaxConnections = rapid.IntRange(200, 20000).Draw(t, "limit")
 		s.Deployment.Zones = make([]string, rapid.IntRange(1, 9).Draw(t, "zones"))
-		front, commands := s.Sockets()
-		if front < s.Deployment.Limits.MaxConnections/2 || commands < 1 {
-			t.Fatalf("front %d, commands %d", front, commands)
+		limits := s.SocketLimits()
+		server, commands := limits.Server, limits.DirectCommands
+		if server < s.Deployment.Limits.MaxConnections/2 || commands < 1 {
+			t.Fatalf("server %d, commands %d", server, commands)
 		}
-		all := front + commands*len(s.Deployment.Zones)
+		all := server + commands*len(s.Deployment.Zones)
 		if commands > constants.MinConcurrentCommands && all > s.Deployment.Limits.MaxConnections-constants.NonCommandSockets {
-			t.Fatalf("front %d and %d commands for each of %d shards: more than %d", front, commands, len(s.Deployment.Zones), s.Deployment.Limits.MaxConnections)
+			t.Fatalf("server %d and %d commands for each of %d shards: more than %d", server, commands, len(s.Deployment.Zones), s.Deployment.Limits.MaxConnections)
 		}
 	})
 	s := Settings{}
 	s.Deployment.Limits.MaxConnections, s.Deployment.Zones = 3130, []string{"a", "b"}
-	if front, _ := s.Sockets(); front < 2600 {
-		t.Fatalf("2600 workers do not fit the front's %d sockets", front)
+	if server := s.SocketLimits().Server; server < 2600 {
+		t.Fatalf("2600 workers do not fit the server's %d sockets", server)
 	}
 }
 
@@ -39,7 +40,7 @@
 	for share, want := range map[float64]int{0: 0, 0.072: 1, 0.5: 1, 1: 1, 1.5: 2, 8: 8} {
 		var s Settings
 		s.Deployment.Limits.CPU = share
-		if got := s.Processors(); got != want {
+		if got := s.ProcessorCount(); got != want {
 			t.Errorf("%g of a processor: %d, wanted %d", share, got, want)
 		}
 	}
@@ -47,11 +48,11 @@
 
 // The smaller the machine, the longer it leaves a second shard to that one's own
 // controller, within bounds; one whose share is not known does not wait.
-func TestSecondShardWaitFollowsTheShare(t *testing.T) {
+func TestSecondShardDelayFollowsTheShare(t *testing.T) {
 	var s Settings
 	for share, want := range map[float64]time.Duration{0: 0, 8: 50 * time.Millisecond, 1: 400 * time.Millisecond, 0.1: 4 * time.Second, 0.01: constants.MaxSecondShardDelay} {
 		s.Deployment.Limits.CPU = share
-		if got := s.SecondShardWait(); got != want {
+		if got := s.SecondShardDelay(); got != want {
 			t.Errorf("with %g of a processor: %s, wanted %s", share, got, want)
 		}
 	}
--- a/settings/load/operator.go
+++ b/settings/load/operator.go
@@ -27,15 +27,15 @@
 		return o, err
 	}
 	o.LeaseTTL = time.Duration(leaseMS) * time.Millisecond // whole milliseconds
-	idleSpotS, err := readFloat(p, "rent.idle.spot.s", o.IdleSpot.Seconds(), idleSecondBounds)
+	idleSpotS, err := readFloat(p, "rent.idle.spot.s", o.SpotIdleTimeout.Seconds(), idleSecondBounds)
 	if err != nil {
 		return o, err
 	}
-	o.IdleSpot = settings.Seconds(idleSpotS)
-	idleOnDemandS, err := readFloat(p, "rent.idle.ordinary.s", o.IdleOnDemand.Seconds(), idleSecondBounds)
+	o.SpotIdleTimeout = settings.Seconds(idleSpotS)
+	idleOnDemandS, err := readFloat(p, "rent.idle.ordinary.s", o.OnDemandIdleTimeout.Seconds(), idleSecondBounds)
 	if err != nil {
 		return o, err
 	}
-	o.IdleOnDemand = settings.Seconds(idleOnDemandS)
+	o.OnDemandIdleTimeout = settings.Seconds(idleOnDemandS)
 	return o, nil
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -41,20 +41,20 @@
 // Services are the addresses of the services that the controllers use.
 type Services struct {
 	Cloud string `toml:"cloud"`
-	State string `toml:"state"`
+	Store string `toml:"state"`
 }
 
 // Deployment describes the deployment; it is the same for all controllers.
 type Deployment struct {
-	Controllers int           `toml:"size"`
-	Zones       []string      `toml:"zones"`
-	ClockOffMS  float64       `toml:"clock_off_ms"`
-	Teams       []Team        `toml:"teams"`
-	Objectives  []Objective   `toml:"objectives"`
-	Workers     WorkerTimes   `toml:"workers"`
-	Store       Store         `toml:"state"`
-	Cloud       Cloud         `toml:"cloud"`
-	Limits      MachineLimits `toml:"machine_limits"`
+	Controllers   int           `toml:"size"`
+	Zones         []string      `toml:"zones"`
+	ClockOffsetMS float64       `toml:"clock_off_ms"`
+	Teams         []Team        `toml:"teams"`
+	Objectives    []Objective   `toml:"objectives"`
+	Workers       WorkerTimes   `toml:"workers"`
+	Store         Store         `toml:"state"`
+	Cloud         Cloud         `toml:"cloud"`
+	Limits        MachineLimits `toml:"machine_limits"`
 }
 
 // WorkerTimes are the times that workers keep to, in seconds.
@@ -63,13 +63,13 @@
 	HeartbeatS float64 `toml:"report_s"`
 	// LeaseS is how long a worker runs its tasks on without a reply to its heartbeats.
 	LeaseS float64 `toml:"lease_s"`
-	// CancelS is within which time all tasks of a canceled job must have ended.
-	CancelS float64 `toml:"cancel_s"`
-	// GangWaitS is after which time a gang task that waits for the others gives up.
-	GangWaitS float64 `toml:"gang_wait_s"`
-	// GangPeerS is within which time the tasks of a gang notice that another one is gone
+	// CancelTimeoutS is within which time all tasks of a canceled job must have ended.
+	CancelTimeoutS float64 `toml:"cancel_s"`
+	// GangWaitTimeoutS is after which time a gang task that waits for the others gives up.
+	GangWaitTimeoutS float64 `toml:"gang_wait_s"`
+	// GangPeerTimeoutS is within which time the tasks of a gang notice that another one is gone
 	// or is being stopped.
-	GangPeerS float64 `toml:"gang_peer_s"`
+	GangPeerTimeoutS float64 `toml:"gang_peer_s"`
 }
 
 // Store are the limits of the key-value store.
--- a/settings/timing.go
+++ b/settings/timing.go
@@ -16,9 +16,9 @@
 // HeartbeatPeriod is the time between two heartbeats of a worker.
 func (s *Settings) HeartbeatPeriod() time.Duration { return Seconds(s.Deployment.Workers.HeartbeatS) }
 
-// LeaseEnd is how long after the last moment at which a reply could have renewed it a
+// WorkerLeaseExpiry is how long after the last moment at which a reply could have renewed it a
 // worker's lease has surely expired, whatever the clocks' drift.
-func (s *Settings) LeaseEnd() time.Duration {
+func (s *Settings) WorkerLeaseExpiry() time.Duration {
 	return time.Duration(float64(s.WorkerLease())*(1+constants.MaxClockDrift)) + constants.WorkerLeaseMargin
 }
 
@@ -44,5 +44,5 @@
 
 // maxAuthority is what cancel_s leaves beside a worker's lease.
 func (s *Settings) maxAuthority() time.Duration {
-	return Seconds(s.Deployment.Workers.CancelS) - s.LeaseEnd() - 2*constants.WorkerLeaseMargin
+	return Seconds(s.Deployment.Workers.CancelTimeoutS) - s.WorkerLeaseExpiry() - 2*constants.WorkerLeaseMargin
 }
--- a/settings/timing_test.go
+++ b/settings/timing_test.go
@@ -8,12 +8,12 @@
 	for _, cancelS := range []float64{56, 30, 20} {
 		s := Settings{Operator: DefaultOperator()}
 		s.Deployment.Workers.LeaseS = 26
-		s.Deployment.Workers.CancelS = cancelS
+		s.Deployment.Workers.CancelTimeoutS = cancelS
 		authority, short := s.Authority()
 		if authority <= 0 {
 			t.Errorf("cancel_s %g: authority %s", cancelS, authority)
 		}
-		if end := authority + s.LeaseEnd(); !short && end >= Seconds(cancelS) {
+		if end := authority + s.WorkerLeaseExpiry(); !short && end >= Seconds(cancelS) {
 			t.Errorf("cancel_s %g: a task may run for %s", cancelS, end)
 		}
 		if !short && cancelS == 20 {
