--- a/shard/bestfit.go
+++ b/shard/bestfit.go
@@ -8,17 +8,6 @@
 	"ravenport/wire"
 )
 
-// isSchedulable says whether new tasks may go to a machine now.
-func (v *fleetView) isSchedulable(now time.Time, m *machine) bool {
-	return m.verified(v.term) && m.durable && m.inventoryAddr == m.addr && m.typ != nil && !m.unconfirmed() &&
-		!m.returning && m.cordon == nil && m.notice.IsZero() && !v.silent(now, m) && !now.Before(m.avoidUntil)
-}
-
-// isEligible says whether a job's tasks may run on a kind of machine.
-func isEligible(s *wire.Submission, typ string, spot bool) bool {
-	return (s.Spot || !spot) && (len(s.Types) == 0 || slices.Contains(s.Types, typ))
-}
-
 // rankCandidates is the paper's Resource-Only Match: the machines that have room
 // in the order in which they are filled, the one that is left with the least
 // first. A machine that got a task is left with less and so stays the best fit
--- a/shard/empty.go
+++ b/shard/consolidation.go
@@ -6,56 +6,12 @@
 	"time"
 
 	"ravenport/constants"
-	"ravenport/settings"
 	"ravenport/wire"
 )
 
 // consolidation is how often services are moved to do without machines.
 type consolidation struct{ consolidationPace pace }
 
-// evictFromNoticedMachines moves work off machines that the cloud is about to take: what
-// can save is told to in time, services and arrays that will not be done start
-// again elsewhere while there is room.
-func (q *outgoing) evictFromNoticedMachines(v *fleetView, now time.Time) {
-	for _, m := range v.fleet {
-		if m.notice.IsZero() || m.returning || !m.up {
-			continue
-		}
-		left := m.notice.Sub(now)
-		moves := 0
-		for _, h := range m.holds {
-			t := v.taskOf(h)
-			if !isEvictable(h, t) || moves >= constants.NoticeMoves {
-				continue
-			}
-			s := &t.job.rec.Spec
-			if t.job.gang != nil {
-				// It saves whole, at the last moment at which all can be told, or
-				// is left to end by itself.
-				if !h.instant && left <= v.grace(h)+v.cfg.GangPeer+constants.NoticeMargin {
-					q.stopGangWithCheckpoint(t.job, "a machine will be taken back")
-				}
-				continue
-			}
-			ends := settings.Seconds(s.EstimateS)
-			if !h.runSince.IsZero() {
-				ends -= now.Sub(h.runSince)
-			}
-			switch {
-			case !h.instant && left > v.grace(h)+constants.NoticeMargin:
-				continue // it saves at the last moment
-			case !h.instant:
-			case !s.IsService() && float64(ends) < constants.NoticeDoubt*float64(left):
-				continue // it may well be done before
-			case v.bestFit(now, s, nil) == nil:
-				continue
-			}
-			q.evict(h)
-			moves++
-		}
-	}
-}
-
 // consolidate empties ordinary machines that the shard can do without, by
 // moving services one at a time to machines that hold their image: a service
 // is away for a moment, while a machine with one service on it costs as much
@@ -131,22 +87,6 @@
 	}
 }
 
-// machinesWithFreeCapacity lists the machines that could take something, as few of a busy shard can.
-// Guards against a look at the whole shard for each task that might move: with
-// hundreds of machines that stood in the way of everything else for 10 ms.
-func (v *fleetView) machinesWithFreeCapacity(now time.Time) []*machine {
-	var list []*machine
-	for _, m := range v.fleet {
-		if !v.isSchedulable(now, m) {
-			continue
-		}
-		if free := v.free(m); free.cpus > slack && free.mem > slack {
-			list = append(list, m)
-		}
-	}
-	return list
-}
-
 // isRedundant says whether all that is on a machine would fit on others with room,
 // services on ordinary ones that hold their image.
 func (k *knowledge) isRedundant(m *machine, others []*machine) bool {
--- a/shard/doc.go
+++ b/shard/doc.go
@@ -8,18 +8,21 @@
 //     attempts, jobs and tasks
 //   - heartbeat, reconcile: what a heartbeat proves of them
 //   - pages, inventory: the durable inventory of machines
-//   - place, with waiting, bestfit, preempt, elsewhere, and gang with gangfit: which waiting
-//     task goes to which machine, what is preempted, what goes back to the leader
-//   - rent, arrivals, forecast, gangreserve: scale out, and the capacity that is kept ready
-//   - empty: spot notices, and consolidation
-//   - draining, moving: drains, and the account of disruption budgets
+//   - placement, with waiting, placementstate, machineselection, bestfit, reservation,
+//     preempt and offload: which waiting task goes to which machine, what is preempted, what
+//     goes back to the leader
+//   - gang, gangattempt, gangpacking, gangreserve: the same for gangs
+//   - scaleout, scaleoutgang, pendingcapacity, arrivals, forecast: scale out, and the
+//     capacity that is kept ready
+//   - spotreclaim, consolidation: machines that the cloud takes back, and those to do without
+//   - draining, migration, drainplan, interruptions: drains, and disruption budgets
 //   - liveness, partition, cloudlist, scalein: lease expiry, machines that do not send
 //     heartbeats or do not receive commands, partitions, and scale in
 //   - assignments: closing of finished assignments in the jobs' records
 //   - pendingcommands, directcommands: commands, and those that go straight to machines
 //
 // Core is composed of states: fleetView (ownership, knowledge, hearing), pageBook,
-// placement, gangReserves, capacity, consolidation, draining with its interruptions and the
+// placement, gangReserves, scaleOutState, consolidation, draining with its interruptions and the
 // ledger of package disruption, closings, outgoing and figures. A state's method changes
 // that state and what it is handed, machines, jobs, attempts and tasks among it; many are
 // handed the fleetView. Methods of Core bring several states together.
--- a/shard/draining.go
+++ b/shard/draining.go
@@ -335,42 +335,6 @@
 	}
 }
 
-// DrainProgress is how far the drains have come in this shard.
-func (c *Core) DrainProgress() []drain.Progress {
-	if c.draining == nil {
-		return nil
-	}
-	var out []drain.Progress
-	for _, number := range c.draining.drainNumbers() {
-		out = append(out, c.draining.progress(&c.fleetView, number, c.draining.drains[number]))
-	}
-	return out
-}
-
-func (d *draining) progress(v *fleetView, number int, s *drain.Steps) drain.Progress {
-	p := drain.Progress{Drain: number, Shard: v.cfg.Shard, WaitingFor: d.waitReasons[number], Failures: s.Failures()}
-	for _, m := range v.selectedMachines(&s.Record().Selection) {
-		p.Remaining++
-		if m.cordon != nil && m.cordon.drain == number && len(p.Cordoned) < constants.DrainNames {
-			p.Cordoned = append(p.Cordoned, m.name)
-		}
-	}
-	for _, m := range d.migrations {
-		if m.drain == number {
-			p.Moving++
-		}
-	}
-	return p
-}
-
-// Usage is how much of the budgets is used, as the owner knows it.
-func (c *Core) Usage(now time.Time) []disruption.Usage {
-	if c.draining == nil {
-		return nil
-	}
-	return c.draining.ledger.Usage(now)
-}
-
 // machineDrained notes that a cordoned machine is gone for good.
 func (d *draining) machineDrained(m *machine) {
 	if m.cordon == nil || d == nil {
--- /dev/null
+++ b/shard/gangattempt.go
@@ -0,0 +1,132 @@
+package shard
+
+import (
+	"log/slog"
+	"slices"
+
+	"ravenport/constants"
+	"ravenport/records"
+	"ravenport/wire"
+)
+
+// reconcileGangRecord brings a gang in line with a newer record.
+func (c *Core) reconcileGangRecord(j *job) {
+	if slices.ContainsFunc(j.rec.Assignments, func(ch records.Assignment) bool { return ch.Closed }) && j.rec.End == "" {
+		c.markGangDone(j) // another shard has seen a task of it done
+	} else if len(j.rec.Unassigned()) > 0 && j.gang.attempt == j.rec.Attempt {
+		c.failGangAttempt(j, "another share was given back")
+	}
+}
+
+// markGangDone notes that a gang has completed: if one task is done, all are.
+func (c *Core) markGangDone(j *job) {
+	j.gang.done = true
+	for _, t := range j.tasks {
+		if t.done = true; t.hold != nil {
+			t.hold.m.stale = true
+		}
+	}
+	c.touch(j)
+	c.check(j)
+}
+
+// reconcileGangAttempt brings a gang in line with an attempt of one of its tasks that a
+// report showed.
+func (c *Core) reconcileGangAttempt(t *task, h *hold) {
+	j, g := t.job, t.job.gang
+	if h.exited() {
+		if t.hold == h {
+			t.hold = nil
+		}
+		switch {
+		case h.cause == wire.CauseDone:
+			t.uncertain = false
+			c.markGangDone(j)
+		case isRefusal(h.cause) && !g.hasRun:
+		case h.key.attempt == g.attempt:
+			c.failGangAttempt(j, h.cause)
+		case h.key.attempt == j.rec.Attempt && g.attempt == 0:
+			// Left by an earlier owner: the leader's number is used up.
+			*g = gang{attempt: h.key.attempt, failed: true}
+		}
+		c.check(j)
+		return
+	}
+	switch {
+	case g.done || h.key.attempt < g.attempt:
+		return // a stray: to be stopped
+	case h.key.attempt > g.attempt:
+		// Left by an earlier owner; the highest number is the last.
+		for _, o := range j.tasks {
+			if o.hold != nil && o.hold.key.attempt != h.key.attempt {
+				c.requestCommand(o.hold.m)
+				o.hold.m.stale = true
+				o.hold = nil
+			}
+		}
+		*g = gang{attempt: h.key.attempt, startedAt: c.stepped}
+		if c.stepped.Before(c.claimed) {
+			g.startedAt = c.claimed // found before the first step
+		}
+	}
+	if t.hold == nil {
+		t.hold = h
+		t.uncertain = t.uncertain && !h.m.verified(c.term)
+	}
+	if h.state == wire.TaskRunning || h.state == wire.TaskSaving {
+		g.hasRun = true
+	}
+	if g.failed {
+		c.stopWithoutCheckpoint(h)
+	}
+}
+
+// isRefusal says that a start was refused, so that the attempt lost nothing by it.
+func isRefusal(cause string) bool {
+	return cause == wire.CauseNoCapacity || cause == wire.CauseBusy || cause == wire.CauseUnknown
+}
+
+// failGangAttempt gives up the attempt under way: a task of it is gone. Nothing that
+// the others still do is of use; what they saved is safe once one has exited.
+func (c *Core) failGangAttempt(j *job, why string) {
+	g := j.gang
+	if g.failed || g.done || g.attempt == 0 {
+		return
+	}
+	g.failed = true
+	slog.Info("gang's attempt ends", "job", j.rec.ID, "attempt", g.attempt, "why", why, "begun", g.hasRun)
+	for _, t := range j.tasks {
+		if h := t.hold; h != nil && !h.exited() {
+			if why == wire.CauseGangIncomplete && (h.state == stateSent || h.state == wire.TaskFetching) {
+				h.m.avoidUntil = c.stepped.Add(constants.FaultPause) // the others waited for it in vain
+			}
+			c.stopWithoutCheckpoint(h)
+		}
+	}
+	c.touch(j)
+	c.needsPlacement, c.pushDirty = true, true
+}
+
+// stopWithoutCheckpoint stops an attempt with no time to save.
+func (q *outgoing) stopWithoutCheckpoint(h *hold) {
+	h.instant = true
+	q.evict(h)
+}
+
+// stopGangWithCheckpoint stops a gang whole, with time to save: all its tasks are told at once.
+func (q *outgoing) stopGangWithCheckpoint(j *job, why string) {
+	slog.Info("gang stops and saves", "job", j.rec.ID, "why", why)
+	for _, t := range j.tasks {
+		if h := t.hold; h != nil && !h.exited() {
+			q.evict(h)
+		}
+	}
+}
+
+// handleLostGangTask notes that a task of the attempt under way is surely gone. Before the
+// gang has begun another may take its place; after it the rest is ending.
+func (c *Core) handleLostGangTask(j *job, h *hold) {
+	if g := j.gang; h.key.attempt == g.attempt && g.hasRun && !h.exited() {
+		c.failGangAttempt(j, "a machine is gone")
+	}
+}
--- a/shard/moving.go
+++ b/shard/migration.go
@@ -6,8 +6,6 @@
 
 	"ravenport/constants"
 	"ravenport/disruption"
-	"ravenport/drain"
-	"ravenport/records"
 	"ravenport/wire"
 )
 
@@ -161,52 +159,3 @@
 func (d *draining) allowsConsolidation(now time.Time, t *task) bool {
 	return d == nil || d.ledger.Stop(now, d.budgetsOf(t.job)) == nil
 }
-
-// PlanDrain says what a drain would do in this shard.
-func (c *Core) PlanDrain(now time.Time, s *records.Selection) drain.ShardPlan {
-	p := drain.ShardPlan{Shard: c.cfg.Shard, Moves: map[string]int{}, Usage: c.Usage(now)}
-	promised := c.draining.reservedForMigrations()
-	for _, m := range c.selectedMachines(s) {
-		p.Machines++
-		if c.sumsOf(m).live == 0 {
-			p.Empty++
-			continue
-		}
-		for _, h := range m.holds {
-			if t := c.taskOf(h); t != nil && t.hold == h && !h.exited() {
-				c.planTaskMigration(now, &p, t, promised)
-			}
-		}
-	}
-	if p.Machines > 0 {
-		atOnce := c.draining.cfg.Policy.AtOnce(len(c.fleet))
-		p.Steps = (p.Machines + atOnce - 1) / atOnce
-	}
-	return p
-}
-
-// planTaskMigration adds what is known of one task's move.
-func (c *Core) planTaskMigration(now time.Time, p *drain.ShardPlan, t *task, promised map[*machine]resources) {
-	s := &t.job.rec.Spec
-	if !s.IsService() {
-		p.Arrays++
-		return
-	}
-	keys := c.draining.budgetsOf(t.job)
-	if len(keys) == 0 {
-		p.Moves[""]++
-	}
-	for _, k := range keys {
-		p.Moves[k.String()]++
-	}
-	obstacle := func(why string, permanent bool) {
-		if len(p.Obstacles) < constants.DrainNames {
-			p.Obstacles = append(p.Obstacles, drain.Obstacle{Job: s.ID, Machine: t.hold.m.name, Reason: why, Permanent: permanent})
-		}
-	}
-	if refused := c.draining.ledger.Check(now, keys); refused != nil && refused.Reason == disruption.Never {
-		obstacle(refused.Error(), true)
-	} else if _, _, rentable := c.cheapestMachineKind(&c.fleetView, now, s); !rentable && c.migrationTarget(&c.fleetView, now, s, promised) == nil {
-		obstacle("no machine has room for it, and none can be rented now", false)
-	}
-}
--- a/shard/pendingcapacity.go
+++ b/shard/pendingcapacity.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"ravenport/constants"
 	"ravenport/wire"
 )
 
@@ -17,3 +18,86 @@
 	typeName string
 	spot     bool
 }
+
+// bootAge is a machine's age in nominal boot times.
+func (m *machine) bootAge(now time.Time) float64 {
+	boot := 60.0
+	if m.typ != nil {
+		boot = max(1, m.typ.BootS)
+	}
+	return now.Sub(m.rentedAt).Seconds() / boot
+}
+
+// maxBootSeconds is the longest nominal boot time (s).
+func (k *knowledge) maxBootSeconds() float64 {
+	boot := 0.0
+	for _, t := range k.types {
+		boot = max(boot, t.BootS)
+	}
+	return boot
+}
+
+// isPendingMachine says whether a machine that has not come up yet is still counted on.
+func (hear *hearing) isPendingMachine(now time.Time, m *machine) bool {
+	return !m.up && !m.inherited && !hear.isUnreachable && !m.returning && m.typ != nil && m.bootAge(now) < constants.BootUsual
+}
+
+// listPendingMachines lists the room of machines that are not up yet or may not take
+// tasks yet.
+func (c *scaleOutState) listPendingMachines(v *fleetView, now time.Time) []pendingMachine {
+	out := c.pendingCapacity[:0] // made anew each time, in the same place
+	for _, m := range v.fleet {
+		if v.isPendingMachine(now, m) {
+			out = append(out, pendingMachine{m.capacity, m.typeName, m.spot})
+		} else if m.up && (!m.verified(v.term) || !m.durable || m.inventoryAddr != m.addr) && !m.returning && m.typ != nil && !v.silent(now, m) {
+			out = append(out, pendingMachine{v.free(m), m.typeName, m.spot})
+		}
+	}
+	for _, r := range c.pendingScaleOuts {
+		if t := v.types[r.request.Type]; t != nil {
+			for range r.request.Count {
+				out = append(out, pendingMachine{sizeOf(t), t.Name, r.request.Spot})
+			}
+		}
+	}
+	return out
+}
+
+// tasksBeyondPending gives a job's ready tasks the room that is coming and returns those that
+// it does not take.
+func (c *Core) tasksBeyondPending(now time.Time, j *job) []*task {
+	s := &j.rec.Spec
+	tasks := c.appendReady(c.taskBuffer[:0], now, j)
+	c.taskBuffer = tasks
+	c.unplacedDemand = c.unplacedDemand.plus(need(s).times(len(tasks)))
+	return tasks[c.takePendingCapacity(s, len(tasks)):]
+}
+
+// takePendingCapacity gives so many tasks of a job room that is coming, spot room first since
+// ordinary room is all that some may use, and returns how many it takes.
+func (c *scaleOutState) takePendingCapacity(s *wire.Submission, tasks int) int {
+	n := need(s)
+	left := tasks
+	for _, spot := range []bool{true, false} {
+		for i := range c.pendingCapacity {
+			if left == 0 {
+				return tasks
+			}
+			b := &c.pendingCapacity[i]
+			if b.spot == spot && n.fits(b.free) && isEligible(s, b.typeName, b.spot) {
+				k := min(left, b.free.holdsOf(n))
+				b.free = b.free.minus(n.times(k))
+				left -= k
+			}
+		}
+	}
+	return tasks - left
+}
+
+// planMachine has one more machine rented, and counts its room beside what is taken of it as
+// coming, which is returned.
+func (c *scaleOutState) planMachine(typ *wire.MachineType, spot bool, taken resources, want map[machineKind]int) *pendingMachine {
+	want[machineKind{typ.Name, spot}]++
+	c.pendingCapacity = append(c.pendingCapacity, pendingMachine{sizeOf(typ).minus(taken), typ.Name, spot})
+	return &c.pendingCapacity[len(c.pendingCapacity)-1]
+}
