--- a/controller/detection_test.go
+++ b/controller/detection_test.go
@@ -441,7 +441,7 @@
 		w := detectingWorld(3)
 		defer w.shut()
 		time.Sleep(5 * time.Second)
-		if _, err := w.nodes[0].up().HandlePeerHeartbeat(t.Context(), detector.Message{Controller: "x", Heartbeat: detector.Heartbeat{Process: 1}}); err == nil {
+		if _, err := w.nodes[0].up().HandlePeerHeartbeat(t.Context(), detector.Message{Controller: "x", Heartbeat: detector.Heartbeat{Incarnation: 1}}); err == nil {
 			t.Error("a stranger's heartbeat was taken")
 		}
 		w.nodes[1].kill()
--- a/controller/monitor.go
+++ b/controller/monitor.go
@@ -109,17 +109,17 @@
 	case clusterView:
 		m.setView(now, msg)
 	case heartbeatAsked:
-		err := m.count(m.detector.Receive(now, msg.message))
-		msg.answer <- heartbeatAnswer{m.detector.Heartbeat(), err}
+		err := m.count(m.detector.HandleMessage(now, msg.message))
+		msg.answer <- heartbeatAnswer{m.detector.NextHeartbeat(), err}
 	case heartbeatReply:
 		m.sending[msg.node] = false
 		if msg.err == nil {
-			_ = m.count(m.detector.ReceiveAnswer(now, msg.message))
+			_ = m.count(m.detector.HandleReply(now, msg.message))
 		}
 	case ownHeartbeat:
-		msg.answer <- m.detector.Heartbeat().Heartbeat
+		msg.answer <- m.detector.NextHeartbeat().Heartbeat
 	case probeDone:
-		m.detector.ProbeResult(now, msg.probe, msg.heartbeat)
+		m.detector.HandleProbeResult(now, msg.probe, msg.heartbeat)
 	case revocationSeen:
 		m.record(history.Event(msg))
 	}
@@ -136,7 +136,7 @@
 
 func (m *monitor) setView(now time.Time, v clusterView) {
 	m.view = v
-	m.detector.SetProcess(v.process)
+	m.detector.SetIncarnation(v.process)
 	for node, process := range v.leases {
 		m.detector.SetLease(now, node, process)
 		m.detector.SetUnserved(now, node, v.unserved[node])
@@ -145,15 +145,15 @@
 
 func (m *monitor) tick(ctx context.Context, now time.Time) {
 	m.watch(now)
-	if !now.Before(m.detector.Next()) {
+	if !now.Before(m.detector.NextTick()) {
 		for _, p := range m.detector.Tick(now) {
 			go m.probe(ctx, p)
 		}
-		for _, c := range m.detector.Changes() {
+		for _, c := range m.detector.TakeStateChanges() {
 			m.note(now, c)
 		}
 	}
-	if m.detector.HeartbeatDue() || !now.Before(m.beatAt) {
+	if m.detector.IsRefutationPending() || !now.Before(m.beatAt) {
 		m.beatAt = now.Add(m.set.Interval)
 		m.beat(ctx)
 	}
@@ -186,7 +186,7 @@
 
 // beat sends a heartbeat to every controller that has answered the one before.
 func (m *monitor) beat(ctx context.Context) {
-	message := m.detector.Heartbeat()
+	message := m.detector.NextHeartbeat()
 	for node, p := range m.peers {
 		if m.sending[node] {
 			continue
@@ -219,8 +219,8 @@
 }
 
 // note logs a change of state and keeps it in the history.
-func (m *monitor) note(now time.Time, c detector.Change) {
-	e := history.Event{At: now, Observer: m.node, Node: c.Controller, Process: c.Process, From: string(c.From), To: string(c.To),
+func (m *monitor) note(now time.Time, c detector.StateChange) {
+	e := history.Event{At: now, Observer: m.node, Node: c.Controller, Process: c.Incarnation, From: string(c.From), To: string(c.To),
 		Evidence: evidenceNames(c.Evidence), Accusers: c.Accusers}
 	log := slog.Info
 	if c.To == detector.Suspect || c.To == detector.Failed {
@@ -255,7 +255,7 @@
 // tell hands the control actor what is seen and what is proposed.
 func (m *monitor) tell(now time.Time) {
 	seen := membership{dropped: m.dropped}
-	for _, v := range m.detector.Views(now) {
+	for _, v := range m.detector.PeerViews(now) {
 		seen.members = append(seen.members, MemberStatus{
 			Controller: v.Controller, State: string(v.State), Evidence: evidenceNames(v.Evidence), Accusers: v.Accusers,
 			Refutation: v.Refutation, SilentMS: v.SilentFor.Milliseconds(), SilenceLimitMS: v.SilenceLimit.Milliseconds(),
@@ -286,9 +286,9 @@
 
 func (c *MessageCounts) count(err error) {
 	switch {
-	case errors.Is(err, detector.ErrUnknownNode):
+	case errors.Is(err, detector.ErrUnknownController):
 		c.Unknown++
-	case errors.Is(err, detector.ErrMalformed):
+	case errors.Is(err, detector.ErrMalformedMessage):
 		c.Malformed++
 	}
 }
@@ -312,7 +312,7 @@
 		return target.Probe(ctx, peer.ProbeRequest{Controller: n.node})
 	}
 	if r.Target != "" && r.Target != n.node {
-		return peer.ProbeReply{}, fmt.Errorf("%w: %q", detector.ErrUnknownNode, r.Target)
+		return peer.ProbeReply{}, fmt.Errorf("%w: %q", detector.ErrUnknownController, r.Target)
 	}
 	answer := make(chan detector.Heartbeat, 1)
 	n.monitor.Tell(ownHeartbeat{answer})
--- a/controller/revocation.go
+++ b/controller/revocation.go
@@ -36,7 +36,7 @@
 // receiveOfDetection takes in what comes of failure detection.
 func (c *control) receiveOfDetection(ctx context.Context, now time.Time, msg any) {
 	switch m := msg.(type) {
-	case []detector.Proposal:
+	case []detector.RevocationProposal:
 		c.propose(ctx, now, m)
 	case revocationDone:
 		c.revocationDone(m)
@@ -49,12 +49,12 @@
 
 // propose revokes the first of the controllers that were declared failed. Without
 // authority of its own a controller proposes nothing.
-func (c *control) propose(ctx context.Context, now time.Time, proposals []detector.Proposal) {
+func (c *control) propose(ctx context.Context, now time.Time, proposals []detector.RevocationProposal) {
 	if c.detect.revoking || c.detect.resigned || !c.settled(now) || c.claimsHeld(now) {
 		return
 	}
 	for _, p := range proposals {
-		txn, ok := c.member.Revoke(records.Revocation{Controller: p.Controller, Incarnation: p.Process, Evidence: evidenceNames(p.Evidence), Accusers: p.Accusers})
+		txn, ok := c.member.Revoke(records.Revocation{Controller: p.Controller, Incarnation: p.Incarnation, Evidence: evidenceNames(p.Evidence), Accusers: p.Accusers})
 		if !ok {
 			continue
 		}
--- a/controller/standin_detection_test.go
+++ b/controller/standin_detection_test.go
@@ -118,7 +118,7 @@
 	if err != nil {
 		panic(err)
 	}
-	ctl.self.Tell([]detector.Proposal{{Controller: of.set.Controller, Process: record.(*records.Controller).Incarnation, Evidence: []detector.Evidence{"accused at random"}, Accusers: []string{by.set.Controller}}})
+	ctl.self.Tell([]detector.RevocationProposal{{Controller: of.set.Controller, Incarnation: record.(*records.Controller).Incarnation, Evidence: []detector.Evidence{"accused at random"}, Accusers: []string{by.set.Controller}}})
 }
 
 // owner is the number of the controller that owns a zone's shard.
--- a/detector/detector.go
+++ b/detector/detector.go
@@ -15,10 +15,10 @@
 
 // Config is a detector's configuration.
 type Config struct {
-	Self    string
-	Members []string // all configured controllers, Self among them
-	// Interval is the time between two heartbeats.
-	Interval time.Duration
+	Self        string
+	Controllers []string // all configured controllers, Self among them
+	// HeartbeatInterval is the time between two heartbeats.
+	HeartbeatInterval time.Duration
 	// SuspectMin and SuspectMax bound the silence after which a controller that
 	// answers no probe is suspected.
 	SuspectMin, SuspectMax time.Duration
@@ -29,22 +29,22 @@
 	ProbeTimeout time.Duration
 }
 
-// ErrConfig is a configuration that cannot work.
-var ErrConfig = errors.New("detector: bad configuration")
+// ErrInvalidConfig is a configuration that cannot work.
+var ErrInvalidConfig = errors.New("detector: bad configuration")
 
-// Check says what is wrong with a configuration, if anything.
-func (c Config) Check() error {
+// Validate says what is wrong with a configuration, if anything.
+func (c Config) Validate() error {
 	switch {
-	case !slices.Contains(c.Members, c.Self):
-		return fmt.Errorf("%w: %q is not a member", ErrConfig, c.Self)
-	case c.Interval <= 0 || c.ProbeTimeout <= 0:
-		return fmt.Errorf("%w: interval and probe timeout must be larger than 0", ErrConfig)
-	case c.SuspectMin <= c.Interval:
-		return fmt.Errorf("%w: suspicion must take longer than an interval", ErrConfig)
+	case !slices.Contains(c.Controllers, c.Self):
+		return fmt.Errorf("%w: %q is not a member", ErrInvalidConfig, c.Self)
+	case c.HeartbeatInterval <= 0 || c.ProbeTimeout <= 0:
+		return fmt.Errorf("%w: interval and probe timeout must be larger than 0", ErrInvalidConfig)
+	case c.SuspectMin <= c.HeartbeatInterval:
+		return fmt.Errorf("%w: suspicion must take longer than an interval", ErrInvalidConfig)
 	case c.SuspectMax < c.SuspectMin:
-		return fmt.Errorf("%w: the suspicion's upper bound is below its lower one", ErrConfig)
+		return fmt.Errorf("%w: the suspicion's upper bound is below its lower one", ErrInvalidConfig)
 	case c.DeclareAfter <= c.SuspectMin:
-		return fmt.Errorf("%w: declaration must take longer than suspicion", ErrConfig)
+		return fmt.Errorf("%w: declaration must take longer than suspicion", ErrInvalidConfig)
 	}
 	return nil
 }
@@ -55,28 +55,28 @@
 	Via    string // the controller that is asked to probe it; empty: this one does
 }
 
-// Change is a change of a controller's state, with what it rests on.
-type Change struct {
-	Controller string
-	Process    uint64
-	From, To   State
-	Evidence   []Evidence
-	Accusers   []string // controllers with evidence of their own, this one included
+// StateChange is a change of a controller's state, with what it rests on.
+type StateChange struct {
+	Controller  string
+	Incarnation uint64
+	From, To    State
+	Evidence    []Evidence
+	Accusers    []string // controllers with evidence of their own, this one included
 }
 
-// Proposal is a controller whose lease lives and that was declared failed.
-type Proposal struct {
-	Controller string
-	Process    uint64
-	Evidence   []Evidence
-	Accusers   []string
+// RevocationProposal is a controller whose lease lives and that was declared failed.
+type RevocationProposal struct {
+	Controller  string
+	Incarnation uint64
+	Evidence    []Evidence
+	Accusers    []string
 }
 
-// View is the present view of a controller.
-type View struct {
+// PeerView is the present view of a controller.
+type PeerView struct {
 	Controller   string
 	State        State
-	Process      uint64
+	Incarnation  uint64
 	Refutation   uint64
 	Evidence     []Evidence
 	Accusers     []string
@@ -86,26 +86,26 @@
 
 // Detector watches the other controllers.
 type Detector struct {
-	cfg     Config
-	peers   []*peer // by name
-	own     Heartbeat
-	beatNow bool // a refutation is to be told at once
-	health  localHealth
-	next    time.Time // when Tick was due
-	changes []Change
+	config            Config
+	peers             []*peer // by name
+	ownHeartbeat      Heartbeat
+	refutationPending bool // a refutation is to be told at once
+	localHealth       localHealth
+	nextTick          time.Time // when Tick was due
+	stateChanges      []StateChange
 }
 
 // New makes a detector of a checked configuration.
 func New(cfg Config, now time.Time) (*Detector, error) {
-	if err := cfg.Check(); err != nil {
+	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
-	d := &Detector{cfg: cfg, health: localHealth{changedAt: now}}
-	for _, name := range slices.Sorted(slices.Values(cfg.Members)) {
+	d := &Detector{config: cfg, localHealth: localHealth{changedAt: now}}
+	for _, name := range slices.Sorted(slices.Values(cfg.Controllers)) {
 		if name == cfg.Self {
 			continue
 		}
-		d.peers = append(d.peers, &peer{name: name, state: Unmonitored, intervals: intervals{expected: cfg.Interval}, opinion: map[string]Accusation{}})
+		d.peers = append(d.peers, &peer{name: name, state: Unmonitored, intervals: intervalStats{expected: cfg.HeartbeatInterval}, accusations: map[string]Accusation{}})
 	}
 	return d, nil
 }
@@ -119,127 +119,127 @@
 	return nil
 }
 
-// SetProcess names the own process; 0: it holds no lease.
-func (d *Detector) SetProcess(process uint64) {
-	if process != d.own.Process {
-		d.own = Heartbeat{Process: process, Sequence: d.own.Sequence}
+// SetIncarnation names the own process; 0: it holds no lease.
+func (d *Detector) SetIncarnation(process uint64) {
+	if process != d.ownHeartbeat.Incarnation {
+		d.ownHeartbeat = Heartbeat{Incarnation: process, Sequence: d.ownHeartbeat.Sequence}
 	}
 }
 
 // SetStalled names the own actors that make no progress.
-func (d *Detector) SetStalled(actors []string) { d.own.Stalled = actors }
+func (d *Detector) SetStalled(actors []string) { d.ownHeartbeat.Stalled = actors }
 
-// Heartbeat returns the next message to be sent to all others, or as an answer.
-func (d *Detector) Heartbeat() Message {
-	d.own.Sequence++
-	d.beatNow = false
-	m := Message{Controller: d.cfg.Self, Heartbeat: d.own}
+// NextHeartbeat returns the next message to be sent to all others, or as an answer.
+func (d *Detector) NextHeartbeat() Message {
+	d.ownHeartbeat.Sequence++
+	d.refutationPending = false
+	m := Message{Controller: d.config.Self, Heartbeat: d.ownHeartbeat}
 	for _, p := range d.peers {
-		if evidence := p.evidence(); len(evidence) > 0 && p.process() != 0 {
-			m.Accusations = append(m.Accusations, Accusation{Controller: p.name, Process: p.process(), Refutation: p.latest.Refutation, Evidence: evidence})
+		if evidence := p.evidence(); len(evidence) > 0 && p.incarnation() != 0 {
+			m.Accusations = append(m.Accusations, Accusation{Controller: p.name, Incarnation: p.incarnation(), Refutation: p.latest.Refutation, Evidence: evidence})
 		}
 	}
 	return m
 }
 
-// HeartbeatDue says whether a heartbeat should be sent before the interval has passed,
+// IsRefutationPending says whether a heartbeat should be sent before the interval has passed,
 // because a suspicion is to be refuted.
-func (d *Detector) HeartbeatDue() bool { return d.beatNow }
+func (d *Detector) IsRefutationPending() bool { return d.refutationPending }
 
-// Receive takes in a message that another controller sent, or drops it with an error
+// HandleMessage takes in a message that another controller sent, or drops it with an error
 // that says why. Copies and late messages of an earlier process are dropped without
 // one.
-func (d *Detector) Receive(now time.Time, m Message) error {
-	_, err := d.receive(now, m)
+func (d *Detector) HandleMessage(now time.Time, m Message) error {
+	_, err := d.handleMessage(now, m)
 	return err
 }
 
-// ReceiveAnswer takes in the message that answered one of this controller's own.
-func (d *Detector) ReceiveAnswer(now time.Time, m Message) error {
-	p, err := d.receive(now, m)
+// HandleReply takes in the message that answered one of this controller's own.
+func (d *Detector) HandleReply(now time.Time, m Message) error {
+	p, err := d.handleMessage(now, m)
 	if p != nil {
-		p.answer(now)
+		p.markAnswered(now)
 	}
 	return err
 }
 
-// receive returns the sender if the message was new.
-func (d *Detector) receive(now time.Time, m Message) (*peer, error) {
+// handleMessage returns the sender if the message was new.
+func (d *Detector) handleMessage(now time.Time, m Message) (*peer, error) {
 	p := d.peer(m.Controller)
 	if p == nil {
-		return nil, fmt.Errorf("%w: %q", ErrUnknownNode, m.Controller)
+		return nil, fmt.Errorf("%w: %q", ErrUnknownController, m.Controller)
 	}
-	if err := m.check(len(d.cfg.Members)); err != nil {
+	if err := m.validate(len(d.config.Controllers)); err != nil {
 		return nil, err
 	}
-	if m.Heartbeat.Process == 0 {
+	if m.Heartbeat.Incarnation == 0 {
 		return nil, nil // it has no lease yet, so nothing depends on it
 	}
-	if !d.heard(now, p, m.Heartbeat) {
+	if !d.acceptHeartbeat(now, p, m.Heartbeat) {
 		return nil, nil
 	}
-	p.opinion, p.opinionAt = map[string]Accusation{}, now
+	p.accusations, p.accusationsAt = map[string]Accusation{}, now
 	for _, a := range m.Accusations {
-		p.opinion[a.Controller] = a
-		d.refute(a)
+		p.accusations[a.Controller] = a
+		d.refuteIfAccused(a)
 	}
 	return p, nil
 }
 
-// heard takes in a heartbeat, and says whether it was new.
-func (d *Detector) heard(now time.Time, p *peer, h Heartbeat) bool {
-	before := p.latest.Process
-	if !p.adopt(h) {
+// acceptHeartbeat takes in a heartbeat, and says whether it was new.
+func (d *Detector) acceptHeartbeat(now time.Time, p *peer, h Heartbeat) bool {
+	before := p.latest.Incarnation
+	if !p.accept(h) {
 		return false
 	}
-	switch interval := now.Sub(p.heardAt); {
-	case p.latest.Process != before:
-		p.answered = now // its silences begin here
-	case interval <= d.cfg.SuspectMax:
+	switch interval := now.Sub(p.lastSeen); {
+	case p.latest.Incarnation != before:
+		p.lastAnswer = now // its silences begin here
+	case interval <= d.config.SuspectMax:
 		p.intervals.observe(interval)
 	}
-	p.hear(now)
-	d.noteStalled(now, p)
+	p.markSeen(now)
+	d.updateStalled(now, p)
 	return true
 }
 
-func (d *Detector) noteStalled(now time.Time, p *peer) {
+func (d *Detector) updateStalled(now time.Time, p *peer) {
 	switch {
 	case len(p.latest.Stalled) == 0:
-		p.stalledAt = time.Time{}
-	case p.stalledAt.IsZero():
-		p.stalledAt = now
+		p.stalledSince = time.Time{}
+	case p.stalledSince.IsZero():
+		p.stalledSince = now
 	}
 }
 
-// refute answers an accusation of this controller's own silence.
-func (d *Detector) refute(a Accusation) {
-	if a.Controller != d.cfg.Self || a.Process != d.own.Process || a.Refutation < d.own.Refutation {
+// refuteIfAccused answers an accusation of this controller's own silence.
+func (d *Detector) refuteIfAccused(a Accusation) {
+	if a.Controller != d.config.Self || a.Incarnation != d.ownHeartbeat.Incarnation || a.Refutation < d.ownHeartbeat.Refutation {
 		return
 	}
 	if !slices.Contains(a.Evidence, Unreachable) {
 		return
 	}
-	d.own.Refutation = a.Refutation + 1
-	d.beatNow = true
+	d.ownHeartbeat.Refutation = a.Refutation + 1
+	d.refutationPending = true
 }
 
-// ProbeResult takes in what came of a probe; no heartbeat means that it failed.
-func (d *Detector) ProbeResult(now time.Time, made Probe, answer *Heartbeat) {
+// HandleProbeResult takes in what came of a probe; no heartbeat means that it failed.
+func (d *Detector) HandleProbeResult(now time.Time, made Probe, answer *Heartbeat) {
 	p := d.peer(made.Target)
 	if p == nil {
 		return
 	}
 	if answer == nil {
 		if made.Via == "" {
-			p.probe.directFailed = p.probe.direct
+			p.probing.directFailed = p.probing.directSent
 		} else {
-			delete(p.probe.waiting, made.Via)
+			delete(p.probing.pendingVia, made.Via)
 		}
 		return
 	}
-	if answer.Process != 0 && d.heard(now, p, *answer) {
-		p.answer(now)
+	if answer.Incarnation != 0 && d.acceptHeartbeat(now, p, *answer) {
+		p.markAnswered(now)
 	}
 }
 
@@ -250,74 +250,74 @@
 	switch {
 	case p == nil:
 	case !unserved:
-		p.unservedAt = time.Time{}
-	case p.unservedAt.IsZero():
-		p.unservedAt = now
+		p.unservedSince = time.Time{}
+	case p.unservedSince.IsZero():
+		p.unservedSince = now
 	}
 }
 
 // SetLease says which process holds a controller's lease; 0: none.
 func (d *Detector) SetLease(now time.Time, node string, process uint64) {
 	p := d.peer(node)
-	if p == nil || process == p.lease {
+	if p == nil || process == p.leaseHolder {
 		return
 	}
-	ended := p.lease
-	p.lease = process
-	p.leaseSeen = p.leaseSeen || process != 0
+	ended := p.leaseHolder
+	p.leaseHolder = process
+	p.leaseWasHeld = p.leaseWasHeld || process != 0
 	switch {
 	case ended == 0:
-	case ended == p.latest.Process:
-		p.begin(Heartbeat{}) // unmonitored until the new process is heard
+	case ended == p.latest.Incarnation:
+		p.startIncarnation(Heartbeat{}) // unmonitored until the new process is heard
 	default: // a later process was heard before the state service showed its lease
-		p.retire(ended)
+		p.retireIncarnation(ended)
 	}
 }
 
 // Tick looks at all deadlines and returns the probes to be made now.
 func (d *Detector) Tick(now time.Time) []Probe {
-	d.lookAtSelf(now)
+	d.updateLocalHealth(now)
 	var probes []Probe
 	for _, p := range d.peers {
-		probes = append(probes, d.pursue(now, p)...)
+		probes = append(probes, d.probeIfSilent(now, p)...)
 	}
 	for _, p := range d.peers {
-		d.judge(now, p)
+		d.updateState(now, p)
 	}
-	d.next = now.Add(d.cfg.Interval / 4)
+	d.nextTick = now.Add(d.config.HeartbeatInterval / 4)
 	return probes
 }
 
-// Next is when Tick should be called next.
-func (d *Detector) Next() time.Time { return d.next }
+// NextTick is when Tick should be called next.
+func (d *Detector) NextTick() time.Time { return d.nextTick }
 
-// lookAtSelf finds out whether this observer is in a state to accuse others.
-func (d *Detector) lookAtSelf(now time.Time) {
+// updateLocalHealth finds out whether this observer is in a state to accuse others.
+func (d *Detector) updateLocalHealth(now time.Time) {
 	late := time.Duration(0)
-	if !d.next.IsZero() {
-		late = now.Sub(d.next)
+	if !d.nextTick.IsZero() {
+		late = now.Sub(d.nextTick)
 	}
-	if late >= d.cfg.Interval { // it stood still, and could have heard nobody
+	if late >= d.config.HeartbeatInterval { // it stood still, and could have heard nobody
 		for _, p := range d.peers {
-			p.postpone(late)
+			p.shiftTimestamps(late)
 		}
 	}
-	if late > d.cfg.Interval/2 || d.hearsNobody(now) {
-		d.health.worsen(now, d.cfg.Interval)
+	if late > d.config.HeartbeatInterval/2 || d.isIsolated(now) {
+		d.localHealth.worsen(now, d.config.HeartbeatInterval)
 		return
 	}
-	d.health.recover(now, d.cfg.Interval)
+	d.localHealth.recover(now, d.config.HeartbeatInterval)
 }
 
-// hearsNobody says that every monitored controller with a lease is silent, two of
+// isIsolated says that every monitored controller with a lease is silent, two of
 // them at least: it may well be this one that is cut off.
-func (d *Detector) hearsNobody(now time.Time) bool {
+func (d *Detector) isIsolated(now time.Time) bool {
 	silent := 0
 	for _, p := range d.peers {
-		if !p.monitored() || p.lease == 0 {
+		if !p.isMonitored() || p.leaseHolder == 0 {
 			continue
 		}
-		if now.Sub(p.heardAt) <= d.cfg.SuspectMin {
+		if now.Sub(p.lastSeen) <= d.config.SuspectMin {
 			return false
 		}
 		silent++
@@ -325,77 +325,77 @@
 	return silent >= 2
 }
 
-// bound is the silence beyond which a controller is suspected.
-func (d *Detector) bound(p *peer) time.Duration {
-	adapted := min(max(p.intervals.unusual(), d.cfg.SuspectMin), d.cfg.SuspectMax)
-	return d.health.widen(adapted)
+// suspicionTimeout is the silence beyond which a controller is suspected.
+func (d *Detector) suspicionTimeout(p *peer) time.Duration {
+	adapted := min(max(p.intervals.silenceThreshold(), d.config.SuspectMin), d.config.SuspectMax)
+	return d.localHealth.scale(adapted)
 }
 
-// pursue probes a controller that has answered nothing for unusually long, first
+// probeIfSilent probes a controller that has answered nothing for unusually long, first
 // directly and then through others, and holds it against it when its bound has passed
 // and none was answered.
-func (d *Detector) pursue(now time.Time, p *peer) []Probe {
-	if !p.monitored() || p.lease == 0 {
+func (d *Detector) probeIfSilent(now time.Time, p *peer) []Probe {
+	if !p.isMonitored() || p.leaseHolder == 0 {
 		return nil
 	}
-	bound := d.bound(p)
-	unanswered := now.Sub(p.answered)
+	bound := d.suspicionTimeout(p)
+	unanswered := now.Sub(p.lastAnswer)
 	if unanswered <= bound/2 {
 		return nil
 	}
 	var out []Probe
-	s := &p.probe
-	if s.done() && now.Sub(s.startedAt) > bound {
-		*s = probeState{} // another round
+	s := &p.probing
+	if s.isExhausted() && now.Sub(s.startedAt) > bound {
+		*s = probeRound{} // another round
 	}
-	if !s.direct {
-		s.startedAt, s.direct = now, true
+	if !s.directSent {
+		s.startedAt, s.directSent = now, true
 		out = append(out, Probe{Target: p.name})
 	}
-	d.expire(now, s)
+	d.expireProbes(now, s)
 	if s.directFailed && !s.indirectSent {
-		out = append(out, d.indirect(now, p)...)
+		out = append(out, d.startIndirectProbes(now, p)...)
 	}
-	if s.done() && unanswered > bound {
-		d.hold(now, p, bound)
+	if s.isExhausted() && unanswered > bound {
+		d.recordSilence(now, p, bound)
 	}
 	return out
 }
 
-// hold holds unanswered probes against a controller, and its silence if it is silent
+// recordSilence holds unanswered probes against a controller, and its silence if it is silent
 // as well.
-func (d *Detector) hold(now time.Time, p *peer, bound time.Duration) {
-	if now.Sub(p.heardAt) > bound {
-		if p.unreachableAt.IsZero() {
-			p.unreachableAt = p.heardAt
+func (d *Detector) recordSilence(now time.Time, p *peer, bound time.Duration) {
+	if now.Sub(p.lastSeen) > bound {
+		if p.unreachableSince.IsZero() {
+			p.unreachableSince = p.lastSeen
 		}
 		return
 	}
-	if p.unansweredAt.IsZero() {
-		p.unansweredAt = p.answered
+	if p.unansweredSince.IsZero() {
+		p.unansweredSince = p.lastAnswer
 	}
 }
 
-// expire counts probes as failed that took too long.
-func (d *Detector) expire(now time.Time, s *probeState) {
-	if now.Sub(s.startedAt) < d.cfg.ProbeTimeout {
+// expireProbes counts probes as failed that took too long.
+func (d *Detector) expireProbes(now time.Time, s *probeRound) {
+	if now.Sub(s.startedAt) < d.config.ProbeTimeout {
 		return
 	}
 	if s.indirectSent {
-		clear(s.waiting)
+		clear(s.pendingVia)
 		return
 	}
 	s.directFailed = true
 }
 
-// indirect asks all others that are heard to probe a controller.
-func (d *Detector) indirect(now time.Time, p *peer) []Probe {
-	s := &p.probe
-	s.indirectSent, s.startedAt, s.waiting = true, now, map[string]bool{}
+// startIndirectProbes asks all others that are heard to probe a controller.
+func (d *Detector) startIndirectProbes(now time.Time, p *peer) []Probe {
+	s := &p.probing
+	s.indirectSent, s.startedAt, s.pendingVia = true, now, map[string]bool{}
 	var out []Probe
 	for _, other := range d.peers {
-		if other != p && other.monitored() && now.Sub(other.heardAt) <= d.bound(other) {
-			s.waiting[other.name] = true
+		if other != p && other.isMonitored() && now.Sub(other.lastSeen) <= d.suspicionTimeout(other) {
+			s.pendingVia[other.name] = true
 			out = append(out, Probe{Target: p.name, Via: other.name})
 		}
 	}
@@ -405,21 +405,21 @@
 // accusers lists the controllers that hold evidence of their own against a
 // controller's process, and says whether any of it is about work.
 func (d *Detector) accusers(now time.Time, p *peer) (names []string, aboutWork bool) {
-	own := Accusation{Process: p.process(), Refutation: p.latest.Refutation, Evidence: p.evidence()}
+	own := Accusation{Incarnation: p.incarnation(), Refutation: p.latest.Refutation, Evidence: p.evidence()}
 	if len(own.Evidence) > 0 {
-		names = append(names, d.cfg.Self)
-		aboutWork = own.aboutWork()
+		names = append(names, d.config.Self)
+		aboutWork = own.isAboutWork()
 	}
 	for _, other := range d.peers {
-		a, ok := other.opinion[p.name]
-		if other == p || !ok || a.Process != p.process() || now.Sub(other.opinionAt) > d.bound(other) {
+		a, ok := other.accusations[p.name]
+		if other == p || !ok || a.Incarnation != p.incarnation() || now.Sub(other.accusationsAt) > d.suspicionTimeout(other) {
 			continue
 		}
-		if refuted := a.Refutation < p.latest.Refutation && a.refutable(); refuted {
+		if refuted := a.Refutation < p.latest.Refutation && a.isRefutable(); refuted {
 			continue
 		}
 		names = append(names, other.name)
-		aboutWork = aboutWork || a.aboutWork()
+		aboutWork = aboutWork || a.isAboutWork()
 	}
 	slices.Sort(names)
 	return names, aboutWork
@@ -427,84 +427,84 @@
 
 // quorum is how many accusers declare a controller failed: a majority of all
 // configured controllers, whether they live or not.
-func (d *Detector) quorum() int { return len(d.cfg.Members)/2 + 1 }
+func (d *Detector) quorum() int { return len(d.config.Controllers)/2 + 1 }
 
-// judge moves a controller to the state that the evidence gives it.
-func (d *Detector) judge(now time.Time, p *peer) {
-	to, evidence := d.verdict(now, p)
+// updateState moves a controller to the state that the evidence gives it.
+func (d *Detector) updateState(now time.Time, p *peer) {
+	to, evidence := d.evaluate(now, p)
 	if to == p.state {
 		return
 	}
 	names, _ := d.accusers(now, p)
-	d.changes = append(d.changes, Change{Controller: p.name, Process: p.lastProcess(), From: p.state, To: to, Evidence: evidence, Accusers: names})
+	d.stateChanges = append(d.stateChanges, StateChange{Controller: p.name, Incarnation: p.lastIncarnation(), From: p.state, To: to, Evidence: evidence, Accusers: names})
 	p.state = to
-	p.suspectAt = time.Time{}
+	p.suspectSince = time.Time{}
 	if to == Suspect {
-		p.suspectAt = now
+		p.suspectSince = now
 	}
 }
 
-func (d *Detector) verdict(now time.Time, p *peer) (State, []Evidence) {
-	if p.lease == 0 && p.leaseSeen {
-		return Failed, []Evidence{LeaseEnded}
+func (d *Detector) evaluate(now time.Time, p *peer) (State, []Evidence) {
+	if p.leaseHolder == 0 && p.leaseWasHeld {
+		return Failed, []Evidence{LeaseLost}
 	}
-	if !p.monitored() {
+	if !p.isMonitored() {
 		return Unmonitored, nil
 	}
 	evidence := p.evidence()
 	if len(evidence) == 0 {
 		return Alive, nil
 	}
-	if p.state == Failed || d.declares(now, p) {
+	if p.state == Failed || d.shouldDeclareFailed(now, p) {
 		return Failed, evidence
 	}
 	return Suspect, evidence
 }
 
-// declares says whether a suspect is to be declared failed though its lease lives.
-func (d *Detector) declares(now time.Time, p *peer) bool {
-	if p.state != Suspect || now.Sub(p.suspectAt) < d.cfg.Interval {
+// shouldDeclareFailed says whether a suspect is to be declared failed though its lease lives.
+func (d *Detector) shouldDeclareFailed(now time.Time, p *peer) bool {
+	if p.state != Suspect || now.Sub(p.suspectSince) < d.config.HeartbeatInterval {
 		return false
 	}
-	if now.Sub(p.evidenceSince()) < d.health.widen(d.cfg.DeclareAfter) {
+	if now.Sub(p.evidenceSince()) < d.localHealth.scale(d.config.DeclareAfter) {
 		return false
 	}
 	names, aboutWork := d.accusers(now, p)
 	return aboutWork && len(names) >= d.quorum()
 }
 
-// Changes returns the changes of state since it was last called.
-func (d *Detector) Changes() []Change {
-	out := d.changes
-	d.changes = nil
+// TakeStateChanges returns the changes of state since it was last called.
+func (d *Detector) TakeStateChanges() []StateChange {
+	out := d.stateChanges
+	d.stateChanges = nil
 	return out
 }
 
 // Proposals lists the controllers that are declared failed while their lease
 // lives.
-func (d *Detector) Proposals(now time.Time) []Proposal {
-	var out []Proposal
+func (d *Detector) Proposals(now time.Time) []RevocationProposal {
+	var out []RevocationProposal
 	for _, p := range d.peers {
-		if p.state != Failed || p.lease == 0 || p.lease != p.process() {
+		if p.state != Failed || p.leaseHolder == 0 || p.leaseHolder != p.incarnation() {
 			continue
 		}
 		names, aboutWork := d.accusers(now, p)
 		if !aboutWork || len(names) < d.quorum() {
 			continue // others took back what they held against it
 		}
-		out = append(out, Proposal{Controller: p.name, Process: p.process(), Evidence: p.evidence(), Accusers: names})
+		out = append(out, RevocationProposal{Controller: p.name, Incarnation: p.incarnation(), Evidence: p.evidence(), Accusers: names})
 	}
 	return out
 }
 
-// Views describes all other controllers, by name.
-func (d *Detector) Views(now time.Time) []View {
-	var out []View
+// PeerViews describes all other controllers, by name.
+func (d *Detector) PeerViews(now time.Time) []PeerView {
+	var out []PeerView
 	for _, p := range d.peers {
 		names, _ := d.accusers(now, p)
-		v := View{Controller: p.name, State: p.state, Process: p.process(), Refutation: p.latest.Refutation, Evidence: p.evidence(), Accusers: names, SilenceLimit: d.bound(p)}
-		if p.monitored() && !p.heardAt.IsZero() {
-			v.SilentFor = now.Sub(p.heardAt)
+		v := PeerView{Controller: p.name, State: p.state, Incarnation: p.incarnation(), Refutation: p.latest.Refutation, Evidence: p.evidence(), Accusers: names, SilenceLimit: d.suspicionTimeout(p)}
+		if p.isMonitored() && !p.lastSeen.IsZero() {
+			v.SilentFor = now.Sub(p.lastSeen)
 		}
 		out = append(out, v)
 	}
--- a/detector/detector_test.go
+++ b/detector/detector_test.go
@@ -18,14 +18,14 @@
 	testTimeout  = time.Second
 )
 
-// controller is one simulated controller with its detector.
-type controller struct {
-	name        string
-	detector    *Detector
-	beatAt      time.Time
-	pausedUntil time.Time
-	dead        bool
-	history     []Change
+// simController is one simulated controller with its detector.
+type simController struct {
+	name          string
+	detector      *Detector
+	nextHeartbeat time.Time
+	pausedUntil   time.Time
+	dead          bool
+	history       []StateChange
 }
 
 // delivery is a message or a probe's answer on its way.
@@ -34,48 +34,48 @@
 	act func(now time.Time)
 }
 
-// network is a set of controllers on one virtual clock.
-type network struct {
-	now         time.Time
-	controllers []*controller
-	queue       []delivery
-	delay       func(from, to string) (time.Duration, bool)  // false: lost
-	read        func(c *controller, now time.Time) time.Time // what a controller's clock shows; nil: the time
-	missPaused  bool                                         // what comes to a paused controller is lost, as calls are that time out
+// simNetwork is a set of controllers on one virtual clock.
+type simNetwork struct {
+	now             time.Time
+	controllers     []*simController
+	queue           []delivery
+	delay           func(from, to string) (time.Duration, bool)     // false: lost
+	readClock       func(c *simController, now time.Time) time.Time // what a controller's clock shows; nil: the time
+	loseWhilePaused bool                                            // what comes to a paused controller is lost, as calls are that time out
 }
 
-func newNetwork(n int) *network {
-	w := &network{now: time.Unix(1000, 0), delay: func(string, string) (time.Duration, bool) { return 5 * time.Millisecond, true }}
+func newNetwork(n int) *simNetwork {
+	w := &simNetwork{now: time.Unix(1000, 0), delay: func(string, string) (time.Duration, bool) { return 5 * time.Millisecond, true }}
 	var names []string
 	for i := range n {
 		names = append(names, fmt.Sprintf("n-%d", i))
 	}
 	for i, name := range names {
-		cfg := Config{Self: name, Members: names, Interval: testInterval, SuspectMin: 2500 * time.Millisecond, SuspectMax: 8 * time.Second,
+		cfg := Config{Self: name, Controllers: names, HeartbeatInterval: testInterval, SuspectMin: 2500 * time.Millisecond, SuspectMax: 8 * time.Second,
 			DeclareAfter: 5 * time.Second, ProbeTimeout: testTimeout}
 		d, err := New(cfg, w.now)
 		if err != nil {
 			panic(err)
 		}
-		d.SetProcess(uint64(i + 1))
+		d.SetIncarnation(uint64(i + 1))
 		for k, other := range names {
 			d.SetLease(w.now, other, uint64(k+1))
 		}
-		w.controllers = append(w.controllers, &controller{name: name, detector: d, beatAt: w.now.Add(time.Duration(i) * 100 * time.Millisecond)})
+		w.controllers = append(w.controllers, &simController{name: name, detector: d, nextHeartbeat: w.now.Add(time.Duration(i) * 100 * time.Millisecond)})
 	}
 	return w
 }
 
 // start sets all clocks, before anything has happened.
-func (w *network) start(now time.Time) {
+func (w *simNetwork) start(now time.Time) {
 	w.now = now
 	for i, c := range w.controllers {
-		c.beatAt = now.Add(time.Duration(i) * 100 * time.Millisecond)
-		d, err := New(c.detector.cfg, now)
+		c.nextHeartbeat = now.Add(time.Duration(i) * 100 * time.Millisecond)
+		d, err := New(c.detector.config, now)
 		if err != nil {
 			panic(err)
 		}
-		d.SetProcess(uint64(i + 1))
+		d.SetIncarnation(uint64(i + 1))
 		for k, other := range w.controllers {
 			d.SetLease(now, other.name, uint64(k+1))
 		}
@@ -84,24 +84,24 @@
 }
 
 // clock is what a controller's clock shows.
-func (w *network) clock(c *controller) time.Time {
-	if w.read == nil {
+func (w *simNetwork) clock(c *simController) time.Time {
+	if w.readClock == nil {
 		return w.now
 	}
-	return w.read(c, w.now)
+	return w.readClock(c, w.now)
 }
 
-func (w *network) stopped(c *controller) bool { return c.dead || w.now.Before(c.pausedUntil) }
+func (w *simNetwork) stopped(c *simController) bool { return c.dead || w.now.Before(c.pausedUntil) }
 
 // send lets something happen at another controller; what comes while it is paused
 // happens when it goes on.
-func (w *network) send(from, to *controller, act func(now time.Time)) {
+func (w *simNetwork) send(from, to *simController, act func(now time.Time)) {
 	d, arrives := w.delay(from.name, to.name)
 	if !arrives {
 		return
 	}
 	w.queue = append(w.queue, delivery{w.now.Add(d), func(now time.Time) {
-		if to.dead || w.missPaused && now.Before(to.pausedUntil) {
+		if to.dead || w.loseWhilePaused && now.Before(to.pausedUntil) {
 			return
 		}
 		if now.Before(to.pausedUntil) {
@@ -112,37 +112,37 @@
 	}})
 }
 
-// beat sends a heartbeat to everybody, whose answers are heartbeats as well.
-func (w *network) beat(c *controller) {
-	m := c.detector.Heartbeat()
+// sendHeartbeats sends a heartbeat to everybody, whose answers are heartbeats as well.
+func (w *simNetwork) sendHeartbeats(c *simController) {
+	m := c.detector.NextHeartbeat()
 	for _, to := range w.controllers {
 		if to == c {
 			continue
 		}
 		w.send(c, to, func(time.Time) {
-			_ = to.detector.Receive(w.clock(to), m)
-			answer := to.detector.Heartbeat()
-			w.send(to, c, func(time.Time) { _ = c.detector.ReceiveAnswer(w.clock(c), answer) })
+			_ = to.detector.HandleMessage(w.clock(to), m)
+			answer := to.detector.NextHeartbeat()
+			w.send(to, c, func(time.Time) { _ = c.detector.HandleReply(w.clock(c), answer) })
 		})
 	}
 }
 
 // probe carries out a probe; without an answer in time it fails.
-func (w *network) probe(c *controller, p Probe) {
+func (w *simNetwork) probe(c *simController, p Probe) {
 	answered := false
 	w.queue = append(w.queue, delivery{w.now.Add(testTimeout), func(time.Time) {
 		if !answered && !w.stopped(c) {
-			c.detector.ProbeResult(w.clock(c), p, nil)
+			c.detector.HandleProbeResult(w.clock(c), p, nil)
 		}
 	}})
-	ask := func(asker *controller, tell func(now time.Time, h Heartbeat)) {
+	ask := func(asker *simController, tell func(now time.Time, h Heartbeat)) {
 		target := w.find(p.Target)
 		w.send(asker, target, func(time.Time) {
-			h := target.detector.Heartbeat().Heartbeat
+			h := target.detector.NextHeartbeat().Heartbeat
 			w.send(target, asker, func(now time.Time) { tell(now, h) })
 		})
 	}
-	done := func(_ time.Time, h Heartbeat) { answered = true; c.detector.ProbeResult(w.clock(c), p, &h) }
+	done := func(_ time.Time, h Heartbeat) { answered = true; c.detector.HandleProbeResult(w.clock(c), p, &h) }
 	if p.Via == "" {
 		ask(c, done)
 		return
@@ -153,12 +153,12 @@
 	})
 }
 
-func (w *network) find(name string) *controller {
-	return w.controllers[slices.IndexFunc(w.controllers, func(c *controller) bool { return c.name == name })]
+func (w *simNetwork) find(name string) *simController {
+	return w.controllers[slices.IndexFunc(w.controllers, func(c *simController) bool { return c.name == name })]
 }
 
 // run lets time pass.
-func (w *network) run(d time.Duration) {
+func (w *simNetwork) run(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(testStep) {
 		due := slices.Collect(func(yield func(delivery) bool) {
 			for _, x := range w.queue {
@@ -175,27 +175,27 @@
 			if w.stopped(c) {
 				continue
 			}
-			if now := w.clock(c); !now.Before(c.detector.Next()) {
+			if now := w.clock(c); !now.Before(c.detector.NextTick()) {
 				for _, p := range c.detector.Tick(now) {
 					w.probe(c, p)
 				}
-				c.history = append(c.history, c.detector.Changes()...)
+				c.history = append(c.history, c.detector.TakeStateChanges()...)
 			}
-			if c.detector.HeartbeatDue() || !w.now.Before(c.beatAt) {
-				c.beatAt = w.now.Add(testInterval)
-				w.beat(c)
+			if c.detector.IsRefutationPending() || !w.now.Before(c.nextHeartbeat) {
+				c.nextHeartbeat = w.now.Add(testInterval)
+				w.sendHeartbeats(c)
 			}
 		}
 	}
 }
 
-// went says whether an observer ever took a controller for this.
-func (c *controller) went(node string, to State) bool {
-	return slices.ContainsFunc(c.history, func(x Change) bool { return x.Controller == node && x.To == to })
+// reached says whether an observer ever took a controller for this.
+func (c *simController) reached(node string, to State) bool {
+	return slices.ContainsFunc(c.history, func(x StateChange) bool { return x.Controller == node && x.To == to })
 }
 
-func (c *controller) state(now time.Time, node string) State {
-	for _, v := range c.detector.Views(now) {
+func (c *simController) state(now time.Time, node string) State {
+	for _, v := range c.detector.PeerViews(now) {
 		if v.Controller == node {
 			return v.State
 		}
@@ -213,7 +213,7 @@
 		w.delay = func(string, string) (time.Duration, bool) {
 			return time.Duration(rapid.IntRange(1, 400).Draw(t, "delay")) * time.Millisecond, true
 		}
-		w.missPaused = rapid.Bool().Draw(t, "what comes in a pause is lost")
+		w.loseWhilePaused = rapid.Bool().Draw(t, "what comes in a pause is lost")
 		w.run(3 * time.Second)
 		observer := w.controllers[rapid.IntRange(0, n-1).Draw(t, "observer")]
 		for range rapid.IntRange(0, 2).Draw(t, "pauses") {
@@ -223,14 +223,14 @@
 		}
 		w.run(10 * time.Second)
 		for _, node := range w.controllers {
-			if node != observer && observer.went(node.name, Suspect) {
+			if node != observer && observer.reached(node.name, Suspect) {
 				t.Errorf("%s, which was late itself, suspected %s: %+v", observer.name, node.name, observer.history)
 			}
 			for _, c := range w.controllers {
 				if c == observer || c == node {
 					continue
 				}
-				if node != observer && c.went(node.name, Suspect) || c.went(node.name, Failed) {
+				if node != observer && c.reached(node.name, Suspect) || c.reached(node.name, Failed) {
 					t.Errorf("%s accused %s: %+v", c.name, node.name, c.history)
 				}
 			}
@@ -263,7 +263,7 @@
 		}
 		w.run(beforeDeclaration)
 		for _, c := range w.controllers {
-			if c.went(failed.name, Failed) {
+			if c.reached(failed.name, Failed) {
 				t.Errorf("%s: declared before its time by %s", kind, c.name)
 			}
 		}
@@ -289,23 +289,23 @@
 	}
 	unserved(true)
 	if d := w.controllers[0].detector; len(d.Proposals(w.now)) != 1 {
-		t.Fatalf("not proposed: %+v", d.Views(w.now))
+		t.Fatalf("not proposed: %+v", d.PeerViews(w.now))
 	}
 	w.controllers[1].detector.SetUnserved(w.now, "n-2", false)
 	w.run(3 * time.Second)
 	if d := w.controllers[0].detector; len(d.Proposals(w.now)) != 0 {
-		t.Errorf("proposed without a majority: %+v", d.Views(w.now))
+		t.Errorf("proposed without a majority: %+v", d.PeerViews(w.now))
 	}
 	unserved(false)
 	if d := w.controllers[0].detector; len(d.Proposals(w.now)) != 0 || w.controllers[0].state(w.now, "n-2") != Alive {
-		t.Errorf("still held against it: %+v", d.Views(w.now))
+		t.Errorf("still held against it: %+v", d.PeerViews(w.now))
 	}
 }
 
 // An observer that stood still does not count that time against others.
 func TestPauseDoesNotAgeEvidence(t *testing.T) {
 	w := newNetwork(3)
-	w.missPaused = true
+	w.loseWhilePaused = true
 	w.run(3 * time.Second)
 	observer := w.controllers[0]
 	for _, c := range w.controllers[:2] {
@@ -314,10 +314,10 @@
 	w.run(2 * time.Second)
 	observer.pausedUntil = w.now.Add(8 * time.Second)
 	w.run(10 * time.Second)
-	if observer.went("n-2", Failed) {
+	if observer.reached("n-2", Failed) {
 		t.Errorf("declared on evidence that it had for 4 s: %+v", observer.history)
 	}
-	if other := w.controllers[1]; !other.went("n-2", Suspect) {
+	if other := w.controllers[1]; !other.reached("n-2", Suspect) {
 		t.Errorf("the other one suspects nobody: %+v", other.history)
 	}
 }
@@ -326,7 +326,7 @@
 func TestBoundAdapts(t *testing.T) {
 	w := newNetwork(3)
 	w.run(20 * time.Second)
-	bound := func() time.Duration { return w.controllers[0].detector.Views(w.now)[0].SilenceLimit }
+	bound := func() time.Duration { return w.controllers[0].detector.PeerViews(w.now)[0].SilenceLimit }
 	if usual := bound(); usual < 2500*time.Millisecond || usual >= 3*time.Second {
 		t.Errorf("%s where none is lost", usual)
 	}
@@ -346,7 +346,7 @@
 func TestLonelyObserverDoubtsItself(t *testing.T) {
 	w := newNetwork(5)
 	w.run(5 * time.Second)
-	bound := func() time.Duration { return w.controllers[0].detector.Views(w.now)[0].SilenceLimit }
+	bound := func() time.Duration { return w.controllers[0].detector.PeerViews(w.now)[0].SilenceLimit }
 	usual := bound()
 	w.delay = func(from, to string) (time.Duration, bool) {
 		return 5 * time.Millisecond, from != "n-0" && to != "n-0"
@@ -384,7 +384,7 @@
 		}
 		w.run(40 * time.Second)
 		for _, c := range w.controllers[:n-1] {
-			if c.went(target.name, Failed) || len(c.detector.Proposals(w.now)) > 0 {
+			if c.reached(target.name, Failed) || len(c.detector.Proposals(w.now)) > 0 {
 				t.Errorf("only links %v: %s declared it: %+v", onlyLinks, c.name, c.history)
 			}
 			if onlyLinks && c.state(w.now, target.name) != Suspect {
@@ -404,10 +404,10 @@
 		return 5 * time.Millisecond, !cut
 	}
 	w.run(60 * time.Second)
-	if w.controllers[0].went("n-2", Suspect) || w.controllers[2].went("n-0", Suspect) {
+	if w.controllers[0].reached("n-2", Suspect) || w.controllers[2].reached("n-0", Suspect) {
 		t.Errorf("suspected across a link that is down: %+v, %+v", w.controllers[0].history, w.controllers[2].history)
 	}
-	if v := w.controllers[0].detector.Views(w.now); v[1].SilentFor > 8*time.Second {
+	if v := w.controllers[0].detector.PeerViews(w.now); v[1].SilentFor > 8*time.Second {
 		t.Errorf("no probe proved it: %+v", v[1])
 	}
 }
@@ -424,11 +424,11 @@
 		}
 		w.run(30 * time.Second)
 		for _, c := range w.controllers[:2] {
-			v := c.detector.Views(w.now)[1]
+			v := c.detector.PeerViews(w.now)[1]
 			if answersOne != (v.State == Alive) || !answersOne && !slices.Equal(v.Evidence, []Evidence{Unanswered}) {
 				t.Errorf("it answers one: %v, and %s sees %+v", answersOne, c.name, v)
 			}
-			if c.went("n-2", Failed) {
+			if c.reached("n-2", Failed) {
 				t.Errorf("%s declared it failed for links alone", c.name)
 			}
 		}
@@ -450,7 +450,7 @@
 		w.delay = func(string, string) (time.Duration, bool) { return 5 * time.Millisecond, true }
 		w.run(5 * time.Second)
 		for _, c := range w.controllers {
-			for _, v := range c.detector.Views(w.now) {
+			for _, v := range c.detector.PeerViews(w.now) {
 				if v.State != Alive || len(v.Accusers) > 0 {
 					t.Errorf("%s still holds against %s: %+v", c.name, v.Controller, v)
 				}
@@ -465,29 +465,29 @@
 	w := newNetwork(3)
 	w.run(3 * time.Second)
 	suspect, accuser, third := w.controllers[0].detector, w.controllers[1].detector, w.controllers[2].detector
-	accusation := Accusation{Controller: "n-0", Process: 1, Evidence: []Evidence{Unreachable}}
-	m := accuser.Heartbeat()
+	accusation := Accusation{Controller: "n-0", Incarnation: 1, Evidence: []Evidence{Unreachable}}
+	m := accuser.NextHeartbeat()
 	m.Accusations = []Accusation{accusation}
-	if err := suspect.Receive(w.now, m); err != nil || !suspect.HeartbeatDue() {
-		t.Fatalf("err %v, refutes at once: %v", err, suspect.HeartbeatDue())
+	if err := suspect.HandleMessage(w.now, m); err != nil || !suspect.IsRefutationPending() {
+		t.Fatalf("err %v, refutes at once: %v", err, suspect.IsRefutationPending())
 	}
-	if err := third.Receive(w.now, suspect.Heartbeat()); err != nil {
+	if err := third.HandleMessage(w.now, suspect.NextHeartbeat()); err != nil {
 		t.Fatal(err)
 	}
-	m = accuser.Heartbeat()
+	m = accuser.NextHeartbeat()
 	m.Accusations = []Accusation{accusation}
-	if err := third.Receive(w.now, m); err != nil {
+	if err := third.HandleMessage(w.now, m); err != nil {
 		t.Fatal(err)
 	}
-	if v := third.Views(w.now)[0]; v.Refutation != 1 || len(v.Accusers) != 0 {
+	if v := third.PeerViews(w.now)[0]; v.Refutation != 1 || len(v.Accusers) != 0 {
 		t.Errorf("the refuted accusation counts: %+v", v)
 	}
 	m.Heartbeat.Sequence++
 	m.Accusations[0].Evidence = []Evidence{Unserved}
-	if err := third.Receive(w.now, m); err != nil {
+	if err := third.HandleMessage(w.now, m); err != nil {
 		t.Fatal(err)
 	}
-	if v := third.Views(w.now)[0]; len(v.Accusers) != 1 {
+	if v := third.PeerViews(w.now)[0]; len(v.Accusers) != 1 {
 		t.Errorf("evidence about work was refuted by a word: %+v", v)
 	}
 }
@@ -498,15 +498,15 @@
 	w := newNetwork(3)
 	w.run(3 * time.Second)
 	d := w.controllers[0].detector
-	old := w.controllers[1].detector.Heartbeat()
+	old := w.controllers[1].detector.NextHeartbeat()
 	for _, copies := range []int{1, 2} {
-		if err := d.Receive(w.now, old); err != nil {
+		if err := d.HandleMessage(w.now, old); err != nil {
 			t.Fatal(copies, err)
 		}
 	}
 	copied := w.now.Add(2 * time.Second)
-	if err := d.Receive(copied, old); err != nil || d.Views(copied)[0].SilentFor < 2*time.Second {
-		t.Errorf("a copy counted as a heartbeat: %v, %+v", err, d.Views(copied)[0])
+	if err := d.HandleMessage(copied, old); err != nil || d.PeerViews(copied)[0].SilentFor < 2*time.Second {
+		t.Errorf("a copy counted as a heartbeat: %v, %+v", err, d.PeerViews(copied)[0])
 	}
 	d.SetLease(w.now, "n-1", 0)
 	d.Tick(w.now)
@@ -515,22 +515,22 @@
 	}
 	d.SetLease(w.now, "n-1", 77)
 	old.Heartbeat.Sequence += 10
-	if err := d.Receive(w.now, old); err != nil {
+	if err := d.HandleMessage(w.now, old); err != nil {
 		t.Fatal(err)
 	}
 	d.Tick(w.now)
-	if v := d.Views(w.now)[0]; v.State != Unmonitored || v.Process != 77 {
+	if v := d.PeerViews(w.now)[0]; v.State != Unmonitored || v.Incarnation != 77 {
 		t.Errorf("a late heartbeat of the old process counted: %+v", v)
 	}
-	fresh := Message{Controller: "n-1", Heartbeat: Heartbeat{Process: 77, Sequence: 1}}
-	if err := d.Receive(w.now, fresh); err != nil {
+	fresh := Message{Controller: "n-1", Heartbeat: Heartbeat{Incarnation: 77, Sequence: 1}}
+	if err := d.HandleMessage(w.now, fresh); err != nil {
 		t.Fatal(err)
 	}
-	if err := d.Receive(w.now, old); err != nil {
+	if err := d.HandleMessage(w.now, old); err != nil {
 		t.Fatal(err)
 	}
 	d.Tick(w.now)
-	if v := d.Views(w.now)[0]; v.State != Alive || v.Process != 77 {
+	if v := d.PeerViews(w.now)[0]; v.State != Alive || v.Incarnation != 77 {
 		t.Errorf("the new process is %+v", v)
 	}
 }
@@ -540,16 +540,16 @@
 func TestProcessHeardBeforeItsLease(t *testing.T) {
 	w := newNetwork(3)
 	d := w.controllers[0].detector
-	if err := d.Receive(w.now, Message{Controller: "n-1", Heartbeat: Heartbeat{Process: 9, Sequence: 1}}); err != nil {
+	if err := d.HandleMessage(w.now, Message{Controller: "n-1", Heartbeat: Heartbeat{Incarnation: 9, Sequence: 1}}); err != nil {
 		t.Fatal(err)
 	}
 	d.SetLease(w.now, "n-1", 8)
 	d.SetLease(w.now, "n-1", 9)
-	if err := d.Receive(w.now, Message{Controller: "n-1", Heartbeat: Heartbeat{Process: 9, Sequence: 2}}); err != nil {
+	if err := d.HandleMessage(w.now, Message{Controller: "n-1", Heartbeat: Heartbeat{Incarnation: 9, Sequence: 2}}); err != nil {
 		t.Fatal(err)
 	}
 	d.Tick(w.now)
-	if v := d.Views(w.now)[0]; v.State != Alive || v.Process != 9 {
+	if v := d.PeerViews(w.now)[0]; v.State != Alive || v.Incarnation != 9 {
 		t.Errorf("%+v", v)
 	}
 }
@@ -563,31 +563,31 @@
 		m    Message
 		want error
 	}{
-		"stranger":                {Message{Controller: "x", Heartbeat: Heartbeat{Process: 1}}, ErrUnknownNode},
-		"itself":                  {Message{Controller: "n-0", Heartbeat: Heartbeat{Process: 1}}, ErrUnknownNode},
-		"more accusations":        {Message{Controller: "n-1", Heartbeat: Heartbeat{Process: 1}, Accusations: many}, ErrMalformed},
-		"accusation of nothing":   {Message{Controller: "n-1", Heartbeat: Heartbeat{Process: 1}, Accusations: []Accusation{{Controller: "n-2", Process: 3}}}, ErrMalformed},
-		"many stalled actors":     {Message{Controller: "n-1", Heartbeat: Heartbeat{Process: 1, Stalled: make([]string, 65)}}, ErrMalformed},
-		"an actor's name is long": {Message{Controller: "n-1", Heartbeat: Heartbeat{Process: 1, Stalled: []string{string(make([]byte, 129))}}}, ErrMalformed},
+		"stranger":                {Message{Controller: "x", Heartbeat: Heartbeat{Incarnation: 1}}, ErrUnknownController},
+		"itself":                  {Message{Controller: "n-0", Heartbeat: Heartbeat{Incarnation: 1}}, ErrUnknownController},
+		"more accusations":        {Message{Controller: "n-1", Heartbeat: Heartbeat{Incarnation: 1}, Accusations: many}, ErrMalformedMessage},
+		"accusation of nothing":   {Message{Controller: "n-1", Heartbeat: Heartbeat{Incarnation: 1}, Accusations: []Accusation{{Controller: "n-2", Incarnation: 3}}}, ErrMalformedMessage},
+		"many stalled actors":     {Message{Controller: "n-1", Heartbeat: Heartbeat{Incarnation: 1, Stalled: make([]string, 65)}}, ErrMalformedMessage},
+		"an actor's name is long": {Message{Controller: "n-1", Heartbeat: Heartbeat{Incarnation: 1, Stalled: []string{string(make([]byte, 129))}}}, ErrMalformedMessage},
 	} {
-		if err := d.Receive(now, c.m); !errors.Is(err, c.want) {
+		if err := d.HandleMessage(now, c.m); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if v := d.Views(now); v[0].Process != 2 || v[0].State != Unmonitored {
+	if v := d.PeerViews(now); v[0].Incarnation != 2 || v[0].State != Unmonitored {
 		t.Errorf("a dropped message left a trace: %+v", v[0])
 	}
 }
 
 // A configuration that cannot work is refused.
 func TestConfigIsChecked(t *testing.T) {
-	good := Config{Self: "a", Members: []string{"a", "b"}, Interval: 1, SuspectMin: 2, SuspectMax: 3, DeclareAfter: 4, ProbeTimeout: 1}
-	if err := good.Check(); err != nil {
+	good := Config{Self: "a", Controllers: []string{"a", "b"}, HeartbeatInterval: 1, SuspectMin: 2, SuspectMax: 3, DeclareAfter: 4, ProbeTimeout: 1}
+	if err := good.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	for name, spoil := range map[string]func(*Config){
 		"not a member":                           func(c *Config) { c.Self = "x" },
-		"no interval":                            func(c *Config) { c.Interval = 0 },
+		"no interval":                            func(c *Config) { c.HeartbeatInterval = 0 },
 		"no timeout":                             func(c *Config) { c.ProbeTimeout = 0 },
 		"suspicion as soon as a heartbeat":       func(c *Config) { c.SuspectMin = 1 },
 		"bounds crossed":                         func(c *Config) { c.SuspectMax = 1 },
@@ -595,7 +595,7 @@
 	} {
 		c := good
 		spoil(&c)
-		if _, err := New(c, time.Now()); !errors.Is(err, ErrConfig) {
+		if _, err := New(c, time.Now()); !errors.Is(err, ErrInvalidConfig) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/detector/health.go
+++ b/detector/health.go
@@ -30,7 +30,7 @@
 	h.changedAt = now
 }
 
-// widen scales a bound by the doubt.
-func (h *localHealth) widen(d time.Duration) time.Duration {
+// scale scales a bound by the doubt.
+func (h *localHealth) scale(d time.Duration) time.Duration {
 	return d * time.Duration(1+h.score)
 }
--- a/detector/interval.go
+++ b/detector/interval.go
@@ -15,19 +15,19 @@
 	deviations = 4
 )
 
-// intervals keeps the running mean and variance of the times between heartbeats.
-type intervals struct {
+// intervalStats keeps the running mean and variance of the times between heartbeats.
+type intervalStats struct {
 	expected time.Duration // before anything was observed
-	seen     bool
+	observed bool
 	mean     float64 // seconds
 	variance float64 // seconds squared
 }
 
 // observe takes in one interval.
-func (i *intervals) observe(d time.Duration) {
+func (i *intervalStats) observe(d time.Duration) {
 	s := d.Seconds()
-	if !i.seen {
-		i.seen, i.mean = true, s
+	if !i.observed {
+		i.observed, i.mean = true, s
 		return
 	}
 	delta := s - i.mean
@@ -35,10 +35,10 @@
 	i.variance = (1 - sampleWeight) * (i.variance + sampleWeight*delta*delta)
 }
 
-// unusual is the silence beyond which something may be wrong.
-func (i *intervals) unusual() time.Duration {
+// silenceThreshold is the silence beyond which something may be wrong.
+func (i *intervalStats) silenceThreshold() time.Duration {
 	mean := i.expected.Seconds()
-	if i.seen {
+	if i.observed {
 		mean = i.mean
 	}
 	slack := i.expected.Seconds() / 2
--- a/detector/message.go
+++ b/detector/message.go
@@ -18,21 +18,21 @@
 	Stalled Evidence = "stalled"
 	// Unserved: workers that were sent to it came back to the observer.
 	Unserved Evidence = "unserved"
-	// LeaseEnded: its key in the state service is gone or another process's.
-	LeaseEnded Evidence = "lease ended"
+	// LeaseLost: its key in the state service is gone or another process's.
+	LeaseLost Evidence = "lease ended"
 )
 
-// aboutWork says whether the evidence shows that work is not done.
-func (e Evidence) aboutWork() bool { return e == Stalled || e == Unserved }
+// isAboutWork says whether the evidence shows that work is not done.
+func (e Evidence) isAboutWork() bool { return e == Stalled || e == Unserved }
 
-// refutable says whether a controller's own word ends the evidence.
-func (e Evidence) refutable() bool { return e == Unreachable }
+// isRefutable says whether a controller's own word ends the evidence.
+func (e Evidence) isRefutable() bool { return e == Unreachable }
 
 // Heartbeat is what a controller says of itself.
 type Heartbeat struct {
-	// Process names the process by the incarnation under its key in the state
+	// Incarnation names the process by the incarnation under its key in the state
 	// service; 0: it has none yet.
-	Process uint64 `json:"proc"`
+	Incarnation uint64 `json:"proc"`
 	// Refutation rises whenever the process learns that its silence is suspected.
 	Refutation uint64 `json:"ref,omitempty"`
 	// Sequence rises with every heartbeat of the process.
@@ -41,31 +41,31 @@
 	Stalled []string `json:"stalled,omitempty"`
 }
 
-// newer says whether a heartbeat of the same process is newer than another one.
-func (h Heartbeat) newer(than Heartbeat) bool { return h.Sequence > than.Sequence }
+// isNewerThan says whether a heartbeat of the same process is newer than another one.
+func (h Heartbeat) isNewerThan(than Heartbeat) bool { return h.Sequence > than.Sequence }
 
 // Accusation is the sender's own evidence against a controller's process.
 type Accusation struct {
-	Controller string     `json:"node"`
-	Process    uint64     `json:"proc"`
-	Refutation uint64     `json:"ref,omitempty"` // the latest that the accuser knew
-	Evidence   []Evidence `json:"ev"`
+	Controller  string     `json:"node"`
+	Incarnation uint64     `json:"proc"`
+	Refutation  uint64     `json:"ref,omitempty"` // the latest that the accuser knew
+	Evidence    []Evidence `json:"ev"`
 }
 
-// aboutWork says whether any of the evidence is about work.
-func (a Accusation) aboutWork() bool {
+// isAboutWork says whether any of the evidence is about work.
+func (a Accusation) isAboutWork() bool {
 	for _, e := range a.Evidence {
-		if e.aboutWork() {
+		if e.isAboutWork() {
 			return true
 		}
 	}
 	return false
 }
 
-// refutable says whether the accused one's own word ends all of the evidence.
-func (a Accusation) refutable() bool {
+// isRefutable says whether the accused one's own word ends all of the evidence.
+func (a Accusation) isRefutable() bool {
 	for _, e := range a.Evidence {
-		if !e.refutable() {
+		if !e.isRefutable() {
 			return false
 		}
 	}
@@ -81,8 +81,8 @@
 
 // Errors of messages that are dropped.
 var (
-	ErrUnknownNode = errors.New("detector: message of an unknown controller")
-	ErrMalformed   = errors.New("detector: malformed message")
+	ErrUnknownController = errors.New("detector: message of an unknown controller")
+	ErrMalformedMessage  = errors.New("detector: malformed message")
 )
 
 // Limits on a message, far above what a sound one has.
@@ -91,22 +91,22 @@
 	maxActorName = 128 // bytes
 )
 
-// check says what is wrong with a message, if anything.
-func (m Message) check(members int) error {
+// validate says what is wrong with a message, if anything.
+func (m Message) validate(members int) error {
 	if len(m.Accusations) > members {
-		return fmt.Errorf("%w: %d accusations among %d controllers", ErrMalformed, len(m.Accusations), members)
+		return fmt.Errorf("%w: %d accusations among %d controllers", ErrMalformedMessage, len(m.Accusations), members)
 	}
 	if len(m.Heartbeat.Stalled) > maxStalled {
-		return fmt.Errorf("%w: %d stalled actors", ErrMalformed, len(m.Heartbeat.Stalled))
+		return fmt.Errorf("%w: %d stalled actors", ErrMalformedMessage, len(m.Heartbeat.Stalled))
 	}
 	for _, name := range m.Heartbeat.Stalled {
 		if len(name) > maxActorName {
-			return fmt.Errorf("%w: an actor's name has %d bytes", ErrMalformed, len(name))
+			return fmt.Errorf("%w: an actor's name has %d bytes", ErrMalformedMessage, len(name))
 		}
 	}
 	for _, a := range m.Accusations {
-		if a.Process == 0 || len(a.Evidence) == 0 {
-			return fmt.Errorf("%w: an accusation of %q without process or evidence", ErrMalformed, a.Controller)
+		if a.Incarnation == 0 || len(a.Evidence) == 0 {
+			return fmt.Errorf("%w: an accusation of %q without process or evidence", ErrMalformedMessage, a.Controller)
 		}
 	}
 	return nil
--- a/detector/peer.go
+++ b/detector/peer.go
@@ -16,79 +16,79 @@
 	Failed      State = "failed"
 )
 
-// pastProcesses is how many earlier processes of a controller are remembered, so
+// maxRetired is how many earlier processes of a controller are remembered, so
 // that late heartbeats of theirs are not taken for those of a new one.
-const pastProcesses = 8
+const maxRetired = 8
 
 // peer is what is known of one other controller.
 type peer struct {
 	name  string
 	state State
 
-	lease     uint64 // process that holds the lease, as the state service shows
-	leaseSeen bool   // there was one since this observer started
-	latest    Heartbeat
-	past      []uint64  // processes before latest.Process
-	heardAt   time.Time // when it was last heard itself, or a probe showed that others hear it
-	answered  time.Time // when a call or a probe was last answered
-	intervals intervals
-
-	probe         probeState
-	unreachableAt time.Time // when the silence began that is held against it; zero: none
-	unansweredAt  time.Time // the same for calls
-	stalledAt     time.Time
-	unservedAt    time.Time
-	suspectAt     time.Time
-
-	opinion   map[string]Accusation // what this controller accuses others of, by name
-	opinionAt time.Time
+	leaseHolder  uint64 // process that holds the lease, as the state service shows
+	leaseWasHeld bool   // there was one since this observer started
+	latest       Heartbeat
+	retired      []uint64  // processes before latest.Process
+	lastSeen     time.Time // when it was last heard itself, or a probe showed that others hear it
+	lastAnswer   time.Time // when a call or a probe was last answered
+	intervals    intervalStats
+
+	probing          probeRound
+	unreachableSince time.Time // when the silence began that is held against it; zero: none
+	unansweredSince  time.Time // the same for calls
+	stalledSince     time.Time
+	unservedSince    time.Time
+	suspectSince     time.Time
+
+	accusations   map[string]Accusation // what this controller accuses others of, by name
+	accusationsAt time.Time
 }
 
-// probeState is how far the probing of a silent controller has come.
-type probeState struct {
+// probeRound is how far the probing of a silent controller has come.
+type probeRound struct {
 	startedAt    time.Time
-	direct       bool // a direct probe was sent, and not answered yet
+	directSent   bool // a direct probe was sent, and not answered yet
 	directFailed bool
-	waiting      map[string]bool // controllers asked to probe, without an answer yet
+	pendingVia   map[string]bool // controllers asked to probe, without an answer yet
 	indirectSent bool
 }
 
-func (p *probeState) done() bool {
-	return p.directFailed && p.indirectSent && len(p.waiting) == 0
+func (p *probeRound) isExhausted() bool {
+	return p.directFailed && p.indirectSent && len(p.pendingVia) == 0
 }
 
-// monitored says whether the controller takes part in failure detection.
-func (p *peer) monitored() bool { return p.latest.Process != 0 }
+// isMonitored says whether the controller takes part in failure detection.
+func (p *peer) isMonitored() bool { return p.latest.Incarnation != 0 }
 
-// process is the process that evidence is about.
-func (p *peer) process() uint64 {
-	if p.latest.Process != 0 {
-		return p.latest.Process
+// incarnation is the process that evidence is about.
+func (p *peer) incarnation() uint64 {
+	if p.latest.Incarnation != 0 {
+		return p.latest.Incarnation
 	}
-	return p.lease
+	return p.leaseHolder
 }
 
-// lastProcess is the process that evidence is about, or the last one there was.
-func (p *peer) lastProcess() uint64 {
-	if current := p.process(); current != 0 || len(p.past) == 0 {
+// lastIncarnation is the process that evidence is about, or the last one there was.
+func (p *peer) lastIncarnation() uint64 {
+	if current := p.incarnation(); current != 0 || len(p.retired) == 0 {
 		return current
 	}
-	return p.past[len(p.past)-1]
+	return p.retired[len(p.retired)-1]
 }
 
 // evidence lists what this observer holds against the controller.
 func (p *peer) evidence() []Evidence {
 	var out []Evidence
-	if !p.unreachableAt.IsZero() {
+	if !p.unreachableSince.IsZero() {
 		out = append(out, Unreachable)
 	}
-	if !p.unansweredAt.IsZero() {
+	if !p.unansweredSince.IsZero() {
 		out = append(out, Unanswered)
 	}
-	if !p.stalledAt.IsZero() {
+	if !p.stalledSince.IsZero() {
 		out = append(out, Stalled)
 	}
-	if !p.unservedAt.IsZero() {
+	if !p.unservedSince.IsZero() {
 		out = append(out, Unserved)
 	}
 	return out
@@ -97,7 +97,7 @@
 // evidenceSince is when the oldest of the evidence began.
 func (p *peer) evidenceSince() time.Time {
 	var first time.Time
-	for _, t := range []time.Time{p.unreachableAt, p.unansweredAt, p.stalledAt, p.unservedAt} {
+	for _, t := range []time.Time{p.unreachableSince, p.unansweredSince, p.stalledSince, p.unservedSince} {
 		if !t.IsZero() && (first.IsZero() || t.Before(first)) {
 			first = t
 		}
@@ -105,66 +105,66 @@
 	return first
 }
 
-// hear notes that the controller is there.
-func (p *peer) hear(now time.Time) {
-	p.heardAt = now
-	p.unreachableAt = time.Time{}
+// markSeen notes that the controller is there.
+func (p *peer) markSeen(now time.Time) {
+	p.lastSeen = now
+	p.unreachableSince = time.Time{}
 }
 
-// answer notes that it answered a call, or somebody else's.
-func (p *peer) answer(now time.Time) {
-	p.hear(now)
-	p.answered = now
-	p.unansweredAt = time.Time{}
-	p.probe = probeState{}
+// markAnswered notes that it answered a call, or somebody else's.
+func (p *peer) markAnswered(now time.Time) {
+	p.markSeen(now)
+	p.lastAnswer = now
+	p.unansweredSince = time.Time{}
+	p.probing = probeRound{}
 }
 
-// adopt takes in a heartbeat, and says whether it is one to be believed: newer
+// accept takes in a heartbeat, and says whether it is one to be believed: newer
 // than all known of its process, and not of an earlier process.
-func (p *peer) adopt(h Heartbeat) bool {
-	if slices.Contains(p.past, h.Process) {
+func (p *peer) accept(h Heartbeat) bool {
+	if slices.Contains(p.retired, h.Incarnation) {
 		return false
 	}
-	if h.Process != p.latest.Process {
-		p.begin(h)
+	if h.Incarnation != p.latest.Incarnation {
+		p.startIncarnation(h)
 		return true
 	}
-	if !h.newer(p.latest) {
+	if !h.isNewerThan(p.latest) {
 		return false
 	}
 	p.latest = h
 	return true
 }
 
-// begin starts anew with another process of the controller.
-func (p *peer) begin(h Heartbeat) {
-	if p.latest.Process != 0 {
-		p.retire(p.latest.Process)
+// startIncarnation starts anew with another process of the controller.
+func (p *peer) startIncarnation(h Heartbeat) {
+	if p.latest.Incarnation != 0 {
+		p.retireIncarnation(p.latest.Incarnation)
 	}
 	p.latest = h
-	p.intervals = intervals{expected: p.intervals.expected}
-	p.heardAt, p.answered = time.Time{}, time.Time{}
-	p.clear()
+	p.intervals = intervalStats{expected: p.intervals.expected}
+	p.lastSeen, p.lastAnswer = time.Time{}, time.Time{}
+	p.clearEvidence()
 }
 
-// retire notes that a process of the controller is over.
-func (p *peer) retire(process uint64) {
-	p.past = append(p.past, process)
-	p.past = p.past[max(0, len(p.past)-pastProcesses):]
+// retireIncarnation notes that a process of the controller is over.
+func (p *peer) retireIncarnation(process uint64) {
+	p.retired = append(p.retired, process)
+	p.retired = p.retired[max(0, len(p.retired)-maxRetired):]
 }
 
-// clear drops all evidence.
-func (p *peer) clear() {
-	for _, t := range []*time.Time{&p.unreachableAt, &p.unansweredAt, &p.stalledAt, &p.unservedAt, &p.suspectAt} {
+// clearEvidence drops all evidence.
+func (p *peer) clearEvidence() {
+	for _, t := range []*time.Time{&p.unreachableSince, &p.unansweredSince, &p.stalledSince, &p.unservedSince, &p.suspectSince} {
 		*t = time.Time{}
 	}
-	p.probe = probeState{}
+	p.probing = probeRound{}
 }
 
-// postpone moves everything that is measured from a time by a pause of the
+// shiftTimestamps moves everything that is measured from a time by a pause of the
 // observer, in which it could have heard nothing.
-func (p *peer) postpone(pause time.Duration) {
-	for _, t := range []*time.Time{&p.heardAt, &p.answered, &p.unreachableAt, &p.unansweredAt, &p.stalledAt, &p.unservedAt, &p.suspectAt, &p.opinionAt, &p.probe.startedAt} {
+func (p *peer) shiftTimestamps(pause time.Duration) {
+	for _, t := range []*time.Time{&p.lastSeen, &p.lastAnswer, &p.unreachableSince, &p.unansweredSince, &p.stalledSince, &p.unservedSince, &p.suspectSince, &p.accusationsAt, &p.probing.startedAt} {
 		if !t.IsZero() {
 			*t = t.Add(pause)
 		}
--- a/detector/wallclock_test.go
+++ b/detector/wallclock_test.go
@@ -15,24 +15,24 @@
 	rapid.Check(t, func(t *rapid.T) {
 		w := newNetwork(3)
 		w.start(time.Now())
-		w.read = func(c *controller, now time.Time) time.Time {
+		w.readClock = func(c *simController, now time.Time) time.Time {
 			return testclock.JumpWall(now, int64(rapid.IntRange(-7200, 7200).Draw(t, "jump")))
 		}
 		w.run(10 * time.Second)
 		for _, c := range w.controllers {
-			if c.went("n-0", Suspect) || c.went("n-1", Suspect) || c.went("n-2", Suspect) {
+			if c.reached("n-0", Suspect) || c.reached("n-1", Suspect) || c.reached("n-2", Suspect) {
 				t.Fatalf("%s suspects a live controller: %+v", c.name, c.history)
 			}
 		}
 		for _, c := range w.controllers[:2] {
-			c.detector.SetUnserved(w.read(c, w.now), "n-2", true)
+			c.detector.SetUnserved(w.readClock(c, w.now), "n-2", true)
 		}
 		w.run(4 * time.Second)
-		if w.controllers[0].went("n-2", Failed) {
+		if w.controllers[0].reached("n-2", Failed) {
 			t.Fatal("declared before its time")
 		}
 		w.run(10 * time.Second)
-		if !w.controllers[0].went("n-2", Failed) {
+		if !w.controllers[0].reached("n-2", Failed) {
 			t.Fatal("not declared in its time")
 		}
 	})
--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -26,10 +26,10 @@
 		{"relayed transaction's reply", `{"outcome":"conflict","rev":1,"failed":["k"]}`,
 			CommitReply{Outcome: OutcomeConflict, Revision: 1, Failed: []string{"k"}}},
 		{"heartbeat", `{"node":"n-0","hb":{"proc":7,"ref":1,"seq":3,"stalled":["leader"]},"acc":[{"node":"n-2","proc":9,"ref":2,"ev":["unserved"]}]}`,
-			detector.Message{Controller: "n-0", Heartbeat: detector.Heartbeat{Process: 7, Refutation: 1, Sequence: 3, Stalled: []string{"leader"}},
-				Accusations: []detector.Accusation{{Controller: "n-2", Process: 9, Refutation: 2, Evidence: []detector.Evidence{detector.Unserved}}}}},
+			detector.Message{Controller: "n-0", Heartbeat: detector.Heartbeat{Incarnation: 7, Refutation: 1, Sequence: 3, Stalled: []string{"leader"}},
+				Accusations: []detector.Accusation{{Controller: "n-2", Incarnation: 9, Refutation: 2, Evidence: []detector.Evidence{detector.Unserved}}}}},
 		{"probe", `{"node":"n-0","target":"n-2"}`, ProbeRequest{Controller: "n-0", Target: "n-2"}},
-		{"probe's answer", `{"hb":{"proc":7,"seq":3}}`, ProbeReply{Heartbeat: &detector.Heartbeat{Process: 7, Sequence: 3}}},
+		{"probe's answer", `{"hb":{"proc":7,"seq":3}}`, ProbeReply{Heartbeat: &detector.Heartbeat{Incarnation: 7, Sequence: 3}}},
 	} {
 		if got := encoded(t, c.message); got != c.want {
 			t.Errorf("%s is sent as\n%s, not as\n%s", c.name, got, c.want)
--- a/peer/heartbeat_test.go
+++ b/peer/heartbeat_test.go
@@ -42,9 +42,9 @@
 // detection is told from one that does not answer.
 func TestHeartbeatsAndProbes(t *testing.T) {
 	status := func(Status) StatusReply { return StatusReply{} }
-	sent := detector.Message{Controller: "n-0", Heartbeat: detector.Heartbeat{Process: 7, Refutation: 1, Sequence: 3, Stalled: []string{"leader"}},
-		Accusations: []detector.Accusation{{Controller: "n-2", Process: 9, Refutation: 2, Evidence: []detector.Evidence{detector.Unserved}}}}
-	answer := detector.Message{Controller: "n-1", Heartbeat: detector.Heartbeat{Process: 8, Sequence: 1}}
+	sent := detector.Message{Controller: "n-0", Heartbeat: detector.Heartbeat{Incarnation: 7, Refutation: 1, Sequence: 3, Stalled: []string{"leader"}},
+		Accusations: []detector.Accusation{{Controller: "n-2", Incarnation: 9, Refutation: 2, Evidence: []detector.Evidence{detector.Unserved}}}}
+	answer := detector.Message{Controller: "n-1", Heartbeat: detector.Heartbeat{Incarnation: 8, Sequence: 1}}
 	on := serve(t, Handlers{Status: status, Detection: Detection{
 		Heartbeat: func(_ context.Context, m detector.Message) (detector.Message, error) {
 			if !reflect.DeepEqual(m, sent) {
--- a/settings/detection.go
+++ b/settings/detection.go
@@ -52,15 +52,15 @@
 func (s *Settings) DetectorConfig() detector.Config {
 	d := s.Detection
 	config := detector.Config{
-		Self:         s.Controller,
-		Interval:     d.Interval,
-		SuspectMin:   d.SuspectMin,
-		SuspectMax:   d.SuspectMax,
-		DeclareAfter: d.DeclareAfter,
-		ProbeTimeout: d.ProbeTimeout,
+		Self:              s.Controller,
+		HeartbeatInterval: d.Interval,
+		SuspectMin:        d.SuspectMin,
+		SuspectMax:        d.SuspectMax,
+		DeclareAfter:      d.DeclareAfter,
+		ProbeTimeout:      d.ProbeTimeout,
 	}
 	for _, controller := range s.AllControllers() {
-		config.Members = append(config.Members, controller.Controller)
+		config.Controllers = append(config.Controllers, controller.Controller)
 	}
 	return config
 }
