--- /dev/null
+++ b/leader/candidates.go
@@ -0,0 +1,139 @@
+package leader
+
+import (
+	"time"
+
+	"ravenport/constants"
+	"ravenport/wire"
+)
+
+// candidate is a shard that may take tasks of a job, with the figures that it is ranked
+// by. They include the assignments that the shard's aggregate does not reflect yet.
+type candidate struct {
+	shard          string
+	maxTasks       int     // tasks of the job that its zone rules still allow here
+	isFresh        bool    // the owner has pushed an aggregate lately
+	estimatedTasks int     // tasks of the job that could run now
+	freeCPUs       float64 // summed over the machines that the job may use
+	queuedCPUs     float64 // of tasks that wait here
+	totalCPUs      float64 // of machines that are there, being provisioned or needed for the queue
+	canScaleOut    bool    // may still get machines of a kind that the job may use
+	maxQueuedCPUs  float64 // CPUs that may wait here without machines being provisioned
+	warmTasks      int     // production tasks that start without pulling their image
+	gang           gangEstimate
+}
+
+// candidates lists the shards that a job's zone rules allow. ok is false if there are none,
+// or if a new leader has no aggregates yet and should wait for some.
+func (c *Core) candidates(now time.Time, job *jobState) (list []*candidate, ok bool) {
+	remaining := c.remainingTasksByShard(job)
+	anyFresh := false
+	for _, zone := range c.settings.Deployment.Zones {
+		maxTasks, allowed := remaining[zone]
+		if !allowed || maxTasks <= 0 {
+			continue
+		}
+		k := &candidate{shard: zone, maxTasks: maxTasks}
+		if shard := c.shards[zone]; now.Sub(shard.updatedAt) < constants.AggregateStaleAfter {
+			k.loadAggregate(shard, &job.record.Spec)
+			anyFresh = true
+		}
+		list = append(list, k)
+	}
+	if !anyFresh && now.Sub(c.startedAt) < constants.AggregateStaleAfter {
+		return nil, false
+	}
+	return list, len(list) > 0
+}
+
+// remainingTasksByShard is how many more tasks of a job its zone rules allow, by shard. All
+// tasks in open assignments count, since any of them may be running.
+func (c *Core) remainingTasksByShard(job *jobState) map[string]int {
+	s := &job.record.Spec
+	open := map[string]int{}
+	for _, a := range job.record.Assignments {
+		if !a.Closed {
+			open[a.Shard] += a.Tasks()
+		}
+	}
+	remaining := map[string]int{}
+	for _, zone := range c.settings.Deployment.Zones {
+		if s.Zone != "" && s.Zone != zone {
+			continue
+		}
+		limit := s.Tasks
+		if s.Spread {
+			limit = (s.Tasks + 1) / 2
+		}
+		if s.OneZone && runsOutside(zone, open) {
+			limit = 0
+		}
+		remaining[zone] = limit - open[zone]
+	}
+	return remaining
+}
+
+// runsOutside reports whether tasks are open in a shard of another zone.
+func runsOutside(zone string, open map[string]int) bool {
+	for other, n := range open {
+		if other != zone && n > 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// loadAggregate computes the candidate's figures from the shard's aggregate and from the
+// assignments that it does not reflect yet.
+func (k *candidate) loadAggregate(shard *shardState, s *wire.Submission) {
+	a := shard.aggregate
+	k.isFresh = true
+	k.queuedCPUs = a.WaitingCPUs
+	for _, r := range shard.reservations {
+		subtractReservation(&a.OnDemand, &a.Spot, r)
+		k.queuedCPUs += r.cpus
+		k.totalCPUs += r.cpus
+	}
+	k.totalCPUs += a.Capacity + a.WaitingCPUs
+	k.estimatedTasks = a.EstimateTasks(s)
+	k.freeCPUs = a.OnDemand.CPUs.Sum
+	if s.Spot {
+		k.freeCPUs += a.Spot.CPUs.Sum
+	}
+	k.maxQueuedCPUs = a.Capacity * constants.MaxQueueShare
+	k.canScaleOut = a.CanScaleOutOnDemand || s.Spot && a.CanScaleOutSpot
+	k.warmTasks = min(shard.estimateWarmTasks(s), k.estimatedTasks, k.maxTasks)
+	if s.IsGang() {
+		k.gang = shard.estimateGang(s, k.estimatedTasks)
+	}
+}
+
+// subtractReservation subtracts a reservation from the free capacity, of spot machines if
+// it may use them and they have enough CPUs.
+func subtractReservation(onDemand, spot *FreeCapacity, r capacityReservation) {
+	free := onDemand
+	if r.spot && spot.CPUs.Sum >= r.cpus {
+		free = spot
+	}
+	free.CPUs.Sum -= r.cpus
+	free.GPUs.Sum -= r.gpus
+	free.Memory.Sum -= r.mem
+}
+
+// estimateWarmTasks estimates how many production tasks of a job would find their image on
+// a machine.
+func (sh *shardState) estimateWarmTasks(s *wire.Submission) int {
+	if s.Priority != wire.PriorityProduction || s.CPUs <= 0 {
+		return 0
+	}
+	warmCPUs := sh.aggregate.Warm[s.Image]
+	for _, r := range sh.reservations {
+		if !r.spot {
+			warmCPUs -= r.cpus
+		}
+	}
+	return max(0, int(warmCPUs/s.CPUs))
+}
+
+// fittingTasks is how many of the job's tasks could run here now, under its zone rules.
+func (k *candidate) fittingTasks() int { return min(k.estimatedTasks, k.maxTasks) }
--- a/leader/core.go
+++ b/leader/core.go
@@ -1,9 +1,10 @@
-// Package leader decides which shard takes which tasks. It is pure: the shards'
-// aggregates, records and time in, changed records out.
+// Package leader assigns tasks to shards. It ranks the waiting jobs, ranks the shards for
+// each job by the aggregates that their owners push, and passes the job down that order,
+// within its team's guaranteed quota and quota limit. It is pure: aggregates, job records
+// and time in, compare-and-swap transactions of changed job records out.
 package leader
 
 import (
-	"math"
 	"slices"
 	"sort"
 	"time"
@@ -14,326 +15,179 @@
 	"ravenport/wire"
 )
 
-// FreeCapacity is the free room of one kind of machines of a shard, as the paper's
-// aggregates: sum, mean and standard deviation over the machines.
-type FreeCapacity struct {
-	Machines int     `json:"n"`
-	CPUs     Moments `json:"c"`
-	GPUs     Moments `json:"g"`
-	Memory   Moments `json:"m"`
-}
-
-// Moments are the aggregate of one resource.
-type Moments struct {
-	Sum    float64 `json:"s"`
-	Mean   float64 `json:"e"`
-	StdDev float64 `json:"d"`
-}
+// Core holds the state of the leader in one term. It is not safe for concurrent use.
+type Core struct {
+	settings    *settings.Settings
+	order       JobOrder
+	sizes       records.SizeLimits
+	termVersion uint64 // of the term's record, on which every commit is conditional
 
-// Add counts one machine's free amount; Finish must follow the last.
-func (m *Moments) Add(v float64) { m.Sum += v; m.StdDev += v * v }
+	startedAt      time.Time
+	authorityUntil time.Time
 
-// Finish turns sums into mean and standard deviation over n machines.
-func (m *Moments) Finish(n int) {
-	if n == 0 {
-		return
-	}
-	m.Mean = m.Sum / float64(n)
-	m.StdDev = math.Sqrt(max(0, m.StdDev/float64(n)-m.Mean*m.Mean))
-}
+	shards     map[string]*shardState
+	jobs       map[string]*jobState // all that have not ended
+	unassigned map[string]*jobState // those with tasks in no assignment
 
-// Aggregate is what an owner pushes.
-type Aggregate struct {
-	Shard       string       `json:"part"`
-	Term        uint64       `json:"term"`
-	Revision    uint64       `json:"rev"` // the records that the figures reflect
-	OnDemand    FreeCapacity `json:"ord"` // coming machines included
-	Spot        FreeCapacity `json:"spot"`
-	WaitingCPUs float64      `json:"wait"` // CPUs that wait though no room for them is coming
-	// Rentable says whether the shard may still get machines of the kind.
-	CanScaleOutOnDemand bool `json:"ro"`
-	CanScaleOutSpot     bool `json:"rs"`
-	// Preemptible is ordinary room (CPUs) held by work that production work may
-	// stop.
-	Preemptible float64 `json:"y"`
-	// Capacity is all of the machines that take tasks or are coming (CPUs).
-	Capacity float64 `json:"cap"`
-	// Warm is, by image, ordinary room (CPUs), yielding room included, on
-	// machines that hold the image already.
-	Warm map[string]float64 `json:"w,omitempty"`
-	// Gangs is, by shape, how many tasks of a gang could start now.
-	Gangs map[string]GangCapacity `json:"gangs,omitempty"`
-	// ReservedForGangs is the room (CPUs) kept ready for gangs.
-	ReservedForGangs float64 `json:"gk,omitempty"`
-}
+	usedQuota     map[string]quotaAmount // by team: of open and of in-flight assignments
+	reservedQuota map[string]quotaAmount // by job: of its in-flight assignment
+	limitedAt     map[string]time.Time   // by team: when its quota limit last kept a job waiting
 
-// estimateTasks estimates how many tasks of the given size the room takes. The sum
-// alone hides that no single machine may have room: tasks per machine are
-// counted at two deviations above the mean.
-func (r FreeCapacity) estimateTasks(s *wire.Submission) int {
-	if r.Machines == 0 {
-		return 0
-	}
-	n := math.MaxInt32
-	for _, x := range []struct {
-		need float64
-		m    Moments
-	}{{s.CPUs, r.CPUs}, {s.GPUs, r.GPUs}, {s.MemoryGB, r.Memory}} {
-		if x.need <= 0 {
-			continue
-		}
-		if x.m.Mean+2*x.m.StdDev+1e-6 < x.need && x.m.Sum < x.need {
-			return 0
-		}
-		n = min(n, int(x.m.Sum/x.need+1e-6))
-	}
-	return n
-}
-
-// EstimateTasks estimates how many tasks of a job a shard has room for.
-func (a *Aggregate) EstimateTasks(s *wire.Submission) int {
-	n := a.OnDemand.estimateTasks(s)
-	if s.Spot {
-		n += a.Spot.estimateTasks(s)
-	}
-	if s.Priority == wire.PriorityProduction && s.CPUs > 0 {
-		n += int(a.Preemptible / s.CPUs)
-	}
-	return n
-}
+	inFlight       int // commits without a result, the urgent ones not included
+	urgentInFlight int
 
-// capacityReservation is an assignment that a shard's figures do not show yet.
-type capacityReservation struct {
-	revision        uint64 // 0: under way
-	cpus, gpus, mem float64
-	spot, gang      bool
-	job             string
+	resumeAfter *Rank            // where the last round ran out of its time budget
+	clock       func() time.Time // measures a round
+	budget      time.Duration    // of a round
 }
 
+// shardState is what the leader knows of a shard.
 type shardState struct {
 	aggregate    Aggregate
-	updatedAt    time.Time
+	updatedAt    time.Time // when the aggregate arrived
 	reservations []capacityReservation
 }
 
+// jobState is a job that has not ended.
 type jobState struct {
 	record        *records.Job
-	version       uint64
-	isInFlight    bool
-	reassignments int
+	version       uint64 // of the record
+	isInFlight    bool   // a commit of the job has no result yet
+	reassignments int    // how often owners sent tasks back
 	retryAt       time.Time
-	hasUnassigned bool        // tasks of it are in no assignment
+	hasUnassigned bool        // some tasks are in no assignment
 	openQuota     quotaAmount // of its open assignments
-	rank          Rank        // in the order of the last look at all that wait
+	rank          Rank        // as of the last round
 }
 
-// Core is the leader in one term.
-type Core struct {
-	settings       *settings.Settings
-	order          JobOrder
-	sizes          records.SizeLimits
-	termVersion    uint64
-	shards         map[string]*shardState
-	jobs           map[string]*jobState   // all that are not over
-	waiting        map[string]*jobState   // those with tasks in no assignment
-	usedQuota      map[string]quotaAmount // by team: of open assignments and of assignments under way
-	inFlight       int                    // assignments under way, but for the urgent
-	urgentInFlight int
-	authorityUntil time.Time
-	resumeAfter    *Rank                  // where the last round stopped
-	reservedQuota  map[string]quotaAmount // by job: of assignments under way
-	startedAt      time.Time
-	clock          func() time.Time     // what a round's time is taken by
-	budget         time.Duration        // of a round
-	limited        bool                 // the last job was kept waiting by its team's limit
-	limitedAt      map[string]time.Time // by team: when its limit last kept a job waiting
-}
-
-// Commit is a changed record to be written.
+// Commit is a compare-and-swap transaction that changes a job's record.
 type Commit struct {
 	JobID string
 	Txn   wire.Txn
-	// Urgent: users count the seconds until the job begins.
+	// Urgent commits are repeated until they are written: a user waits for the job to
+	// begin.
 	Urgent bool
 }
 
-// New makes the core at the moment when the feed showed the claim.
+// New returns the leader's state at the moment when the feed showed that the term was
+// acquired. termVersion is the version of the term's record; versions are those of the
+// jobs' records, by job.
 func New(set *settings.Settings, termVersion uint64, now time.Time, jobs map[string]*records.Job, versions map[string]uint64) *Core {
-	c := &Core{settings: set, sizes: set.RecordSizeLimits(), order: NewJobOrder(set.Deployment.Objectives), termVersion: termVersion, startedAt: now, clock: time.Now, budget: set.RoundBudget(), shards: map[string]*shardState{}, jobs: map[string]*jobState{}, waiting: map[string]*jobState{}, usedQuota: map[string]quotaAmount{}, reservedQuota: map[string]quotaAmount{}, limitedAt: map[string]time.Time{}}
-	for _, z := range set.Deployment.Zones {
-		c.shards[z] = &shardState{}
-	}
-	for id, rec := range jobs {
-		c.ApplyJob(now, id, rec, versions[id])
+	c := &Core{
+		settings:      set,
+		order:         NewJobOrder(set.Deployment.Objectives),
+		sizes:         set.RecordSizeLimits(),
+		termVersion:   termVersion,
+		startedAt:     now,
+		shards:        map[string]*shardState{},
+		jobs:          map[string]*jobState{},
+		unassigned:    map[string]*jobState{},
+		usedQuota:     map[string]quotaAmount{},
+		reservedQuota: map[string]quotaAmount{},
+		limitedAt:     map[string]time.Time{},
+		clock:         time.Now,
+		budget:        set.RoundBudget(),
+	}
+	for _, zone := range set.Deployment.Zones {
+		c.shards[zone] = &shardState{}
+	}
+	for id, record := range jobs {
+		c.ApplyJob(now, id, record, versions[id])
 	}
 	return c
 }
 
-// SetRoundClock has a round's time taken by another clock than the machine's, which
-// a busy machine would make run differently every time.
+// SetRoundClock replaces the clock that measures a round. Tests use it, since on a busy
+// machine the real one would cut rounds at different places every time.
 func (c *Core) SetRoundClock(clock func() time.Time) { c.clock = clock }
 
-// SetAuthority says until when the leader may assign.
+// SetAuthority sets until when the leader may assign.
 func (c *Core) SetAuthority(until time.Time) { c.authorityUntil = until }
 
-// EnablePacking says that no process of the version before can come any more.
+// EnablePacking allows the packed encoding of records. The caller knows that no process
+// of the version before, which cannot read it, can join any more.
 func (c *Core) EnablePacking() { c.sizes.Packing = true }
 
-// ApplyAggregate takes in a shard's aggregate.
-func (c *Core) ApplyAggregate(now time.Time, a Aggregate) {
-	p := c.shards[a.Shard]
-	if p == nil || a.Term < p.aggregate.Term {
-		return
-	}
-	p.aggregate, p.updatedAt = a, now
-	kept := p.reservations[:0]
-	for _, b := range p.reservations {
-		if b.revision == 0 || b.revision > a.Revision {
-			kept = append(kept, b)
-		}
-	}
-	p.reservations = kept
-}
-
-// ApplyJob takes in a record from the feed. A job counts until it is over and
-// all its assignments are closed: until then its tasks may be somewhere.
-func (c *Core) ApplyJob(now time.Time, id string, rec *records.Job, version uint64) {
-	over := rec.End != "" && rec.AllAssignmentsClosed()
-	j := c.jobs[id]
-	if over {
-		if j != nil {
-			c.setOpenQuota(j, quotaAmount{})
-			c.setReservedQuota(id, j.record.Spec.Team, quotaAmount{})
-		}
-		delete(c.jobs, id)
-		delete(c.waiting, id)
-		return
-	}
-	if j == nil {
-		j = &jobState{}
-		c.jobs[id] = j
-	}
-	if version <= j.version {
-		return
-	}
-	// Whatever was under way was based on an older record and has been written
-	// by now or can only fail: the newer record says what a team uses.
-	j.isInFlight = false
-	c.setReservedQuota(id, rec.Spec.Team, quotaAmount{})
-	waits := rec.End == "" && len(rec.Unassigned()) > 0
-	if j.record != nil && waits && !j.hasUnassigned {
-		// Sent back: other shards are asked, a little later each time.
-		j.reassignments++
-		j.retryAt = now.Add(time.Duration(min(j.reassignments-1, 8)) * 500 * time.Millisecond)
-	}
-	j.record, j.version, j.hasUnassigned = rec, version, waits
-	if waits {
-		c.waiting[id] = j
-	} else {
-		delete(c.waiting, id)
-	}
-	n := 0
-	for _, ch := range rec.Assignments {
-		if !ch.Closed {
-			n += ch.Tasks()
-		}
-	}
-	c.setOpenQuota(j, quotaOf(&rec.Spec, n))
-}
-
-// Step assigns what waits, within a budget of time.
+// Step runs one round: it assigns tasks of the waiting jobs in the order of their rank
+// and returns the commits to write. A round that runs out of its time budget is continued
+// by the next call.
 func (c *Core) Step(now time.Time) []Commit {
 	if !now.Before(c.authorityUntil) {
 		return nil
 	}
-	q := make([]*jobState, 0, len(c.waiting))
-	for _, j := range c.waiting {
-		if !j.isInFlight && !now.Before(j.retryAt) && c.hasInFlightSlot(j) {
-			q = append(q, j)
-			j.rank = c.order.Rank(now, j.record, c.tasksWithinGuarantee(&j.record.Spec) > 0, len(j.record.Assignments) > 0)
-		}
-	}
-	slices.SortFunc(q, func(a, b *jobState) int { return a.rank.Compare(b.rank) })
-	began := c.clock()
-	start := 0
-	if c.resumeAfter != nil {
-		// Whatever came or went in between: after the job where it stopped.
-		start = sort.Search(len(q), func(i int) bool { return c.resumeAfter.Before(q[i].rank) })
-		c.resumeAfter = nil
-	}
-	var out []Commit
-	held := map[string]bool{} // teams whose room is being collected
-	for i := start; i < len(q); i++ {
-		if held[q[i].record.Spec.Team] {
+	queue := c.rankedQueue(now)
+	roundStart := c.clock()
+	var commits []Commit
+	blockedTeams := map[string]bool{}
+	for i := c.takeResumeIndex(queue); i < len(queue); i++ {
+		job := queue[i]
+		team := job.record.Spec.Team
+		if blockedTeams[team] || !c.hasInFlightSlot(job) {
 			continue
 		}
-		if !c.hasInFlightSlot(q[i]) {
-			continue
-		}
-		if cm, ok := c.assign(now, q[i]); ok {
-			out = append(out, cm)
-		} else if c.limited {
-			c.limitedAt[q[i].record.Spec.Team] = now
-			if c.blocksTeam(now, q[i].record) {
-				held[q[i].record.Spec.Team] = true
+		commit, outcome := c.assign(now, job)
+		switch outcome {
+		case assigned:
+			commits = append(commits, commit)
+		case overQuotaLimit:
+			c.limitedAt[team] = now
+			if c.blocksTeam(now, job.record) {
+				blockedTeams[team] = true
 			}
 		}
-		if i+1 < len(q) && c.clock().Sub(began) > c.budget {
-			p := q[i].rank
-			c.resumeAfter = &p
+		if i+1 < len(queue) && c.clock().Sub(roundStart) > c.budget {
+			rank := job.rank
+			c.resumeAfter = &rank
 			break
 		}
 	}
-	return out
+	return commits
 }
 
-// hasInFlightSlot says whether one more assignment of a job's kind may be under way: those
-// that come first go first once some have been written. The urgent are few at once:
-// each is repeated until it is written, and hundreds at a cold start took the state
-// service's requests from everything else.
-func (c *Core) hasInFlightSlot(j *jobState) bool {
-	if j.record.Spec.AllOrNothing() {
-		return c.urgentInFlight < constants.MaxUrgentInFlight
+// rankedQueue lists the jobs that may be assigned now by rank.
+func (c *Core) rankedQueue(now time.Time) []*jobState {
+	queue := make([]*jobState, 0, len(c.unassigned))
+	for _, job := range c.unassigned {
+		if job.isInFlight || now.Before(job.retryAt) || !c.hasInFlightSlot(job) {
+			continue
+		}
+		queue = append(queue, job)
+		job.rank = c.order.Rank(now, job.record, JobProgress{
+			WithinGuarantee: c.tasksWithinGuarantee(&job.record.Spec) > 0,
+			Started:         len(job.record.Assignments) > 0,
+		})
 	}
-	return c.inFlight < constants.MaxAssignmentsInFlight
+	slices.SortFunc(queue, func(a, b *jobState) int { return a.rank.Compare(b.rank) })
+	return queue
 }
 
-// blocksTeam says whether a job that its team's limit keeps waiting holds back
-// the team's others, so that room comes together for it: a large service is
-// admitted whole, and small ones would take every bit that falls free. It does
-// so for a while only, since services may never make room.
-func (c *Core) blocksTeam(now time.Time, rec *records.Job) bool {
-	age := time.Duration(now.UnixMilli()-rec.AcceptedMS) * time.Millisecond
-	return IsOverdue(now, rec, len(rec.Assignments) > 0) && age < constants.OverdueAfter+constants.CapacityHoldTime
+// takeResumeIndex returns the index in the queue at which this round starts: after the
+// rank where the last one stopped, whatever joined or left the queue in between, or else
+// at the head.
+func (c *Core) takeResumeIndex(queue []*jobState) int {
+	if c.resumeAfter == nil {
+		return 0
+	}
+	start := sort.Search(len(queue), func(i int) bool { return c.resumeAfter.Before(queue[i].rank) })
+	c.resumeAfter = nil
+	return start
 }
 
-// ApplyCommitResult takes in what came of a commit; revision is 0 when it failed.
-func (c *Core) ApplyCommitResult(now time.Time, id string, urgent bool, revision uint64) {
-	if urgent {
-		c.urgentInFlight--
-	} else {
-		c.inFlight--
-	}
-	for _, p := range c.shards {
-		kept := p.reservations[:0]
-		for _, b := range p.reservations {
-			if b.job == id && b.revision == 0 {
-				if revision == 0 || revision <= p.aggregate.Revision {
-					continue
-				}
-				b.revision = revision
-			}
-			kept = append(kept, b)
-		}
-		p.reservations = kept
-	}
-	j := c.jobs[id]
-	if revision != 0 || j == nil {
-		return
+// hasInFlightSlot reports whether one more commit of the job's kind may be in flight. The
+// bound lets later jobs of a higher rank go first once some commits were written. Urgent
+// ones are few at once: each is repeated until it is written, and hundreds at a cold start
+// took the key-value store's request allowance from everything else.
+func (c *Core) hasInFlightSlot(job *jobState) bool {
+	if job.record.Spec.AllOrNothing() {
+		return c.urgentInFlight < constants.MaxUrgentInFlight
 	}
-	// Not known to have been written: if the feed brings a newer record, it
-	// decides; if not, the same is tried again. The reservation stays until
-	// then, since a late transaction may still be applied.
-	j.isInFlight = false
-	j.retryAt = now.Add(constants.LeaderTick)
+	return c.inFlight < constants.MaxAssignmentsInFlight
+}
+
+// blocksTeam reports whether a job over its team's quota limit holds back the team's jobs
+// behind it until enough of the quota is free: a large service is admitted whole, and
+// small ones would take every bit of the quota that becomes free. This ends after a
+// while, since running services may never free any.
+func (c *Core) blocksTeam(now time.Time, record *records.Job) bool {
+	return IsOverdue(now, record, len(record.Assignments) > 0) && jobAge(now, record) < constants.OverdueAfter+constants.CapacityHoldTime
 }
--- a/leader/core_test.go
+++ b/leader/core_test.go
@@ -41,8 +41,8 @@
 	return a
 }
 
-// store is the state service as the leader meets it: a write may be carried
-// out with or without an answer, late, or not at all.
+// store is the key-value store as the leader sees it: a write may be applied with or
+// without a reply, late, or not at all.
 type store struct {
 	jobs    map[string]*records.Job
 	version map[string]uint64
@@ -73,8 +73,8 @@
 	return rec.(*records.Job)
 }
 
-// Whatever answers are lost and whatever is written late, the tasks in open
-// assignments never exceed a team's limit, nor a job's zone rules.
+// Whatever replies are lost and whatever is written late, the tasks in open
+// assignments never exceed a team's quota limit, nor a job's zone rules.
 func TestLimitsHoldUnderLostAndLateWrites(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -109,13 +109,13 @@
 					s.Kind, s.Tasks = wire.KindService, 2
 				}
 				st.put(&records.Job{ID: s.ID, Spec: s})
-			case 1: // an owner closes or gives back an assignment
+			case 1: // an owner closes an assignment or sends it back
 				for id, j := range st.jobs {
 					if len(j.Assignments) == 0 || rapid.Bool().Draw(t, "skip") {
 						continue
 					}
 					k := j.Clone()
-					i := rapid.IntRange(0, len(k.Assignments)-1).Draw(t, "chunk")
+					i := rapid.IntRange(0, len(k.Assignments)-1).Draw(t, "assignment")
 					if rapid.Bool().Draw(t, "close") {
 						k.Assignments[i].Closed = true
 					} else if !k.Assignments[i].Closed {
@@ -141,10 +141,10 @@
 					} else {
 						c.ApplyCommitResult(now, cm.JobID, cm.Urgent, 0)
 					}
-				case 2: // carried out, the answer lost
+				case 2: // applied, the reply lost
 					st.try(cm)
 					c.ApplyCommitResult(now, cm.JobID, cm.Urgent, 0)
-				case 3: // carried out later, or never
+				case 3: // applied later, or never
 					late = append(late, cm)
 					c.ApplyCommitResult(now, cm.JobID, cm.Urgent, 0)
 				}
@@ -179,7 +179,7 @@
 	})
 }
 
-// Of the shards that take a whole job, the one left with the least comes first.
+// Of the shards that fit a whole job, the one with the least capacity left comes first.
 func TestLeastRoomLeftComesFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := New(testSettings(), 1, now, nil, nil)
@@ -189,16 +189,16 @@
 	c.ApplyAggregate(now, testAggregate("c", 1, 8, 1))
 	job := &records.Job{ID: "run-1", AcceptedMS: now.UnixMilli(), Spec: wire.Submission{ID: "run-1", Team: "free", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 4, CPUs: 4, MemoryGB: 1}}
 	c.ApplyJob(now, "run-1", job, 5)
-	acts := c.Step(now)
-	if len(acts) != 1 {
-		t.Fatalf("%d assignments", len(acts))
+	commits := c.Step(now)
+	if len(commits) != 1 {
+		t.Fatalf("%d assignments", len(commits))
 	}
-	if ch := decodeCommit(acts[0]).Assignments; len(ch) != 1 || ch[0].Shard != "b" {
+	if ch := decodeCommit(commits[0]).Assignments; len(ch) != 1 || ch[0].Shard != "b" {
 		t.Fatalf("assignments %+v, wanted all in b", ch)
 	}
 }
 
-// Between two pushes the leader counts what it has just assigned.
+// Until the next aggregate the leader counts what it has just assigned.
 func TestBurstDoesNotPileUp(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := New(testSettings(), 1, now, nil, nil)
@@ -225,7 +225,7 @@
 }
 
 // A job that can still meet its objective comes before one that missed it;
-// priority, a long wait without a beginning, and guarantee come before both.
+// priority, being overdue and the guaranteed quota come before both.
 func TestOrder(t *testing.T) {
 	o := NewJobOrder([]settings.Objective{{Kind: "finished", Class: "c", WithinS: 90}})
 	now := time.Unix(10000, 0)
@@ -233,21 +233,21 @@
 		return &records.Job{ID: id, AcceptedMS: now.UnixMilli() - int64(age*1000), Spec: wire.Submission{ID: id, Class: "c", Kind: wire.KindArray, Priority: priority, Tasks: 1, CPUs: 1, EstimateS: estimate}}
 	}
 	in := []struct {
-		rec               *records.Job
-		guaranteed, begun bool
+		rec      *records.Job
+		progress JobProgress
 	}{
-		{job("prod", 0, 10, wire.PriorityProduction), false, false},
-		{job("overdue", constants.OverdueAfter.Seconds()+1, 10, wire.PriorityNormal), false, false},
-		{job("guaranteed", 0, 10, wire.PriorityNormal), true, false},
-		{job("older", 50, 10, wire.PriorityNormal), false, false},
-		{job("newer", 5, 10, wire.PriorityNormal), false, false},
-		{job("begun", constants.OverdueAfter.Seconds()+1, 10, wire.PriorityNormal), false, true},
-		{job("missed", 100, 10, wire.PriorityNormal), false, false},
-		{job("low", 50, 10, wire.PriorityLow), true, false},
+		{job("prod", 0, 10, wire.PriorityProduction), JobProgress{}},
+		{job("overdue", constants.OverdueAfter.Seconds()+1, 10, wire.PriorityNormal), JobProgress{}},
+		{job("guaranteed", 0, 10, wire.PriorityNormal), JobProgress{WithinGuarantee: true}},
+		{job("older", 50, 10, wire.PriorityNormal), JobProgress{}},
+		{job("newer", 5, 10, wire.PriorityNormal), JobProgress{}},
+		{job("begun", constants.OverdueAfter.Seconds()+1, 10, wire.PriorityNormal), JobProgress{Started: true}},
+		{job("missed", 100, 10, wire.PriorityNormal), JobProgress{}},
+		{job("low", 50, 10, wire.PriorityLow), JobProgress{WithinGuarantee: true}},
 	}
 	for i := range in {
 		for k := i + 1; k < len(in); k++ {
-			a, b := o.Rank(now, in[i].rec, in[i].guaranteed, in[i].begun), o.Rank(now, in[k].rec, in[k].guaranteed, in[k].begun)
+			a, b := o.Rank(now, in[i].rec, in[i].progress), o.Rank(now, in[k].rec, in[k].progress)
 			if !a.Before(b) || b.Before(a) {
 				t.Errorf("%s does not come before %s", in[i].rec.ID, in[k].rec.ID)
 			}
@@ -255,7 +255,7 @@
 	}
 }
 
-// A job of the largest size is handed over in portions.
+// A job of the largest size is assigned in portions.
 func TestHugeJobComesInPortions(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := New(testSettings(), 1, now, nil, nil)
@@ -264,21 +264,21 @@
 		c.ApplyAggregate(now, testAggregate(z, 1, 16, 1))
 	}
 	c.ApplyJob(now, "run-1", &records.Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", Team: "free", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: wire.MaxTasks, CPUs: 1, MemoryGB: 1}}, 5)
-	acts := c.Step(now)
-	if len(acts) != 1 {
-		t.Fatalf("%d assignments", len(acts))
+	commits := c.Step(now)
+	if len(commits) != 1 {
+		t.Fatalf("%d assignments", len(commits))
 	}
 	n := 0
-	for _, ch := range decodeCommit(acts[0]).Assignments {
+	for _, ch := range decodeCommit(commits[0]).Assignments {
 		n += ch.Tasks()
 	}
 	if n == 0 || n > 5000 {
-		t.Fatalf("%d tasks handed over at once", n)
+		t.Fatalf("%d tasks assigned at once", n)
 	}
 }
 
-// A lost answer's reservation ends with the next record; it must not take the
-// team's room for as long as the job lives.
+// The quota reserved for a commit whose reply was lost is freed by the next record; it
+// must not count for as long as the job lives.
 func TestReservationEndsWithNewerRecord(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := New(testSettings(), 1, now, nil, nil)
@@ -286,22 +286,22 @@
 	c.ApplyAggregate(now, testAggregate("a", 1, 64, 4))
 	job := &records.Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", Team: "t", Kind: wire.KindService, Priority: wire.PriorityNormal, Tasks: 2, CPUs: 5, MemoryGB: 1}}
 	c.ApplyJob(now, "run-1", job, 5)
-	acts := c.Step(now)
-	if len(acts) != 1 {
-		t.Fatalf("%d assignments", len(acts))
+	commits := c.Step(now)
+	if len(commits) != 1 {
+		t.Fatalf("%d assignments", len(commits))
 	}
-	c.ApplyCommitResult(now, "run-1", false, 0) // the answer was lost, but it was written
-	if cpus := c.quotaUsedByOthers("t", "").cpus; cpus != 10 {
+	c.ApplyCommitResult(now, "run-1", false, 0) // the reply was lost, but it was written
+	if cpus := c.usedQuotaExcept("t", "").cpus; cpus != 10 {
 		t.Fatalf("%g CPUs counted while the write may still come, wanted 10", cpus)
 	}
-	c.ApplyJob(now, "run-1", decodeCommit(acts[0]), 6)
-	if cpus := c.quotaUsedByOthers("t", "").cpus; cpus != 10 {
+	c.ApplyJob(now, "run-1", decodeCommit(commits[0]), 6)
+	if cpus := c.usedQuotaExcept("t", "").cpus; cpus != 10 {
 		t.Fatalf("%g CPUs counted, wanted the 10 of the record", cpus)
 	}
 }
 
-// A record that has no room for one more piece still takes tasks, as part of a
-// assignment that is there: a job in many pieces is not put off for ever.
+// A record that is too large for one more assignment still takes tasks, as part of an
+// assignment that is there: a job in many assignments is not put off for ever.
 func TestFullRecordStillGrows(t *testing.T) {
 	now := time.Unix(1000, 0)
 	set := testSettings()
@@ -317,13 +317,13 @@
 	left := 2000
 	for rev := uint64(5); len(job.Unassigned()) > 0; rev++ {
 		c.ApplyJob(now, "run-1", job, rev)
-		acts := c.Step(now)
-		if len(acts) != 1 {
-			t.Fatalf("%d assignments with %d tasks left", len(acts), left)
+		commits := c.Step(now)
+		if len(commits) != 1 {
+			t.Fatalf("%d assignments with %d tasks left", len(commits), left)
 		}
 		c.ApplyCommitResult(now, "run-1", false, rev+1)
-		if job = decodeCommit(acts[0]); len(acts[0].Txn.Changes[0].Value) > set.ValueBytes() {
-			t.Fatalf("a record of %d bytes", len(acts[0].Txn.Changes[0].Value))
+		if job = decodeCommit(commits[0]); len(commits[0].Txn.Changes[0].Value) > set.ValueBytes() {
+			t.Fatalf("a record of %d bytes", len(commits[0].Txn.Changes[0].Value))
 		}
 		n := 0
 		for _, r := range job.Unassigned() {
@@ -340,8 +340,8 @@
 	}
 }
 
-// A service that needs all that its team may use gets it, though small ones of
-// the team come past all the time.
+// A service that needs all of its team's quota limit is admitted, though small ones of
+// the team are submitted all the time.
 func TestLargeServiceIsAdmitted(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := New(testSettings(), 1, now, nil, nil)
@@ -381,7 +381,7 @@
 			put(j)
 			c.ApplyCommitResult(now, cm.JobID, cm.Urgent, rev)
 		}
-		for _, r := range jobs { // what has run for a while is cancelled and closed
+		for _, r := range jobs { // services that have run for a while are cancelled and closed
 			if len(r.job.Assignments) > 0 && now.After(r.end) && r.job.End == "" {
 				r.job = r.job.Clone()
 				r.job.End = wire.JobCancelled
--- a/leader/forecast.go
+++ b/leader/forecast.go
@@ -8,63 +8,84 @@
 	"ravenport/wire"
 )
 
-// Forecast is what will be assigned to a shard before long: work that waits for
-// the state service's allowance rather than for a decision.
+// Forecast is the work that the leader expects to assign to a shard soon: it waits for the
+// key-value store's request allowance rather than for a decision, so the shard's owner can
+// scale out for it meanwhile.
 type Forecast struct {
-	Revision uint64  `json:"rev"`  // assignments written later are part of it
-	Spot     float64 `json:"spot"` // CPUs that may go to spot machines
-	OnDemand float64 `json:"ord"`  // CPUs that may not
-	// TeamsAtLimit names teams whose limit keeps jobs waiting: what of theirs is done is
-	// recorded without waiting for the rest of its assignment.
+	Revision uint64  `json:"rev"`  // of the store: assignments written later are part of the forecast
+	Spot     float64 `json:"spot"` // CPUs of tasks that may run on spot machines
+	OnDemand float64 `json:"ord"`  // CPUs of tasks that may not
+	// TeamsAtLimit are the teams whose quota limit keeps jobs waiting. The owner records
+	// their finished tasks at once, without waiting for the rest of the assignment.
 	TeamsAtLimit []string `json:"held,omitempty"`
 }
 
-// unassignedWork is work in no assignment (CPUs).
+// unassignedWork is the work (CPUs) of tasks in no assignment.
 type unassignedWork struct{ spot, onDemand float64 }
 
 // add adds n tasks of a job.
-func (b *unassignedWork) add(s *wire.Submission, n int) {
+func (w *unassignedWork) add(s *wire.Submission, n int) {
+	cpus := float64(n) * s.CPUs
 	if s.Spot {
-		b.spot += float64(n) * s.CPUs
+		w.spot += cpus
 	} else {
-		b.onDemand += float64(n) * s.CPUs
+		w.onDemand += cpus
 	}
 }
 
-// BuildForecasts tells each shard its share of what is in no assignment yet, so that it can
-// rent for it meanwhile. revision is that of the records known.
+// BuildForecasts returns each shard's forecast, by shard: an equal part of the unassigned
+// work that may run anywhere, and all that is bound to the shard's zone. It returns nil if
+// there is nothing to forecast. revision is that of the records which the leader has read.
 func (c *Core) BuildForecasts(now time.Time, revision uint64) map[string]Forecast {
-	var anywhere unassignedWork
-	bound := map[string]unassignedWork{} // by zone, of jobs that may run in one alone
-	for _, j := range c.waiting {
-		s := &j.record.Spec
-		if now.UnixMilli()-j.record.AcceptedMS < constants.ForecastMinWait.Milliseconds() {
-			continue // its turn comes at once, and its owner may see no need to rent
+	unbound, boundToZone := c.unassignedWork(now)
+	teams := c.teamsAtLimit(now)
+	if unbound == (unassignedWork{}) && len(boundToZone) == 0 && len(teams) == 0 {
+		return nil
+	}
+	forecasts := map[string]Forecast{}
+	shards := float64(len(c.shards))
+	for zone := range c.shards {
+		forecasts[zone] = Forecast{
+			Revision:     revision,
+			Spot:         unbound.spot/shards + boundToZone[zone].spot,
+			OnDemand:     unbound.onDemand/shards + boundToZone[zone].onDemand,
+			TeamsAtLimit: teams,
+		}
+	}
+	return forecasts
+}
+
+// unassignedWork sums the work that quota limits admit: that of jobs which may run
+// anywhere and, by zone, that of jobs which may run in one zone alone.
+func (c *Core) unassignedWork(now time.Time) (unbound unassignedWork, boundToZone map[string]unassignedWork) {
+	boundToZone = map[string]unassignedWork{}
+	for _, job := range c.unassigned {
+		s := &job.record.Spec
+		if jobAge(now, job.record) < constants.ForecastMinWait {
+			continue // likely to be assigned at once, and its owner may see no need to scale out
 		}
-		n := c.tasksWithinLimit(s, records.TasksIn(j.record.Unassigned()))
+		n := c.tasksWithinLimit(s, records.TasksIn(job.record.Unassigned()))
 		if s.Zone == "" {
-			anywhere.add(s, n)
+			unbound.add(s, n)
 			continue
 		}
-		b := bound[s.Zone]
-		b.add(s, n)
-		bound[s.Zone] = b
+		bound := boundToZone[s.Zone]
+		bound.add(s, n)
+		boundToZone[s.Zone] = bound
 	}
-	var held []string
+	return unbound, boundToZone
+}
+
+// teamsAtLimit lists the teams whose quota limit kept a job waiting lately, and forgets
+// the others.
+func (c *Core) teamsAtLimit(now time.Time) []string {
+	var teams []string
 	for team, at := range c.limitedAt {
 		if now.Sub(at) < constants.ForecastTTL {
-			held = append(held, team)
+			teams = append(teams, team)
 		} else {
 			delete(c.limitedAt, team)
 		}
 	}
-	if anywhere == (unassignedWork{}) && len(bound) == 0 && len(held) == 0 {
-		return nil
-	}
-	out := map[string]Forecast{}
-	shards := float64(len(c.shards))
-	for z := range c.shards {
-		out[z] = Forecast{Revision: revision, Spot: anywhere.spot/shards + bound[z].spot, OnDemand: anywhere.onDemand/shards + bound[z].onDemand, TeamsAtLimit: held}
-	}
-	return out
+	return teams
 }
--- a/leader/gang.go
+++ b/leader/gang.go
@@ -12,173 +12,192 @@
 	"ravenport/wire"
 )
 
-// GangCapacity is how many tasks of one shape of gang a shard could start now. Sums
-// of free room do not tell: a gang needs all its places at one moment, so what
-// is coming or in pieces too small does not count.
+// GangCapacity is how many tasks of a gang of one shape a shard could start now. Sums of
+// free capacity do not tell that: a gang needs the capacity for all tasks at one moment,
+// so machines that are being provisioned and pieces that are too small do not count.
 type GangCapacity struct {
 	Now  int `json:"n"`
-	Warm int `json:"w,omitempty"` // of them, on machines that hold the image
+	Warm int `json:"w,omitempty"` // of them, on machines that have the image
 }
 
-// GangShape names what a gang's places depend on.
+// GangShape identifies all properties of a gang that its GangCapacity depends on.
 func GangShape(s *wire.Submission) string {
 	return fmt.Sprintf("%g/%g/%g/%s/%t/%s", s.CPUs, s.GPUs, s.MemoryGB, s.Image, s.Spot, strings.Join(s.Types, ","))
 }
 
-// gangEstimate are what a shard is ranked by for a gang.
+// gangEstimate is what a shard is ranked by for a gang.
 type gangEstimate struct {
-	startable, warm int     // tasks that could start at once, and with their image
-	reservedCPUs    float64 // room kept ready for gangs (CPUs)
+	startable    int     // tasks that could start now
+	warm         int     // of them, on machines that have the image
+	reservedCPUs float64 // kept free for gangs
 }
 
-// estimateGang are a shard's for a gang's shape. Where the owner does not know the shape
-// yet, takes stands for it.
-func (p *shardState) estimateGang(s *wire.Submission, takes int) gangEstimate {
-	room, known := p.aggregate.Gangs[GangShape(s)]
-	f := gangEstimate{reservedCPUs: p.aggregate.ReservedForGangs}
+// estimateGang estimates what a shard could start of a gang. estimatedTasks stands in where
+// the owner has not pushed the capacity for the gang's shape yet.
+func (sh *shardState) estimateGang(s *wire.Submission, estimatedTasks int) gangEstimate {
+	capacity, known := sh.aggregate.Gangs[GangShape(s)]
+	estimate := gangEstimate{reservedCPUs: sh.aggregate.ReservedForGangs}
 	if !known {
-		f.startable = takes
-		return f
+		estimate.startable = estimatedTasks
+		return estimate
 	}
 	if s.CPUs <= 0 {
-		return f
+		return estimate
 	}
-	taken := 0.0
-	for _, b := range p.reservations {
-		if b.gang {
-			taken += b.cpus
+	assignedCPUs := 0.0
+	for _, r := range sh.reservations {
+		if r.gang {
+			assignedCPUs += r.cpus
 		}
 	}
-	f.startable = room.Now - int(taken/s.CPUs)
-	f.warm = room.Warm - int(taken/s.CPUs)
-	return f
+	assignedTasks := int(assignedCPUs / s.CPUs)
+	estimate.startable = capacity.Now - assignedTasks
+	estimate.warm = capacity.Warm - assignedTasks
+	return estimate
 }
 
 // gangReadiness is how soon a shard would start a gang; less is sooner.
 type gangReadiness int
 
-// Kinds of readiness.
+// Values of gangReadiness.
 const (
-	startsWarm       gangReadiness = iota // at once, with its image
-	startsCold                            // at once
-	fitsAndScalesOut                      // it is estimated to have room, and can rent
-	scalesOut                             // it can rent
-	fitsOnly                              // it is estimated to have room
-	mustWait                              // it can only wait
+	startsWarm       gangReadiness = iota // now, on machines that have the image
+	startsCold                            // now
+	fitsAndScalesOut                      // by estimate it fits, and the shard can scale out
+	scalesOut                             // the shard can scale out
+	fitsOnly                              // by estimate it fits
+	mustWait                              // none of these
 )
 
 // readinessFor is how soon a shard would start n tasks of a gang.
 func (k *candidate) readinessFor(n int) gangReadiness {
+	fits := k.estimatedTasks >= n
 	switch {
 	case k.gang.warm >= n:
 		return startsWarm
 	case k.gang.startable >= n:
 		return startsCold
-	case k.estimatedTasks >= n && k.canScaleOut:
+	case fits && k.canScaleOut:
 		return fitsAndScalesOut
 	case k.canScaleOut:
 		return scalesOut
-	case k.estimatedTasks >= n:
+	case fits:
 		return fitsOnly
 	}
 	return mustWait
 }
 
-// rankForGang puts the shards first that would start n tasks of a gang soonest.
+// rankForGang puts the shards first that would start n tasks of a gang soonest. Among those
+// that start it now, more machines with the image come first, so that images gather on few
+// machines and are there the next time.
 func rankForGang(list []*candidate, n int) {
 	sort.SliceStable(list, func(a, b int) bool {
-		k, other := list[a], list[b]
-		x, y := k.readinessFor(n), other.readinessFor(n)
-		atOnce := x <= startsCold
+		x, y := list[a], list[b]
+		readiness := x.readinessFor(n)
+		if other := y.readinessFor(n); readiness != other {
+			return readiness < other
+		}
+		startsNow := readiness <= startsCold
 		switch {
-		case x != y:
-			return x < y
-		case atOnce && min(k.gang.warm, n) != min(other.gang.warm, n):
-			return k.gang.warm > other.gang.warm // the image comes to few machines, and is there the next time
-		case atOnce && k.gang.reservedCPUs != other.gang.reservedCPUs:
-			return k.gang.reservedCPUs > other.gang.reservedCPUs
-		case atOnce || x == fitsOnly:
-			return k.freeCPUs < other.freeCPUs
-		case x == fitsAndScalesOut || x == scalesOut:
-			return k.totalCPUs < other.totalCPUs
+		case startsNow && min(x.gang.warm, n) != min(y.gang.warm, n):
+			return x.gang.warm > y.gang.warm
+		case startsNow && x.gang.reservedCPUs != y.gang.reservedCPUs:
+			return x.gang.reservedCPUs > y.gang.reservedCPUs
+		case startsNow || readiness == fitsOnly:
+			return x.freeCPUs < y.freeCPUs
+		case readiness == fitsAndScalesOut || readiness == scalesOut:
+			return x.totalCPUs < y.totalCPUs
 		}
-		return k.queuedCPUs < other.queuedCPUs
+		return x.queuedCPUs < y.queuedCPUs
 	})
 }
 
-// planGang assigns a gang's tasks, all of them or none. One shard takes it whole:
-// of those that could start it at once with its image, then without, then of
-// those that are estimated to have room the one left with the least summed room,
-// then whoever can rent and is smallest. Only a gang that may not be in one shard,
-// or has long found none that takes it, is spread over several.
-func (c *Core) planGang(now time.Time, j *jobState) []plannedAssignment {
-	s := &j.record.Spec
-	if len(j.record.Assignments) > 0 {
-		return nil // some of it has not come back yet
+// planGang plans a gang's tasks, all of them or none. One shard takes it whole: the one
+// that would start it soonest. Only a gang that must not be in one shard, or that has been
+// overdue without a shard that takes it, is spread over several.
+func (c *Core) planGang(now time.Time, job *jobState) []plannedAssignment {
+	s := &job.record.Spec
+	if len(job.record.Assignments) > 0 {
+		return nil // owners have not sent all of it back yet
 	}
-	list, ok := c.candidates(now, j)
+	list, ok := c.candidates(now, job)
 	if !ok {
 		return nil
 	}
 	rankForGang(list, s.Tasks)
-	age := time.Duration(now.UnixMilli()-j.record.AcceptedMS) * time.Millisecond
-	if !s.Spread || s.Tasks == 1 {
-		// Where it has waited for long and no shard takes it, several may.
-		if s.OneZone || s.Zone != "" || len(list) == 1 || age < constants.OverdueAfter || list[0].readinessFor(s.Tasks) < scalesOut {
-			return []plannedAssignment{{list[0].shard, s.Tasks, true}}
-		}
+	if !c.maySpreadGang(now, job, list) {
+		return []plannedAssignment{{list[0].shard, s.Tasks, true}}
 	}
 	rankForGang(list, (s.Tasks+1)/2)
 	return spreadGang(list, s)
 }
 
-// spreadGang gives a gang to several shards, whole or not at all.
+// maySpreadGang reports whether a gang may be assigned to several of the shards, which are
+// ranked for it.
+func (c *Core) maySpreadGang(now time.Time, job *jobState, list []*candidate) bool {
+	s := &job.record.Spec
+	if s.Spread && s.Tasks != 1 {
+		return true
+	}
+	if s.OneZone || s.Zone != "" || len(list) == 1 {
+		return false
+	}
+	hasWaitedLong := jobAge(now, job.record) >= constants.OverdueAfter
+	return hasWaitedLong && list[0].readinessFor(s.Tasks) >= scalesOut
+}
+
+// spreadGang plans a gang for several shards, all of its tasks or none: nil if the shards
+// cannot hold it under the zone rules. Without zone rules each shard takes what fits it,
+// or an equal part if that is more, and the last takes the rest.
 func spreadGang(list []*candidate, s *wire.Submission) []plannedAssignment {
-	var out []plannedAssignment
+	var plan []plannedAssignment
 	left := s.Tasks
 	for i, k := range list {
-		t := min(left, k.maxTasks)
-		if !s.Spread {
-			// As much as each could have, the rest with the last.
-			if t = min(left, max(k.estimatedTasks, s.Tasks/len(list))); i == len(list)-1 {
-				t = left
-			}
+		var tasks int
+		switch {
+		case s.Spread:
+			tasks = min(left, k.maxTasks)
+		case i == len(list)-1:
+			tasks = left
+		default:
+			tasks = min(left, max(k.estimatedTasks, s.Tasks/len(list)))
 		}
-		if t > 0 {
-			out = append(out, plannedAssignment{k.shard, t, true})
-			left -= t
+		if tasks > 0 {
+			plan = append(plan, plannedAssignment{k.shard, tasks, true})
+			left -= tasks
 		}
 	}
 	if left > 0 {
-		return nil // the zones that may have it cannot hold it
+		return nil
 	}
-	return out
+	return plan
 }
 
-// incrementAttemptIfSpread gives a gang that is to run in several shards its next number.
-func incrementAttemptIfSpread(rec *records.Job) {
-	for _, ch := range rec.Assignments {
-		if ch.Shard != rec.Assignments[0].Shard {
-			rec.Attempt++
+// incrementAttemptIfSpread counts one more attempt of a gang that is to run in several
+// shards.
+func incrementAttemptIfSpread(record *records.Job) {
+	for _, a := range record.Assignments {
+		if a.Shard != record.Assignments[0].Shard {
+			record.Attempt++
 			return
 		}
 	}
 }
 
-// closeUnassignedIfDone closes what of a gang is in no assignment if another share of it is closed
-// already: that one's owner saw it done, and so all is. A share that lost its
-// machine as the gang completed was given back before anybody knew, and would
-// wait for the rest of the gang for ever.
-func closeUnassignedIfDone(rec *records.Job) bool {
-	if !slices.ContainsFunc(rec.Assignments, func(ch records.Assignment) bool { return ch.Closed }) {
+// closeUnassignedIfDone closes the unassigned tasks of a gang if another assignment of it
+// is closed already: that one's owner saw the gang done, so all of it is. It reports
+// whether it did. Tasks that lost their machine as the gang completed were sent back before
+// anybody knew, and would wait for the rest of the gang for ever.
+func closeUnassignedIfDone(record *records.Job) bool {
+	if !slices.ContainsFunc(record.Assignments, func(a records.Assignment) bool { return a.Closed }) {
 		return false
 	}
-	for _, r := range rec.Unassigned() {
-		rec.Assignments = append(rec.Assignments, records.Assignment{From: r.From, To: r.To, Closed: true})
+	for _, r := range record.Unassigned() {
+		record.Assignments = append(record.Assignments, records.Assignment{From: r.From, To: r.To, Closed: true})
 	}
-	rec.Normalize()
-	if rec.AllClosed() {
-		rec.End = wire.JobDone
+	record.Normalize()
+	if record.AllClosed() {
+		record.End = wire.JobDone
 	}
 	return true
 }
--- a/leader/gang_test.go
+++ b/leader/gang_test.go
@@ -15,7 +15,7 @@
 		Tasks: tasks, CPUs: 2, MemoryGB: 1, Image: "i"}}
 }
 
-// newTestLeader is a leader with authority that has heard nothing yet.
+// newTestLeader returns a leader with authority that has no aggregates and no jobs yet.
 func newTestLeader() (time.Time, *settings.Settings, *Core) {
 	now, set := time.Unix(1000, 0), testSettings()
 	c := New(set, 1, now, nil, nil)
@@ -23,8 +23,8 @@
 	return now, set, c
 }
 
-// A gang goes to one shard as one range: to one that could start it at once,
-// however little is left elsewhere, and with its image if there is one.
+// A gang is assigned to one shard as one range: to one that could start it now, however
+// little capacity is left elsewhere, and on machines with its image if there are any.
 func TestGangGoesWhole(t *testing.T) {
 	now := time.Unix(1000, 0)
 	set := testSettings()
@@ -45,19 +45,19 @@
 			c.ApplyAggregate(now, a)
 		}
 		c.ApplyJob(now, "run-1", job, 5)
-		acts := c.Step(now)
-		if len(acts) != 1 {
-			t.Fatalf("%s: %d assignments", name, len(acts))
+		commits := c.Step(now)
+		if len(commits) != 1 {
+			t.Fatalf("%s: %d assignments", name, len(commits))
 		}
-		rec := decodeCommit(acts[0])
+		rec := decodeCommit(commits[0])
 		if len(rec.Assignments) != 1 || rec.Assignments[0].Tasks() != 6 || rec.Assignments[0].Shard != want || rec.Attempt != 0 {
 			t.Fatalf("%s: %+v, wanted all in %s", name, rec, want)
 		}
 	}
 }
 
-// A gang that may not be in one shard is spread under a number that rises with each
-// assignment, and is assigned again only when all of it has come back.
+// A gang that must not be in one shard is spread under an attempt number that rises with
+// each assignment, and is assigned again only when owners have sent all of it back.
 func TestSpreadGangIsNumbered(t *testing.T) {
 	now, set, c := newTestLeader()
 	job := gangJob(5)
@@ -71,11 +71,11 @@
 	for attempt := uint64(1); attempt < 4; attempt++ {
 		push()
 		c.ApplyJob(now, "run-1", job, rev)
-		acts := c.Step(now)
-		if len(acts) != 1 {
-			t.Fatalf("%d assignments", len(acts))
+		commits := c.Step(now)
+		if len(commits) != 1 {
+			t.Fatalf("%d assignments", len(commits))
 		}
-		rec := decodeCommit(acts[0])
+		rec := decodeCommit(commits[0])
 		in := map[string]int{}
 		for _, ch := range rec.Assignments {
 			in[ch.Shard] += ch.Tasks()
@@ -97,7 +97,7 @@
 		now = now.Add(time.Minute)
 		push()
 		c.ApplyJob(now, "run-1", half, rev)
-		if acts := c.Step(now); len(acts) > 0 {
+		if commits := c.Step(now); len(commits) > 0 {
 			t.Fatal("assigned again while some of it is in a shard")
 		}
 		job = half.Clone()
@@ -107,7 +107,7 @@
 	}
 }
 
-// A gang counts whole towards its team's limit: nothing of it is assigned before
+// A gang counts whole towards its team's quota limit: nothing of it is assigned before
 // all fits, and all of it counts from then on.
 func TestGangIsAdmittedWhole(t *testing.T) {
 	now, set, c := newTestLeader()
@@ -119,17 +119,17 @@
 		j.ID, j.Spec.ID, j.Spec.Team = []string{"run-1", "run-2"}[i], []string{"run-1", "run-2"}[i], "t"
 		c.ApplyJob(now, j.ID, j, uint64(5+i))
 	}
-	acts := c.Step(now)
-	if len(acts) != 1 {
-		t.Fatalf("%d gangs of 14 and 8 CPUs were assigned within 20", len(acts))
+	commits := c.Step(now)
+	if len(commits) != 1 {
+		t.Fatalf("%d gangs of 14 and 8 CPUs were assigned within 20", len(commits))
 	}
-	if rec := decodeCommit(acts[0]); len(rec.Unassigned()) > 0 {
+	if rec := decodeCommit(commits[0]); len(rec.Unassigned()) > 0 {
 		t.Fatalf("%+v: not whole", rec)
 	}
 }
 
 // Assignments that are repeated until they are written are few at a time, however
-// many services a cold start brings: hundreds took the state service's requests
+// many services a cold start brings: hundreds took the key-value store's requests
 // from leases and from all other writes.
 func TestFewUrgentAssignmentsAtOnce(t *testing.T) {
 	now, set, c := newTestLeader()
@@ -167,20 +167,20 @@
 	}
 }
 
-// A share that its owner gave back as the gang completed elsewhere is closed: a
-// closed share says that all is done. Found by a generated day on which the gang
-// was done and never told as such.
+// An assignment that its owner sent back as the gang completed elsewhere is closed: a
+// closed assignment says that all is done. Found by a generated day on which the gang
+// was done and never reported as such.
 func TestRestOfDoneGangIsClosed(t *testing.T) {
 	now, _, c := newTestLeader()
 	job := gangJob(4)
 	job.Spec.Spread, job.Attempt = true, 1
 	job.Assignments = []records.Assignment{{From: 0, To: 2, Shard: "a", Closed: true}}
 	c.ApplyJob(now, "run-1", job, 5)
-	acts := c.Step(now)
-	if len(acts) != 1 {
-		t.Fatalf("%d writes", len(acts))
+	commits := c.Step(now)
+	if len(commits) != 1 {
+		t.Fatalf("%d writes", len(commits))
 	}
-	if rec := decodeCommit(acts[0]); rec.End != wire.JobDone || !rec.AllClosed() {
+	if rec := decodeCommit(commits[0]); rec.End != wire.JobDone || !rec.AllClosed() {
 		t.Fatalf("%+v", rec)
 	}
 }
--- a/leader/order.go
+++ b/leader/order.go
@@ -2,7 +2,7 @@
 
 import (
 	"cmp"
-	"sort"
+	"slices"
 	"strings"
 	"time"
 
@@ -12,133 +12,165 @@
 	"ravenport/wire"
 )
 
-// JobOrder ranks jobs that wait: by priority, then those that have waited long and
-// nothing of which has begun, then guaranteed work, then gangs, whose tasks begin
-// together or not at all, then those of which an
-// objective can still be met before those that missed it, then by age and work.
+// starvationFactor: a job that would finish after so many times its class's last
+// objective is ranked as if it had missed none, since what has waited longest must not
+// starve.
+const starvationFactor = 4
+
+// JobOrder ranks waiting jobs: by priority, then overdue jobs, then those within their
+// team's guaranteed quota, then gangs, whose tasks start together or not at all, then
+// services, then arrays that can still meet an objective on their finish, then by age and
+// work.
 type JobOrder struct {
-	finishObjectives map[string][]time.Duration // by class, rising
-	startObjectives  map[string]time.Duration   // by class, the first
+	finishObjectives map[string][]time.Duration // by class, in rising order
+	startObjectives  map[string]time.Duration   // by class, the shortest
 }
 
-// NewJobOrder takes in the deployment's objectives.
+// NewJobOrder returns the order under a deployment's objectives.
 func NewJobOrder(objectives []settings.Objective) JobOrder {
 	o := JobOrder{finishObjectives: map[string][]time.Duration{}, startObjectives: map[string]time.Duration{}}
-	for _, x := range objectives {
-		if x.Kind == "finished" && x.WithinS > 0 {
-			o.finishObjectives[x.Class] = append(o.finishObjectives[x.Class], settings.Seconds(x.WithinS))
+	for _, objective := range objectives {
+		within := settings.Seconds(objective.WithinS)
+		if objective.Kind == "finished" && objective.WithinS > 0 {
+			o.finishObjectives[objective.Class] = append(o.finishObjectives[objective.Class], within)
 		}
-		if w := settings.Seconds(x.WithinS); x.Kind == "wait" && w > 0 && (o.startObjectives[x.Class] == 0 || w < o.startObjectives[x.Class]) {
-			o.startObjectives[x.Class] = w
+		shortest := o.startObjectives[objective.Class]
+		if objective.Kind == "wait" && within > 0 && (shortest == 0 || within < shortest) {
+			o.startObjectives[objective.Class] = within
 		}
 	}
-	for _, w := range o.finishObjectives {
-		sort.Slice(w, func(a, b int) bool { return w[a] < w[b] })
+	for _, objectives := range o.finishObjectives {
+		slices.Sort(objectives)
 	}
 	return o
 }
 
-// FinishObjective is the first objective on finishing of a class; 0: it has none.
+// FinishObjective is the shortest objective on the finish of a class's jobs; 0 if there is
+// none.
 func (o JobOrder) FinishObjective(class string) time.Duration {
-	if w := o.finishObjectives[class]; len(w) > 0 {
-		return w[0]
+	if objectives := o.finishObjectives[class]; len(objectives) > 0 {
+		return objectives[0]
 	}
 	return 0
 }
 
-// StartObjective is the first objective on starting of a class; 0: it has none.
+// StartObjective is the shortest objective on the start of a class's jobs; 0 if there is
+// none.
 func (o JobOrder) StartObjective(class string) time.Duration { return o.startObjectives[class] }
 
-// ObjectivesMet is how many objectives on finishing a job of a class meets that is
-// done after that long.
+// ObjectivesMet is how many of its class's objectives a job meets that finishes so long
+// after it was accepted.
 func (o JobOrder) ObjectivesMet(class string, after time.Duration) int {
-	n := 0
-	for _, w := range o.finishObjectives[class] {
-		if after <= w {
-			n++
+	met := 0
+	for _, objective := range o.finishObjectives[class] {
+		if after <= objective {
+			met++
 		}
 	}
-	return n
+	return met
 }
 
-// Rank is a job's place in the order; smaller comes first.
+// Rank is a job's position in the order. Fields are compared in turn, and the smaller
+// value comes first.
 type Rank struct {
 	priority         int
-	notOverdue       int     // 0: nothing of it has begun, and it is time
-	beyondGuarantee  int     // 1: beyond the team's guarantee
-	notGang          int     // 0: a gang, which needs all its room at one moment
-	missedObjectives int     // objectives missed so far
-	score            float64 // seconds: when it was accepted, later for more work
-	acceptedMS       int64
+	notOverdue       int     // 0: none of its tasks has started, and it has waited too long
+	beyondGuarantee  int     // 0: within its team's guaranteed quota
+	notGang          int     // 0: a gang, which needs all its capacity at one moment
+	missedObjectives int     // on its finish, if it started now
+	score            float64 // when it was accepted (Unix seconds), and later for more work
+	acceptedMS       int64   // Unix milliseconds
 	id               string
 }
 
-// IsOverdue says whether a job of which nothing has begun has waited so long that
-// it comes before all others of its priority: without this, large jobs and those
-// that missed their objectives would starve under lasting overload.
-func IsOverdue(now time.Time, rec *records.Job, begun bool) bool {
-	return !begun && now.UnixMilli()-rec.AcceptedMS > constants.OverdueAfter.Milliseconds()
+// JobProgress is what the rank of a job depends on beside its record.
+type JobProgress struct {
+	WithinGuarantee bool // its waiting tasks are within the team's guaranteed quota
+	Started         bool // some of its tasks run or are done
+}
+
+// IsOverdue reports whether a job of which no task has started has waited so long that it
+// comes before all others of its priority. Without this, large jobs and those that missed
+// their objectives would starve under lasting overload.
+func IsOverdue(now time.Time, record *records.Job, started bool) bool {
+	return !started && jobAge(now, record) > constants.OverdueAfter
 }
 
-// OverdueBatch is how many of an overdue array's tasks come before all others: so
-// that it begins, and does not keep the others from beginning.
+// OverdueBatch is how many of an overdue array's tasks come before all others: enough for
+// it to begin, but not so many that the others cannot.
 func OverdueBatch(tasks int) int { return max(1, tasks/constants.OverdueDivisor) }
 
-// Rank ranks a job; guaranteed says whether what waits of it is within its
-// team's guarantee, begun whether any of its tasks runs or is done.
-func (o JobOrder) Rank(now time.Time, rec *records.Job, guaranteed, begun bool) Rank {
-	s := &rec.Spec
-	p := Rank{beyondGuarantee: 1, notOverdue: 1, notGang: 1, priority: -wire.PriorityLevel(s.Priority), acceptedMS: rec.AcceptedMS, id: rec.ID}
-	if guaranteed {
-		p.beyondGuarantee = 0
+// jobAge is the time since a job was accepted.
+func jobAge(now time.Time, record *records.Job) time.Duration {
+	return time.Duration(now.UnixMilli()-record.AcceptedMS) * time.Millisecond
+}
+
+// Rank returns a job's rank.
+func (o JobOrder) Rank(now time.Time, record *records.Job, progress JobProgress) Rank {
+	s := &record.Spec
+	rank := Rank{
+		priority:        -wire.PriorityLevel(s.Priority),
+		notOverdue:      1,
+		beyondGuarantee: 1,
+		notGang:         1,
+		acceptedMS:      record.AcceptedMS,
+		id:              record.ID,
+	}
+	if progress.WithinGuarantee {
+		rank.beyondGuarantee = 0
 	}
-	if IsOverdue(now, rec, begun) {
-		p.notOverdue = 0
+	if IsOverdue(now, record, progress.Started) {
+		rank.notOverdue = 0
 	}
 	if s.IsService() {
-		return p
+		return rank
 	}
 	if s.IsGang() {
-		p.notGang = 0
+		rank.notGang = 0
 	}
-	age := time.Duration(now.UnixMilli()-rec.AcceptedMS) * time.Millisecond
-	end := age + settings.Seconds(s.EstimateS)
+	finish := jobAge(now, record) + settings.Seconds(s.EstimateS)
+	rank.missedObjectives = o.missedObjectives(s.Class, finish)
+	rank.score = float64(record.AcceptedMS)/1000 + float64(s.Tasks)*s.CPUs*s.EstimateS/constants.RankWorkPerSecond
+	return rank
+}
+
+// missedObjectives is how many objectives count as missed by a job of a class that would
+// finish so long after it was accepted.
+func (o JobOrder) missedObjectives(class string, finish time.Duration) int {
+	missed := 0
 	last := time.Duration(0)
-	for _, w := range o.finishObjectives[s.Class] {
-		last = w
-		if end > w {
-			p.missedObjectives++
+	for _, objective := range o.finishObjectives[class] {
+		last = objective
+		if finish > objective {
+			missed++
 		}
 	}
-	// Beyond the last objective every doubling of the time counts as one more,
-	// the other way round: what has waited longest must not starve.
-	if last > 0 && end > 4*last {
-		p.missedObjectives = 0
+	if last > 0 && finish > starvationFactor*last {
+		return 0
 	}
-	p.score = float64(rec.AcceptedMS)/1000 + float64(s.Tasks)*s.CPUs*s.EstimateS/constants.RankWorkPerSecond
-	return p
+	return missed
 }
 
-// Compare orders places: the one that comes first is less.
-func (p Rank) Compare(q Rank) int {
+// Compare orders ranks: the one that comes first is less.
+func (r Rank) Compare(other Rank) int {
 	switch {
-	case p.priority != q.priority:
-		return cmp.Compare(p.priority, q.priority)
-	case p.notOverdue != q.notOverdue:
-		return cmp.Compare(p.notOverdue, q.notOverdue)
-	case p.beyondGuarantee != q.beyondGuarantee:
-		return cmp.Compare(p.beyondGuarantee, q.beyondGuarantee)
-	case p.notGang != q.notGang:
-		return cmp.Compare(p.notGang, q.notGang)
-	case p.missedObjectives != q.missedObjectives:
-		return cmp.Compare(p.missedObjectives, q.missedObjectives)
-	case p.score != q.score:
-		return cmp.Compare(p.score, q.score)
-	case p.acceptedMS != q.acceptedMS:
-		return cmp.Compare(p.acceptedMS, q.acceptedMS)
+	case r.priority != other.priority:
+		return cmp.Compare(r.priority, other.priority)
+	case r.notOverdue != other.notOverdue:
+		return cmp.Compare(r.notOverdue, other.notOverdue)
+	case r.beyondGuarantee != other.beyondGuarantee:
+		return cmp.Compare(r.beyondGuarantee, other.beyondGuarantee)
+	case r.notGang != other.notGang:
+		return cmp.Compare(r.notGang, other.notGang)
+	case r.missedObjectives != other.missedObjectives:
+		return cmp.Compare(r.missedObjectives, other.missedObjectives)
+	case r.score != other.score:
+		return cmp.Compare(r.score, other.score)
+	case r.acceptedMS != other.acceptedMS:
+		return cmp.Compare(r.acceptedMS, other.acceptedMS)
 	}
-	return strings.Compare(p.id, q.id)
+	return strings.Compare(r.id, other.id)
 }
 
-// Before says whether a place comes before another.
-func (p Rank) Before(q Rank) bool { return p.Compare(q) < 0 }
+// Before reports whether a rank comes before another.
+func (r Rank) Before(other Rank) bool { return r.Compare(other) < 0 }
--- /dev/null
+++ b/leader/quota.go
@@ -0,0 +1,91 @@
+package leader
+
+import "ravenport/wire"
+
+// quotaAmount is an amount of the resources that count against a team's guaranteed quota
+// and quota limit.
+type quotaAmount struct{ cpus, gpus float64 }
+
+// quotaOf is what n tasks of a job count.
+func quotaOf(s *wire.Submission, n int) quotaAmount {
+	return quotaAmount{float64(n) * s.CPUs, float64(n) * s.GPUs}
+}
+
+func (a quotaAmount) plus(b quotaAmount) quotaAmount {
+	return quotaAmount{a.cpus + b.cpus, a.gpus + b.gpus}
+}
+
+func (a quotaAmount) minus(b quotaAmount) quotaAmount {
+	return quotaAmount{a.cpus - b.cpus, a.gpus - b.gpus}
+}
+
+// maxOfEach is the larger amount of each resource.
+func (a quotaAmount) maxOfEach(b quotaAmount) quotaAmount {
+	return quotaAmount{max(a.cpus, b.cpus), max(a.gpus, b.gpus)}
+}
+
+// setOpenQuota sets what a job's open assignments count against its team's quota. Only
+// durable evidence frees quota: an assignment counts until its record says that it is
+// closed.
+func (c *Core) setOpenQuota(job *jobState, open quotaAmount) {
+	c.replaceUsedQuota(job.record.Spec.Team, job.openQuota, open)
+	job.openQuota = open
+}
+
+// setReservedQuota sets what a job's in-flight assignment may come to count.
+func (c *Core) setReservedQuota(jobID, team string, reserved quotaAmount) {
+	c.replaceUsedQuota(team, c.reservedQuota[jobID], reserved)
+	if reserved == (quotaAmount{}) {
+		delete(c.reservedQuota, jobID)
+	} else {
+		c.reservedQuota[jobID] = reserved
+	}
+}
+
+// replaceUsedQuota replaces one part of what a team uses by another.
+func (c *Core) replaceUsedQuota(team string, before, after quotaAmount) {
+	c.usedQuota[team] = c.usedQuota[team].minus(before).plus(after)
+}
+
+// usedQuotaExcept is what a team's open and in-flight assignments count, without the
+// in-flight assignment of one job.
+func (c *Core) usedQuotaExcept(team, inFlightJobID string) quotaAmount {
+	return c.usedQuota[team].minus(c.reservedQuota[inFlightJobID])
+}
+
+// tasksWithinLimit is how many of n more tasks of a job its team's quota limit allows.
+func (c *Core) tasksWithinLimit(s *wire.Submission, n int) int {
+	team := c.settings.Team(s.Team)
+	if team == nil || team.CPUsMax <= 0 && team.GPUsMax <= 0 {
+		return n
+	}
+	used := c.usedQuotaExcept(s.Team, s.ID)
+	if team.CPUsMax > 0 {
+		n = tasksThatFit(n, team.CPUsMax-used.cpus, s.CPUs)
+	}
+	if team.GPUsMax > 0 {
+		n = tasksThatFit(n, team.GPUsMax-used.gpus, s.GPUs)
+	}
+	return max(n, 0)
+}
+
+// tasksWithinGuarantee is how many more tasks of a job fit its team's guaranteed quota
+// beside the team's other assignments.
+func (c *Core) tasksWithinGuarantee(s *wire.Submission) int {
+	team := c.settings.Team(s.Team)
+	if team == nil || team.CPUs <= 0 && team.GPUs <= 0 {
+		return 0
+	}
+	used := c.usedQuotaExcept(s.Team, s.ID)
+	n := tasksThatFit(s.Tasks, team.CPUs-used.cpus, s.CPUs)
+	n = tasksThatFit(n, team.GPUs-used.gpus, s.GPUs)
+	return max(n, 0)
+}
+
+// tasksThatFit is how many of n tasks fit what is free of one resource.
+func tasksThatFit(n int, free, perTask float64) int {
+	if perTask <= 0 {
+		return n
+	}
+	return min(n, int(free/perTask+roundingTolerance))
+}
--- a/leader/scale_test.go
+++ b/leader/scale_test.go
@@ -10,19 +10,19 @@
 	"ravenport/wire"
 )
 
-// backlog is a leader with many jobs in no shard, of which all that may be under way
-// is under way: so it is for a while after a cold start and in a burst.
+// backlog returns a leader with many jobs in no shard and as many commits in flight as
+// allowed, as it is for a while after a cold start and in a burst.
 func backlog(jobs int) (*Core, time.Time) {
 	now := time.Unix(1000, 0)
-	recs, versions := map[string]*records.Job{}, map[string]uint64{}
+	jobRecords, versions := map[string]*records.Job{}, map[string]uint64{}
 	for i := range jobs {
 		s := wire.Submission{ID: fmt.Sprintf("run-%04d", i), Class: "c", Team: "free", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 80, CPUs: 4, MemoryGB: 12, EstimateS: float64(10 + i%20), Spot: true}
 		if i%3 == 0 {
 			s.Kind, s.Priority, s.Tasks, s.Spread, s.Spot = wire.KindService, wire.PriorityProduction, 8, true, false
 		}
-		recs[s.ID], versions[s.ID] = &records.Job{ID: s.ID, Spec: s, AcceptedMS: now.UnixMilli() - int64(i)*100}, uint64(10+i)
+		jobRecords[s.ID], versions[s.ID] = &records.Job{ID: s.ID, Spec: s, AcceptedMS: now.UnixMilli() - int64(i)*100}, uint64(10+i)
 	}
-	c := New(testSettings(), 5, now, recs, versions)
+	c := New(testSettings(), 5, now, jobRecords, versions)
 	c.SetAuthority(now.Add(time.Hour))
 	for _, p := range []string{"a", "b", "c"} {
 		c.ApplyAggregate(now, testAggregate(p, 1, 6400, 400))
@@ -43,8 +43,8 @@
 	}
 }
 
-// While all that may be under way is under way, a step costs no more than a look at
-// what waits: it allocates nothing for a job.
+// While as many commits are in flight as allowed, a round costs no more than one pass over
+// the waiting jobs: it allocates nothing for a job.
 func TestBacklogStepAllocatesLittle(t *testing.T) {
 	c, now := backlog(600)
 	if c.urgentInFlight == 0 || c.inFlight == 0 {
--- a/shard/placement.go
+++ b/shard/placement.go
@@ -16,7 +16,7 @@
 	q := make([]*job, 0, len(p.waiting))
 	for j := range p.waiting {
 		q = append(q, j)
-		j.place = v.cfg.Order.Rank(now, j.rec, j.waiting[0].guarantee, j.begun)
+		j.place = v.cfg.Order.Rank(now, j.rec, leader.JobProgress{WithinGuarantee: j.waiting[0].guarantee, Started: j.begun})
 	}
 	slices.SortFunc(q, func(a, b *job) int { return a.place.Compare(b.place) })
 	return q
