--- a/apiserver/cancellations.go
+++ b/apiserver/cancellations.go
@@ -4,86 +4,76 @@
 	"context"
 	"errors"
 	"log/slog"
+	"net/http"
 
 	"ravenport/constants"
-	"ravenport/httpwire"
 	"ravenport/kvstore"
+	"ravenport/logkey"
 	"ravenport/records"
 	"ravenport/wire"
 )
 
-// note tells control of a cancellation before any user hears of it. It runs beside
-// the actor.
-func (d *Server) note(rec *records.Job, revision uint64) {
-	if rec.End == wire.JobCancelled {
-		d.controller.Tell(JobCancelled{rec.ID, revision})
-	}
-}
-
-func (d *Server) cancel(ctx context.Context, m Cancel) {
-	if k, ok := d.jobs[m.JobID]; ok && k.endState != "" {
-		m.Request.Respond(&httpwire.Response{Status: 200, Body: body(wire.Accepted{ID: m.JobID, Status: k.endState})})
+// cancel answers at once if the job is known to have ended, and otherwise cancels it
+// on a goroutine of its own. Repeating a cancellation is idempotent: the response names
+// the state in which the job ended.
+func (s *Server) cancel(ctx context.Context, m Cancel) {
+	if job, ok := s.jobs[m.JobID]; ok && job.endState != "" {
+		respondEnded(m.Request, m.JobID, job.endState)
 		return
 	}
-	if d.pendingRequests >= constants.MaxPendingRequests {
-		Refuse(m.Request, 429, "overloaded")
+	if s.pendingRequests >= constants.MaxPendingRequests {
+		rejectTooManyRequests.respond(m.Request)
 		return
 	}
-	d.pendingRequests++
-	sizes := d.sizeLimits
+	s.pendingRequests++
+	sizeLimits := s.sizeLimits
 	go func() {
-		defer d.self.Tell(finished{})
+		defer s.self.Tell(requestDone{})
 		ctx, cancel := context.WithTimeout(ctx, constants.UserRequestTimeout)
 		defer cancel()
-		end, err := d.end(ctx, m.JobID, sizes)
+		endState, err := s.cancelJob(ctx, m.JobID, sizeLimits)
 		switch {
 		case err != nil:
-			Refuse(m.Request, 503, "state service away")
-		case end == "":
-			m.Request.Respond(&httpwire.Response{Status: 404, Body: body(wire.Problem{Error: "no such job"})})
+			rejectStoreUnavailable.respond(m.Request)
+		case endState == "":
+			rejectNoSuchID.respond(m.Request)
 		default:
-			m.Request.Respond(&httpwire.Response{Status: 200, Body: body(wire.Accepted{ID: m.JobID, Status: end})})
+			respondEnded(m.Request, m.JobID, endState)
 		}
 	}()
 }
 
-// end cancels a job that is not over and returns how it ended; empty if there
-// is no such job. It runs beside the actor.
-func (d *Server) end(ctx context.Context, id string, sizes records.SizeLimits) (string, error) {
+func respondEnded(request Request, jobID, endState string) {
+	respondJSON(request, http.StatusOK, wire.Accepted{ID: jobID, Status: endState})
+}
+
+// cancelJob cancels a job that has not ended and returns the state in which it ended;
+// empty if there is no such job. It runs on a goroutine of its own.
+func (s *Server) cancelJob(ctx context.Context, jobID string, sizeLimits records.SizeLimits) (endState string, err error) {
 	for {
-		rec, version, err := d.fetch(ctx, id)
+		job, version, err := s.readJob(ctx, jobID)
 		if err != nil {
 			return "", err
 		}
-		if rec == nil {
+		if job == nil {
 			return "", nil
 		}
-		if rec.End != "" {
-			d.note(rec, version)
-			return rec.End, nil
-		}
-		was := *rec
-		rec.End = wire.JobCancelled
-		value, ok := sizes.Encode(rec, &was)
-		if !ok {
-			slog.Error("job's record does not fit", "job", id, "bytes", len(value))
-			return "", kvstore.ErrRefused
+		if job.End != "" {
+			s.notifyIfCancelled(job, version)
+			return job.End, nil
 		}
-		txn := wire.Txn{
-			Conditions: []wire.Condition{{Key: records.KeyJob(id), Version: version}},
-			Changes:    []wire.Change{{Put: records.KeyJob(id), Value: value}},
-		}
-		revision, err := d.commit(ctx, txn)
-		var conflict *kvstore.ConflictError
+		revision, err := s.writeCancellation(ctx, job, version, sizeLimits)
 		switch {
 		case err == nil:
-			d.note(rec, revision)
-			return rec.End, nil
-		case errors.Is(err, kvstore.ErrInvalidRequest) && !sizes.Packing:
-			sizes.Packing = true // the smaller limits have come, so all have this version
-		case errors.As(err, &conflict), errors.Is(err, kvstore.ErrOutcomeUnknown):
-			// Another change came first, or it is not known whether this one
-			// was made: the key itself tells.
+			s.notifyIfCancelled(job, revision)
+			return job.End, nil
+		case errors.Is(err, kvstore.ErrInvalidRequest) && !sizeLimits.Packing:
+			// The store's smaller size limits are in force, which they are only once
+			// every controller has this version and reads packed records.
+			sizeLimits.Packing = true
+		case isConflict(err), errors.Is(err, kvstore.ErrOutcomeUnknown):
+			// Another change came first, or it is not known whether this one was
+			// made: reading the key again decides.
 			if ctx.Err() != nil {
 				return "", err
 			}
@@ -92,3 +82,33 @@
 		}
 	}
 }
+
+// writeCancellation marks job as cancelled and writes its record, on the condition
+// that its key still has the given version. It returns the revision of the write.
+func (s *Server) writeCancellation(ctx context.Context, job *records.Job, version uint64, sizeLimits records.SizeLimits) (uint64, error) {
+	before := *job
+	job.End = wire.JobCancelled
+	value, ok := sizeLimits.Encode(job, &before)
+	if !ok {
+		slog.Error("job's record does not fit", logkey.JobID, job.ID, "bytes", len(value))
+		return 0, kvstore.ErrRefused
+	}
+	key := records.KeyJob(job.ID)
+	return s.commit(ctx, wire.Txn{
+		Conditions: []wire.Condition{{Key: key, Version: version}},
+		Changes:    []wire.Change{{Put: key, Value: value}},
+	})
+}
+
+// notifyIfCancelled tells the controller of a stored cancellation before any user is
+// told of it (docs/safety.md, point 12). It may run on any goroutine.
+func (s *Server) notifyIfCancelled(job *records.Job, revision uint64) {
+	if job.End == wire.JobCancelled {
+		s.controller.Tell(JobCancelled{JobID: job.ID, Revision: revision})
+	}
+}
+
+func isConflict(err error) bool {
+	var conflict *kvstore.ConflictError
+	return errors.As(err, &conflict)
+}
--- /dev/null
+++ b/apiserver/messages.go
@@ -0,0 +1,78 @@
+package apiserver
+
+import (
+	"time"
+
+	"ravenport/httpwire"
+	"ravenport/records"
+	"ravenport/wire"
+)
+
+// Request is a user's request that waits for its response.
+type Request interface {
+	// Respond sends the response. It may be called from any goroutine, once.
+	Respond(*httpwire.Response)
+}
+
+// Messages that the API server receives from others.
+type (
+	// Submit requests that a job be accepted.
+	Submit struct {
+		Request Request
+		Body    []byte // the submission as the user sent it (JSON)
+	}
+	// Poll requests a job's state.
+	Poll struct {
+		Request Request
+		JobID   string
+	}
+	// Cancel requests a job's cancellation.
+	Cancel struct {
+		Request Request
+		JobID   string
+	}
+	// GetMetrics requests the metrics in Prometheus' text format.
+	GetMetrics struct{ Request Request }
+	// MachineTypes replaces the cloud's machine types.
+	MachineTypes []wire.MachineType
+	// ShardCounts replaces a shard's counts of running and done tasks by job.
+	ShardCounts struct {
+		Shard string
+		ByJob records.CountsByJob
+	}
+	// SetRelays replaces the controllers that reach the store, as far as is known.
+	SetRelays struct{ Relays []Relay }
+	// PackingEnabled says that every controller reads packed records.
+	PackingEnabled struct{}
+	// Tick makes the API server check for polls that have waited too long.
+	Tick time.Time
+)
+
+// JobCancelled is sent to the controller for each stored cancellation that the API
+// server learns of from a read or write of its own, before any user is told of it.
+type JobCancelled struct {
+	JobID    string
+	Revision uint64 // at which the cancellation was stored, or a later one
+}
+
+// Messages that the API server's goroutines send to it.
+type (
+	// revisionRead is the result of one read of the store's current revision.
+	revisionRead struct {
+		polls    []*pendingPoll
+		revision uint64
+		err      error
+	}
+	// readDue says that the interval since the last read has passed.
+	readDue struct{}
+	// submissionWritten is the result of writing a submission's record.
+	submissionWritten struct {
+		submission    wire.Submission
+		request       Request
+		arrivedAt     time.Time
+		directBlocked bool // this controller itself could not reach the store
+		err           error
+	}
+	// requestDone says that a request was answered by its own goroutine.
+	requestDone struct{}
+)
--- a/apiserver/polls.go
+++ b/apiserver/polls.go
@@ -5,185 +5,201 @@
 	"errors"
 	"hash/fnv"
 	"io"
+	"net/http"
 	"time"
 
 	"ravenport/constants"
-	"ravenport/httpwire"
 	"ravenport/kvstore"
 	"ravenport/records"
 	"ravenport/wire"
 )
 
-// poll is a question about a job that waits for a read.
-type poll struct {
-	req      Request
-	id       string
-	came     time.Time
-	revision uint64
-	// missing decides what is answered if the job does not exist.
-	missing func()
+// pendingPoll is a request for a job's state.
+type pendingPoll struct {
+	request   Request
+	jobID     string
+	arrivedAt time.Time
+	revision  uint64 // that the feed must have reached; 0 before the read
+	// missing answers instead of "no such job" if the job does not exist; it may be nil.
+	missing *rejection
 }
 
-// ask answers a poll: at once if the job is over, else after a read.
-func (d *Server) ask(ctx context.Context, p *poll) {
-	if k, ok := d.jobs[p.id]; ok && k.endState != "" {
-		d.tell(p, k)
+// poll answers at once if the job has ended, and otherwise after a read of the store.
+func (s *Server) poll(ctx context.Context, p *pendingPoll) {
+	if job, ok := s.jobs[p.jobID]; ok && job.endState != "" {
+		s.respondState(p, job)
 		return
 	}
-	if !d.admits(p.id) {
-		Refuse(p.req, 503, "overloaded")
+	if !s.admitsPoll(p.jobID) {
+		rejectOverloaded.respond(p.request)
 		return
 	}
-	if time.Now().Before(d.storeDownUntil) {
-		Refuse(p.req, 503, "state service away")
+	if time.Now().Before(s.storeDownUntil) {
+		rejectStoreUnavailable.respond(p.request)
 		return
 	}
-	d.pendingRequests++
-	p.came = time.Now()
-	d.unreadPolls = append(d.unreadPolls, p)
-	d.read(ctx)
+	s.pendingRequests++
+	p.arrivedAt = time.Now()
+	s.pollsAwaitingRead = append(s.pollsAwaitingRead, p)
+	s.readRevision(ctx)
 }
 
-// admits says whether a poll may wait. Half of the room is anyone's, the other
-// half is for a part of all jobs, another one every few seconds: whatever order
-// they come in, no job's polls lose every time.
-func (d *Server) admits(id string) bool {
-	if d.pendingRequests < constants.MaxPendingRequests/2 {
+// admitsPoll says whether a poll may wait. Half of the capacity is open to all jobs;
+// the other half is open to one group of jobs at a time, each in its turn of a few
+// seconds. So no job's polls are starved, whatever order they arrive in.
+func (s *Server) admitsPoll(jobID string) bool {
+	if s.pendingRequests < constants.MaxPendingRequests/2 {
 		return true
 	}
-	h := fnv.New32a()
-	io.WriteString(h, id)
+	hash := fnv.New32a()
+	io.WriteString(hash, jobID)
+	group := int64(hash.Sum32() % constants.PollGroups)
 	turn := time.Now().Unix() / int64(constants.PollGroupTurn.Seconds()) % constants.PollGroups
-	return d.pendingRequests < constants.MaxPendingRequests && int64(h.Sum32()%constants.PollGroups) == turn
+	return s.pendingRequests < constants.MaxPendingRequests && group == turn
 }
 
-// read reads the current revision for all polls that wait for a read.
-func (d *Server) read(ctx context.Context) {
-	if d.readPending || len(d.unreadPolls) == 0 {
+// readRevision reads the current revision for all polls that wait for a read, now or
+// when readInterval has passed since the last read.
+func (s *Server) readRevision(ctx context.Context) {
+	if s.readPending || len(s.pollsAwaitingRead) == 0 {
 		return
 	}
-	d.readPending = true
-	if wait := time.Until(d.lastReadAt.Add(d.readInterval)); wait > 0 {
-		// The polls that come until then share one read.
-		time.AfterFunc(wait, func() { d.self.Tell(readNow{}) })
+	s.readPending = true
+	if wait := time.Until(s.lastReadAt.Add(s.readInterval)); wait > 0 {
+		// Polls that arrive until then share one read.
+		time.AfterFunc(wait, func() { s.self.Tell(readDue{}) })
 		return
 	}
-	d.lastReadAt = time.Now()
-	polls := d.unreadPolls
-	d.unreadPolls = nil
+	s.lastReadAt = time.Now()
+	polls := s.pollsAwaitingRead
+	s.pollsAwaitingRead = nil
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, constants.UserRequestTimeout)
 		defer cancel()
-		rev, err := d.store.Revision(ctx)
-		d.self.Tell(readDone{polls, rev, err})
+		revision, err := s.store.Revision(ctx)
+		s.self.Tell(revisionRead{polls: polls, revision: revision, err: err})
 	}()
 }
 
-func (d *Server) readDone(ctx context.Context, m readDone) {
-	d.readPending = false
-	limited := errors.Is(m.err, kvstore.ErrRateLimited)
-	if m.err != nil && !limited {
-		d.storeDownUntil = time.Now().Add(constants.StoreFailureBackoff)
+func (s *Server) handleRevisionRead(ctx context.Context, m revisionRead) {
+	s.readPending = false
+	rateLimited := errors.Is(m.err, kvstore.ErrRateLimited)
+	if m.err != nil && !rateLimited {
+		s.storeDownUntil = time.Now().Add(constants.StoreFailureBackoff)
 	}
 	for _, p := range m.polls {
 		switch {
-		case limited && time.Since(p.came) < constants.UserRequestTimeout/2:
-			d.unreadPolls = append(d.unreadPolls, p) // another read, with those that came since
+		case rateLimited && time.Since(p.arrivedAt) < constants.UserRequestTimeout/2:
+			// The next read serves it, with the polls that have arrived since.
+			s.pollsAwaitingRead = append(s.pollsAwaitingRead, p)
 		case m.err != nil:
-			d.pendingRequests--
-			Refuse(p.req, 503, "state service away")
-		case m.revision <= d.appliedRevision:
-			d.answer(p)
+			s.pendingRequests--
+			rejectStoreUnavailable.respond(p.request)
+		case m.revision <= s.appliedRevision:
+			s.answerFromFeed(p)
 		default:
 			p.revision = m.revision
-			d.readPolls = append(d.readPolls, p)
+			s.pollsAwaitingFeed = append(s.pollsAwaitingFeed, p)
 		}
 	}
-	d.read(ctx)
+	s.readRevision(ctx)
 }
 
-// answer tells a poll what the feed knows, which is new enough for it.
-func (d *Server) answer(p *poll) {
-	d.pendingRequests--
-	d.stats.poll.record(time.Since(p.came).Milliseconds())
-	k, ok := d.jobs[p.id]
-	if ok {
-		d.tell(p, k)
+// answerCaughtUpPolls answers the polls whose revision the feed has reached.
+func (s *Server) answerCaughtUpPolls() {
+	waiting := s.pollsAwaitingFeed[:0]
+	for _, p := range s.pollsAwaitingFeed {
+		if p.revision <= s.appliedRevision {
+			s.answerFromFeed(p)
+		} else {
+			waiting = append(waiting, p)
+		}
+	}
+	clear(s.pollsAwaitingFeed[len(waiting):])
+	s.pollsAwaitingFeed = waiting
+}
+
+// answerFromFeed answers a poll from the state that the feed has brought, which must
+// be recent enough for it.
+func (s *Server) answerFromFeed(p *pendingPoll) {
+	s.pendingRequests--
+	s.stats.poll.observe(time.Since(p.arrivedAt))
+	job, ok := s.jobs[p.jobID]
+	if !ok {
+		p.respondMissing()
 		return
 	}
-	d.absent(p)
+	s.respondState(p, job)
 }
 
-func (d *Server) absent(p *poll) {
+func (p *pendingPoll) respondMissing() {
 	if p.missing != nil {
-		p.missing()
+		p.missing.respond(p.request)
 		return
 	}
-	p.req.Respond(&httpwire.Response{Status: 404, Body: body(wire.Problem{Error: "no such job"})})
+	rejectNoSuchID.respond(p.request)
 }
 
-func (d *Server) tell(p *poll, k jobSummary) {
-	s := wire.JobState{ID: p.id, Status: k.endState, Done: k.closedTasks}
-	if k.endState == "" {
-		s.Status = wire.JobQueued
+// respondState sends a job's state with the shards' latest counts of its tasks.
+func (s *Server) respondState(p *pendingPoll, job jobSummary) {
+	state := job.state(p.jobID)
+	if job.endState == "" {
 		var tasks records.TaskCounts
-		for _, jobs := range d.countsByShard {
-			tasks = tasks.Plus(jobs[p.id])
+		for _, counts := range s.countsByShard {
+			tasks = tasks.Plus(counts[p.jobID])
 		}
-		s.Done = min(s.Done+tasks.Done(), k.taskCount)
-		s.Running = min(tasks.Running(), k.taskCount-s.Done)
-		if s.Running > 0 {
-			s.Status = wire.JobRunning
+		state.Done = min(state.Done+tasks.Done(), job.taskCount)
+		state.Running = min(tasks.Running(), job.taskCount-state.Done)
+		if state.Running > 0 {
+			state.Status = wire.JobRunning
 		}
 	}
-	p.req.Respond(&httpwire.Response{Status: 200, Body: body(s)})
+	respondJSON(p.request, http.StatusOK, state)
 }
 
-// tick reads keys themselves for polls that the feed keeps waiting.
-func (d *Server) tick(ctx context.Context, now time.Time) {
-	kept := d.readPolls[:0]
-	for _, p := range d.readPolls {
-		if now.Sub(p.came) < constants.FeedCatchUpTimeout {
-			kept = append(kept, p)
+// readOverduePolls reads the jobs' keys for polls that have waited too long for the
+// feed.
+func (s *Server) readOverduePolls(ctx context.Context, now time.Time) {
+	waiting := s.pollsAwaitingFeed[:0]
+	for _, p := range s.pollsAwaitingFeed {
+		if now.Sub(p.arrivedAt) < constants.FeedCatchUpTimeout {
+			waiting = append(waiting, p)
 			continue
 		}
-		go d.direct(ctx, p)
+		go s.answerFromStore(ctx, p)
 	}
-	clear(d.readPolls[len(kept):])
-	d.readPolls = kept
+	clear(s.pollsAwaitingFeed[len(waiting):])
+	s.pollsAwaitingFeed = waiting
 }
 
-// direct answers a poll from the key itself. It runs beside the actor and
-// touches none of its state.
-func (d *Server) direct(ctx context.Context, p *poll) {
-	defer d.self.Tell(finished{})
+// answerFromStore answers a poll from the job's key. It runs on a goroutine of its own
+// and touches none of the actor's state.
+func (s *Server) answerFromStore(ctx context.Context, p *pendingPoll) {
+	defer s.self.Tell(requestDone{})
 	ctx, cancel := context.WithTimeout(ctx, constants.UserRequestTimeout)
 	defer cancel()
-	rec, version, err := d.fetch(ctx, p.id)
+	job, version, err := s.readJob(ctx, p.jobID)
 	switch {
 	case err != nil:
-		Refuse(p.req, 503, "state service away")
-	case rec == nil:
-		d.absent(p)
+		rejectStoreUnavailable.respond(p.request)
+	case job == nil:
+		p.respondMissing()
 	default:
-		d.note(rec, version)
-		k := summarize(rec)
-		s := wire.JobState{ID: p.id, Status: k.endState, Done: k.closedTasks}
-		if k.endState == "" {
-			s.Status = wire.JobQueued
-		}
-		p.req.Respond(&httpwire.Response{Status: 200, Body: body(s)})
+		s.notifyIfCancelled(job, version)
+		respondJSON(p.request, http.StatusOK, summarize(job).state(p.jobID))
 	}
 }
 
-func (d *Server) fetch(ctx context.Context, id string) (*records.Job, uint64, error) {
-	kv, found, err := d.store.Get(ctx, records.KeyJob(id))
+// readJob reads a job's record and its version; the job is nil if it does not exist.
+func (s *Server) readJob(ctx context.Context, jobID string) (*records.Job, uint64, error) {
+	key := records.KeyJob(jobID)
+	keyValue, found, err := s.store.Get(ctx, key)
 	if err != nil || !found {
 		return nil, 0, err
 	}
-	v, err := records.Decode(records.KeyJob(id), kv.Value)
+	record, err := records.Decode(key, keyValue.Value)
 	if err != nil {
 		return nil, 0, err
 	}
-	return v.(*records.Job), kv.Version, nil
+	return record.(*records.Job), keyValue.Version, nil
 }
--- a/apiserver/relay.go
+++ b/apiserver/relay.go
@@ -10,49 +10,54 @@
 	"ravenport/wire"
 )
 
-// Relay writes for an API server whose own way to the state service is shut. It is
-// another controller.
+// Relay is another controller that writes for an API server that cannot reach the
+// store itself.
 type Relay interface {
+	// Commit has the other controller carry out a transaction and returns its revision.
 	Commit(ctx context.Context, t wire.Txn) (uint64, error)
 }
 
-// SetRelays names the controllers that reach the state service, as far as is known.
-type SetRelays struct{ Relays []Relay }
-
-// storePath is what the API server knows of its own way to the state service and of
-// the ways round.
+// storePath is what the API server knows of how to reach the store: directly, or
+// through relays.
 type storePath struct {
 	relays        []Relay
-	relaysNamedAt time.Time // when they were named
-	directBlocked bool      // the last call of this controller's own had no answer or was refused
+	relaysNamedAt time.Time
+	directBlocked bool // the last direct write was unanswered or refused
 }
 
-// currentRelays lists the relays, if they were named lately.
-func (r *storePath) currentRelays(now time.Time) []Relay {
-	if now.Sub(r.relaysNamedAt) > constants.StateSilence {
+// currentRelays lists the relays, if they were named recently.
+func (p *storePath) currentRelays(now time.Time) []Relay {
+	if now.Sub(p.relaysNamedAt) > constants.StateSilence {
 		return nil
 	}
-	return r.relays
+	return p.relays
 }
 
-// away says that an error means that the state service cannot be reached, not that
-// it decided on the call.
-func away(err error) bool {
-	return errors.Is(err, kvstore.ErrOutcomeUnknown) || errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrRateLimited)
+// isStoreUnreachable says whether an error means that the store cannot be reached,
+// rather than that it decided on the call.
+func isStoreUnreachable(err error) bool {
+	if errors.Is(err, kvstore.ErrOutcomeUnknown) {
+		return true
+	}
+	return errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrRateLimited)
 }
 
-// accept writes a submission's record: by itself unless its own way is known to be
-// shut, then through the relays, one after the other. It runs beside the actor.
-// Guards against a controller that alone is refused by the state service and would
-// turn users away for as long as the load balancer takes it for healthy.
-func (d *Server) accept(ctx context.Context, txn wire.Txn, shut bool, relays []Relay) (nowShut bool, err error) {
-	if !shut || len(relays) == 0 {
-		if _, err = d.commit(ctx, txn); !away(err) {
+// writeSubmission creates a submission's record: directly unless that is known to be
+// blocked, and otherwise through the relays, one after the other. It returns whether
+// the direct path is blocked. It runs on a goroutine of its own.
+//
+// Without relays, a controller that alone is refused by the store would turn users away
+// for as long as the load balancer takes it for healthy.
+func (s *Server) writeSubmission(ctx context.Context, txn wire.Txn, directBlocked bool, relays []Relay) (nowBlocked bool, err error) {
+	if !directBlocked || len(relays) == 0 {
+		_, err = s.commit(ctx, txn)
+		if !isStoreUnreachable(err) {
 			return false, err
 		}
 	}
-	for _, r := range relays {
-		if _, err = r.Commit(ctx, txn); !away(err) {
+	for _, relay := range relays {
+		_, err = relay.Commit(ctx, txn)
+		if !isStoreUnreachable(err) {
 			break
 		}
 	}
--- a/apiserver/relay_test.go
+++ b/apiserver/relay_test.go
@@ -17,7 +17,8 @@
 	"ravenport/wire"
 )
 
-// pathStub is a way to the state service that gives one answer and counts what it is asked.
+// pathStub is a path to the store that returns the same error for every write and counts
+// the writes.
 type pathStub struct {
 	slowStore
 	err    error
@@ -38,25 +39,25 @@
 	return body
 }
 
-// A submission is written through another controller where only this one is kept
-// from the state service, and refused at once where nobody reaches it.
+// A submission is written through another controller when only this one cannot reach
+// the store, and refused at once when none can.
 func TestRelayedSubmission(t *testing.T) {
 	limited := fmt.Errorf("%w: %w", kvstore.ErrRefused, kvstore.ErrRateLimited)
 	for _, c := range []struct {
-		name       string
-		own        error
-		relays     []error
-		status     int
-		ownWrites  int // of two submissions
-		relayAsked []int
+		name         string
+		directErr    error
+		relayErrs    []error
+		status       int
+		directWrites int // of two submissions
+		relayWrites  []int
 	}{
-		{"own way open", nil, []error{nil}, 201, 2, []int{0}},
-		{"own way shut", kvstore.ErrRefused, []error{nil, nil}, 201, 1, []int{2, 0}},
-		{"no answer to this one", kvstore.ErrOutcomeUnknown, []error{nil}, 201, 1, []int{2}},
-		{"the first relay is away, too", kvstore.ErrRefused, []error{kvstore.ErrOutcomeUnknown, nil}, 201, 1, []int{2, 2}},
-		{"nobody reaches it", kvstore.ErrRefused, []error{kvstore.ErrRefused, kvstore.ErrRefused}, 503, 1, []int{2, 2}},
-		{"no relay is known", kvstore.ErrRefused, nil, 503, 1, nil}, // the second is refused unasked
-		{"only too many", limited, []error{nil}, 503, 2, []int{0}},
+		{"direct path works", nil, []error{nil}, 201, 2, []int{0}},
+		{"direct path refused", kvstore.ErrRefused, []error{nil, nil}, 201, 1, []int{2, 0}},
+		{"direct path unanswered", kvstore.ErrOutcomeUnknown, []error{nil}, 201, 1, []int{2}},
+		{"first relay unreachable too", kvstore.ErrRefused, []error{kvstore.ErrOutcomeUnknown, nil}, 201, 1, []int{2, 2}},
+		{"no path works", kvstore.ErrRefused, []error{kvstore.ErrRefused, kvstore.ErrRefused}, 503, 1, []int{2, 2}},
+		{"no relay known", kvstore.ErrRefused, nil, 503, 1, nil}, // the second is refused without a write
+		{"rate limited only", limited, []error{nil}, 503, 2, []int{0}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -65,44 +66,45 @@
 				set := &settings.Settings{}
 				set.Deployment.Teams = []settings.Team{{Name: "team"}}
 				set.Deployment.Zones = []string{"a"}
-				own := &pathStub{err: c.own}
+				direct := &pathStub{err: c.directErr}
 				self := actor.NewRef()
-				d := New(set, own, self, actor.NewRef())
-				d.sizeLimits = records.SizeLimits{Now: 8192, Next: 8192}
+				server := New(set, direct, self, actor.NewRef())
+				server.sizeLimits = records.SizeLimits{Now: 8192, Next: 8192}
 				var relays []*pathStub
 				var to []Relay
-				for _, err := range c.relays {
+				for _, err := range c.relayErrs {
 					w := &pathStub{err: err}
-					relays, to = append(relays, w), append(to, w)
+					relays = append(relays, w)
+					to = append(to, w)
 				}
 				self.Tell(MachineTypes{{Name: "box", CPUs: 8, MemoryGB: 32, Zones: []string{"a"}}})
 				self.Tell(SetRelays{Relays: to})
-				go self.Run(ctx, d)
+				go self.Run(ctx, server)
 				for i := range 2 {
 					answers := make(chan *httpwire.Response, 1)
 					began := time.Now()
 					self.Tell(Submit{Request: responder{func(r *httpwire.Response) { answers <- r }}, Body: submission(fmt.Sprintf("run-00000%d", i))})
-					got := <-answers // nothing at all would be a deadlock, which fails the test
+					got := <-answers // without an answer the test ends in a deadlock, which fails it
 					if got.Status != c.status {
 						t.Fatalf("submission %d: answered %+v, wanted %d", i, got, c.status)
 					}
 					synctest.Wait()
 					if c.status != 201 && got.RetryAfterS == 0 {
-						t.Error("refused without saying when to come back")
+						t.Error("refused without Retry-After")
 					}
 					if took := time.Since(began); took > constants.RateLimitWait+constants.UserRequestTimeout/2 {
 						t.Errorf("answered after %s", took)
 					}
 				}
-				if c.own == limited {
-					c.ownWrites = own.writes // it is tried again for a moment, by itself alone
+				if c.directErr == limited {
+					c.directWrites = direct.writes // it is retried for a short while, directly alone
 				}
-				if own.writes != c.ownWrites {
-					t.Errorf("%d writes of its own, wanted %d", own.writes, c.ownWrites)
+				if direct.writes != c.directWrites {
+					t.Errorf("%d direct writes, wanted %d", direct.writes, c.directWrites)
 				}
 				for i, w := range relays {
-					if w.writes != c.relayAsked[i] {
-						t.Errorf("relay %d was asked %d times, wanted %d", i, w.writes, c.relayAsked[i])
+					if w.writes != c.relayWrites[i] {
+						t.Errorf("relay %d got %d writes, wanted %d", i, w.writes, c.relayWrites[i])
 					}
 				}
 			})
@@ -110,20 +112,20 @@
 	}
 }
 
-// The own way is taken again once the feed has brought something, and relays that
-// nobody has named for a while are not asked.
+// The direct path is used again once the feed has brought something, and relays that
+// have not been named for a while are not used.
 func TestDirectPathIsTakenAgain(t *testing.T) {
 	r := storePath{relays: []Relay{&pathStub{}}, relaysNamedAt: time.Unix(100, 0), directBlocked: true}
 	if got := r.currentRelays(time.Unix(100, 0).Add(constants.StateSilence)); len(got) != 1 {
-		t.Error("a relay that was just named is not known")
+		t.Error("a relay that was just named is not used")
 	}
 	if got := r.currentRelays(time.Unix(101, 0).Add(constants.StateSilence)); len(got) != 0 {
-		t.Error("a relay named long ago is known still")
+		t.Error("a relay named long ago is still used")
 	}
-	d := New(&settings.Settings{}, slowStore{}, actor.NewRef(), actor.NewRef())
-	d.path = r
-	d.applyUpdate(records.Update{Revision: 1})
-	if d.path.directBlocked {
-		t.Error("after an update of the feed the own way counts as shut")
+	server := New(&settings.Settings{}, slowStore{}, actor.NewRef(), actor.NewRef())
+	server.path = r
+	server.applyUpdate(records.Update{Revision: 1})
+	if server.path.directBlocked {
+		t.Error("after an update of the feed the direct path counts as blocked")
 	}
 }
--- /dev/null
+++ b/apiserver/server.go
@@ -0,0 +1,150 @@
+// Package apiserver answers users' requests: submissions, polls, cancellations and
+// metrics.
+//
+// Whatever a user is told has been stored first. A response about a job that has not
+// ended follows a read made for it: polls that arrive together share one read of the
+// store's current revision, and are answered once the watch feed has reached it.
+package apiserver
+
+import (
+	"context"
+	"time"
+
+	"ravenport/actor"
+	"ravenport/records"
+	"ravenport/settings"
+	"ravenport/wire"
+)
+
+// Store is what the API server needs of the key-value store.
+type Store interface {
+	// Commit carries out a compare-and-swap transaction and returns its revision.
+	Commit(ctx context.Context, t wire.Txn) (uint64, error)
+	// Get reads a key; the bool is false if the key does not exist.
+	Get(ctx context.Context, key string) (wire.KeyValue, bool, error)
+	// Revision reads the current revision.
+	Revision(ctx context.Context) (uint64, error)
+}
+
+// Server is the API server's actor. Its state belongs to the actor's goroutine; what
+// runs on goroutines of its own says so and reports back by message.
+type Server struct {
+	settings   *settings.Settings
+	sizeLimits records.SizeLimits
+	store      Store
+	path       storePath
+	self       *actor.Ref
+	controller *actor.Ref // receives JobCancelled
+
+	// What the watch feed and other actors have sent.
+	jobs            map[string]jobSummary
+	appliedRevision uint64 // of the feed
+	machineTypes    []wire.MachineType
+	countsByShard   map[string]records.CountsByJob
+
+	// Polls that wait for a read of the revision, and those that wait for the feed.
+	pollsAwaitingRead []*pendingPoll
+	pollsAwaitingFeed []*pendingPoll
+	readPending       bool // a read is under way or scheduled
+	lastReadAt        time.Time
+	readInterval      time.Duration // the least time between two reads
+
+	pendingRequests int       // that wait for the store
+	storeDownUntil  time.Time // until then the store counts as unavailable
+	stats           stats
+}
+
+// New makes an API server whose mailbox is self and that sends JobCancelled to
+// controller.
+func New(set *settings.Settings, store Store, self, controller *actor.Ref) *Server {
+	return &Server{
+		settings:      set,
+		sizeLimits:    set.RecordSizeLimits(),
+		store:         store,
+		self:          self,
+		controller:    controller,
+		jobs:          map[string]jobSummary{},
+		countsByShard: map[string]records.CountsByJob{},
+		readInterval:  set.WatchInterval(),
+		stats:         newStats(),
+	}
+}
+
+// Receive implements actor.Handler.
+func (s *Server) Receive(ctx context.Context, msg any) {
+	switch m := msg.(type) {
+	case records.Update:
+		s.applyUpdate(m)
+	case Submit:
+		s.submit(ctx, m)
+	case Poll:
+		s.poll(ctx, &pendingPoll{request: m.Request, jobID: m.JobID})
+	case Cancel:
+		s.cancel(ctx, m)
+	case GetMetrics:
+		s.respondMetrics(m.Request)
+	case MachineTypes:
+		s.machineTypes = m
+	case ShardCounts:
+		s.countsByShard[m.Shard] = m.ByJob
+	case SetRelays:
+		s.path.relays = m.Relays
+		s.path.relaysNamedAt = time.Now()
+	case PackingEnabled:
+		s.sizeLimits.Packing = true
+	case Tick:
+		s.readOverduePolls(ctx, time.Time(m))
+	case revisionRead:
+		s.handleRevisionRead(ctx, m)
+	case readDue:
+		s.readPending = false
+		s.readRevision(ctx)
+	case submissionWritten:
+		s.handleSubmissionWritten(ctx, m)
+	case requestDone:
+		s.pendingRequests--
+	}
+}
+
+// applyUpdate takes in changes from the watch feed and answers the polls that waited
+// for them.
+func (s *Server) applyUpdate(update records.Update) {
+	for _, change := range update.Changes {
+		job, ok := change.Record.(*records.Job)
+		if !ok {
+			continue
+		}
+		s.jobs[job.ID] = summarize(job)
+	}
+	s.appliedRevision = update.Revision
+	// The feed brought something, so this controller reaches the store.
+	s.storeDownUntil = time.Time{}
+	s.path.directBlocked = false
+	s.answerCaughtUpPolls()
+}
+
+// jobSummary is what the API server remembers of a job.
+type jobSummary struct {
+	endState    string // empty while the job has not ended
+	taskCount   int
+	closedTasks int // tasks in closed assignments
+}
+
+func summarize(job *records.Job) jobSummary {
+	summary := jobSummary{endState: job.End, taskCount: job.Spec.Tasks}
+	for _, assignment := range job.Assignments {
+		if assignment.Closed {
+			summary.closedTasks += assignment.Tasks()
+		}
+	}
+	return summary
+}
+
+// state is the job's state as far as the record shows it, without running tasks.
+func (j jobSummary) state(jobID string) wire.JobState {
+	state := wire.JobState{ID: jobID, Status: j.endState, Done: j.closedTasks}
+	if j.endState == "" {
+		state.Status = wire.JobQueued
+	}
+	return state
+}
--- a/apiserver/submissions.go
+++ b/apiserver/submissions.go
@@ -5,158 +5,126 @@
 	"errors"
 	"log/slog"
 	"math/rand/v2"
-	"slices"
+	"net/http"
 	"time"
 
 	"ravenport/constants"
-	"ravenport/httpwire"
 	"ravenport/kvstore"
+	"ravenport/logkey"
 	"ravenport/records"
 	"ravenport/wire"
 )
 
-func (d *Server) submit(ctx context.Context, m Submit) {
-	s, id, err := wire.ParseSubmission(m.Body)
-	status, problem := 0, wire.Problem{}
+// submit accepts a job by creating its record. It is idempotent: a repeated submission
+// of a known job is answered with the job's state.
+func (s *Server) submit(ctx context.Context, m Submit) {
+	submission, jobID, err := wire.ParseSubmission(m.Body)
+	if err != nil && jobID == "" {
+		rejectMalformed(err).respond(m.Request)
+		return
+	}
+	var rejected *rejection
 	if err != nil {
-		status, problem = 400, wire.Problem{Error: err.Error()}
-		var fe *wire.FieldError
-		if errors.As(err, &fe) {
-			problem.Field = fe.Field
-		}
-		if id == "" {
-			m.Request.Respond(&httpwire.Response{Status: status, Body: body(problem)})
-			return
-		}
-	} else if !d.sizeLimits.Storable(&records.Job{Spec: s, AcceptedMS: time.Now().UnixMilli()}, d.settings.Deployment.Zones) {
-		status, problem = 422, wire.Problem{Error: "too long to be stored"}
-	} else if len(d.machineTypes) == 0 {
-		status = 503
-	} else if why := d.impossible(&s); why != "" {
-		status, problem = 422, wire.Problem{Error: why}
+		rejected = rejectMalformed(err)
+	} else {
+		rejected = s.validate(&submission)
+	}
+	if rejected != nil {
+		// A job that was accepted before is answered with its state even if its
+		// submission would be rejected now.
+		s.poll(ctx, &pendingPoll{request: m.Request, jobID: jobID, missing: rejected})
+		return
 	}
-	if _, ok := d.jobs[id]; ok || status != 0 {
-		// A repeat of an accepted job is recognised before anything else.
-		d.ask(ctx, &poll{req: m.Request, id: id, missing: func() {
-			if status == 0 || status == 503 {
-				Refuse(m.Request, 503, "not ready")
-				return
-			}
-			m.Request.Respond(&httpwire.Response{Status: status, Body: body(problem)})
-		}})
+	if _, known := s.jobs[jobID]; known {
+		s.poll(ctx, &pendingPoll{request: m.Request, jobID: jobID, missing: &rejectNotReady})
 		return
 	}
-	if d.pendingRequests >= constants.MaxPendingRequests {
-		Refuse(m.Request, 429, "overloaded")
+	if s.pendingRequests >= constants.MaxPendingRequests {
+		rejectTooManyRequests.respond(m.Request)
 		return
 	}
-	came := time.Now()
-	relays := d.path.currentRelays(came)
-	if came.Before(d.storeDownUntil) && len(relays) == 0 {
-		Refuse(m.Request, 503, "state service away")
+	arrivedAt := time.Now()
+	relays := s.path.currentRelays(arrivedAt)
+	if arrivedAt.Before(s.storeDownUntil) && len(relays) == 0 {
+		rejectStoreUnavailable.respond(m.Request)
 		return
 	}
-	d.pendingRequests++
-	shut := d.path.directBlocked
-	rec := records.Job{Spec: s, AcceptedMS: time.Now().UnixMilli()}
+	s.pendingRequests++
+	s.startSubmission(ctx, submissionWritten{submission: submission, request: m.Request, arrivedAt: arrivedAt}, relays)
+}
+
+// startSubmission writes the record of result's submission on a goroutine of its own,
+// which sends the completed result to the actor.
+func (s *Server) startSubmission(ctx context.Context, result submissionWritten, relays []Relay) {
+	directBlocked := s.path.directBlocked
+	job := records.Job{Spec: result.submission, AcceptedMS: time.Now().UnixMilli()}
+	key := records.KeyJob(result.submission.ID)
+	// Version 0: the key must not exist, so only the first of several submissions of a
+	// job creates its record.
 	txn := wire.Txn{
-		Conditions: []wire.Condition{{Key: records.KeyJob(s.ID), Version: 0}},
-		Changes:    []wire.Change{{Put: records.KeyJob(s.ID), Value: records.Encode(rec)}},
+		Conditions: []wire.Condition{{Key: key, Version: 0}},
+		Changes:    []wire.Change{{Put: key, Value: records.Encode(job)}},
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, constants.UserRequestTimeout)
 		defer cancel()
-		shut, err := d.accept(ctx, txn, shut, relays)
-		d.self.Tell(created{s, m.Request, err, shut, came})
+		result.directBlocked, result.err = s.writeSubmission(ctx, txn, directBlocked, relays)
+		s.self.Tell(result)
 	}()
 }
 
-func (d *Server) created(ctx context.Context, m created) {
-	d.pendingRequests--
-	d.path.directBlocked = d.path.directBlocked || m.shut
-	took := time.Since(m.came).Milliseconds()
-	var conflict *kvstore.ConflictError
+func (s *Server) handleSubmissionWritten(ctx context.Context, m submissionWritten) {
+	s.pendingRequests--
+	if m.directBlocked {
+		s.path.directBlocked = true
+	}
+	jobID := m.submission.ID
+	elapsed := time.Since(m.arrivedAt)
 	switch {
 	case m.err == nil:
-		d.stats.accepted++
-		d.stats.submit.record(took)
-		slog.Debug("job accepted", "job", m.s.ID, "class", m.s.Class, "tasks", m.s.Tasks, "took_ms", took)
-		m.req.Respond(&httpwire.Response{Status: 201, Body: body(wire.Accepted{ID: m.s.ID, Status: wire.JobQueued})})
-	case errors.As(m.err, &conflict):
-		d.ask(ctx, &poll{req: m.req, id: m.s.ID, missing: func() { Refuse(m.req, 503, "not ready") }})
+		s.stats.accepted++
+		s.stats.submit.observe(elapsed)
+		slog.Debug("job accepted", logkey.JobID, jobID, "class", m.submission.Class, "tasks", m.submission.Tasks, "took_ms", elapsed.Milliseconds())
+		respondJSON(m.request, http.StatusCreated, wire.Accepted{ID: jobID, Status: wire.JobQueued})
+	case isConflict(m.err):
+		// The record exists already.
+		s.poll(ctx, &pendingPoll{request: m.request, jobID: jobID, missing: &rejectNotReady})
 	default:
-		// Perhaps it was stored all the same; then the user's repeat finds it.
-		d.stats.refused++
-		if errors.Is(m.err, kvstore.ErrInvalidRequest) {
-			slog.Error("submission found invalid by the state service", "job", m.s.ID, "err", m.err)
-			m.req.Respond(&httpwire.Response{Status: 422, Body: body(wire.Problem{Error: "too long to be stored"})})
-			return
-		}
-		slog.Info("submission refused", "job", m.s.ID, "took_ms", took, "err", m.err)
-		if errors.Is(m.err, kvstore.ErrRateLimited) {
-			// Many come at once: they are told to come back at different times.
-			refuse(m.req, 503, "too many submissions", constants.RetryAfterS+rand.IntN(constants.RetryAfterJitterS))
-			return
-		}
-		d.storeDownUntil = time.Now().Add(constants.StoreFailureBackoff)
-		Refuse(m.req, 503, "state service away")
+		// The record may have been written all the same; then the user's repeated
+		// submission finds it.
+		s.stats.refused++
+		s.rejectUnwritten(m, elapsed)
 	}
 }
 
-// commit writes what a user waits for. A refusal for the allowance alone is
-// tried again for a moment; one because the state service is away is the
-// user's answer, at once.
-func (d *Server) commit(ctx context.Context, txn wire.Txn) (revision uint64, err error) {
+// rejectUnwritten answers a submission whose record was not written, as far as is
+// known.
+func (s *Server) rejectUnwritten(m submissionWritten, elapsed time.Duration) {
+	jobID := m.submission.ID
+	if errors.Is(m.err, kvstore.ErrInvalidRequest) {
+		slog.Error("store rejected submission as invalid", logkey.JobID, jobID, logkey.Err, m.err)
+		rejectTooLong.respond(m.request)
+		return
+	}
+	slog.Info("submission refused", logkey.JobID, jobID, "took_ms", elapsed.Milliseconds(), logkey.Err, m.err)
+	if errors.Is(m.err, kvstore.ErrRateLimited) {
+		rejected := retryable(http.StatusServiceUnavailable, "too many submissions")
+		// Many arrive at once; the jitter spreads their repeats.
+		rejected.retryAfterS += rand.IntN(constants.RetryAfterJitterS)
+		rejected.respond(m.request)
+		return
+	}
+	s.storeDownUntil = time.Now().Add(constants.StoreFailureBackoff)
+	rejectStoreUnavailable.respond(m.request)
+}
+
+// commit carries out a transaction that a user waits for. A refusal for the rate limit
+// alone is retried for a short while. Any other error is returned at once, also when
+// the store is unavailable.
+func (s *Server) commit(ctx context.Context, txn wire.Txn) (revision uint64, err error) {
 	err = kvstore.RetryRateLimited(ctx, constants.RateLimitWait, constants.RetryBackoffMin/2, constants.RetryBackoffMin, func() (err error) {
-		revision, err = d.store.Commit(ctx, txn)
+		revision, err = s.store.Commit(ctx, txn)
 		return err
 	})
 	return revision, err
 }
-
-// impossible says why a job can never run; empty if it can.
-func (d *Server) impossible(s *wire.Submission) string {
-	t := d.settings.Team(s.Team)
-	if t == nil {
-		return "unknown team"
-	}
-	tasks := 1.0
-	if s.AllOrNothing() {
-		tasks = float64(s.Tasks)
-	}
-	if t.CPUsMax > 0 && s.CPUs*tasks > t.CPUsMax+1e-9 || t.GPUsMax > 0 && s.GPUs*tasks > t.GPUsMax+1e-9 {
-		return "more than the team's limit"
-	}
-	if s.Zone != "" && !slices.Contains(d.settings.Deployment.Zones, s.Zone) {
-		return "unknown zone"
-	}
-	if s.OneZone && s.Spread && s.Tasks > 1 {
-		return "one_zone and scatter exclude each other"
-	}
-	zones := map[string]bool{} // where a task may run
-	for _, mt := range d.machineTypes {
-		if len(s.Types) > 0 && !slices.Contains(s.Types, mt.Name) {
-			continue
-		}
-		if s.CPUs <= mt.CPUs && s.GPUs <= mt.GPUs && s.MemoryGB <= mt.MemoryGB {
-			in := mt.Zones
-			if len(in) == 0 {
-				in = d.settings.Deployment.Zones // it is not said where
-			}
-			for _, z := range in {
-				if s.Zone == "" || s.Zone == z {
-					zones[z] = true
-				}
-			}
-		}
-	}
-	switch {
-	case len(zones) == 0:
-		return "a task fits no allowed machine type"
-	case s.AllOrNothing() && s.Spread && s.Tasks > 1 && len(zones) == 1:
-		// Half of its tasks may be in a zone, and all run at the same time. Of an
-		// array the rest may follow.
-		return "all tasks would be in one zone, and scatter forbids it"
-	}
-	return ""
-}
