--- a/constants/metrics.go
+++ b/constants/metrics.go
@@ -2,8 +2,8 @@
 
 // Metrics.
 const (
-	// LatencyMaxMS is the end of latency histograms (ms): nobody waits longer.
+	// LatencyMaxMS is the upper end of latency histograms (ms): no request takes longer.
 	LatencyMaxMS = 60_000
-	// LatencyDigits is their resolution (significant digits).
+	// LatencyDigits is the resolution of latency histograms (significant digits).
 	LatencyDigits = 2
 )
