--- a/constants/draining.go
+++ b/constants/draining.go
@@ -4,9 +4,9 @@
 
 // Drains and the account of disruption budgets.
 const (
-	// DrainEvery is how often an owner counts what is unavailable in its shard and
+	// DrainInterval is how often an owner counts what is unavailable in its shard and
 	// goes on with its drains: a few thousand tasks are counted within a millisecond.
-	DrainEvery = 250 * time.Millisecond
+	DrainInterval = 250 * time.Millisecond
 	// ClaimGap is the least time between two writes of a shard's claim while a drain
 	// runs, and ClaimGapIdle while none does: claims of all shards together then take
 	// a small part of the smallest allowance of changes that is in use.
@@ -16,12 +16,12 @@
 	// by the owners of all others: the shard's owner needs to read the record, to
 	// count and to write its claim.
 	ClaimTransit = 5 * time.Second
-	// DrainRentals bounds the tasks for whose move an owner rents at a time (tasks):
+	// MaxSurgeTasks bounds the tasks for whose move an owner rents at a time (tasks):
 	// one request's worth of machines.
-	DrainRentals = 50
-	// DrainLooks bounds the tasks for which an owner looks for a machine with room each
+	MaxSurgeTasks = 50
+	// MaxMigrationSearches bounds the tasks for which an owner looks for a machine with room each
 	// time it goes on with its drains (tasks): a look is at all machines of the shard.
-	DrainLooks = 32
+	MaxMigrationSearches = 32
 	// DrainNames bounds the machines that a status or a selection names (machines): a
 	// selection must fit a value of the state service.
 	DrainNames = 20
--- a/constants/shard_placement.go
+++ b/constants/shard_placement.go
@@ -4,45 +4,51 @@
 
 // Placement of tasks: rounds, retries after failures, and scores.
 const (
-	// PlaceEvery is how often everything is placed anew without a cause.
-	PlaceEvery = time.Second
-	// FillLooks bounds the jobs of which tasks are looked at for the room that
-	// falls free on one machine (jobs).
-	FillLooks = 8
-	// KeepWait is how long tasks wait in a shard that gets no more machines
-	// before they are sent back to the leader.
-	KeepWait = 5 * time.Second
-	// KeepLong is how long a task waits in a shard before room for a single one
-	// elsewhere is enough to send it back: users allow 90 s beside room.
-	KeepLong = 40 * time.Second
-	// MachinesACollect: for each that many machines, one more may be kept for a
-	// task that finds no room for long (machines).
-	MachinesACollect = 50
-	// LeastLeft is what a task that outran its estimate is expected to run on.
-	LeastLeft = 5 * time.Second
-	// FaultPause is how long a machine that failed a task is avoided.
-	FaultPause = 60 * time.Second
-	// JobFaultMachines: a job that failed on that many machines is itself at
-	// fault (machines).
-	JobFaultMachines = 3
-	// RefusedRetry is when a task whose start was refused is tried again.
-	RefusedRetry = 500 * time.Millisecond
-	// JobFaultRetry is the longest wait before a failing task is tried again.
-	JobFaultRetry = 30 * time.Second
-	// Best fit leaves a machine between 0 and 2 free (shares of its CPUs and
-	// memory); these come on top and put one reason before another (same unit).
-	ScoreCold     = 10.0 // the image must be fetched
-	ScoreShared   = 3.0  // less, for an ordinary machine with services
-	ScoreOrdinary = 5.0  // an ordinary machine that could be emptied
-	ScoreDraining = 20.0 // it is being emptied
-	ScoreForGangs = 9.0  // its room is held ready for gangs
-	// CostCold is what fetching an image weighs against work that is lost by
-	// stopping it (CPU seconds).
-	CostCold = 100.0
-	// CostWarm is what may be lost at most so that a production task finds its
-	// image, where it could also start on a machine without it (CPU seconds).
-	CostWarm = 400.0
-	// CostMissed is what it weighs that a job misses an objective because a task
-	// of it is stopped (CPU seconds for each of the task's CPUs).
-	CostMissed = 60.0
+	// PlacementInterval is the longest time between two placement rounds when nothing
+	// has changed.
+	PlacementInterval = time.Second
+	// MaxJobsPerFill bounds the jobs whose tasks are tried on the capacity that becomes
+	// free on one machine (jobs).
+	MaxJobsPerFill = 8
+	// OffloadWait is how long tasks wait in a shard that cannot scale out before they
+	// are offloaded to the leader.
+	OffloadWait = 5 * time.Second
+	// OverdueOffloadWait is how long a task waits in a shard before capacity for a
+	// single task in other shards is enough to offload it: users accept 90 s beside
+	// free capacity.
+	OverdueOffloadWait = 40 * time.Second
+	// MachinesPerReservation: for each so many machines of a shard, one more may be
+	// reserved for a job that is overdue (machines).
+	MachinesPerReservation = 50
+	// MinRemainingRuntime is the expected remaining runtime of a task that has outrun
+	// its estimate.
+	MinRemainingRuntime = 5 * time.Second
+	// FaultyMachinePause is how long a machine on which a task failed gets no tasks.
+	FaultyMachinePause = 60 * time.Second
+	// FaultyJobMachines: a job that failed on that many machines is itself at fault
+	// (machines).
+	FaultyJobMachines = 3
+	// RefusedStartRetry is when a task whose start was refused is tried again.
+	RefusedStartRetry = 500 * time.Millisecond
+	// MaxFailedTaskRetry is the longest wait before a failing task is tried again.
+	MaxFailedTaskRetry = 30 * time.Second
+	// Best fit scores a machine with the share of it that would stay free, from 0 to 2
+	// (share of its CPUs plus share of its memory); less is better. The following are
+	// added, or subtracted, in the same unit. Those above 2 outweigh any difference in
+	// fit.
+	ScoreImageMissing   = 10.0 // added: the image must be fetched
+	ScoreServiceMachine = 3.0  // subtracted for a spot task: an on-demand machine with services stays in use anyway
+	ScoreOnDemand       = 5.0  // added for a spot task: an on-demand machine that could become empty
+	ScoreDraining       = 20.0 // added: services are migrated off the machine
+	ScoreGangReserve    = 9.0  // added for tasks other than a gang's: the capacity is reserved for gangs
+	// CostImageFetch is what fetching an image weighs against the work that preemption
+	// loses (CPU seconds).
+	CostImageFetch = 100.0
+	// MaxCostForImage is the largest preemption cost that is accepted so that a
+	// production task finds its image, where it could also start on a machine without
+	// it (CPU seconds).
+	MaxCostForImage = 400.0
+	// CostObjectiveMissed is added to the preemption cost where the victim's job would
+	// miss an objective (CPU seconds for each CPU of the task).
+	CostObjectiveMissed = 60.0
 )
--- a/constants/shard_scaling.go
+++ b/constants/shard_scaling.go
@@ -2,49 +2,50 @@
 
 import "time"
 
-// Scale out, consolidation and spot notices.
+// Scale out, consolidation and reclaimed spot machines.
 const (
-	// RentGap is the least time between two looks at what to rent.
-	RentGap = 250 * time.Millisecond
-	// RefusedPause is how long a refused kind of machine is not asked for.
-	RefusedPause = 10 * time.Second
-	// BootUsual is how long, in nominal boot times, a machine that has not
-	// come up is counted on: most take up to 1.5 of them (factor).
-	BootUsual = 1.7
-	// BootPatience is when, in nominal boot times, it is returned: some take
-	// several of them, and a few never come up but cost all the same (factor).
-	BootPatience = 3.0
-	// ArrivalMemory is how long arrivals count when room is held ready for
-	// more of them.
-	ArrivalMemory = 120 * time.Second
-	// ReserveFactor is how many times the arrivals expected while a machine
-	// boots are held ready: arrivals come in clumps (factor).
+	// ScaleOutInterval is the least time between two computations of what to scale out.
+	ScaleOutInterval = 250 * time.Millisecond
+	// ScaleOutRefusedPause is how long no more machines of a kind are requested after
+	// the cloud has refused some.
+	ScaleOutRefusedPause = 10 * time.Second
+	// PendingBootTimes is how long, in nominal boot times, a machine that has not come
+	// up counts as pending capacity: most take up to 1.5 of them (factor).
+	PendingBootTimes = 1.7
+	// MaxBootTimes is when, in nominal boot times, such a machine is scaled in: some
+	// take several of them, and a few never come up but cost all the same (factor).
+	MaxBootTimes = 3.0
+	// ArrivalTimeConstant is the time constant of the decaying average of arriving work.
+	ArrivalTimeConstant = 120 * time.Second
+	// ReserveFactor is how many times the arrivals expected while a machine boots are
+	// held in reserve: arrivals are bursty (factor).
 	ReserveFactor = 2.0
-	// DrainBoots and DrainShare bound how long waiting work may queue before
-	// machines that are there rather than have one rented: in nominal boot
-	// times, since a new machine would not be sooner, and as a share of the
-	// class's objective (factor, share).
-	DrainBoots = 0.8
-	DrainShare = 0.45
-	// DrainWait is how long a task waits at most in that hope, in nominal boot
-	// times (factor).
-	DrainWait = 0.5
-	// NoticeMoves is how many tasks leave a machine that is about to be taken
-	// in one step, so that room is found for each (tasks).
-	NoticeMoves = 2
-	// NoticeMargin is kept between the end of saving and the end of a machine.
-	NoticeMargin = 3 * time.Second
-	// NoticeDoubt is how many times longer than the notice a task must be
-	// expected to run before it is moved: estimates are often wrong by half
-	// (factor).
-	NoticeDoubt = 1.5
-	// MoveGap separates two looks at whether a machine can be emptied, and so
-	// two moved services: the last one has usually started again by then.
-	MoveGap = time.Second
-	// MachinesAMove: for each that many ordinary machines, one service more is
-	// moved at once (machines).
-	MachinesAMove = 40
-	// SpareFor is how long a shard must have been able to do without a machine
-	// before it is emptied, so that a lull between two jobs empties none.
-	SpareFor = 10 * time.Second
+	// BacklogBootTimes and BacklogObjectiveShare bound how long waiting work may queue
+	// for existing machines before the shard scales out for it: in nominal boot times,
+	// since a new machine would not be up sooner, and as a share of the class's
+	// objective (factor, share).
+	BacklogBootTimes      = 0.8
+	BacklogObjectiveShare = 0.45
+	// BacklogWaitBootTimes is the longest wait of a task in the backlog of the existing
+	// machines, in nominal boot times (factor).
+	BacklogWaitBootTimes = 0.5
+	// MaxReclaimEvictions bounds the tasks that are evicted in one step from a machine
+	// that the cloud will take back, so that each finds capacity (tasks).
+	MaxReclaimEvictions = 2
+	// ReclaimMargin is the least time between the end of a checkpoint and the moment at
+	// which the machine is taken back.
+	ReclaimMargin = 3 * time.Second
+	// ReclaimRuntimeFactor: a task is evicted from a machine that the cloud will take
+	// back if its expected remaining runtime is longer than the remaining time by this
+	// factor: estimates are often wrong by half (factor).
+	ReclaimRuntimeFactor = 1.5
+	// ConsolidationInterval is the least time between two consolidation steps, and so
+	// between two migrations: a migrated service has usually started again by then.
+	ConsolidationInterval = time.Second
+	// MachinesPerMigration: for each so many on-demand machines, one more service is
+	// migrated at once (machines).
+	MachinesPerMigration = 40
+	// RedundantFor is how long a machine must have been redundant before services are
+	// migrated off it, so that a lull between two jobs has no effect.
+	RedundantFor = 10 * time.Second
 )
--- a/shard/arrivals.go
+++ b/shard/arrivals.go
@@ -8,7 +8,7 @@
 )
 
 // arrivals follows how much work of a sort arrives, as an average that
-// forgets over constants.ArrivalMemory.
+// forgets over constants.ArrivalTimeConstant.
 type arrivals struct {
 	cpus    float64 // decayed sum of CPUs
 	largest resources
@@ -17,7 +17,7 @@
 
 func (a *arrivals) decay(now time.Time) {
 	if !a.at.IsZero() {
-		a.cpus *= math.Exp(-now.Sub(a.at).Seconds() / constants.ArrivalMemory.Seconds())
+		a.cpus *= math.Exp(-now.Sub(a.at).Seconds() / constants.ArrivalTimeConstant.Seconds())
 	}
 	a.at = now
 }
@@ -26,12 +26,12 @@
 // forerunner had learned.
 func (a *arrivals) add(now time.Time, ago time.Duration, n resources) {
 	a.decay(now)
-	a.cpus += n.cpus * math.Exp(-max(0, ago.Seconds())/constants.ArrivalMemory.Seconds())
+	a.cpus += n.cpus * math.Exp(-max(0, ago.Seconds())/constants.ArrivalTimeConstant.Seconds())
 	a.largest = resources{max(a.largest.cpus, n.cpus), max(a.largest.gpus, n.gpus), max(a.largest.mem, n.mem)}
 }
 
 // within is how many CPUs are expected within d.
 func (a *arrivals) within(now time.Time, d time.Duration) float64 {
 	a.decay(now)
-	return a.cpus * d.Seconds() / constants.ArrivalMemory.Seconds()
+	return a.cpus * d.Seconds() / constants.ArrivalTimeConstant.Seconds()
 }
--- a/shard/attempt.go
+++ b/shard/attempt.go
@@ -132,14 +132,14 @@
 		j.errors[h.m.name] = true
 		t.fails++
 		// Failing on several machines, the job is at fault, not they.
-		if len(j.errors) < constants.JobFaultMachines {
-			h.m.avoidUntil = now.Add(constants.FaultPause)
+		if len(j.errors) < constants.FaultyJobMachines {
+			h.m.avoidUntil = now.Add(constants.FaultyMachinePause)
 		}
 		wait := time.Second << min(t.fails, 5)
-		t.notBefore = now.Add(min(wait, constants.JobFaultRetry))
+		t.notBefore = now.Add(min(wait, constants.MaxFailedTaskRetry))
 		c.draining.migrationFailed(t, h.m.name)
 	default: // refused for room, or as busy
 		slog.Warn("start refused", "task", h.key.task, "machine", h.m.name, "cause", h.cause)
-		t.notBefore = now.Add(constants.RefusedRetry)
+		t.notBefore = now.Add(constants.RefusedStartRetry)
 	}
 }
--- a/shard/bestfit.go
+++ b/shard/bestfit.go
@@ -47,22 +47,22 @@
 func (k *knowledge) placementScore(s *wire.Submission, n resources, m *machine, free resources) float64 {
 	score := m.freeShare(free.minus(n))
 	if !m.images[s.Image] {
-		score += constants.ScoreCold
+		score += constants.ScoreImageMissing
 	}
 	if s.Spot && !m.spot {
 		// Ordinary machines with services stay whatever happens, so their
 		// gaps cost nothing; an empty one had better stay empty.
 		if k.sumsOf(m).services > 0 {
-			score -= constants.ScoreShared
+			score -= constants.ScoreServiceMachine
 		} else {
-			score += constants.ScoreOrdinary
+			score += constants.ScoreOnDemand
 		}
 	}
 	if m.draining || m.leavesNext {
 		score += constants.ScoreDraining
 	}
 	if m.forGangs && !s.IsGang() {
-		score += constants.ScoreForGangs
+		score += constants.ScoreGangReserve
 	}
 	return score
 }
--- a/shard/consolidation.go
+++ b/shard/consolidation.go
@@ -17,7 +17,7 @@
 // is away for a moment, while a machine with one service on it costs as much
 // as a full one. How many are emptied at once grows with the shard.
 func (c *Core) consolidate(now time.Time) {
-	if !c.rebuilt || !c.consolidationPace.due(now, constants.MoveGap) {
+	if !c.rebuilt || !c.consolidationPace.due(now, constants.ConsolidationInterval) {
 		return
 	}
 	var ms []*machine
@@ -39,7 +39,7 @@
 			}
 		}
 	}
-	most := 1 + len(ms)/constants.MachinesAMove
+	most := 1 + len(ms)/constants.MachinesPerMigration
 	if moving >= most || len(ms) < 2 || c.unplacedDemand.cpus > 0 {
 		return
 	}
@@ -79,7 +79,7 @@
 			}
 		case m.spareSince.IsZero():
 			m.spareSince = now
-		case now.Sub(m.spareSince) > constants.SpareFor && draining < most:
+		case now.Sub(m.spareSince) > constants.RedundantFor && draining < most:
 			slog.Info("draining machine", "machine", m.name, "cpus", c.sumsOf(m).used.cpus)
 			m.draining = true
 			draining++
--- a/shard/core.go
+++ b/shard/core.go
@@ -131,10 +131,10 @@
 	}
 	if c.may(now) {
 		c.inventory(now)
-		if c.needsPlacement || now.Sub(c.lastPlacement) > constants.PlaceEvery {
+		if c.needsPlacement || now.Sub(c.lastPlacement) > constants.PlacementInterval {
 			c.runPlacementRound(now)
 		}
-		if c.resumeRank == nil && c.scaleOutPace.due(now, constants.RentGap) {
+		if c.resumeRank == nil && c.scaleOutPace.due(now, constants.ScaleOutInterval) {
 			c.planScaleOut(now)
 		}
 		if slow {
--- a/shard/draining.go
+++ b/shard/draining.go
@@ -132,7 +132,7 @@
 // claim.
 func (c *Core) advanceDrains(now time.Time) {
 	d := c.draining
-	if d == nil || !d.drainPace.due(now, constants.DrainEvery) {
+	if d == nil || !d.drainPace.due(now, constants.DrainInterval) {
 		return
 	}
 	d.ledger.Observe(now, d.countUnavailable(&c.fleetView, now), c.rebuilt)
--- a/shard/gang.go
+++ b/shard/gang.go
@@ -86,7 +86,7 @@
 	if len(j.waiting) == 0 {
 		return
 	}
-	if g.hasRun || now.Sub(g.startedAt) > c.cfg.GangWait*constants.GangReplace/100 {
+	if g.hasRun || now.Sub(g.startedAt) > c.cfg.GangWait*constants.GangReplacePercent/100 {
 		c.failGangAttempt(j, "incomplete")
 		return
 	}
--- a/shard/gangattempt.go
+++ b/shard/gangattempt.go
@@ -98,7 +98,7 @@
 	for _, t := range j.tasks {
 		if h := t.hold; h != nil && !h.exited() {
 			if why == wire.CauseGangIncomplete && (h.state == stateSent || h.state == wire.TaskFetching) {
-				h.m.avoidUntil = c.stepped.Add(constants.FaultPause) // the others waited for it in vain
+				h.m.avoidUntil = c.stepped.Add(constants.FaultyMachinePause) // the others waited for it in vain
 			}
 			c.stopWithoutCheckpoint(h)
 		}
--- a/shard/gangpacking.go
+++ b/shard/gangpacking.go
@@ -60,7 +60,7 @@
 func (v *fleetView) fetchMissesStartObjective(s *wire.Submission) bool {
 	within := v.cfg.Order.StartObjective(s.Class)
 	for _, t := range v.types {
-		if t.FetchGBPerS > 0 && isEligible(s, t.Name, false) && within > 0 && s.ImageGB/t.FetchGBPerS*constants.FetchSlow < within.Seconds() {
+		if t.FetchGBPerS > 0 && isEligible(s, t.Name, false) && within > 0 && s.ImageGB/t.FetchGBPerS*constants.SlowFetchFactor < within.Seconds() {
 			return false
 		}
 	}
--- a/shard/gangreserve.go
+++ b/shard/gangreserve.go
@@ -24,7 +24,7 @@
 		return
 	}
 	key := leader.GangShape(&rec.Spec)
-	if _, known := g.gangShapes[key]; !known && len(g.gangShapes) >= constants.MaxShapes {
+	if _, known := g.gangShapes[key]; !known && len(g.gangShapes) >= constants.MaxGangShapes {
 		oldest := key
 		for k, sh := range g.gangShapes {
 			if oldest == key || sh.lastSeen.Before(g.gangShapes[oldest].lastSeen) || sh.lastSeen.Equal(g.gangShapes[oldest].lastSeen) && k < oldest {
@@ -46,7 +46,7 @@
 func (reserves *gangReserves) gangCapacities(v *fleetView, now time.Time) map[string]leader.GangCapacity {
 	out := map[string]leader.GangCapacity{}
 	for key, sh := range reserves.gangShapes {
-		if now.Sub(sh.lastSeen) > constants.ShapeMemory {
+		if now.Sub(sh.lastSeen) > constants.GangShapeRetention {
 			delete(reserves.gangShapes, key)
 			continue
 		}
@@ -183,7 +183,7 @@
 		return 0
 	}
 	within := g.gangArrivals.within(now, time.Duration(v.maxBootSeconds()*float64(time.Second)))
-	if within < g.gangArrivals.largest.cpus*constants.GangsFaint {
+	if within < g.gangArrivals.largest.cpus*constants.MinGangArrivalShare {
 		return 0 // they have stopped coming
 	}
 	return max(g.gangArrivals.largest.cpus, constants.ReserveFactor*within)
--- a/shard/migration.go
+++ b/shard/migration.go
@@ -74,7 +74,7 @@
 	if refused := d.ledger.Check(now, keys); refused != nil && isUp {
 		return refused.Error()
 	}
-	if d.targetSearches++; d.targetSearches > constants.DrainLooks {
+	if d.targetSearches++; d.targetSearches > constants.MaxMigrationSearches {
 		return "others are looked at first"
 	}
 	to := c.migrationTarget(&c.fleetView, now, s, d.reservedCapacity)
@@ -124,7 +124,7 @@
 // requestSurge has a machine rented for a task that may move and finds no room, for no
 // more tasks than the budgets would let move.
 func (d *draining) requestSurge(now time.Time, t *task, keys []disruption.Key) {
-	if len(d.surgeTasks) >= constants.DrainRentals {
+	if len(d.surgeTasks) >= constants.MaxSurgeTasks {
 		return
 	}
 	for _, k := range keys {
--- a/shard/pendingcapacity.go
+++ b/shard/pendingcapacity.go
@@ -39,7 +39,7 @@
 
 // isPendingMachine says whether a machine that has not come up yet is still counted on.
 func (hear *hearing) isPendingMachine(now time.Time, m *machine) bool {
-	return !m.up && !m.inherited && !hear.isUnreachable && !m.returning && m.typ != nil && m.bootAge(now) < constants.BootUsual
+	return !m.up && !m.inherited && !hear.isUnreachable && !m.returning && m.typ != nil && m.bootAge(now) < constants.PendingBootTimes
 }
 
 // listPendingMachines lists the room of machines that are not up yet or may not take
--- a/shard/placement.go
+++ b/shard/placement.go
@@ -133,7 +133,7 @@
 	free := c.free(m)
 	looked := 0
 	for _, j := range c.lastQueue {
-		if free.cpus < slack || looked >= constants.FillLooks {
+		if free.cpus < slack || looked >= constants.MaxJobsPerFill {
 			break
 		}
 		s := &j.rec.Spec
--- a/shard/preempt.go
+++ b/shard/preempt.go
@@ -93,7 +93,7 @@
 			free = free.plus(h.needs)
 			cost += h.needs.cpus * (1 + now.Sub(h.sentAt).Seconds())
 			if v.preemptionMissesObjective(now, h) {
-				cost += h.needs.cpus * constants.CostMissed
+				cost += h.needs.cpus * constants.CostObjectiveMissed
 			}
 			victims++
 		}
@@ -101,9 +101,9 @@
 			continue
 		}
 		if !m.images[s.Image] {
-			cost += constants.CostCold
+			cost += constants.CostImageFetch
 		}
-		if warm && cost > constants.CostWarm {
+		if warm && cost > constants.MaxCostForImage {
 			continue // rather wait for the image where there is room
 		}
 		if cost < bestCost || cost == bestCost && m.name < best.name {
@@ -146,7 +146,7 @@
 	}
 	whole := time.Duration(rec.Spec.EstimateS * float64(time.Second))
 	age := time.Duration(now.UnixMilli()-rec.AcceptedMS) * time.Millisecond
-	left := max(whole-now.Sub(began), constants.LeastLeft)
+	left := max(whole-now.Sub(began), constants.MinRemainingRuntime)
 	return v.cfg.Order.ObjectivesMet(rec.Spec.Class, age+left) > v.cfg.Order.ObjectivesMet(rec.Spec.Class, age+whole)
 }
 
@@ -201,6 +201,6 @@
 	if len(best) == 0 {
 		return 0
 	}
-	preemptor.roomAt = now.Add(wait + constants.NoticeMargin)
+	preemptor.roomAt = now.Add(wait + constants.ReclaimMargin)
 	return freed.holdsOf(n)
 }
--- a/shard/reservation.go
+++ b/shard/reservation.go
@@ -36,7 +36,7 @@
 			best, most = m, room
 		}
 	}
-	if r.reservationsExhausted = kept > len(v.fleet)/constants.MachinesACollect; best == nil || r.reservationsExhausted {
+	if r.reservationsExhausted = kept > len(v.fleet)/constants.MachinesPerReservation; best == nil || r.reservationsExhausted {
 		return
 	}
 	slog.Info("keeping room for a job that waits", "job", s.ID, "machine", best.name)
--- a/shard/scalein.go
+++ b/shard/scalein.go
@@ -51,7 +51,7 @@
 			idle = c.cfg.IdleSpot
 		}
 		switch {
-		case !m.up && !m.inherited && m.bootAge(now) > constants.BootPatience:
+		case !m.up && !m.inherited && m.bootAge(now) > constants.MaxBootTimes:
 			why = "did not come up"
 			c.draining.bootFailed(&c.fleetView, m)
 		case m.cordon != nil && !c.isUnreachable && !c.busy(m) && (m.up && m.verified(c.term) || !m.up && !m.inherited && !m.lapsed):
--- a/shard/scaleout.go
+++ b/shard/scaleout.go
@@ -54,7 +54,7 @@
 	if len(c.types) == 0 || !c.rebuilt {
 		return
 	}
-	r := scaleOutRound{wanted: map[machineKind]int{}, mayOffloadOverdue: now.Sub(c.overdueOffloadAt) > constants.KeepWait}
+	r := scaleOutRound{wanted: map[machineKind]int{}, mayOffloadOverdue: now.Sub(c.overdueOffloadAt) > constants.OffloadWait}
 	for _, j := range c.rankWaitingJobs(&c.fleetView, now) {
 		if j.gang != nil {
 			c.scaleOutForGang(now, j, r.wanted)
@@ -80,7 +80,7 @@
 	n := need(s)
 	typ, spot, ok := c.cheapestMachineKind(&c.fleetView, now, s)
 	away := 0
-	back := now.Sub(j.backAt) > constants.KeepWait // together, and not over and over
+	back := now.Sub(j.backAt) > constants.OffloadWait // together, and not over and over
 	var bin *pendingMachine
 	for _, t := range tasks {
 		c.excessCPUs += n.cpus
@@ -93,7 +93,7 @@
 			// have room. Otherwise it would come back, for two writes more.
 			c.offloadTask(j, t)
 			away++
-		case r.mayOffloadOverdue && now.Sub(t.waitSince) > constants.KeepLong && c.taskSlotsInOtherShards(now, j.rec) > r.offloaded:
+		case r.mayOffloadOverdue && now.Sub(t.waitSince) > constants.OverdueOffloadWait && c.taskSlotsInOtherShards(now, j.rec) > r.offloaded:
 			// However little the room elsewhere is and whatever may yet be had
 			// here: it must not wait beside it for ever.
 			c.offloadTask(j, t)
@@ -103,7 +103,7 @@
 		case ok:
 			bin = c.planMachine(typ, spot, n, r.wanted)
 			c.excessCPUs -= n.cpus
-		case now.Sub(t.waitSince) > constants.KeepWait && back && c.otherShardsFitOneMore(now, j.rec, away):
+		case now.Sub(t.waitSince) > constants.OffloadWait && back && c.otherShardsFitOneMore(now, j.rec, away):
 			c.offloadTask(j, t)
 			away++
 		}
@@ -152,7 +152,7 @@
 	within := v.cfg.Order.FinishObjective(s.Class)
 	boot := v.maxBootSeconds()
 	// Estimates may be far too low: what has waited in vain is rented for.
-	if s.IsService() || within == 0 || t.guarantee || now.Sub(t.waitSince).Seconds() > boot*constants.DrainWait {
+	if s.IsService() || within == 0 || t.guarantee || now.Sub(t.waitSince).Seconds() > boot*constants.BacklogWaitBootTimes {
 		return false
 	}
 	if c.backlogAt != now {
@@ -175,12 +175,12 @@
 				if !h.runSince.IsZero() {
 					left -= now.Sub(h.runSince).Seconds()
 				}
-				c.backlogCPUSeconds += h.needs.cpus * max(left, constants.LeastLeft.Seconds())
+				c.backlogCPUSeconds += h.needs.cpus * max(left, constants.MinRemainingRuntime.Seconds())
 			}
 		}
 	}
 	work := c.backlogCPUSeconds + s.CPUs*s.EstimateS
-	limit := min(boot*constants.DrainBoots, within.Seconds()*constants.DrainShare)
+	limit := min(boot*constants.BacklogBootTimes, within.Seconds()*constants.BacklogObjectiveShare)
 	if c.backlogCPUs < s.CPUs || work > c.backlogCPUs*limit {
 		return false
 	}
@@ -229,7 +229,7 @@
 	delete(c.pendingScaleOuts, request)
 	if refused || len(names) < r.request.Count {
 		slog.Info("cloud has no more machines", "shard", c.cfg.Shard, "spot", r.request.Spot, "asked", r.request.Count, "got", len(names))
-		c.refusedUntil[r.request.Spot] = now.Add(constants.RefusedPause)
+		c.refusedUntil[r.request.Spot] = now.Add(constants.ScaleOutRefusedPause)
 	}
 	for _, name := range names {
 		m := c.machine(name)
--- a/shard/scaleoutgang.go
+++ b/shard/scaleoutgang.go
@@ -41,11 +41,11 @@
 	}
 	typ, spot, ok := c.cheapestMachineKind(&c.fleetView, now, s)
 	waited := now.Sub(j.gangSince)
-	back := now.Sub(j.backAt) > constants.KeepWait && !spansShards(j.rec, c.cfg.Shard)
+	back := now.Sub(j.backAt) > constants.OffloadWait && !spansShards(j.rec, c.cfg.Shard)
 	// Where it has waited for long and the cloud has no more, no shard may hold it
 	// whole: then the leader spreads it, if it may.
-	apart := !ok && !s.OneZone && s.Zone == "" && waited > constants.KeepWait && leader.IsOverdue(now, j.rec, false)
-	if back && ((!ok || waited > constants.GangPatience) && c.otherShardFitsGang(now, s) || apart) {
+	apart := !ok && !s.OneZone && s.Zone == "" && waited > constants.OffloadWait && leader.IsOverdue(now, j.rec, false)
+	if back && ((!ok || waited > constants.GangOffloadWait) && c.otherShardFitsGang(now, s) || apart) {
 		slog.Info("gang goes back to the leader", "job", s.ID, "spread", apart)
 		c.offloadGang(now, j)
 		return
--- a/shard/spotreclaim.go
+++ b/shard/spotreclaim.go
@@ -19,14 +19,14 @@
 		moves := 0
 		for _, h := range m.holds {
 			t := v.taskOf(h)
-			if !isEvictable(h, t) || moves >= constants.NoticeMoves {
+			if !isEvictable(h, t) || moves >= constants.MaxReclaimEvictions {
 				continue
 			}
 			s := &t.job.rec.Spec
 			if t.job.gang != nil {
 				// It saves whole, at the last moment at which all can be told, or
 				// is left to end by itself.
-				if !h.instant && left <= v.grace(h)+v.cfg.GangPeer+constants.NoticeMargin {
+				if !h.instant && left <= v.grace(h)+v.cfg.GangPeer+constants.ReclaimMargin {
 					q.stopGangWithCheckpoint(t.job, "a machine will be taken back")
 				}
 				continue
@@ -36,10 +36,10 @@
 				ends -= now.Sub(h.runSince)
 			}
 			switch {
-			case !h.instant && left > v.grace(h)+constants.NoticeMargin:
+			case !h.instant && left > v.grace(h)+constants.ReclaimMargin:
 				continue // it saves at the last moment
 			case !h.instant:
-			case !s.IsService() && float64(ends) < constants.NoticeDoubt*float64(left):
+			case !s.IsService() && float64(ends) < constants.ReclaimRuntimeFactor*float64(left):
 				continue // it may well be done before
 			case v.bestFit(now, s, nil) == nil:
 				continue
