--- a/controller/actors.go
+++ b/controller/actors.go
@@ -24,42 +24,42 @@
 
 // Messages to leader and owners.
 type (
-	authority time.Time // may act until then
-	committed struct {
+	authorityExtended time.Time // may act until then
+	commitDone        struct {
 		id       string
 		revision uint64 // 0: not known to have been written
 		invalid  bool   // the state service found fault with it
 		urgent   bool
 	}
-	packs       struct{} // every controller reads packed records
-	commandDone struct {
+	packingEnabled struct{} // every controller reads packed records
+	commandDone    struct {
 		machine string
 		result  worker.Result
 	}
-	rented struct {
-		request string
-		names   []string
-		refused bool
+	scaleOutDone struct {
+		requestID string
+		machines  []string
+		refused   bool
 	}
-	returned struct{ names []string }
-	listed   struct {
+	scaleInDone    struct{ machines []string }
+	machinesListed struct {
 		machines []wire.CloudMachine
 		err      error
 	}
-	misroutedReports struct { // machines that reported to another controller
-		machines []shard.MisroutedHeartbeat
-		all      bool // every live controller was heard from lately
+	misroutedHeartbeats struct { // machines that reported to another controller
+		machines      []shard.MisroutedHeartbeat
+		allPeersHeard bool // every live controller was heard from lately
 	}
-	forecast map[string]leader.Forecast // by shard; nil: nothing
-	wake     struct{ soon bool }
-	halt     struct{ done func() } // stop for good, then say so
+	shardForecasts map[string]leader.Forecast // by shard; nil: nothing
+	wake           struct{ deferredStep bool }
+	stopRequest    struct{ stopped func() } // stop for good, then say so
 )
 
 // commit carries out a transaction and returns its revision, 0 if it is not
 // known to have been written. One without an answer is repeated: its
 // conditions make that safe. One that the service found fault with is not.
 // Urgent ones are repeated at once where the allowance alone was in the way.
-func commit(ctx context.Context, store Store, txn wire.Txn, what string, urgent bool) committed {
+func commit(ctx context.Context, store Store, txn wire.Txn, what string, urgent bool) commitDone {
 	ctx, cancel := context.WithTimeout(ctx, 2*constants.StoreTimeout)
 	defer cancel()
 	began := time.Now()
@@ -82,63 +82,63 @@
 			for _, ch := range txn.Changes {
 				slog.Error("write found invalid", "key", ch.Put, "bytes", len(ch.Value), "changes", len(txn.Changes), "err", err)
 			}
-			return committed{invalid: true}
+			return commitDone{invalid: true}
 		} else if ctx.Err() == nil {
 			slog.Info("not written", "what", what, "err", err)
 		}
-		return committed{}
+		return commitDone{}
 	}
 	slog.Debug("written", "what", what, "took_ms", time.Since(began).Milliseconds())
-	return committed{revision: rev}
+	return commitDone{revision: rev}
 }
 
-// pace keeps an actor's steps apart: what comes in between is decided together.
-type pace struct {
-	at    time.Time // of the last step
-	soon  bool      // a wake for the next one is on its way
-	ticks bool      // a wake of the actor's regular tick is on its way
+// stepPacer keeps an actor's steps apart: what comes in between is decided together.
+type stepPacer struct {
+	lastStep      time.Time // of the last step
+	stepScheduled bool      // a wake for the next one is on its way
+	tickScheduled bool      // a wake of the actor's regular tick is on its way
 }
 
-// woke notes that a wake came.
-func (p *pace) woke(w wake) {
-	if w.soon {
-		p.soon = false
+// noteWake notes that a wake came.
+func (p *stepPacer) noteWake(w wake) {
+	if w.deferredStep {
+		p.stepScheduled = false
 	} else {
-		p.ticks = false
+		p.tickScheduled = false
 	}
 }
 
-// tick has self woken after a time, unless that is under way already.
-func (p *pace) tick(after time.Duration, self *actor.Ref) {
-	if p.ticks {
+// scheduleTick has self woken after a time, unless that is under way already.
+func (p *stepPacer) scheduleTick(after time.Duration, self *actor.Ref) {
+	if p.tickScheduled {
 		return
 	}
-	p.ticks = true
+	p.tickScheduled = true
 	time.AfterFunc(after, func() { self.Tell(wake{}) })
 }
 
-// due says whether the next step may be made; if not, self is woken when it may.
-func (p *pace) due(now time.Time, gap time.Duration, self *actor.Ref) bool {
-	wait := p.at.Add(gap).Sub(now)
+// isStepDue says whether the next step may be made; if not, self is woken when it may.
+func (p *stepPacer) isStepDue(now time.Time, gap time.Duration, self *actor.Ref) bool {
+	wait := p.lastStep.Add(gap).Sub(now)
 	if wait <= 0 {
-		p.at = now
+		p.lastStep = now
 		return true
 	}
-	if !p.soon {
-		p.soon = true
-		time.AfterFunc(wait, func() { self.Tell(wake{soon: true}) })
+	if !p.stepScheduled {
+		p.stepScheduled = true
+		time.AfterFunc(wait, func() { self.Tell(wake{deferredStep: true}) })
 	}
 	return false
 }
 
 // leaderActor runs the leader's decisions.
 type leaderActor struct {
-	core   *leader.Core
-	store  Store
-	urgent Store // for assignments that users wait for by the second
-	self   *actor.Ref
-	pace   pace
-	over   bool // halted
+	core        *leader.Core
+	store       Store
+	urgentStore Store // for assignments that users wait for by the second
+	self        *actor.Ref
+	pacer       stepPacer
+	stopped     bool // halted
 
 	control    *actor.Ref
 	revision   uint64
@@ -147,13 +147,13 @@
 
 func (a *leaderActor) Receive(ctx context.Context, msg any) {
 	now := time.Now()
-	if a.over {
+	if a.stopped {
 		return
 	}
 	switch m := msg.(type) {
-	case halt:
-		a.over = true
-		m.done()
+	case stopRequest:
+		a.stopped = true
+		m.stopped()
 		return
 	case records.Update:
 		for _, ch := range m.Changes {
@@ -164,26 +164,26 @@
 		a.revision = m.Revision
 	case leader.Aggregate:
 		a.core.ApplyAggregate(now, m)
-	case authority:
+	case authorityExtended:
 		a.core.SetAuthority(time.Time(m))
-	case packs:
+	case packingEnabled:
 		a.core.EnablePacking()
-	case committed:
+	case commitDone:
 		if m.invalid {
 			a.core.EnablePacking()
 		}
 		a.core.ApplyCommitResult(now, m.id, m.urgent, m.revision)
 	case wake:
-		a.pace.woke(m)
+		a.pacer.noteWake(m)
 	}
-	if !a.pace.due(now, constants.LeaderRoundGap, a.self) {
+	if !a.pacer.isStepDue(now, constants.LeaderRoundGap, a.self) {
 		return
 	}
 	for _, cm := range a.core.Step(now) {
 		go func() {
 			store := a.store
 			if cm.Urgent {
-				store = a.urgent
+				store = a.urgentStore
 			}
 			r := commit(ctx, store, cm.Txn, "assignment of "+cm.JobID, cm.Urgent)
 			r.id, r.urgent = cm.JobID, cm.Urgent
@@ -192,32 +192,32 @@
 	}
 	if now.Sub(a.forecastAt) >= constants.ForecastInterval {
 		a.forecastAt = now
-		a.control.Tell(forecast(a.core.BuildForecasts(now, a.revision)))
+		a.control.Tell(shardForecasts(a.core.BuildForecasts(now, a.revision)))
 	}
-	a.pace.tick(constants.LeaderTick, a.self)
+	a.pacer.scheduleTick(constants.LeaderTick, a.self)
 }
 
 // shardActor runs one owner's decisions and does its calls.
 type shardActor struct {
-	core     *shard.Core
-	shard    string
-	store    Store
-	cloud    Cloud
-	self     *actor.Ref
-	control  *actor.Ref
-	workers  Workers
-	revision uint64
-	pace     pace
-	pushAt   time.Time
-	countAt  time.Time
-	censusAt time.Time // when it was last asked whether the shard is cut off
-	listAt   time.Time
-	listing  bool
-	listed   int  // machines on the last list
-	over     bool // halted
+	core           *shard.Core
+	shard          string
+	store          Store
+	cloud          Cloud
+	self           *actor.Ref
+	control        *actor.Ref
+	workers        Workers
+	revision       uint64
+	pacer          stepPacer
+	statusAt       time.Time
+	summaryAt      time.Time
+	reachabilityAt time.Time // when it was last asked whether the shard is cut off
+	listAt         time.Time
+	listing        bool
+	listSize       int  // machines on the last list
+	stopped        bool // halted
 }
 
-func newShardActor(c *control, name string, term, version uint64, now time.Time, inventory map[string]*records.Page, inventoryV map[string]uint64) *shardActor {
+func newShardActor(c *controlActor, name string, term, version uint64, now time.Time, inventory map[string]*records.Page, inventoryV map[string]uint64) *shardActor {
 	set := c.set
 	limits := set.StoreLimits()
 	cfg := shard.Config{
@@ -228,15 +228,15 @@
 		SizeLimits: set.RecordSizeLimits(), TxnOps: limits.TxnOps, WriteRPS: max(limits.WriteRPS, 1), CloudGap: set.CloudCallInterval(), Order: leader.NewJobOrder(set.Deployment.Objectives), RoundBudget: set.RoundBudget(),
 	}
 	cfg.MaxDirectCommands = set.SocketLimits().DirectCommands
-	a := &shardActor{shard: name, store: c.io.Background, cloud: c.io.Cloud, self: actor.NewRef(), control: c.self,
-		workers: c.io.Workers(), revision: c.revision}
-	a.core = shard.New(cfg, term, version, now, c.types, c.jobs, c.versions, inventory, inventoryV)
-	a.core.SetAuthority(c.until())
-	if c.packs {
+	a := &shardActor{shard: name, store: c.dependencies.Background, cloud: c.dependencies.Cloud, self: actor.NewRef(), control: c.self,
+		workers: c.dependencies.Workers(), revision: c.revision}
+	a.core = shard.New(cfg, term, version, now, c.machineTypes, c.jobs, c.jobVersions, inventory, inventoryV)
+	a.core.SetAuthority(c.authorityEnd())
+	if c.packing {
 		a.core.EnablePacking()
 	}
 	if set.Draining != nil {
-		a.core.StartDraining(now, c.drainingConfig(), c.jobs, c.drains.changes())
+		a.core.StartDraining(now, c.drainingConfig(), c.jobs, c.drainRecords.changes())
 	}
 	a.self.Tell(wake{})
 	return a
@@ -245,16 +245,16 @@
 // Receive implements actor.Handler.
 func (a *shardActor) Receive(ctx context.Context, msg any) {
 	now := time.Now()
-	if a.over {
-		if b, ok := msg.(workerReport); ok {
-			refuseReport(b)
+	if a.stopped {
+		if b, ok := msg.(workerHeartbeat); ok {
+			refuseHeartbeat(b)
 		}
 		return
 	}
 	switch m := msg.(type) {
-	case halt:
-		a.over = true
-		m.done()
+	case stopRequest:
+		a.stopped = true
+		m.stopped()
 		return
 	case records.Update:
 		for _, ch := range m.Changes {
@@ -263,13 +263,13 @@
 		a.revision = m.Revision
 	case apiserver.JobCancelled:
 		a.core.Cancelled(m.JobID)
-	case workerReport:
-		a.workerReport(now, m)
-	case authority:
+	case workerHeartbeat:
+		a.handleHeartbeat(now, m)
+	case authorityExtended:
 		a.core.SetAuthority(time.Time(m))
-	case packs:
+	case packingEnabled:
 		a.core.EnablePacking()
-	case committed:
+	case commitDone:
 		if m.invalid {
 			a.core.CommitInvalid(m.id)
 		}
@@ -279,91 +279,91 @@
 			slog.Debug("direct command unanswered", "machine", m.machine, "err", m.result.Err)
 		}
 		a.core.CommandResult(now, m.machine, m.result.Heartbeat)
-	case rented:
-		a.core.ScaleOutResult(now, m.request, m.names, m.refused)
-	case returned:
-		a.core.ScaleInResult(now, m.names)
-	case listed:
+	case scaleOutDone:
+		a.core.ScaleOutResult(now, m.requestID, m.machines, m.refused)
+	case scaleInDone:
+		a.core.ScaleInResult(now, m.machines)
+	case machinesListed:
 		a.listing = false
 		if m.err == nil {
-			a.listed = len(m.machines)
+			a.listSize = len(m.machines)
 			a.core.ApplyMachineList(now, m.machines)
 		}
-	case misroutedReports:
-		a.core.ApplyMisroutedHeartbeats(now, m.machines, m.all)
+	case misroutedHeartbeats:
+		a.core.ApplyMisroutedHeartbeats(now, m.machines, m.allPeersHeard)
 		return
 	case []leader.Aggregate:
 		a.core.ApplyOtherShards(now, m)
 		return
 	case leader.Forecast:
 		a.core.ApplyForecast(now, m)
-	case typesRead:
+	case machineTypesRead:
 		a.core.SetTypes(m.types)
-	case shardPlanAsked:
+	case shardPlanRequest:
 		m.answer <- a.core.PlanDrain(now, &m.selection)
 		return
 	case wake:
-		a.pace.woke(m)
+		a.pacer.noteWake(m)
 	}
-	if !a.pace.due(now, constants.OwnerGap, a.self) {
+	if !a.pacer.isStepDue(now, constants.OwnerGap, a.self) {
 		return
 	}
 	for _, act := range a.core.Step(now) {
-		a.do(ctx, act)
+		a.perform(ctx, act)
 	}
-	a.after(ctx, now)
+	a.runPeriodicWork(ctx, now)
 }
 
-func refuseReport(m workerReport) {
+func refuseHeartbeat(m workerHeartbeat) {
 	m.req.Respond(&httpwire.Response{Status: 503, Body: []byte(`{"error":"not entitled"}`), RetryAfterS: constants.RetryAfterS})
 }
 
-func (a *shardActor) workerReport(now time.Time, m workerReport) {
-	reply, ok := a.core.Heartbeat(now, m.report)
+func (a *shardActor) handleHeartbeat(now time.Time, m workerHeartbeat) {
+	reply, ok := a.core.Heartbeat(now, m.heartbeat)
 	if !ok {
-		refuseReport(m)
+		refuseHeartbeat(m)
 		return
 	}
 	m.req.Respond(&httpwire.Response{Status: 200, Body: records.Encode(reply)})
 }
 
-// after does what is not the core's: ticks, pushes and the cloud's list.
-func (a *shardActor) after(ctx context.Context, now time.Time) {
-	due := now.Sub(a.pushAt) > constants.PushEvery
-	if due || now.Sub(a.pushAt) > a.core.PushInterval() && a.core.PushDue() {
-		a.pushAt = now
+// runPeriodicWork does what is not the core's: ticks, pushes and the cloud's list.
+func (a *shardActor) runPeriodicWork(ctx context.Context, now time.Time) {
+	due := now.Sub(a.statusAt) > constants.PushEvery
+	if due || now.Sub(a.statusAt) > a.core.PushInterval() && a.core.PushDue() {
+		a.statusAt = now
 		st := shardStatus{shard: a.shard, aggregate: a.core.Aggregate(now, a.revision)}
-		if now.Sub(a.countAt) >= constants.PushEvery {
-			a.countAt = now
+		if now.Sub(a.summaryAt) >= constants.PushEvery {
+			a.summaryAt = now
 			st.counts, st.summary = a.core.Counts(), a.core.Summary(now)
 			st.drains = drain.ShardView{Shard: a.shard, Drains: a.core.DrainProgress(), Usage: a.core.Usage(now)}
 		}
 		a.control.Tell(st)
 		if a.core.TermNumbersLow() {
-			a.control.Tell(termUsedUp{a.shard})
+			a.control.Tell(newTermRequest{a.shard})
 		}
 	}
-	if now.Sub(a.censusAt) >= constants.CensusEvery { // it looks at the whole fleet
-		a.censusAt = now
+	if now.Sub(a.reachabilityAt) >= constants.CensusEvery { // it looks at the whole fleet
+		a.reachabilityAt = now
 		if silent, seen := a.core.CutOff(now); silent {
-			a.control.Tell(cutOff{a.shard, seen})
+			a.control.Tell(shardUnreachable{a.shard, seen})
 		}
 	}
 	every := constants.CloudListEvery
 	if !a.core.Unreachable() { // the list tells whether its machines are cut off or gone
-		every *= time.Duration(1 + a.listed/wire.MaxList)
+		every *= time.Duration(1 + a.listSize/wire.MaxList)
 	}
 	if !a.listing && now.Sub(a.listAt) > every {
 		a.listing, a.listAt = true, now
 		go func() {
 			l, err := a.cloud.Machines(ctx)
-			a.self.Tell(listed{l, err})
+			a.self.Tell(machinesListed{l, err})
 		}()
 	}
-	a.pace.tick(constants.OwnerTick, a.self)
+	a.pacer.scheduleTick(constants.OwnerTick, a.self)
 }
 
-func (a *shardActor) do(ctx context.Context, act shard.Action) {
+func (a *shardActor) perform(ctx context.Context, act shard.Action) {
 	switch act := act.(type) {
 	case shard.SendCommands:
 		a.workers.Send(ctx, act.Addr, act.Request, func(r worker.Result) { a.self.Tell(commandDone{act.Machine, r}) })
@@ -378,20 +378,20 @@
 	case shard.ScaleOut:
 		go func() {
 			var names []string
-			err := insist(ctx, "rental", func() (err error) { names, err = a.cloud.ScaleOut(ctx, act.Request); return err })
-			a.self.Tell(rented{act.Request.RequestID, names, err != nil})
+			err := retryCloudCall(ctx, "rental", func() (err error) { names, err = a.cloud.ScaleOut(ctx, act.Request); return err })
+			a.self.Tell(scaleOutDone{act.Request.RequestID, names, err != nil})
 		}()
 	case shard.ScaleIn:
 		go func() {
-			if err := insist(ctx, "return", func() error { return a.cloud.ScaleIn(ctx, act.Names) }); err == nil {
-				a.self.Tell(returned{act.Names})
+			if err := retryCloudCall(ctx, "return", func() error { return a.cloud.ScaleIn(ctx, act.Names) }); err == nil {
+				a.self.Tell(scaleInDone{act.Names})
 			}
 		}()
 	}
 }
 
-// insist repeats a call to the cloud until it is answered or ctx ends.
-func insist(ctx context.Context, what string, call func() error) error {
+// retryCloudCall repeats a call to the cloud until it is answered or ctx ends.
+func retryCloudCall(ctx context.Context, what string, call func() error) error {
 	wait := constants.RetryBackoffMin
 	for {
 		err := call()
--- a/controller/closing_test.go
+++ b/controller/closing_test.go
@@ -22,7 +22,7 @@
 			w.capacity[k] = 0
 		}
 		w.capacity["a/ordinary"] = 2
-		for _, n := range w.nodes {
+		for _, n := range w.controllers {
 			n.set.Duties.CordonBeforeScaleIn = closeFirst
 			n.start()
 		}
@@ -34,8 +34,8 @@
 		first.spec.Spot = false
 		go w.user(first, 0, 0)
 		w.allDone(t, 2*time.Minute, []*simJob{first})
-		owner := w.nodes[w.owner("a")]
-		w.do(func() { w.onReturn = func(*simNode) { owner.thaws = time.Now().Add(25 * time.Second) } })
+		owner := w.controllers[w.owner("a")]
+		w.do(func() { w.onReturn = func(*simController) { owner.frozenUntil = time.Now().Add(25 * time.Second) } })
 		w.until(t, "a return is on its way", 2*time.Minute, func() bool { return w.count("returns asked") > 0 })
 		w.do(func() { w.onReturn = nil })
 		service := &simJob{spec: wire.Submission{ID: "run-000002", Class: "c", Team: "free", Kind: wire.KindService, Priority: wire.PriorityProduction,
@@ -96,7 +96,7 @@
 func forceHandovers(t *testing.T, seed uint64, total map[string]int) {
 	w := newWorldOf(seed, []string{"a", "b"}, 3, magnoliaTimes)
 	w.late, w.tame, w.lateCopies = 0, true, 0
-	for _, n := range w.nodes {
+	for _, n := range w.controllers {
 		n.set.Duties.CordonBeforeScaleIn = true
 		n.set.Operator.SpotIdleTimeout, n.set.Operator.OnDemandIdleTimeout = 3*time.Second, 3*time.Second
 		n.start()
@@ -105,9 +105,9 @@
 	defer w.shut()
 	time.Sleep(5 * time.Second)
 	w.do(func() {
-		w.onReturn = func(by *simNode) {
-			if time.Now().After(by.thaws) && w.rng.IntN(2) == 0 {
-				by.thaws = time.Now().Add(time.Duration(2+w.rng.IntN(14)) * time.Second)
+		w.onReturn = func(by *simController) {
+			if time.Now().After(by.frozenUntil) && w.rng.IntN(2) == 0 {
+				by.frozenUntil = time.Now().Add(time.Duration(2+w.rng.IntN(14)) * time.Second)
 			}
 		}
 	})
--- a/controller/control.go
+++ b/controller/control.go
@@ -24,45 +24,45 @@
 
 // Messages to the control actor.
 type (
-	tick         time.Time
-	workerReport struct {
-		req    request
-		report *wire.Heartbeat
-	}
-	health      struct{ req request }
-	statusAsked struct{ req request }
-	peerStatus  peer.Status
-	peerAsk     struct { // a status that asks for a lease extension
+	controlTick     time.Time
+	workerHeartbeat struct {
+		req       httpRequest
+		heartbeat *wire.Heartbeat
+	}
+	healthRequest      struct{ req httpRequest }
+	statusRequest      struct{ req httpRequest }
+	peerStatusReceived peer.Status
+	extensionRequest   struct { // a status that asks for a lease extension
 		status peer.Status
 		answer chan<- peer.StatusReply // has room for the answer
 	}
-	peerReply struct {
-		node  string
-		sent  time.Time
-		asked bool
-		reply peer.StatusReply
-		err   error
+	peerStatusReply struct {
+		controller         string
+		sentAt             time.Time
+		extensionRequested bool
+		reply              peer.StatusReply
+		err                error
 	}
-	leased struct { // a lease and its key were obtained
+	leaseGranted struct { // a lease and its key were obtained
 		lease, incarnation uint64
-		sent               time.Time
+		sentAt             time.Time
 		err                error
 	}
-	renewed struct {
-		lease uint64
-		sent  time.Time
-		err   error
+	leaseRenewed struct {
+		lease  uint64
+		sentAt time.Time
+		err    error
 	}
 	revisionRead struct {
 		revision uint64
-		sent     time.Time
+		sentAt   time.Time
 		err      error
 	}
-	claimed struct {
-		claim member.TermAcquisition
-		err   error
+	acquisitionDone struct {
+		acquisition member.TermAcquisition
+		err         error
 	}
-	typesRead struct {
+	machineTypesRead struct {
 		types []wire.MachineType
 		err   error
 	}
@@ -73,92 +73,92 @@
 		summary   shard.Summary
 		drains    drain.ShardView
 	}
-	termUsedUp struct{ shard string }                 // the owner needs a new term
-	halted     struct{ claim member.TermAcquisition } // the actor stopped: the claim may go
-	cutOff     struct {                               // a shard's machines fell silent together
-		shard            string
-		misroutedReports bool // and report to other controllers
+	newTermRequest   struct{ shard string }                       // the owner needs a new term
+	actorStopped     struct{ acquisition member.TermAcquisition } // the actor stopped: the claim may go
+	shardUnreachable struct {                                     // a shard's machines fell silent together
+		shard               string
+		heartbeatsMisrouted bool // and report to other controllers
 	}
 )
 
-// request is one HTTP request's way back.
-type request interface {
+// httpRequest is one HTTP request's way back.
+type httpRequest interface {
 	Respond(*httpwire.Response)
 }
 
-// control keeps the lease, makes claims, starts and stops the leader and the
+// controlActor keeps the lease, makes claims, starts and stops the leader and the
 // owners, and routes reports.
-type control struct {
-	set    *settings.Settings
-	io     Dependencies
-	self   *actor.Ref
-	api    *actor.Ref
-	member *member.Core
+type controlActor struct {
+	set          *settings.Settings
+	dependencies Dependencies
+	self         *actor.Ref
+	api          *actor.Ref
+	member       *member.Core
 
-	jobs       map[string]*records.Job // not over, or with open assignments
-	versions   map[string]uint64
-	inventory  map[string]*records.Page // by key
-	inventoryV map[string]uint64
-	shardOf    map[string]string // by machine on the inventory
-	odd        map[string]bool   // machines whose impossible reports were logged
-	revision   uint64
-	synced     bool
-	heardAt    time.Time // last answer of the state service
+	jobs               map[string]*records.Job // not over, or with open assignments
+	jobVersions        map[string]uint64
+	inventory          map[string]*records.Page // by key
+	inventoryVersions  map[string]uint64
+	shardByMachine     map[string]string // by machine on the inventory
+	zoneMismatchLogged map[string]bool   // machines whose impossible reports were logged
+	revision           uint64
+	synced             bool
+	storeContactAt     time.Time // last answer of the state service
 
-	packs       bool // no process of the version before can come any more
-	incarnation uint64
-	lease       uint64
-	leaseSent   time.Time
-	leaseBusy   bool
-	nextLease   time.Time
-	fresh       time.Time // the feed held all changes made before
-	reads       []revisionRead
-	authority   time.Duration
-	claiming    map[string]time.Time
-	yielded     map[string]uint64 // term given up while handing on, or known from a sibling to be over
-	successor   map[string]string // by shard: who a sibling says owns it, beyond what the feed shows
-	types       []wire.MachineType
-	typesNext   time.Time // when they are read next
-	typesBusy   bool
+	packing           bool // no process of the version before can come any more
+	incarnation       uint64
+	leaseID           uint64
+	leaseRequestedAt  time.Time
+	leaseCallInFlight bool
+	nextLeaseCall     time.Time
+	feedFreshAt       time.Time // the feed held all changes made before
+	revisionReads     []revisionRead
+	authorityPeriod   time.Duration
+	acquiring         map[string]time.Time
+	handedOver        map[string]uint64 // term given up while handing on, or known from a sibling to be over
+	successors        map[string]string // by shard: who a sibling says owns it, beyond what the feed shows
+	machineTypes      []wire.MachineType
+	nextTypesRead     time.Time // when they are read next
+	readingTypes      bool
 
-	cancels       cancellations
-	started       time.Time
-	noClaimsUntil time.Time            // until then nothing is claimed
-	grants        map[string]time.Time // by controller: when what it promised was asked for
+	cancellations      recentCancellations
+	startedAt          time.Time
+	noAcquisitionUntil time.Time            // until then nothing is claimed
+	extensions         map[string]time.Time // by controller: when what it promised was asked for
 
-	owners           map[string]*child
-	leaderRef        *child
-	ledSince         time.Time
-	status           map[string]shardStatus
-	unsettled        map[string]time.Time // by key: when a shard here last was not rebuilt, or out of reach
-	forecast         forecast             // of the leader here
-	pushAt           time.Time            // when anybody was last told
-	pushAllAt        time.Time            // and when everybody was
-	pushNow          bool
-	pushing          map[string]bool
-	peersState       map[string]peerView
-	misroutedReports map[string]misroutedReport
-	detect           detection
-	drains           drainRecords
+	owners         map[string]*runningActor
+	leader         *runningActor
+	leaderSince    time.Time
+	shardStatuses  map[string]shardStatus
+	unstableAt     map[string]time.Time // by key: when a shard here last was not rebuilt, or out of reach
+	forecasts      shardForecasts       // of the leader here
+	lastPushAt     time.Time            // when anybody was last told
+	lastFullPushAt time.Time            // and when everybody was
+	pushPending    bool
+	pushInFlight   map[string]bool
+	peerViews      map[string]peerView
+	misrouted      map[string]misroutedHeartbeat
+	detection      detectionState
+	drainRecords   drainRecords
 }
 
-// misroutedReport is a report that was made here though another controller owns its
+// misroutedHeartbeat is a report that was made here though another controller owns its
 // machine.
-type misroutedReport struct {
+type misroutedHeartbeat struct {
 	shard.MisroutedHeartbeat
-	at time.Time
+	receivedAt time.Time
 }
 
-func newControl(set *settings.Settings, out Dependencies, self, api, monitor *actor.Ref) *control {
-	c := &control{
-		set: set, io: out, self: self, api: api, started: time.Now(), grants: map[string]time.Time{},
-		jobs: map[string]*records.Job{}, versions: map[string]uint64{}, inventory: map[string]*records.Page{}, inventoryV: map[string]uint64{}, shardOf: map[string]string{}, odd: map[string]bool{},
-		claiming: map[string]time.Time{}, yielded: map[string]uint64{}, successor: map[string]string{}, unsettled: map[string]time.Time{}, owners: map[string]*child{},
-		status: map[string]shardStatus{}, pushing: map[string]bool{}, peersState: map[string]peerView{}, misroutedReports: map[string]misroutedReport{}, drains: newDrainRecords(),
+func newControlActor(set *settings.Settings, out Dependencies, self, api, monitor *actor.Ref) *controlActor {
+	c := &controlActor{
+		set: set, dependencies: out, self: self, api: api, startedAt: time.Now(), extensions: map[string]time.Time{},
+		jobs: map[string]*records.Job{}, jobVersions: map[string]uint64{}, inventory: map[string]*records.Page{}, inventoryVersions: map[string]uint64{}, shardByMachine: map[string]string{}, zoneMismatchLogged: map[string]bool{},
+		acquiring: map[string]time.Time{}, handedOver: map[string]uint64{}, successors: map[string]string{}, unstableAt: map[string]time.Time{}, owners: map[string]*runningActor{},
+		shardStatuses: map[string]shardStatus{}, pushInFlight: map[string]bool{}, peerViews: map[string]peerView{}, misrouted: map[string]misroutedHeartbeat{}, drainRecords: newDrainRecords(),
 	}
 	var short bool
-	if c.authority, short = set.Authority(); short {
-		slog.Warn("cancel_s leaves little room: authority shortened", "authority", c.authority)
+	if c.authorityPeriod, short = set.Authority(); short {
+		slog.Warn("cancel_s leaves little room: authority shortened", "authority", c.authorityPeriod)
 	}
 	var all []member.Controller
 	for _, n := range set.AllControllers() {
@@ -170,57 +170,57 @@
 		c.member.EnableDetection()
 		// A worker that is not served comes back after it has waited for an answer.
 		window := time.Duration(constants.MisroutedPeriods*float64(set.HeartbeatPeriod())) + constants.NextController
-		c.detect = detection{monitor: monitor, returning: newReturningWorkers(window)}
+		c.detection = detectionState{monitor: monitor, redirects: newRedirectTracker(window)}
 	}
 	return c
 }
 
 // Receive implements actor.Handler.
-func (c *control) Receive(ctx context.Context, msg any) {
+func (c *controlActor) Receive(ctx context.Context, msg any) {
 	now := time.Now()
 	switch m := msg.(type) {
 	case records.Update:
-		c.update(ctx, now, m)
-	case workerReport:
-		c.workerReport(now, m)
-	case health:
-		c.health(now, m)
-	case statusAsked:
-		c.tellStatus(now, m.req)
-	case tick:
-		c.tick(ctx, now)
+		c.applyUpdate(ctx, now, m)
+	case workerHeartbeat:
+		c.routeHeartbeat(now, m)
+	case healthRequest:
+		c.answerHealth(now, m)
+	case statusRequest:
+		c.answerStatus(now, m.req)
+	case controlTick:
+		c.handleTick(ctx, now)
 	case apiserver.JobCancelled:
-		c.cancelled(peer.Cancellation{Job: m.JobID, Revision: m.Revision})
-	case typesRead:
-		c.typesRead(now, m)
-	case forecast:
-		c.forecast = m
-		c.pushNow = c.pushNow || m != nil
+		c.applyCancellation(peer.Cancellation{Job: m.JobID, Revision: m.Revision})
+	case machineTypesRead:
+		c.handleMachineTypes(now, m)
+	case shardForecasts:
+		c.forecasts = m
+		c.pushPending = c.pushPending || m != nil
 		c.forwardForecast(m)
 	default:
-		if !c.receiveOfPeers(now, msg) && !c.receiveOfLease(ctx, now, msg) && !c.receiveOfShard(ctx, now, msg) && !c.receiveOfDrains(msg) {
-			c.receiveOfDetection(ctx, now, msg)
+		if !c.receivePeerMessage(now, msg) && !c.receiveLeaseMessage(ctx, now, msg) && !c.receiveShardMessage(ctx, now, msg) && !c.receiveDrainMessage(msg) {
+			c.receiveDetectionMessage(ctx, now, msg)
 		}
 	}
 }
 
-// receiveOfPeers takes in what comes of other controllers, and says whether a message
+// receivePeerMessage takes in what comes of other controllers, and says whether a message
 // is of that kind.
-func (c *control) receiveOfPeers(now time.Time, msg any) bool {
+func (c *controlActor) receivePeerMessage(now time.Time, msg any) bool {
 	switch m := msg.(type) {
-	case peerStatus:
-		c.peerStatus(now, peer.Status(m))
-	case peerAsk:
-		c.peerStatus(now, m.status)
+	case peerStatusReceived:
+		c.applyPeerStatus(now, peer.Status(m))
+	case extensionRequest:
+		c.applyPeerStatus(now, m.status)
 		m.answer <- c.grantExtension(now, m.status)
-	case peerReply:
-		c.pushing[m.node] = false
-		c.granted(now, m)
+	case peerStatusReply:
+		c.pushInFlight[m.controller] = false
+		c.applyExtensionReply(now, m)
 		if m.err == nil {
 			// It was heard; what it can reach it tells in its own status.
-			view := c.peersState[m.node]
-			view.at = now
-			c.peersState[m.node] = view
+			view := c.peerViews[m.controller]
+			view.lastContact = now
+			c.peerViews[m.controller] = view
 		}
 	default:
 		return false
@@ -228,42 +228,42 @@
 	return true
 }
 
-// receiveOfLease takes in what comes of calls for the lease, its freshness and claims,
+// receiveLeaseMessage takes in what comes of calls for the lease, its freshness and claims,
 // and says whether a message is of that kind.
-func (c *control) receiveOfLease(ctx context.Context, now time.Time, msg any) bool {
+func (c *controlActor) receiveLeaseMessage(ctx context.Context, now time.Time, msg any) bool {
 	switch m := msg.(type) {
-	case leased:
-		c.leased(now, m)
-	case renewed:
-		c.renewed(now, m)
+	case leaseGranted:
+		c.handleLeaseGranted(now, m)
+	case leaseRenewed:
+		c.handleLeaseRenewed(now, m)
 	case revisionRead:
 		if m.err == nil {
-			c.heardAt = now
-			c.reads = append(c.reads, m)
+			c.storeContactAt = now
+			c.revisionReads = append(c.revisionReads, m)
 			c.advanceFreshness(now)
 		}
-	case claimed:
-		c.claimed(now, m)
-	case halted:
-		delete(c.claiming, m.claim.Key)
-		c.send(ctx, now, m.claim)
+	case acquisitionDone:
+		c.handleAcquisitionDone(now, m)
+	case actorStopped:
+		delete(c.acquiring, m.acquisition.Key)
+		c.startAcquisition(ctx, now, m.acquisition)
 	default:
 		return false
 	}
 	return true
 }
 
-// receiveOfShard takes in what the owners here tell, and says whether a message is of
+// receiveShardMessage takes in what the owners here tell, and says whether a message is of
 // that kind.
-func (c *control) receiveOfShard(ctx context.Context, now time.Time, msg any) bool {
+func (c *controlActor) receiveShardMessage(ctx context.Context, now time.Time, msg any) bool {
 	switch m := msg.(type) {
 	case shardStatus:
-		c.shardStatus(now, m)
-	case termUsedUp:
+		c.handleShardStatus(now, m)
+	case newTermRequest:
 		c.renewTerm(now, m.shard)
-	case cutOff:
-		if o := c.owners[m.shard]; o != nil && (m.misroutedReports || c.peersAway(now)) {
-			c.handOn(ctx, now, records.KeyShard(m.shard))
+	case shardUnreachable:
+		if o := c.owners[m.shard]; o != nil && (m.heartbeatsMisrouted || c.allPeersSilent(now)) {
+			c.handOverUnusable(ctx, now, records.KeyShard(m.shard))
 		}
 	default:
 		return false
@@ -271,88 +271,88 @@
 	return true
 }
 
-// typesRead takes in the machine types, or tries again soon.
-func (c *control) typesRead(now time.Time, m typesRead) {
-	c.typesBusy = false
+// handleMachineTypes takes in the machine types, or tries again soon.
+func (c *controlActor) handleMachineTypes(now time.Time, m machineTypesRead) {
+	c.readingTypes = false
 	if m.err != nil {
 		slog.Info("machine types not read", "err", m.err)
-		c.typesNext = now.Add(constants.RetryBackoffMax / 2)
+		c.nextTypesRead = now.Add(constants.RetryBackoffMax / 2)
 		return
 	}
-	c.typesNext = now.Add(constants.MachineTypesInterval)
-	c.types = m.types
+	c.nextTypesRead = now.Add(constants.MachineTypesInterval)
+	c.machineTypes = m.types
 	c.api.Tell(apiserver.MachineTypes(m.types))
 	for _, o := range c.owners {
 		o.ref.Tell(m)
 	}
 }
 
-// shardStatus passes an owner's figures on to whoever needs them.
-func (c *control) shardStatus(now time.Time, m shardStatus) {
-	c.pushNow = true
+// handleShardStatus passes an owner's figures on to whoever needs them.
+func (c *controlActor) handleShardStatus(now time.Time, m shardStatus) {
+	c.pushPending = true
 	if m.counts != nil {
 		if m.summary.Unreachable || !m.summary.Rebuilt {
-			c.unsettled[records.KeyShard(m.shard)] = now
+			c.unstableAt[records.KeyShard(m.shard)] = now
 		}
 		c.api.Tell(apiserver.ShardCounts{Shard: m.shard, ByJob: m.counts})
 	} else {
-		m.counts, m.summary, m.drains = c.status[m.shard].counts, c.status[m.shard].summary, c.status[m.shard].drains
+		m.counts, m.summary, m.drains = c.shardStatuses[m.shard].counts, c.shardStatuses[m.shard].summary, c.shardStatuses[m.shard].drains
 	}
-	c.drains.views[m.shard] = m.drains
-	c.status[m.shard] = m
-	if c.leaderRef != nil {
-		c.leaderRef.ref.Tell(m.aggregate)
+	c.drainRecords.views[m.shard] = m.drains
+	c.shardStatuses[m.shard] = m
+	if c.leader != nil {
+		c.leader.ref.Tell(m.aggregate)
 	}
 	for _, o := range c.owners {
 		o.ref.Tell([]leader.Aggregate{m.aggregate})
 	}
 }
 
-func (c *control) update(ctx context.Context, now time.Time, up records.Update) {
+func (c *controlActor) applyUpdate(ctx context.Context, now time.Time, up records.Update) {
 	for _, ch := range up.Changes {
 		c.member.Apply(now, ch)
-		c.drains.apply(ch)
+		c.drainRecords.apply(ch)
 		switch r := ch.Record.(type) {
 		case *records.Job:
 			if r.End == wire.JobCancelled {
-				c.cancels.note(r.ID, ch.Version)
+				c.cancellations.add(r.ID, ch.Version)
 			}
 			if r.End != "" && r.AllAssignmentsClosed() {
 				delete(c.jobs, r.ID)
-				delete(c.versions, r.ID)
+				delete(c.jobVersions, r.ID)
 			} else {
-				c.jobs[r.ID], c.versions[r.ID] = r, ch.Version
+				c.jobs[r.ID], c.jobVersions[r.ID] = r, ch.Version
 			}
 		case *records.Revocation:
-			c.noteRevocation(now, r)
+			c.applyRevocation(now, r)
 		case *records.Page:
 			if old := c.inventory[ch.Key]; old != nil {
 				for _, m := range old.Machines() {
-					delete(c.shardOf, m.Name)
+					delete(c.shardByMachine, m.Name)
 				}
 			}
 			for _, m := range r.Machines() {
-				c.shardOf[m.Name] = r.Shard
+				c.shardByMachine[m.Name] = r.Shard
 			}
-			c.inventory[ch.Key], c.inventoryV[ch.Key] = r, ch.Version
+			c.inventory[ch.Key], c.inventoryVersions[ch.Key] = r, ch.Version
 		case nil:
 			delete(c.inventory, ch.Key)
-			delete(c.inventoryV, ch.Key)
+			delete(c.inventoryVersions, ch.Key)
 		}
 	}
-	if !c.packs && c.member.AllReadPacked() {
-		c.packs = true
+	if !c.packing && c.member.AllReadPacked() {
+		c.packing = true
 		slog.Info("every controller has this version")
 		c.api.Tell(apiserver.PackingEnabled{})
 		for _, o := range c.owners {
-			o.ref.Tell(packs{})
+			o.ref.Tell(packingEnabled{})
 		}
-		if c.leaderRef != nil {
-			c.leaderRef.ref.Tell(packs{})
+		if c.leader != nil {
+			c.leader.ref.Tell(packingEnabled{})
 		}
 	}
 	c.revision = up.Revision
-	c.heardAt = now
+	c.storeContactAt = now
 	if !c.synced {
 		c.synced = true
 		slog.Info("feed has read the state service", "revision", up.Revision, "jobs", len(c.jobs))
@@ -361,90 +361,90 @@
 	for _, o := range c.owners {
 		o.ref.Tell(up)
 	}
-	if c.leaderRef != nil {
-		c.leaderRef.ref.Tell(up)
+	if c.leader != nil {
+		c.leader.ref.Tell(up)
 	}
-	c.roles(ctx, now)
+	c.reconcileRoles(ctx, now)
 	c.advanceFreshness(now)
 }
 
-func (c *control) tick(ctx context.Context, now time.Time) {
+func (c *controlActor) handleTick(ctx context.Context, now time.Time) {
 	c.keepLease(ctx, now)
-	c.readTypes(ctx, now)
-	c.roles(ctx, now)
-	for _, cl := range c.member.DueAcquisitions(now, c.incarnation, c.settled(now) && !c.claimsHeld(now)) {
-		if c.claimBusy(now, cl.Key) {
+	c.readMachineTypes(ctx, now)
+	c.reconcileRoles(ctx, now)
+	for _, cl := range c.member.DueAcquisitions(now, c.incarnation, c.hasAuthority(now) && !c.acquisitionsBlocked(now)) {
+		if c.isAcquiring(now, cl.Key) {
 			continue
 		}
 		if cl.NewHolder != c.set.Controller {
-			if now.Sub(c.unsettled[cl.Key]) < constants.FailbackSettleTime {
+			if now.Sub(c.unstableAt[cl.Key]) < constants.FailbackSettleTime {
 				continue // a second rebuild right after the first leaves more waiting for longer
 			}
 			slog.Info("handing on", "key", cl.Key, "to", cl.NewHolder)
-			c.yield(now, cl)
+			c.handOver(now, cl)
 			continue
 		}
-		c.send(ctx, now, cl)
+		c.startAcquisition(ctx, now, cl)
 	}
 	// A hand-over that failed leaves a term without an owner: take a new one.
-	for key, term := range c.yielded {
-		if c.claimsHeld(now) {
+	for key, term := range c.handedOver {
+		if c.acquisitionsBlocked(now) {
 			break
 		}
 		t, _ := c.member.Term(key)
 		if t.Number != term {
-			delete(c.yielded, key)
+			delete(c.handedOver, key)
 			continue
 		}
-		if !c.claimBusy(now, key) && c.settled(now) {
-			c.send(ctx, now, c.member.AcquisitionFor(key, c.set.Controller))
+		if !c.isAcquiring(now, key) && c.hasAuthority(now) {
+			c.startAcquisition(ctx, now, c.member.AcquisitionFor(key, c.set.Controller))
 		}
 	}
-	if c.leaderRef != nil && c.toldByNobody(now) && now.Sub(c.ledSince) > 2*constants.PeerSilenceTimeout {
-		c.handOn(ctx, now, records.KeyLeader)
+	if c.leader != nil && c.noPeerStatus(now) && now.Sub(c.leaderSince) > 2*constants.PeerSilenceTimeout {
+		c.handOverUnusable(ctx, now, records.KeyLeader)
 	}
-	c.push(ctx, now)
-	c.tellMonitor(now)
+	c.pushStatus(ctx, now)
+	c.updateMonitor(now)
 }
 
-func (c *control) readTypes(ctx context.Context, now time.Time) {
-	if c.typesBusy || now.Before(c.typesNext) {
+func (c *controlActor) readMachineTypes(ctx context.Context, now time.Time) {
+	if c.readingTypes || now.Before(c.nextTypesRead) {
 		return
 	}
-	c.typesBusy = true
+	c.readingTypes = true
 	go func() {
-		t, err := c.io.Cloud.MachineTypes(ctx)
-		c.self.Tell(typesRead{t, err})
+		t, err := c.dependencies.Cloud.MachineTypes(ctx)
+		c.self.Tell(machineTypesRead{t, err})
 	}()
 }
 
-// workerReport hands a worker's report to the owner of its shard, or points the worker
+// routeHeartbeat hands a worker's report to the owner of its shard, or points the worker
 // to the controller that owns it.
-func (c *control) workerReport(now time.Time, m workerReport) {
-	if p, ok := c.shardOf[m.report.Machine]; ok && p != m.report.Zone {
+func (c *controlActor) routeHeartbeat(now time.Time, m workerHeartbeat) {
+	if p, ok := c.shardByMachine[m.heartbeat.Machine]; ok && p != m.heartbeat.Zone {
 		// A machine never changes shard: two owners must not command it.
-		if !c.odd[m.report.Machine] {
-			c.odd[m.report.Machine] = true
-			slog.Warn("a machine reports from a zone that is not its own", "machine", m.report.Machine, "zone", m.report.Zone, "shard", p)
+		if !c.zoneMismatchLogged[m.heartbeat.Machine] {
+			c.zoneMismatchLogged[m.heartbeat.Machine] = true
+			slog.Warn("a machine reports from a zone that is not its own", "machine", m.heartbeat.Machine, "zone", m.heartbeat.Zone, "shard", p)
 		}
-		refuseReport(m)
+		refuseHeartbeat(m)
 		return
 	}
-	if o := c.owners[m.report.Zone]; o != nil {
+	if o := c.owners[m.heartbeat.Zone]; o != nil {
 		o.ref.Tell(m)
 		return
 	}
-	if _, known := c.set.Deployment.Zone(m.report.Zone); known {
-		c.misroutedReports[m.report.Machine] = misroutedReport{shard.MisroutedHeartbeat{Machine: m.report.Machine, Epoch: m.report.Epoch, Seq: m.report.Seq}, now}
+	if _, known := c.set.Deployment.Zone(m.heartbeat.Zone); known {
+		c.misrouted[m.heartbeat.Machine] = misroutedHeartbeat{shard.MisroutedHeartbeat{Machine: m.heartbeat.Machine, Epoch: m.heartbeat.Epoch, Seq: m.heartbeat.Seq}, now}
 	}
 	to := ""
-	if holder, ok := c.member.Holder(records.KeyShard(m.report.Zone)); ok && holder != c.set.Controller {
+	if holder, ok := c.member.Holder(records.KeyShard(m.heartbeat.Zone)); ok && holder != c.set.Controller {
 		to = holder
-	} else if next := c.successor[m.report.Zone]; next != "" {
+	} else if next := c.successors[m.heartbeat.Zone]; next != "" {
 		to = next
 	}
-	if to != "" && c.detect.monitor != nil {
-		c.detect.returning.sent(now, m.report.Machine, m.report.Epoch, m.report.Seq, to)
+	if to != "" && c.detection.monitor != nil {
+		c.detection.redirects.record(now, m.heartbeat.Machine, m.heartbeat.Epoch, m.heartbeat.Seq, to)
 	}
 	body, err := json.Marshal(wire.Redirect{Controller: to})
 	if err != nil {
@@ -453,14 +453,14 @@
 	m.req.Respond(&httpwire.Response{Status: 421, Body: body})
 }
 
-// health says whether this controller can serve users. While the state
+// answerHealth says whether this controller can serve users. While the state
 // service is away for all, it can do as much as any other and stays healthy:
 // it answers at once when to come back, and is there the moment it returns.
-func (c *control) health(now time.Time, m health) {
-	ok := c.synced && len(c.types) > 0 && !c.detect.resigned
-	if ok && now.Sub(c.heardAt) > constants.StateSilence+constants.WatchTimeout/2 {
-		for _, p := range c.peersState {
-			if p.stateOK && now.Sub(p.at) < constants.StateSilence {
+func (c *controlActor) answerHealth(now time.Time, m healthRequest) {
+	ok := c.synced && len(c.machineTypes) > 0 && !c.detection.resigned
+	if ok && now.Sub(c.storeContactAt) > constants.StateSilence+constants.WatchTimeout/2 {
+		for _, p := range c.peerViews {
+			if p.storeReachable && now.Sub(p.lastContact) < constants.StateSilence {
 				ok = false
 			}
 		}
--- a/controller/detection_test.go
+++ b/controller/detection_test.go
@@ -43,7 +43,7 @@
 		for k := range w.capacity {
 			w.capacity[k] = 6
 		}
-		for i, n := range w.nodes {
+		for i, n := range w.controllers {
 			n.detect()
 			for _, off := range s.off {
 				if off == i {
@@ -57,7 +57,7 @@
 		time.Sleep(5 * time.Second)
 		b := w.work(t, 60)
 		s.play(t, w, b)
-		for _, n := range w.nodes {
+		for _, n := range w.controllers {
 			w.do(func() { n.noCalls = false })
 		}
 		w.settle(t, 4*time.Minute, b.finishes)
@@ -92,10 +92,10 @@
 		owner := w.owner("a")
 		pause := time.Duration(leases * float64(leaseLife))
 		if leases <= 0.5 {
-			w.staysWith(t, func() { w.nodes[owner].freeze(pause); time.Sleep(pause + 10*time.Second) })
+			w.staysWith(t, func() { w.controllers[owner].freeze(pause); time.Sleep(pause + 10*time.Second) })
 			return
 		}
-		w.nodes[owner].freeze(pause)
+		w.controllers[owner].freeze(pause)
 		if leases > 2 {
 			w.movesWithin(t, "a", owner, takeoverBound)
 		}
@@ -107,7 +107,7 @@
 // its own calls to them and to the state service go through: it hears of no worker
 // that reports elsewhere, and takes its peers for well.
 func grayFailure(w *world, owner int) {
-	w.do(func() { w.nodes[owner].cutWork, w.nodes[owner].noCalls = true, true })
+	w.do(func() { w.controllers[owner].cutWork, w.controllers[owner].noCalls = true, true })
 }
 
 var detectionScenarios = []detectionScenario{
@@ -117,14 +117,14 @@
 	{name: "owner pauses for ten leases", play: freezes(10)},
 	{name: "owner wakes just as it is replaced", play: func(t *testing.T, w *world, _ *busy) {
 		owner := w.owner("a")
-		w.nodes[owner].freeze(time.Hour)
+		w.controllers[owner].freeze(time.Hour)
 		w.movesWithin(t, "a", owner, takeoverBound)
-		w.do(func() { w.nodes[owner].thaws = time.Now() })
+		w.do(func() { w.controllers[owner].frozenUntil = time.Now() })
 		time.Sleep(20 * time.Second)
 	}},
 	{name: "owner is killed", play: func(t *testing.T, w *world, _ *busy) {
 		owner := w.owner("a")
-		w.nodes[owner].restart(30 * time.Second)
+		w.controllers[owner].restart(30 * time.Second)
 		w.movesWithin(t, "a", owner, takeoverBound)
 		time.Sleep(40 * time.Second)
 	}},
@@ -132,7 +132,7 @@
 		for range 4 {
 			owner := w.owner("a")
 			term := w.term("a")
-			w.nodes[owner].restart(200 * time.Millisecond)
+			w.controllers[owner].restart(200 * time.Millisecond)
 			w.until(t, "a new term", takeoverBound, func() bool { return w.term("a") > term })
 			time.Sleep(700 * time.Millisecond)
 		}
@@ -142,11 +142,11 @@
 	}},
 	{name: "two fail together, then the one that takes over", play: func(t *testing.T, w *world, _ *busy) {
 		first, second := w.owner("a"), w.owner("b")
-		w.nodes[first].restart(25 * time.Second)
-		w.nodes[second].restart(25 * time.Second)
+		w.controllers[first].restart(25 * time.Second)
+		w.controllers[second].restart(25 * time.Second)
 		third := 3 - first - second
 		w.until(t, "the third one owns both", takeoverBound+constants.MaxSecondShardDelay, func() bool { return w.owner("a") == third && w.owner("b") == third })
-		w.nodes[third].restart(45 * time.Second)
+		w.controllers[third].restart(45 * time.Second)
 		w.until(t, "both have owners again", time.Minute, func() bool { return w.owner("a") != third && w.owner("b") != third })
 		time.Sleep(30 * time.Second)
 	}},
@@ -164,7 +164,7 @@
 	}},
 	{name: "owner's workers cannot reach it", play: func(t *testing.T, w *world, b *busy) {
 		owner := w.owner("a")
-		w.do(func() { w.nodes[owner].cutWork = true })
+		w.do(func() { w.controllers[owner].cutWork = true })
 		w.movesWithin(t, "a", owner, revocationBound)
 		j := w.newArray("run-000900", 2, 2, 5)
 		j.spec.Zone = "a"
@@ -173,20 +173,20 @@
 	}},
 	{name: "owner cut from all controllers, not from the state service", play: func(t *testing.T, w *world, _ *busy) {
 		w.staysWith(t, func() {
-			owner := w.nodes[w.owner("a")]
+			owner := w.controllers[w.owner("a")]
 			w.do(func() { owner.cutPeers = true })
 			time.Sleep(40 * time.Second)
 		})
 	}},
 	{name: "owner cut from the state service, not from controllers and workers", play: func(t *testing.T, w *world, _ *busy) {
 		owner := w.owner("a")
-		w.do(func() { w.nodes[owner].cutState = true })
+		w.do(func() { w.controllers[owner].cutState = true })
 		w.movesWithin(t, "a", owner, takeoverBound)
 		time.Sleep(20 * time.Second)
 	}},
 	{name: "link flaps within seconds", play: func(t *testing.T, w *world, _ *busy) {
 		w.staysWith(t, func() {
-			owner := w.nodes[w.owner("a")]
+			owner := w.controllers[w.owner("a")]
 			for range 20 {
 				w.do(func() { owner.cutPeers = !owner.cutPeers })
 				time.Sleep(w.between(500*time.Millisecond, 3*time.Second))
@@ -196,7 +196,7 @@
 		})
 	}},
 	{name: "a slow controller suspects everybody", play: func(t *testing.T, w *world, _ *busy) {
-		slow := w.nodes[3-w.owner("a")-w.owner("b")]
+		slow := w.controllers[3-w.owner("a")-w.owner("b")]
 		w.staysWith(t, func() {
 			for range 15 {
 				slow.freeze(2500 * time.Millisecond)
@@ -205,7 +205,7 @@
 		})
 	}},
 	{name: "all pause at once", play: func(t *testing.T, w *world, _ *busy) {
-		for _, n := range w.nodes {
+		for _, n := range w.controllers {
 			n.freeze(8 * time.Second)
 		}
 		time.Sleep(40 * time.Second)
@@ -226,10 +226,10 @@
 			owner := w.owner(zone)
 			grayFailure(w, owner)
 			time.Sleep(revocationBound)
-			w.do(func() { w.nodes[owner].cutWork, w.nodes[owner].noCalls = false, false })
+			w.do(func() { w.controllers[owner].cutWork, w.controllers[owner].noCalls = false, false })
 			time.Sleep(10 * time.Second)
 		}
-		w.nodes[0].restart(10 * time.Second)
+		w.controllers[0].restart(10 * time.Second)
 		time.Sleep(30 * time.Second)
 	}},
 }
@@ -268,7 +268,7 @@
 func detectingWorld(seed uint64) *world {
 	w := newWorldOf(seed, []string{"a", "b"}, 3, magnoliaTimes)
 	w.late, w.tame = 0, true
-	for _, n := range w.nodes {
+	for _, n := range w.controllers {
 		n.detect()
 		n.start()
 	}
@@ -287,8 +287,8 @@
 			defer w.shut()
 			b := w.work(t, 60)
 			owner := w.owner("a")
-			w.nodes[owner].stickOwner("a", 50*time.Second)
-			w.movesWithin(t, "a", owner, w.nodes[owner].set.Detection.StallAfter+time.Second+takeoverBound)
+			w.controllers[owner].stickOwner("a", 50*time.Second)
+			w.movesWithin(t, "a", owner, w.controllers[owner].set.Detection.StallAfter+time.Second+takeoverBound)
 			w.until(t, "the process ends itself", 15*time.Second, func() bool { return w.count("ended itself: controller") == 1 })
 			time.Sleep(50 * time.Second)
 			w.settle(t, 4*time.Minute, b.finishes)
@@ -327,14 +327,14 @@
 // accusedAtRandom switches detection on, and has controllers accuse each other, for the
 // first minutes, once in a while.
 func accusedAtRandom(w *world, every time.Duration) {
-	for _, n := range w.nodes {
+	for _, n := range w.controllers {
 		n.detect()
 	}
 	go func() {
 		for end := time.Now().Add(200 * time.Second); time.Now().Before(end); {
 			time.Sleep(w.between(every/2, every))
 			w.mu.Lock()
-			by, of := w.nodes[w.rng.IntN(len(w.nodes))], w.nodes[w.rng.IntN(len(w.nodes))]
+			by, of := w.controllers[w.rng.IntN(len(w.controllers))], w.controllers[w.rng.IntN(len(w.controllers))]
 			w.mu.Unlock()
 			if by != of {
 				w.accuse(by, of)
@@ -370,7 +370,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(seed, []string{"a", "b"}, 3)
 		w.late, w.tame, w.hasty = 0, true, hasty
-		for _, n := range w.nodes {
+		for _, n := range w.controllers {
 			n.set.Operator.LeaseTTL = longLife
 			n.detect()
 			n.start()
@@ -386,8 +386,8 @@
 		go w.user(j, 0, 0)
 		w.until(t, "the task runs", time.Minute, func() bool { return len(w.on(j.spec.ID)) > 0 })
 		zone := w.on(j.spec.ID)[0].zone
-		owner := w.nodes[w.owner(zone)]
-		outside := w.nodes[w.owner(otherZone(zone))]
+		owner := w.controllers[w.owner(zone)]
+		outside := w.controllers[w.owner(otherZone(zone))]
 		w.do(func() { w.cloudOut, w.cutZone, owner.cutState = true, zone, true }) // nothing is surely gone but by its lease
 		w.until(t, "the owner is revoked", 10*time.Second, func() bool { w.accuse(outside, owner); return w.count("revocations") > 0 })
 		time.Sleep(2 * time.Minute)
@@ -417,16 +417,16 @@
 		defer w.shut()
 		w.do(func() { w.lateWrites, w.repeats, w.lostAnswers = 0, 0, 0 }) // each revocation is written once
 		time.Sleep(5 * time.Second)
-		w.do(func() { w.nodes[0].cutState = true })
+		w.do(func() { w.controllers[0].cutState = true })
 		time.Sleep(2 * leaseLife)
-		w.accuse(w.nodes[0], w.nodes[1])
+		w.accuse(w.controllers[0], w.controllers[1])
 		time.Sleep(time.Second)
-		w.do(func() { w.nodes[0].cutState = false })
+		w.do(func() { w.controllers[0].cutState = false })
 		time.Sleep(10 * time.Second)
 		if n := w.count("revocations"); n != 0 {
 			t.Errorf("%d revocations by one without authority", n)
 		}
-		w.accuse(w.nodes[0], w.nodes[1])
+		w.accuse(w.controllers[0], w.controllers[1])
 		time.Sleep(time.Second)
 		if n := w.count("revocations"); n != 1 {
 			t.Errorf("%d revocations by one with authority", n)
@@ -441,14 +441,14 @@
 		w := detectingWorld(3)
 		defer w.shut()
 		time.Sleep(5 * time.Second)
-		if _, err := w.nodes[0].up().HandlePeerHeartbeat(t.Context(), detector.Message{Controller: "x", Heartbeat: detector.Heartbeat{Incarnation: 1}}); err == nil {
+		if _, err := w.controllers[0].up().HandlePeerHeartbeat(t.Context(), detector.Message{Controller: "x", Heartbeat: detector.Heartbeat{Incarnation: 1}}); err == nil {
 			t.Error("a stranger's heartbeat was taken")
 		}
-		w.nodes[1].kill()
+		w.controllers[1].kill()
 		time.Sleep(2 * leaseLife)
 		var s Status
 		asked := &simAnswer{got: make(chan *httpwire.Response, 1)}
-		w.nodes[0].up().self.Tell(statusAsked{asked})
+		w.controllers[0].up().control.Tell(statusRequest{asked})
 		if err := json.Unmarshal((<-asked.got).Body, &s); err != nil {
 			t.Fatal(err)
 		}
--- a/controller/draining_test.go
+++ b/controller/draining_test.go
@@ -41,11 +41,11 @@
 // Ways for the holder of a drain to fail.
 var holderFailures = []struct {
 	name string
-	hurt func(*world, *simNode)
+	hurt func(*world, *simController)
 }{
-	{"killed", func(_ *world, n *simNode) { n.restart(6 * time.Second) }},
-	{"paused past its lease", func(_ *world, n *simNode) { n.freeze(12 * time.Second) }},
-	{"cut from the state service", func(w *world, n *simNode) {
+	{"killed", func(_ *world, n *simController) { n.restart(6 * time.Second) }},
+	{"paused past its lease", func(_ *world, n *simController) { n.freeze(12 * time.Second) }},
+	{"cut from the state service", func(w *world, n *simController) {
 		w.do(func() { n.cutState = true })
 		time.AfterFunc(20*time.Second, func() { w.do(func() { n.cutState = false }) })
 	}},
@@ -60,7 +60,7 @@
 			s := drainScenario{name: failure.name + " " + point.name, hurt: func(t *testing.T, w *world, number int) {
 				w.until(t, point.name, 4*time.Minute, func() bool { return point.reached(t, w, number) })
 				owner, term := w.owner("a"), w.term("a")
-				failure.hurt(w, w.nodes[owner])
+				failure.hurt(w, w.controllers[owner])
 				w.until(t, "another term", 2*time.Minute, func() bool { return w.term("a") > term })
 			}}
 			t.Run(s.name, func(t *testing.T) { s.holds(t, 1) })
@@ -89,7 +89,7 @@
 		{name: "nothing fails", seeds: 2},
 		{name: "all controllers are restarted", hurt: func(t *testing.T, w *world, _ int) {
 			midway(t, w)
-			for _, n := range w.nodes {
+			for _, n := range w.controllers {
 				n.restart(2 * time.Second)
 			}
 		}},
@@ -171,7 +171,7 @@
 		{name: "arrays and gangs within their budget", settings: "disruption.interruptions.* = 1\n", hurt: func(t *testing.T, w *world, first int) {
 			w.drainEnds(t, first, records.DrainFinished, 12*time.Minute)
 			w.do(func() {
-				w.interruptions = disruptioncheck.New(1, w.nodes[0].set.Draining.Policy.Stable, w.times.lease()+30*time.Second)
+				w.interruptions = disruptioncheck.New(1, w.controllers[0].set.Draining.Policy.Stable, w.times.lease()+30*time.Second)
 				w.haveRun = map[string]bool{}
 			})
 			go w.playGangs()
@@ -185,7 +185,7 @@
 			second := w.startDrain(t, records.Selection{})
 			w.until(t, "one was interrupted", 6*time.Minute, func() bool { return w.interrupted().Stops > 0 })
 			term := w.term("a")
-			w.nodes[w.owner("a")].restart(5 * time.Second)
+			w.controllers[w.owner("a")].restart(5 * time.Second)
 			w.until(t, "another owner", time.Minute, func() bool { return w.term("a") > term })
 			w.until(t, "others were interrupted", 8*time.Minute, func() bool { return w.interrupted().Replaced > 2 })
 			w.drainEnds(t, second, records.DrainFinished, 12*time.Minute)
@@ -252,7 +252,7 @@
 				t.Errorf("%d were down by choice before", worst)
 			}
 			w.do(func() { w.disruption.SetMost(4) })
-			for _, n := range w.nodes {
+			for _, n := range w.controllers {
 				n.kill()
 				n.set.Draining = n.parseDraining(strings.Replace(drainSettings, "* = 2", "* = 4", 1))
 				time.Sleep(3 * time.Second)
@@ -278,7 +278,7 @@
 		}},
 		{name: "the budget is lowered while it runs", hurt: func(t *testing.T, w *world, _ int) {
 			midway(t, w)
-			for _, n := range w.nodes {
+			for _, n := range w.controllers {
 				n.kill()
 				n.set.Draining = n.parseDraining(strings.Replace(drainSettings, "* = 2", "* = 1", 1))
 				time.Sleep(3 * time.Second)
@@ -311,7 +311,7 @@
 			time.Sleep(8 * time.Second)
 			zone := []string{"a", "b"}[i%2]
 			term := w.term(zone)
-			w.nodes[w.owner(zone)].restart(5 * time.Second)
+			w.controllers[w.owner(zone)].restart(5 * time.Second)
 			w.until(t, "another owner", time.Minute, func() bool { return w.term(zone) > term })
 		}
 		for _, n := range numbers {
@@ -350,7 +350,7 @@
 		w := newWorldOf(2, []string{"a", "b", "c"}, 3, magnoliaTimes)
 		w.late, w.tame, w.lostAnswers, w.lateWrites, w.repeats = 0, true, 0, 0, 0
 		w.drainTo(strings.Replace(drainSettings, "* = 2", "* = 40%", 1))
-		for _, n := range w.nodes {
+		for _, n := range w.controllers {
 			n.start()
 		}
 		go w.expireLeases()
@@ -406,9 +406,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := drainWorld(4, "")
 		defer w.shut()
-		w.nodes[1].set.Draining = nil
+		w.controllers[1].set.Draining = nil
 		w.beginDrains(t)
-		if _, err := (simPeer{w.nodes[0], w.nodes[1]}).Drain(context.Background(), peer.DrainRequest{Op: peer.OpStatus}); err != peer.ErrNoDrains {
+		if _, err := (simPeer{w.controllers[0], w.controllers[1]}).Drain(context.Background(), peer.DrainRequest{Op: peer.OpStatus}); err != peer.ErrNoDrains {
 			t.Errorf("it answers: %v", err)
 		}
 		number := w.startDrain(t, records.Selection{Zones: []string{"a"}})
@@ -416,9 +416,9 @@
 		if v := w.view(t, number); w.moved().Stops > 0 || len(v.Shards) == 0 || !strings.Contains(v.Shards[0].WaitingFor, "not published") {
 			t.Errorf("%d stops; %+v", w.moved().Stops, v)
 		}
-		w.nodes[1].kill()
-		w.nodes[1].set.Draining = w.nodes[1].parseDraining(drainSettings)
-		w.nodes[1].start()
+		w.controllers[1].kill()
+		w.controllers[1].set.Draining = w.controllers[1].parseDraining(drainSettings)
+		w.controllers[1].start()
 		w.drainEnds(t, number, records.DrainFinished, 10*time.Minute)
 		if broken := w.brokenRules(); len(broken) > 0 {
 			t.Error(broken)
@@ -447,7 +447,7 @@
 			w.capacity[k] = *drainMachines
 		}
 		w.drainTo("disruption.budget.* = " + *drainPercent + "\ndrain.parallel.percent = 10\n")
-		for _, n := range w.nodes {
+		for _, n := range w.controllers {
 			n.set.Deployment.Limits.CPU = 0
 			n.start()
 		}
--- a/controller/drains.go
+++ b/controller/drains.go
@@ -27,12 +27,12 @@
 
 // Messages about drains to the control actor and to owners.
 type (
-	drainsAsked struct{ answer chan<- drainSnapshot } // has room for the answer
-	ownerAsked  struct {                              // for the owner of a shard here, nil if there is none
+	drainSnapshotRequest struct{ answer chan<- drainSnapshot } // has room for the answer
+	ownerRequest         struct {                              // for the owner of a shard here, nil if there is none
 		shard  string
 		answer chan<- *actor.Ref
 	}
-	shardPlanAsked struct {
+	shardPlanRequest struct {
 		selection records.Selection
 		answer    chan<- drain.ShardPlan
 	}
@@ -66,39 +66,39 @@
 
 // drainSnapshot is what a request about drains is answered from.
 type drainSnapshot struct {
-	known   drain.Inventory
-	drains  map[int]records.Change // readable ones
-	damaged []int
-	views   map[string]drain.ShardView
-	holders map[string]string // of each shard, if it has a live one
+	inventory      drain.Inventory
+	drains         map[int]records.Change // readable ones
+	damagedNumbers []int
+	views          map[string]drain.ShardView
+	holders        map[string]string // of each shard, if it has a live one
 }
 
-func (c *control) drainSnapshot() drainSnapshot {
-	s := drainSnapshot{known: drain.Inventory{Zones: c.set.Deployment.Zones}, drains: map[int]records.Change{}, views: maps.Clone(c.drains.views), holders: map[string]string{}}
-	for _, t := range c.types {
-		s.known.Types = append(s.known.Types, t.Name)
+func (c *controlActor) drainSnapshot() drainSnapshot {
+	s := drainSnapshot{inventory: drain.Inventory{Zones: c.set.Deployment.Zones}, drains: map[int]records.Change{}, views: maps.Clone(c.drainRecords.views), holders: map[string]string{}}
+	for _, t := range c.machineTypes {
+		s.inventory.Types = append(s.inventory.Types, t.Name)
 	}
 	for _, page := range c.inventory {
 		for _, m := range page.Machines() {
-			s.known.Machines = append(s.known.Machines, drain.Machine{Name: m.Name, Zone: page.Shard, Type: m.Type, Spot: m.Spot})
+			s.inventory.Machines = append(s.inventory.Machines, drain.Machine{Name: m.Name, Zone: page.Shard, Type: m.Type, Spot: m.Spot})
 		}
 	}
-	for _, ch := range c.drains.stored {
+	for _, ch := range c.drainRecords.stored {
 		switch r := ch.Record.(type) {
 		case *records.Drain:
 			s.drains[r.Number] = ch
 			if !r.State.Over() {
-				s.known.Running = append(s.known.Running, r)
+				s.inventory.Running = append(s.inventory.Running, r)
 			}
 		case *records.Damaged:
 			if n, ok := r.Drain(); ok {
-				s.damaged = append(s.damaged, n)
+				s.damagedNumbers = append(s.damagedNumbers, n)
 			}
 		}
 	}
-	slices.SortFunc(s.known.Machines, func(a, b drain.Machine) int { return strings.Compare(a.Name, b.Name) })
-	slices.SortFunc(s.known.Running, func(a, b *records.Drain) int { return a.Number - b.Number })
-	slices.Sort(s.damaged)
+	slices.SortFunc(s.inventory.Machines, func(a, b drain.Machine) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(s.inventory.Running, func(a, b *records.Drain) int { return a.Number - b.Number })
+	slices.Sort(s.damagedNumbers)
 	for _, zone := range c.set.Deployment.Zones {
 		if name, ok := c.member.Holder(records.KeyShard(zone)); ok {
 			s.holders[zone] = name
@@ -107,12 +107,12 @@
 	return s
 }
 
-// receiveOfDrains takes in questions about drains, and says whether a message is one.
-func (c *control) receiveOfDrains(msg any) bool {
+// receiveDrainMessage takes in questions about drains, and says whether a message is one.
+func (c *controlActor) receiveDrainMessage(msg any) bool {
 	switch m := msg.(type) {
-	case drainsAsked:
+	case drainSnapshotRequest:
 		m.answer <- c.drainSnapshot()
-	case ownerAsked:
+	case ownerRequest:
 		var ref *actor.Ref
 		if o := c.owners[m.shard]; o != nil {
 			ref = o.ref
@@ -125,29 +125,29 @@
 }
 
 // drainingConfig is what an owner here needs to drain machines.
-func (c *control) drainingConfig() shard.DrainingConfig {
+func (c *controlActor) drainingConfig() shard.DrainingConfig {
 	cfg := shard.DrainingConfig{Shards: c.set.Deployment.Zones, Budgets: c.set.Draining.Budgets, Policy: c.set.Draining.Policy}
-	if c.io.drainingGuards != nil {
-		c.io.drainingGuards(&cfg)
+	if c.dependencies.drainingGuards != nil {
+		c.dependencies.drainingGuards(&cfg)
 	}
 	return cfg
 }
 
-// drainRequests answers requests about drains. It runs beside the actors.
-type drainRequests struct {
-	node    string
-	control *actor.Ref
-	store   Store
-	cloud   Cloud
-	peers   map[string]DrainPeer
-	stable  time.Duration
+// drainService answers requests about drains. It runs beside the actors.
+type drainService struct {
+	name        string
+	control     *actor.Ref
+	store       Store
+	cloud       Cloud
+	peers       map[string]DrainPeer
+	stableAfter time.Duration
 }
 
 // errNoAnswer says that an actor did not answer in time.
 var errNoAnswer = errors.New("the controller is busy and did not answer in time")
 
-// ask sends an actor a question and waits for its answer.
-func ask[T any](ctx context.Context, to *actor.Ref, question func(chan<- T) any) (T, error) {
+// request sends an actor a question and waits for its answer.
+func request[T any](ctx context.Context, to *actor.Ref, question func(chan<- T) any) (T, error) {
 	answer := make(chan T, 1)
 	to.Tell(question(answer))
 	select {
@@ -159,41 +159,41 @@
 	}
 }
 
-func (r *drainRequests) snapshot(ctx context.Context) (drainSnapshot, error) {
-	return ask(ctx, r.control, func(a chan<- drainSnapshot) any { return drainsAsked{a} })
+func (r *drainService) snapshot(ctx context.Context) (drainSnapshot, error) {
+	return request(ctx, r.control, func(a chan<- drainSnapshot) any { return drainSnapshotRequest{a} })
 }
 
-// problem is a reply that says that nothing was done.
-func problem(field, format string, args ...any) peer.DrainReply {
+// refusal is a reply that says that nothing was done.
+func refusal(field, format string, args ...any) peer.DrainReply {
 	return peer.DrainReply{Problem: &drain.FieldError{Field: field, Problem: fmt.Sprintf(format, args...)}}
 }
 
 // Answer answers a request about drains.
-func (r *drainRequests) Answer(ctx context.Context, q peer.DrainRequest) (peer.DrainReply, error) {
+func (r *drainService) Answer(ctx context.Context, q peer.DrainRequest) (peer.DrainReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, constants.DrainCallTimeout)
 	defer cancel()
 	switch q.Op {
 	case peer.OpShardPlan:
-		plan, err := r.shardPlan(ctx, q.Shard, q.Selection)
+		plan, err := r.planShard(ctx, q.Shard, q.Selection)
 		return peer.DrainReply{ShardPlan: plan}, err
 	case peer.OpPlan, peer.OpStart:
 		return r.planOrStart(ctx, q)
 	case peer.OpStatus:
 		s, err := r.snapshot(ctx)
-		return peer.DrainReply{Status: s.status(r.node)}, err
+		return peer.DrainReply{Status: s.status(r.name)}, err
 	case peer.OpPause, peer.OpResume, peer.OpCancel:
-		return r.change(ctx, q)
+		return r.changeState(ctx, q)
 	}
-	return problem("op", "%q is nothing that can be asked of a drain", q.Op), nil
+	return refusal("op", "%q is nothing that can be asked of a drain", q.Op), nil
 }
 
-// shardPlan asks the owner of a shard here; nil if there is none.
-func (r *drainRequests) shardPlan(ctx context.Context, name string, s records.Selection) (*drain.ShardPlan, error) {
-	owner, err := ask(ctx, r.control, func(a chan<- *actor.Ref) any { return ownerAsked{name, a} })
+// planShard asks the owner of a shard here; nil if there is none.
+func (r *drainService) planShard(ctx context.Context, name string, s records.Selection) (*drain.ShardPlan, error) {
+	owner, err := request(ctx, r.control, func(a chan<- *actor.Ref) any { return ownerRequest{name, a} })
 	if err != nil || owner == nil {
 		return nil, err
 	}
-	plan, err := ask(ctx, owner, func(a chan<- drain.ShardPlan) any { return shardPlanAsked{s, a} })
+	plan, err := request(ctx, owner, func(a chan<- drain.ShardPlan) any { return shardPlanRequest{s, a} })
 	if err != nil {
 		return nil, err
 	}
@@ -201,14 +201,14 @@
 }
 
 // planOrStart checks a selection and plans its drain; with OpStart it is then written.
-func (r *drainRequests) planOrStart(ctx context.Context, q peer.DrainRequest) (peer.DrainReply, error) {
+func (r *drainService) planOrStart(ctx context.Context, q peer.DrainRequest) (peer.DrainReply, error) {
 	s, err := r.snapshot(ctx)
 	if err != nil {
 		return peer.DrainReply{}, err
 	}
 	selection, wrong := r.resolve(ctx, q, &s)
 	if wrong == nil {
-		wrong = s.known.Check(&selection)
+		wrong = s.inventory.Check(&selection)
 	}
 	if wrong != nil {
 		return peer.DrainReply{Problem: wrong}, nil
@@ -219,10 +219,10 @@
 		return reply, nil
 	}
 	if len(plan.Missing) > 0 {
-		return problem("zone", "the owner of shard %s cannot be asked, or does not drain", plan.Missing[0]), nil
+		return refusal("zone", "the owner of shard %s cannot be asked, or does not drain", plan.Missing[0]), nil
 	}
 	if x := plan.Permanent(); x != nil {
-		return problem("budget", "a task of %s on %s can never be moved: %s", x.Job, x.Machine, x.Reason), nil
+		return refusal("budget", "a task of %s on %s can never be moved: %s", x.Job, x.Machine, x.Reason), nil
 	}
 	number, wrong, err := r.start(ctx, &s, selection)
 	if wrong != nil || err != nil {
@@ -234,7 +234,7 @@
 
 // resolve makes a selection of what was asked for. It ends with the last machine that
 // is known now, so what is rented later is no part of it.
-func (r *drainRequests) resolve(ctx context.Context, q peer.DrainRequest, s *drainSnapshot) (records.Selection, *drain.FieldError) {
+func (r *drainService) resolve(ctx context.Context, q peer.DrainRequest, s *drainSnapshot) (records.Selection, *drain.FieldError) {
 	selection := q.Selection
 	if len(selection.Machines)+len(selection.Zones)+len(selection.Types) == 0 && selection.Spot == nil && q.RentedBeforeS == 0 && !q.All {
 		return selection, &drain.FieldError{Field: "selection", Problem: "names no machine, zone, type, kind or age; say so if all machines are meant"}
@@ -242,8 +242,8 @@
 	if q.RentedBeforeS < 0 {
 		return selection, &drain.FieldError{Field: "rented-before", Problem: "must not be negative"}
 	}
-	if n := len(s.known.Machines); n > 0 {
-		selection.Last = s.known.Machines[n-1].Name
+	if n := len(s.inventory.Machines); n > 0 {
+		selection.Last = s.inventory.Machines[n-1].Name
 	}
 	if q.RentedBeforeS == 0 {
 		return selection, nil
@@ -265,13 +265,13 @@
 }
 
 // plan asks the owners of all shards that a selection may touch.
-func (r *drainRequests) plan(ctx context.Context, s *drainSnapshot, selection records.Selection) drain.Plan {
+func (r *drainService) plan(ctx context.Context, s *drainSnapshot, selection records.Selection) drain.Plan {
 	var plans []drain.ShardPlan
 	var missing []string
-	for _, zone := range drain.Zones(&selection, s.known.Zones) {
+	for _, zone := range drain.Zones(&selection, s.inventory.Zones) {
 		var got *drain.ShardPlan
-		if holder := s.holders[zone]; holder == r.node {
-			got, _ = r.shardPlan(ctx, zone, selection) // without an answer it is missing
+		if holder := s.holders[zone]; holder == r.name {
+			got, _ = r.planShard(ctx, zone, selection) // without an answer it is missing
 		} else if p := r.peers[holder]; p != nil {
 			if reply, err := p.Drain(ctx, peer.DrainRequest{Op: peer.OpShardPlan, Shard: zone, Selection: selection}); err == nil {
 				got = reply.ShardPlan
@@ -283,18 +283,18 @@
 		}
 		plans = append(plans, *got)
 	}
-	return drain.Merge(plans, missing, r.stable)
+	return drain.Merge(plans, missing, r.stableAfter)
 }
 
 // start writes a new drain under the next number, and clears the oldest ones away that
 // are over.
-func (r *drainRequests) start(ctx context.Context, s *drainSnapshot, selection records.Selection) (int, *drain.FieldError, error) {
+func (r *drainService) start(ctx context.Context, s *drainSnapshot, selection records.Selection) (int, *drain.FieldError, error) {
 	numbers := slices.Sorted(maps.Keys(s.drains))
 	number := 1
-	for _, n := range append(numbers, s.damaged...) {
+	for _, n := range append(numbers, s.damagedNumbers...) {
 		number = max(number, n+1)
 	}
-	record := records.Drain{Selection: selection, State: records.DrainRunning, StartedS: time.Now().Unix(), Machines: len(s.known.Selected(&selection))}
+	record := records.Drain{Selection: selection, State: records.DrainRunning, StartedS: time.Now().Unix(), Machines: len(s.inventory.Selected(&selection))}
 	key := records.KeyDrain(number)
 	txn := wire.Txn{Conditions: []wire.Condition{{Key: key, Version: 0}}, Changes: []wire.Change{{Put: key, Value: records.Encode(record)}}}
 	if len(numbers) >= constants.DrainsKept {
@@ -308,7 +308,7 @@
 }
 
 // commit writes what an operator asked for.
-func (r *drainRequests) commit(ctx context.Context, txn wire.Txn) (*drain.FieldError, error) {
+func (r *drainService) commit(ctx context.Context, txn wire.Txn) (*drain.FieldError, error) {
 	err := kvstore.RetryRateLimited(ctx, constants.DrainCallTimeout, constants.RetryBackoffMin, constants.RetryBackoffMin, func() error {
 		_, err := r.store.Commit(ctx, txn)
 		return err
@@ -320,22 +320,22 @@
 	return nil, err
 }
 
-// change pauses, resumes or cancels a drain.
-func (r *drainRequests) change(ctx context.Context, q peer.DrainRequest) (peer.DrainReply, error) {
+// changeState pauses, resumes or cancels a drain.
+func (r *drainService) changeState(ctx context.Context, q peer.DrainRequest) (peer.DrainReply, error) {
 	s, err := r.snapshot(ctx)
 	if err != nil {
 		return peer.DrainReply{}, err
 	}
-	if slices.Contains(s.damaged, q.Number) {
-		return problem("drain", "the record of drain %d cannot be read; it does nothing, and is not written over", q.Number), nil
+	if slices.Contains(s.damagedNumbers, q.Number) {
+		return refusal("drain", "the record of drain %d cannot be read; it does nothing, and is not written over", q.Number), nil
 	}
 	stored, ok := s.drains[q.Number]
 	if !ok {
-		return problem("drain", "there is no drain %d", q.Number), nil
+		return refusal("drain", "there is no drain %d", q.Number), nil
 	}
 	next := stored.Record.(*records.Drain).Clone()
 	if next.State.Over() {
-		return problem("drain", "drain %d is %s already", q.Number, next.State), nil
+		return refusal("drain", "drain %d is %s already", q.Number, next.State), nil
 	}
 	switch {
 	case q.Op == peer.OpCancel:
@@ -346,7 +346,7 @@
 		next.State, next.StopReason = records.DrainRunning, ""
 		next.Attempt++
 	default:
-		return problem("drain", "drain %d is %s already", q.Number, next.State), nil
+		return refusal("drain", "drain %d is %s already", q.Number, next.State), nil
 	}
 	wrong, err := r.commit(ctx, wire.Txn{
 		Conditions: []wire.Condition{{Key: stored.Key, Version: stored.Version}},
@@ -357,14 +357,14 @@
 
 // status makes the status of all drains.
 func (s *drainSnapshot) status(node string) *peer.DrainStatus {
-	out := &peer.DrainStatus{Controller: node, Drains: []peer.DrainView{}, Damaged: s.damaged}
+	out := &peer.DrainStatus{Controller: node, Drains: []peer.DrainView{}, Damaged: s.damagedNumbers}
 	for _, n := range slices.Sorted(maps.Keys(s.drains)) {
 		r := s.drains[n].Record.(*records.Drain)
 		v := peer.DrainView{Number: n, State: r.State, StopReason: r.StopReason, StartedS: r.StartedS, Machines: r.Machines, Proven: r.Proven}
 		if !r.State.Over() {
-			v.Remaining = len(s.known.Selected(&r.Selection))
+			v.Remaining = len(s.inventory.Selected(&r.Selection))
 		}
-		for _, zone := range s.known.Zones {
+		for _, zone := range s.inventory.Zones {
 			for _, p := range s.views[zone].Drains {
 				if p.Drain == n {
 					v.Shards = append(v.Shards, p)
@@ -373,7 +373,7 @@
 		}
 		out.Drains = append(out.Drains, v)
 	}
-	for _, zone := range s.known.Zones {
+	for _, zone := range s.inventory.Zones {
 		for _, u := range s.views[zone].Usage {
 			at := slices.IndexFunc(out.Budgets, func(x disruption.Usage) bool { return x.Budget == u.Budget })
 			if at < 0 {
--- a/controller/faults_test.go
+++ b/controller/faults_test.go
@@ -58,7 +58,7 @@
 	t.Helper()
 	w.setOutage(false)
 	w.mu.Lock()
-	for _, n := range w.nodes {
+	for _, n := range w.controllers {
 		n.cutState, n.cutWork, n.cutPeers, n.cutReports = false, false, false, false
 	}
 	w.cloudOut, w.cutZone, w.slow = false, "", 0
@@ -67,7 +67,7 @@
 	}
 	w.calm = time.Now()
 	w.mu.Unlock()
-	for _, n := range w.nodes {
+	for _, n := range w.controllers {
 		if n.up() == nil {
 			n.start()
 		}
@@ -90,7 +90,7 @@
 }
 
 // restart ends a controller and starts it again.
-func (n *simNode) restart(after time.Duration) {
+func (n *simController) restart(after time.Duration) {
 	n.kill()
 	time.AfterFunc(after, func() {
 		select {
@@ -125,7 +125,7 @@
 // answered before the question was asked.
 func (w *world) look(j *simJob) {
 	for range 3 {
-		for node := range w.nodes {
+		for node := range w.controllers {
 			go func() {
 				w.mu.Lock()
 				told, accepted := j.told, j.accepted
@@ -268,7 +268,7 @@
 	old := w.copies
 	w.copies = nil
 	w.mu.Unlock()
-	for _, n := range w.nodes {
+	for _, n := range w.controllers {
 		if ctl := n.up(); ctl != nil {
 			for _, r := range old {
 				w.copy(ctl, r)
@@ -308,8 +308,8 @@
 // schedulers like this one.
 func TestFaultCombinations(t *testing.T) {
 	zones := []string{"a", "b", "c"}
-	owner := func(w *world, z string) *simNode { return w.nodes[w.holder(records.KeyShard(z))] }
-	leader := func(w *world) *simNode { return w.nodes[w.holder(records.KeyLeader)] }
+	owner := func(w *world, z string) *simController { return w.controllers[w.holder(records.KeyShard(z))] }
+	leader := func(w *world) *simController { return w.controllers[w.holder(records.KeyLeader)] }
 	list := []scenario{
 		{name: "held reports come as a new leader begins", guard: func(w *world) { w.freshCopies = true },
 			play: func(t *testing.T, w *world) {
@@ -383,10 +383,10 @@
 			play: func(t *testing.T, w *world) {
 				b := w.work(t, 150)
 				n := leader(w)
-				if len(w.shards(slices.Index(w.nodes, n))) == 0 {
+				if len(w.shards(slices.Index(w.controllers, n))) == 0 {
 					n = owner(w, "a")
 				}
-				owned := w.shards(slices.Index(w.nodes, n))
+				owned := w.shards(slices.Index(w.controllers, n))
 				w.do(func() { n.cutState, n.cutPeers = true, true })
 				cutAt := time.Now()
 				var doomed *simJob
@@ -395,7 +395,7 @@
 						doomed = j
 					}
 				}
-				other := (slices.Index(w.nodes, n) + 1) % 3
+				other := (slices.Index(w.controllers, n) + 1) % 3
 				w.until(t, "another controller confirms", 20*time.Second, func() bool { return w.cancelAt(other, doomed) })
 				w.until(t, "a new owner", 30*time.Second, func() bool { return owner(w, owned[0]) != n })
 				time.Sleep(w.times.cancelWithin())
@@ -466,7 +466,7 @@
 					w.fail(t, "only %d jobs", len(lot))
 				}
 				w.settle(t, 5*time.Minute, lot)
-				for _, n := range w.nodes { // what is over is not kept
+				for _, n := range w.controllers { // what is over is not kept
 					if c := n.up(); c != nil {
 						if open := w.openJobs(c); open > 5 {
 							w.fail(t, "%s still holds %d records of jobs that are over", n.set.Controller, open)
@@ -528,17 +528,17 @@
 				n := owner(w, "b")
 				w.newTerm(t, records.KeyShard("b"), func() { n.restart(300 * time.Millisecond) })
 				w.newTerm(t, records.KeyShard("b"), func() { owner(w, "b").restart(300 * time.Millisecond) })
-				for _, n := range w.nodes {
+				for _, n := range w.controllers {
 					n.kill()
 				}
-				w.nodes[1].restart(700 * time.Millisecond)
+				w.controllers[1].restart(700 * time.Millisecond)
 				time.Sleep(1200 * time.Millisecond)
-				w.nodes[1].restart(200 * time.Millisecond) // in the middle of the election
+				w.controllers[1].restart(200 * time.Millisecond) // in the middle of the election
 				w.newTerm(t, records.KeyShard("b"), func() {})
 				w.cancelSoon(t, b.long[1], 30*time.Second)
 				time.Sleep(10 * time.Second)
-				w.nodes[0].start()
-				w.nodes[2].start()
+				w.controllers[0].start()
+				w.controllers[2].start()
 				w.settle(t, 8*time.Minute, b.finishes)
 			}},
 		// Without tokens no rule was seen broken here: what owners keep of attempts is
@@ -552,7 +552,7 @@
 				for i := range 6 {
 					lot = append(lot, w.boundArraysOf(100*(i+1), 3, 16, 25)...)
 					w.until(t, "starts are decided", 30*time.Second, func() bool { return len(w.begun(lot)) > 4*i })
-					for _, n := range w.nodes {
+					for _, n := range w.controllers {
 						n.restart(w.between(500*time.Millisecond, 2*time.Second))
 					}
 					w.newTerm(t, records.KeyShard(zones[i%3]), func() {})
@@ -571,11 +571,11 @@
 			play: hangs(func(t *testing.T, w *world, hung []*simWorker) {
 				time.Sleep(time.Second)
 				w.do(func() { w.deadHangs = true }) // the new owners hear of the hang by silence alone, and late
-				for _, n := range w.nodes {
+				for _, n := range w.controllers {
 					n.kill()
 				}
 				time.Sleep(w.times.lease() - 2*time.Second)
-				for _, n := range w.nodes {
+				for _, n := range w.controllers {
 					n.start()
 				}
 				time.Sleep(w.times.cancelWithin())
@@ -585,7 +585,7 @@
 				time.Sleep(time.Second)
 				w.do(func() { w.deadHangs = true })
 				w.setOutage(true)
-				w.nodes[2].restart(2 * time.Second)
+				w.controllers[2].restart(2 * time.Second)
 				time.Sleep(w.times.cancelWithin() + 20*time.Second)
 				w.setOutage(false)
 			})},
@@ -626,11 +626,11 @@
 			play: func(t *testing.T, w *world) {
 				b := w.work(t, 100)
 				w.cancelSoon(t, b.long[2], 20*time.Second)
-				for _, n := range w.nodes {
+				for _, n := range w.controllers {
 					n.kill()
 				}
 				time.Sleep(w.times.lease() + 8*time.Second)
-				for i, n := range w.nodes {
+				for i, n := range w.controllers {
 					n.restart(time.Duration(1+i*300) * time.Millisecond)
 				}
 				w.newTerm(t, records.KeyShard("a"), func() {})
@@ -682,11 +682,11 @@
 				w.do(func() { w.slow = 600 * time.Millisecond })
 				b := w.work(t, 200)
 				n := leader(w)
-				if len(w.shards(slices.Index(w.nodes, n))) == 0 {
+				if len(w.shards(slices.Index(w.controllers, n))) == 0 {
 					n = owner(w, "a")
 				}
 				w.do(func() { n.cutState = true })
-				other := (slices.Index(w.nodes, n) + 1) % 3
+				other := (slices.Index(w.controllers, n) + 1) % 3
 				if !w.cancelAt(other, b.long[0]) || !w.cancelAt(other, b.free) {
 					w.stopScenario(t, "nobody confirmed")
 				}
@@ -711,7 +711,7 @@
 // openJobs is how many records a controller keeps.
 func (w *world) openJobs(c *Controller) int {
 	a := &simAnswer{got: make(chan *httpwire.Response, 1)}
-	c.self.Tell(statusAsked{a})
+	c.control.Tell(statusRequest{a})
 	var s Status
 	if err := json.Unmarshal((<-a.got).Body, &s); err != nil {
 		panic(err)
@@ -752,7 +752,7 @@
 		sample := w.newArray("run-odd", 2, 1, 5).spec
 		answered := 0
 		ask := func(what string, f map[string]any, want int) {
-			for node := range w.nodes {
+			for node := range w.controllers {
 				r := w.askAt(node, func(q apiserver.Request) any { return apiserver.Submit{Request: q, Body: records.Encode(f)} })
 				if r == nil || r.Status == 503 {
 					continue
@@ -767,7 +767,7 @@
 			case 1:
 				w.do(func() { w.slow = 300 * time.Millisecond })
 			case 2:
-				w.newTerm(t, records.KeyLeader, func() { w.nodes[w.holder(records.KeyLeader)].restart(3 * time.Second) })
+				w.newTerm(t, records.KeyLeader, func() { w.controllers[w.holder(records.KeyLeader)].restart(3 * time.Second) })
 			case 3:
 				w.setOutage(true)
 				time.AfterFunc(10*time.Second, func() { w.setOutage(false) })
@@ -785,7 +785,7 @@
 				change(f)
 				ask(what, f, 422)
 			}
-			for node := range w.nodes { // of a job that is done
+			for node := range w.controllers { // of a job that is done
 				f := fields(done.spec)
 				delete(f, "cpus")
 				for _, r := range []*httpwire.Response{
--- a/controller/large_fleet_test.go
+++ b/controller/large_fleet_test.go
@@ -64,7 +64,7 @@
 	for k := range w.capacity {
 		w.capacity[k] = machines
 	}
-	for _, n := range w.nodes {
+	for _, n := range w.controllers {
 		n.detect()
 		n.set.Deployment.Limits.CPU = 0
 		n.start()
@@ -89,7 +89,7 @@
 	before := maps.Clone(w.seen)
 
 	owner, term := w.owner("a"), w.term("a")
-	w.nodes[owner].restart(5 * time.Second)
+	w.controllers[owner].restart(5 * time.Second)
 	w.until(t, "another owner", takeoverBound, func() bool { return w.term("a") > term })
 	time.Sleep(30 * time.Second)
 	w.setOutage(true)
--- a/controller/leader_test.go
+++ b/controller/leader_test.go
@@ -20,7 +20,7 @@
 		for k := range w.capacity {
 			w.capacity[k] = 4
 		}
-		for _, n := range w.nodes {
+		for _, n := range w.controllers {
 			n.start()
 		}
 		go w.expireLeases()
@@ -28,7 +28,7 @@
 		time.Sleep(5 * time.Second)
 		w.allRun(t, w.boundArrays(0, 600)) // each shard has machines
 		leader := w.holder(records.KeyLeader)
-		w.do(func() { w.nodes[leader].noCalls, w.nodes[leader].cutReports = true, true })
+		w.do(func() { w.controllers[leader].noCalls, w.controllers[leader].cutReports = true, true })
 		cut := time.Now()
 		w.until(t, "another leader", 3*constants.PeerSilenceTimeout, func() bool { return w.holder(records.KeyLeader) != leader })
 		t.Logf("another one leads after %s", time.Since(cut))
--- a/controller/lease.go
+++ b/controller/lease.go
@@ -14,121 +14,123 @@
 )
 
 // freshen notes up to when the feed is known to hold every change.
-func (c *control) advanceFreshness(now time.Time) {
-	kept := c.reads[:0]
-	for _, r := range c.reads {
+func (c *controlActor) advanceFreshness(now time.Time) {
+	kept := c.revisionReads[:0]
+	for _, r := range c.revisionReads {
 		if r.revision > c.revision {
 			kept = append(kept, r)
-		} else if r.sent.After(c.fresh) {
-			c.fresh = r.sent
+		} else if r.sentAt.After(c.feedFreshAt) {
+			c.feedFreshAt = r.sentAt
 		}
 	}
-	c.reads = kept
-	c.spreadAuthority(now)
+	c.revisionReads = kept
+	c.broadcastAuthority(now)
 }
 
-// until is when this controller's authority ends: its lease, and its
+// authorityEnd is when this controller's authority ends: its lease, and its
 // knowledge of cancellations, both counted from before they were asked for.
-func (c *control) until() time.Time {
-	if c.lease == 0 || c.leaseSent.IsZero() || c.fresh.IsZero() {
+func (c *controlActor) authorityEnd() time.Time {
+	if c.leaseID == 0 || c.leaseRequestedAt.IsZero() || c.feedFreshAt.IsZero() {
 		return time.Time{}
 	}
-	t := c.leaseSent
-	if c.fresh.Before(t) {
-		t = c.fresh
+	t := c.leaseRequestedAt
+	if c.feedFreshAt.Before(t) {
+		t = c.feedFreshAt
 	}
-	return t.Add(c.authority)
+	return t.Add(c.authorityPeriod)
 }
 
-func (c *control) settled(now time.Time) bool { return c.synced && now.Before(c.until()) }
+func (c *controlActor) hasAuthority(now time.Time) bool {
+	return c.synced && now.Before(c.authorityEnd())
+}
 
-func (c *control) spreadAuthority(now time.Time) {
+func (c *controlActor) broadcastAuthority(now time.Time) {
 	for _, o := range c.owners {
-		o.ref.Tell(authority(c.ownersUntil()))
+		o.ref.Tell(authorityExtended(c.ownerAuthorityEnd()))
 	}
-	if c.leaderRef != nil {
-		c.leaderRef.ref.Tell(authority(c.until()))
+	if c.leader != nil {
+		c.leader.ref.Tell(authorityExtended(c.authorityEnd()))
 	}
 }
 
 // keepLease renews the lease, or gets one and puts this controller's key.
-func (c *control) keepLease(ctx context.Context, now time.Time) {
-	if c.leaseBusy || now.Before(c.nextLease) || !c.synced || c.detect.resigned {
+func (c *controlActor) keepLease(ctx context.Context, now time.Time) {
+	if c.leaseCallInFlight || now.Before(c.nextLeaseCall) || !c.synced || c.detection.resigned {
 		return
 	}
-	c.leaseBusy = true
+	c.leaseCallInFlight = true
 	life := c.set.Operator.LeaseTTL
-	c.nextLease = now.Add(life / constants.RenewalsPerTTL)
+	c.nextLeaseCall = now.Add(life / constants.RenewalsPerTTL)
 	sent := now
-	if c.lease == 0 {
+	if c.leaseID == 0 {
 		inc := rand.Uint64()>>1 | 1
 		version := c.member.RegistrationVersion(c.set.Controller)
 		record := records.Controller{Incarnation: inc, ReadsPacked: true}
-		if c.detect.monitor != nil {
+		if c.detection.monitor != nil {
 			record.LeaseTTLMS = life.Milliseconds()
 		}
 		go func() {
-			lease, err := c.io.Store.Grant(ctx, life)
+			lease, err := c.dependencies.Store.Grant(ctx, life)
 			if err == nil {
 				// Conditional, so that a late copy from an earlier process can
 				// never replace this one's.
 				key := records.KeyController(c.set.Controller)
-				_, err = c.io.Unthrottled.Commit(ctx, wire.Txn{
+				_, err = c.dependencies.Unthrottled.Commit(ctx, wire.Txn{
 					Conditions: []wire.Condition{{Key: key, Version: version}},
 					Changes:    []wire.Change{{Put: key, Value: records.Encode(record), Lease: lease}},
 				})
 			}
-			c.self.Tell(leased{lease, inc, sent, err})
+			c.self.Tell(leaseGranted{lease, inc, sent, err})
 		}()
 		return
 	}
-	lease := c.lease
+	lease := c.leaseID
 	go func() {
-		err := c.io.Store.Renew(ctx, lease)
-		c.self.Tell(renewed{lease, sent, err})
+		err := c.dependencies.Store.Renew(ctx, lease)
+		c.self.Tell(leaseRenewed{lease, sent, err})
 		if err == nil {
 			at := time.Now()
-			rev, err := c.io.Store.Revision(ctx)
+			rev, err := c.dependencies.Store.Revision(ctx)
 			c.self.Tell(revisionRead{rev, at, err})
 		}
 	}()
 }
 
-func (c *control) leased(now time.Time, m leased) {
-	c.leaseBusy = false
+func (c *controlActor) handleLeaseGranted(now time.Time, m leaseGranted) {
+	c.leaseCallInFlight = false
 	if m.err != nil {
 		slog.Info("no lease yet", "err", m.err)
-		c.nextLease = now.Add(constants.RetryBackoffMin + rand.N(constants.RetryBackoffMin))
+		c.nextLeaseCall = now.Add(constants.RetryBackoffMin + rand.N(constants.RetryBackoffMin))
 		return
 	}
-	c.heardAt = now
-	c.lease, c.incarnation, c.leaseSent = m.lease, m.incarnation, m.sent
-	c.nextLease = now
+	c.storeContactAt = now
+	c.leaseID, c.incarnation, c.leaseRequestedAt = m.lease, m.incarnation, m.sentAt
+	c.nextLeaseCall = now
 	slog.Info("lease obtained", "lease", m.lease)
-	if c.member.IsRevoked(c.set.Controller) && c.detect.monitor != nil {
+	if c.member.IsRevoked(c.set.Controller) && c.detection.monitor != nil {
 		slog.Warn("this process was revoked before it knew of its lease")
-		c.endLease(c.authorityGiven().Add(constants.AuthorityMargin))
+		c.endLease(c.latestAuthorityEnd().Add(constants.AuthorityMargin))
 		return
 	}
-	c.spreadAuthority(now)
+	c.broadcastAuthority(now)
 }
 
-func (c *control) renewed(now time.Time, m renewed) {
-	c.leaseBusy = false
+func (c *controlActor) handleLeaseRenewed(now time.Time, m leaseRenewed) {
+	c.leaseCallInFlight = false
 	switch {
-	case m.lease != c.lease: // given up meanwhile
+	case m.lease != c.leaseID: // given up meanwhile
 	case m.err == nil:
-		c.heardAt = now
-		if m.sent.After(c.leaseSent) {
-			c.leaseSent = m.sent
+		c.storeContactAt = now
+		if m.sentAt.After(c.leaseRequestedAt) {
+			c.leaseRequestedAt = m.sentAt
 		}
-		c.spreadAuthority(now)
+		c.broadcastAuthority(now)
 	case errors.Is(m.err, kvstore.ErrLeaseExpired):
 		// Others may hold this controller's terms by now. It begins anew.
 		slog.Warn("lease ended", "lease", m.lease)
 		c.endLease(now)
 	default:
 		slog.Info("renewal failed", "err", m.err)
-		c.nextLease = now.Add(constants.RetryBackoffMin + rand.N(constants.RetryBackoffMin))
+		c.nextLeaseCall = now.Add(constants.RetryBackoffMin + rand.N(constants.RetryBackoffMin))
 	}
 }
--- a/controller/monitor.go
+++ b/controller/monitor.go
@@ -32,22 +32,22 @@
 
 // Messages to the monitor.
 type (
-	monitorTick    time.Time
-	heartbeatAsked struct { // another controller's heartbeat
+	monitorTick   time.Time
+	peerHeartbeat struct { // another controller's heartbeat
 		message detector.Message
-		answer  chan<- heartbeatAnswer // has room for the answer
+		answer  chan<- peerHeartbeatAnswer // has room for the answer
 	}
-	heartbeatAnswer struct {
+	peerHeartbeatAnswer struct {
 		message detector.Message
 		err     error
 	}
-	heartbeatReply struct { // what came of a heartbeat of this one
-		node    string
-		message detector.Message
-		err     error
+	peerHeartbeatResult struct { // what came of a heartbeat of this one
+		controller string
+		message    detector.Message
+		err        error
 	}
-	ownHeartbeat struct{ answer chan<- detector.Heartbeat } // has room for the answer
-	probeDone    struct {
+	ownHeartbeatRequest struct{ answer chan<- detector.Heartbeat } // has room for the answer
+	probeDone           struct {
 		probe     detector.Probe
 		heartbeat *detector.Heartbeat // nil: it failed
 	}
@@ -62,79 +62,79 @@
 	revocationSeen history.Event
 )
 
-// monitor runs failure detection: it exchanges heartbeats, makes probes, watches the
+// monitorActor runs failure detection: it exchanges heartbeats, makes probes, watches the
 // other actors, and hands what the detector proposes to the control actor, which
 // alone may act on it.
-type monitor struct {
-	node     string
-	set      *settings.Detection
-	life     time.Duration // of this controller's lease
-	detector *detector.Detector
-	watchdog *watchdog.Watchdog
-	peers    map[string]MonitorPeer
-	history  *actor.Ref // nil: events are kept in memory alone
-	recent   []history.Event
-	self     *actor.Ref
-	control  *actor.Ref
-	failed   chan<- error // has room for one
+type monitorActor struct {
+	name         string
+	set          *settings.Detection
+	leaseTTL     time.Duration // of this controller's lease
+	detector     *detector.Detector
+	watchdog     *watchdog.Watchdog
+	peers        map[string]MonitorPeer
+	history      *actor.Ref // nil: events are kept in memory alone
+	recentEvents []history.Event
+	self         *actor.Ref
+	control      *actor.Ref
+	failures     chan<- error // has room for one
 
-	view     clusterView
-	beatAt   time.Time
-	tellAt   time.Time
-	sending  map[string]bool // a heartbeat is on its way, by controller
-	dropped  MessageCounts
-	failAt   time.Time // when this process ends because an actor is stalled
-	stalled  []string
-	finished bool
+	view              clusterView
+	nextHeartbeat     time.Time
+	nextPublish       time.Time
+	heartbeatInFlight map[string]bool // a heartbeat is on its way, by controller
+	dropped           MessageCounts
+	exitAt            time.Time // when this process ends because an actor is stalled
+	stalled           []string
+	failureReported   bool
 }
 
-// newMonitor makes the monitor; the settings were checked when they were read.
-func newMonitor(set *settings.Settings, out Dependencies, self, control *actor.Ref, failed chan<- error) (*monitor, error) {
+// newMonitorActor makes the monitor; the settings were checked when they were read.
+func newMonitorActor(set *settings.Settings, out Dependencies, self, control *actor.Ref, failed chan<- error) (*monitorActor, error) {
 	d, err := detector.New(set.DetectorConfig(), time.Now())
 	if err != nil {
 		return nil, err
 	}
-	return &monitor{
-		node: set.Controller, set: set.Detection, life: set.Operator.LeaseTTL, detector: d, watchdog: watchdog.New(set.Detection.StallAfter),
-		peers: out.Monitors, self: self, control: control, failed: failed, sending: map[string]bool{},
+	return &monitorActor{
+		name: set.Controller, set: set.Detection, leaseTTL: set.Operator.LeaseTTL, detector: d, watchdog: watchdog.New(set.Detection.StallAfter),
+		peers: out.Monitors, self: self, control: control, failures: failed, heartbeatInFlight: map[string]bool{},
 	}, nil
 }
 
 // Receive implements actor.Handler.
-func (m *monitor) Receive(ctx context.Context, msg any) {
+func (m *monitorActor) Receive(ctx context.Context, msg any) {
 	now := time.Now()
 	switch msg := msg.(type) {
 	case monitorTick:
 		m.tick(ctx, now)
 	case clusterView:
 		m.setView(now, msg)
-	case heartbeatAsked:
-		err := m.count(m.detector.HandleMessage(now, msg.message))
-		msg.answer <- heartbeatAnswer{m.detector.NextHeartbeat(), err}
-	case heartbeatReply:
-		m.sending[msg.node] = false
+	case peerHeartbeat:
+		err := m.countDropped(m.detector.HandleMessage(now, msg.message))
+		msg.answer <- peerHeartbeatAnswer{m.detector.NextHeartbeat(), err}
+	case peerHeartbeatResult:
+		m.heartbeatInFlight[msg.controller] = false
 		if msg.err == nil {
-			_ = m.count(m.detector.HandleReply(now, msg.message))
+			_ = m.countDropped(m.detector.HandleReply(now, msg.message))
 		}
-	case ownHeartbeat:
+	case ownHeartbeatRequest:
 		msg.answer <- m.detector.NextHeartbeat().Heartbeat
 	case probeDone:
 		m.detector.HandleProbeResult(now, msg.probe, msg.heartbeat)
 	case revocationSeen:
-		m.record(history.Event(msg))
+		m.recordEvent(history.Event(msg))
 	}
 }
 
-// count counts a message that the detector dropped.
-func (m *monitor) count(err error) error {
+// countDropped counts a message that the detector dropped.
+func (m *monitorActor) countDropped(err error) error {
 	if err != nil {
-		m.dropped.count(err)
+		m.dropped.add(err)
 		slog.Debug("heartbeat dropped", "err", err)
 	}
 	return err
 }
 
-func (m *monitor) setView(now time.Time, v clusterView) {
+func (m *monitorActor) setView(now time.Time, v clusterView) {
 	m.view = v
 	m.detector.SetIncarnation(v.process)
 	for node, process := range v.leases {
@@ -143,29 +143,29 @@
 	}
 }
 
-func (m *monitor) tick(ctx context.Context, now time.Time) {
-	m.watch(now)
+func (m *monitorActor) tick(ctx context.Context, now time.Time) {
+	m.checkActors(now)
 	if !now.Before(m.detector.NextTick()) {
 		for _, p := range m.detector.Tick(now) {
 			go m.probe(ctx, p)
 		}
 		for _, c := range m.detector.TakeStateChanges() {
-			m.note(now, c)
+			m.recordChange(now, c)
 		}
 	}
-	if m.detector.IsRefutationPending() || !now.Before(m.beatAt) {
-		m.beatAt = now.Add(m.set.Interval)
-		m.beat(ctx)
+	if m.detector.IsRefutationPending() || !now.Before(m.nextHeartbeat) {
+		m.nextHeartbeat = now.Add(m.set.Interval)
+		m.sendHeartbeats(ctx)
 	}
-	if !now.Before(m.tellAt) {
-		m.tellAt = now.Add(constants.MonitorPublishInterval)
-		m.tell(now)
+	if !now.Before(m.nextPublish) {
+		m.nextPublish = now.Add(constants.MonitorPublishInterval)
+		m.publish(now)
 	}
 }
 
-// watch looks for stalled actors. With one, this process gives up its lease and ends
+// checkActors looks for stalled actors. With one, this process gives up its lease and ends
 // once that has run out.
-func (m *monitor) watch(now time.Time) {
+func (m *monitorActor) checkActors(now time.Time) {
 	samples := []watchdog.Sample{m.view.feed}
 	for name, ref := range m.view.actors {
 		p := ref.Progress()
@@ -173,37 +173,37 @@
 	}
 	stalled := m.watchdog.Observe(now, samples)
 	m.detector.SetStalled(stalled)
-	if len(stalled) > 0 && m.failAt.IsZero() {
+	if len(stalled) > 0 && m.exitAt.IsZero() {
 		slog.Error("an actor makes no progress: the lease is given up", "actors", stalled)
-		m.stalled, m.failAt = stalled, now.Add(m.life)
-		m.control.Tell(resign{})
+		m.stalled, m.exitAt = stalled, now.Add(m.leaseTTL)
+		m.control.Tell(resignLease{})
 	}
-	if !m.failAt.IsZero() && !now.Before(m.failAt) && !m.finished {
-		m.finished = true
-		m.failed <- fmt.Errorf("%w: %v", ErrStalled, m.stalled)
+	if !m.exitAt.IsZero() && !now.Before(m.exitAt) && !m.failureReported {
+		m.failureReported = true
+		m.failures <- fmt.Errorf("%w: %v", ErrStalled, m.stalled)
 	}
 }
 
-// beat sends a heartbeat to every controller that has answered the one before.
-func (m *monitor) beat(ctx context.Context) {
+// sendHeartbeats sends a heartbeat to every controller that has answered the one before.
+func (m *monitorActor) sendHeartbeats(ctx context.Context) {
 	message := m.detector.NextHeartbeat()
 	for node, p := range m.peers {
-		if m.sending[node] {
+		if m.heartbeatInFlight[node] {
 			continue
 		}
-		m.sending[node] = true
+		m.heartbeatInFlight[node] = true
 		go func() {
 			ctx, cancel := context.WithTimeout(ctx, constants.PeerTimeout)
 			defer cancel()
 			answer, err := p.Heartbeat(ctx, message)
-			m.self.Tell(heartbeatReply{node, answer, err})
+			m.self.Tell(peerHeartbeatResult{node, answer, err})
 		}()
 	}
 }
 
 // probe carries out one probe. It runs beside the actor.
-func (m *monitor) probe(ctx context.Context, made detector.Probe) {
-	asked, request := made.Target, peer.ProbeRequest{Controller: m.node}
+func (m *monitorActor) probe(ctx context.Context, made detector.Probe) {
+	asked, request := made.Target, peer.ProbeRequest{Controller: m.name}
 	if made.Via != "" {
 		asked, request.Target = made.Via, made.Target
 	}
@@ -218,31 +218,31 @@
 	m.self.Tell(done)
 }
 
-// note logs a change of state and keeps it in the history.
-func (m *monitor) note(now time.Time, c detector.StateChange) {
-	e := history.Event{At: now, Observer: m.node, Node: c.Controller, Process: c.Incarnation, From: string(c.From), To: string(c.To),
+// recordChange logs a change of state and keeps it in the history.
+func (m *monitorActor) recordChange(now time.Time, c detector.StateChange) {
+	e := history.Event{At: now, Observer: m.name, Node: c.Controller, Process: c.Incarnation, From: string(c.From), To: string(c.To),
 		Evidence: evidenceNames(c.Evidence), Accusers: c.Accusers}
 	log := slog.Info
 	if c.To == detector.Suspect || c.To == detector.Failed {
 		log = slog.Warn
 	}
 	log("controller's state changed", "node", e.Node, "from", e.From, "to", e.To, "evidence", e.Evidence, "accusers", e.Accusers)
-	m.record(e)
+	m.recordEvent(e)
 }
 
-func (m *monitor) record(e history.Event) {
-	m.recent = append(m.recent, e)
-	m.recent = m.recent[max(0, len(m.recent)-constants.StatusEventCount):]
+func (m *monitorActor) recordEvent(e history.Event) {
+	m.recentEvents = append(m.recentEvents, e)
+	m.recentEvents = m.recentEvents[max(0, len(m.recentEvents)-constants.StatusEventCount):]
 	if m.history != nil {
 		m.history.Tell(e)
 	}
 }
 
-// historyActor writes events to a file, where a slow disk keeps nobody waiting.
-type historyActor struct{ file History }
+// historyWriter writes events to a file, where a slow disk keeps nobody waiting.
+type historyWriter struct{ file History }
 
 // Receive implements actor.Handler.
-func (a historyActor) Receive(_ context.Context, msg any) {
+func (a historyWriter) Receive(_ context.Context, msg any) {
 	e, ok := msg.(history.Event)
 	if !ok {
 		return
@@ -252,16 +252,16 @@
 	}
 }
 
-// tell hands the control actor what is seen and what is proposed.
-func (m *monitor) tell(now time.Time) {
-	seen := membership{dropped: m.dropped}
+// publish hands the control actor what is seen and what is proposed.
+func (m *monitorActor) publish(now time.Time) {
+	seen := membershipView{dropped: m.dropped}
 	for _, v := range m.detector.PeerViews(now) {
 		seen.members = append(seen.members, MemberStatus{
 			Controller: v.Controller, State: string(v.State), Evidence: evidenceNames(v.Evidence), Accusers: v.Accusers,
 			Refutation: v.Refutation, SilentMS: v.SilentFor.Milliseconds(), SilenceLimitMS: v.SilenceLimit.Milliseconds(),
 		})
 	}
-	for _, e := range m.recent {
+	for _, e := range m.recentEvents {
 		seen.events = append(seen.events, e.String())
 	}
 	m.control.Tell(seen)
@@ -284,7 +284,7 @@
 	Malformed uint64 `json:"malformed"`
 }
 
-func (c *MessageCounts) count(err error) {
+func (c *MessageCounts) add(err error) {
 	switch {
 	case errors.Is(err, detector.ErrUnknownController):
 		c.Unknown++
@@ -295,8 +295,8 @@
 
 // HandlePeerHeartbeat takes in another controller's heartbeat and answers with this one's.
 func (n *Controller) HandlePeerHeartbeat(ctx context.Context, m detector.Message) (detector.Message, error) {
-	answer := make(chan heartbeatAnswer, 1)
-	n.monitor.Tell(heartbeatAsked{m, answer})
+	answer := make(chan peerHeartbeatAnswer, 1)
+	n.monitor.Tell(peerHeartbeat{m, answer})
 	select {
 	case a := <-answer:
 		return a.message, a.err
@@ -308,14 +308,14 @@
 // HandlePeerProbe answers with this controller's heartbeat, or with that of the controller
 // that it is asked to probe.
 func (n *Controller) HandlePeerProbe(ctx context.Context, r peer.ProbeRequest) (peer.ProbeReply, error) {
-	if target := n.monitors[r.Target]; target != nil {
-		return target.Probe(ctx, peer.ProbeRequest{Controller: n.node})
+	if target := n.monitorPeers[r.Target]; target != nil {
+		return target.Probe(ctx, peer.ProbeRequest{Controller: n.name})
 	}
-	if r.Target != "" && r.Target != n.node {
+	if r.Target != "" && r.Target != n.name {
 		return peer.ProbeReply{}, fmt.Errorf("%w: %q", detector.ErrUnknownController, r.Target)
 	}
 	answer := make(chan detector.Heartbeat, 1)
-	n.monitor.Tell(ownHeartbeat{answer})
+	n.monitor.Tell(ownHeartbeatRequest{answer})
 	select {
 	case h := <-answer:
 		return peer.ProbeReply{Heartbeat: &h}, nil
@@ -325,4 +325,4 @@
 }
 
 // Failed tells when this controller must end because it cannot go on.
-func (n *Controller) Failed() <-chan error { return n.failed }
+func (n *Controller) Failed() <-chan error { return n.failures }
--- a/controller/node.go
+++ b/controller/node.go
@@ -80,33 +80,33 @@
 
 // Controller is one controller without its servers.
 type Controller struct {
-	node      string
-	store     Store
-	self, api *actor.Ref
-	monitor   *actor.Ref // nil: failure detection is off
-	monitors  map[string]MonitorPeer
-	failed    chan error
-	drains    *drainRequests // nil: draining is off
+	name               string
+	store              Store
+	control, apiServer *actor.Ref
+	monitor            *actor.Ref // nil: failure detection is off
+	monitorPeers       map[string]MonitorPeer
+	failures           chan error
+	drainService       *drainService // nil: draining is off
 }
 
 // Start starts a controller's actors; they run until ctx ends.
 func Start(ctx context.Context, set *settings.Settings, out Dependencies) (*Controller, error) {
-	n := &Controller{node: set.Controller, store: out.Store, self: actor.NewRef(), api: actor.NewRef(), monitors: out.Monitors, failed: make(chan error, 1)}
+	n := &Controller{name: set.Controller, store: out.Store, control: actor.NewRef(), apiServer: actor.NewRef(), monitorPeers: out.Monitors, failures: make(chan error, 1)}
 	if set.Detection != nil {
 		if err := n.startMonitor(ctx, set, out); err != nil {
 			return nil, err
 		}
 	}
 	if set.Draining != nil {
-		n.drains = &drainRequests{node: set.Controller, control: n.self, store: out.Store, cloud: out.Cloud, peers: out.Drains, stable: set.Draining.Policy.Stable}
+		n.drainService = &drainService{name: set.Controller, control: n.control, store: out.Store, cloud: out.Cloud, peers: out.Drains, stableAfter: set.Draining.Policy.Stable}
 	}
-	c := newControl(set, out, n.self, n.api, n.monitor)
-	go n.api.Run(ctx, apiserver.New(set, out.Store, n.api, n.self))
-	go n.self.Run(ctx, c)
-	go kvstore.NewFeed(out.Store, set.WatchInterval(), func(up records.Update) { n.self.Tell(up) }).Run(ctx)
-	go every(ctx, constants.MembershipTickInterval, func(t time.Time) {
-		n.self.Tell(tick(t))
-		n.api.Tell(apiserver.Tick(t))
+	c := newControlActor(set, out, n.control, n.apiServer, n.monitor)
+	go n.apiServer.Run(ctx, apiserver.New(set, out.Store, n.apiServer, n.control))
+	go n.control.Run(ctx, c)
+	go kvstore.NewFeed(out.Store, set.WatchInterval(), func(up records.Update) { n.control.Tell(up) }).Run(ctx)
+	go runEvery(ctx, constants.MembershipTickInterval, func(t time.Time) {
+		n.control.Tell(controlTick(t))
+		n.apiServer.Tell(apiserver.Tick(t))
 	})
 	return n, nil
 }
@@ -114,16 +114,16 @@
 // startMonitor starts failure detection.
 func (n *Controller) startMonitor(ctx context.Context, set *settings.Settings, out Dependencies) error {
 	n.monitor = actor.NewRef()
-	m, err := newMonitor(set, out, n.monitor, n.self, n.failed)
+	m, err := newMonitorActor(set, out, n.monitor, n.control, n.failures)
 	if err != nil {
 		return err
 	}
 	if out.History != nil {
 		m.history = actor.NewRef()
-		go m.history.Run(ctx, historyActor{out.History})
+		go m.history.Run(ctx, historyWriter{out.History})
 	}
 	go n.monitor.Run(ctx, m)
-	go every(ctx, constants.MembershipTickInterval, func(t time.Time) { n.monitor.Tell(monitorTick(t)) })
+	go runEvery(ctx, constants.MembershipTickInterval, func(t time.Time) { n.monitor.Tell(monitorTick(t)) })
 	return nil
 }
 
@@ -131,18 +131,18 @@
 // whether it is promised what it asks for.
 func (n *Controller) HandlePeerStatus(s peer.Status) peer.StatusReply {
 	if len(s.ExtensionRequest) == 0 {
-		n.self.Tell(peerStatus(s))
-		return peer.StatusReply{Controller: n.node}
+		n.control.Tell(peerStatusReceived(s))
+		return peer.StatusReply{Controller: n.name}
 	}
 	answer := make(chan peer.StatusReply, 1)
-	n.self.Tell(peerAsk{s, answer})
+	n.control.Tell(extensionRequest{s, answer})
 	t := time.NewTimer(constants.PeerTimeout)
 	defer t.Stop()
 	select {
 	case r := <-answer:
 		return r
 	case <-t.C:
-		return peer.StatusReply{Controller: n.node}
+		return peer.StatusReply{Controller: n.name}
 	}
 }
 
@@ -172,7 +172,7 @@
 		Workers:     func() Workers { return worker.NewClient() },
 		Peers:       map[string]Peer{},
 	}
-	if err := connect(set, &out); err != nil {
+	if err := connectPeers(set, &out); err != nil {
 		return err
 	}
 	defer openHistory(set, &out)()
@@ -184,8 +184,8 @@
 	if n.monitor != nil {
 		handlers.Detection = peer.Detection{Heartbeat: n.HandlePeerHeartbeat, Probe: n.HandlePeerProbe}
 	}
-	if n.drains != nil {
-		handlers.Drain = n.drains.Answer
+	if n.drainService != nil {
+		handlers.Drain = n.drainService.Answer
 	}
 	failed := make(chan error, 2)
 	go func() { failed <- peer.Serve(ctx, set.PeerAddr, handlers) }()
@@ -203,8 +203,8 @@
 	}
 }
 
-// connect prepares the connections to the other controllers.
-func connect(set *settings.Settings, out *Dependencies) error {
+// connectPeers prepares the connections to the other controllers.
+func connectPeers(set *settings.Settings, out *Dependencies) error {
 	out.Monitors = map[string]MonitorPeer{}
 	out.Drains = map[string]DrainPeer{}
 	for _, p := range set.Peers {
@@ -239,7 +239,7 @@
 	return file.Close
 }
 
-func every(ctx context.Context, d time.Duration, f func(time.Time)) {
+func runEvery(ctx context.Context, d time.Duration, f func(time.Time)) {
 	t := time.NewTicker(d)
 	defer t.Stop()
 	for {
@@ -273,14 +273,14 @@
 			r.Respond(&httpwire.Response{Status: 400, Body: []byte(`{"error":"malformed report"}`)})
 			return
 		}
-		n.self.Tell(workerReport{r, rep})
+		n.control.Tell(workerHeartbeat{r, rep})
 	case path == wire.PathHealth:
 		if methods("GET") {
-			n.self.Tell(health{r})
+			n.control.Tell(healthRequest{r})
 		}
 	case path == wire.PathJobs:
 		if methods("POST") {
-			n.api.Tell(apiserver.Submit{Request: r, Body: r.Body})
+			n.apiServer.Tell(apiserver.Submit{Request: r, Body: r.Body})
 		}
 	case strings.HasPrefix(path, wire.PathJobs+"/"):
 		id, rest, sub := strings.Cut(path[len(wire.PathJobs)+1:], "/")
@@ -293,7 +293,7 @@
 				notFound(r)
 				return
 			}
-			n.api.Tell(apiserver.Cancel{Request: r, JobID: id})
+			n.apiServer.Tell(apiserver.Cancel{Request: r, JobID: id})
 		case sub:
 			notFound(r)
 		default:
@@ -304,15 +304,15 @@
 				notFound(r)
 				return
 			}
-			n.api.Tell(apiserver.Poll{Request: r, JobID: id})
+			n.apiServer.Tell(apiserver.Poll{Request: r, JobID: id})
 		}
 	case path == PathStatus:
 		if methods("GET") {
-			n.self.Tell(statusAsked{r})
+			n.control.Tell(statusRequest{r})
 		}
 	case path == PathMetrics:
 		if methods("GET") {
-			n.api.Tell(apiserver.GetMetrics{Request: r})
+			n.apiServer.Tell(apiserver.GetMetrics{Request: r})
 		}
 	default:
 		notFound(r)
--- a/controller/push_test.go
+++ b/controller/push_test.go
@@ -36,13 +36,13 @@
 		for name, p := range peers {
 			out.Peers[name] = p
 		}
-		c := newControl(w.nodes[0].set, out, actor.NewRef(), actor.NewRef(), nil)
+		c := newControlActor(w.controllers[0].set, out, actor.NewRef(), actor.NewRef(), nil)
 		for range 100 {
-			c.pushNow = true
-			c.push(t.Context(), time.Now())
+			c.pushPending = true
+			c.pushStatus(t.Context(), time.Now())
 			time.Sleep(200 * time.Millisecond)
 			synctest.Wait()
-			clear(c.pushing) // answered
+			clear(c.pushInFlight) // answered
 		}
 		for name, p := range peers {
 			if n := p.told.Load(); n < 15 || n > 25 {
--- a/controller/relay_test.go
+++ b/controller/relay_test.go
@@ -17,7 +17,7 @@
 	quietLogs(t)
 	synctest.Test(t, func(t *testing.T) {
 		w := quietWorld(3)
-		ctl := w.nodes[0].up()
+		ctl := w.controllers[0].up()
 		job := wire.Change{Put: "rv/job/run-000001", Value: []byte(`{}`)}
 		for name, txn := range map[string]wire.Txn{
 			"nothing":        {},
@@ -48,7 +48,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := quietWorld(4)
 		w.lostAnswers, w.lateWrites, w.repeats = 0, 0, 0 // those are for the generated days
-		w.do(func() { w.nodes[1].cutState = true })
+		w.do(func() { w.controllers[1].cutState = true })
 		time.Sleep(500 * time.Millisecond)
 		var jobs []*simJob
 		for i := range 8 {
@@ -76,7 +76,7 @@
 			go w.user(j, 0, 0) // asks again at any controller, and polls
 		}
 		w.allDone(t, 2*time.Minute, jobs)
-		w.do(func() { w.nodes[1].cutState = false })
+		w.do(func() { w.controllers[1].cutState = false })
 		w.end(t)
 	})
 }
--- a/controller/revocation.go
+++ b/controller/revocation.go
@@ -15,8 +15,8 @@
 
 // Messages between the monitor and the control actor.
 type (
-	resign     struct{} // an actor is stalled: this process must end its lease
-	membership struct { // what the monitor sees
+	resignLease    struct{} // an actor is stalled: this process must end its lease
+	membershipView struct { // what the monitor sees
 		members []MemberStatus
 		dropped MessageCounts
 		events  []string
@@ -24,33 +24,33 @@
 	revocationDone struct{ err error }
 )
 
-// detection is what the control actor keeps for failure detection.
-type detection struct {
-	monitor   *actor.Ref // nil: failure detection is off
-	seen      membership
-	returning *returningWorkers
-	revoking  bool // a revocation is being written
-	resigned  bool
+// detectionState is what the control actor keeps for failure detection.
+type detectionState struct {
+	monitor    *actor.Ref // nil: failure detection is off
+	membership membershipView
+	redirects  *redirectTracker
+	revoking   bool // a revocation is being written
+	resigned   bool
 }
 
-// receiveOfDetection takes in what comes of failure detection.
-func (c *control) receiveOfDetection(ctx context.Context, now time.Time, msg any) {
+// receiveDetectionMessage takes in what comes of failure detection.
+func (c *controlActor) receiveDetectionMessage(ctx context.Context, now time.Time, msg any) {
 	switch m := msg.(type) {
 	case []detector.RevocationProposal:
-		c.propose(ctx, now, m)
+		c.revokeFailed(ctx, now, m)
 	case revocationDone:
-		c.revocationDone(m)
-	case membership:
-		c.detect.seen = m
-	case resign:
-		c.detect.resigned = true
+		c.handleRevocationDone(m)
+	case membershipView:
+		c.detection.membership = m
+	case resignLease:
+		c.detection.resigned = true
 	}
 }
 
-// propose revokes the first of the controllers that were declared failed. Without
+// revokeFailed revokes the first of the controllers that were declared failed. Without
 // authority of its own a controller proposes nothing.
-func (c *control) propose(ctx context.Context, now time.Time, proposals []detector.RevocationProposal) {
-	if c.detect.revoking || c.detect.resigned || !c.settled(now) || c.claimsHeld(now) {
+func (c *controlActor) revokeFailed(ctx context.Context, now time.Time, proposals []detector.RevocationProposal) {
+	if c.detection.revoking || c.detection.resigned || !c.hasAuthority(now) || c.acquisitionsBlocked(now) {
 		return
 	}
 	for _, p := range proposals {
@@ -59,39 +59,39 @@
 			continue
 		}
 		slog.Warn("controller is revoked", "node", p.Controller, "evidence", p.Evidence, "accusers", p.Accusers)
-		c.detect.revoking = true
+		c.detection.revoking = true
 		go func() {
-			_, err := c.io.Unthrottled.Commit(ctx, txn)
+			_, err := c.dependencies.Unthrottled.Commit(ctx, txn)
 			c.self.Tell(revocationDone{err})
 		}()
 		return
 	}
 }
 
-func (c *control) revocationDone(m revocationDone) {
-	c.detect.revoking = false
+func (c *controlActor) handleRevocationDone(m revocationDone) {
+	c.detection.revoking = false
 	if m.err != nil {
 		slog.Info("revocation not written", "err", m.err) // proposed again if it still holds
 	}
 }
 
-// noteRevocation takes in a stored revocation. If it is this process's, everything
+// applyRevocation takes in a stored revocation. If it is this process's, everything
 // done here under its lease ends.
-func (c *control) noteRevocation(now time.Time, r *records.Revocation) {
-	if c.detect.monitor == nil {
+func (c *controlActor) applyRevocation(now time.Time, r *records.Revocation) {
+	if c.detection.monitor == nil {
 		return
 	}
-	c.detect.monitor.Tell(revocationSeen(history.Event{At: now, Observer: r.By, Node: r.Controller, Process: r.Incarnation, To: "revoked", Evidence: r.Evidence, Accusers: r.Accusers}))
+	c.detection.monitor.Tell(revocationSeen(history.Event{At: now, Observer: r.By, Node: r.Controller, Process: r.Incarnation, To: "revoked", Evidence: r.Evidence, Accusers: r.Accusers}))
 	if r.Controller == c.set.Controller && r.Incarnation == c.incarnation && c.incarnation != 0 {
 		slog.Warn("this process was revoked", "by", r.By, "evidence", r.Evidence)
-		c.endLease(c.authorityGiven().Add(constants.AuthorityMargin))
+		c.endLease(c.latestAuthorityEnd().Add(constants.AuthorityMargin))
 	}
 }
 
-// authorityGiven is the latest authority that any actor here may still hold.
-func (c *control) authorityGiven() time.Time {
-	latest := c.until()
-	if extended := c.ownersUntil(); extended.After(latest) {
+// latestAuthorityEnd is the latest authority that any actor here may still hold.
+func (c *controlActor) latestAuthorityEnd() time.Time {
+	latest := c.authorityEnd()
+	if extended := c.ownerAuthorityEnd(); extended.After(latest) {
 		latest = extended
 	}
 	return latest
@@ -99,23 +99,23 @@
 
 // endLease stops everything that is done under the lease. The next one is asked for
 // at again at the earliest.
-func (c *control) endLease(again time.Time) {
-	c.lease, c.incarnation = 0, 0
-	c.leaseSent = time.Time{}
-	c.nextLease = again
-	clear(c.grants)
+func (c *controlActor) endLease(again time.Time) {
+	c.leaseID, c.incarnation = 0, 0
+	c.leaseRequestedAt = time.Time{}
+	c.nextLeaseCall = again
+	clear(c.extensions)
 	for shard := range c.owners {
 		c.stopOwner(shard)
 	}
 	c.stopLeader()
 }
 
-// tellMonitor tells the monitor what it needs to know of the cluster.
-func (c *control) tellMonitor(now time.Time) {
-	if c.detect.monitor == nil || !c.synced {
+// updateMonitor tells the monitor what it needs to know of the cluster.
+func (c *controlActor) updateMonitor(now time.Time) {
+	if c.detection.monitor == nil || !c.synced {
 		return
 	}
-	v := clusterView{process: c.incarnation, leases: map[string]uint64{}, unserved: c.unserved(now), actors: map[string]*actor.Ref{"control": c.self, "api server": c.api},
+	v := clusterView{process: c.incarnation, leases: map[string]uint64{}, unserved: c.unservedBy(now), actors: map[string]*actor.Ref{"control": c.self, "api server": c.api},
 		feed: watchdog.Sample{Name: "feed", Handled: c.revision, Pending: c.overdueReads(now)}}
 	for _, p := range c.set.Peers {
 		v.leases[p.Controller] = c.member.Incarnation(p.Controller)
@@ -123,48 +123,48 @@
 	for shard, o := range c.owners {
 		v.actors["owner of "+shard] = o.ref
 	}
-	if c.leaderRef != nil {
-		v.actors["leader"] = c.leaderRef.ref
+	if c.leader != nil {
+		v.actors["leader"] = c.leader.ref
 	}
-	c.detect.monitor.Tell(v)
+	c.detection.monitor.Tell(v)
 }
 
 // overdueReads counts revisions that were read and that the feed has not reached
 // though it had time.
-func (c *control) overdueReads(now time.Time) int {
+func (c *controlActor) overdueReads(now time.Time) int {
 	overdue := 0
-	for _, r := range c.reads {
-		if now.Sub(r.sent) > constants.WatchTimeout {
+	for _, r := range c.revisionReads {
+		if now.Sub(r.sentAt) > constants.WatchTimeout {
 			overdue++
 		}
 	}
 	return overdue
 }
 
-// unserved says whose workers come back to this controller after they were sent to
+// unservedBy says whose workers come back to this controller after they were sent to
 // their owner. It is not held against anybody while this controller cannot know
 // who the owner is, nor for a while after.
-func (c *control) unserved(now time.Time) map[string]bool {
-	if !c.settled(now) {
-		c.detect.returning.forget()
+func (c *controlActor) unservedBy(now time.Time) map[string]bool {
+	if !c.hasAuthority(now) {
+		c.detection.redirects.reset()
 		return nil
 	}
 	out := map[string]bool{}
-	for node, machines := range c.detect.returning.count(now) {
-		out[node] = machines >= max(constants.MinUnservedMachines, (c.workersOf(node)+constants.HearingShare-1)/constants.HearingShare)
+	for node, machines := range c.detection.redirects.countReturned(now) {
+		out[node] = machines >= max(constants.MinUnservedMachines, (c.machinesOf(node)+constants.HearingShare-1)/constants.HearingShare)
 	}
 	return out
 }
 
-// workersOf counts the machines of the shards that a controller owns.
-func (c *control) workersOf(node string) int {
+// machinesOf counts the machines of the shards that a controller owns.
+func (c *controlActor) machinesOf(node string) int {
 	owned := map[string]bool{}
 	for _, zone := range c.set.Deployment.Zones {
 		holder, held := c.member.Holder(records.KeyShard(zone))
 		owned[zone] = held && holder == node
 	}
 	machines := 0
-	for _, zone := range c.shardOf {
+	for _, zone := range c.shardByMachine {
 		if owned[zone] {
 			machines++
 		}
--- a/controller/scenario_test.go
+++ b/controller/scenario_test.go
@@ -71,7 +71,7 @@
 	if w.unguarded = unguard != nil; w.unguarded {
 		unguard(w)
 	}
-	for _, n := range w.nodes {
+	for _, n := range w.controllers {
 		n.start()
 	}
 	go w.expireLeases()
@@ -150,7 +150,7 @@
 	if err != nil {
 		panic(err)
 	}
-	return slices.IndexFunc(w.nodes, func(n *simNode) bool { return n.set.Controller == v.(*records.Term).Controller })
+	return slices.IndexFunc(w.controllers, func(n *simController) bool { return n.set.Controller == v.(*records.Term).Controller })
 }
 
 // tasksOn counts a job's tasks on machines of a zone; "": of any.
@@ -184,7 +184,7 @@
 // lots adds one array for each zone, bound to it, of two tasks that run for so long.
 func (w *world) boundArrays(id int, runS float64) []*simJob {
 	var out []*simJob
-	for i, z := range w.nodes[0].set.Deployment.Zones {
+	for i, z := range w.controllers[0].set.Deployment.Zones {
 		j := w.newArray(fmt.Sprintf("run-%06d", 10*id+i), 2, 2, runS)
 		j.spec.Zone = z
 		go w.user(j, 0, 0)
@@ -221,7 +221,7 @@
 // shards lists the zones whose shard a controller owns.
 func (w *world) shards(node int) []string {
 	var out []string
-	for _, z := range w.nodes[0].set.Deployment.Zones {
+	for _, z := range w.controllers[0].set.Deployment.Zones {
 		if w.holder(records.KeyShard(z)) == node {
 			out = append(out, z)
 		}
@@ -242,10 +242,10 @@
 		time.Sleep(10 * time.Second)
 		for i, lot := range doomed {
 			if i > 0 && len(w.shards(refused)) == 0 {
-				refused = w.holder(records.KeyShard(w.nodes[0].set.Deployment.Zones[0]))
+				refused = w.holder(records.KeyShard(w.controllers[0].set.Deployment.Zones[0]))
 				other = (refused + 1) % 3
 			}
-			n, owned := w.nodes[refused], w.shards(refused)
+			n, owned := w.controllers[refused], w.shards(refused)
 			starts := 0
 			w.do(func() { starts = w.starts })
 			if len(owned) == 0 && w.holder(records.KeyLeader) != refused {
@@ -255,7 +255,7 @@
 			time.Sleep(w.between(100*time.Millisecond, 1200*time.Millisecond))
 			for _, j := range lot {
 				if !w.cancelAt(other, j) {
-					w.stopScenario(t, "gap %d: %s did not confirm a cancellation", i, w.nodes[other].set.Controller)
+					w.stopScenario(t, "gap %d: %s did not confirm a cancellation", i, w.controllers[other].set.Controller)
 				}
 			}
 			confirmed := time.Now()
--- a/controller/sim_test.go
+++ b/controller/sim_test.go
@@ -28,7 +28,7 @@
 	if seed%2 == 0 {
 		w.leave()
 	}
-	for _, n := range w.nodes {
+	for _, n := range w.controllers {
 		n.start()
 	}
 	go w.expireLeases()
@@ -74,7 +74,7 @@
 	// Calm: everything is mended, and what was accepted must come to an end.
 	w.setOutage(false)
 	w.mu.Lock()
-	for _, n := range w.nodes {
+	for _, n := range w.controllers {
 		n.cutState, n.cutWork, n.cutPeers, n.cutReports = false, false, false, false
 	}
 	w.cloudOut, w.cutZone = false, ""
@@ -83,14 +83,14 @@
 	}
 	w.calm = time.Now()
 	w.mu.Unlock()
-	for _, n := range w.nodes {
+	for _, n := range w.controllers {
 		if n.up() == nil {
 			n.start()
 		}
 	}
 	time.Sleep(240 * time.Second)
 	close(w.stop)
-	for _, n := range w.nodes {
+	for _, n := range w.controllers {
 		n.kill()
 	}
 	time.Sleep(2 * time.Minute) // late messages and retries run out
@@ -102,7 +102,7 @@
 	end := time.Now().Add(d)
 	for time.Now().Before(end) {
 		time.Sleep(w.between(2*time.Second, 12*time.Second))
-		n := w.nodes[int(w.between(0, time.Duration(len(w.nodes)-1)))]
+		n := w.controllers[int(w.between(0, time.Duration(len(w.controllers)-1)))]
 		length := w.between(time.Second, 35*time.Second)
 		later := func(f func()) { time.AfterFunc(length, f) }
 		switch w.between(0, 17) {
@@ -162,11 +162,11 @@
 				}
 			})
 		case 2: // all crash
-			for _, n := range w.nodes {
+			for _, n := range w.controllers {
 				n.kill()
 			}
 			time.Sleep(w.between(200*time.Millisecond, 6*time.Second))
-			for _, n := range w.nodes {
+			for _, n := range w.controllers {
 				if n.up() == nil {
 					n.start()
 				}
@@ -331,7 +331,7 @@
 func TestOwnerWithoutReportsHandsOn(t *testing.T) {
 	undisturbed(t, 8, 4, func(w *world) {
 		w.mu.Lock()
-		w.nodes[0].cutReports = true
+		w.controllers[0].cutReports = true
 		w.mu.Unlock()
 		time.Sleep(60 * time.Second)
 	})
@@ -369,7 +369,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			w := newWorld(9, []string{"a", "b"}, 3)
 			w.late, w.tame = 0, true
-			for _, n := range w.nodes {
+			for _, n := range w.controllers {
 				n.set.Deployment.Workers.CancelTimeoutS = 100 // so that much is tended
 				n.start()
 			}
@@ -396,7 +396,7 @@
 			w.cloudOut, w.cutZone = true, zone // nothing is surely gone but by its lease
 			w.mu.Unlock()
 			if !counted {
-				for _, n := range w.nodes {
+				for _, n := range w.controllers {
 					n.set.Deployment.Workers.CancelTimeoutS = 45 // as whoever claims from here on counts
 				}
 			}
@@ -440,10 +440,10 @@
 func TestNoExtensionNoAuthority(t *testing.T) {
 	quietLogs(t)
 	for name, cut := range map[string]func(*world){
-		"refused alone": func(w *world) { w.nodes[0].cutState = true },
+		"refused alone": func(w *world) { w.controllers[0].cutState = true },
 		"a sibling out of reach": func(w *world) {
 			w.outage = true
-			w.nodes[2].cutPeers = true
+			w.controllers[2].cutPeers = true
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -456,7 +456,7 @@
 				w.mu.Unlock()
 				ask := func(z string, seq uint64) bool {
 					a := &simAnswer{got: make(chan *httpwire.Response, 1)}
-					w.nodes[0].up().self.Tell(workerReport{a, &wire.Heartbeat{Machine: "m-x", Addr: "m-x", Type: "box", Zone: z, Epoch: 1, Seq: seq,
+					w.controllers[0].up().control.Tell(workerHeartbeat{a, &wire.Heartbeat{Machine: "m-x", Addr: "m-x", Type: "box", Zone: z, Epoch: 1, Seq: seq,
 						Tasks: []wire.TaskStatus{{Task: "run-000009/0", Attempt: 1, State: wire.TaskRunning}}}})
 					select {
 					case r := <-a.got:
@@ -470,13 +470,13 @@
 					}
 				}
 				time.Sleep(10 * time.Second)
-				for _, z := range w.nodes[0].set.Deployment.Zones {
+				for _, z := range w.controllers[0].set.Deployment.Zones {
 					if ask(z, 1) && name == "refused alone" {
 						t.Errorf("answers for %s though it has been replaced", z)
 					}
 				}
-				time.Sleep(w.nodes[0].set.LeaseExtension())
-				for _, z := range w.nodes[0].set.Deployment.Zones {
+				time.Sleep(w.controllers[0].set.LeaseExtension())
+				for _, z := range w.controllers[0].set.Deployment.Zones {
 					if ask(z, 2) {
 						t.Errorf("answers for %s when its lease extension is over", z)
 					}
@@ -505,7 +505,7 @@
 func quietWorld(seed uint64) *world {
 	w := newWorld(seed, []string{"a", "b"}, 3)
 	w.late, w.tame = 0, true
-	for _, n := range w.nodes {
+	for _, n := range w.controllers {
 		n.start()
 	}
 	go w.expireLeases()
@@ -548,7 +548,7 @@
 func (w *world) shut() {
 	close(w.stop)
 	w.do(func() { w.cutZone = "" }) // lets go of what the cut holds back
-	for _, n := range w.nodes {
+	for _, n := range w.controllers {
 		n.kill()
 	}
 	time.Sleep(2 * time.Minute)
@@ -563,7 +563,7 @@
 		w.kv[key] = &entry{value: records.Encode(v), version: w.revision}
 		w.events = append(w.events, wire.Event{Put: key, Value: records.Encode(v), Version: w.revision})
 	}
-	zones := w.nodes[0].set.Deployment.Zones
+	zones := w.controllers[0].set.Deployment.Zones
 	for i, z := range zones {
 		put(records.KeyShard(z), records.Term{Controller: "n-0", Incarnation: 7, Number: uint64(3 + i)})
 	}
--- a/controller/standin_cloud_test.go
+++ b/controller/standin_cloud_test.go
@@ -11,7 +11,7 @@
 	"ravenport/wire"
 )
 
-type simCloud struct{ n *simNode }
+type simCloud struct{ n *simController }
 
 var simTypes = []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 32, CacheGB: 50, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 8}}
 
@@ -24,7 +24,7 @@
 
 func (c *simCloud) ScaleOut(ctx context.Context, r wire.ScaleOutRequest) ([]string, error) {
 	w := c.n.w
-	c.n.stand()
+	c.n.waitWhileFrozen()
 	time.Sleep(100 * time.Millisecond)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -67,7 +67,7 @@
 func (c *simCloud) ScaleIn(ctx context.Context, names []string) error {
 	asked := time.Now()
 	c.n.w.do(func() { c.n.w.returnAsked(c.n) })
-	c.n.stand()
+	c.n.waitWhileFrozen()
 	time.Sleep(100 * time.Millisecond)
 	c.n.w.mu.Lock()
 	defer c.n.w.mu.Unlock()
@@ -107,7 +107,7 @@
 }
 
 // returnAsked notes that a return was decided. The caller holds the lock.
-func (w *world) returnAsked(by *simNode) {
+func (w *world) returnAsked(by *simController) {
 	w.seen["returns asked"]++
 	if w.onReturn != nil {
 		w.onReturn(by)
--- a/controller/standin_detection_test.go
+++ b/controller/standin_detection_test.go
@@ -24,13 +24,13 @@
 		go func() {
 			time.Sleep(p.from.w.between(time.Second, 30*time.Second))
 			if ctl := p.to.up(); ctl != nil && ctl.monitor != nil {
-				ctl.monitor.Tell(heartbeatAsked{m, make(chan heartbeatAnswer, 1)})
+				ctl.monitor.Tell(peerHeartbeat{m, make(chan peerHeartbeatAnswer, 1)})
 				p.from.w.do(func() { p.from.w.seen["late heartbeats"]++ })
 			}
 		}()
 	}
 	answer, err := ctl.HandlePeerHeartbeat(ctx, m)
-	p.from.stand()
+	p.from.waitWhileFrozen()
 	return answer, err
 }
 
@@ -41,7 +41,7 @@
 		return peer.ProbeReply{}, err
 	}
 	answer, err := ctl.HandlePeerProbe(ctx, r)
-	p.from.stand()
+	p.from.waitWhileFrozen()
 	return answer, err
 }
 
@@ -54,12 +54,12 @@
 	if ctl.monitor == nil {
 		return nil, peer.ErrNotMonitored
 	}
-	p.to.stand()
+	p.to.waitWhileFrozen()
 	return ctl, nil
 }
 
 // supervise restarts a controller that ends itself, as a machine's supervisor does.
-func (n *simNode) supervise(ctx context.Context, ctl *Controller) {
+func (n *simController) supervise(ctx context.Context, ctl *Controller) {
 	select {
 	case <-ctx.Done():
 		return
@@ -76,7 +76,7 @@
 }
 
 // detect switches failure detection on at a controller that is started after this.
-func (n *simNode) detect() {
+func (n *simController) detect() {
 	d, err := load.ParseDetection(nil)
 	if err != nil {
 		panic(err)
@@ -85,16 +85,16 @@
 }
 
 // stickOwner lets the owner of a zone's shard handle one message for so long.
-func (n *simNode) stickOwner(zone string, d time.Duration) {
+func (n *simController) stickOwner(zone string, d time.Duration) {
 	n.w.mu.Lock()
-	ctl, name := n.ctl, ""
+	ctl, name := n.process, ""
 	for _, m := range n.w.machines {
 		if m.zone == zone {
 			name = m.name
 		}
 	}
 	n.w.mu.Unlock()
-	ctl.self.Tell(workerReport{sleepingAnswer(d), &wire.Heartbeat{Machine: name, Addr: name, Type: "box", Zone: zone}})
+	ctl.control.Tell(workerHeartbeat{sleepingAnswer(d), &wire.Heartbeat{Machine: name, Addr: name, Type: "box", Zone: zone}})
 }
 
 // sleepingAnswer is a request that takes as long to answer.
@@ -103,7 +103,7 @@
 func (d sleepingAnswer) Respond(*httpwire.Response) { time.Sleep(time.Duration(d)) }
 
 // accuse has a controller take another one for failed, whatever there is to that.
-func (w *world) accuse(by, of *simNode) {
+func (w *world) accuse(by, of *simController) {
 	ctl := by.up()
 	if ctl == nil {
 		return
@@ -118,7 +118,7 @@
 	if err != nil {
 		panic(err)
 	}
-	ctl.self.Tell([]detector.RevocationProposal{{Controller: of.set.Controller, Incarnation: record.(*records.Controller).Incarnation, Evidence: []detector.Evidence{"accused at random"}, Accusers: []string{by.set.Controller}}})
+	ctl.control.Tell([]detector.RevocationProposal{{Controller: of.set.Controller, Incarnation: record.(*records.Controller).Incarnation, Evidence: []detector.Evidence{"accused at random"}, Accusers: []string{by.set.Controller}}})
 }
 
 // owner is the number of the controller that owns a zone's shard.
--- a/controller/standin_draining_test.go
+++ b/controller/standin_draining_test.go
@@ -20,7 +20,7 @@
 // watchDisruption begins to judge stops: all services' tasks share a budget of so many.
 func (w *world) watchDisruption(most int) {
 	w.do(func() {
-		w.disruption = disruptioncheck.New(most, w.nodes[0].set.Draining.Policy.Stable, w.times.lease()+30*time.Second)
+		w.disruption = disruptioncheck.New(most, w.controllers[0].set.Draining.Policy.Stable, w.times.lease()+30*time.Second)
 	})
 	go func() {
 		for {
@@ -144,7 +144,7 @@
 
 // drainTo switches draining on at all controllers, under these settings.
 func (w *world) drainTo(text string) {
-	for _, n := range w.nodes {
+	for _, n := range w.controllers {
 		d, err := load.ParseDraining([]byte(text), n.set)
 		if err != nil {
 			panic(err)
@@ -159,22 +159,22 @@
 	if err != nil {
 		return peer.DrainReply{}, err
 	}
-	if ctl.drains == nil {
+	if ctl.drainService == nil {
 		return peer.DrainReply{}, peer.ErrNoDrains
 	}
-	return ctl.drains.Answer(ctx, r)
+	return ctl.drainService.Answer(ctx, r)
 }
 
 // drains asks a controller that is up about drains.
 func (w *world) drains(t *testing.T, r peer.DrainRequest) peer.DrainReply {
 	t.Helper()
 	for range 60 {
-		for _, n := range w.nodes {
+		for _, n := range w.controllers {
 			ctl := n.up()
-			if ctl == nil || ctl.drains == nil || n.cutState || time.Now().Before(n.thaws) {
+			if ctl == nil || ctl.drainService == nil || n.cutState || time.Now().Before(n.frozenUntil) {
 				continue
 			}
-			if reply, err := ctl.drains.Answer(context.Background(), r); err == nil {
+			if reply, err := ctl.drainService.Answer(context.Background(), r); err == nil {
 				return reply
 			}
 		}
@@ -344,7 +344,7 @@
 // beginDrains starts the controllers, has 18 replicas run, and judges stops from then on.
 func (w *world) beginDrains(t *testing.T) {
 	t.Helper()
-	for _, n := range w.nodes {
+	for _, n := range w.controllers {
 		n.start()
 	}
 	go w.expireLeases()
@@ -359,7 +359,7 @@
 	w := drainWorld(seed, s.settings)
 	defer w.shut()
 	w.spotReplicas = s.spot
-	for _, n := range w.nodes {
+	for _, n := range w.controllers {
 		n.unguardDrains = s.unguard
 	}
 	w.beginDrains(t)
@@ -398,7 +398,7 @@
 }
 
 // parseDraining reads settings of drains for a controller.
-func (n *simNode) parseDraining(text string) *settings.Draining {
+func (n *simController) parseDraining(text string) *settings.Draining {
 	d, err := load.ParseDraining([]byte(text), n.set)
 	if err != nil {
 		panic(err)
--- a/controller/standin_store_test.go
+++ b/controller/standin_store_test.go
@@ -24,12 +24,12 @@
 	ends time.Time
 }
 
-type simStore struct{ n *simNode }
+type simStore struct{ n *simController }
 
 // pass is the way to the state service: it takes time, and may be shut.
 func (s *simStore) pass(ctx context.Context) error {
 	w := s.n.w
-	s.n.stand() // what it had decided goes out when it moves on, whatever the time
+	s.n.waitWhileFrozen() // what it had decided goes out when it moves on, whatever the time
 	time.Sleep(w.between(time.Millisecond, 12*time.Millisecond) + w.slow)
 	if ctx.Err() != nil && !w.chance(0.5) {
 		return fmt.Errorf("%w: %w", kvstore.ErrOutcomeUnknown, ctx.Err())
@@ -80,7 +80,7 @@
 	w.mu.Lock()
 	rev, err := w.apply(t)
 	w.mu.Unlock()
-	s.n.stand()
+	s.n.waitWhileFrozen()
 	return rev, err
 }
 
--- a/controller/standin_test.go
+++ b/controller/standin_test.go
@@ -44,9 +44,9 @@
 	seq      int
 	capacity map[string]int // by zone and kind
 
-	nodes []*simNode
-	jobs  map[string]*simJob
-	stop  chan struct{}
+	controllers []*simController
+	jobs        map[string]*simJob
+	stop        chan struct{}
 
 	gangs map[string]*simGang // by job and attempt
 
@@ -79,11 +79,11 @@
 	tame bool      // machines come up, and rentals are answered
 
 	times    times
-	onReturn func(by *simNode) // called as a return is decided, with the lock held
-	loss     float64           // share of answers of workers, and to them, that are lost by chance; 0: as usual
-	lossless bool              // no answer of a worker, or to one, is lost by chance
-	pause    time.Duration     // between two looks of a worker at itself; 0: 100 ms
-	upIn     time.Duration     // machines are up within this after their rental; 0: after seconds
+	onReturn func(by *simController) // called as a return is decided, with the lock held
+	loss     float64                 // share of answers of workers, and to them, that are lost by chance; 0: as usual
+	lossless bool                    // no answer of a worker, or to one, is lost by chance
+	pause    time.Duration           // between two looks of a worker at itself; 0: 100 ms
+	upIn     time.Duration           // machines are up within this after their rental; 0: after seconds
 
 	// What befalls transactions: shares of them.
 	lostAnswers float64       // carried out at once, only the answer is lost
@@ -121,34 +121,34 @@
 
 func (t times) cancelWithin() time.Duration { return settings.Seconds(t.cancelS) }
 
-type simNode struct {
-	w          *world
-	set        *settings.Settings
-	ctl        *Controller
-	cancel     context.CancelFunc
-	cutState   bool
-	cutWork    bool      // from workers
-	cutPeers   bool      // from the other controllers
-	cutReports bool      // reports do not reach it, though it reaches the workers
-	noCalls    bool      // other controllers' calls do not reach it, though its own reach them
-	answered   time.Time // when a report to it was last answered
-	reported   time.Time // and when one last came to it
-	thaws      time.Time
+type simController struct {
+	w           *world
+	set         *settings.Settings
+	process     *Controller
+	cancel      context.CancelFunc
+	cutState    bool
+	cutWork     bool      // from workers
+	cutPeers    bool      // from the other controllers
+	cutReports  bool      // reports do not reach it, though it reaches the workers
+	noCalls     bool      // other controllers' calls do not reach it, though its own reach them
+	answered    time.Time // when a report to it was last answered
+	reported    time.Time // and when one last came to it
+	frozenUntil time.Time
 	// unguardDrains takes away what budgets rest on; nil: nothing is.
 	unguardDrains func(*shard.DrainingConfig)
 }
 
 // apart says whether a zone and a controller are on two sides of a cut-off
 // zone's border. The caller holds the lock.
-func (w *world) apart(zone string, n *simNode) bool {
+func (w *world) apart(zone string, n *simController) bool {
 	return (zone == w.cutZone) != (n.set.Zone == w.cutZone)
 }
 
-// stand is where a controller's calls stand still with it.
-func (n *simNode) stand() {
+// waitWhileFrozen is where a controller's calls stand still with it.
+func (n *simController) waitWhileFrozen() {
 	for {
 		n.w.mu.Lock()
-		d := time.Until(n.thaws)
+		d := time.Until(n.frozenUntil)
 		n.w.mu.Unlock()
 		if d <= 0 {
 			return
@@ -160,11 +160,11 @@
 // freeze lets a controller stand still while its clocks run on: its actors
 // handle nothing, though messages come in, and its calls stand before and after
 // the outside has carried them out.
-func (n *simNode) freeze(d time.Duration) {
+func (n *simController) freeze(d time.Duration) {
 	w := n.w
 	w.mu.Lock()
-	ctl := n.ctl
-	n.thaws = time.Now().Add(d)
+	ctl := n.process
+	n.frozenUntil = time.Now().Add(d)
 	var known []*simWorker
 	for _, z := range n.set.Deployment.Zones {
 		for _, m := range w.machines {
@@ -179,17 +179,17 @@
 		return
 	}
 	for _, m := range known { // through control to the owner, if it is here
-		ctl.self.Tell(workerReport{standing{n}, &wire.Heartbeat{Machine: m.name, Addr: m.name, Type: "box", Zone: m.zone}})
+		ctl.control.Tell(workerHeartbeat{frozenRequest{n}, &wire.Heartbeat{Machine: m.name, Addr: m.name, Type: "box", Zone: m.zone}})
 	}
-	ctl.self.Tell(health{standing{n}})
-	ctl.api.Tell(apiserver.GetMetrics{Request: standing{n}})
+	ctl.control.Tell(healthRequest{frozenRequest{n}})
+	ctl.apiServer.Tell(apiserver.GetMetrics{Request: frozenRequest{n}})
 }
 
-// standing is a request whose answer takes an actor as long as its controller
+// frozenRequest is a request whose answer takes an actor as long as its controller
 // stands still.
-type standing struct{ n *simNode }
+type frozenRequest struct{ n *simController }
 
-func (s standing) Respond(*httpwire.Response) { s.n.stand() }
+func (s frozenRequest) Respond(*httpwire.Response) { s.n.waitWhileFrozen() }
 
 func newWorld(seed uint64, zones []string, nodes int) *world {
 	return newWorldOf(seed, zones, nodes, dayTimes)
@@ -204,7 +204,7 @@
 	}
 	var b strings.Builder
 	for i := range nodes {
-		w.nodes = append(w.nodes, &simNode{w: w})
+		w.controllers = append(w.controllers, &simController{w: w})
 		b.Reset()
 		fmt.Fprintf(&b, "node = \"n-%d\"\ndomain = %q\nbind = \"10.0.0.%d:80\"\nback = \"10.0.0.%d:81\"\n", i, zones[i%len(zones)], i+1, i+1)
 		for k := range nodes {
@@ -225,7 +225,7 @@
 			panic(err)
 		}
 		set.Operator.SpotIdleTimeout, set.Operator.OnDemandIdleTimeout = 15*time.Second, 25*time.Second
-		w.nodes[i].set = set
+		w.controllers[i].set = set
 	}
 	for _, z := range zones {
 		w.capacity[z+"/spot"], w.capacity[z+"/ordinary"] = 3, 3
@@ -251,10 +251,10 @@
 	slog.Error("rule broken", "rule", rule, "what", fmt.Sprintf(format, args...))
 }
 
-func (n *simNode) start() {
+func (n *simController) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	out := Dependencies{Store: &simStore{n}, Unthrottled: &simStore{n}, Background: &simStore{n}, Urgent: &simStore{n}, Cloud: &simCloud{n}, Workers: func() Workers { return &simCommands{n} }, Peers: map[string]Peer{}, Monitors: map[string]MonitorPeer{}, Drains: map[string]DrainPeer{}}
-	for _, o := range n.w.nodes {
+	for _, o := range n.w.controllers {
 		if o != n {
 			out.Peers[o.set.Controller] = simPeer{n, o}
 			out.Monitors[o.set.Controller] = simPeer{n, o}
@@ -263,7 +263,7 @@
 	}
 	n.w.mu.Lock()
 	defer n.w.mu.Unlock()
-	if n.ctl != nil { // never two processes under one name
+	if n.process != nil { // never two processes under one name
 		cancel()
 		return
 	}
@@ -272,26 +272,26 @@
 	if err != nil {
 		panic(err)
 	}
-	n.ctl, n.cancel = ctl, cancel
+	n.process, n.cancel = ctl, cancel
 	go n.supervise(ctx, ctl)
 }
 
-func (n *simNode) kill() {
+func (n *simController) kill() {
 	n.w.mu.Lock()
 	defer n.w.mu.Unlock()
-	if n.ctl != nil {
+	if n.process != nil {
 		n.cancel()
-		n.ctl = nil
+		n.process = nil
 	}
 }
 
-func (n *simNode) up() *Controller {
+func (n *simController) up() *Controller {
 	n.w.mu.Lock()
 	defer n.w.mu.Unlock()
-	return n.ctl
+	return n.process
 }
 
-type simPeer struct{ from, to *simNode }
+type simPeer struct{ from, to *simController }
 
 // reach goes over the link to the other controller, if it is open.
 func (p simPeer) reach(ctx context.Context) (*Controller, error) {
@@ -303,7 +303,7 @@
 	if ctl == nil || ctx.Err() != nil || cut {
 		return nil, fmt.Errorf("%w: unreachable", kvstore.ErrOutcomeUnknown)
 	}
-	p.from.stand()
+	p.from.waitWhileFrozen()
 	return ctl, nil
 }
 
@@ -312,12 +312,12 @@
 	if err != nil {
 		return peer.StatusReply{}, err
 	}
-	p.to.stand()
+	p.to.waitWhileFrozen()
 	r := ctl.HandlePeerStatus(s)
 	if p.from.w.untold {
 		r.LatestCancellation, r.Cancellations = 0, nil
 	}
-	p.from.stand()
+	p.from.waitWhileFrozen()
 	return r, nil
 }
 
@@ -328,7 +328,7 @@
 		return 0, err
 	}
 	r := ctl.HandlePeerCommit(ctx, t)
-	p.from.stand()
+	p.from.waitWhileFrozen()
 	p.from.w.do(func() { p.from.w.seen["relayed "+string(r.Outcome)]++ })
 	return r.Result()
 }
--- a/controller/standin_user_test.go
+++ b/controller/standin_user_test.go
@@ -31,7 +31,7 @@
 // ask sends one request to any controller and waits as long as users do.
 func (w *world) ask(msg func(apiserver.Request) any) *httpwire.Response {
 	w.mu.Lock()
-	node := w.rng.IntN(len(w.nodes))
+	node := w.rng.IntN(len(w.controllers))
 	w.mu.Unlock()
 	return w.askAt(node, msg)
 }
@@ -39,14 +39,14 @@
 // askAt sends one request to one controller.
 func (w *world) askAt(node int, msg func(apiserver.Request) any) *httpwire.Response {
 	w.mu.Lock()
-	ctl := w.nodes[node].ctl
+	ctl := w.controllers[node].process
 	w.mu.Unlock()
 	time.Sleep(w.between(time.Millisecond, 5*time.Millisecond))
 	if ctl == nil {
 		return nil
 	}
 	a := &simAnswer{got: make(chan *httpwire.Response, 1)}
-	ctl.api.Tell(msg(a))
+	ctl.apiServer.Tell(msg(a))
 	select {
 	case r := <-a.got:
 		return r
@@ -204,5 +204,5 @@
 	if r.Machine == "m-999999" {
 		return // a machine that the cloud never rented sends nothing
 	}
-	ctl.self.Tell(workerReport{&simAnswer{got: make(chan *httpwire.Response, 1)}, r})
+	ctl.control.Tell(workerHeartbeat{&simAnswer{got: make(chan *httpwire.Response, 1)}, r})
 }
--- a/controller/standin_worker_test.go
+++ b/controller/standin_worker_test.go
@@ -71,7 +71,7 @@
 	}
 	w.mu.Lock()
 	m.renewed = time.Now()
-	node := w.rng.IntN(len(w.nodes))
+	node := w.rng.IntN(len(w.controllers))
 	w.mu.Unlock()
 	next, sent := time.Now(), time.Time{}
 	for {
@@ -98,20 +98,20 @@
 		}
 		m.changed = false
 		r := m.report()
-		n := w.nodes[node]
-		ctl, shut := n.ctl, n.cutWork || n.cutReports || w.apart(m.zone, n)
+		n := w.controllers[node]
+		ctl, shut := n.process, n.cutWork || n.cutReports || w.apart(m.zone, n)
 		next = now.Add(settings.Seconds(w.times.reportS * (0.75 + 0.5*w.rng.Float64())))
 		sent = now
 		w.mu.Unlock()
 		if ctl == nil || shut {
-			node = (node + 1) % len(w.nodes)
+			node = (node + 1) % len(w.controllers)
 			next = now.Add(time.Second)
 			continue
 		}
 		a := &simAnswer{got: make(chan *httpwire.Response, 1)}
 		time.Sleep(w.between(time.Millisecond, 5*time.Millisecond))
 		w.do(func() { n.reported = time.Now() })
-		ctl.self.Tell(workerReport{a, r})
+		ctl.control.Tell(workerHeartbeat{a, r})
 		if w.keepCopies {
 			w.do(func() { w.copies = append(w.copies, r) })
 		}
@@ -119,7 +119,7 @@
 			go func() {
 				time.Sleep(w.between(time.Second, 3*w.times.lease()))
 				w.mu.Lock()
-				to := w.nodes[w.rng.IntN(len(w.nodes))].ctl
+				to := w.controllers[w.rng.IntN(len(w.controllers))].process
 				w.mu.Unlock()
 				if to != nil {
 					w.copy(to, r)
@@ -154,16 +154,16 @@
 			if err := json.Unmarshal(resp.Body, &red); err != nil {
 				panic(err)
 			}
-			to := slices.IndexFunc(w.nodes, func(n *simNode) bool { return n.set.Controller == red.Controller })
+			to := slices.IndexFunc(w.controllers, func(n *simController) bool { return n.set.Controller == red.Controller })
 			if to >= 0 && to != node {
 				node = to
 				next = time.Now()
 			} else {
-				node = (node + 1) % len(w.nodes)
+				node = (node + 1) % len(w.controllers)
 				next = time.Now().Add(time.Second)
 			}
 		default:
-			node = (node + 1) % len(w.nodes)
+			node = (node + 1) % len(w.controllers)
 			next = time.Now().Add(time.Second)
 		}
 		w.mu.Unlock()
@@ -406,7 +406,7 @@
 }
 
 // simCommands delivers direct commands, some of them late or twice.
-type simCommands struct{ n *simNode }
+type simCommands struct{ n *simController }
 
 func (c *simCommands) Forget(string) {}
 
@@ -415,7 +415,7 @@
 func (c *simCommands) Send(ctx context.Context, addr string, req wire.CommandRequest, done func(worker.Result)) {
 	w := c.n.w
 	go func() {
-		c.n.stand()
+		c.n.waitWhileFrozen()
 		time.Sleep(w.between(time.Millisecond, 5*time.Millisecond))
 		if w.chance(w.late) { // a late copy
 			go func() {
@@ -455,7 +455,7 @@
 			w.do(func() { m.unheard = append(m.unheard, time.Now()) })
 			r = worker.Result{Err: fmt.Errorf("the answer was lost")}
 		}
-		c.n.stand()
+		c.n.waitWhileFrozen()
 		done(r)
 	}()
 }
@@ -494,7 +494,7 @@
 			r = &fresh
 		}
 	})
-	to.self.Tell(workerReport{&simAnswer{got: make(chan *httpwire.Response, 1)}, r})
+	to.control.Tell(workerHeartbeat{&simAnswer{got: make(chan *httpwire.Response, 1)}, r})
 }
 
 // restart is a worker's process that is back at once: it holds nothing of what
--- a/controller/status.go
+++ b/controller/status.go
@@ -53,15 +53,15 @@
 	Summary   *shard.Summary `json:"summary,omitempty"`
 }
 
-func (c *control) role(key string) Role {
+func (c *controlActor) role(key string) Role {
 	t, _ := c.member.Term(key)
 	_, alive := c.member.Holder(key)
 	return Role{Controller: t.Controller, Term: t.Number, Alive: alive}
 }
 
-func (c *control) tellStatus(now time.Time, req request) {
-	s := Status{Controller: c.set.Controller, Zone: c.set.Zone, StoreReachable: c.stateOK(now), Revision: c.revision, OpenJobs: len(c.jobs), Leader: c.role(records.KeyLeader)}
-	if u := c.until(); now.Before(u) {
+func (c *controlActor) answerStatus(now time.Time, req httpRequest) {
+	s := Status{Controller: c.set.Controller, Zone: c.set.Zone, StoreReachable: c.storeReachable(now), Revision: c.revision, OpenJobs: len(c.jobs), Leader: c.role(records.KeyLeader)}
+	if u := c.authorityEnd(); now.Before(u) {
 		s.AuthorityMS = u.Sub(now).Milliseconds()
 	}
 	for _, j := range c.jobs {
@@ -76,13 +76,13 @@
 				p.Inventory += len(r.Machines())
 			}
 		}
-		if st, ok := c.status[name]; ok {
+		if st, ok := c.shardStatuses[name]; ok {
 			p.Summary = &st.summary
 		}
 		s.Shards = append(s.Shards, p)
 	}
-	if c.detect.monitor != nil {
-		s.Members, s.Dropped, s.Events = c.detect.seen.members, &c.detect.seen.dropped, c.detect.seen.events
+	if c.detection.monitor != nil {
+		s.Members, s.Dropped, s.Events = c.detection.membership.members, &c.detection.membership.dropped, c.detection.membership.events
 	}
 	body, err := json.MarshalIndent(s, "", "  ")
 	if err != nil {
--- a/controller/term_test.go
+++ b/controller/term_test.go
@@ -16,7 +16,7 @@
 	undisturbed(t, 3, 6, func(w *world) {
 		for range 3 {
 			owner, term := w.owner("a"), w.term("a")
-			w.nodes[owner].up().self.Tell(termUsedUp{"a"})
+			w.controllers[owner].up().control.Tell(newTermRequest{"a"})
 			time.Sleep(20 * time.Second)
 			if w.owner("a") != owner || w.term("a") != term+1 {
 				t.Errorf("owner %d, term %d became owner %d, term %d", owner, term, w.owner("a"), w.term("a"))
@@ -35,10 +35,10 @@
 	quietLogs(t)
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, []string{"a", "b"}, 3)
-		out := Dependencies{Store: &simStore{w.nodes[0]}, Unthrottled: &simStore{w.nodes[0]}, Background: &simStore{w.nodes[0]}, Urgent: &simStore{w.nodes[0]},
-			Cloud: &simCloud{w.nodes[0]}, Workers: func() Workers { return &simCommands{w.nodes[0]} }, Peers: map[string]Peer{}}
+		out := Dependencies{Store: &simStore{w.controllers[0]}, Unthrottled: &simStore{w.controllers[0]}, Background: &simStore{w.controllers[0]}, Urgent: &simStore{w.controllers[0]},
+			Cloud: &simCloud{w.controllers[0]}, Workers: func() Workers { return &simCommands{w.controllers[0]} }, Peers: map[string]Peer{}}
 		control := actor.NewRef()
-		c := newControl(w.nodes[0].set, out, control, actor.NewRef(), nil)
+		c := newControlActor(w.controllers[0].set, out, control, actor.NewRef(), nil)
 		a := newShardActor(c, "a", 3, 7, time.Now(), map[string]*records.Page{}, map[string]uint64{})
 		a.core.LimitTermNumbers(0, 0)
 		for range 5 {
@@ -50,7 +50,7 @@
 		synctest.Wait()
 		asked := 0
 		for _, m := range got {
-			if x, ok := m.(termUsedUp); ok && x.shard == "a" {
+			if x, ok := m.(newTermRequest); ok && x.shard == "a" {
 				asked++
 			}
 		}
--- a/controller/unserved.go
+++ b/controller/unserved.go
@@ -2,49 +2,49 @@
 
 import "time"
 
-// sentWorker is a worker that reported here and was sent to the owner of its shard.
-type sentWorker struct {
-	session, sequence uint64 // of its latest report here
-	to                string // the controller that it was last sent to
-	at                time.Time
-	returned          bool // it came back with a newer report after it was sent there
+// redirectedWorker is a worker that reported here and was sent to the owner of its shard.
+type redirectedWorker struct {
+	epoch, seq   uint64 // of its latest report here
+	owner        string // the controller that it was last sent to
+	redirectedAt time.Time
+	returned     bool // it came back with a newer report after it was sent there
 }
 
-// returningWorkers notices workers that come back to this controller after they were
+// redirectTracker notices workers that come back to this controller after they were
 // sent to their owner: they were not served there. A late copy of a report is no
 // newer than the last one, and does not count.
-type returningWorkers struct {
-	window time.Duration // how long a visit counts
-	seen   map[string]sentWorker
+type redirectTracker struct {
+	window  time.Duration // how long a visit counts
+	workers map[string]redirectedWorker
 }
 
-func newReturningWorkers(window time.Duration) *returningWorkers {
-	return &returningWorkers{window: window, seen: map[string]sentWorker{}}
+func newRedirectTracker(window time.Duration) *redirectTracker {
+	return &redirectTracker{window: window, workers: map[string]redirectedWorker{}}
 }
 
-// sent notes that a worker's report came here and was answered with its owner.
-func (r *returningWorkers) sent(now time.Time, worker string, session, sequence uint64, to string) {
-	before, known := r.seen[worker]
-	if known && (session < before.session || session == before.session && sequence <= before.sequence) {
+// record notes that a worker's report came here and was answered with its owner.
+func (r *redirectTracker) record(now time.Time, worker string, session, sequence uint64, to string) {
+	before, known := r.workers[worker]
+	if known && (session < before.epoch || session == before.epoch && sequence <= before.seq) {
 		return
 	}
-	again := known && before.to == to && now.Sub(before.at) <= r.window
-	r.seen[worker] = sentWorker{session, sequence, to, now, again}
+	again := known && before.owner == to && now.Sub(before.redirectedAt) <= r.window
+	r.workers[worker] = redirectedWorker{session, sequence, to, now, again}
 }
 
-// forget drops everything: while this controller may not know who the owners are, it
+// reset drops everything: while this controller may not know who the owners are, it
 // holds nothing against them.
-func (r *returningWorkers) forget() { clear(r.seen) }
+func (r *redirectTracker) reset() { clear(r.workers) }
 
-// count is how many workers came back lately, by the controller they were sent to.
-func (r *returningWorkers) count(now time.Time) map[string]int {
+// countReturned is how many workers came back lately, by the controller they were sent to.
+func (r *redirectTracker) countReturned(now time.Time) map[string]int {
 	back := map[string]int{}
-	for worker, s := range r.seen {
+	for worker, s := range r.workers {
 		switch {
-		case now.Sub(s.at) > r.window:
-			delete(r.seen, worker)
+		case now.Sub(s.redirectedAt) > r.window:
+			delete(r.workers, worker)
 		case s.returned:
-			back[s.to]++
+			back[s.owner]++
 		}
 	}
 	return back
--- a/controller/unserved_test.go
+++ b/controller/unserved_test.go
@@ -11,29 +11,32 @@
 	const window = 6 * time.Second
 	now := time.Unix(0, 0)
 	for name, c := range map[string]struct {
-		play func(r *returningWorkers)
+		play func(r *redirectTracker)
 		want int
 	}{
-		"came once":            {func(r *returningWorkers) { r.sent(now, "m", 1, 5, "n-1") }, 0},
-		"came back":            {func(r *returningWorkers) { r.sent(now, "m", 1, 5, "n-1"); r.sent(now.Add(window), "m", 1, 7, "n-1") }, 1},
-		"came back later":      {func(r *returningWorkers) { r.sent(now, "m", 1, 5, "n-1"); r.sent(now.Add(window+1), "m", 1, 7, "n-1") }, 0},
-		"a copy":               {func(r *returningWorkers) { r.sent(now, "m", 1, 5, "n-1"); r.sent(now.Add(1), "m", 1, 5, "n-1") }, 0},
-		"an old copy":          {func(r *returningWorkers) { r.sent(now, "m", 2, 5, "n-1"); r.sent(now.Add(1), "m", 1, 9, "n-1") }, 0},
-		"the owner is another": {func(r *returningWorkers) { r.sent(now, "m", 1, 5, "n-1"); r.sent(now.Add(1), "m", 1, 6, "n-2") }, 0},
-		"a new session":        {func(r *returningWorkers) { r.sent(now, "m", 1, 5, "n-1"); r.sent(now.Add(1), "m", 2, 1, "n-1") }, 1},
-		"forgotten": {func(r *returningWorkers) {
-			r.sent(now, "m", 1, 5, "n-1")
-			r.forget()
-			r.sent(now.Add(1), "m", 1, 6, "n-1")
+		"came once": {func(r *redirectTracker) { r.record(now, "m", 1, 5, "n-1") }, 0},
+		"came back": {func(r *redirectTracker) { r.record(now, "m", 1, 5, "n-1"); r.record(now.Add(window), "m", 1, 7, "n-1") }, 1},
+		"came back later": {func(r *redirectTracker) {
+			r.record(now, "m", 1, 5, "n-1")
+			r.record(now.Add(window+1), "m", 1, 7, "n-1")
+		}, 0},
+		"a copy":               {func(r *redirectTracker) { r.record(now, "m", 1, 5, "n-1"); r.record(now.Add(1), "m", 1, 5, "n-1") }, 0},
+		"an old copy":          {func(r *redirectTracker) { r.record(now, "m", 2, 5, "n-1"); r.record(now.Add(1), "m", 1, 9, "n-1") }, 0},
+		"the owner is another": {func(r *redirectTracker) { r.record(now, "m", 1, 5, "n-1"); r.record(now.Add(1), "m", 1, 6, "n-2") }, 0},
+		"a new session":        {func(r *redirectTracker) { r.record(now, "m", 1, 5, "n-1"); r.record(now.Add(1), "m", 2, 1, "n-1") }, 1},
+		"forgotten": {func(r *redirectTracker) {
+			r.record(now, "m", 1, 5, "n-1")
+			r.reset()
+			r.record(now.Add(1), "m", 1, 6, "n-1")
 		}, 0},
 	} {
-		r := newReturningWorkers(window)
+		r := newRedirectTracker(window)
 		c.play(r)
 		at := now.Add(window)
-		if got := r.count(at)["n-1"]; got != c.want {
+		if got := r.countReturned(at)["n-1"]; got != c.want {
 			t.Errorf("%s: %d", name, got)
 		}
-		if r.count(at.Add(3 * window)); len(r.seen) != 0 {
+		if r.countReturned(at.Add(3 * window)); len(r.workers) != 0 {
 			t.Errorf("%s: kept for ever", name)
 		}
 	}
