--- a/cmd/ravenport/members.go
+++ b/cmd/ravenport/members.go
@@ -9,8 +9,8 @@
 	"ravenport/history"
 )
 
-// membersCommand prints the membership events that a controller kept. Of a damaged
-// file it prints those before the damage, and then fails.
+// membersCommand prints the membership events in a history file. If the file is damaged
+// it prints the events before the damage, and then fails.
 func membersCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "members HISTORY",
@@ -22,8 +22,8 @@
 			if err != nil && !errors.As(err, &damage) {
 				return err
 			}
-			for _, e := range events {
-				fmt.Fprintln(cmd.OutOrStdout(), e)
+			for _, event := range events {
+				fmt.Fprintln(cmd.OutOrStdout(), event)
 			}
 			return err
 		},
--- /dev/null
+++ b/cmd/ravenport/run.go
@@ -0,0 +1,93 @@
+package main
+
+import (
+	"context"
+	"log/slog"
+	"os"
+	"os/signal"
+	"runtime"
+	"runtime/debug"
+	"syscall"
+
+	"github.com/spf13/cobra"
+
+	"ravenport/constants"
+	"ravenport/controller"
+	"ravenport/settings"
+)
+
+// bytesPerMB converts the memory limit of the settings.
+const bytesPerMB = 1 << 20
+
+func runCommand() *cobra.Command {
+	var files settingsFiles
+	run := &cobra.Command{
+		Use:   "ravenport --config PATH",
+		Short: "Run one controller of the ravenport cluster scheduler",
+		Long: "ravenport schedules job arrays, gangs and services on cloud machines.\n" +
+			"It runs until it is ended. LOG_LEVEL (error, info, debug) sets how much it logs to standard error.",
+		Version:       version,
+		Args:          cobra.NoArgs,
+		SilenceUsage:  true,
+		SilenceErrors: true,
+		RunE:          func(cmd *cobra.Command, _ []string) error { return runController(cmd.Context(), &files) },
+	}
+	files.addFlags(run)
+	return run
+}
+
+// runController runs a controller until it is ended or fails.
+func runController(ctx context.Context, files *settingsFiles) error {
+	s, err := files.load()
+	if err != nil {
+		return err
+	}
+	if err := setUpLogging(); err != nil {
+		return err
+	}
+	limitMemory(s)
+	limitProcessors(s)
+	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
+	defer stop()
+	return controller.Run(ctx, s)
+}
+
+// setUpLogging logs to standard error at the level of the environment variable LOG_LEVEL.
+func setUpLogging() error {
+	level := slog.LevelInfo
+	switch name := os.Getenv("LOG_LEVEL"); name {
+	case "", "info":
+	case "error":
+		level = slog.LevelError
+	case "warn":
+		level = slog.LevelWarn
+	case "debug":
+		level = slog.LevelDebug
+	default:
+		return settings.Invalid("LOG_LEVEL", "%q is not error, info or debug", name)
+	}
+	handler := slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})
+	slog.SetDefault(slog.New(handler))
+	return nil
+}
+
+// limitProcessors runs as many goroutines at once as the machine's share of its
+// processors keeps busy. On a small share of one, more only wake each other up and look
+// for work in vain. Whoever sets GOMAXPROCS has decided otherwise.
+func limitProcessors(s *settings.Settings) {
+	if n := s.ProcessorCount(); n > 0 && os.Getenv("GOMAXPROCS") == "" {
+		runtime.GOMAXPROCS(min(n, runtime.GOMAXPROCS(0)))
+	}
+}
+
+// limitMemory keeps the heap well within the machine's memory.
+func limitMemory(s *settings.Settings) {
+	memoryMB := s.Deployment.Limits.MemoryMB
+	if memoryMB <= 0 {
+		return
+	}
+	debug.SetMemoryLimit(int64(memoryMB * constants.HeapMemoryShare * bytesPerMB))
+	// Collections cost processor time, of which there is little, while the limit keeps
+	// the heap in bounds.
+	debug.SetGCPercent(constants.GCPercent)
+}
