--- a/cmd/ravenport/drainprint.go
+++ b/cmd/ravenport/drainprint.go
@@ -37,16 +37,16 @@
 	fmt.Fprintln(table, "SHARD\tMACHINES\tEMPTY\tMOVES\tARRAYS\tROUNDS")
 	for _, shard := range plan.Shards {
 		moves := 0
-		for _, n := range shard.Moves {
+		for _, n := range shard.MovesByBudget {
 			moves = max(moves, n)
 		}
-		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\n", shard.Shard, shard.Machines, shard.Empty, moves, shard.Arrays, shard.Steps)
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\n", shard.Shard, shard.Machines, shard.EmptyMachines, moves, shard.ArrayTasks, shard.Steps)
 	}
 	table.Flush()
-	if plan.Binding != "" {
-		fmt.Fprintf(out, "at least %.0f s, under the budget of %s\n", plan.MinimumS, plan.Binding)
+	if plan.BindingBudget != "" {
+		fmt.Fprintf(out, "at least %.0f s, under the budget of %s\n", plan.MinimumS, plan.BindingBudget)
 	}
-	for _, shard := range plan.Missing {
+	for _, shard := range plan.MissingShards {
 		fmt.Fprintf(out, "the owner of shard %s could not be asked\n", shard)
 	}
 	for _, shard := range plan.Shards {
@@ -88,6 +88,6 @@
 			wholeDrain = "\t\t\t"
 		}
 		waits := strings.TrimSpace(d.StopReason + " " + shard.WaitingFor)
-		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%s\n", wholeDrain, shard.Shard, shard.Remaining, len(shard.Cordoned), shard.Moving, shard.Failures, waits)
+		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%s\n", wholeDrain, shard.Shard, shard.Remaining, len(shard.Cordoned), shard.MovingTasks, shard.Failures, waits)
 	}
 }
--- a/controller/actors.go
+++ b/controller/actors.go
@@ -336,7 +336,7 @@
 		if now.Sub(a.summaryAt) >= constants.PushEvery {
 			a.summaryAt = now
 			st.counts, st.summary = a.core.Counts(), a.core.Summary(now)
-			st.drains = drain.ShardView{Shard: a.shard, Drains: a.core.DrainProgress(), Usage: a.core.Usage(now)}
+			st.drains = drain.ShardStatus{Shard: a.shard, Drains: a.core.DrainProgress(), Usage: a.core.Usage(now)}
 		}
 		a.control.Tell(st)
 		if a.core.TermNumbersLow() {
--- a/controller/control.go
+++ b/controller/control.go
@@ -71,7 +71,7 @@
 		aggregate leader.Aggregate
 		counts    records.CountsByJob
 		summary   shard.Summary
-		drains    drain.ShardView
+		drains    drain.ShardStatus
 	}
 	newTermRequest   struct{ shard string }                       // the owner needs a new term
 	actorStopped     struct{ acquisition member.TermAcquisition } // the actor stopped: the claim may go
--- a/controller/draining_test.go
+++ b/controller/draining_test.go
@@ -25,7 +25,7 @@
 	reached func(*testing.T, *world, int) bool
 }{
 	{"before the grant", func(t *testing.T, w *world, number int) bool {
-		return slices.ContainsFunc(w.view(t, number).Shards, func(p drain.Progress) bool { return len(p.Cordoned) > 0 })
+		return slices.ContainsFunc(w.view(t, number).Shards, func(p drain.ShardProgress) bool { return len(p.Cordoned) > 0 })
 	}},
 	{"after the grant", func(_ *testing.T, w *world, _ int) bool { return w.claimed() > 0 }},
 	{"after the stop", func(_ *testing.T, w *world, _ int) bool {
@@ -97,7 +97,7 @@
 			midway(t, w)
 			w.loseMachines(4)
 			w.until(t, "the drain waits for the budget", time.Minute, func() bool {
-				return slices.ContainsFunc(w.view(t, number).Shards, func(p drain.Progress) bool { return strings.Contains(p.WaitingFor, "used up") })
+				return slices.ContainsFunc(w.view(t, number).Shards, func(p drain.ShardProgress) bool { return strings.Contains(p.WaitingFor, "used up") })
 			})
 		}},
 		{name: "a zone is cut off", hurt: func(t *testing.T, w *world, _ int) {
@@ -171,7 +171,7 @@
 		{name: "arrays and gangs within their budget", settings: "disruption.interruptions.* = 1\n", hurt: func(t *testing.T, w *world, first int) {
 			w.drainEnds(t, first, records.DrainFinished, 12*time.Minute)
 			w.do(func() {
-				w.interruptions = disruptioncheck.New(1, w.controllers[0].set.Draining.Policy.Stable, w.times.lease()+30*time.Second)
+				w.interruptions = disruptioncheck.New(1, w.controllers[0].set.Draining.Policy.StableAfter, w.times.lease()+30*time.Second)
 				w.haveRun = map[string]bool{}
 			})
 			go w.playGangs()
@@ -204,7 +204,7 @@
 			midway(t, w)
 			w.command(t, peer.OpPause, number)
 			time.Sleep(10 * time.Second)
-			if v := w.view(t, number); v.State != records.DrainPaused || slices.ContainsFunc(v.Shards, func(p drain.Progress) bool { return len(p.Cordoned) > 0 }) {
+			if v := w.view(t, number); v.State != records.DrainPaused || slices.ContainsFunc(v.Shards, func(p drain.ShardProgress) bool { return len(p.Cordoned) > 0 }) {
 				t.Errorf("paused: %+v", v)
 			}
 			w.command(t, peer.OpResume, number)
@@ -242,7 +242,7 @@
 				t.Errorf("the wave takes %d machines", n)
 			}
 			w.until(t, "the drain waits for the budget", time.Minute, func() bool {
-				return slices.ContainsFunc(w.view(t, number).Shards, func(p drain.Progress) bool { return strings.Contains(p.WaitingFor, "used up") })
+				return slices.ContainsFunc(w.view(t, number).Shards, func(p drain.ShardProgress) bool { return strings.Contains(p.WaitingFor, "used up") })
 			})
 			w.until(t, "the wave takes tasks down", time.Minute, func() bool { return w.moved().Failed > failed+2 })
 		}},
@@ -379,7 +379,7 @@
 		if n := w.keysUnder(records.KeyDrain(1)); n > 0 {
 			t.Errorf("%d drains are stored", n)
 		}
-		if r := w.drains(t, peer.DrainRequest{Op: peer.OpPlan, All: true}); r.Plan == nil || r.Plan.Permanent() == nil {
+		if r := w.drains(t, peer.DrainRequest{Op: peer.OpPlan, All: true}); r.Plan == nil || r.Plan.FirstPermanentObstacle() == nil {
 			t.Errorf("the plan does not say what can never be done: %+v", r)
 		}
 		w.do(func() {
@@ -465,7 +465,7 @@
 		took := time.Since(began)
 		least := time.Duration(plan.MinimumS * float64(time.Second))
 		t.Logf("%d machines, %d tasks, budget %s: %s, %s at least (%s); %d changes of the state service, %s of the test's processor time",
-			len(old), tasks, *drainPercent, took.Round(time.Second), least, plan.Binding, w.stateRevision()-revision, (processorTime() - processor).Round(100*time.Millisecond))
+			len(old), tasks, *drainPercent, took.Round(time.Second), least, plan.BindingBudget, w.stateRevision()-revision, (processorTime() - processor).Round(100*time.Millisecond))
 		if n := w.left(old); n > 0 || took < least {
 			t.Errorf("%d machines are left after %s, at least %s", n, took, least)
 		}
--- a/controller/drains.go
+++ b/controller/drains.go
@@ -41,12 +41,12 @@
 // drainRecords is what a controller knows of drains: the records as stored, and what
 // owners tell of their progress.
 type drainRecords struct {
-	stored map[string]records.Change  // drains, claims and terms of shards, by key
-	views  map[string]drain.ShardView // by shard
+	stored map[string]records.Change    // drains, claims and terms of shards, by key
+	views  map[string]drain.ShardStatus // by shard
 }
 
 func newDrainRecords() drainRecords {
-	return drainRecords{stored: map[string]records.Change{}, views: map[string]drain.ShardView{}}
+	return drainRecords{stored: map[string]records.Change{}, views: map[string]drain.ShardStatus{}}
 }
 
 // apply takes in a change from the feed.
@@ -69,7 +69,7 @@
 	inventory      drain.Inventory
 	drains         map[int]records.Change // readable ones
 	damagedNumbers []int
-	views          map[string]drain.ShardView
+	views          map[string]drain.ShardStatus
 	holders        map[string]string // of each shard, if it has a live one
 }
 
@@ -88,7 +88,7 @@
 		case *records.Drain:
 			s.drains[r.Number] = ch
 			if !r.State.Over() {
-				s.inventory.Running = append(s.inventory.Running, r)
+				s.inventory.RunningDrains = append(s.inventory.RunningDrains, r)
 			}
 		case *records.Damaged:
 			if n, ok := r.Drain(); ok {
@@ -97,7 +97,7 @@
 		}
 	}
 	slices.SortFunc(s.inventory.Machines, func(a, b drain.Machine) int { return strings.Compare(a.Name, b.Name) })
-	slices.SortFunc(s.inventory.Running, func(a, b *records.Drain) int { return a.Number - b.Number })
+	slices.SortFunc(s.inventory.RunningDrains, func(a, b *records.Drain) int { return a.Number - b.Number })
 	slices.Sort(s.damagedNumbers)
 	for _, zone := range c.set.Deployment.Zones {
 		if name, ok := c.member.Holder(records.KeyShard(zone)); ok {
@@ -208,7 +208,7 @@
 	}
 	selection, wrong := r.resolve(ctx, q, &s)
 	if wrong == nil {
-		wrong = s.inventory.Check(&selection)
+		wrong = s.inventory.Validate(&selection)
 	}
 	if wrong != nil {
 		return peer.DrainReply{Problem: wrong}, nil
@@ -218,10 +218,10 @@
 	if q.Op == peer.OpPlan {
 		return reply, nil
 	}
-	if len(plan.Missing) > 0 {
-		return refusal("zone", "the owner of shard %s cannot be asked, or does not drain", plan.Missing[0]), nil
+	if len(plan.MissingShards) > 0 {
+		return refusal("zone", "the owner of shard %s cannot be asked, or does not drain", plan.MissingShards[0]), nil
 	}
-	if x := plan.Permanent(); x != nil {
+	if x := plan.FirstPermanentObstacle(); x != nil {
 		return refusal("budget", "a task of %s on %s can never be moved: %s", x.Job, x.Machine, x.Reason), nil
 	}
 	number, wrong, err := r.start(ctx, &s, selection)
@@ -268,7 +268,7 @@
 func (r *drainService) plan(ctx context.Context, s *drainSnapshot, selection records.Selection) drain.Plan {
 	var plans []drain.ShardPlan
 	var missing []string
-	for _, zone := range drain.Zones(&selection, s.inventory.Zones) {
+	for _, zone := range drain.SelectedZones(&selection, s.inventory.Zones) {
 		var got *drain.ShardPlan
 		if holder := s.holders[zone]; holder == r.name {
 			got, _ = r.planShard(ctx, zone, selection) // without an answer it is missing
@@ -283,7 +283,7 @@
 		}
 		plans = append(plans, *got)
 	}
-	return drain.Merge(plans, missing, r.stableAfter)
+	return drain.MergePlans(plans, missing, r.stableAfter)
 }
 
 // start writes a new drain under the next number, and clears the oldest ones away that
@@ -294,10 +294,10 @@
 	for _, n := range append(numbers, s.damagedNumbers...) {
 		number = max(number, n+1)
 	}
-	record := records.Drain{Selection: selection, State: records.DrainRunning, StartedS: time.Now().Unix(), Machines: len(s.inventory.Selected(&selection))}
+	record := records.Drain{Selection: selection, State: records.DrainRunning, StartedS: time.Now().Unix(), Machines: len(s.inventory.Select(&selection))}
 	key := records.KeyDrain(number)
 	txn := wire.Txn{Conditions: []wire.Condition{{Key: key, Version: 0}}, Changes: []wire.Change{{Put: key, Value: records.Encode(record)}}}
-	if len(numbers) >= constants.DrainsKept {
+	if len(numbers) >= constants.MaxFinishedDrains {
 		if old := s.drains[numbers[0]]; old.Record.(*records.Drain).State.Over() {
 			txn.Conditions = append(txn.Conditions, wire.Condition{Key: old.Key, Version: old.Version})
 			txn.Changes = append(txn.Changes, wire.Change{Delete: old.Key})
@@ -362,7 +362,7 @@
 		r := s.drains[n].Record.(*records.Drain)
 		v := peer.DrainView{Number: n, State: r.State, StopReason: r.StopReason, StartedS: r.StartedS, Machines: r.Machines, Proven: r.Proven}
 		if !r.State.Over() {
-			v.Remaining = len(s.inventory.Selected(&r.Selection))
+			v.Remaining = len(s.inventory.Select(&r.Selection))
 		}
 		for _, zone := range s.inventory.Zones {
 			for _, p := range s.views[zone].Drains {
--- a/controller/node.go
+++ b/controller/node.go
@@ -98,7 +98,7 @@
 		}
 	}
 	if set.Draining != nil {
-		n.drainService = &drainService{name: set.Controller, control: n.control, store: out.Store, cloud: out.Cloud, peers: out.Drains, stableAfter: set.Draining.Policy.Stable}
+		n.drainService = &drainService{name: set.Controller, control: n.control, store: out.Store, cloud: out.Cloud, peers: out.Drains, stableAfter: set.Draining.Policy.StableAfter}
 	}
 	c := newControlActor(set, out, n.control, n.apiServer, n.monitor)
 	go n.apiServer.Run(ctx, apiserver.New(set, out.Store, n.apiServer, n.control))
--- a/controller/standin_draining_test.go
+++ b/controller/standin_draining_test.go
@@ -20,7 +20,7 @@
 // watchDisruption begins to judge stops: all services' tasks share a budget of so many.
 func (w *world) watchDisruption(most int) {
 	w.do(func() {
-		w.disruption = disruptioncheck.New(most, w.controllers[0].set.Draining.Policy.Stable, w.times.lease()+30*time.Second)
+		w.disruption = disruptioncheck.New(most, w.controllers[0].set.Draining.Policy.StableAfter, w.times.lease()+30*time.Second)
 	})
 	go func() {
 		for {
--- a/disruption/budget.go
+++ b/disruption/budget.go
@@ -14,8 +14,8 @@
 	"strings"
 )
 
-// Key names a budget: a team's, or one class's of a team.
-type Key struct {
+// BudgetKey names a budget: a team's, or one class's of a team.
+type BudgetKey struct {
 	Team  string
 	Class string // empty: all classes of the team
 	// Interruptions: the budget is of tasks of arrays that ran and do not run any more
@@ -27,7 +27,7 @@
 // InterruptionsPrefix stands before the team in the name of a budget of interruptions.
 const InterruptionsPrefix = "interruptions:"
 
-func (k Key) String() string {
+func (k BudgetKey) String() string {
 	name := k.Team
 	if k.Class != "" {
 		name += "/" + k.Class
@@ -38,15 +38,15 @@
 	return name
 }
 
-// ParseKey reads what String wrote.
-func ParseKey(s string) Key {
+// ParseBudgetKey reads what String wrote.
+func ParseBudgetKey(s string) BudgetKey {
 	name, isInterruptions := strings.CutPrefix(s, InterruptionsPrefix)
 	team, class, _ := strings.Cut(name, "/")
-	return Key{team, class, isInterruptions}
+	return BudgetKey{team, class, isInterruptions}
 }
 
 // compare orders keys by team and class, those of services first.
-func (k Key) compare(other Key) int {
+func (k BudgetKey) compare(other BudgetKey) int {
 	if k.Interruptions != other.Interruptions {
 		if other.Interruptions {
 			return -1
@@ -56,116 +56,116 @@
 	return cmp.Or(strings.Compare(k.Team, other.Team), strings.Compare(k.Class, other.Class))
 }
 
-// Amount is how much of a team may be unavailable: a number of tasks, or a share.
-type Amount struct {
-	Tasks   int
-	Percent float64
-	IsShare bool
+// MaxUnavailable is how much of a team may be unavailable: a number of tasks, or a share.
+type MaxUnavailable struct {
+	Tasks     int
+	Percent   float64
+	IsPercent bool
 }
 
-// wholeShare is the share that takes in every task (percent).
-const wholeShare = 100
+// fullPercent is the share that takes in every task (percent).
+const fullPercent = 100
 
-// ErrAmount says that a text is no amount.
-var ErrAmount = errors.New("must be a whole number of tasks, or a share from 0% to 100%")
+// ErrInvalidMaxUnavailable says that a text is no amount.
+var ErrInvalidMaxUnavailable = errors.New("must be a whole number of tasks, or a share from 0% to 100%")
 
-// ParseAmount reads a number of tasks ("3") or a share ("10%").
-func ParseAmount(text string) (Amount, error) {
+// ParseMaxUnavailable reads a number of tasks ("3") or a share ("10%").
+func ParseMaxUnavailable(text string) (MaxUnavailable, error) {
 	if share, isShare := strings.CutSuffix(text, "%"); isShare {
 		percent, err := strconv.ParseFloat(share, 64)
-		if err != nil || !(percent >= 0 && percent <= wholeShare) {
-			return Amount{}, ErrAmount
+		if err != nil || !(percent >= 0 && percent <= fullPercent) {
+			return MaxUnavailable{}, ErrInvalidMaxUnavailable
 		}
-		return Amount{Percent: percent, IsShare: true}, nil
+		return MaxUnavailable{Percent: percent, IsPercent: true}, nil
 	}
 	tasks, err := strconv.Atoi(text)
 	if err != nil || tasks < 0 {
-		return Amount{}, ErrAmount
+		return MaxUnavailable{}, ErrInvalidMaxUnavailable
 	}
-	return Amount{Tasks: tasks}, nil
+	return MaxUnavailable{Tasks: tasks}, nil
 }
 
-func (a Amount) String() string {
-	if a.IsShare {
+func (a MaxUnavailable) String() string {
+	if a.IsPercent {
 		return fmt.Sprintf("%g%%", a.Percent)
 	}
 	return strconv.Itoa(a.Tasks)
 }
 
-// Of is how many of a population of tasks the amount lets be unavailable. A share is
+// For is how many of a population of tasks the amount lets be unavailable. A share is
 // rounded down, so one below 100% never takes all of a population.
-func (a Amount) Of(population int) int {
-	if !a.IsShare {
+func (a MaxUnavailable) For(population int) int {
+	if !a.IsPercent {
 		return a.Tasks
 	}
-	if a.Percent == wholeShare {
+	if a.Percent == fullPercent {
 		return population
 	}
-	return int(a.Percent * float64(population) / wholeShare)
+	return int(a.Percent * float64(population) / fullPercent)
 }
 
 // Budgets are the budgets that are set. The zero value sets none.
 type Budgets struct {
-	set map[Key]Amount
-	// others and otherInterruptions, if there are any, hold for each team that has no
+	set map[BudgetKey]MaxUnavailable
+	// defaultServices and defaultInterruptions, if there are any, hold for each team that has no
 	// budget of the kind of its own.
-	others, otherInterruptions *Amount
+	defaultServices, defaultInterruptions *MaxUnavailable
 }
 
 // Set adds a budget.
-func (b *Budgets) Set(k Key, a Amount) {
+func (b *Budgets) Set(k BudgetKey, a MaxUnavailable) {
 	if b.set == nil {
-		b.set = map[Key]Amount{}
+		b.set = map[BudgetKey]MaxUnavailable{}
 	}
 	b.set[k] = a
 }
 
-// SetOthers sets the budget of services of each team that has none of its own.
-func (b *Budgets) SetOthers(a Amount) { b.others = &a }
+// SetServicesDefault sets the budget of services of each team that has none of its own.
+func (b *Budgets) SetServicesDefault(a MaxUnavailable) { b.defaultServices = &a }
 
-// SetOtherInterruptions sets the budget of interruptions of each team that has none of
+// SetInterruptionsDefault sets the budget of interruptions of each team that has none of
 // its own.
-func (b *Budgets) SetOtherInterruptions(a Amount) { b.otherInterruptions = &a }
+func (b *Budgets) SetInterruptionsDefault(a MaxUnavailable) { b.defaultInterruptions = &a }
 
-// Of lists the budgets that a task of a service, or else of an array or a gang, counts
+// KeysFor lists the budgets that a task of a service, or else of an array or a gang, counts
 // against, and is empty if it is free.
-func (b Budgets) Of(team, class string, isService bool) []Key {
-	var keys []Key
-	if k := (Key{Team: team, Interruptions: !isService}); b.has(k) {
+func (b Budgets) KeysFor(team, class string, isService bool) []BudgetKey {
+	var keys []BudgetKey
+	if k := (BudgetKey{Team: team, Interruptions: !isService}); b.has(k) {
 		keys = append(keys, k)
 	}
-	if k := (Key{team, class, !isService}); class != "" && b.has(k) {
+	if k := (BudgetKey{team, class, !isService}); class != "" && b.has(k) {
 		keys = append(keys, k)
 	}
 	return keys
 }
 
-func (b Budgets) has(k Key) bool {
-	_, ok := b.amount(k)
+func (b Budgets) has(k BudgetKey) bool {
+	_, ok := b.maxUnavailable(k)
 	return ok
 }
 
-// amount is the budget under a key.
-func (b Budgets) amount(k Key) (Amount, bool) {
+// maxUnavailable is the budget under a key.
+func (b Budgets) maxUnavailable(k BudgetKey) (MaxUnavailable, bool) {
 	if a, ok := b.set[k]; ok {
 		return a, true
 	}
-	others := b.others
+	others := b.defaultServices
 	if k.Interruptions {
-		others = b.otherInterruptions
+		others = b.defaultInterruptions
 	}
 	if k.Class == "" && others != nil {
 		return *others, true
 	}
-	return Amount{}, false
+	return MaxUnavailable{}, false
 }
 
 // Keys lists the budgets that are set by name, in order.
-func (b Budgets) Keys() []Key {
-	var keys []Key
+func (b Budgets) Keys() []BudgetKey {
+	var keys []BudgetKey
 	for k := range b.set {
 		keys = append(keys, k)
 	}
-	slices.SortFunc(keys, Key.compare)
+	slices.SortFunc(keys, BudgetKey.compare)
 	return keys
 }
--- a/disruption/ledger.go
+++ b/disruption/ledger.go
@@ -16,45 +16,45 @@
 
 // Reasons of a refusal. Only Never does not end by itself.
 const (
-	Never       Reason = "the budget lets none of so few tasks be down"
-	Exhausted   Reason = "the budget is used up"
-	Unpublished Reason = "a shard's owner has not published its claim"
-	Unready     Reason = "the shard is being rebuilt"
-	Writing     Reason = "the claim is being written"
+	ReasonNeverAllowed    Reason = "the budget lets none of so few tasks be down"
+	ReasonExhausted       Reason = "the budget is used up"
+	ReasonClaimMissing    Reason = "a shard's owner has not published its claim"
+	ReasonShardRebuilding Reason = "the shard is being rebuilt"
+	ReasonClaimPending    Reason = "the claim is being written"
 )
 
-// Refusal is why a task may not be stopped now, and by which budget.
-type Refusal struct {
+// RefusalError is why a task may not be stopped now, and by which budget.
+type RefusalError struct {
 	Reason      Reason
-	Budget      Key
+	Budget      BudgetKey
 	Unavailable int    // unavailable now, as far as is known
 	Limit       int    // that may be
 	Shard       string // whose owner has not published
 }
 
-func (r *Refusal) Error() string {
+func (r *RefusalError) Error() string {
 	switch r.Reason {
-	case Never, Exhausted:
+	case ReasonNeverAllowed, ReasonExhausted:
 		return fmt.Sprintf("%s: %s (%d of %d)", r.Budget, r.Reason, r.Unavailable, r.Limit)
-	case Unpublished:
+	case ReasonClaimMissing:
 		return fmt.Sprintf("%s: %s", r.Shard, r.Reason)
 	}
 	return string(r.Reason)
 }
 
-// claim is what the owner of another shard has published.
-type claim struct {
+// storedClaim is what the owner of another shard has published.
+type storedClaim struct {
 	record  *records.DisruptionClaim
 	version uint64
 }
 
 // Config is what a ledger needs to know.
 type Config struct {
-	Shard   string
-	Shards  []string // all of the deployment, this one included
-	Term    uint64   // of the shard's owner
-	Budgets Budgets
-	Stable  time.Duration // a task that has run for so long is up
+	Shard       string
+	Shards      []string // all of the deployment, this one included
+	Term        uint64   // of the shard's owner
+	Budgets     Budgets
+	StableAfter time.Duration // a task that has run for so long is up
 	// SkipClaimProof lets a test see what the proof of a claim is worth: stops are allowed
 	// without one.
 	SkipClaimProof bool
@@ -64,28 +64,28 @@
 type Ledger struct {
 	cfg        Config
 	population population
-	terms      map[string]uint64 // of all shards, as far as is known
-	claims     map[string]claim  // by shard, this one included
-
-	down     Counts // unavailable here, as last observed, with stops since
-	wanted   Counts // stops that were asked for and wait for a claim
-	written  Counts // this term's claim, as it was last known to stand
-	granted  Counts // what of it was compared with all others' claims; stops keep within it
-	ready    bool   // the shard is rebuilt
-	floor    Counts // what earlier owners claimed
-	floorEnd time.Time
-	damaged  bool // what they claimed cannot be read
-
-	writing   bool
-	sent      Counts    // the claim under way
-	compared  []Key     // those of its budgets whose raise is compared with others' claims
-	nextWrite time.Time // not before
+	terms      map[string]uint64      // of all shards, as far as is known
+	claims     map[string]storedClaim // by shard, this one included
+
+	unavailable       Counts // unavailable here, as last observed, with stops since
+	requested         Counts // stops that were asked for and wait for a claim
+	claimed           Counts // this term's claim, as it was last known to stand
+	granted           Counts // what of it was compared with all others' claims; stops keep within it
+	isRebuilt         bool   // the shard is rebuilt
+	inherited         Counts // what earlier owners claimed
+	inheritedUntil    time.Time
+	isOwnClaimDamaged bool // what they claimed cannot be read
+
+	isWriteInFlight bool
+	inFlightClaim   Counts      // the claim under way
+	inFlightRaises  []BudgetKey // those of its budgets whose raise is compared with others' claims
+	nextWriteAt     time.Time   // not before
 }
 
 // NewLedger makes the ledger of an owner whose term has just begun.
 func NewLedger(cfg Config) *Ledger {
-	return &Ledger{cfg: cfg, population: newPopulation(cfg.Budgets), terms: map[string]uint64{cfg.Shard: cfg.Term}, claims: map[string]claim{},
-		down: Counts{}, wanted: Counts{}, written: Counts{}, granted: Counts{}, floor: Counts{}}
+	return &Ledger{cfg: cfg, population: newPopulation(cfg.Budgets), terms: map[string]uint64{cfg.Shard: cfg.Term}, claims: map[string]storedClaim{},
+		unavailable: Counts{}, requested: Counts{}, claimed: Counts{}, granted: Counts{}, inherited: Counts{}}
 }
 
 // ApplyJob takes in a job's record.
@@ -103,14 +103,14 @@
 	if version <= l.claims[r.Shard].version {
 		return
 	}
-	l.claims[r.Shard] = claim{r, version}
+	l.claims[r.Shard] = storedClaim{r, version}
 	switch {
 	case r.Shard != l.cfg.Shard:
 	case r.Term == l.cfg.Term:
-		l.written = countsOf(r)
-		l.lowerGrants(l.written)
+		l.claimed = countsOf(r)
+		l.capGrants(l.claimed)
 	default:
-		l.floor = countsOf(r)
+		l.inherited = countsOf(r)
 	}
 }
 
@@ -118,8 +118,8 @@
 // another one once it can know by itself what earlier ones may have granted.
 func (l *Ledger) ApplyDamagedClaim(shard string, version uint64) {
 	if version > l.claims[shard].version {
-		l.claims[shard] = claim{nil, version}
-		l.damaged = l.damaged || shard == l.cfg.Shard
+		l.claims[shard] = storedClaim{nil, version}
+		l.isOwnClaimDamaged = l.isOwnClaimDamaged || shard == l.cfg.Shard
 	}
 }
 
@@ -128,7 +128,7 @@
 	out := Counts{}
 	for name, n := range r.Unavailable {
 		if n > 0 {
-			out[ParseKey(name)] = n
+			out[ParseBudgetKey(name)] = n
 		}
 	}
 	return out
@@ -137,39 +137,39 @@
 // Observe takes in what is unavailable in the shard. ready says that the shard is
 // rebuilt: before, nothing is known of its tasks.
 func (l *Ledger) Observe(now time.Time, down Counts, ready bool) {
-	if ready && !l.ready {
-		l.floorEnd = now.Add(l.cfg.Stable)
+	if ready && !l.isRebuilt {
+		l.inheritedUntil = now.Add(l.cfg.StableAfter)
 	}
-	l.down, l.ready = down, ready
+	l.unavailable, l.isRebuilt = down, ready
 }
 
-// KeysOf lists the budgets that the tasks of a job count against.
-func (l *Ledger) KeysOf(s *wire.Submission) []Key {
-	return l.cfg.Budgets.Of(s.Team, s.Class, s.IsService())
+// BudgetsOf lists the budgets that the tasks of a job count against.
+func (l *Ledger) BudgetsOf(s *wire.Submission) []BudgetKey {
+	return l.cfg.Budgets.KeysFor(s.Team, s.Class, s.IsService())
 }
 
-// Inherited is what earlier owners of the shard claimed of a budget.
-func (l *Ledger) Inherited(k Key) int { return l.floor[k] }
+// InheritedUnavailable is what earlier owners of the shard claimed of a budget.
+func (l *Ledger) InheritedUnavailable(k BudgetKey) int { return l.inherited[k] }
 
 // limit is how many tasks a budget lets be unavailable.
-func (l *Ledger) limit(k Key) int {
-	a, _ := l.cfg.Budgets.amount(k)
-	return a.Of(l.population.all[k])
+func (l *Ledger) limit(k BudgetKey) int {
+	a, _ := l.cfg.Budgets.maxUnavailable(k)
+	return a.For(l.population.total[k])
 }
 
-// own is what this shard counts against a budget: what is unavailable and, until the
+// unavailableHere is what this shard counts against a budget: what is unavailable and, until the
 // stable time has passed, what earlier owners claimed. Those may be the same tasks, or
 // tasks that run and have not proved themselves.
-func (l *Ledger) own(now time.Time, k Key) int {
-	if l.ready && !now.Before(l.floorEnd) {
-		return l.down[k]
+func (l *Ledger) unavailableHere(now time.Time, k BudgetKey) int {
+	if l.isRebuilt && !now.Before(l.inheritedUntil) {
+		return l.unavailable[k]
 	}
-	return l.down[k] + l.floor[k]
+	return l.unavailable[k] + l.inherited[k]
 }
 
-// elsewhere is what counts against a budget outside of this shard.
-func (l *Ledger) elsewhere(now time.Time, k Key) int {
-	n := l.population.nobodys(now, k)
+// unavailableElsewhere is what counts against a budget outside of this shard.
+func (l *Ledger) unavailableElsewhere(now time.Time, k BudgetKey) int {
+	n := l.population.countUnowned(now, k)
 	for _, shard := range l.cfg.Shards {
 		if r := l.claims[shard].record; shard != l.cfg.Shard && r != nil {
 			n += max(0, r.Unavailable[k.String()])
@@ -178,8 +178,8 @@
 	return n
 }
 
-// unpublished is a shard whose present owner has not published a claim, if there is one.
-func (l *Ledger) unpublished() string {
+// shardWithoutClaim is a shard whose present owner has not published a claim, if there is one.
+func (l *Ledger) shardWithoutClaim() string {
 	for _, shard := range l.cfg.Shards {
 		if shard == l.cfg.Shard {
 			continue
@@ -194,79 +194,79 @@
 
 // Check says why one more task may not be unavailable now, nil if it may. It does not
 // ask whether a claim for it is written.
-func (l *Ledger) Check(now time.Time, keys []Key) *Refusal {
+func (l *Ledger) Check(now time.Time, keys []BudgetKey) *RefusalError {
 	if len(keys) == 0 {
 		return nil
 	}
-	if !l.ready {
-		return &Refusal{Reason: Unready}
+	if !l.isRebuilt {
+		return &RefusalError{Reason: ReasonShardRebuilding}
 	}
-	if shard := l.unpublished(); shard != "" {
-		return &Refusal{Reason: Unpublished, Shard: shard}
+	if shard := l.shardWithoutClaim(); shard != "" {
+		return &RefusalError{Reason: ReasonClaimMissing, Shard: shard}
 	}
 	for _, k := range keys {
 		most := l.limit(k)
-		down := l.own(now, k) + l.elsewhere(now, k)
+		down := l.unavailableHere(now, k) + l.unavailableElsewhere(now, k)
 		switch {
 		case most < 1:
-			return &Refusal{Reason: Never, Budget: k, Unavailable: down, Limit: most}
+			return &RefusalError{Reason: ReasonNeverAllowed, Budget: k, Unavailable: down, Limit: most}
 		case down+1 > most:
-			return &Refusal{Reason: Exhausted, Budget: k, Unavailable: down, Limit: most}
+			return &RefusalError{Reason: ReasonExhausted, Budget: k, Unavailable: down, Limit: most}
 		}
 	}
 	return nil
 }
 
-// lowerGrants takes in that the claim is, or may come to be, only so much.
-func (l *Ledger) lowerGrants(to Counts) {
+// capGrants takes in that the claim is, or may come to be, only so much.
+func (l *Ledger) capGrants(to Counts) {
 	for k, n := range l.granted {
 		l.granted[k] = min(n, to[k])
 	}
 }
 
 // Headroom is how many more tasks a budget lets be unavailable, as far as is known.
-func (l *Ledger) Headroom(now time.Time, k Key) int {
-	return l.limit(k) - l.own(now, k) - l.elsewhere(now, k)
+func (l *Ledger) Headroom(now time.Time, k BudgetKey) int {
+	return l.limit(k) - l.unavailableHere(now, k) - l.unavailableElsewhere(now, k)
 }
 
-// Stop asks to stop one more task, which counts as unavailable from then on if the
+// RequestStop asks to stop one more task, which counts as unavailable from then on if the
 // answer is nil. Where the claim for it is not written yet, that is asked for.
-func (l *Ledger) Stop(now time.Time, keys []Key) *Refusal {
+func (l *Ledger) RequestStop(now time.Time, keys []BudgetKey) *RefusalError {
 	if refused := l.Check(now, keys); refused != nil {
 		return refused
 	}
 	for _, k := range keys {
-		if !l.cfg.SkipClaimProof && l.own(now, k)+1 > l.granted[k] {
-			l.want(now, keys)
-			return &Refusal{Reason: Writing, Budget: k}
+		if !l.cfg.SkipClaimProof && l.unavailableHere(now, k)+1 > l.granted[k] {
+			l.requestClaim(now, keys)
+			return &RefusalError{Reason: ReasonClaimPending, Budget: k}
 		}
 	}
-	l.down.Add(keys, 1)
+	l.unavailable.Add(keys, 1)
 	return nil
 }
 
-// want notes that a claim for one more task is to be written, as far as the budgets go.
-func (l *Ledger) want(now time.Time, keys []Key) {
+// requestClaim notes that a claim for one more task is to be written, as far as the budgets go.
+func (l *Ledger) requestClaim(now time.Time, keys []BudgetKey) {
 	for _, k := range keys {
-		if l.wanted[k]+1 > l.Headroom(now, k) {
+		if l.requested[k]+1 > l.Headroom(now, k) {
 			return
 		}
 	}
-	l.wanted.Add(keys, 1)
+	l.requested.Add(keys, 1)
 }
 
-// Write returns the transaction's changes and conditions for a claim that is to be
+// PrepareWrite returns the transaction's changes and conditions for a claim that is to be
 // written now, beside the condition of the owner's term; nil if there is none. What
 // comes of it is told with Written. Stops that were asked for since the last call and
 // are not in it must be asked for again.
-func (l *Ledger) Write(now time.Time, urgent bool) ([]wire.Change, []wire.Condition) {
-	defer clear(l.wanted)
-	if l.writing || !l.ready || now.Before(l.nextWrite) || l.damaged && now.Before(l.floorEnd) {
+func (l *Ledger) PrepareWrite(now time.Time, urgent bool) ([]wire.Change, []wire.Condition) {
+	defer clear(l.requested)
+	if l.isWriteInFlight || !l.isRebuilt || now.Before(l.nextWriteAt) || l.isOwnClaimDamaged && now.Before(l.inheritedUntil) {
 		return nil, nil
 	}
-	next, compared := l.target(now)
+	next, compared := l.nextClaim(now)
 	mine := l.claims[l.cfg.Shard]
-	if mine.record != nil && mine.record.Term == l.cfg.Term && maps.Equal(next, l.written) && len(compared) == 0 {
+	if mine.record != nil && mine.record.Term == l.cfg.Term && maps.Equal(next, l.claimed) && len(compared) == 0 {
 		return nil, nil
 	}
 	key := records.KeyDisruptionClaim(l.cfg.Shard)
@@ -278,17 +278,17 @@
 			}
 		}
 	}
-	l.writing, l.sent, l.compared = true, next, compared
-	l.lowerGrants(next) // it may be carried out whatever answer comes
-	l.nextWrite = now.Add(constants.ClaimGap)
+	l.isWriteInFlight, l.inFlightClaim, l.inFlightRaises = true, next, compared
+	l.capGrants(next) // it may be carried out whatever answer comes
+	l.nextWriteAt = now.Add(constants.ClaimWriteGap)
 	if !urgent {
-		l.nextWrite = now.Add(constants.ClaimGapIdle)
+		l.nextWriteAt = now.Add(constants.ClaimWriteGapIdle)
 	}
-	return []wire.Change{{Put: key, Value: records.Encode(l.record(next))}}, conditions
+	return []wire.Change{{Put: key, Value: records.Encode(l.newClaimRecord(next))}}, conditions
 }
 
-// record is this term's claim of so much.
-func (l *Ledger) record(down Counts) *records.DisruptionClaim {
+// newClaimRecord is this term's claim of so much.
+func (l *Ledger) newClaimRecord(down Counts) *records.DisruptionClaim {
 	r := &records.DisruptionClaim{Shard: l.cfg.Shard, Term: l.cfg.Term, Unavailable: map[string]int{}}
 	for k, n := range down {
 		r.Unavailable[k.String()] = n
@@ -296,19 +296,19 @@
 	return r
 }
 
-// target is what the claim should be, and for which budgets it is raised for stops to
+// nextClaim is what the claim should be, and for which budgets it is raised for stops to
 // come. Those raises hold only as long as no other claim changes.
-func (l *Ledger) target(now time.Time) (next Counts, compared []Key) {
+func (l *Ledger) nextClaim(now time.Time) (next Counts, compared []BudgetKey) {
 	next = Counts{}
-	for k := range l.down {
-		next[k] = l.own(now, k)
+	for k := range l.unavailable {
+		next[k] = l.unavailableHere(now, k)
 	}
-	for k := range l.floor {
-		if n := l.own(now, k); n > 0 {
+	for k := range l.inherited {
+		if n := l.unavailableHere(now, k); n > 0 {
 			next[k] = n
 		}
 	}
-	for k, n := range l.wanted {
+	for k, n := range l.requested {
 		// Others may have raised theirs since it was asked for.
 		if n = min(n, l.Headroom(now, k)); n <= 0 {
 			continue
@@ -320,20 +320,20 @@
 	return next, compared
 }
 
-// Written takes in what came of a write: its revision, or 0 if it is not known to have
+// ApplyWriteResult takes in what came of a write: its revision, or 0 if it is not known to have
 // been carried out. If it was all the same the feed brings it.
-func (l *Ledger) Written(now time.Time, revision uint64) {
-	sent, compared := l.sent, l.compared
-	l.writing, l.sent, l.compared = false, nil, nil
+func (l *Ledger) ApplyWriteResult(now time.Time, revision uint64) {
+	sent, compared := l.inFlightClaim, l.inFlightRaises
+	l.isWriteInFlight, l.inFlightClaim, l.inFlightRaises = false, nil, nil
 	if revision == 0 {
-		l.nextWrite = now.Add(constants.RetryBackoffMin)
+		l.nextWriteAt = now.Add(constants.RetryBackoffMin)
 		return
 	}
 	if revision < l.claims[l.cfg.Shard].version {
 		return
 	}
-	l.claims[l.cfg.Shard] = claim{l.record(sent), revision}
-	l.written = sent
+	l.claims[l.cfg.Shard] = storedClaim{l.newClaimRecord(sent), revision}
+	l.claimed = sent
 	for _, k := range compared {
 		l.granted[k] = sent[k]
 	}
@@ -351,9 +351,9 @@
 // Usage lists the budgets that tasks count against now.
 func (l *Ledger) Usage(now time.Time) []Usage {
 	var out []Usage
-	for _, k := range slices.SortedFunc(maps.Keys(l.population.all), Key.compare) {
-		here := l.own(now, k)
-		out = append(out, Usage{k.String(), here + l.elsewhere(now, k), here, l.limit(k), l.population.all[k]})
+	for _, k := range slices.SortedFunc(maps.Keys(l.population.total), BudgetKey.compare) {
+		here := l.unavailableHere(now, k)
+		out = append(out, Usage{k.String(), here + l.unavailableElsewhere(now, k), here, l.limit(k), l.population.total[k]})
 	}
 	return out
 }
--- a/disruption/ledger_test.go
+++ b/disruption/ledger_test.go
@@ -58,7 +58,7 @@
 	pick   source
 	now    time.Time
 	stable time.Duration
-	most   Amount
+	most   MaxUnavailable
 	tasks  []modelTask
 	owners map[string]*modelOwner
 	shards []string
@@ -78,10 +78,10 @@
 const modelTeam = "team"
 
 func newModel(pick source) *model {
-	m := &model{pick: pick, now: time.Unix(1000, 0), stable: 10 * time.Second, most: Amount{Tasks: 1 + pick(3)}, shards: []string{"a", "b", "c"},
+	m := &model{pick: pick, now: time.Unix(1000, 0), stable: 10 * time.Second, most: MaxUnavailable{Tasks: 1 + pick(3)}, shards: []string{"a", "b", "c"},
 		owners: map[string]*modelOwner{}, versions: map[string]uint64{}, claims: map[string]*records.DisruptionClaim{}, refusals: map[Reason]int{}}
 	if pick(3) == 0 {
-		m.most = Amount{Percent: 25, IsShare: true}
+		m.most = MaxUnavailable{Percent: 25, IsPercent: true}
 	}
 	for i := range 6 + pick(10) {
 		m.tasks = append(m.tasks, modelTask{shard: m.shards[i%3], running: true, since: m.now.Add(-time.Minute)})
@@ -117,9 +117,9 @@
 	}
 	m.store(records.KeyShard(shard), &records.Term{Shard: shard, Number: term})
 	var budgets Budgets
-	budgets.SetOthers(m.most)
+	budgets.SetServicesDefault(m.most)
 	o := &modelOwner{shard: shard, term: term, views: map[int]string{}, stopping: map[int]bool{},
-		ledger: NewLedger(Config{Shard: shard, Shards: m.shards, Term: term, Budgets: budgets, Stable: m.stable, SkipClaimProof: m.hasty})}
+		ledger: NewLedger(Config{Shard: shard, Shards: m.shards, Term: term, Budgets: budgets, StableAfter: m.stable, SkipClaimProof: m.hasty})}
 	m.owners[shard] = o
 	m.deliver(o, len(m.log))
 }
@@ -152,7 +152,7 @@
 func (m *model) step(o *modelOwner) {
 	m.deliver(o, o.read+m.pick(len(m.log)-o.read+1))
 	down := Counts{}
-	keys := o.ledger.KeysOf(&wire.Submission{Team: modelTeam, Class: "c", Kind: wire.KindService})
+	keys := o.ledger.BudgetsOf(&wire.Submission{Team: modelTeam, Class: "c", Kind: wire.KindService})
 	var up []int
 	for i := range m.tasks {
 		t := &m.tasks[i]
@@ -171,7 +171,7 @@
 		}
 		at := m.pick(len(up))
 		i := up[at]
-		if refused := o.ledger.Stop(m.now, keys); refused != nil {
+		if refused := o.ledger.RequestStop(m.now, keys); refused != nil {
 			m.refusals[refused.Reason]++
 			continue
 		}
@@ -182,7 +182,7 @@
 	if o.write != nil {
 		return
 	}
-	if changes, ifs := o.ledger.Write(m.now, true); changes != nil {
+	if changes, ifs := o.ledger.PrepareWrite(m.now, true); changes != nil {
 		o.write = &modelWrite{o.shard, o.term, changes, ifs}
 	}
 }
@@ -217,7 +217,7 @@
 			n++
 		}
 	}
-	if most := m.most.Of(len(m.tasks)); n > most && m.broken == "" {
+	if most := m.most.For(len(m.tasks)); n > most && m.broken == "" {
 		m.broken = fmt.Sprintf("%s: %d are down by choice, %s of %d may be", what, n, m.most, len(m.tasks))
 	}
 }
@@ -253,7 +253,7 @@
 	for _, c := range m.claims {
 		n += c.Unavailable[modelTeam]
 	}
-	if most := m.most.Of(len(m.tasks)); n > most && m.broken == "" {
+	if most := m.most.For(len(m.tasks)); n > most && m.broken == "" {
 		m.broken = fmt.Sprintf("a raise makes all claims %d, of %d that may be", n, most)
 	}
 }
@@ -265,14 +265,14 @@
 	switch m.pick(8) {
 	case 0: // carried out late, if at all
 		m.late = append(m.late, w)
-		o.ledger.Written(m.now, 0)
+		o.ledger.ApplyWriteResult(m.now, 0)
 	case 1: // carried out, the answer is lost
 		m.commit(w)
-		o.ledger.Written(m.now, 0)
+		o.ledger.ApplyWriteResult(m.now, 0)
 	case 2: // refused
-		o.ledger.Written(m.now, 0)
+		o.ledger.ApplyWriteResult(m.now, 0)
 	default:
-		o.ledger.Written(m.now, m.commit(w))
+		o.ledger.ApplyWriteResult(m.now, m.commit(w))
 	}
 }
 
@@ -356,7 +356,7 @@
 		}
 	})
 	t.Logf("%d stops, refused: %v", stops, refusals)
-	if stops == 0 || refusals[Exhausted] == 0 || refusals[Unpublished] == 0 || refusals[Writing] == 0 {
+	if stops == 0 || refusals[ReasonExhausted] == 0 || refusals[ReasonClaimMissing] == 0 || refusals[ReasonClaimPending] == 0 {
 		t.Error("hardly anything came about")
 	}
 }
@@ -389,13 +389,13 @@
 		population int
 		most       int
 	}{{"3", 2, 3}, {"0", 9, 0}, {"10%", 9, 0}, {"10%", 10, 1}, {"29%", 100, 29}, {"99.9%", 1, 0}, {"99.9%", 400, 399}, {"100%", 7, 7}} {
-		a, err := ParseAmount(c.text)
-		if err != nil || a.Of(c.population) != c.most || a.String() != c.text {
-			t.Errorf("%s of %d: %d, %q, %v", c.text, c.population, a.Of(c.population), a, err)
+		a, err := ParseMaxUnavailable(c.text)
+		if err != nil || a.For(c.population) != c.most || a.String() != c.text {
+			t.Errorf("%s of %d: %d, %q, %v", c.text, c.population, a.For(c.population), a, err)
 		}
 	}
 	for _, text := range []string{"", "-1", "1.5", "101%", "-1%", "NaN%", "ten", "%"} {
-		if _, err := ParseAmount(text); err == nil {
+		if _, err := ParseMaxUnavailable(text); err == nil {
 			t.Errorf("%q is taken as an amount", text)
 		}
 	}
--- a/disruption/population.go
+++ b/disruption/population.go
@@ -8,10 +8,10 @@
 )
 
 // Counts are numbers of tasks by budget.
-type Counts map[Key]int
+type Counts map[BudgetKey]int
 
 // Add adds n to each of some keys.
-func (c Counts) Add(keys []Key, n int) {
+func (c Counts) Add(keys []BudgetKey, n int) {
 	for _, k := range keys {
 		if c[k] += n; c[k] == 0 {
 			delete(c, k)
@@ -19,17 +19,17 @@
 	}
 }
 
-// member is what a job adds to the population.
-type member struct {
-	keys       []Key
+// jobPopulation is what a job adds to the population.
+type jobPopulation struct {
+	keys       []BudgetKey
 	tasks      int
 	unassigned int
 }
 
-// transit is a number of tasks that have just been given to a shard.
-type transit struct {
+// recentAssignment is a number of tasks that have just been given to a shard.
+type recentAssignment struct {
 	until time.Time
-	keys  []Key
+	keys  []BudgetKey
 	tasks int
 }
 
@@ -38,25 +38,25 @@
 // that were just given to a shard count as the latter for a while longer, until its owner
 // can have claimed them.
 type population struct {
-	budgets    Budgets
-	jobs       map[string]member
-	all        Counts
-	unassigned Counts
-	inTransit  []transit
+	budgets           Budgets
+	jobs              map[string]jobPopulation
+	total             Counts
+	unassigned        Counts
+	recentAssignments []recentAssignment
 }
 
 func newPopulation(b Budgets) population {
-	return population{budgets: b, jobs: map[string]member{}, all: Counts{}, unassigned: Counts{}}
+	return population{budgets: b, jobs: map[string]jobPopulation{}, total: Counts{}, unassigned: Counts{}}
 }
 
 // apply takes in a job's record.
 func (p *population) apply(now time.Time, j *records.Job) {
 	was, known := p.jobs[j.ID]
-	var is member
+	var is jobPopulation
 	if j.End == "" {
-		is = member{keys: was.keys, tasks: j.Spec.Tasks}
+		is = jobPopulation{keys: was.keys, tasks: j.Spec.Tasks}
 		if !known {
-			is.keys = p.budgets.Of(j.Spec.Team, j.Spec.Class, j.Spec.IsService())
+			is.keys = p.budgets.KeysFor(j.Spec.Team, j.Spec.Class, j.Spec.IsService())
 		}
 		switch {
 		case j.Spec.IsService():
@@ -65,12 +65,12 @@
 			is.tasks = 1
 		}
 	}
-	p.all.Add(was.keys, -was.tasks)
+	p.total.Add(was.keys, -was.tasks)
 	p.unassigned.Add(was.keys, -was.unassigned)
-	p.all.Add(is.keys, is.tasks)
+	p.total.Add(is.keys, is.tasks)
 	p.unassigned.Add(is.keys, is.unassigned)
 	if given := was.unassigned - is.unassigned; given > 0 && is.tasks > 0 {
-		p.inTransit = append(p.inTransit, transit{now.Add(constants.ClaimTransit), is.keys, given})
+		p.recentAssignments = append(p.recentAssignments, recentAssignment{now.Add(constants.AssignmentHandoverTime), is.keys, given})
 	}
 	if len(is.keys) == 0 {
 		delete(p.jobs, j.ID)
@@ -79,11 +79,11 @@
 	p.jobs[j.ID] = is
 }
 
-// nobodys is how many tasks are in no shard's care, or were until a moment ago.
-func (p *population) nobodys(now time.Time, k Key) int {
+// countUnowned is how many tasks are in no shard's care, or were until a moment ago.
+func (p *population) countUnowned(now time.Time, k BudgetKey) int {
 	n := p.unassigned[k]
-	kept := p.inTransit[:0]
-	for _, t := range p.inTransit {
+	kept := p.recentAssignments[:0]
+	for _, t := range p.recentAssignments {
 		if !now.Before(t.until) {
 			continue
 		}
@@ -94,6 +94,6 @@
 			}
 		}
 	}
-	p.inTransit = kept
+	p.recentAssignments = kept
 	return n
 }
--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -17,7 +17,7 @@
 func TestSelections(t *testing.T) {
 	spot := true
 	known := Inventory{Zones: []string{"a", "b"}, Types: []string{"box", "tub"}, Machines: []Machine{{"m-1", "a", "box", false}, {"m-2", "a", "tub", true}, {"m-3", "b", "box", true}}}
-	known.Running = []*records.Drain{{Number: 4, Selection: records.Selection{Zones: []string{"b"}}}}
+	known.RunningDrains = []*records.Drain{{Number: 4, Selection: records.Selection{Zones: []string{"b"}}}}
 	for _, c := range []struct {
 		selection records.Selection
 		takes     []string
@@ -34,10 +34,10 @@
 		{records.Selection{Last: "m-0"}, nil, "selection"},
 	} {
 		var names []string
-		for _, m := range known.Selected(&c.selection) {
+		for _, m := range known.Select(&c.selection) {
 			names = append(names, m.Name)
 		}
-		wrong := known.Check(&c.selection)
+		wrong := known.Validate(&c.selection)
 		if !slices.Equal(names, c.takes) || (wrong == nil) != (c.field == "") || wrong != nil && wrong.Field != c.field {
 			t.Errorf("%+v takes %v, %v", c.selection, names, wrong)
 		}
@@ -50,11 +50,11 @@
 func TestStepsComeToAnEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := []string{"a", "b", "c"}
-		policy := Policy{Parallel: float64(rapid.IntRange(0, 100).Draw(t, "parallel")), MaxFailures: rapid.IntRange(1, 4).Draw(t, "failures")}
+		policy := Policy{ParallelPercent: float64(rapid.IntRange(0, 100).Draw(t, "parallel")), MaxConsecutiveFailures: rapid.IntRange(1, 4).Draw(t, "failures")}
 		record, version := &records.Drain{Number: 1, State: records.DrainRunning}, uint64(1)
-		steps, left, cordoned := map[string]*Steps{}, map[string][]string{}, map[string][]string{}
+		steps, left, cordoned := map[string]*ShardDrain{}, map[string][]string{}, map[string][]string{}
 		for _, z := range zones {
-			steps[z] = NewSteps(policy, z, zones, record, version)
+			steps[z] = NewShardDrain(policy, z, zones, record, version)
 			for i := range rapid.IntRange(0, 6).Draw(t, "machines") {
 				left[z] = append(left[z], z+string(rune('0'+i)))
 			}
@@ -64,38 +64,38 @@
 			z := rapid.SampledFrom(zones).Draw(t, "zone")
 			s := steps[z]
 			if rapid.IntRange(0, 9).Draw(t, "new owner") == 0 {
-				s = NewSteps(policy, z, zones, record, version)
+				s = NewShardDrain(policy, z, zones, record, version)
 				steps[z], cordoned[z] = s, nil // they follow from the record
 			}
 			var candidates []Candidate
 			for _, name := range left[z] {
-				candidates = append(candidates, Candidate{Name: name, Cordoned: slices.Contains(cordoned[z], name)})
+				candidates = append(candidates, Candidate{Name: name, IsCordoned: slices.Contains(cordoned[z], name)})
 			}
-			cordoned[z] = append(cordoned[z], s.Choose(time.Unix(0, 0), candidates, 10)...)
-			most := max(1, int(policy.Parallel/10))
+			cordoned[z] = append(cordoned[z], s.ChooseMachines(time.Unix(0, 0), candidates, 10)...)
+			most := max(1, int(policy.ParallelPercent/10))
 			if !record.Proven {
 				most = 1
 			}
-			if n := len(cordoned[z]); n > most || n > 0 && !s.Acts() && record.State == records.DrainRunning {
+			if n := len(cordoned[z]); n > most || n > 0 && !s.MayCordon() && record.State == records.DrainRunning {
 				t.Fatalf("%v of %s are cordoned, %d may be", cordoned[z], z, most)
 			}
 			if n := len(cordoned[z]); n > 0 && rapid.Bool().Draw(t, "gone") {
 				left[z] = slices.DeleteFunc(left[z], func(name string) bool { return name == cordoned[z][n-1] })
 				cordoned[z] = cordoned[z][:n-1]
-				s.Replaced()
-			} else if rapid.IntRange(0, 4).Draw(t, "failure") == 0 && s.Acts() {
-				s.Failed("test")
+				s.RecordReplacement()
+			} else if rapid.IntRange(0, 4).Draw(t, "failure") == 0 && s.MayCordon() {
+				s.RecordFailure("test")
 				failures++
 			}
-			if next, on := s.Write(rapid.Bool().Draw(t, "settled")); next != nil {
+			if next, on := s.NextRecord(rapid.Bool().Draw(t, "settled")); next != nil {
 				if on != version || rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
-					s.Written(false)
+					s.ApplyWriteResult(false)
 					continue
 				}
 				version++
 				record = next
 				for _, other := range steps {
-					other.Apply(record, version)
+					other.ApplyRecord(record, version)
 				}
 			}
 			if record.State != records.DrainRunning {
@@ -104,7 +104,7 @@
 		}
 		switch record.State {
 		case records.DrainStopped:
-			if failures < policy.MaxFailures || record.StopReason == "" {
+			if failures < policy.MaxConsecutiveFailures || record.StopReason == "" {
 				t.Fatalf("stopped after %d failures: %+v", failures, record)
 			}
 		case records.DrainFinished:
@@ -122,12 +122,12 @@
 // The plan's least time is that of the budget that binds, over all shards.
 func TestPlansAreMerged(t *testing.T) {
 	usage := []disruption.Usage{{Budget: "x", Limit: 2}, {Budget: "y", Limit: 10}}
-	p := Merge([]ShardPlan{{Shard: "b", Moves: map[string]int{"x": 3, "y": 9}, Usage: usage, Steps: 4}, {Shard: "a", Moves: map[string]int{"x": 2, "": 50}, Usage: usage, Steps: 2}}, []string{"c"}, 10*time.Second)
-	if p.Binding != "x" || p.MinimumS != 30 || p.Steps != 5 || p.Shards[0].Shard != "a" || p.Permanent() != nil {
+	p := MergePlans([]ShardPlan{{Shard: "b", MovesByBudget: map[string]int{"x": 3, "y": 9}, Usage: usage, Steps: 4}, {Shard: "a", MovesByBudget: map[string]int{"x": 2, "": 50}, Usage: usage, Steps: 2}}, []string{"c"}, 10*time.Second)
+	if p.BindingBudget != "x" || p.MinimumS != 30 || p.Steps != 5 || p.Shards[0].Shard != "a" || p.FirstPermanentObstacle() != nil {
 		t.Errorf("%+v", p)
 	}
 	p.Shards[1].Obstacles = []Obstacle{{Job: "run-1"}, {Job: "run-2", Permanent: true}}
-	if x := p.Permanent(); x == nil || x.Job != "run-2" {
+	if x := p.FirstPermanentObstacle(); x == nil || x.Job != "run-2" {
 		t.Errorf("%+v", x)
 	}
 }
--- a/drain/plan.go
+++ b/drain/plan.go
@@ -11,13 +11,13 @@
 
 // ShardPlan is what the owner of a shard can say of a drain beforehand.
 type ShardPlan struct {
-	Shard    string             `json:"shard"`
-	Machines int                `json:"machines"`
-	Empty    int                `json:"empty"`  // of those: nothing runs on them
-	Arrays   int                `json:"arrays"` // tasks of arrays and gangs, which get time to end
-	Moves    map[string]int     `json:"moves"`  // services' tasks by budget; "": under none
-	Usage    []disruption.Usage `json:"usage"`
-	Steps    int                `json:"steps"` // rounds of machines at the parallel setting
+	Shard         string             `json:"shard"`
+	Machines      int                `json:"machines"`
+	EmptyMachines int                `json:"empty"`  // of those: nothing runs on them
+	ArrayTasks    int                `json:"arrays"` // tasks of arrays and gangs, which get time to end
+	MovesByBudget map[string]int     `json:"moves"`  // services' tasks by budget; "": under none
+	Usage         []disruption.Usage `json:"usage"`
+	Steps         int                `json:"steps"` // rounds of machines at the parallel setting
 	// Obstacles are why tasks cannot be moved; so many are named at most.
 	Obstacles []Obstacle `json:"obstacles,omitempty"`
 }
@@ -35,16 +35,16 @@
 type Plan struct {
 	Shards []ShardPlan `json:"shards"`
 	Steps  int         `json:"steps"`
-	// Binding is the budget that takes longest, and MinimumS the least possible time
+	// BindingBudget is the budget that takes longest, and MinimumS the least possible time
 	// under it (s): each move takes a part of the budget for the stable time at least.
-	Binding  string  `json:"binding,omitempty"`
-	MinimumS float64 `json:"least_s"`
-	// Missing are shards whose owner could not be asked.
-	Missing []string `json:"missing,omitempty"`
+	BindingBudget string  `json:"binding,omitempty"`
+	MinimumS      float64 `json:"least_s"`
+	// MissingShards are shards whose owner could not be asked.
+	MissingShards []string `json:"missing,omitempty"`
 }
 
-// Permanent is the first thing that can never be done, nil if there is none.
-func (p *Plan) Permanent() *Obstacle {
+// FirstPermanentObstacle is the first thing that can never be done, nil if there is none.
+func (p *Plan) FirstPermanentObstacle() *Obstacle {
 	for _, s := range p.Shards {
 		for i := range s.Obstacles {
 			if s.Obstacles[i].Permanent {
@@ -55,15 +55,15 @@
 	return nil
 }
 
-// Merge makes the plan of the plans of all shards. stable is the time for which a
+// MergePlans makes the plan of the plans of all shards. stable is the time for which a
 // moved task must run before it counts as up.
-func Merge(shards []ShardPlan, missing []string, stable time.Duration) Plan {
-	p := Plan{Shards: shards, Missing: missing}
+func MergePlans(shards []ShardPlan, missing []string, stable time.Duration) Plan {
+	p := Plan{Shards: shards, MissingShards: missing}
 	slices.SortFunc(p.Shards, func(a, b ShardPlan) int { return strings.Compare(a.Shard, b.Shard) })
 	moves, most := map[string]int{}, map[string]int{}
 	for _, s := range shards {
 		p.Steps = max(p.Steps, s.Steps)
-		for budget, n := range s.Moves {
+		for budget, n := range s.MovesByBudget {
 			moves[budget] += n
 		}
 		for _, u := range s.Usage {
@@ -75,8 +75,8 @@
 			continue
 		}
 		least := MinimumTime(n, most[budget], stable).Seconds()
-		if least > p.MinimumS || least == p.MinimumS && budget < p.Binding {
-			p.Binding, p.MinimumS = budget, least
+		if least > p.MinimumS || least == p.MinimumS && budget < p.BindingBudget {
+			p.BindingBudget, p.MinimumS = budget, least
 		}
 	}
 	if p.Steps > 0 {
--- a/drain/selection.go
+++ b/drain/selection.go
@@ -35,14 +35,14 @@
 
 // Inventory is what a selection is checked against.
 type Inventory struct {
-	Zones    []string
-	Types    []string  // that the cloud has
-	Machines []Machine // in the inventory
-	Running  []*records.Drain
+	Zones         []string
+	Types         []string  // that the cloud has
+	Machines      []Machine // in the inventory
+	RunningDrains []*records.Drain
 }
 
-// Selected lists the machines that a selection takes in.
-func (k *Inventory) Selected(s *records.Selection) []Machine {
+// Select lists the machines that a selection takes in.
+func (k *Inventory) Select(s *records.Selection) []Machine {
 	var out []Machine
 	for _, m := range k.Machines {
 		if Matches(s, m) {
@@ -52,8 +52,8 @@
 	return out
 }
 
-// Check returns the first thing that is wrong with a selection, nil if it can be drained.
-func (k *Inventory) Check(s *records.Selection) *FieldError {
+// Validate returns the first thing that is wrong with a selection, nil if it can be drained.
+func (k *Inventory) Validate(s *records.Selection) *FieldError {
 	for _, z := range s.Zones {
 		if !slices.Contains(k.Zones, z) {
 			return &FieldError{"zone", fmt.Sprintf("there is no zone %q", z)}
@@ -64,19 +64,19 @@
 			return &FieldError{"type", fmt.Sprintf("the cloud has no machine type %q", t)}
 		}
 	}
-	if len(s.Machines) > constants.DrainNames {
-		return &FieldError{"machine", fmt.Sprintf("names %d machines; at most %d can be named, select by zone, type or age instead", len(s.Machines), constants.DrainNames)}
+	if len(s.Machines) > constants.MaxDrainMachineNames {
+		return &FieldError{"machine", fmt.Sprintf("names %d machines; at most %d can be named, select by zone, type or age instead", len(s.Machines), constants.MaxDrainMachineNames)}
 	}
 	for _, name := range s.Machines {
 		if !slices.ContainsFunc(k.Machines, func(m Machine) bool { return m.Name == name }) {
 			return &FieldError{"machine", fmt.Sprintf("no machine %q is in the inventory", name)}
 		}
 	}
-	selected := k.Selected(s)
+	selected := k.Select(s)
 	if len(selected) == 0 {
 		return &FieldError{"selection", "takes in no machine"}
 	}
-	for _, d := range k.Running {
+	for _, d := range k.RunningDrains {
 		for _, m := range selected {
 			if Matches(&d.Selection, m) {
 				return &FieldError{"selection", fmt.Sprintf("overlaps drain %d: both take in %s", d.Number, m.Name)}
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// Zones lists the zones whose machines a selection may take in, in the deployment's order.
-func Zones(s *records.Selection, all []string) []string {
+// SelectedZones lists the zones whose machines a selection may take in, in the deployment's order.
+func SelectedZones(s *records.Selection, all []string) []string {
 	var out []string
 	for _, z := range all {
 		if len(s.Zones) == 0 || slices.Contains(s.Zones, z) {
--- a/internal/loopback/drain_test.go
+++ b/internal/loopback/drain_test.go
@@ -201,7 +201,7 @@
 		}
 		look = time.Now().Add(100 * time.Millisecond)
 		v := f.view(t, number)
-		r.waited = r.waited || slices.ContainsFunc(v.Shards, func(p drain.Progress) bool { return strings.Contains(p.WaitingFor, "used up") })
+		r.waited = r.waited || slices.ContainsFunc(v.Shards, func(p drain.ShardProgress) bool { return strings.Contains(p.WaitingFor, "used up") })
 		if v.State == records.DrainFinished {
 			break
 		}
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -41,7 +41,7 @@
 	// Counts are tasks running, and done in open assignments, by shard and job.
 	Counts map[string]records.CountsByJob `json:"counts,omitempty"`
 	// Drains is how far the drains have come in the sender's shards.
-	Drains []drain.ShardView `json:"drains,omitempty"`
+	Drains []drain.ShardStatus `json:"drains,omitempty"`
 }
 
 // HeldTerm is a term that a controller holds.
--- a/settings/draining.go
+++ b/settings/draining.go
@@ -33,11 +33,11 @@
 // DefaultDrainPolicy returns what applies where the file of drains sets nothing.
 func DefaultDrainPolicy() drain.Policy {
 	return drain.Policy{
-		Stable:        10 * time.Second,
-		ArrayWait:     2 * time.Minute,
-		ReplaceWithin: 3 * time.Minute,
-		Parallel:      10,
-		MaxFailures:   3,
+		StableAfter:            10 * time.Second,
+		ArrayGracePeriod:       2 * time.Minute,
+		ReplacementTimeout:     3 * time.Minute,
+		ParallelPercent:        10,
+		MaxConsecutiveFailures: 3,
 	}
 }
 
--- a/settings/load/draining.go
+++ b/settings/load/draining.go
@@ -59,20 +59,20 @@
 // readDrainPolicy reads everything but the budgets.
 func readDrainPolicy(p *properties.Properties, policy *drain.Policy) error {
 	err := readDurations(p, []durationField{
-		{"disruption.stable.ms", &policy.Stable, time.Second, longestDrainWait},
-		{"drain.array.wait.ms", &policy.ArrayWait, 0, longestDrainWait},
-		{"drain.replace.within.ms", &policy.ReplaceWithin, time.Second, longestDrainWait},
+		{"disruption.stable.ms", &policy.StableAfter, time.Second, longestDrainWait},
+		{"drain.array.wait.ms", &policy.ArrayGracePeriod, 0, longestDrainWait},
+		{"drain.replace.within.ms", &policy.ReplacementTimeout, time.Second, longestDrainWait},
 	})
 	if err != nil {
 		return err
 	}
-	if policy.ReplaceWithin <= policy.Stable {
+	if policy.ReplacementTimeout <= policy.StableAfter {
 		return settings.Invalid("drain.replace.within.ms", "must be larger than disruption.stable.ms")
 	}
-	if policy.MaxFailures, err = readInt(p, "drain.failures.most", policy.MaxFailures, failureBounds); err != nil {
+	if policy.MaxConsecutiveFailures, err = readInt(p, "drain.failures.most", policy.MaxConsecutiveFailures, failureBounds); err != nil {
 		return err
 	}
-	if policy.Parallel, err = readPercent(p, "drain.parallel.percent", policy.Parallel); err != nil {
+	if policy.ParallelPercent, err = readPercent(p, "drain.parallel.percent", policy.ParallelPercent); err != nil {
 		return err
 	}
 	policy.Window, err = readWindow(p)
@@ -98,16 +98,16 @@
 	if rule == "" {
 		return nil, nil
 	}
-	minutes, err := readInt(p, "drain.window.minutes", 0, intBounds{1, int(window.Longest.Minutes())})
+	minutes, err := readInt(p, "drain.window.minutes", 0, intBounds{1, int(window.MaxLength.Minutes())})
 	if err != nil {
 		return nil, err
 	}
 	zone := p.GetString("drain.window.zone", "UTC")
 	schedule, err := window.Parse(rule, zone, time.Duration(minutes)*time.Minute, time.Now())
 	switch {
-	case errors.Is(err, window.ErrZone):
+	case errors.Is(err, window.ErrUnknownZone):
 		return nil, settings.Invalid("drain.window.zone", "%w", err)
-	case errors.Is(err, window.ErrLength):
+	case errors.Is(err, window.ErrInvalidLength):
 		return nil, settings.Invalid("drain.window.minutes", "%w", err)
 	case err != nil:
 		return nil, settings.Invalid("drain.window.rule", "%w", err)
@@ -164,22 +164,22 @@
 	if l.text == unlimited && l.name == settings.AnyTeam {
 		return nil
 	}
-	amount, err := disruption.ParseAmount(l.text)
+	amount, err := disruption.ParseMaxUnavailable(l.text)
 	if err != nil {
 		return settings.Invalid(l.key, "%w", err)
 	}
-	if l.isInterruptions && amount.IsShare {
+	if l.isInterruptions && amount.IsPercent {
 		return settings.Invalid(l.key, "must be a number: a share is of services, whose tasks should all be up")
 	}
 	switch {
 	case l.name == settings.AnyTeam && l.isInterruptions:
-		budgets.SetOtherInterruptions(amount)
+		budgets.SetInterruptionsDefault(amount)
 		return nil
 	case l.name == settings.AnyTeam:
-		budgets.SetOthers(amount)
+		budgets.SetServicesDefault(amount)
 		return nil
 	}
-	key := disruption.ParseKey(l.name)
+	key := disruption.ParseBudgetKey(l.name)
 	key.Interruptions = l.isInterruptions
 	if s.Team(key.Team) == nil {
 		return settings.Invalid(l.key, "there is no team %q", key.Team)
--- a/settings/load/draining_test.go
+++ b/settings/load/draining_test.go
@@ -15,7 +15,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d, err := Draining("../../deploy/draining.properties", s); err != nil || len(d.Budgets.Of("t", "train", true)) != 1 {
+	if d, err := Draining("../../deploy/draining.properties", s); err != nil || len(d.Budgets.KeysFor("t", "train", true)) != 1 {
 		t.Fatalf("%+v, %v", d, err)
 	}
 	shipped, err := os.ReadFile("../../deploy/draining.properties")
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	d, err := ParseDraining([]byte("disruption.budget.t = 25%\ndisruption.budget.t/train = 2\ndrain.other = x"), s)
-	if want := []disruption.Key{{Team: "t"}, {Team: "t", Class: "train"}}; err != nil || len(d.Budgets.Of("t", "train", true)) != len(want) || len(d.Budgets.Of("x", "train", true)) != 0 {
+	if want := []disruption.BudgetKey{{Team: "t"}, {Team: "t", Class: "train"}}; err != nil || len(d.Budgets.KeysFor("t", "train", true)) != len(want) || len(d.Budgets.KeysFor("x", "train", true)) != 0 {
 		t.Errorf("%+v, %v", d, err)
 	}
 	for field, line := range map[string]string{
@@ -44,7 +44,7 @@
 		_, err := ParseDraining(append(shipped, "\n"+line...), s)
 		wantFieldError(t, err, field, line)
 	}
-	if d, err := ParseDraining([]byte("disruption.budget.* = unlimited\ndisruption.interruptions.t = 2"), s); err != nil || len(d.Budgets.Of("t", "train", true)) != 0 || len(d.Budgets.Of("t", "train", false)) != 1 {
+	if d, err := ParseDraining([]byte("disruption.budget.* = unlimited\ndisruption.interruptions.t = 2"), s); err != nil || len(d.Budgets.KeysFor("t", "train", true)) != 0 || len(d.Budgets.KeysFor("t", "train", false)) != 1 {
 		t.Errorf("%+v, %v", d, err)
 	}
 	for _, withoutServices := range []string{"", "disruption.stable.ms = 2000\ndisruption.interruptions.* = 1"} {
--- a/shard/draining.go
+++ b/shard/draining.go
@@ -28,16 +28,16 @@
 type draining struct {
 	cfg              DrainingConfig
 	ledger           *disruption.Ledger
-	drains           map[int]*drain.Steps   // those that are not over, by number
-	damagedRecords   map[int]bool           // drains whose record cannot be read
-	migrations       map[*task]*migration   // tasks that were stopped and are not up again
-	reservedCapacity map[*machine]resources // room for those, as this step keeps it
-	surgeTasks       []*task                // that may be moved and find no room
-	surgeCounts      disruption.Counts      // how many more of those the budgets allow
-	waitReasons      map[int]string         // by drain: why it waits
-	drainPace        pace                   // counts and goes on with drains
-	targetSearches   int                    // for machines with room, in this step
-	rotation         int                    // counts steps: each begins with another machine
+	drains           map[int]*drain.ShardDrain // those that are not over, by number
+	damagedRecords   map[int]bool              // drains whose record cannot be read
+	migrations       map[*task]*migration      // tasks that were stopped and are not up again
+	reservedCapacity map[*machine]resources    // room for those, as this step keeps it
+	surgeTasks       []*task                   // that may be moved and find no room
+	surgeCounts      disruption.Counts         // how many more of those the budgets allow
+	waitReasons      map[int]string            // by drain: why it waits
+	drainPace        pace                      // counts and goes on with drains
+	targetSearches   int                       // for machines with room, in this step
+	rotation         int                       // counts steps: each begins with another machine
 
 	interruptions             interruptions
 	hasInheritedInterruptions bool // those that earlier owners claimed are among them
@@ -61,9 +61,9 @@
 // the records of all jobs, and records the drains, claims and terms that are stored.
 func (c *Core) StartDraining(now time.Time, cfg DrainingConfig, jobs map[string]*records.Job, records []records.Change) {
 	c.draining = &draining{
-		cfg: cfg, drains: map[int]*drain.Steps{}, damagedRecords: map[int]bool{}, migrations: map[*task]*migration{}, waitReasons: map[int]string{},
-		interruptions: newInterruptions(cfg.Policy.ReplaceWithin),
-		ledger:        disruption.NewLedger(disruption.Config{Shard: c.cfg.Shard, Shards: cfg.Shards, Term: c.term, Budgets: cfg.Budgets, Stable: cfg.Policy.Stable, SkipClaimProof: cfg.SkipClaimProof}),
+		cfg: cfg, drains: map[int]*drain.ShardDrain{}, damagedRecords: map[int]bool{}, migrations: map[*task]*migration{}, waitReasons: map[int]string{},
+		interruptions: newInterruptions(cfg.Policy.ReplacementTimeout),
+		ledger:        disruption.NewLedger(disruption.Config{Shard: c.cfg.Shard, Shards: cfg.Shards, Term: c.term, Budgets: cfg.Budgets, StableAfter: cfg.Policy.StableAfter, SkipClaimProof: cfg.SkipClaimProof}),
 	}
 	for _, j := range jobs {
 		c.draining.ledger.ApplyJob(now, j)
@@ -107,9 +107,9 @@
 		delete(d.drains, r.Number)
 		delete(d.waitReasons, r.Number)
 	case steps != nil:
-		steps.Apply(r, version)
+		steps.ApplyRecord(r, version)
 	default:
-		d.drains[r.Number] = drain.NewSteps(d.cfg.Policy, shard, d.cfg.Shards, r, version)
+		d.drains[r.Number] = drain.NewShardDrain(d.cfg.Policy, shard, d.cfg.Shards, r, version)
 	}
 }
 
@@ -149,7 +149,7 @@
 			c.advanceDrain(now, number, d.drains[number])
 		}
 	}
-	if changes, conditions := d.ledger.Write(now, d.hasRunningDrain()); changes != nil {
+	if changes, conditions := d.ledger.PrepareWrite(now, d.hasRunningDrain()); changes != nil {
 		c.commit(&c.fleetView, commitClaim+"/", changes, conditions...)
 	}
 }
@@ -160,7 +160,7 @@
 	if !v.isRunningTask(now, t) {
 		return false
 	}
-	return h.adopted || d.cfg.SkipStableTime || now.Sub(h.runSince) >= d.cfg.Policy.Stable
+	return h.adopted || d.cfg.SkipStableTime || now.Sub(h.runSince) >= d.cfg.Policy.StableAfter
 }
 
 // countUnavailable counts the shard's tasks of services that should be up and are not, and the
@@ -185,8 +185,8 @@
 }
 
 // budgetsOf lists the budgets that a job's tasks count against.
-func (d *draining) budgetsOf(j *job) []disruption.Key {
-	return d.ledger.KeysOf(&j.rec.Spec)
+func (d *draining) budgetsOf(j *job) []disruption.BudgetKey {
+	return d.ledger.BudgetsOf(&j.rec.Spec)
 }
 
 // settleMigrations looks which moved tasks are up again, and which never came up.
@@ -198,10 +198,10 @@
 			delete(d.migrations, t) // it ended, or another shard looks after it
 		case d.isAvailable(v, now, t):
 			delete(d.migrations, t)
-		case now.Sub(m.startedAt) > d.cfg.Policy.ReplaceWithin:
+		case now.Sub(m.startedAt) > d.cfg.Policy.ReplacementTimeout:
 			delete(d.migrations, t)
 			if steps != nil {
-				steps.Failed("a task of " + t.job.rec.ID + " was not up in time")
+				steps.RecordFailure("a task of " + t.job.rec.ID + " was not up in time")
 			}
 		}
 	}
@@ -214,7 +214,7 @@
 	}
 	if m := d.migrations[t]; m != nil {
 		if steps := d.drains[m.drain]; steps != nil {
-			steps.Failed("a task of " + t.job.rec.ID + " failed on " + machine)
+			steps.RecordFailure("a task of " + t.job.rec.ID + " failed on " + machine)
 		}
 	}
 }
@@ -226,8 +226,8 @@
 		return
 	}
 	for _, steps := range d.drains {
-		if steps.Acts() && !drain.Matches(&steps.Record().Selection, v.selectableMachine(m)) {
-			steps.Failed(m.name + " did not come up")
+		if steps.MayCordon() && !drain.Matches(&steps.Record().Selection, v.selectableMachine(m)) {
+			steps.RecordFailure(m.name + " did not come up")
 		}
 	}
 }
@@ -264,7 +264,7 @@
 
 // advanceDrain makes a drain's next step in this shard: it cordons machines, moves
 // what runs on them, and records how far the drain has come.
-func (c *Core) advanceDrain(now time.Time, number int, s *drain.Steps) {
+func (c *Core) advanceDrain(now time.Time, number int, s *drain.ShardDrain) {
 	machines := c.selectedMachines(&s.Record().Selection)
 	for _, m := range machines {
 		m.leavesNext = s.Record().State == records.DrainRunning
@@ -274,9 +274,9 @@
 	for _, m := range machines {
 		byName[m.name] = m
 		sums := c.sumsOf(m)
-		candidates = append(candidates, drain.Candidate{Name: m.name, Cordoned: m.cordon != nil || m.returning, Services: sums.services, CPUs: sums.used.cpus})
+		candidates = append(candidates, drain.Candidate{Name: m.name, IsCordoned: m.cordon != nil || m.returning, Services: sums.services, CPUs: sums.used.cpus})
 	}
-	for _, name := range s.Choose(now, candidates, len(c.fleet)) {
+	for _, name := range s.ChooseMachines(now, candidates, len(c.fleet)) {
 		slog.Info("cordoning machine", "machine", name, "drain", number)
 		byName[name].cordon = &cordon{number, now}
 		c.pushDirty = true
@@ -287,19 +287,19 @@
 			c.evictFromCordoned(now, m, number)
 		}
 	}
-	if record, version := s.Write(c.draining.migrationsSettled(number)); record != nil {
+	if record, version := s.NextRecord(c.draining.migrationsSettled(number)); record != nil {
 		key := records.KeyDrain(number)
 		c.commit(&c.fleetView, commitDrain+"/"+strconv.Itoa(number), []wire.Change{{Put: key, Value: records.Encode(record)}}, wire.Condition{Key: key, Version: version})
 	}
 }
 
 // idleReason says why a drain has nothing to do in this shard at present; empty if it has.
-func idleReason(now time.Time, s *drain.Steps) string {
-	switch open, next := s.Open(now); {
+func idleReason(now time.Time, s *drain.ShardDrain) string {
+	switch open, next := s.WindowState(now); {
 	case s.Record().State != records.DrainRunning:
 		return string(s.Record().State)
-	case !s.Acts() && s.Turn() != "":
-		return "the first machine, in " + s.Turn() + ", is not replaced yet"
+	case !s.MayCordon() && s.ProvingShard() != "":
+		return "the first machine, in " + s.ProvingShard() + ", is not replaced yet"
 	case !open:
 		return "the maintenance window opens at " + next.UTC().Format(time.RFC3339)
 	}
@@ -326,11 +326,11 @@
 func (d *draining) applyCommitResult(now time.Time, kind, rest string, revision uint64) {
 	switch kind {
 	case commitClaim:
-		d.ledger.Written(now, revision)
+		d.ledger.ApplyWriteResult(now, revision)
 	case commitDrain:
 		number, _ := strconv.Atoi(rest) // as it was written by advanceDrain
 		if s := d.drains[number]; s != nil {
-			s.Written(revision != 0)
+			s.ApplyWriteResult(revision != 0)
 		}
 	}
 }
@@ -341,6 +341,6 @@
 		return
 	}
 	if s := d.drains[m.cordon.drain]; s != nil {
-		s.Replaced()
+		s.RecordReplacement()
 	}
 }
--- a/shard/draining_test.go
+++ b/shard/draining_test.go
@@ -14,8 +14,8 @@
 // with a service of three tasks that run on two machines.
 func (r *rig) withAccount() *job {
 	var budgets disruption.Budgets
-	budgets.SetOthers(disruption.Amount{Tasks: 1})
-	r.StartDraining(r.now, DrainingConfig{Shards: []string{"a"}, Budgets: budgets, Policy: drain.Policy{Stable: 5 * time.Second, ReplaceWithin: time.Minute, MaxFailures: 2, Parallel: 100}}, nil, nil)
+	budgets.SetServicesDefault(disruption.MaxUnavailable{Tasks: 1})
+	r.StartDraining(r.now, DrainingConfig{Shards: []string{"a"}, Budgets: budgets, Policy: drain.Policy{StableAfter: 5 * time.Second, ReplacementTimeout: time.Minute, MaxConsecutiveFailures: 2, ParallelPercent: 100}}, nil, nil)
 	r.up("m-0")
 	r.up("m-1")
 	spec := wire.Submission{ID: "run-1", Team: "t", Class: "c", Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 3, CPUs: 2, MemoryGB: 1, Image: "i"}
@@ -109,7 +109,7 @@
 // of what an earlier owner claimed as many as wait.
 func TestInterruptionsThatCount(t *testing.T) {
 	now := time.Unix(1000, 0)
-	keys := []disruption.Key{{Team: "t", Interruptions: true}}
+	keys := []disruption.BudgetKey{{Team: "t", Interruptions: true}}
 	j := &job{rec: &records.Job{ID: "run-1"}}
 	s := newInterruptions(time.Minute)
 	for _, step := range []struct {
@@ -151,8 +151,8 @@
 	for _, kind := range []string{wire.KindArray, wire.KindGang} {
 		r := newRig(nil)
 		var budgets disruption.Budgets
-		budgets.SetOtherInterruptions(disruption.Amount{Tasks: 1})
-		cfg := DrainingConfig{Shards: []string{"a"}, Budgets: budgets, Policy: drain.Policy{Stable: 5 * time.Second, ReplaceWithin: time.Minute, MaxFailures: 2, Parallel: 100}}
+		budgets.SetInterruptionsDefault(disruption.MaxUnavailable{Tasks: 1})
+		cfg := DrainingConfig{Shards: []string{"a"}, Budgets: budgets, Policy: drain.Policy{StableAfter: 5 * time.Second, ReplacementTimeout: time.Minute, MaxConsecutiveFailures: 2, ParallelPercent: 100}}
 		r.StartDraining(r.now, cfg, nil, nil)
 		r.up("m-0")
 		r.up("m-1")
@@ -200,10 +200,10 @@
 	j := &records.Job{ID: spec.ID, Spec: spec, Assignments: []records.Assignment{{From: 0, To: 3, Shard: "a", KeepWaiting: true}}}
 	r := newRig(map[string]*records.Job{j.ID: j})
 	var budgets disruption.Budgets
-	budgets.SetOtherInterruptions(disruption.Amount{Tasks: 2})
-	key := disruption.Key{Team: "t", Interruptions: true}
+	budgets.SetInterruptionsDefault(disruption.MaxUnavailable{Tasks: 2})
+	key := disruption.BudgetKey{Team: "t", Interruptions: true}
 	last := records.DisruptionClaim{Shard: "a", Term: r.term - 1, Unavailable: map[string]int{key.String(): 2}}
-	cfg := DrainingConfig{Shards: []string{"a"}, Budgets: budgets, Policy: drain.Policy{Stable: 5 * time.Second, ReplaceWithin: time.Minute, MaxFailures: 2}}
+	cfg := DrainingConfig{Shards: []string{"a"}, Budgets: budgets, Policy: drain.Policy{StableAfter: 5 * time.Second, ReplacementTimeout: time.Minute, MaxConsecutiveFailures: 2}}
 	r.StartDraining(r.now, cfg, map[string]*records.Job{j.ID: j}, []records.Change{{Key: records.KeyDisruptionClaim("a"), Version: 90, Record: &last}})
 	r.write(r.wait(time.Second))
 	if n := r.draining.countUnavailable(&r.fleetView, r.now)[key]; n != 2 {
--- a/shard/drainplan.go
+++ b/shard/drainplan.go
@@ -11,12 +11,12 @@
 
 // PlanDrain says what a drain would do in this shard.
 func (c *Core) PlanDrain(now time.Time, s *records.Selection) drain.ShardPlan {
-	p := drain.ShardPlan{Shard: c.cfg.Shard, Moves: map[string]int{}, Usage: c.Usage(now)}
+	p := drain.ShardPlan{Shard: c.cfg.Shard, MovesByBudget: map[string]int{}, Usage: c.Usage(now)}
 	promised := c.draining.reservedForMigrations()
 	for _, m := range c.selectedMachines(s) {
 		p.Machines++
 		if c.sumsOf(m).live == 0 {
-			p.Empty++
+			p.EmptyMachines++
 			continue
 		}
 		for _, h := range m.holds {
@@ -26,7 +26,7 @@
 		}
 	}
 	if p.Machines > 0 {
-		atOnce := c.draining.cfg.Policy.AtOnce(len(c.fleet))
+		atOnce := c.draining.cfg.Policy.MaxCordoned(len(c.fleet))
 		p.Steps = (p.Machines + atOnce - 1) / atOnce
 	}
 	return p
@@ -36,22 +36,22 @@
 func (c *Core) planTaskMigration(now time.Time, p *drain.ShardPlan, t *task, promised map[*machine]resources) {
 	s := &t.job.rec.Spec
 	if !s.IsService() {
-		p.Arrays++
+		p.ArrayTasks++
 		return
 	}
 	keys := c.draining.budgetsOf(t.job)
 	if len(keys) == 0 {
-		p.Moves[""]++
+		p.MovesByBudget[""]++
 	}
 	for _, k := range keys {
-		p.Moves[k.String()]++
+		p.MovesByBudget[k.String()]++
 	}
 	obstacle := func(why string, permanent bool) {
-		if len(p.Obstacles) < constants.DrainNames {
+		if len(p.Obstacles) < constants.MaxDrainMachineNames {
 			p.Obstacles = append(p.Obstacles, drain.Obstacle{Job: s.ID, Machine: t.hold.m.name, Reason: why, Permanent: permanent})
 		}
 	}
-	if refused := c.draining.ledger.Check(now, keys); refused != nil && refused.Reason == disruption.Never {
+	if refused := c.draining.ledger.Check(now, keys); refused != nil && refused.Reason == disruption.ReasonNeverAllowed {
 		obstacle(refused.Error(), true)
 	} else if _, _, rentable := c.cheapestMachineKind(&c.fleetView, now, s); !rentable && c.migrationTarget(&c.fleetView, now, s, promised) == nil {
 		obstacle("no machine has room for it, and none can be rented now", false)
@@ -59,28 +59,28 @@
 }
 
 // DrainProgress is how far the drains have come in this shard.
-func (c *Core) DrainProgress() []drain.Progress {
+func (c *Core) DrainProgress() []drain.ShardProgress {
 	if c.draining == nil {
 		return nil
 	}
-	var out []drain.Progress
+	var out []drain.ShardProgress
 	for _, number := range c.draining.drainNumbers() {
 		out = append(out, c.draining.progress(&c.fleetView, number, c.draining.drains[number]))
 	}
 	return out
 }
 
-func (d *draining) progress(v *fleetView, number int, s *drain.Steps) drain.Progress {
-	p := drain.Progress{Drain: number, Shard: v.cfg.Shard, WaitingFor: d.waitReasons[number], Failures: s.Failures()}
+func (d *draining) progress(v *fleetView, number int, s *drain.ShardDrain) drain.ShardProgress {
+	p := drain.ShardProgress{Drain: number, Shard: v.cfg.Shard, WaitingFor: d.waitReasons[number], Failures: s.Failures()}
 	for _, m := range v.selectedMachines(&s.Record().Selection) {
 		p.Remaining++
-		if m.cordon != nil && m.cordon.drain == number && len(p.Cordoned) < constants.DrainNames {
+		if m.cordon != nil && m.cordon.drain == number && len(p.Cordoned) < constants.MaxDrainMachineNames {
 			p.Cordoned = append(p.Cordoned, m.name)
 		}
 	}
 	for _, m := range d.migrations {
 		if m.drain == number {
-			p.Moving++
+			p.MovingTasks++
 		}
 	}
 	return p
--- a/shard/interruptions.go
+++ b/shard/interruptions.go
@@ -17,7 +17,7 @@
 
 // interruption is what is known of one unit.
 type interruption struct {
-	keys        []disruption.Key
+	keys        []disruption.BudgetKey
 	hasRun      bool // it runs, or did when it was last looked at
 	interrupted bool // it ran, and has not proved itself again since
 	observedAt  time.Time
@@ -41,7 +41,7 @@
 }
 
 // observe takes in whether a unit runs now, and whether it has proved itself.
-func (s *interruptions) observe(now time.Time, u interruptionUnit, keys []disruption.Key, runs, isUp bool) {
+func (s *interruptions) observe(now time.Time, u interruptionUnit, keys []disruption.BudgetKey, runs, isUp bool) {
 	i := s.units[u]
 	if i == nil {
 		i = &interruption{keys: keys}
@@ -118,7 +118,7 @@
 }
 
 // observeGang looks at a gang, which runs if all its tasks here do.
-func (d *draining) observeGang(v *fleetView, now time.Time, j *job, keys []disruption.Key) {
+func (d *draining) observeGang(v *fleetView, now time.Time, j *job, keys []disruption.BudgetKey) {
 	whole := interruptionUnit{j, wholeGang}
 	if j.gang.done {
 		d.interruptions.forget(whole)
@@ -142,7 +142,7 @@
 			continue
 		}
 		for _, k := range i.keys {
-			if taken[k] < d.ledger.Inherited(k) {
+			if taken[k] < d.ledger.InheritedUnavailable(k) {
 				s.markInterrupted(u)
 				taken.Add(i.keys, 1)
 				break
@@ -169,7 +169,7 @@
 	case !i.hasRun:
 		return "" // nothing that ran is lost
 	}
-	if refused := d.ledger.Stop(now, i.keys); refused != nil {
+	if refused := d.ledger.RequestStop(now, i.keys); refused != nil {
 		return refused.Error()
 	}
 	i.markInterrupted()
--- a/shard/migration.go
+++ b/shard/migration.go
@@ -39,7 +39,7 @@
 // evictBatchTask lets a task of an array or a gang end by itself for a while, and then has it
 // save or stop if its budgets allow it; a gang does so whole.
 func (c *Core) evictBatchTask(now time.Time, t *task, h *hold, wait func(string)) {
-	if now.Sub(h.m.cordon.since) < c.draining.cfg.Policy.ArrayWait {
+	if now.Sub(h.m.cordon.since) < c.draining.cfg.Policy.ArrayGracePeriod {
 		wait("tasks of arrays or gangs get time to end")
 		return
 	}
@@ -83,7 +83,7 @@
 		return "no machine has room for a task of " + s.ID
 	}
 	if isUp { // what is down already is counted
-		if refused := d.ledger.Stop(now, keys); refused != nil {
+		if refused := d.ledger.RequestStop(now, keys); refused != nil {
 			return refused.Error()
 		}
 	}
@@ -98,7 +98,7 @@
 // would take nothing more down as the owner counts, but would keep its task down for
 // longer, and after a takeover it may have run for long without the owner's knowledge.
 func (d *draining) mayBecomeAvailable(now time.Time, h *hold) bool {
-	return h.isRunning() || now.Sub(h.m.cordon.since) < d.cfg.Policy.ReplaceWithin
+	return h.isRunning() || now.Sub(h.m.cordon.since) < d.cfg.Policy.ReplacementTimeout
 }
 
 // reservedForMigrations is the room on machines that tasks on their way there are to get.
@@ -123,7 +123,7 @@
 
 // requestSurge has a machine rented for a task that may move and finds no room, for no
 // more tasks than the budgets would let move.
-func (d *draining) requestSurge(now time.Time, t *task, keys []disruption.Key) {
+func (d *draining) requestSurge(now time.Time, t *task, keys []disruption.BudgetKey) {
 	if len(d.surgeTasks) >= constants.MaxSurgeTasks {
 		return
 	}
@@ -157,5 +157,5 @@
 // allowsConsolidation asks the account whether a service's task may be moved to do without
 // its machine.
 func (d *draining) allowsConsolidation(now time.Time, t *task) bool {
-	return d == nil || d.ledger.Stop(now, d.budgetsOf(t.job)) == nil
+	return d == nil || d.ledger.RequestStop(now, d.budgetsOf(t.job)) == nil
 }
--- a/window/window.go
+++ b/window/window.go
@@ -12,27 +12,27 @@
 	"github.com/teambition/rrule-go"
 )
 
-// Longest is the longest that a window may be open: a week, which a rule for every day
+// MaxLength is the longest that a window may be open: a week, which a rule for every day
 // turns into always.
-const Longest = 7 * 24 * time.Hour
+const MaxLength = 7 * 24 * time.Hour
 
-// horizon is how far ahead a window must open at least once: a leap day comes every eight
+// maxTimeToOpen is how far ahead a window must open at least once: a leap day comes every eight
 // years at the latest.
-const horizon = 9 * 366 * 24 * time.Hour
+const maxTimeToOpen = 9 * 366 * 24 * time.Hour
 
 // Errors of a schedule.
 var (
-	ErrRule   = errors.New("is no recurrence rule of days, weeks, months or years")
-	ErrZone   = errors.New("is no time zone")
-	ErrLength = errors.New("must be from one second to a week")
-	ErrNever  = errors.New("never opens")
+	ErrInvalidRule   = errors.New("is no recurrence rule of days, weeks, months or years")
+	ErrUnknownZone   = errors.New("is no time zone")
+	ErrInvalidLength = errors.New("must be from one second to a week")
+	ErrNeverOpens    = errors.New("never opens")
 )
 
 // Window is one time in which a window is open.
 type Window struct{ Opens, Closes time.Time }
 
-// Open says whether it is open at a time.
-func (w Window) Open(at time.Time) bool { return !at.Before(w.Opens) && at.Before(w.Closes) }
+// IsOpen says whether it is open at a time.
+func (w Window) IsOpen(at time.Time) bool { return !at.Before(w.Opens) && at.Before(w.Closes) }
 
 // Schedule is a recurring window. It does not change and may be shared.
 type Schedule struct {
@@ -48,32 +48,32 @@
 func Parse(rule, zone string, length time.Duration, now time.Time) (*Schedule, error) {
 	location, err := time.LoadLocation(zone)
 	if err != nil || zone == "" {
-		return nil, fmt.Errorf("%q %w", zone, ErrZone)
+		return nil, fmt.Errorf("%q %w", zone, ErrUnknownZone)
 	}
-	if length < time.Second || length > Longest {
-		return nil, ErrLength
+	if length < time.Second || length > MaxLength {
+		return nil, ErrInvalidLength
 	}
 	options, err := rrule.StrToROptionInLocation(rule, location)
 	if err != nil || options.Freq > rrule.DAILY { // those after it come more often
-		return nil, fmt.Errorf("%q %w", rule, ErrRule)
+		return nil, fmt.Errorf("%q %w", rule, ErrInvalidRule)
 	}
 	if options.Dtstart.IsZero() {
-		options.Dtstart = anchor(location)
+		options.Dtstart = defaultStart(location)
 	}
 	parsed, err := rrule.NewRRule(*options)
 	if err != nil {
-		return nil, fmt.Errorf("%q %w: %w", rule, ErrRule, err)
+		return nil, fmt.Errorf("%q %w: %w", rule, ErrInvalidRule, err)
 	}
 	s := &Schedule{parsed, length, rule + " in " + zone}
-	if next, ok := s.Next(now); !ok || next.Opens.Sub(now) > horizon {
-		return nil, fmt.Errorf("%q %w", rule, ErrNever)
+	if next, ok := s.Next(now); !ok || next.Opens.Sub(now) > maxTimeToOpen {
+		return nil, fmt.Errorf("%q %w", rule, ErrNeverOpens)
 	}
 	return s, nil
 }
 
-// anchor is the day from which intervals are counted where a rule names none: the first
+// defaultStart is the day from which intervals are counted where a rule names none: the first
 // day of a year that began on a Monday.
-func anchor(location *time.Location) time.Time {
+func defaultStart(location *time.Location) time.Time {
 	return time.Date(1996, time.January, 1, 0, 0, 0, 0, location)
 }
 
@@ -81,24 +81,24 @@
 // none opens any more. Windows that overlap are one after the other here.
 func (s *Schedule) Next(at time.Time) (w Window, ok bool) {
 	if last := s.rule.Before(at, true); !last.IsZero() {
-		if w = s.from(last); w.Open(at) {
+		if w = s.windowAt(last); w.IsOpen(at) {
 			return w, true
 		}
 	}
 	for next := s.rule.After(at, false); !next.IsZero(); next = s.rule.After(next, false) {
-		if w = s.from(next); at.Before(w.Closes) {
+		if w = s.windowAt(next); at.Before(w.Closes) {
 			return w, true
 		}
 	}
 	return Window{}, false
 }
 
-// clockChanges are by how much clocks are set back somewhere in the zone data.
-var clockChanges = []time.Duration{time.Hour, 30 * time.Minute}
+// clockSetBacks are by how much clocks are set back somewhere in the zone data.
+var clockSetBacks = []time.Duration{time.Hour, 30 * time.Minute}
 
-// from is the window of an occurrence: of two equal times of day the first.
-func (s *Schedule) from(opens time.Time) Window {
-	for _, change := range clockChanges {
+// windowAt is the window of an occurrence: of two equal times of day the first.
+func (s *Schedule) windowAt(opens time.Time) Window {
+	for _, change := range clockSetBacks {
 		if first := opens.Add(-change); first.Format(time.DateTime) == opens.Format(time.DateTime) {
 			opens = first
 			break
--- a/window/window_test.go
+++ b/window/window_test.go
@@ -54,16 +54,16 @@
 		length     time.Duration
 		want       error
 	}{
-		{"FREQ=DAILY", "Mars/Olympus", time.Hour, ErrZone},
-		{"FREQ=DAILY", "", time.Hour, ErrZone},
-		{"FREQ=DAILY", "UTC", 0, ErrLength},
-		{"FREQ=DAILY", "UTC", 8 * 24 * time.Hour, ErrLength},
-		{"FREQ=SECONDLY", "UTC", time.Hour, ErrRule},
-		{"FREQ=HOURLY", "UTC", time.Hour, ErrRule},
-		{"every night", "UTC", time.Hour, ErrRule},
-		{"FREQ=DAILY;BYHOUR=25", "UTC", time.Hour, ErrRule},
-		{"FREQ=YEARLY;BYMONTH=2;BYMONTHDAY=30", "UTC", time.Hour, ErrNever},
-		{"FREQ=DAILY;UNTIL=20250101T000000Z", "UTC", time.Hour, ErrNever},
+		{"FREQ=DAILY", "Mars/Olympus", time.Hour, ErrUnknownZone},
+		{"FREQ=DAILY", "", time.Hour, ErrUnknownZone},
+		{"FREQ=DAILY", "UTC", 0, ErrInvalidLength},
+		{"FREQ=DAILY", "UTC", 8 * 24 * time.Hour, ErrInvalidLength},
+		{"FREQ=SECONDLY", "UTC", time.Hour, ErrInvalidRule},
+		{"FREQ=HOURLY", "UTC", time.Hour, ErrInvalidRule},
+		{"every night", "UTC", time.Hour, ErrInvalidRule},
+		{"FREQ=DAILY;BYHOUR=25", "UTC", time.Hour, ErrInvalidRule},
+		{"FREQ=YEARLY;BYMONTH=2;BYMONTHDAY=30", "UTC", time.Hour, ErrNeverOpens},
+		{"FREQ=DAILY;UNTIL=20250101T000000Z", "UTC", time.Hour, ErrNeverOpens},
 	} {
 		if _, err := Parse(c.rule, c.zone, c.length, now); !errors.Is(err, c.want) {
 			t.Errorf("%s in %q for %s: %v", c.rule, c.zone, c.length, err)
