--- a/apiserver/cancellations.go
+++ b/apiserver/cancellations.go
@@ -67,10 +67,10 @@
 		case err == nil:
 			s.notifyIfCancelled(job, revision)
 			return job.End, nil
-		case errors.Is(err, kvstore.ErrInvalidRequest) && !sizeLimits.Packing:
+		case errors.Is(err, kvstore.ErrInvalidRequest) && !sizeLimits.PackingEnabled:
 			// The store's smaller size limits are in force, which they are only once
 			// every controller has this version and reads packed records.
-			sizeLimits.Packing = true
+			sizeLimits.PackingEnabled = true
 		case isConflict(err), errors.Is(err, kvstore.ErrOutcomeUnknown):
 			// Another change came first, or it is not known whether this one was
 			// made: reading the key again decides.
--- a/apiserver/relay_test.go
+++ b/apiserver/relay_test.go
@@ -69,7 +69,7 @@
 				direct := &pathStub{err: c.directErr}
 				self := actor.NewRef()
 				server := New(set, direct, self, actor.NewRef())
-				server.sizeLimits = records.SizeLimits{Now: 8192, Next: 8192}
+				server.sizeLimits = records.SizeLimits{Current: 8192, Next: 8192}
 				var relays []*pathStub
 				var to []Relay
 				for _, err := range c.relayErrs {
--- a/apiserver/server.go
+++ b/apiserver/server.go
@@ -91,7 +91,7 @@
 		s.path.relays = m.Relays
 		s.path.relaysNamedAt = time.Now()
 	case PackingEnabled:
-		s.sizeLimits.Packing = true
+		s.sizeLimits.PackingEnabled = true
 	case Tick:
 		s.readOverduePolls(ctx, time.Time(m))
 	case revisionRead:
--- a/apiserver/validation.go
+++ b/apiserver/validation.go
@@ -28,7 +28,7 @@
 // can be.
 func (s *Server) validate(submission *wire.Submission) *rejection {
 	job := records.Job{Spec: *submission, AcceptedMS: time.Now().UnixMilli()}
-	if !s.sizeLimits.Storable(&job, s.settings.Deployment.Zones) {
+	if !s.sizeLimits.FitsUntilEnd(&job, s.settings.Deployment.Zones) {
 		return &rejectTooLong
 	}
 	if len(s.machineTypes) == 0 {
--- a/controller/actors.go
+++ b/controller/actors.go
@@ -217,7 +217,7 @@
 	stopped        bool // halted
 }
 
-func newShardActor(c *controlActor, name string, term, version uint64, now time.Time, inventory map[string]*records.Page, inventoryV map[string]uint64) *shardActor {
+func newShardActor(c *controlActor, name string, term, version uint64, now time.Time, inventory map[string]*records.InventoryPage, inventoryV map[string]uint64) *shardActor {
 	set := c.set
 	limits := set.StoreLimits()
 	cfg := shard.Config{
--- a/controller/control.go
+++ b/controller/control.go
@@ -97,7 +97,7 @@
 
 	jobs               map[string]*records.Job // not over, or with open assignments
 	jobVersions        map[string]uint64
-	inventory          map[string]*records.Page // by key
+	inventory          map[string]*records.InventoryPage // by key
 	inventoryVersions  map[string]uint64
 	shardByMachine     map[string]string // by machine on the inventory
 	zoneMismatchLogged map[string]bool   // machines whose impossible reports were logged
@@ -152,7 +152,7 @@
 func newControlActor(set *settings.Settings, out Dependencies, self, api, monitor *actor.Ref) *controlActor {
 	c := &controlActor{
 		set: set, dependencies: out, self: self, api: api, startedAt: time.Now(), extensions: map[string]time.Time{},
-		jobs: map[string]*records.Job{}, jobVersions: map[string]uint64{}, inventory: map[string]*records.Page{}, inventoryVersions: map[string]uint64{}, shardByMachine: map[string]string{}, zoneMismatchLogged: map[string]bool{},
+		jobs: map[string]*records.Job{}, jobVersions: map[string]uint64{}, inventory: map[string]*records.InventoryPage{}, inventoryVersions: map[string]uint64{}, shardByMachine: map[string]string{}, zoneMismatchLogged: map[string]bool{},
 		acquiring: map[string]time.Time{}, handedOver: map[string]uint64{}, successors: map[string]string{}, unstableAt: map[string]time.Time{}, owners: map[string]*runningActor{},
 		shardStatuses: map[string]shardStatus{}, pushInFlight: map[string]bool{}, peerViews: map[string]peerView{}, misrouted: map[string]misroutedHeartbeat{}, drainRecords: newDrainRecords(),
 	}
@@ -325,7 +325,7 @@
 			}
 		case *records.Revocation:
 			c.applyRevocation(now, r)
-		case *records.Page:
+		case *records.InventoryPage:
 			if old := c.inventory[ch.Key]; old != nil {
 				for _, m := range old.Machines() {
 					delete(c.shardByMachine, m.Name)
--- a/controller/drains.go
+++ b/controller/drains.go
@@ -52,7 +52,7 @@
 // apply takes in a change from the feed.
 func (r *drainRecords) apply(ch records.Change) {
 	switch ch.Record.(type) {
-	case *records.Drain, *records.DisruptionClaim, *records.Term, *records.Damaged:
+	case *records.Drain, *records.DisruptionClaim, *records.Term, *records.DamagedRecord:
 		r.stored[ch.Key] = ch
 	case nil:
 		delete(r.stored, ch.Key)
@@ -87,11 +87,11 @@
 		switch r := ch.Record.(type) {
 		case *records.Drain:
 			s.drains[r.Number] = ch
-			if !r.State.Over() {
+			if !r.State.IsTerminal() {
 				s.inventory.RunningDrains = append(s.inventory.RunningDrains, r)
 			}
-		case *records.Damaged:
-			if n, ok := r.Drain(); ok {
+		case *records.DamagedRecord:
+			if n, ok := r.DrainNumber(); ok {
 				s.damagedNumbers = append(s.damagedNumbers, n)
 			}
 		}
@@ -243,7 +243,7 @@
 		return selection, &drain.FieldError{Field: "rented-before", Problem: "must not be negative"}
 	}
 	if n := len(s.inventory.Machines); n > 0 {
-		selection.Last = s.inventory.Machines[n-1].Name
+		selection.LastMachine = s.inventory.Machines[n-1].Name
 	}
 	if q.RentedBeforeS == 0 {
 		return selection, nil
@@ -252,13 +252,13 @@
 	if err != nil {
 		return selection, &drain.FieldError{Field: "rented-before", Problem: "the cloud does not tell the machines' ages: " + err.Error()}
 	}
-	selection.Last = ""
+	selection.LastMachine = ""
 	for _, m := range list {
 		if m.AgeS >= q.RentedBeforeS {
-			selection.Last = max(selection.Last, m.Name)
+			selection.LastMachine = max(selection.LastMachine, m.Name)
 		}
 	}
-	if selection.Last == "" {
+	if selection.LastMachine == "" {
 		return selection, &drain.FieldError{Field: "rented-before", Problem: "no machine is that old"}
 	}
 	return selection, nil
@@ -294,11 +294,11 @@
 	for _, n := range append(numbers, s.damagedNumbers...) {
 		number = max(number, n+1)
 	}
-	record := records.Drain{Selection: selection, State: records.DrainRunning, StartedS: time.Now().Unix(), Machines: len(s.inventory.Select(&selection))}
+	record := records.Drain{Selection: selection, State: records.DrainRunning, StartedS: time.Now().Unix(), MachineCount: len(s.inventory.Select(&selection))}
 	key := records.KeyDrain(number)
 	txn := wire.Txn{Conditions: []wire.Condition{{Key: key, Version: 0}}, Changes: []wire.Change{{Put: key, Value: records.Encode(record)}}}
 	if len(numbers) >= constants.MaxFinishedDrains {
-		if old := s.drains[numbers[0]]; old.Record.(*records.Drain).State.Over() {
+		if old := s.drains[numbers[0]]; old.Record.(*records.Drain).State.IsTerminal() {
 			txn.Conditions = append(txn.Conditions, wire.Condition{Key: old.Key, Version: old.Version})
 			txn.Changes = append(txn.Changes, wire.Change{Delete: old.Key})
 		}
@@ -334,7 +334,7 @@
 		return refusal("drain", "there is no drain %d", q.Number), nil
 	}
 	next := stored.Record.(*records.Drain).Clone()
-	if next.State.Over() {
+	if next.State.IsTerminal() {
 		return refusal("drain", "drain %d is %s already", q.Number, next.State), nil
 	}
 	switch {
@@ -344,7 +344,7 @@
 		next.State = records.DrainPaused
 	case q.Op == peer.OpResume && next.State != records.DrainRunning:
 		next.State, next.StopReason = records.DrainRunning, ""
-		next.Attempt++
+		next.ResumeCount++
 	default:
 		return refusal("drain", "drain %d is %s already", q.Number, next.State), nil
 	}
@@ -360,8 +360,8 @@
 	out := &peer.DrainStatus{Controller: node, Drains: []peer.DrainView{}, Damaged: s.damagedNumbers}
 	for _, n := range slices.Sorted(maps.Keys(s.drains)) {
 		r := s.drains[n].Record.(*records.Drain)
-		v := peer.DrainView{Number: n, State: r.State, StopReason: r.StopReason, StartedS: r.StartedS, Machines: r.Machines, Proven: r.Proven}
-		if !r.State.Over() {
+		v := peer.DrainView{Number: n, State: r.State, StopReason: r.StopReason, StartedS: r.StartedS, Machines: r.MachineCount, CanaryPassed: r.CanaryPassed}
+		if !r.State.IsTerminal() {
 			v.Remaining = len(s.inventory.Select(&r.Selection))
 		}
 		for _, zone := range s.inventory.Zones {
--- a/controller/large_fleet_test.go
+++ b/controller/large_fleet_test.go
@@ -109,7 +109,7 @@
 	began = time.Now()
 	go w.user(after, 0, 0)
 	w.allDone(t, 3*time.Minute, []*simJob{after})
-	t.Logf("50 tasks more were done within %s; records take %d keys", time.Since(began), w.keysUnder(records.Prefix))
+	t.Logf("50 tasks more were done within %s; records take %d keys", time.Since(began), w.keysUnder(records.KeyPrefix))
 	if len(w.broken) > 0 {
 		t.Errorf("rules broken: %s", strings.Join(w.broken[:min(4, len(w.broken))], "; "))
 	}
--- a/controller/roles.go
+++ b/controller/roles.go
@@ -75,7 +75,7 @@
 
 func (c *controlActor) startOwner(ctx context.Context, now time.Time, shard string, term, version uint64) {
 	ctx, cancel := context.WithCancel(ctx)
-	inventory, inventoryV := map[string]*records.Page{}, map[string]uint64{}
+	inventory, inventoryV := map[string]*records.InventoryPage{}, map[string]uint64{}
 	for k, r := range c.inventory {
 		if r.Shard == shard {
 			inventory[k], inventoryV[k] = r, c.inventoryVersions[k]
--- a/controller/sim_test.go
+++ b/controller/sim_test.go
@@ -567,7 +567,7 @@
 	for i, z := range zones {
 		put(records.KeyShard(z), records.Term{Controller: "n-0", Incarnation: 7, Number: uint64(3 + i)})
 	}
-	page := records.Page{}
+	page := records.InventoryPage{}
 	for i := range 180 {
 		page.Add(records.Machine{Name: fmt.Sprintf("m-9%05d", i), Type: "box", Addr: fmt.Sprintf("10.9.0.%d:9000", i), Spot: i%2 == 0})
 	}
--- a/controller/standin_draining_test.go
+++ b/controller/standin_draining_test.go
@@ -436,9 +436,9 @@
 	n := 0
 	for key, e := range w.kv {
 		record, err := records.Decode(key, e.value)
-		if page, ok := record.(*records.Page); ok && err == nil {
+		if page, ok := record.(*records.InventoryPage); ok && err == nil {
 			for _, m := range page.Machines() {
-				if m.Closed && some(m.Name) {
+				if m.Terminating && some(m.Name) {
 					n++
 				}
 			}
--- a/controller/standin_store_test.go
+++ b/controller/standin_store_test.go
@@ -119,7 +119,7 @@
 			w.events = append(w.events, wire.Event{Delete: ch.Delete, Version: w.revision})
 			continue
 		}
-		if strings.HasPrefix(ch.Put, records.KeyRevoked("")) {
+		if strings.HasPrefix(ch.Put, records.KeyRevocation("")) {
 			w.seen["revocations"]++
 		}
 		if w.hasty {
--- a/controller/term_test.go
+++ b/controller/term_test.go
@@ -39,7 +39,7 @@
 			Cloud: &simCloud{w.controllers[0]}, Workers: func() Workers { return &simCommands{w.controllers[0]} }, Peers: map[string]Peer{}}
 		control := actor.NewRef()
 		c := newControlActor(w.controllers[0].set, out, control, actor.NewRef(), nil)
-		a := newShardActor(c, "a", 3, 7, time.Now(), map[string]*records.Page{}, map[string]uint64{})
+		a := newShardActor(c, "a", 3, 7, time.Now(), map[string]*records.InventoryPage{}, map[string]uint64{})
 		a.core.LimitTermNumbers(0, 0)
 		for range 5 {
 			time.Sleep(2 * time.Second)
--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -24,14 +24,14 @@
 		field     string
 	}{
 		{records.Selection{Zones: []string{"a"}}, []string{"m-1", "m-2"}, ""},
-		{records.Selection{Types: []string{"box"}, Last: "m-2"}, []string{"m-1"}, ""},
+		{records.Selection{Types: []string{"box"}, LastMachine: "m-2"}, []string{"m-1"}, ""},
 		{records.Selection{Spot: &spot, Zones: []string{"a"}}, []string{"m-2"}, ""},
 		{records.Selection{}, []string{"m-1", "m-2", "m-3"}, "selection"}, // overlaps drain 4
 		{records.Selection{Machines: []string{"m-9"}}, nil, "machine"},
 		{records.Selection{Machines: make([]string, 99)}, nil, "machine"},
 		{records.Selection{Zones: []string{"c"}}, nil, "zone"},
 		{records.Selection{Types: []string{"vat"}}, nil, "type"},
-		{records.Selection{Last: "m-0"}, nil, "selection"},
+		{records.Selection{LastMachine: "m-0"}, nil, "selection"},
 	} {
 		var names []string
 		for _, m := range known.Select(&c.selection) {
@@ -73,7 +73,7 @@
 			}
 			cordoned[z] = append(cordoned[z], s.ChooseMachines(time.Unix(0, 0), candidates, 10)...)
 			most := max(1, int(policy.ParallelPercent/10))
-			if !record.Proven {
+			if !record.CanaryPassed {
 				most = 1
 			}
 			if n := len(cordoned[z]); n > most || n > 0 && !s.MayCordon() && record.State == records.DrainRunning {
--- a/drain/selection.go
+++ b/drain/selection.go
@@ -30,7 +30,7 @@
 func Matches(s *records.Selection, m Machine) bool {
 	in := func(list []string, x string) bool { return len(list) == 0 || slices.Contains(list, x) }
 	return in(s.Machines, m.Name) && in(s.Zones, m.Zone) && in(s.Types, m.Type) &&
-		(s.Spot == nil || *s.Spot == m.Spot) && (s.Last == "" || m.Name <= s.Last)
+		(s.Spot == nil || *s.Spot == m.Spot) && (s.LastMachine == "" || m.Name <= s.LastMachine)
 }
 
 // Inventory is what a selection is checked against.
--- a/drain/steps.go
+++ b/drain/steps.go
@@ -63,7 +63,7 @@
 	if version <= s.version {
 		return
 	}
-	if record.Attempt > s.record.Attempt {
+	if record.ResumeCount > s.record.ResumeCount {
 		s.failures = 0
 	}
 	s.record, s.version, s.isWriteInFlight = record, version, false
@@ -78,12 +78,12 @@
 // MayCordon says whether machines of this shard may be cordoned: the drain runs and is not
 // done here, and it is proven or this is the first shard that is not done.
 func (s *ShardDrain) MayCordon() bool {
-	return s.record.State == records.DrainRunning && !s.isDrained(s.shard) && (s.record.Proven || s.firstUndrainedShard() == s.shard)
+	return s.record.State == records.DrainRunning && !s.isDrained(s.shard) && (s.record.CanaryPassed || s.firstUndrainedShard() == s.shard)
 }
 
 // ProvingShard is the shard whose first machine proves the drain; empty if it is proven.
 func (s *ShardDrain) ProvingShard() string {
-	if s.record.Proven {
+	if s.record.CanaryPassed {
 		return ""
 	}
 	return s.firstUndrainedShard()
@@ -122,7 +122,7 @@
 		return nil
 	}
 	most := 1
-	if s.record.Proven {
+	if s.record.CanaryPassed {
 		most = s.policy.MaxCordoned(machines)
 	}
 	var open []Candidate
@@ -173,12 +173,12 @@
 		next.StopReason = fmt.Sprintf("%d replacements in a row failed in %s, the last: %s", s.failures, s.shard, s.lastFailure)
 	case s.remaining == 0 && !s.isDrained(s.shard) && settled:
 		next.DrainedShards = append(next.DrainedShards, s.shard)
-		next.Proven = next.Proven || s.replaced > 0
+		next.CanaryPassed = next.CanaryPassed || s.replaced > 0
 		if !slices.ContainsFunc(s.zones, func(z string) bool { return !slices.Contains(next.DrainedShards, z) }) {
 			next.State = records.DrainFinished
 		}
-	case !s.record.Proven && s.replaced > 0 && settled:
-		next.Proven = true
+	case !s.record.CanaryPassed && s.replaced > 0 && settled:
+		next.CanaryPassed = true
 	default:
 		return nil, 0
 	}
--- a/internal/loopback/drain_points_test.go
+++ b/internal/loopback/drain_points_test.go
@@ -233,9 +233,9 @@
 
 // closedIn is a zone with a machine that is durably closed; empty if there is none.
 func (s *store) closedIn() string {
-	for _, record := range s.records(records.Prefix) {
-		page, ok := record.(*records.Page)
-		if ok && slices.ContainsFunc(page.Machines(), func(m records.Machine) bool { return m.Closed }) {
+	for _, record := range s.records(records.KeyPrefix) {
+		page, ok := record.(*records.InventoryPage)
+		if ok && slices.ContainsFunc(page.Machines(), func(m records.Machine) bool { return m.Terminating }) {
 			return page.Shard
 		}
 	}
--- a/kvstore/feed.go
+++ b/kvstore/feed.go
@@ -92,7 +92,7 @@
 
 // list reads all keys and delivers the differences from what was delivered before.
 func (f *Feed) list(ctx context.Context) error {
-	items, revision, err := f.store.List(ctx, records.Prefix)
+	items, revision, err := f.store.List(ctx, records.KeyPrefix)
 	if err != nil {
 		return err
 	}
@@ -117,7 +117,7 @@
 
 // watch waits for changes after the present revision and delivers them.
 func (f *Feed) watch(ctx context.Context) error {
-	watched, err := f.store.Watch(ctx, records.Prefix, f.revision, constants.WatchTimeout)
+	watched, err := f.store.Watch(ctx, records.KeyPrefix, f.revision, constants.WatchTimeout)
 	if err != nil {
 		return err
 	}
--- a/leader/assign.go
+++ b/leader/assign.go
@@ -59,7 +59,7 @@
 	if d.tasks < unassigned {
 		job.retryAt = now.Add(constants.PartialAssignmentGap)
 	}
-	value, fitsStore := c.sizes.Grows(d.record, job.record)
+	value, fitsStore := c.sizes.EncodeWithHeadroom(d.record, job.record)
 	if !fitsStore {
 		// A job in too many assignments would outgrow a value of the key-value store.
 		// Extending an adjacent assignment hardly changes the size, so the job is not
--- a/leader/core.go
+++ b/leader/core.go
@@ -106,7 +106,7 @@
 
 // EnablePacking allows the packed encoding of records. The caller knows that no process
 // of the version before, which cannot read it, can join any more.
-func (c *Core) EnablePacking() { c.sizes.Packing = true }
+func (c *Core) EnablePacking() { c.sizes.PackingEnabled = true }
 
 // Step runs one round: it assigns tasks of the waiting jobs in the order of their rank
 // and returns the commits to write. A round that runs out of its time budget is continued
--- a/leader/gang.go
+++ b/leader/gang.go
@@ -196,7 +196,7 @@
 		record.Assignments = append(record.Assignments, records.Assignment{From: r.From, To: r.To, Closed: true})
 	}
 	record.Normalize()
-	if record.AllClosed() {
+	if record.AllTasksClosed() {
 		record.End = wire.JobDone
 	}
 	return true
--- a/leader/gang_test.go
+++ b/leader/gang_test.go
@@ -180,7 +180,7 @@
 	if len(commits) != 1 {
 		t.Fatalf("%d writes", len(commits))
 	}
-	if rec := decodeCommit(commits[0]); rec.End != wire.JobDone || !rec.AllClosed() {
+	if rec := decodeCommit(commits[0]); rec.End != wire.JobDone || !rec.AllTasksClosed() {
 		t.Fatalf("%+v", rec)
 	}
 }
--- a/member/acquisition.go
+++ b/member/acquisition.go
@@ -99,10 +99,10 @@
 	current := c.terms[key]
 	registered := c.registrations[newHolder]
 	next := records.Term{
-		Controller:        newHolder,
-		Incarnation:       registered.incarnation,
-		Number:            current.Number + 1,
-		HolderUnreachable: previousUnreachable,
+		Controller:          newHolder,
+		Incarnation:         registered.incarnation,
+		Number:              current.Number + 1,
+		PreviousUnreachable: previousUnreachable,
 	}
 	conditions := []wire.Condition{
 		{Key: key, Version: current.version},
@@ -112,7 +112,7 @@
 		if !c.IsAlive(current.Controller) {
 			conditions = append(conditions, wire.Condition{Key: records.KeyController(current.Controller), Version: 0})
 		} else if revoked, ok := c.revocationOfHolder(current.Term); ok {
-			conditions = append(conditions, wire.Condition{Key: records.KeyRevoked(current.Controller), Version: revoked.version})
+			conditions = append(conditions, wire.Condition{Key: records.KeyRevocation(current.Controller), Version: revoked.version})
 		}
 	}
 	return TermAcquisition{
--- a/member/revocation.go
+++ b/member/revocation.go
@@ -73,9 +73,9 @@
 	if !ok || revocation.Controller == c.self {
 		return wire.Txn{}, false
 	}
-	revocation.By = c.self
+	revocation.RevokedBy = c.self
 	revocation.LeaseTTLMS = target.leaseTTL.Milliseconds()
-	key := records.KeyRevoked(revocation.Controller)
+	key := records.KeyRevocation(revocation.Controller)
 	return wire.Txn{
 		Conditions: []wire.Condition{
 			{Key: key, Version: c.revocations[revocation.Controller].version},
--- a/member/revocation_test.go
+++ b/member/revocation_test.go
@@ -117,7 +117,7 @@
 	if !s.revoke(now, 0, target, none) || s.revoke(now, 0, target, none) {
 		t.Error("it is not revoked just once")
 	}
-	if late.Conditions[0].Version == s.keys[records.KeyRevoked("n-1")].Version {
+	if late.Conditions[0].Version == s.keys[records.KeyRevocation("n-1")].Version {
 		t.Error("a second revocation, decided at the same time, would be written")
 	}
 	if c := s.cores[2]; !c.IsRevoked("n-1") || c.revokedAuthorityEnded(now.Add(2*time.Second), records.KeyShard("b")) {
--- a/member/transfer.go
+++ b/member/transfer.go
@@ -60,5 +60,5 @@
 // while ago.
 func (c *Core) inFailbackCooldown(now time.Time, key string) bool {
 	term := c.terms[key]
-	return term.HolderUnreachable && now.Sub(term.firstSeen) < constants.FailbackCooldown
+	return term.PreviousUnreachable && now.Sub(term.firstSeen) < constants.FailbackCooldown
 }
--- a/peer/drain.go
+++ b/peer/drain.go
@@ -65,14 +65,14 @@
 
 // DrainView is one drain.
 type DrainView struct {
-	Number     int                   `json:"number"`
-	State      records.DrainState    `json:"state"`
-	StopReason string                `json:"why,omitempty"`
-	StartedS   int64                 `json:"started_s"`
-	Machines   int                   `json:"machines"` // at its start
-	Remaining  int                   `json:"left"`     // in the inventory
-	Proven     bool                  `json:"proven"`
-	Shards     []drain.ShardProgress `json:"shards,omitempty"` // as their owners told last
+	Number       int                   `json:"number"`
+	State        records.DrainState    `json:"state"`
+	StopReason   string                `json:"why,omitempty"`
+	StartedS     int64                 `json:"started_s"`
+	Machines     int                   `json:"machines"` // at its start
+	Remaining    int                   `json:"left"`     // in the inventory
+	CanaryPassed bool                  `json:"proven"`
+	Shards       []drain.ShardProgress `json:"shards,omitempty"` // as their owners told last
 }
 
 // DrainHandler answers requests about drains. It is called on a goroutine of its own
--- a/records/changes.go
+++ b/records/changes.go
@@ -25,8 +25,8 @@
 		return Change{Key: key, Version: version, Record: record}, nil
 	}
 	change := Change{Key: key, Version: version}
-	if decodeDraining(key) != nil {
-		change.Record = &Damaged{key}
+	if newDrainingRecord(key) != nil {
+		change.Record = &DamagedRecord{key}
 	}
 	return change, err
 }
--- a/records/counts.go
+++ b/records/counts.go
@@ -6,24 +6,24 @@
 
 // Indexes of the two numbers.
 const (
-	countRunning = iota
-	countDone
+	runningIndex = iota
+	doneIndex
 )
 
 // Running is how many tasks run.
-func (c TaskCounts) Running() int { return c[countRunning] }
+func (c TaskCounts) Running() int { return c[runningIndex] }
 
 // Done is how many tasks are done in open assignments.
-func (c TaskCounts) Done() int { return c[countDone] }
+func (c TaskCounts) Done() int { return c[doneIndex] }
 
-// Empty says that nothing is counted.
-func (c TaskCounts) Empty() bool { return c == TaskCounts{} }
+// IsZero says that nothing is counted.
+func (c TaskCounts) IsZero() bool { return c == TaskCounts{} }
 
 // AddRunning counts one more task that runs.
-func (c *TaskCounts) AddRunning() { c[countRunning]++ }
+func (c *TaskCounts) AddRunning() { c[runningIndex]++ }
 
 // AddDone counts one more task that is done.
-func (c *TaskCounts) AddDone() { c[countDone]++ }
+func (c *TaskCounts) AddDone() { c[doneIndex]++ }
 
 // Plus is the sum of two counts.
 func (c TaskCounts) Plus(other TaskCounts) TaskCounts {
--- a/records/draining.go
+++ b/records/draining.go
@@ -9,8 +9,8 @@
 // Keys of drains and of claims on disruption budgets. A version that does not know them
 // leaves them alone.
 const (
-	drainPrefix = Prefix + "drain/"
-	claimPrefix = Prefix + "claim/"
+	drainPrefix = KeyPrefix + "drain/"
+	claimPrefix = KeyPrefix + "claim/"
 )
 
 // KeyDrain is the key of a drain. Numbers are padded so that keys are in their order.
@@ -40,8 +40,8 @@
 	DrainFinished  DrainState = "finished"
 )
 
-// Over says that a drain in this state never goes on.
-func (s DrainState) Over() bool { return s == DrainCancelled || s == DrainFinished }
+// IsTerminal says that a drain in this state never goes on.
+func (s DrainState) IsTerminal() bool { return s == DrainCancelled || s == DrainFinished }
 
 // Selection says which machines a drain takes in: all that fit every field that is set.
 type Selection struct {
@@ -49,8 +49,8 @@
 	Zones    []string `json:"zones,omitempty"`
 	Types    []string `json:"types,omitempty"`
 	Spot     *bool    `json:"spot,omitempty"`
-	// Last is the last machine that it takes in: names are in the order of rental.
-	Last string `json:"last,omitempty"`
+	// LastMachine is the last machine that it takes in: names are in the order of rental.
+	LastMachine string `json:"last,omitempty"`
 }
 
 // Drain is the record of a drain.
@@ -60,26 +60,26 @@
 	State         DrainState `json:"state"`
 	StopReason    string     `json:"why,omitempty"`      // it stopped
 	StartedS      int64      `json:"at"`                 // time of day (s)
-	Machines      int        `json:"machines"`           // that it took in when it was started
-	Proven        bool       `json:"proven,omitempty"`   // the first machine was replaced
+	MachineCount  int        `json:"machines"`           // that it took in when it was started
+	CanaryPassed  bool       `json:"proven,omitempty"`   // the first machine was replaced
 	DrainedShards []string   `json:"done,omitempty"`     // shards without machines of it
-	Attempt       int        `json:"attempts,omitempty"` // how often it was resumed
+	ResumeCount   int        `json:"attempts,omitempty"` // how often it was resumed
 }
 
-// Damaged stands for a record of a drain or a claim that cannot be read.
-type Damaged struct{ Key string }
+// DamagedRecord stands for a record of a drain or a claim that cannot be read.
+type DamagedRecord struct{ Key string }
 
-// Drain is the number of the damaged drain; ok is false if it is none.
-func (d *Damaged) Drain() (number int, ok bool) {
-	r, ok := decodeDraining(d.Key).(*Drain)
+// DrainNumber is the number of the damaged drain; ok is false if it is none.
+func (d *DamagedRecord) DrainNumber() (number int, ok bool) {
+	r, ok := newDrainingRecord(d.Key).(*Drain)
 	if !ok {
 		return 0, false
 	}
 	return r.Number, true
 }
 
-// DisruptionClaim is the shard of the damaged claim; ok is false if it is none.
-func (d *Damaged) DisruptionClaim() (shard string, ok bool) {
+// ClaimedShard is the shard of the damaged claim; ok is false if it is none.
+func (d *DamagedRecord) ClaimedShard() (shard string, ok bool) {
 	return strings.CutPrefix(d.Key, claimPrefix)
 }
 
@@ -90,9 +90,9 @@
 	return &c
 }
 
-// decodeDraining makes the empty record under a key of drains or claims; nil for a key
+// newDrainingRecord makes the empty record under a key of drains or claims; nil for a key
 // of another kind.
-func decodeDraining(key string) any {
+func newDrainingRecord(key string) any {
 	if shard, ok := strings.CutPrefix(key, claimPrefix); ok {
 		return &DisruptionClaim{Shard: shard}
 	}
--- a/records/golden_test.go
+++ b/records/golden_test.go
@@ -10,20 +10,20 @@
 // the encoded form of each stored record is fixed to the letter, whatever its Go
 // identifiers are called.
 func TestStoredFormsAreFixed(t *testing.T) {
-	page := &Page{}
+	page := &InventoryPage{}
 	page.Add(Machine{Name: "m-1", Type: "box", Addr: "10.0.0.9:9000"})
 	page.Add(Machine{Name: "m-2", Type: "box", RequestedS: 17})
-	closing := &Page{}
-	closing.Add(Machine{Name: "m-1", Type: "box", Spot: true, Addr: "10.0.0.9:9000", Closed: true})
+	closing := &InventoryPage{}
+	closing.Add(Machine{Name: "m-1", Type: "box", Spot: true, Addr: "10.0.0.9:9000", Terminating: true})
 	for _, c := range []struct {
 		name, key, want string
 		record          any
 	}{
 		{"controller", KeyController("n-0"), `{"inc":7,"pack":true}`, Controller{Name: "n-0", Incarnation: 7, ReadsPacked: true}},
 		{"controller that heeds revocations", KeyController("n-0"), `{"inc":7,"life":3500}`, Controller{Name: "n-0", Incarnation: 7, LeaseTTLMS: 3500}},
-		{"revocation", KeyRevoked("n-0"), `{"inc":7,"life":3500,"by":"n-1","ev":["unserved"],"acc":["n-1","n-2"]}`,
-			Revocation{Controller: "n-0", Incarnation: 7, LeaseTTLMS: 3500, By: "n-1", Evidence: []string{"unserved"}, Accusers: []string{"n-1", "n-2"}}},
-		{"term", KeyShard("a"), `{"node":"n-0","inc":7,"term":3,"cut":true}`, Term{Shard: "a", Controller: "n-0", Incarnation: 7, Number: 3, HolderUnreachable: true}},
+		{"revocation", KeyRevocation("n-0"), `{"inc":7,"life":3500,"by":"n-1","ev":["unserved"],"acc":["n-1","n-2"]}`,
+			Revocation{Controller: "n-0", Incarnation: 7, LeaseTTLMS: 3500, RevokedBy: "n-1", Evidence: []string{"unserved"}, Accusers: []string{"n-1", "n-2"}}},
+		{"term", KeyShard("a"), `{"node":"n-0","inc":7,"term":3,"cut":true}`, Term{Shard: "a", Controller: "n-0", Incarnation: 7, Number: 3, PreviousUnreachable: true}},
 		{"leader's term", KeyLeader, `{"node":"n-0","inc":7,"term":3}`, Term{Controller: "n-0", Incarnation: 7, Number: 3}},
 		{"page", KeyInventory("a", 2), `{"g":[{"t":"box","u":{"m-1":"10.0.0.9:9000"},"c":{"m-2":17}}]}`, page},
 		{"page with a closed machine", KeyInventory("a", 3), `{"g":[{"t":"box","s":true,"u":{"m-1":"10.0.0.9:9000"},"x":["m-1"]}]}`, closing},
--- a/records/packed.go
+++ b/records/packed.go
@@ -16,10 +16,10 @@
 
 // SizeLimits are the limits on a record, as they are and as they will be.
 type SizeLimits struct {
-	Now, Next int // bytes; Next is the smaller
-	// Packing: no process of the version before can come any more, which could not
+	Current, Next int // bytes; Next is the smaller
+	// PackingEnabled: no process of the version before can come any more, which could not
 	// read a packed record.
-	Packing bool
+	PackingEnabled bool
 }
 
 // Encode writes a job's record so that it can be stored; ok is false if it cannot
@@ -31,29 +31,29 @@
 	switch {
 	case len(plain) <= z.Next:
 		return plain, true
-	case z.Packing:
-		packed := pack(j)
+	case z.PackingEnabled:
+		packed := packJob(j)
 		if len(packed) > z.Next && j.End != "" {
 			// A job that is over is placed nowhere any more: what says where it
 			// may run can go, so that it can always end.
 			bare := *j
 			bare.Spec.Types, bare.Spec.Image, bare.Spec.Zone = nil, "", ""
-			packed = pack(&bare)
+			packed = packJob(&bare)
 		}
 		return packed, len(packed) <= z.Next
 	}
-	return plain, len(plain) <= z.Now && was != nil && grown(was) > z.Next
+	return plain, len(plain) <= z.Current && was != nil && sizeAtEnd(was) > z.Next
 }
 
-// Grows says whether a record with new pieces can be stored now and to its end.
-func (z SizeLimits) Grows(j, was *Job) (value json.RawMessage, ok bool) {
+// EncodeWithHeadroom says whether a record with new pieces can be stored now and to its end.
+func (z SizeLimits) EncodeWithHeadroom(j, was *Job) (value json.RawMessage, ok bool) {
 	value, ok = z.Encode(j, was)
-	return value, ok && (z.Packing || grown(j) <= max(z.Next, grown(was)))
+	return value, ok && (z.PackingEnabled || sizeAtEnd(j) <= max(z.Next, sizeAtEnd(was)))
 }
 
-// grown is the most that a record takes later without new pieces: all of them
+// sizeAtEnd is the most that a record takes later without new pieces: all of them
 // closed, and its end told.
-func grown(j *Job) int {
+func sizeAtEnd(j *Job) int {
 	n := len(Encode(j)) + len(`,"end":"cancelled"`)
 	for _, ch := range j.Assignments {
 		if !ch.Closed {
@@ -63,9 +63,9 @@
 	return n
 }
 
-// Storable says whether a job could be stored to its end: with a piece in each of
+// FitsUntilEnd says whether a job could be stored to its end: with a piece in each of
 // so many shards, closed or not, and its end told.
-func (z SizeLimits) Storable(j *Job, shards []string) bool {
+func (z SizeLimits) FitsUntilEnd(j *Job, shards []string) bool {
 	full := *j
 	full.End = "cancelled "
 	full.Attempt = 1 << 32
@@ -90,9 +90,9 @@
 	codesAShard    = 4
 )
 
-const digits = "ABCDEFGHIJKLMNOPQRSTUVWXYZ"
+const codeDigits = "ABCDEFGHIJKLMNOPQRSTUVWXYZ"
 
-func pack(j *Job) json.RawMessage {
+func packJob(j *Job) json.RawMessage {
 	bare := *j
 	bare.Assignments = nil
 	var runs strings.Builder
@@ -104,8 +104,8 @@
 		}
 		var b []byte
 		for {
-			b = append(b, digits[code%len(digits)])
-			if code /= len(digits); code == 0 {
+			b = append(b, codeDigits[code%len(codeDigits)])
+			if code /= len(codeDigits); code == 0 {
 				break
 			}
 		}
@@ -152,10 +152,10 @@
 	return plain
 }
 
-var errPacked = errors.New("not a packed record")
+var errNotPacked = errors.New("not a packed record")
 
-// unpack reads what pack wrote.
-func unpack(data []byte, j *Job) error {
+// unpackJob reads what pack wrote.
+func unpackJob(data []byte, j *Job) error {
 	var elements []json.RawMessage
 	if err := wire.Decode(data, &elements); err != nil {
 		return err
@@ -178,7 +178,7 @@
 		}
 	}
 	if len(elements) != 3 {
-		return errPacked
+		return errNotPacked
 	}
 	var runs string
 	var names []string
@@ -188,18 +188,18 @@
 	at := 0
 	for len(runs) > 0 {
 		code, scale := 0, 1
-		for len(runs) > 0 && strings.IndexByte(digits, runs[0]) >= 0 {
-			code += scale * strings.IndexByte(digits, runs[0])
-			scale *= len(digits)
+		for len(runs) > 0 && strings.IndexByte(codeDigits, runs[0]) >= 0 {
+			code += scale * strings.IndexByte(codeDigits, runs[0])
+			scale *= len(codeDigits)
 			runs = runs[1:]
 		}
-		end := strings.IndexAny(runs, digits)
+		end := strings.IndexAny(runs, codeDigits)
 		if end < 0 {
 			end = len(runs)
 		}
 		n, err := strconv.ParseInt(runs[:end], 36, 32)
 		if err != nil || n <= 0 {
-			return errPacked
+			return errNotPacked
 		}
 		runs = runs[end:]
 		ch := Assignment{From: at, To: at + int(n)}
@@ -212,7 +212,7 @@
 		default:
 			code -= codeOpen
 			if code/codesAShard >= len(names) {
-				return errPacked
+				return errNotPacked
 			}
 			ch.Shard = names[code/codesAShard]
 			ch.KeepWaiting = code%codesAShard&codeKeep != 0
--- a/records/packed_test.go
+++ b/records/packed_test.go
@@ -50,14 +50,14 @@
 func TestLargeRecordIsPacked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		j := drawJob(t)
-		old := SizeLimits{Now: 16 << 10, Next: 2 << 10}
-		if len(Encode(j)) > old.Now {
+		old := SizeLimits{Current: 16 << 10, Next: 2 << 10}
+		if len(Encode(j)) > old.Current {
 			t.Skip("the version before could not have written it")
 		}
 		if v, ok := old.Encode(j, j); !ok || string(v) != string(Encode(j)) {
 			t.Fatalf("not written plainly (%v) while the version before may read it", ok)
 		}
-		old.Packing = true
+		old.PackingEnabled = true
 		value, ok := old.Encode(j, j)
 		if !ok || len(value) > old.Next {
 			t.Fatalf("%d bytes of %d for %d assignments", len(value), old.Next, len(j.Assignments))
@@ -79,8 +79,8 @@
 		was := drawJob(t)
 		j := was.Clone()
 		j.Assignments = append(j.Assignments, Assignment{From: j.Spec.Tasks - 1, To: j.Spec.Tasks, Shard: "mill-annex", KeepWaiting: true})
-		z := SizeLimits{Now: 16 << 10, Next: rapid.IntRange(300, 8<<10).Draw(t, "next")}
-		if _, ok := z.Grows(j, was); !ok {
+		z := SizeLimits{Current: 16 << 10, Next: rapid.IntRange(300, 8<<10).Draw(t, "next")}
+		if _, ok := z.EncodeWithHeadroom(j, was); !ok {
 			return
 		}
 		end := j.Clone()
@@ -101,8 +101,8 @@
 	for i := range 32 {
 		j.Spec.Types = append(j.Spec.Types, fmt.Sprintf("%0100d-kind-%02d", 7, i))
 	}
-	z := SizeLimits{Now: 8 << 10, Next: 2 << 10, Packing: true}
-	if z.Storable(j, []string{"a", "b"}) {
+	z := SizeLimits{Current: 8 << 10, Next: 2 << 10, PackingEnabled: true}
+	if z.FitsUntilEnd(j, []string{"a", "b"}) {
 		t.Error("accepted though it cannot be stored plainly")
 	}
 	was := *j
@@ -126,7 +126,7 @@
 		j.Assignments = []Assignment{{From: 0, To: 4, Shard: "a"}, {From: 4, To: 9, Shard: "b", Closed: true}}
 		was := *j
 		was.End = ""
-		value, ok := SizeLimits{Now: 8 << 10, Next: 2 << 10, Packing: true}.Encode(j, &was)
+		value, ok := SizeLimits{Current: 8 << 10, Next: 2 << 10, PackingEnabled: true}.Encode(j, &was)
 		if !ok {
 			t.Fatalf("%d bytes", len(value))
 		}
@@ -182,7 +182,7 @@
 		if got, err := Decode(KeyJob(j.ID), b); err != nil || !reflect.DeepEqual(bare(got.(*Job)), bare(j)) {
 			t.Fatalf("%+v became %+v, %v", j, got, err)
 		}
-		if err := json.Unmarshal(pack(j), &frozenJob{}); err == nil {
+		if err := json.Unmarshal(packJob(j), &frozenJob{}); err == nil {
 			t.Fatal("the version before would take a packed record for a job without assignments")
 		}
 	})
--- a/records/records.go
+++ b/records/records.go
@@ -14,21 +14,21 @@
 
 // Keys. Everything stands under one prefix so that one watch sees it all.
 const (
-	Prefix          = "rv/"
-	KeyLeader       = Prefix + "leader"
-	KeyBarrier      = Prefix + "barrier" // never written; reading it tells the revision
-	nodePrefix      = Prefix + "node/"
-	revokePrefix    = Prefix + "revoked/"
-	shardPrefix     = Prefix + "part/"
-	inventoryPrefix = Prefix + "roster/"
-	jobPrefix       = Prefix + "job/"
+	KeyPrefix        = "rv/"
+	KeyLeader        = KeyPrefix + "leader"
+	KeyBarrier       = KeyPrefix + "barrier" // never written; reading it tells the revision
+	controllerPrefix = KeyPrefix + "node/"
+	revocationPrefix = KeyPrefix + "revoked/"
+	shardPrefix      = KeyPrefix + "part/"
+	inventoryPrefix  = KeyPrefix + "roster/"
+	jobPrefix        = KeyPrefix + "job/"
 )
 
 // KeyController is the key that lives as long as a controller's lease.
-func KeyController(node string) string { return nodePrefix + node }
+func KeyController(name string) string { return controllerPrefix + name }
 
-// KeyRevoked is the key of the latest revocation of a controller's process.
-func KeyRevoked(node string) string { return revokePrefix + node }
+// KeyRevocation is the key of the latest revocation of a controller's process.
+func KeyRevocation(controller string) string { return revocationPrefix + controller }
 
 // KeyShard is the key of a shard's term.
 func KeyShard(shard string) string { return shardPrefix + shard }
@@ -59,7 +59,7 @@
 	Controller  string   `json:"-"`
 	Incarnation uint64   `json:"inc"`
 	LeaseTTLMS  int64    `json:"life"`
-	By          string   `json:"by"`
+	RevokedBy   string   `json:"by"`
 	Evidence    []string `json:"ev,omitempty"`
 	Accusers    []string `json:"acc,omitempty"`
 }
@@ -71,15 +71,15 @@
 	Controller  string `json:"node"`
 	Incarnation uint64 `json:"inc"`
 	Number      uint64 `json:"term"`
-	// HolderUnreachable: the holder before gave the term up because its machines could not
+	// PreviousUnreachable: the holder before gave the term up because its machines could not
 	// reach it. It gets it back only after a while.
-	HolderUnreachable bool `json:"cut,omitempty"`
+	PreviousUnreachable bool `json:"cut,omitempty"`
 }
 
-// Page is one page of a shard's inventory. An inventory of a thousand machines with a
+// InventoryPage is one page of a shard's inventory. An inventory of a thousand machines with a
 // key for each would take minutes of the state service's changes; grouped by
 // kind, a page of 8 KiB takes some two hundred.
-type Page struct {
+type InventoryPage struct {
 	Shard  string         `json:"-"`
 	Number int            `json:"-"`
 	Groups []MachineGroup `json:"g"`
@@ -89,13 +89,13 @@
 type MachineGroup struct {
 	Type string `json:"t"`
 	Spot bool   `json:"s,omitempty"`
-	// Up are those that have reported, with their addresses.
-	Up map[string]string `json:"u,omitempty"`
+	// Registered are those that have reported, with their addresses.
+	Registered map[string]string `json:"u,omitempty"`
 	// Pending are those that have not, with the time of day of their rental (s):
 	// nothing was ever sent to them.
 	Pending map[string]int64 `json:"c,omitempty"`
-	// Closed are those of both that are to be returned: they never take a task again.
-	Closed []string `json:"x,omitempty"`
+	// Terminating are those of both that are to be returned: they never take a task again.
+	Terminating []string `json:"x,omitempty"`
 }
 
 // Machine is one machine of a page.
@@ -103,11 +103,11 @@
 	Name, Type, Addr string // no address: it has not come up
 	Spot             bool
 	RequestedS       int64
-	Closed           bool // it is to be returned, and never takes a task again
+	Terminating      bool // it is to be returned, and never takes a task again
 }
 
 // Add puts a machine on the page.
-func (p *Page) Add(m Machine) {
+func (p *InventoryPage) Add(m Machine) {
 	at := -1
 	for i := range p.Groups {
 		if p.Groups[i].Type == m.Type && p.Groups[i].Spot == m.Spot {
@@ -116,27 +116,27 @@
 	}
 	if at < 0 {
 		at = len(p.Groups)
-		p.Groups = append(p.Groups, MachineGroup{Type: m.Type, Spot: m.Spot, Up: map[string]string{}, Pending: map[string]int64{}})
+		p.Groups = append(p.Groups, MachineGroup{Type: m.Type, Spot: m.Spot, Registered: map[string]string{}, Pending: map[string]int64{}})
 	}
 	if m.Addr != "" {
-		p.Groups[at].Up[m.Name] = m.Addr
+		p.Groups[at].Registered[m.Name] = m.Addr
 	} else {
 		p.Groups[at].Pending[m.Name] = m.RequestedS
 	}
-	if m.Closed {
-		p.Groups[at].Closed = append(p.Groups[at].Closed, m.Name)
+	if m.Terminating {
+		p.Groups[at].Terminating = append(p.Groups[at].Terminating, m.Name)
 	}
 }
 
 // Machines lists the machines of the page.
-func (p *Page) Machines() []Machine {
+func (p *InventoryPage) Machines() []Machine {
 	var out []Machine
 	for _, g := range p.Groups {
-		for name, addr := range g.Up {
-			out = append(out, Machine{Name: name, Type: g.Type, Spot: g.Spot, Addr: addr, Closed: slices.Contains(g.Closed, name)})
+		for name, addr := range g.Registered {
+			out = append(out, Machine{Name: name, Type: g.Type, Spot: g.Spot, Addr: addr, Terminating: slices.Contains(g.Terminating, name)})
 		}
 		for name, at := range g.Pending {
-			out = append(out, Machine{Name: name, Type: g.Type, Spot: g.Spot, RequestedS: at, Closed: slices.Contains(g.Closed, name)})
+			out = append(out, Machine{Name: name, Type: g.Type, Spot: g.Spot, RequestedS: at, Terminating: slices.Contains(g.Terminating, name)})
 		}
 	}
 	slices.SortFunc(out, func(a, b Machine) int { return strings.Compare(a.Name, b.Name) })
@@ -208,8 +208,8 @@
 	return out
 }
 
-// AllClosed says whether every task is in a closed assignment.
-func (j *Job) AllClosed() bool {
+// AllTasksClosed says whether every task is in a closed assignment.
+func (j *Job) AllTasksClosed() bool {
 	at := 0
 	for _, c := range j.Assignments {
 		if c.From != at || !c.Closed {
@@ -281,28 +281,28 @@
 		v = &Term{}
 	case strings.HasPrefix(key, shardPrefix):
 		v = &Term{Shard: key[len(shardPrefix):]}
-	case strings.HasPrefix(key, nodePrefix):
-		v = &Controller{Name: key[len(nodePrefix):]}
-	case strings.HasPrefix(key, revokePrefix):
-		v = &Revocation{Controller: key[len(revokePrefix):]}
+	case strings.HasPrefix(key, controllerPrefix):
+		v = &Controller{Name: key[len(controllerPrefix):]}
+	case strings.HasPrefix(key, revocationPrefix):
+		v = &Revocation{Controller: key[len(revocationPrefix):]}
 	case strings.HasPrefix(key, inventoryPrefix):
 		shard, page, _ := strings.Cut(key[len(inventoryPrefix):], "/")
 		n, err := strconv.Atoi(page)
 		if err != nil {
 			return nil, nil
 		}
-		v = &Page{Shard: shard, Number: n}
+		v = &InventoryPage{Shard: shard, Number: n}
 	case strings.HasPrefix(key, jobPrefix):
 		j := &Job{ID: key[len(jobPrefix):]}
 		if len(data) > 0 && data[0] == '[' {
-			if err := unpack(data, j); err != nil {
+			if err := unpackJob(data, j); err != nil {
 				return nil, fmt.Errorf("record %s: %w", key, err)
 			}
 			return j, nil
 		}
 		v = j
 	default:
-		if v = decodeDraining(key); v == nil {
+		if v = newDrainingRecord(key); v == nil {
 			return nil, nil
 		}
 	}
@@ -314,7 +314,7 @@
 
 // KeyKind splits a key for changes whose value is gone.
 func KeyKind(key string) (kind, rest string) {
-	kind, rest, _ = strings.Cut(strings.TrimPrefix(key, Prefix), "/")
+	kind, rest, _ = strings.Cut(strings.TrimPrefix(key, KeyPrefix), "/")
 	return kind, rest
 }
 
--- a/settings/limits.go
+++ b/settings/limits.go
@@ -36,8 +36,8 @@
 // RecordSizeLimits are the limits on a job's record, now and later.
 func (s *Settings) RecordSizeLimits() records.SizeLimits {
 	return records.SizeLimits{
-		Now:  int(s.Deployment.Store.ValueKB * bytesPerKB),
-		Next: s.ValueBytes(),
+		Current: int(s.Deployment.Store.ValueKB * bytesPerKB),
+		Next:    s.ValueBytes(),
 	}
 }
 
--- a/shard/assignments.go
+++ b/shard/assignments.go
@@ -60,7 +60,7 @@
 	} else {
 		rec.Normalize()
 	}
-	if rec.End == "" && !rec.Spec.IsService() && rec.AllClosed() {
+	if rec.End == "" && !rec.Spec.IsService() && rec.AllTasksClosed() {
 		rec.End = wire.JobDone
 	}
 	c.writeJob(now, id, j, rec)
--- a/shard/core.go
+++ b/shard/core.go
@@ -65,7 +65,7 @@
 // inventory are as of that revision.
 func New(cfg Config, term, termVersion uint64, now time.Time, types []wire.MachineType,
 
-	jobs map[string]*records.Job, versions map[string]uint64, inventory map[string]*records.Page, inventoryVersions map[string]uint64) *Core {
+	jobs map[string]*records.Job, versions map[string]uint64, inventory map[string]*records.InventoryPage, inventoryVersions map[string]uint64) *Core {
 	c := &Core{
 		fleetView: fleetView{
 			ownership: ownership{cfg: cfg, term: term, numbers: newNumbers(term), termVer: termVersion, claimed: now},
@@ -110,7 +110,7 @@
 	switch r := ch.Record.(type) {
 	case *records.Job:
 		c.applyJob(now, r.ID, r, ch.Version, false)
-	case *records.Page:
+	case *records.InventoryPage:
 		if r.Shard == c.cfg.Shard {
 			c.applyPage(now, r, ch.Version)
 		}
--- a/shard/core_test.go
+++ b/shard/core_test.go
@@ -28,18 +28,18 @@
 
 func newRig(jobs map[string]*records.Job, inventory ...records.Machine) *rig {
 	r := &rig{now: time.Unix(1000, 0), version: 100, term: 5}
-	versions, pages, pageV := map[string]uint64{}, map[string]*records.Page{}, map[string]uint64{}
+	versions, pages, pageV := map[string]uint64{}, map[string]*records.InventoryPage{}, map[string]uint64{}
 	for id := range jobs {
 		versions[id] = 10
 	}
 	if len(inventory) > 0 {
 		k := records.KeyInventory("a", 0)
-		pages[k], pageV[k] = &records.Page{Shard: "a"}, 11
+		pages[k], pageV[k] = &records.InventoryPage{Shard: "a"}, 11
 		for _, m := range inventory {
 			pages[k].Add(m)
 		}
 	}
-	cfg := Config{Shard: "a", HeartbeatPeriod: 3 * time.Second, LeaseEnd: leaseEnd, IdleSpot: time.Hour, IdleOnDemand: time.Hour, UseSpot: true, ListLag: 5 * time.Second, SizeLimits: records.SizeLimits{Now: 8192, Next: 8192}, MaxDirectCommands: 200, TxnOps: 12, WriteRPS: 100, Order: leader.NewJobOrder(nil)}
+	cfg := Config{Shard: "a", HeartbeatPeriod: 3 * time.Second, LeaseEnd: leaseEnd, IdleSpot: time.Hour, IdleOnDemand: time.Hour, UseSpot: true, ListLag: 5 * time.Second, SizeLimits: records.SizeLimits{Current: 8192, Next: 8192}, MaxDirectCommands: 200, TxnOps: 12, WriteRPS: 100, Order: leader.NewJobOrder(nil)}
 	types := []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.4, BootS: 10, Zones: []string{"a"}}}
 	r.Core = New(cfg, r.term, 50, r.now, types, jobs, versions, pages, pageV)
 	r.SetAuthority(r.now.Add(time.Hour))
@@ -503,7 +503,7 @@
 	for name, shows := range map[string]bool{"silent": false, "shows the new token": true} {
 		t.Run(name, func(t *testing.T) {
 			next := newRig(map[string]*records.Job{"run-1": array("run-1", 2, "a")}, records.Machine{Name: "m-0", Type: "box", Addr: "m-0:1"})
-			next.Core = New(Config{Shard: "a", HeartbeatPeriod: 3 * time.Second, LeaseEnd: leaseEnd, LeaseExtension: leaseExtension, SizeLimits: records.SizeLimits{Now: 8192, Next: 8192}, MaxDirectCommands: 200, TxnOps: 12, WriteRPS: 100, Order: leader.NewJobOrder(nil)},
+			next.Core = New(Config{Shard: "a", HeartbeatPeriod: 3 * time.Second, LeaseEnd: leaseEnd, LeaseExtension: leaseExtension, SizeLimits: records.SizeLimits{Current: 8192, Next: 8192}, MaxDirectCommands: 200, TxnOps: 12, WriteRPS: 100, Order: leader.NewJobOrder(nil)},
 				6, 51, over, nil, nil, nil, nil, nil)
 			next.SetAuthority(over.Add(time.Hour))
 			// It is heard once, but its answer may be lost, and then the old owner
--- a/shard/draining.go
+++ b/shard/draining.go
@@ -85,14 +85,14 @@
 	case *records.Drain:
 		d.applyDrain(shard, r, ch.Version)
 	case nil:
-		if number, ok := (&records.Damaged{Key: ch.Key}).Drain(); ok {
+		if number, ok := (&records.DamagedRecord{Key: ch.Key}).DrainNumber(); ok {
 			delete(d.drains, number) // an old one was cleared away
 		}
-	case *records.Damaged:
-		if claimOf, ok := r.DisruptionClaim(); ok {
+	case *records.DamagedRecord:
+		if claimOf, ok := r.ClaimedShard(); ok {
 			d.ledger.ApplyDamagedClaim(claimOf, ch.Version)
 		}
-		if number, ok := r.Drain(); ok {
+		if number, ok := r.DrainNumber(); ok {
 			d.damagedRecords[number] = true
 			delete(d.drains, number)
 		}
@@ -103,7 +103,7 @@
 	delete(d.damagedRecords, r.Number)
 	steps := d.drains[r.Number]
 	switch {
-	case r.State.Over():
+	case r.State.IsTerminal():
 		delete(d.drains, r.Number)
 		delete(d.waitReasons, r.Number)
 	case steps != nil:
--- a/shard/draining_test.go
+++ b/shard/draining_test.go
@@ -81,7 +81,7 @@
 	for _, task := range j.tasks { // as if each had just been heard of, while it was fetched
 		task.hold.runSince = r.now
 	}
-	spread := records.Drain{Number: 1, State: records.DrainRunning, Proven: true, Selection: records.Selection{Machines: []string{"m-0", "m-1"}}}
+	spread := records.Drain{Number: 1, State: records.DrainRunning, CanaryPassed: true, Selection: records.Selection{Machines: []string{"m-0", "m-1"}}}
 	r.Apply(r.now, records.Change{Key: records.KeyDrain(1), Version: r.version, Record: &spread})
 	moved := map[*task]bool{}
 	for range 240 {
@@ -171,7 +171,7 @@
 				units[interruptionUnitOf(task)] = true
 			}
 		}
-		record := records.Drain{Number: 1, State: records.DrainRunning, Proven: true, Selection: records.Selection{Machines: []string{"m-0", "m-1"}}}
+		record := records.Drain{Number: 1, State: records.DrainRunning, CanaryPassed: true, Selection: records.Selection{Machines: []string{"m-0", "m-1"}}}
 		r.Apply(r.now, records.Change{Key: records.KeyDrain(1), Version: r.version, Record: &record})
 		interrupted := map[interruptionUnit]bool{}
 		for range 300 {
--- a/shard/gang_test.go
+++ b/shard/gang_test.go
@@ -271,11 +271,11 @@
 // machine is on a durable page; also where the owner that did it ends half way.
 func TestLargePageIsSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		pages := map[string]*records.Page{}
+		pages := map[string]*records.InventoryPage{}
 		versions := map[string]uint64{}
 		names := map[string]bool{}
 		for p := range rapid.IntRange(1, 3).Draw(t, "pages") {
-			pg := &records.Page{Shard: "a", Number: p}
+			pg := &records.InventoryPage{Shard: "a", Number: p}
 			for i := range rapid.IntRange(1, 190).Draw(t, "machines") {
 				name := fmt.Sprintf("m-%06d", 1000*p+i)
 				names[name] = true
@@ -288,7 +288,7 @@
 		for term := uint64(5); term < 9; term++ {
 			r := newRig(nil)
 			cfg := r.cfg
-			cfg.SizeLimits, cfg.TxnOps = records.SizeLimits{Now: 8192, Next: limit}, rapid.IntRange(1, 4).Draw(t, "ops")
+			cfg.SizeLimits, cfg.TxnOps = records.SizeLimits{Current: 8192, Next: limit}, rapid.IntRange(1, 4).Draw(t, "ops")
 			now := r.now
 			c := New(cfg, term, 50, now, []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 32, Zones: []string{"a"}}}, nil, nil, pages, versions)
 			c.SetAuthority(now.Add(time.Hour))
@@ -316,7 +316,7 @@
 						if err != nil {
 							t.Fatal(err)
 						}
-						pages[ch.Put], versions[ch.Put] = rec.(*records.Page), rev
+						pages[ch.Put], versions[ch.Put] = rec.(*records.InventoryPage), rev
 					}
 					on := map[string]bool{}
 					for _, p := range pages {
--- a/shard/inventory.go
+++ b/shard/inventory.go
@@ -11,7 +11,7 @@
 )
 
 // applyPage takes in a page as the state service has it.
-func (c *Core) applyPage(now time.Time, r *records.Page, version uint64) {
+func (c *Core) applyPage(now time.Time, r *records.InventoryPage, version uint64) {
 	p := c.page(r.Number)
 	if version <= p.version {
 		return
@@ -32,7 +32,7 @@
 		m.page = r.Number
 		p.put(e.Name)
 		m.durable, m.inventoryAddr = true, e.Addr
-		if e.Closed {
+		if e.Terminating {
 			c.noteClosed(m)
 		} else if m.closing.decided {
 			p.dirty = true // a version that does not know the mark has dropped it
@@ -88,7 +88,7 @@
 		if m == nil || m.leaving {
 			continue
 		}
-		out = append(out, records.Machine{Name: name, Type: m.typeName, Spot: m.spot, Addr: m.addr, RequestedS: m.rentedAt.Unix(), Closed: m.closing.decided})
+		out = append(out, records.Machine{Name: name, Type: m.typeName, Spot: m.spot, Addr: m.addr, RequestedS: m.rentedAt.Unix(), Terminating: m.closing.decided})
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].Name < out[b].Name })
 	return out
@@ -123,7 +123,7 @@
 	for _, p := range ps {
 		entries := c.entries(p)
 		key := records.KeyInventory(c.cfg.Shard, p.number)
-		var r records.Page
+		var r records.InventoryPage
 		for _, e := range entries {
 			r.Add(e)
 		}
@@ -175,7 +175,7 @@
 		for _, e := range sent {
 			if m := c.machines[e.Name]; m != nil {
 				m.durable, m.inventoryAddr = true, e.Addr
-				if e.Closed {
+				if e.Terminating {
 					c.noteClosed(m)
 				}
 			}
--- a/shard/ownership.go
+++ b/shard/ownership.go
@@ -72,4 +72,4 @@
 }
 
 // EnablePacking says that no process of the version before can come any more.
-func (o *ownership) EnablePacking() { o.cfg.SizeLimits.Packing = true }
+func (o *ownership) EnablePacking() { o.cfg.SizeLimits.PackingEnabled = true }
--- a/shard/scalein_test.go
+++ b/shard/scalein_test.go
@@ -34,9 +34,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if page, ok := record.(*records.Page); ok {
+			if page, ok := record.(*records.InventoryPage); ok {
 				for _, m := range page.Machines() {
-					if m.Closed {
+					if m.Terminating {
 						names = append(names, m.Name)
 					}
 				}
@@ -88,7 +88,7 @@
 // closes machines by its own settings.
 func TestNextOwnerKeepsClosedMachinesClosed(t *testing.T) {
 	for _, closeFirst := range []bool{true, false} {
-		r := newRig(nil, records.Machine{Name: "m-1", Type: "box", Addr: "m-1", Closed: true}, records.Machine{Name: "m-2", Type: "box", Addr: "m-2"})
+		r := newRig(nil, records.Machine{Name: "m-1", Type: "box", Addr: "m-1", Terminating: true}, records.Machine{Name: "m-2", Type: "box", Addr: "m-2"})
 		r.cfg.CloseFirst = closeFirst
 		r.submit(array("run-1", 16, "a"))
 		var asked []string
--- a/shard/state.go
+++ b/shard/state.go
@@ -140,7 +140,7 @@
 				n.AddRunning()
 			}
 		}
-		if !n.Empty() {
+		if !n.IsZero() {
 			out[id] = n
 		}
 	}
