--- a/detector/detector_test.go
+++ b/detector/detector_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"slices"
 	"testing"
 	"time"
@@ -12,199 +11,8 @@
 	_ "ravenport/internal/testseed"
 )
 
-const (
-	testInterval = time.Second
-	testStep     = 50 * time.Millisecond
-	testTimeout  = time.Second
-)
-
-// simController is one simulated controller with its detector.
-type simController struct {
-	name          string
-	detector      *Detector
-	nextHeartbeat time.Time
-	pausedUntil   time.Time
-	dead          bool
-	history       []StateChange
-}
-
-// delivery is a message or a probe's answer on its way.
-type delivery struct {
-	at  time.Time
-	act func(now time.Time)
-}
-
-// simNetwork is a set of controllers on one virtual clock.
-type simNetwork struct {
-	now             time.Time
-	controllers     []*simController
-	queue           []delivery
-	delay           func(from, to string) (time.Duration, bool)     // false: lost
-	readClock       func(c *simController, now time.Time) time.Time // what a controller's clock shows; nil: the time
-	loseWhilePaused bool                                            // what comes to a paused controller is lost, as calls are that time out
-}
-
-func newNetwork(n int) *simNetwork {
-	w := &simNetwork{now: time.Unix(1000, 0), delay: func(string, string) (time.Duration, bool) { return 5 * time.Millisecond, true }}
-	var names []string
-	for i := range n {
-		names = append(names, fmt.Sprintf("n-%d", i))
-	}
-	for i, name := range names {
-		cfg := Config{Self: name, Controllers: names, HeartbeatInterval: testInterval, SuspectMin: 2500 * time.Millisecond, SuspectMax: 8 * time.Second,
-			DeclareAfter: 5 * time.Second, ProbeTimeout: testTimeout}
-		d, err := New(cfg, w.now)
-		if err != nil {
-			panic(err)
-		}
-		d.SetIncarnation(uint64(i + 1))
-		for k, other := range names {
-			d.SetLease(w.now, other, uint64(k+1))
-		}
-		w.controllers = append(w.controllers, &simController{name: name, detector: d, nextHeartbeat: w.now.Add(time.Duration(i) * 100 * time.Millisecond)})
-	}
-	return w
-}
-
-// start sets all clocks, before anything has happened.
-func (w *simNetwork) start(now time.Time) {
-	w.now = now
-	for i, c := range w.controllers {
-		c.nextHeartbeat = now.Add(time.Duration(i) * 100 * time.Millisecond)
-		d, err := New(c.detector.config, now)
-		if err != nil {
-			panic(err)
-		}
-		d.SetIncarnation(uint64(i + 1))
-		for k, other := range w.controllers {
-			d.SetLease(now, other.name, uint64(k+1))
-		}
-		c.detector = d
-	}
-}
-
-// clock is what a controller's clock shows.
-func (w *simNetwork) clock(c *simController) time.Time {
-	if w.readClock == nil {
-		return w.now
-	}
-	return w.readClock(c, w.now)
-}
-
-func (w *simNetwork) stopped(c *simController) bool { return c.dead || w.now.Before(c.pausedUntil) }
-
-// send lets something happen at another controller; what comes while it is paused
-// happens when it goes on.
-func (w *simNetwork) send(from, to *simController, act func(now time.Time)) {
-	d, arrives := w.delay(from.name, to.name)
-	if !arrives {
-		return
-	}
-	w.queue = append(w.queue, delivery{w.now.Add(d), func(now time.Time) {
-		if to.dead || w.loseWhilePaused && now.Before(to.pausedUntil) {
-			return
-		}
-		if now.Before(to.pausedUntil) {
-			w.queue = append(w.queue, delivery{to.pausedUntil, act})
-			return
-		}
-		act(now)
-	}})
-}
-
-// sendHeartbeats sends a heartbeat to everybody, whose answers are heartbeats as well.
-func (w *simNetwork) sendHeartbeats(c *simController) {
-	m := c.detector.NextHeartbeat()
-	for _, to := range w.controllers {
-		if to == c {
-			continue
-		}
-		w.send(c, to, func(time.Time) {
-			_ = to.detector.HandleMessage(w.clock(to), m)
-			answer := to.detector.NextHeartbeat()
-			w.send(to, c, func(time.Time) { _ = c.detector.HandleReply(w.clock(c), answer) })
-		})
-	}
-}
-
-// probe carries out a probe; without an answer in time it fails.
-func (w *simNetwork) probe(c *simController, p Probe) {
-	answered := false
-	w.queue = append(w.queue, delivery{w.now.Add(testTimeout), func(time.Time) {
-		if !answered && !w.stopped(c) {
-			c.detector.HandleProbeResult(w.clock(c), p, nil)
-		}
-	}})
-	ask := func(asker *simController, tell func(now time.Time, h Heartbeat)) {
-		target := w.find(p.Target)
-		w.send(asker, target, func(time.Time) {
-			h := target.detector.NextHeartbeat().Heartbeat
-			w.send(target, asker, func(now time.Time) { tell(now, h) })
-		})
-	}
-	done := func(_ time.Time, h Heartbeat) { answered = true; c.detector.HandleProbeResult(w.clock(c), p, &h) }
-	if p.Via == "" {
-		ask(c, done)
-		return
-	}
-	via := w.find(p.Via)
-	w.send(c, via, func(time.Time) {
-		ask(via, func(_ time.Time, h Heartbeat) { w.send(via, c, func(now time.Time) { done(now, h) }) })
-	})
-}
-
-func (w *simNetwork) find(name string) *simController {
-	return w.controllers[slices.IndexFunc(w.controllers, func(c *simController) bool { return c.name == name })]
-}
-
-// run lets time pass.
-func (w *simNetwork) run(d time.Duration) {
-	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(testStep) {
-		due := slices.Collect(func(yield func(delivery) bool) {
-			for _, x := range w.queue {
-				if !x.at.After(w.now) && !yield(x) {
-					return
-				}
-			}
-		})
-		w.queue = slices.DeleteFunc(w.queue, func(x delivery) bool { return !x.at.After(w.now) })
-		for _, x := range due {
-			x.act(w.now)
-		}
-		for _, c := range w.controllers {
-			if w.stopped(c) {
-				continue
-			}
-			if now := w.clock(c); !now.Before(c.detector.NextTick()) {
-				for _, p := range c.detector.Tick(now) {
-					w.probe(c, p)
-				}
-				c.history = append(c.history, c.detector.TakeStateChanges()...)
-			}
-			if c.detector.IsRefutationPending() || !w.now.Before(c.nextHeartbeat) {
-				c.nextHeartbeat = w.now.Add(testInterval)
-				w.sendHeartbeats(c)
-			}
-		}
-	}
-}
-
-// reached says whether an observer ever took a controller for this.
-func (c *simController) reached(node string, to State) bool {
-	return slices.ContainsFunc(c.history, func(x StateChange) bool { return x.Controller == node && x.To == to })
-}
-
-func (c *simController) state(now time.Time, node string) State {
-	for _, v := range c.detector.PeerViews(now) {
-		if v.Controller == node {
-			return v.State
-		}
-	}
-	return ""
-}
-
 // A live controller whose messages are delayed within a bound is never suspected,
-// let alone declared failed, however the delays fall; observers that stand still
+// let alone declared failed, however the delays fall; observers that are paused
 // for a while accuse nobody for it, either.
 func TestLiveControllerIsNeverSuspected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -224,21 +32,21 @@
 		w.run(10 * time.Second)
 		for _, node := range w.controllers {
 			if node != observer && observer.reached(node.name, Suspect) {
-				t.Errorf("%s, which was late itself, suspected %s: %+v", observer.name, node.name, observer.history)
+				t.Errorf("%s, which was late itself, suspected %s: %+v", observer.name, node.name, observer.stateChanges)
 			}
 			for _, c := range w.controllers {
 				if c == observer || c == node {
 					continue
 				}
 				if node != observer && c.reached(node.name, Suspect) || c.reached(node.name, Failed) {
-					t.Errorf("%s accused %s: %+v", c.name, node.name, c.history)
+					t.Errorf("%s accused %s: %+v", c.name, node.name, c.stateChanges)
 				}
 			}
 		}
 	})
 }
 
-// A controller whose work stands still is declared failed by every other one within
+// A controller that makes no progress is declared failed by every other one within
 // a bounded time, whether or not its heartbeats still come, and never by fewer than
 // a majority.
 func TestFailedControllerIsDeclaredInTime(t *testing.T) {
@@ -278,7 +86,7 @@
 
 // Evidence that is gone counts no more, not even for a controller that was declared
 // failed on it: who returns before it was replaced is left alone.
-func TestReturnWithdrawsProposal(t *testing.T) {
+func TestRecoveryWithdrawsProposal(t *testing.T) {
 	w := newNetwork(3)
 	w.run(3 * time.Second)
 	unserved := func(is bool) {
@@ -302,7 +110,7 @@
 	}
 }
 
-// An observer that stood still does not count that time against others.
+// An observer that was paused does not count that time against others.
 func TestPauseDoesNotAgeEvidence(t *testing.T) {
 	w := newNetwork(3)
 	w.loseWhilePaused = true
@@ -315,15 +123,15 @@
 	observer.pausedUntil = w.now.Add(8 * time.Second)
 	w.run(10 * time.Second)
 	if observer.reached("n-2", Failed) {
-		t.Errorf("declared on evidence that it had for 4 s: %+v", observer.history)
+		t.Errorf("declared on evidence that it had for 4 s: %+v", observer.stateChanges)
 	}
 	if other := w.controllers[1]; !other.reached("n-2", Suspect) {
-		t.Errorf("the other one suspects nobody: %+v", other.history)
+		t.Errorf("the other one suspects nobody: %+v", other.stateChanges)
 	}
 }
 
-// The bound on silence follows the observed heartbeats, within its limits.
-func TestBoundAdapts(t *testing.T) {
+// The suspicion timeout follows the observed heartbeats, within its limits.
+func TestSuspicionTimeoutAdapts(t *testing.T) {
 	w := newNetwork(3)
 	w.run(20 * time.Second)
 	bound := func() time.Duration { return w.controllers[0].detector.PeerViews(w.now)[0].SilenceLimit }
@@ -341,9 +149,9 @@
 	}
 }
 
-// An observer that hears nobody doubts itself, and stops doubting when it hears
-// others again.
-func TestLonelyObserverDoubtsItself(t *testing.T) {
+// An observer that receives no heartbeats extends its timeouts, and recovers when they
+// come again.
+func TestIsolatedObserverExtendsItsTimeouts(t *testing.T) {
 	w := newNetwork(5)
 	w.run(5 * time.Second)
 	bound := func() time.Duration { return w.controllers[0].detector.PeerViews(w.now)[0].SilenceLimit }
@@ -362,9 +170,9 @@
 	}
 }
 
-// However many controllers of a minority hold whatever against a live one, and
+// However many controllers of a minority hold whatever evidence against a live one, and
 // however many cannot reach it, it is not declared failed without a majority that
-// knows something of its work.
+// has evidence about its work.
 func TestNobodyIsDeclaredWithoutMajorityAndWork(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{3, 5, 9}).Draw(t, "controllers")
@@ -385,7 +193,7 @@
 		w.run(40 * time.Second)
 		for _, c := range w.controllers[:n-1] {
 			if c.reached(target.name, Failed) || len(c.detector.Proposals(w.now)) > 0 {
-				t.Errorf("only links %v: %s declared it: %+v", onlyLinks, c.name, c.history)
+				t.Errorf("only links %v: %s declared it: %+v", onlyLinks, c.name, c.stateChanges)
 			}
 			if onlyLinks && c.state(w.now, target.name) != Suspect {
 				t.Errorf("%s does not suspect a controller that nobody reaches", c.name)
@@ -405,7 +213,7 @@
 	}
 	w.run(60 * time.Second)
 	if w.controllers[0].reached("n-2", Suspect) || w.controllers[2].reached("n-0", Suspect) {
-		t.Errorf("suspected across a link that is down: %+v, %+v", w.controllers[0].history, w.controllers[2].history)
+		t.Errorf("suspected across a link that is down: %+v, %+v", w.controllers[0].stateChanges, w.controllers[2].stateChanges)
 	}
 	if v := w.controllers[0].detector.PeerViews(w.now); v[1].SilentFor > 8*time.Second {
 		t.Errorf("no probe proved it: %+v", v[1])
@@ -413,8 +221,8 @@
 }
 
 // A controller whose own heartbeats come, while it answers nobody, is suspected for
-// that by everybody, whatever it says; one that still answers another is not.
-func TestUnansweredCallsAreHeldAgainstIt(t *testing.T) {
+// that by everybody, whatever its heartbeats refute; one that still answers another is not.
+func TestUnansweredCallsAreEvidence(t *testing.T) {
 	for _, answersOne := range []bool{false, true} {
 		w := newNetwork(3)
 		w.run(5 * time.Second)
@@ -459,7 +267,7 @@
 	})
 }
 
-// A suspect that hears of it raises its refutation, and an accusation from before
+// A suspect that learns of it raises its refutation, and an accusation from before
 // counts no more, even where it is repeated.
 func TestSuspectRefutes(t *testing.T) {
 	w := newNetwork(3)
@@ -492,9 +300,9 @@
 	}
 }
 
-// Heartbeats of an earlier process, doubled and late ones prove nothing, and the end
-// of a lease decides at once.
-func TestOldProcessProvesNothing(t *testing.T) {
+// Heartbeats of an earlier incarnation, duplicates and late ones prove nothing, and the
+// end of a lease decides at once.
+func TestRetiredIncarnationProvesNothing(t *testing.T) {
 	w := newNetwork(3)
 	w.run(3 * time.Second)
 	d := w.controllers[0].detector
@@ -535,9 +343,9 @@
 	}
 }
 
-// A process that is heard before the state service shows its lease, and again after
-// one between them, is monitored.
-func TestProcessHeardBeforeItsLease(t *testing.T) {
+// An incarnation whose heartbeats come before the feed shows its lease, and again after
+// another one between them, is monitored.
+func TestHeartbeatBeforeItsLease(t *testing.T) {
 	w := newNetwork(3)
 	d := w.controllers[0].detector
 	if err := d.HandleMessage(w.now, Message{Controller: "n-1", Heartbeat: Heartbeat{Incarnation: 9, Sequence: 1}}); err != nil {
@@ -554,8 +362,9 @@
 	}
 }
 
-// Messages of strangers and malformed ones are refused with an error of their kind.
-func TestBadMessagesAreDropped(t *testing.T) {
+// Messages of unknown controllers and malformed ones are dropped with an error of their
+// kind.
+func TestInvalidMessagesAreDropped(t *testing.T) {
 	d := newNetwork(3).controllers[0].detector
 	now := time.Unix(1000, 0)
 	many := make([]Accusation, 4)
@@ -563,16 +372,21 @@
 		m    Message
 		want error
 	}{
-		"stranger":                {Message{Controller: "x", Heartbeat: Heartbeat{Incarnation: 1}}, ErrUnknownController},
+		"unknown controller":      {Message{Controller: "x", Heartbeat: Heartbeat{Incarnation: 1}}, ErrUnknownController},
 		"itself":                  {Message{Controller: "n-0", Heartbeat: Heartbeat{Incarnation: 1}}, ErrUnknownController},
 		"more accusations":        {Message{Controller: "n-1", Heartbeat: Heartbeat{Incarnation: 1}, Accusations: many}, ErrMalformedMessage},
 		"accusation of nothing":   {Message{Controller: "n-1", Heartbeat: Heartbeat{Incarnation: 1}, Accusations: []Accusation{{Controller: "n-2", Incarnation: 3}}}, ErrMalformedMessage},
 		"many stalled actors":     {Message{Controller: "n-1", Heartbeat: Heartbeat{Incarnation: 1, Stalled: make([]string, 65)}}, ErrMalformedMessage},
 		"an actor's name is long": {Message{Controller: "n-1", Heartbeat: Heartbeat{Incarnation: 1, Stalled: []string{string(make([]byte, 129))}}}, ErrMalformedMessage},
 	} {
-		if err := d.HandleMessage(now, c.m); !errors.Is(err, c.want) {
+		err := d.HandleMessage(now, c.m)
+		if !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", name, err)
 		}
+		var dropped *DroppedMessageError
+		if !errors.As(err, &dropped) || dropped.Sender != c.m.Controller {
+			t.Errorf("%s: dropped with %#v", name, err)
+		}
 	}
 	if v := d.PeerViews(now); v[0].Incarnation != 2 || v[0].State != Unmonitored {
 		t.Errorf("a dropped message left a trace: %+v", v[0])
@@ -585,18 +399,26 @@
 	if err := good.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	for name, spoil := range map[string]func(*Config){
-		"not a member":                           func(c *Config) { c.Self = "x" },
-		"no interval":                            func(c *Config) { c.HeartbeatInterval = 0 },
-		"no timeout":                             func(c *Config) { c.ProbeTimeout = 0 },
-		"suspicion as soon as a heartbeat":       func(c *Config) { c.SuspectMin = 1 },
-		"bounds crossed":                         func(c *Config) { c.SuspectMax = 1 },
-		"declaration not later than a suspicion": func(c *Config) { c.DeclareAfter = 2 },
+	for name, c := range map[string]struct {
+		corrupt func(*Config)
+		field   string
+	}{
+		"not a member":                           {func(c *Config) { c.Self = "x" }, "Self"},
+		"no interval":                            {func(c *Config) { c.HeartbeatInterval = 0 }, "HeartbeatInterval"},
+		"no timeout":                             {func(c *Config) { c.ProbeTimeout = 0 }, "ProbeTimeout"},
+		"suspicion as soon as a heartbeat":       {func(c *Config) { c.SuspectMin = 1 }, "SuspectMin"},
+		"bounds crossed":                         {func(c *Config) { c.SuspectMax = 1 }, "SuspectMax"},
+		"declaration not later than a suspicion": {func(c *Config) { c.DeclareAfter = 2 }, "DeclareAfter"},
 	} {
-		c := good
-		spoil(&c)
-		if _, err := New(c, time.Now()); !errors.Is(err, ErrInvalidConfig) {
+		config := good
+		c.corrupt(&config)
+		_, err := New(config, time.Now())
+		if !errors.Is(err, ErrInvalidConfig) {
 			t.Errorf("%s: %v", name, err)
 		}
+		var invalid *ConfigError
+		if !errors.As(err, &invalid) || invalid.Field != c.field {
+			t.Errorf("%s: refused with %#v", name, err)
+		}
 	}
 }
--- /dev/null
+++ b/detector/heartbeat.go
@@ -0,0 +1,97 @@
+package detector
+
+import (
+	"fmt"
+	"slices"
+	"time"
+)
+
+// NextHeartbeat returns the next message to be sent to all other controllers, or in reply
+// to one of them.
+func (d *Detector) NextHeartbeat() Message {
+	d.ownHeartbeat.Sequence++
+	d.refutationPending = false
+	m := Message{Controller: d.config.Self, Heartbeat: d.ownHeartbeat}
+	for _, p := range d.peers {
+		if accusation := p.ownAccusation(); len(accusation.Evidence) > 0 && accusation.Incarnation != 0 {
+			m.Accusations = append(m.Accusations, accusation)
+		}
+	}
+	return m
+}
+
+// IsRefutationPending reports whether a heartbeat should be sent before the interval has
+// passed, because it refutes a suspicion.
+func (d *Detector) IsRefutationPending() bool { return d.refutationPending }
+
+// HandleMessage evaluates a message that another controller sent, or drops it with a
+// *DroppedMessageError. Duplicates and late messages of an earlier incarnation are dropped
+// without an error.
+func (d *Detector) HandleMessage(now time.Time, m Message) error {
+	_, err := d.handleMessage(now, m)
+	return err
+}
+
+// HandleReply evaluates a message that replied to one of this controller's own. Its errors
+// are those of HandleMessage.
+func (d *Detector) HandleReply(now time.Time, m Message) error {
+	sender, err := d.handleMessage(now, m)
+	if sender != nil {
+		sender.markAnswered(now)
+	}
+	return err
+}
+
+// handleMessage returns the sender if the message was new.
+func (d *Detector) handleMessage(now time.Time, m Message) (*peer, error) {
+	sender := d.peer(m.Controller)
+	if sender == nil {
+		return nil, &DroppedMessageError{Sender: m.Controller, Reason: fmt.Errorf("%w: %q", ErrUnknownController, m.Controller)}
+	}
+	if err := m.validate(len(d.config.Controllers)); err != nil {
+		return nil, &DroppedMessageError{Sender: m.Controller, Reason: err}
+	}
+	if m.Heartbeat.Incarnation == 0 {
+		return nil, nil // it has no lease yet, so nothing depends on it
+	}
+	if !d.acceptHeartbeat(now, sender, m.Heartbeat) {
+		return nil, nil
+	}
+	sender.accusations = map[string]Accusation{}
+	sender.accusationsAt = now
+	for _, accusation := range m.Accusations {
+		sender.accusations[accusation.Controller] = accusation
+		d.refuteIfAccused(accusation)
+	}
+	return sender, nil
+}
+
+// acceptHeartbeat evaluates a controller's heartbeat and reports whether it was new.
+func (d *Detector) acceptHeartbeat(now time.Time, p *peer, h Heartbeat) bool {
+	previous := p.latest.Incarnation
+	if !p.accept(h) {
+		return false
+	}
+	switch interval := now.Sub(p.lastSeen); {
+	case p.latest.Incarnation != previous:
+		p.lastAnswer = now // its silences begin here
+	case interval <= d.config.SuspectMax:
+		p.intervalStats.observe(interval)
+	}
+	p.markSeen(now)
+	setSince(&p.stalledSince, now, len(h.Stalled) > 0)
+	return true
+}
+
+// refuteIfAccused refutes an accusation that this process is unreachable.
+func (d *Detector) refuteIfAccused(a Accusation) {
+	if a.Controller != d.config.Self || a.Incarnation != d.ownHeartbeat.Incarnation {
+		return
+	}
+	isRefuted := a.Refutation < d.ownHeartbeat.Refutation
+	if isRefuted || !slices.Contains(a.Evidence, Unreachable) {
+		return
+	}
+	d.ownHeartbeat.Refutation = a.Refutation + 1
+	d.refutationPending = true
+}
--- /dev/null
+++ b/detector/interval_stats.go
@@ -0,0 +1,48 @@
+package detector
+
+import (
+	"math"
+	"time"
+)
+
+// Weights of the interval statistics.
+const (
+	// sampleWeight is the share of the newest interval in the running mean and
+	// variance: the last twenty or so intervals decide.
+	sampleWeight = 0.1
+	// deviations is how many standard deviations beyond the mean a silence is
+	// unusual.
+	deviations = 4
+)
+
+// intervalStats keeps the running mean and variance of the times between heartbeats.
+type intervalStats struct {
+	expected time.Duration // used until an interval was observed
+	observed bool
+	mean     float64 // seconds
+	variance float64 // seconds squared
+}
+
+// observe adds one interval to the statistics.
+func (s *intervalStats) observe(interval time.Duration) {
+	seconds := interval.Seconds()
+	if !s.observed {
+		s.observed = true
+		s.mean = seconds
+		return
+	}
+	delta := seconds - s.mean
+	s.mean += sampleWeight * delta
+	s.variance = (1 - sampleWeight) * (s.variance + sampleWeight*delta*delta)
+}
+
+// silenceThreshold returns the silence beyond which something may be wrong.
+func (s *intervalStats) silenceThreshold() time.Duration {
+	mean := s.expected.Seconds()
+	if s.observed {
+		mean = s.mean
+	}
+	slack := s.expected.Seconds() / 2
+	seconds := mean + deviations*math.Sqrt(s.variance) + slack
+	return time.Duration(seconds * float64(time.Second))
+}
--- a/detector/message.go
+++ b/detector/message.go
@@ -5,35 +5,12 @@
 	"fmt"
 )
 
-// Evidence is a kind of reason to suspect a controller.
-type Evidence string
-
-// Kinds of evidence.
-const (
-	// Unreachable: it was silent beyond its bound, and no probe was answered.
-	Unreachable Evidence = "unreachable"
-	// Unanswered: its own heartbeats come, and it answers neither calls nor probes.
-	Unanswered Evidence = "unanswered"
-	// Stalled: its own heartbeat names an actor that makes no progress.
-	Stalled Evidence = "stalled"
-	// Unserved: workers that were sent to it came back to the observer.
-	Unserved Evidence = "unserved"
-	// LeaseLost: its key in the state service is gone or another process's.
-	LeaseLost Evidence = "lease ended"
-)
-
-// isAboutWork says whether the evidence shows that work is not done.
-func (e Evidence) isAboutWork() bool { return e == Stalled || e == Unserved }
-
-// isRefutable says whether a controller's own word ends the evidence.
-func (e Evidence) isRefutable() bool { return e == Unreachable }
-
-// Heartbeat is what a controller says of itself.
+// Heartbeat is a controller's statement of its own condition.
 type Heartbeat struct {
-	// Incarnation names the process by the incarnation under its key in the state
-	// service; 0: it has none yet.
+	// Incarnation names the process, as under its key in the key-value store; 0: it has
+	// none yet.
 	Incarnation uint64 `json:"proc"`
-	// Refutation rises whenever the process learns that its silence is suspected.
+	// Refutation rises whenever the process learns that it is suspected as unreachable.
 	Refutation uint64 `json:"ref,omitempty"`
 	// Sequence rises with every heartbeat of the process.
 	Sequence uint64 `json:"seq"`
@@ -41,60 +18,44 @@
 	Stalled []string `json:"stalled,omitempty"`
 }
 
-// isNewerThan says whether a heartbeat of the same process is newer than another one.
-func (h Heartbeat) isNewerThan(than Heartbeat) bool { return h.Sequence > than.Sequence }
-
-// Accusation is the sender's own evidence against a controller's process.
-type Accusation struct {
-	Controller  string     `json:"node"`
-	Incarnation uint64     `json:"proc"`
-	Refutation  uint64     `json:"ref,omitempty"` // the latest that the accuser knew
-	Evidence    []Evidence `json:"ev"`
-}
-
-// isAboutWork says whether any of the evidence is about work.
-func (a Accusation) isAboutWork() bool {
-	for _, e := range a.Evidence {
-		if e.isAboutWork() {
-			return true
-		}
-	}
-	return false
-}
-
-// isRefutable says whether the accused one's own word ends all of the evidence.
-func (a Accusation) isRefutable() bool {
-	for _, e := range a.Evidence {
-		if !e.isRefutable() {
-			return false
-		}
-	}
-	return true
-}
+// isNewerThan reports whether a heartbeat of the same incarnation is newer than another.
+func (h Heartbeat) isNewerThan(other Heartbeat) bool { return h.Sequence > other.Sequence }
 
 // Message is what controllers exchange: a heartbeat and the sender's accusations.
 type Message struct {
-	Controller  string       `json:"node"`
+	Controller  string       `json:"node"` // the sender
 	Heartbeat   Heartbeat    `json:"hb"`
 	Accusations []Accusation `json:"acc,omitempty"`
 }
 
-// Errors of messages that are dropped.
+// Reasons for which messages are dropped.
 var (
 	ErrUnknownController = errors.New("detector: message of an unknown controller")
 	ErrMalformedMessage  = errors.New("detector: malformed message")
 )
 
+// DroppedMessageError is a message that was dropped.
+type DroppedMessageError struct {
+	Sender string // as the message names it
+	Reason error  // wraps ErrUnknownController or ErrMalformedMessage
+}
+
+func (e *DroppedMessageError) Error() string { return e.Reason.Error() }
+
+// Unwrap returns the reason.
+func (e *DroppedMessageError) Unwrap() error { return e.Reason }
+
 // Limits on a message, far above what a sound one has.
 const (
 	maxStalled   = 64  // actors
 	maxActorName = 128 // bytes
 )
 
-// validate says what is wrong with a message, if anything.
-func (m Message) validate(members int) error {
-	if len(m.Accusations) > members {
-		return fmt.Errorf("%w: %d accusations among %d controllers", ErrMalformedMessage, len(m.Accusations), members)
+// validate returns an error that wraps ErrMalformedMessage for a message that no
+// controller of a deployment of this many would send.
+func (m Message) validate(controllers int) error {
+	if len(m.Accusations) > controllers {
+		return fmt.Errorf("%w: %d accusations among %d controllers", ErrMalformedMessage, len(m.Accusations), controllers)
 	}
 	if len(m.Heartbeat.Stalled) > maxStalled {
 		return fmt.Errorf("%w: %d stalled actors", ErrMalformedMessage, len(m.Heartbeat.Stalled))
--- a/detector/peer.go
+++ b/detector/peer.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// State is what a controller counts as.
+// State is the state of a controller, as an observer sees it.
 type State string
 
 // States of a controller.
@@ -16,7 +16,7 @@
 	Failed      State = "failed"
 )
 
-// maxRetired is how many earlier processes of a controller are remembered, so
+// maxRetired is how many earlier incarnations of a controller are remembered, so
 // that late heartbeats of theirs are not taken for those of a new one.
 const maxRetired = 8
 
@@ -25,42 +25,51 @@
 	name  string
 	state State
 
-	leaseHolder  uint64 // process that holds the lease, as the state service shows
-	leaseWasHeld bool   // there was one since this observer started
+	leaseHolder  uint64 // incarnation that holds the lease, as the feed shows it; 0: none
+	leaseWasHeld bool   // by some incarnation, since this observer started
 	latest       Heartbeat
-	retired      []uint64  // processes before latest.Process
-	lastSeen     time.Time // when it was last heard itself, or a probe showed that others hear it
-	lastAnswer   time.Time // when a call or a probe was last answered
-	intervals    intervalStats
-
-	probing          probeRound
-	unreachableSince time.Time // when the silence began that is held against it; zero: none
-	unansweredSince  time.Time // the same for calls
+	retired      []uint64 // incarnations before latest.Incarnation, oldest first
+
+	lastSeen      time.Time // last heartbeat, or indirect probe that was answered
+	lastAnswer    time.Time // last reply to a call or a probe
+	intervalStats intervalStats
+	probing       probeRound
+
+	// When the evidence began that this observer holds; zero: it has none.
+	unreachableSince time.Time
+	unansweredSince  time.Time
 	stalledSince     time.Time
 	unservedSince    time.Time
-	suspectSince     time.Time
+	suspectSince     time.Time // when the state became Suspect
 
-	accusations   map[string]Accusation // what this controller accuses others of, by name
+	accusations   map[string]Accusation // by this controller, by the name of the accused one
 	accusationsAt time.Time
 }
 
-// probeRound is how far the probing of a silent controller has come.
-type probeRound struct {
-	startedAt    time.Time
-	directSent   bool // a direct probe was sent, and not answered yet
-	directFailed bool
-	pendingVia   map[string]bool // controllers asked to probe, without an answer yet
-	indirectSent bool
+func newPeer(name string, heartbeatInterval time.Duration) *peer {
+	return &peer{
+		name:          name,
+		state:         Unmonitored,
+		intervalStats: intervalStats{expected: heartbeatInterval},
+		accusations:   map[string]Accusation{},
+	}
 }
 
-func (p *probeRound) isExhausted() bool {
-	return p.directFailed && p.indirectSent && len(p.pendingVia) == 0
+// setSince sets when a condition began: now if it did not hold before, zero if it does not
+// hold.
+func setSince(since *time.Time, now time.Time, holds bool) {
+	switch {
+	case !holds:
+		*since = time.Time{}
+	case since.IsZero():
+		*since = now
+	}
 }
 
-// isMonitored says whether the controller takes part in failure detection.
+// isMonitored reports whether the controller takes part in failure detection.
 func (p *peer) isMonitored() bool { return p.latest.Incarnation != 0 }
 
-// incarnation is the process that evidence is about.
+// incarnation returns the incarnation that evidence is about.
 func (p *peer) incarnation() uint64 {
 	if p.latest.Incarnation != 0 {
 		return p.latest.Incarnation
@@ -68,7 +77,8 @@
 	return p.leaseHolder
 }
 
-// lastIncarnation is the process that evidence is about, or the last one there was.
+// lastIncarnation returns the incarnation that evidence is about, or else the last one
+// there was.
 func (p *peer) lastIncarnation() uint64 {
 	if current := p.incarnation(); current != 0 || len(p.retired) == 0 {
 		return current
@@ -76,42 +86,49 @@
 	return p.retired[len(p.retired)-1]
 }
 
-// evidence lists what this observer holds against the controller.
+// evidence lists this observer's evidence against the controller.
 func (p *peer) evidence() []Evidence {
-	var out []Evidence
+	var evidence []Evidence
 	if !p.unreachableSince.IsZero() {
-		out = append(out, Unreachable)
+		evidence = append(evidence, Unreachable)
 	}
 	if !p.unansweredSince.IsZero() {
-		out = append(out, Unanswered)
+		evidence = append(evidence, Unanswered)
 	}
 	if !p.stalledSince.IsZero() {
-		out = append(out, Stalled)
+		evidence = append(evidence, Stalled)
 	}
 	if !p.unservedSince.IsZero() {
-		out = append(out, Unserved)
+		evidence = append(evidence, Unserved)
 	}
-	return out
+	return evidence
 }
 
-// evidenceSince is when the oldest of the evidence began.
+// evidenceSince returns when the oldest of the evidence began.
 func (p *peer) evidenceSince() time.Time {
-	var first time.Time
-	for _, t := range []time.Time{p.unreachableSince, p.unansweredSince, p.stalledSince, p.unservedSince} {
-		if !t.IsZero() && (first.IsZero() || t.Before(first)) {
-			first = t
+	var oldest time.Time
+	for _, since := range []time.Time{p.unreachableSince, p.unansweredSince, p.stalledSince, p.unservedSince} {
+		if !since.IsZero() && (oldest.IsZero() || since.Before(oldest)) {
+			oldest = since
 		}
 	}
-	return first
+	return oldest
+}
+
+// ownAccusation returns this observer's evidence as an accusation, which counts only if
+// there is some.
+func (p *peer) ownAccusation() Accusation {
+	return Accusation{Controller: p.name, Incarnation: p.incarnation(), Refutation: p.latest.Refutation, Evidence: p.evidence()}
 }
 
-// markSeen notes that the controller is there.
+// markSeen records a sign of life.
 func (p *peer) markSeen(now time.Time) {
 	p.lastSeen = now
 	p.unreachableSince = time.Time{}
 }
 
-// markAnswered notes that it answered a call, or somebody else's.
+// markAnswered records that the controller answered this observer, or a probe on its
+// behalf.
 func (p *peer) markAnswered(now time.Time) {
 	p.markSeen(now)
 	p.lastAnswer = now
@@ -119,8 +136,8 @@
 	p.probing = probeRound{}
 }
 
-// accept takes in a heartbeat, and says whether it is one to be believed: newer
-// than all known of its process, and not of an earlier process.
+// accept makes a heartbeat the latest one, and reports whether it could: it must be newer
+// than all known of its incarnation, and not of an earlier incarnation.
 func (p *peer) accept(h Heartbeat) bool {
 	if slices.Contains(p.retired, h.Incarnation) {
 		return false
@@ -136,37 +153,42 @@
 	return true
 }
 
-// startIncarnation starts anew with another process of the controller.
+// startIncarnation forgets what was observed of the incarnation before.
 func (p *peer) startIncarnation(h Heartbeat) {
 	if p.latest.Incarnation != 0 {
 		p.retireIncarnation(p.latest.Incarnation)
 	}
 	p.latest = h
-	p.intervals = intervalStats{expected: p.intervals.expected}
-	p.lastSeen, p.lastAnswer = time.Time{}, time.Time{}
+	p.intervalStats = intervalStats{expected: p.intervalStats.expected}
+	p.lastSeen = time.Time{}
+	p.lastAnswer = time.Time{}
 	p.clearEvidence()
 }
 
-// retireIncarnation notes that a process of the controller is over.
-func (p *peer) retireIncarnation(process uint64) {
-	p.retired = append(p.retired, process)
+// retireIncarnation records that an incarnation of the controller is over.
+func (p *peer) retireIncarnation(incarnation uint64) {
+	p.retired = append(p.retired, incarnation)
 	p.retired = p.retired[max(0, len(p.retired)-maxRetired):]
 }
 
 // clearEvidence drops all evidence.
 func (p *peer) clearEvidence() {
-	for _, t := range []*time.Time{&p.unreachableSince, &p.unansweredSince, &p.stalledSince, &p.unservedSince, &p.suspectSince} {
-		*t = time.Time{}
+	for _, since := range []*time.Time{&p.unreachableSince, &p.unansweredSince, &p.stalledSince, &p.unservedSince, &p.suspectSince} {
+		*since = time.Time{}
 	}
 	p.probing = probeRound{}
 }
 
 // shiftTimestamps moves everything that is measured from a time by a pause of the
-// observer, in which it could have heard nothing.
+// observer, in which it could have received nothing.
 func (p *peer) shiftTimestamps(pause time.Duration) {
-	for _, t := range []*time.Time{&p.lastSeen, &p.lastAnswer, &p.unreachableSince, &p.unansweredSince, &p.stalledSince, &p.unservedSince, &p.suspectSince, &p.accusationsAt, &p.probing.startedAt} {
-		if !t.IsZero() {
-			*t = t.Add(pause)
+	for _, timestamp := range []*time.Time{
+		&p.lastSeen, &p.lastAnswer,
+		&p.unreachableSince, &p.unansweredSince, &p.stalledSince, &p.unservedSince, &p.suspectSince,
+		&p.accusationsAt, &p.probing.phaseStartedAt,
+	} {
+		if !timestamp.IsZero() {
+			*timestamp = timestamp.Add(pause)
 		}
 	}
 }
--- /dev/null
+++ b/detector/probing.go
@@ -0,0 +1,124 @@
+package detector
+
+import "time"
+
+// Probe is a request to the caller to find out whether a controller answers.
+type Probe struct {
+	Target string
+	Via    string // the controller that is to probe it; empty: this one
+}
+
+// probeRound is the progress of probing a silent controller, first directly and then
+// through all others.
+type probeRound struct {
+	phaseStartedAt time.Time // when the latest probes were sent
+	directSent     bool      // and not answered yet
+	directFailed   bool
+	indirectSent   bool
+	pendingVia     map[string]bool // controllers that were asked to probe and did not reply yet
+}
+
+// isExhausted reports whether all probes of the round have failed.
+func (r *probeRound) isExhausted() bool {
+	return r.directFailed && r.indirectSent && len(r.pendingVia) == 0
+}
+
+// probeIfSilent probes a controller that has answered nothing for half its suspicion
+// timeout, first directly and then through others. Once the timeout has passed and no
+// probe was answered, that is recorded as evidence.
+func (d *Detector) probeIfSilent(now time.Time, p *peer) []Probe {
+	if !p.isMonitored() || p.leaseHolder == 0 {
+		return nil
+	}
+	timeout := d.suspicionTimeout(p)
+	unansweredFor := now.Sub(p.lastAnswer)
+	if unansweredFor <= timeout/2 {
+		return nil
+	}
+	round := &p.probing
+	if round.isExhausted() && now.Sub(round.phaseStartedAt) > timeout {
+		*round = probeRound{}
+	}
+	var probes []Probe
+	if !round.directSent {
+		round.phaseStartedAt = now
+		round.directSent = true
+		probes = append(probes, Probe{Target: p.name})
+	}
+	d.expireProbes(now, round)
+	if round.directFailed && !round.indirectSent {
+		probes = append(probes, d.startIndirectProbes(now, p)...)
+	}
+	if round.isExhausted() && unansweredFor > timeout {
+		recordSilence(now, p, timeout)
+	}
+	return probes
+}
+
+// expireProbes counts probes as failed that took too long.
+func (d *Detector) expireProbes(now time.Time, round *probeRound) {
+	if now.Sub(round.phaseStartedAt) < d.config.ProbeTimeout {
+		return
+	}
+	if round.indirectSent {
+		clear(round.pendingVia)
+		return
+	}
+	round.directFailed = true
+}
+
+// startIndirectProbes returns a probe of a controller through each other one whose
+// heartbeats come.
+func (d *Detector) startIndirectProbes(now time.Time, target *peer) []Probe {
+	round := &target.probing
+	round.indirectSent = true
+	round.phaseStartedAt = now
+	round.pendingVia = map[string]bool{}
+	var probes []Probe
+	for _, via := range d.peers {
+		if via == target || !via.isMonitored() || now.Sub(via.lastSeen) > d.suspicionTimeout(via) {
+			continue
+		}
+		round.pendingVia[via.name] = true
+		probes = append(probes, Probe{Target: target.name, Via: via.name})
+	}
+	return probes
+}
+
+// recordSilence records that a controller answered no probe: as unreachable if its own
+// heartbeats have ceased as well, and as unanswered if they still come.
+func recordSilence(now time.Time, p *peer, timeout time.Duration) {
+	isSilent := now.Sub(p.lastSeen) > timeout
+	switch {
+	case isSilent && p.unreachableSince.IsZero():
+		p.unreachableSince = p.lastSeen
+	case !isSilent && p.unansweredSince.IsZero():
+		p.unansweredSince = p.lastAnswer
+	}
+}
+
+// HandleProbeResult evaluates the result of a probe. A nil heartbeat means that the probe
+// failed.
+func (d *Detector) HandleProbeResult(now time.Time, probe Probe, heartbeat *Heartbeat) {
+	target := d.peer(probe.Target)
+	if target == nil {
+		return
+	}
+	if heartbeat == nil {
+		target.probing.recordFailure(probe.Via)
+		return
+	}
+	if heartbeat.Incarnation != 0 && d.acceptHeartbeat(now, target, *heartbeat) {
+		target.markAnswered(now)
+	}
+}
+
+// recordFailure records that a probe through another controller failed; empty: a direct
+// one. The result of a direct probe may come when its round is over.
+func (r *probeRound) recordFailure(via string) {
+	if via == "" {
+		r.directFailed = r.directSent
+		return
+	}
+	delete(r.pendingVia, via)
+}
--- /dev/null
+++ b/detector/suspicion.go
@@ -0,0 +1,143 @@
+package detector
+
+import (
+	"slices"
+	"time"
+)
+
+// StateChange is a change of a controller's state, with the evidence for it.
+type StateChange struct {
+	Controller  string
+	Incarnation uint64
+	From, To    State
+	Evidence    []Evidence
+	Accusers    []string // controllers with evidence of their own, this one included
+}
+
+// RevocationProposal is a controller that was declared failed although its lease lives.
+type RevocationProposal struct {
+	Controller  string
+	Incarnation uint64
+	Evidence    []Evidence
+	Accusers    []string // controllers with evidence of their own, this one included
+}
+
+// TakeStateChanges returns the changes of state since it was last called.
+func (d *Detector) TakeStateChanges() []StateChange {
+	changes := d.stateChanges
+	d.stateChanges = nil
+	return changes
+}
+
+// Proposals lists the controllers that are declared failed while their lease lives. One
+// whose accusers withdrew their evidence since is not among them.
+func (d *Detector) Proposals(now time.Time) []RevocationProposal {
+	var proposals []RevocationProposal
+	for _, p := range d.peers {
+		if p.state != Failed || p.leaseHolder == 0 || p.leaseHolder != p.incarnation() {
+			continue
+		}
+		accusers := d.accusers(now, p)
+		if !d.isQuorum(accusers) {
+			continue
+		}
+		proposals = append(proposals, RevocationProposal{
+			Controller:  p.name,
+			Incarnation: p.incarnation(),
+			Evidence:    p.evidence(),
+			Accusers:    accusers.names,
+		})
+	}
+	return proposals
+}
+
+// updateState moves a controller to the state that the evidence calls for.
+func (d *Detector) updateState(now time.Time, p *peer) {
+	state, evidence := d.evaluate(now, p)
+	if state == p.state {
+		return
+	}
+	d.stateChanges = append(d.stateChanges, StateChange{
+		Controller:  p.name,
+		Incarnation: p.lastIncarnation(),
+		From:        p.state,
+		To:          state,
+		Evidence:    evidence,
+		Accusers:    d.accusers(now, p).names,
+	})
+	p.state = state
+	p.suspectSince = time.Time{}
+	if state == Suspect {
+		p.suspectSince = now
+	}
+}
+
+// evaluate returns the state that the evidence against a controller calls for.
+func (d *Detector) evaluate(now time.Time, p *peer) (State, []Evidence) {
+	if p.leaseHolder == 0 && p.leaseWasHeld {
+		return Failed, []Evidence{LeaseLost}
+	}
+	if !p.isMonitored() {
+		return Unmonitored, nil
+	}
+	evidence := p.evidence()
+	if len(evidence) == 0 {
+		return Alive, nil
+	}
+	if p.state == Failed || d.shouldDeclareFailed(now, p) {
+		return Failed, evidence
+	}
+	return Suspect, evidence
+}
+
+// shouldDeclareFailed reports whether a suspect is to be declared failed though its lease
+// lives: the evidence here is old enough, and a quorum has evidence of its own.
+func (d *Detector) shouldDeclareFailed(now time.Time, p *peer) bool {
+	if p.state != Suspect || now.Sub(p.suspectSince) < d.config.HeartbeatInterval {
+		return false
+	}
+	if now.Sub(p.evidenceSince()) < d.localHealth.scale(d.config.DeclareAfter) {
+		return false
+	}
+	return d.isQuorum(d.accusers(now, p))
+}
+
+// accuserSet are the controllers that hold evidence of their own against an incarnation.
+type accuserSet struct {
+	names       []string // sorted
+	isAboutWork bool     // some of their evidence shows that work is not done
+}
+
+// accusers collects the valid accusations of a controller's present incarnation, this
+// controller's own among them.
+func (d *Detector) accusers(now time.Time, p *peer) accuserSet {
+	var found accuserSet
+	if own := p.ownAccusation(); len(own.Evidence) > 0 {
+		found.names = append(found.names, d.config.Self)
+		found.isAboutWork = own.isAboutWork()
+	}
+	for _, accuser := range d.peers {
+		accusation, ok := accuser.accusations[p.name]
+		if !ok || accuser == p || accusation.Incarnation != p.incarnation() {
+			continue
+		}
+		if now.Sub(accuser.accusationsAt) > d.suspicionTimeout(accuser) {
+			continue
+		}
+		isRefuted := accusation.Refutation < p.latest.Refutation && accusation.isRefutable()
+		if isRefuted {
+			continue
+		}
+		found.names = append(found.names, accuser.name)
+		found.isAboutWork = found.isAboutWork || accusation.isAboutWork()
+	}
+	slices.Sort(found.names)
+	return found
+}
+
+// isQuorum reports whether accusers suffice to declare a controller failed: a majority of
+// all configured controllers, whether they live or not, with some evidence about work.
+func (d *Detector) isQuorum(a accuserSet) bool {
+	majority := len(d.config.Controllers)/2 + 1
+	return a.isAboutWork && len(a.names) >= majority
+}
--- a/detector/wallclock_test.go
+++ b/detector/wallclock_test.go
@@ -21,7 +21,7 @@
 		w.run(10 * time.Second)
 		for _, c := range w.controllers {
 			if c.reached("n-0", Suspect) || c.reached("n-1", Suspect) || c.reached("n-2", Suspect) {
-				t.Fatalf("%s suspects a live controller: %+v", c.name, c.history)
+				t.Fatalf("%s suspects a live controller: %+v", c.name, c.stateChanges)
 			}
 		}
 		for _, c := range w.controllers[:2] {
