--- a/cmd/ravenport/drain_test.go
+++ b/cmd/ravenport/drain_test.go
@@ -39,10 +39,10 @@
 	for _, rentedBefore := range []string{"72h", "2026-05-01T12:00:00Z"} {
 		flags := selectionFlags{zones: []string{"a"}, onDemand: true, rentedBefore: rentedBefore}
 		request, err := flags.request(peer.OpPlan, now)
-		if err != nil || request.Op != peer.OpPlan || request.RentedBeforeS != 72*3600 {
+		if err != nil || request.Op != peer.OpPlan || request.MinAgeS != 72*3600 {
 			t.Errorf("%s: %+v, %v", rentedBefore, request, err)
 		}
-		if spot := request.Selection.Spot; spot == nil || *spot || request.All {
+		if spot := request.Selection.Spot; spot == nil || *spot || request.MatchAll {
 			t.Errorf("%s: the selection is not of on-demand instances: %+v", rentedBefore, request)
 		}
 	}
--- a/cmd/ravenport/drainprint.go
+++ b/cmd/ravenport/drainprint.go
@@ -66,7 +66,7 @@
 	for _, d := range status.Drains {
 		printDrain(table, d)
 	}
-	for _, number := range status.Damaged {
+	for _, number := range status.Unreadable {
 		fmt.Fprintf(table, "%d\tdamaged\t\t\t\t\t\t\t\tits record cannot be read\n", number)
 	}
 	fmt.Fprintln(table, "\nBUDGET\tDOWN\tMOST\tTASKS")
--- a/cmd/ravenport/drainselection.go
+++ b/cmd/ravenport/drainselection.go
@@ -39,7 +39,7 @@
 	request := peer.DrainRequest{
 		Op:        op,
 		Selection: records.Selection{Machines: f.machines, Zones: f.zones, Types: f.types},
-		All:       f.all,
+		MatchAll:  f.all,
 	}
 	if f.spot && f.onDemand {
 		return peer.DrainRequest{}, settings.Invalid("spot", "cannot be asked for together with ordinary")
@@ -54,7 +54,7 @@
 	if err != nil {
 		return peer.DrainRequest{}, err
 	}
-	request.RentedBeforeS = age.Seconds()
+	request.MinAgeS = age.Seconds()
 	return request, nil
 }
 
--- a/cmd/ravenport/draintarget.go
+++ b/cmd/ravenport/draintarget.go
@@ -78,7 +78,7 @@
 	defer cancel()
 	reply, err := client.Drain(ctx, request)
 	switch {
-	case errors.Is(err, peer.ErrNoDrains):
+	case errors.Is(err, peer.ErrDrainingDisabled):
 		return nil, err
 	case err != nil:
 		return nil, fmt.Errorf("%s of a drain at %s: %w", request.Op, address, err)
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -38,7 +38,7 @@
 func (c *recentCancellations) dropOlderHalf() {
 	all := c.since(0)
 	for _, x := range all[:len(all)/2] {
-		delete(c.revisions, x.Job)
+		delete(c.revisions, x.JobID)
 		c.droppedUpTo = max(c.droppedUpTo, x.Revision)
 	}
 }
@@ -51,7 +51,7 @@
 	var out []peer.Cancellation
 	for job, at := range c.revisions {
 		if at > revision {
-			out = append(out, peer.Cancellation{Job: job, Revision: at})
+			out = append(out, peer.Cancellation{JobID: job, Revision: at})
 		}
 	}
 	slices.SortFunc(out, func(a, b peer.Cancellation) int { return cmp.Compare(a.Revision, b.Revision) })
@@ -64,10 +64,10 @@
 // applyCancellation takes in that a job is stored as cancelled, which the feed may not have
 // brought yet: the owners here stop its tasks at once.
 func (c *controlActor) applyCancellation(x peer.Cancellation) {
-	if !c.cancellations.add(x.Job, x.Revision) || x.Revision <= c.revision {
+	if !c.cancellations.add(x.JobID, x.Revision) || x.Revision <= c.revision {
 		return
 	}
 	for _, o := range c.owners {
-		o.ref.Tell(apiserver.JobCancelled{JobID: x.Job, Revision: x.Revision})
+		o.ref.Tell(apiserver.JobCancelled{JobID: x.JobID, Revision: x.Revision})
 	}
 }
--- a/controller/control.go
+++ b/controller/control.go
@@ -190,7 +190,7 @@
 	case controlTick:
 		c.handleTick(ctx, now)
 	case apiserver.JobCancelled:
-		c.applyCancellation(peer.Cancellation{Job: m.JobID, Revision: m.Revision})
+		c.applyCancellation(peer.Cancellation{JobID: m.JobID, Revision: m.Revision})
 	case machineTypesRead:
 		c.handleMachineTypes(now, m)
 	case shardForecasts:
--- a/controller/draining_test.go
+++ b/controller/draining_test.go
@@ -364,9 +364,9 @@
 			"type":          {Op: peer.OpStart, Selection: records.Selection{Types: []string{"x"}}},
 			"machine":       {Op: peer.OpStart, Selection: records.Selection{Machines: []string{"m-999999"}}},
 			"selection":     {Op: peer.OpStart},
-			"budget":        {Op: peer.OpStart, All: true},
+			"budget":        {Op: peer.OpStart, MatchAll: true},
 			"drain":         {Op: peer.OpPause, Number: 7},
-			"rented-before": {Op: peer.OpStart, RentedBeforeS: 1e9},
+			"rented-before": {Op: peer.OpStart, MinAgeS: 1e9},
 			"op":            {Op: "dance"},
 		} {
 			if r := w.drains(t, q); r.Problem == nil || r.Problem.Field != field {
@@ -379,7 +379,7 @@
 		if n := w.keysUnder(records.KeyDrain(1)); n > 0 {
 			t.Errorf("%d drains are stored", n)
 		}
-		if r := w.drains(t, peer.DrainRequest{Op: peer.OpPlan, All: true}); r.Plan == nil || r.Plan.FirstPermanentObstacle() == nil {
+		if r := w.drains(t, peer.DrainRequest{Op: peer.OpPlan, MatchAll: true}); r.Plan == nil || r.Plan.FirstPermanentObstacle() == nil {
 			t.Errorf("the plan does not say what can never be done: %+v", r)
 		}
 		w.do(func() {
@@ -390,8 +390,8 @@
 			w.changed = make(chan struct{})
 		})
 		time.Sleep(2 * time.Second)
-		if s := w.drains(t, peer.DrainRequest{Op: peer.OpStatus}).Status; !slices.Equal(s.Damaged, []int{3}) {
-			t.Errorf("damaged: %v", s.Damaged)
+		if s := w.drains(t, peer.DrainRequest{Op: peer.OpStatus}).Status; !slices.Equal(s.Unreadable, []int{3}) {
+			t.Errorf("damaged: %v", s.Unreadable)
 		}
 		if r := w.drains(t, peer.DrainRequest{Op: peer.OpResume, Number: 3}); r.Problem == nil || r.Problem.Field != "drain" {
 			t.Errorf("a damaged drain is resumed: %+v", r)
@@ -408,7 +408,7 @@
 		defer w.shut()
 		w.controllers[1].set.Draining = nil
 		w.beginDrains(t)
-		if _, err := (simPeer{w.controllers[0], w.controllers[1]}).Drain(context.Background(), peer.DrainRequest{Op: peer.OpStatus}); err != peer.ErrNoDrains {
+		if _, err := (simPeer{w.controllers[0], w.controllers[1]}).Drain(context.Background(), peer.DrainRequest{Op: peer.OpStatus}); err != peer.ErrDrainingDisabled {
 			t.Errorf("it answers: %v", err)
 		}
 		number := w.startDrain(t, records.Selection{Zones: []string{"a"}})
@@ -458,7 +458,7 @@
 		w.replicas(t, 4, tasks/4)
 		time.Sleep(30 * time.Second)
 		old := w.present()
-		plan := w.drains(t, peer.DrainRequest{Op: peer.OpPlan, All: true}).Plan
+		plan := w.drains(t, peer.DrainRequest{Op: peer.OpPlan, MatchAll: true}).Plan
 		began, revision, processor := time.Now(), w.stateRevision(), processorTime()
 		number := w.startDrain(t, records.Selection{})
 		w.drainEnds(t, number, records.DrainFinished, 12*time.Hour)
--- a/controller/drains.go
+++ b/controller/drains.go
@@ -236,16 +236,16 @@
 // is known now, so what is rented later is no part of it.
 func (r *drainService) resolve(ctx context.Context, q peer.DrainRequest, s *drainSnapshot) (records.Selection, *drain.FieldError) {
 	selection := q.Selection
-	if len(selection.Machines)+len(selection.Zones)+len(selection.Types) == 0 && selection.Spot == nil && q.RentedBeforeS == 0 && !q.All {
+	if len(selection.Machines)+len(selection.Zones)+len(selection.Types) == 0 && selection.Spot == nil && q.MinAgeS == 0 && !q.MatchAll {
 		return selection, &drain.FieldError{Field: "selection", Problem: "names no machine, zone, type, kind or age; say so if all machines are meant"}
 	}
-	if q.RentedBeforeS < 0 {
+	if q.MinAgeS < 0 {
 		return selection, &drain.FieldError{Field: "rented-before", Problem: "must not be negative"}
 	}
 	if n := len(s.inventory.Machines); n > 0 {
 		selection.LastMachine = s.inventory.Machines[n-1].Name
 	}
-	if q.RentedBeforeS == 0 {
+	if q.MinAgeS == 0 {
 		return selection, nil
 	}
 	list, err := r.cloud.Machines(ctx)
@@ -254,7 +254,7 @@
 	}
 	selection.LastMachine = ""
 	for _, m := range list {
-		if m.AgeS >= q.RentedBeforeS {
+		if m.AgeS >= q.MinAgeS {
 			selection.LastMachine = max(selection.LastMachine, m.Name)
 		}
 	}
@@ -357,7 +357,7 @@
 
 // status makes the status of all drains.
 func (s *drainSnapshot) status(node string) *peer.DrainStatus {
-	out := &peer.DrainStatus{Controller: node, Drains: []peer.DrainView{}, Damaged: s.damagedNumbers}
+	out := &peer.DrainStatus{Controller: node, Drains: []peer.DrainView{}, Unreadable: s.damagedNumbers}
 	for _, n := range slices.Sorted(maps.Keys(s.drains)) {
 		r := s.drains[n].Record.(*records.Drain)
 		v := peer.DrainView{Number: n, State: r.State, StopReason: r.StopReason, StartedS: r.StartedS, Machines: r.MachineCount, CanaryPassed: r.CanaryPassed}
--- a/controller/node.go
+++ b/controller/node.go
@@ -154,7 +154,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, constants.UserRequestTimeout)
 	defer cancel()
-	return peer.ReplyOf(n.store.Commit(ctx, t))
+	return peer.NewCommitReply(n.store.Commit(ctx, t))
 }
 
 // Run runs a controller with its servers until ctx ends or one of them fails.
@@ -182,7 +182,7 @@
 	}
 	handlers := peer.Handlers{Status: n.HandlePeerStatus, Commit: n.HandlePeerCommit}
 	if n.monitor != nil {
-		handlers.Detection = peer.Detection{Heartbeat: n.HandlePeerHeartbeat, Probe: n.HandlePeerProbe}
+		handlers.Detection = peer.DetectionHandlers{Heartbeat: n.HandlePeerHeartbeat, Probe: n.HandlePeerProbe}
 	}
 	if n.drainService != nil {
 		handlers.Drain = n.drainService.Answer
--- a/controller/roles.go
+++ b/controller/roles.go
@@ -83,7 +83,7 @@
 	}
 	a := newShardActor(c, shard, term, version, now, inventory, inventoryV)
 	for _, x := range c.cancellations.since(c.revision) {
-		a.self.Tell(apiserver.JobCancelled{JobID: x.Job, Revision: x.Revision})
+		a.self.Tell(apiserver.JobCancelled{JobID: x.JobID, Revision: x.Revision})
 	}
 	c.owners[shard] = &runningActor{ref: a.self, cancel: cancel, term: term, version: version}
 	clear(c.extensions) // they were given for other terms
--- a/controller/standin_detection_test.go
+++ b/controller/standin_detection_test.go
@@ -52,7 +52,7 @@
 		return nil, err
 	}
 	if ctl.monitor == nil {
-		return nil, peer.ErrNotMonitored
+		return nil, peer.ErrDetectionDisabled
 	}
 	p.to.waitWhileFrozen()
 	return ctl, nil
--- a/controller/standin_draining_test.go
+++ b/controller/standin_draining_test.go
@@ -160,7 +160,7 @@
 		return peer.DrainReply{}, err
 	}
 	if ctl.drainService == nil {
-		return peer.DrainReply{}, peer.ErrNoDrains
+		return peer.DrainReply{}, peer.ErrDrainingDisabled
 	}
 	return ctl.drainService.Answer(ctx, r)
 }
@@ -188,7 +188,7 @@
 func (w *world) startDrain(t *testing.T, s records.Selection) int {
 	t.Helper()
 	for range 30 { // right after a takeover an owner may not be there to be asked
-		reply := w.drains(t, peer.DrainRequest{Op: peer.OpStart, Selection: s, All: true})
+		reply := w.drains(t, peer.DrainRequest{Op: peer.OpStart, Selection: s, MatchAll: true})
 		if reply.Problem == nil {
 			return reply.Number
 		}
--- a/peer/drain.go
+++ b/peer/drain.go
@@ -14,9 +14,9 @@
 	"ravenport/records"
 )
 
-// ErrNoDrains says that the other controller does not drain machines: it is switched off
+// ErrDrainingDisabled says that the other controller does not drain machines: it is switched off
 // there, or its version does not know how.
-var ErrNoDrains = errors.New("draining is off at this controller (start it with --draining), or its version does not know it")
+var ErrDrainingDisabled = errors.New("draining is off at this controller (start it with --draining), or its version does not know it")
 
 // DrainOp is what is asked about drains.
 type DrainOp string
@@ -37,11 +37,11 @@
 	Op        DrainOp           `json:"op"`
 	Number    int               `json:"number,omitempty"`
 	Selection records.Selection `json:"sel"`
-	// All: a selection without any field is meant as it is.
-	All bool `json:"all,omitempty"`
-	// RentedBeforeS takes in only machines that are at least so old (s); 0: any.
-	RentedBeforeS float64 `json:"rented_before_s,omitempty"`
-	Shard         string  `json:"shard,omitempty"` // with OpShardPlan
+	// MatchAll: a selection without any field is meant as it is.
+	MatchAll bool `json:"all,omitempty"`
+	// MinAgeS takes in only machines that are at least so old (s); 0: any.
+	MinAgeS float64 `json:"rented_before_s,omitempty"`
+	Shard   string  `json:"shard,omitempty"` // with OpShardPlan
 }
 
 // DrainReply answers it.
@@ -59,8 +59,8 @@
 	Controller string             `json:"node"`
 	Drains     []DrainView        `json:"drains"`
 	Budgets    []disruption.Usage `json:"budgets"`
-	// Damaged are drains whose record cannot be read.
-	Damaged []int `json:"damaged,omitempty"`
+	// Unreadable are drains whose record cannot be read.
+	Unreadable []int `json:"damaged,omitempty"`
 }
 
 // DrainView is one drain.
@@ -89,7 +89,7 @@
 	case err == nil:
 		return answer, nil
 	case status.Code(err) == codes.Unimplemented:
-		return answer, ErrNoDrains
+		return answer, ErrDrainingDisabled
 	}
 	return answer, fmt.Errorf("peer: %w", err)
 }
@@ -97,7 +97,7 @@
 // Close ends the connection.
 func (c *Client) Close() { _ = c.conn.Close() } // nothing is left to lose
 
-var drainDesc = grpc.MethodDesc{
+var drainMethodDesc = grpc.MethodDesc{
 	MethodName: "Drain",
 	Handler: func(srv any, ctx context.Context, dec func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
 		handle := srv.(Handlers).Drain
--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -12,7 +12,7 @@
 // Controllers of several versions read each other's messages during an upgrade, so
 // their encoded forms are fixed to the letter, whatever the Go identifiers are
 // called.
-func TestSentFormsAreFixed(t *testing.T) {
+func TestEncodedMessagesAreFixed(t *testing.T) {
 	for _, c := range []struct {
 		name, want string
 		message    any
@@ -24,7 +24,7 @@
 		{"reply", `{"node":"n-0","promise":true,"cancels":6,"named":true,"cancelled":[{"job":"run-000001","rev":6}]}`,
 			StatusReply{Controller: "n-0", ExtensionGranted: true, LatestCancellation: 6, AllCancellationsListed: true, Cancellations: []Cancellation{{"run-000001", 6}}}},
 		{"relayed transaction's reply", `{"outcome":"conflict","rev":1,"failed":["k"]}`,
-			CommitReply{Outcome: OutcomeConflict, Revision: 1, Failed: []string{"k"}}},
+			CommitReply{Outcome: OutcomeConflict, Revision: 1, FailedKeys: []string{"k"}}},
 		{"heartbeat", `{"node":"n-0","hb":{"proc":7,"ref":1,"seq":3,"stalled":["leader"]},"acc":[{"node":"n-2","proc":9,"ref":2,"ev":["unserved"]}]}`,
 			detector.Message{Controller: "n-0", Heartbeat: detector.Heartbeat{Incarnation: 7, Refutation: 1, Sequence: 3, Stalled: []string{"leader"}},
 				Accusations: []detector.Accusation{{Controller: "n-2", Incarnation: 9, Refutation: 2, Evidence: []detector.Evidence{detector.Unserved}}}}},
--- a/peer/heartbeat.go
+++ b/peer/heartbeat.go
@@ -12,9 +12,9 @@
 	"ravenport/detector"
 )
 
-// ErrNotMonitored says that the other controller does not take part in failure
+// ErrDetectionDisabled says that the other controller does not take part in failure
 // detection: it is of a version without, or it is switched off there.
-var ErrNotMonitored = errors.New("peer: no failure detection there")
+var ErrDetectionDisabled = errors.New("peer: no failure detection there")
 
 // ProbeRequest asks a controller for its heartbeat, or to ask another one for its.
 type ProbeRequest struct {
@@ -28,9 +28,9 @@
 	Heartbeat *detector.Heartbeat `json:"hb,omitempty"`
 }
 
-// Detection takes in what other controllers send for failure detection. Both are
+// DetectionHandlers takes in what other controllers send for failure detection. Both are
 // called on goroutines of their own and may block until ctx ends.
-type Detection struct {
+type DetectionHandlers struct {
 	// Heartbeat takes in a message and answers with this controller's own.
 	Heartbeat func(ctx context.Context, m detector.Message) (detector.Message, error)
 	// Probe answers a probe of this controller, or carries one out.
@@ -45,37 +45,37 @@
 // Heartbeat sends a message and returns the other controller's.
 func (c *Client) Heartbeat(ctx context.Context, m detector.Message) (detector.Message, error) {
 	var answer detector.Message
-	err := detectionError(c.conn.Invoke(ctx, heartbeatMethod, &m, &answer))
+	err := wrapDetectionError(c.conn.Invoke(ctx, heartbeatMethod, &m, &answer))
 	return answer, err
 }
 
 // Probe asks the other controller for its heartbeat, or to probe a third one.
 func (c *Client) Probe(ctx context.Context, r ProbeRequest) (ProbeReply, error) {
 	var answer ProbeReply
-	err := detectionError(c.conn.Invoke(ctx, probeMethod, &r, &answer))
+	err := wrapDetectionError(c.conn.Invoke(ctx, probeMethod, &r, &answer))
 	return answer, err
 }
 
-func detectionError(err error) error {
+func wrapDetectionError(err error) error {
 	switch {
 	case err == nil:
 		return nil
 	case status.Code(err) == codes.Unimplemented:
-		return fmt.Errorf("%w: %w", ErrNotMonitored, err)
+		return fmt.Errorf("%w: %w", ErrDetectionDisabled, err)
 	}
 	return fmt.Errorf("peer: %w", err)
 }
 
-// errOff is what a controller without failure detection answers, like one of a
+// errDetectionOff is what a controller without failure detection answers, like one of a
 // version that does not know the call.
-var errOff = status.Error(codes.Unimplemented, "failure detection is off")
+var errDetectionOff = status.Error(codes.Unimplemented, "failure detection is off")
 
-var heartbeatDesc = grpc.MethodDesc{
+var heartbeatMethodDesc = grpc.MethodDesc{
 	MethodName: "Heartbeat",
 	Handler: func(srv any, ctx context.Context, dec func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
 		handle := srv.(Handlers).Detection.Heartbeat
 		if handle == nil {
-			return nil, errOff
+			return nil, errDetectionOff
 		}
 		var m detector.Message
 		if err := dec(&m); err != nil {
@@ -86,12 +86,12 @@
 	},
 }
 
-var probeDesc = grpc.MethodDesc{
+var probeMethodDesc = grpc.MethodDesc{
 	MethodName: "Probe",
 	Handler: func(srv any, ctx context.Context, dec func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
 		handle := srv.(Handlers).Detection.Probe
 		if handle == nil {
-			return nil, errOff
+			return nil, errDetectionOff
 		}
 		var r ProbeRequest
 		if err := dec(&r); err != nil {
--- a/peer/heartbeat_test.go
+++ b/peer/heartbeat_test.go
@@ -45,7 +45,7 @@
 	sent := detector.Message{Controller: "n-0", Heartbeat: detector.Heartbeat{Incarnation: 7, Refutation: 1, Sequence: 3, Stalled: []string{"leader"}},
 		Accusations: []detector.Accusation{{Controller: "n-2", Incarnation: 9, Refutation: 2, Evidence: []detector.Evidence{detector.Unserved}}}}
 	answer := detector.Message{Controller: "n-1", Heartbeat: detector.Heartbeat{Incarnation: 8, Sequence: 1}}
-	on := serve(t, Handlers{Status: status, Detection: Detection{
+	on := serve(t, Handlers{Status: status, Detection: DetectionHandlers{
 		Heartbeat: func(_ context.Context, m detector.Message) (detector.Message, error) {
 			if !reflect.DeepEqual(m, sent) {
 				t.Errorf("%+v became %+v", sent, m)
@@ -67,10 +67,10 @@
 		t.Errorf("%+v, %v", got, err)
 	}
 	off := serve(t, Handlers{Status: status})
-	if _, err := off.Heartbeat(ctx, sent); !errors.Is(err, ErrNotMonitored) {
+	if _, err := off.Heartbeat(ctx, sent); !errors.Is(err, ErrDetectionDisabled) {
 		t.Errorf("detection is off there: %v", err)
 	}
-	if _, err := off.Probe(ctx, ProbeRequest{}); !errors.Is(err, ErrNotMonitored) {
+	if _, err := off.Probe(ctx, ProbeRequest{}); !errors.Is(err, ErrDetectionDisabled) {
 		t.Errorf("detection is off there: %v", err)
 	}
 	nobody, err := Dial("127.0.0.1:1")
@@ -79,7 +79,7 @@
 	}
 	short, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 	defer cancel()
-	if _, err := nobody.Heartbeat(short, sent); err == nil || errors.Is(err, ErrNotMonitored) {
+	if _, err := nobody.Heartbeat(short, sent); err == nil || errors.Is(err, ErrDetectionDisabled) {
 		t.Errorf("nobody there: %v", err)
 	}
 }
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -67,7 +67,7 @@
 
 // Cancellation is a job's stored cancellation.
 type Cancellation struct {
-	Job      string `json:"job"`
+	JobID    string `json:"job"`
 	Revision uint64 `json:"rev"`
 }
 
@@ -76,12 +76,12 @@
 	Status func(Status) StatusReply // must not block
 	Commit CommitHandler
 	// Detection is empty where failure detection is off.
-	Detection Detection
+	Detection DetectionHandlers
 	// Drain answers requests about drains; nil where they are off.
 	Drain DrainHandler
 }
 
-const method = "/ravenport.Peer/Push"
+const pushMethod = "/ravenport.Peer/Push"
 
 // codec writes the messages as JSON, like every other interface here.
 type codec struct{}
@@ -94,7 +94,7 @@
 
 type service interface{}
 
-var desc = grpc.ServiceDesc{
+var serviceDesc = grpc.ServiceDesc{
 	ServiceName: "ravenport.Peer",
 	HandlerType: (*service)(nil),
 	Methods: []grpc.MethodDesc{{
@@ -107,7 +107,7 @@
 			r := srv.(Handlers).Status(s)
 			return &r, nil
 		},
-	}, commitDesc, heartbeatDesc, probeDesc, drainDesc},
+	}, commitMethodDesc, heartbeatMethodDesc, probeMethodDesc, drainMethodDesc},
 }
 
 // Serve listens on addr until ctx ends.
@@ -118,7 +118,7 @@
 	}
 	s := grpc.NewServer(grpc.MaxRecvMsgSize(constants.PeerMaxMessage), grpc.NumStreamWorkers(1),
 		grpc.ReadBufferSize(constants.PeerBuffer), grpc.WriteBufferSize(constants.PeerBuffer))
-	s.RegisterService(&desc, h)
+	s.RegisterService(&serviceDesc, h)
 	context.AfterFunc(ctx, s.Stop)
 	return s.Serve(l)
 }
@@ -148,6 +148,6 @@
 	ctx, cancel := context.WithTimeout(ctx, constants.PeerTimeout)
 	defer cancel()
 	var r StatusReply
-	err := c.conn.Invoke(ctx, method, &s, &r)
+	err := c.conn.Invoke(ctx, pushMethod, &s, &r)
 	return r, err
 }
--- a/peer/relay.go
+++ b/peer/relay.go
@@ -18,19 +18,19 @@
 
 // Outcomes of a relayed transaction.
 const (
-	OutcomeWritten  Outcome = "written"
-	OutcomeConflict Outcome = "conflict"
-	OutcomeInvalid  Outcome = "invalid"
-	OutcomeLimited  Outcome = "limited" // refused for the allowance alone
-	OutcomeRefused  Outcome = "refused" // surely not carried out
-	OutcomeUnknown  Outcome = "unknown" // it may have been, or may be yet
+	OutcomeCommitted   Outcome = "written"
+	OutcomeConflict    Outcome = "conflict"
+	OutcomeInvalid     Outcome = "invalid"
+	OutcomeRateLimited Outcome = "limited" // refused for the allowance alone
+	OutcomeRefused     Outcome = "refused" // surely not carried out
+	OutcomeUnknown     Outcome = "unknown" // it may have been, or may be yet
 )
 
 // CommitReply answers a relayed transaction.
 type CommitReply struct {
-	Outcome  Outcome  `json:"outcome"`
-	Revision uint64   `json:"rev,omitempty"`
-	Failed   []string `json:"failed,omitempty"` // keys whose conditions did not hold
+	Outcome    Outcome  `json:"outcome"`
+	Revision   uint64   `json:"rev,omitempty"`
+	FailedKeys []string `json:"failed,omitempty"` // keys whose conditions did not hold
 }
 
 // CommitHandler carries out a transaction for another controller. It is called on a
@@ -39,18 +39,18 @@
 
 const commitMethod = "/ravenport.Peer/Commit"
 
-// ReplyOf puts what a call of the state service returned into a reply.
-func ReplyOf(revision uint64, err error) CommitReply {
+// NewCommitReply puts what a call of the state service returned into a reply.
+func NewCommitReply(revision uint64, err error) CommitReply {
 	var conflict *kvstore.ConflictError
 	switch {
 	case err == nil:
-		return CommitReply{Outcome: OutcomeWritten, Revision: revision}
+		return CommitReply{Outcome: OutcomeCommitted, Revision: revision}
 	case errors.As(err, &conflict):
-		return CommitReply{Outcome: OutcomeConflict, Failed: conflict.Keys}
+		return CommitReply{Outcome: OutcomeConflict, FailedKeys: conflict.Keys}
 	case errors.Is(err, kvstore.ErrInvalidRequest):
 		return CommitReply{Outcome: OutcomeInvalid}
 	case errors.Is(err, kvstore.ErrRateLimited):
-		return CommitReply{Outcome: OutcomeLimited}
+		return CommitReply{Outcome: OutcomeRateLimited}
 	case errors.Is(err, kvstore.ErrRefused):
 		return CommitReply{Outcome: OutcomeRefused}
 	}
@@ -60,13 +60,13 @@
 // Result is what the state service's own client would have returned.
 func (r CommitReply) Result() (revision uint64, err error) {
 	switch r.Outcome {
-	case OutcomeWritten:
+	case OutcomeCommitted:
 		return r.Revision, nil
 	case OutcomeConflict:
-		return 0, &kvstore.ConflictError{Keys: r.Failed}
+		return 0, &kvstore.ConflictError{Keys: r.FailedKeys}
 	case OutcomeInvalid:
 		return 0, fmt.Errorf("%w: relayed", kvstore.ErrInvalidRequest)
-	case OutcomeLimited:
+	case OutcomeRateLimited:
 		return 0, fmt.Errorf("%w: %w: relayed", kvstore.ErrRefused, kvstore.ErrRateLimited)
 	case OutcomeRefused:
 		return 0, fmt.Errorf("%w: relayed", kvstore.ErrRefused)
@@ -88,8 +88,8 @@
 	return 0, fmt.Errorf("%w: relay: %w", kvstore.ErrOutcomeUnknown, err)
 }
 
-// commitDesc is the method's description for gRPC.
-var commitDesc = grpc.MethodDesc{
+// commitMethodDesc is the method's description for gRPC.
+var commitMethodDesc = grpc.MethodDesc{
 	MethodName: "Commit",
 	Handler: func(srv any, ctx context.Context, dec func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
 		var t wire.Txn
--- a/peer/relay_test.go
+++ b/peer/relay_test.go
@@ -31,7 +31,7 @@
 			if !reflect.DeepEqual(got, txn) {
 				t.Errorf("asked for %+v", got)
 			}
-			return ReplyOf(7, <-answers)
+			return NewCommitReply(7, <-answers)
 		}}
 		if err := Serve(ctx, addr, h); err != nil && ctx.Err() == nil {
 			t.Error(err)
