--- a/controller/actors.go
+++ b/controller/actors.go
@@ -335,7 +335,7 @@
 		st := shardStatus{shard: a.shard, aggregate: a.core.Aggregate(now, a.revision)}
 		if now.Sub(a.summaryAt) >= constants.PushEvery {
 			a.summaryAt = now
-			st.counts, st.summary = a.core.Counts(), a.core.Summary(now)
+			st.counts, st.summary = a.core.TaskCounts(), a.core.Summary(now)
 			st.drains = drain.ShardStatus{Shard: a.shard, Drains: a.core.DrainProgress(), Usage: a.core.Usage(now)}
 		}
 		a.control.Tell(st)
--- a/shard/aggregate.go
+++ b/shard/aggregate.go
@@ -42,13 +42,13 @@
 			continue
 		}
 		a.Capacity += m.capacity.cpus
-		add(c.free(m), m.spot)
+		add(c.freeResources(m), m.spot)
 		if m.spot {
 			continue
 		}
-		a.Preemptible += c.sumsOf(m).yielding
-		room := c.prodRoom(m)
-		for image := range m.images {
+		a.Preemptible += c.usageOf(m).preemptibleCPUs
+		room := c.productionCPUs(m)
+		for image := range m.cachedImages {
 			a.Warm[image] += room
 		}
 	}
@@ -73,7 +73,7 @@
 func (f *figures) PushDue() bool { d := f.pushDirty; f.pushDirty = false; return d }
 
 // PushInterval is the least time between two pushes of a part of this size.
-func (k *knowledge) PushInterval() time.Duration {
+func (k *knownState) PushInterval() time.Duration {
 	return constants.PushGap + time.Duration(len(k.fleet))*constants.PushGapMachine
 }
 
--- a/shard/arrivals.go
+++ b/shard/arrivals.go
@@ -7,15 +7,15 @@
 	"ravenport/constants"
 )
 
-// arrivals follows how much work of a sort arrives, as an average that
+// arrivalRate follows how much work of a sort arrives, as an average that
 // forgets over constants.ArrivalTimeConstant.
-type arrivals struct {
+type arrivalRate struct {
 	cpus    float64 // decayed sum of CPUs
 	largest resources
 	at      time.Time
 }
 
-func (a *arrivals) decay(now time.Time) {
+func (a *arrivalRate) decay(now time.Time) {
 	if !a.at.IsZero() {
 		a.cpus *= math.Exp(-now.Sub(a.at).Seconds() / constants.ArrivalTimeConstant.Seconds())
 	}
@@ -24,14 +24,14 @@
 
 // add counts work that arrived some time ago; a new owner thus knows what its
 // forerunner had learned.
-func (a *arrivals) add(now time.Time, ago time.Duration, n resources) {
+func (a *arrivalRate) add(now time.Time, ago time.Duration, n resources) {
 	a.decay(now)
 	a.cpus += n.cpus * math.Exp(-max(0, ago.Seconds())/constants.ArrivalTimeConstant.Seconds())
 	a.largest = resources{max(a.largest.cpus, n.cpus), max(a.largest.gpus, n.gpus), max(a.largest.mem, n.mem)}
 }
 
-// within is how many CPUs are expected within d.
-func (a *arrivals) within(now time.Time, d time.Duration) float64 {
+// expectedCPUs is how many CPUs are expected within d.
+func (a *arrivalRate) expectedCPUs(now time.Time, d time.Duration) float64 {
 	a.decay(now)
 	return a.cpus * d.Seconds() / constants.ArrivalTimeConstant.Seconds()
 }
--- a/shard/assignments.go
+++ b/shard/assignments.go
@@ -21,11 +21,11 @@
 		switch {
 		case c.jobs[id] != j:
 			delete(c.toClose, id)
-		case j.recordChanges() || now.Before(j.retryAt):
-		case !j.changed && now.Before(j.closeAt):
+		case j.recordPending() || now.Before(j.nextWriteAt):
+		case !j.closeCheckDue && now.Before(j.closeAt):
 		default:
 			delete(c.toClose, id)
-			j.changed = false
+			j.closeCheckDue = false
 			c.closeJob(now, id, j)
 		}
 	}
@@ -46,7 +46,7 @@
 	rec := j.rec.Clone()
 	for i := range rec.Assignments {
 		ch := &rec.Assignments[i]
-		if ch.Shard == c.cfg.Shard && !ch.Closed && c.assignmentOver(j, ch) {
+		if ch.Shard == c.cfg.Shard && !ch.Closed && c.isAssignmentFinished(j, ch) {
 			ch.Closed = true
 		}
 	}
@@ -83,18 +83,18 @@
 		if ch.Shard != v.cfg.Shard || ch.Closed {
 			continue
 		}
-		if v.assignmentOver(j, ch) {
+		if v.isAssignmentFinished(j, ch) {
 			f.over = true
 			continue
 		}
 		f.open = true
 		for k := ch.From; held && !f.some && k < ch.To; k++ {
-			f.some = v.taskOver(j, k)
+			f.some = v.isTaskFinished(j, k)
 		}
 	}
 	if j.rec.End == "" {
 		for _, t := range j.tasks {
-			f.leaving = f.leaving || t.leaving
+			f.leaving = f.leaving || t.sendingBack
 		}
 	}
 	return f
@@ -122,7 +122,7 @@
 func (p *placement) releaseLeaving(v *fleetView, j *job, rec *records.Job, closed bool) *records.Job {
 	staying := rec.Clone()
 	for k, t := range j.tasks {
-		if t.leaving {
+		if t.sendingBack {
 			cutOut(rec, k)
 		}
 	}
@@ -132,7 +132,7 @@
 		return rec
 	}
 	for _, t := range j.tasks {
-		t.leaving = false
+		t.sendingBack = false
 	}
 	p.touch(j)
 	if !closed {
@@ -147,28 +147,28 @@
 	value, ok := c.cfg.SizeLimits.Encode(rec, j.rec)
 	if !ok {
 		slog.Error("job's record does not fit", "job", id, "bytes", len(value))
-		j.retryAt = now.Add(constants.RetryBackoffMax)
+		j.nextWriteAt = now.Add(constants.RetryBackoffMax)
 		c.check(j)
 		return
 	}
-	j.writing = true
+	j.writeInFlight = true
 	c.commit(&c.fleetView, "job/"+id, []wire.Change{{Put: records.KeyJob(id), Value: value}},
 		wire.Condition{Key: records.KeyJob(id), Version: j.version})
 }
 
-// assignmentOver says whether every task of an assignment is over.
-func (known *knowledge) assignmentOver(j *job, ch *records.Assignment) bool {
+// isAssignmentFinished says whether every task of an assignment is over.
+func (known *knownState) isAssignmentFinished(j *job, ch *records.Assignment) bool {
 	for k := ch.From; k < ch.To; k++ {
-		if !known.taskOver(j, k) {
+		if !known.isTaskFinished(j, k) {
 			return false
 		}
 	}
 	return true
 }
 
-// taskOver says whether a task is done or, for a job that ended, need not be, and is
+// isTaskFinished says whether a task is done or, for a job that ended, need not be, and is
 // surely on no machine.
-func (known *knowledge) taskOver(j *job, k int) bool {
+func (known *knownState) isTaskFinished(j *job, k int) bool {
 	t := j.tasks[k]
 	ended := j.rec.End != ""
 	switch {
@@ -179,7 +179,7 @@
 	case !ended && !t.done:
 		return false
 	}
-	return !known.somewhere(j.rec.ID, k)
+	return !known.hasLiveAttempt(j.rec.ID, k)
 }
 
 // closeDone closes the done tasks of open assignments here by themselves, unless the
@@ -196,7 +196,7 @@
 		}
 		for k := ch.From; k < ch.To; k++ {
 			piece := ch
-			piece.From, piece.To, piece.Closed = k, k+1, v.taskOver(j, k)
+			piece.From, piece.To, piece.Closed = k, k+1, v.isTaskFinished(j, k)
 			split = append(split, piece)
 		}
 	}
@@ -227,5 +227,5 @@
 // check says that a job's assignments may have something to record.
 func (s *closings) check(j *job) {
 	s.toClose[j.rec.ID] = j
-	j.changed = true
+	j.closeCheckDue = true
 }
--- a/shard/attempt.go
+++ b/shard/attempt.go
@@ -8,101 +8,101 @@
 	"ravenport/wire"
 )
 
-// hold is an attempt that is, or may be, on a machine.
-type hold struct {
-	key      holdKey
-	jobID    string
-	index    int
-	m        *machine
-	state    string // a state of wire, or stateSent
-	cause    string
-	needs    resources
-	image    string
-	listed   bool   // a report of this session has shown it
-	seen     uint64 // the look at a report that last showed it
-	adopted  bool   // it ran already when this owner first heard of it
-	direct   bool   // a direct command may have carried its start; such a one can be repeated late
-	directed uint64 // the highest token under which one may have
-	sentSeq  uint64 // the report whose answer last carried the start
-	stop     bool   // to be stopped though its task is still wanted
-	instant  bool   // stopping takes no saving
-	told     time.Time
-	sentAt   time.Time
-	runSince time.Time
+// attempt is an attempt that is, or may be, on a machine.
+type attempt struct {
+	key            attemptKey
+	jobID          string
+	taskIndex      int
+	machine        *machine
+	state          string // a state of wire, or stateSent
+	cause          string
+	resources      resources
+	image          string
+	reported       bool   // a report of this session has shown it
+	lastReconcile  uint64 // the look at a report that last showed it
+	adopted        bool   // it ran already when this owner first heard of it
+	sentDirectly   bool   // a direct command may have carried its start; such a one can be repeated late
+	maxDirectToken uint64 // the highest token under which one may have
+	startSentSeq   uint64 // the report whose answer last carried the start
+	stopRequested  bool   // to be stopped though its task is still wanted
+	stopsInstantly bool   // stopping takes no saving
+	stopSentAt     time.Time
+	startSentAt    time.Time
+	runningSince   time.Time
 }
 
-// holdKey names one attempt of a task on one machine.
-type holdKey struct {
-	task    string
-	attempt uint64
+// attemptKey names one attempt of a task on one machine.
+type attemptKey struct {
+	task   string
+	number uint64
 }
 
 // stateSent: a start was decided and may have been sent, and no report has
 // shown the attempt yet.
 const stateSent = "sent"
 
-func (h *hold) exited() bool { return h.state == wire.TaskExited }
+func (a *attempt) hasExited() bool { return a.state == wire.TaskExited }
 
-func (h *hold) isRunning() bool { return h.state == wire.TaskRunning }
+func (a *attempt) isRunning() bool { return a.state == wire.TaskRunning }
 
-// fill takes in what the job says of its tasks.
-func (h *hold) fill(j *job) {
+// applySpec takes in what the job says of its tasks.
+func (a *attempt) applySpec(j *job) {
 	s := &j.rec.Spec
-	h.needs, h.image = need(s), s.Image
-	h.instant = s.CheckpointS == 0
-	h.m.stale = true
+	a.resources, a.image = need(s), s.Image
+	a.stopsInstantly = s.CheckpointS == 0
+	a.machine.usageStale = true
 }
 
-// adoptKnown looks for a task that is already known to be on a machine.
-func (c *Core) adoptKnown(t *task) {
-	for _, h := range c.byTask[taskKey{t.job.rec.ID, t.index}] {
-		h.fill(t.job)
-		c.matchHold(t, h)
+// adoptAttempts looks for a task that is already known to be on a machine.
+func (c *Core) adoptAttempts(t *task) {
+	for _, a := range c.attemptsByTask[taskKey{t.job.rec.ID, t.index}] {
+		a.applySpec(t.job)
+		c.matchAttempt(t, a)
 	}
 }
 
-// matchHold brings a task in line with an attempt that a report showed.
-func (c *Core) matchHold(t *task, h *hold) {
-	h.m.stale = true
+// matchAttempt brings a task in line with an attempt that a report showed.
+func (c *Core) matchAttempt(t *task, a *attempt) {
+	a.machine.usageStale = true
 	c.touch(t.job)
 	if t.job.gang != nil {
-		c.reconcileGangAttempt(t, h)
+		c.reconcileGangAttempt(t, a)
 		return
 	}
-	if h.exited() {
-		if h.cause == wire.CauseDone && !t.job.rec.Spec.IsService() {
+	if a.hasExited() {
+		if a.cause == wire.CauseDone && !t.job.rec.Spec.IsService() {
 			t.done = true
 			t.uncertain = false
 		}
-		if t.hold == h {
-			t.hold = nil
+		if t.attempt == a {
+			t.attempt = nil
 		}
 		c.check(t.job)
 		return
 	}
-	if t.hold == nil && !t.done {
-		t.hold = h
+	if t.attempt == nil && !t.done {
+		t.attempt = a
 		// Only a machine that shows this term's token speaks of now. A late copy
 		// may name a machine that the task has left since, for another that has
 		// not reported yet.
-		t.uncertain = t.uncertain && !h.m.verified(c.term)
+		t.uncertain = t.uncertain && !a.machine.hasSeenTerm(c.term)
 	}
 }
 
-// release takes an attempt that is surely gone off its machine and its task.
-func (c *Core) release(now time.Time, h *hold) {
-	c.dropHold(h)
-	if !h.exited() {
+// releaseAttempt takes an attempt that is surely gone off its machine and its task.
+func (c *Core) releaseAttempt(now time.Time, a *attempt) {
+	c.removeAttempt(a)
+	if !a.hasExited() {
 		c.needsPlacement = true
 	}
 	c.pushDirty = true
-	if j := c.jobs[h.jobID]; j != nil {
-		if t := j.tasks[h.index]; t != nil && t.hold == h {
-			t.hold = nil
-			t.waitSince = now
-			t.keep = false // lost its machine: what does not fit here goes up at once
+	if j := c.jobs[a.jobID]; j != nil {
+		if t := j.tasks[a.taskIndex]; t != nil && t.attempt == a {
+			t.attempt = nil
+			t.waitingSince = now
+			t.keepWaiting = false // lost its machine: what does not fit here goes up at once
 			if j.gang != nil {
-				c.handleLostGangTask(j, h)
+				c.handleLostGangTask(j, a)
 			}
 		}
 		c.touch(j)
@@ -110,36 +110,36 @@
 	}
 }
 
-// releaseAll is release for all that was on a machine.
-func (c *Core) releaseAll(now time.Time, m *machine) {
-	for len(m.holds) > 0 {
-		c.release(now, m.holds[len(m.holds)-1])
+// releaseAttempts is release for all that was on a machine.
+func (c *Core) releaseAttempts(now time.Time, m *machine) {
+	for len(m.attempts) > 0 {
+		c.releaseAttempt(now, m.attempts[len(m.attempts)-1])
 	}
 }
 
-// failed notes that an attempt ended without its task being done.
-func (c *Core) failed(now time.Time, t *task, h *hold) {
-	t.waitSince = now
-	switch h.cause {
+// attemptFailed notes that an attempt ended without its task being done.
+func (c *Core) attemptFailed(now time.Time, t *task, a *attempt) {
+	t.waitingSince = now
+	switch a.cause {
 	case wire.CauseStopped, wire.CauseGangPeerLost, wire.CauseGangIncomplete:
 		return // nobody's fault
 	case wire.CauseError, wire.CauseUnknown:
-		slog.Warn("task failed", "task", h.key.task, "machine", h.m.name, "cause", h.cause)
+		slog.Warn("task failed", "task", a.key.task, "machine", a.machine.name, "cause", a.cause)
 		j := t.job
-		if j.errors == nil {
-			j.errors = map[string]bool{}
+		if j.failedMachines == nil {
+			j.failedMachines = map[string]bool{}
 		}
-		j.errors[h.m.name] = true
-		t.fails++
+		j.failedMachines[a.machine.name] = true
+		t.failures++
 		// Failing on several machines, the job is at fault, not they.
-		if len(j.errors) < constants.FaultyJobMachines {
-			h.m.avoidUntil = now.Add(constants.FaultyMachinePause)
+		if len(j.failedMachines) < constants.FaultyJobMachines {
+			a.machine.avoidUntil = now.Add(constants.FaultyMachinePause)
 		}
-		wait := time.Second << min(t.fails, 5)
+		wait := time.Second << min(t.failures, 5)
 		t.notBefore = now.Add(min(wait, constants.MaxFailedTaskRetry))
-		c.draining.migrationFailed(t, h.m.name)
+		c.draining.migrationFailed(t, a.machine.name)
 	default: // refused for room, or as busy
-		slog.Warn("start refused", "task", h.key.task, "machine", h.m.name, "cause", h.cause)
+		slog.Warn("start refused", "task", a.key.task, "machine", a.machine.name, "cause", a.cause)
 		t.notBefore = now.Add(constants.RefusedStartRetry)
 	}
 }
--- a/shard/bestfit.go
+++ b/shard/bestfit.go
@@ -14,14 +14,14 @@
 // for the job's next, until it is full. Machines that hold the image already
 // come first, and spot machines before ordinary ones where both are allowed:
 // ordinary room is the only room for those that may not use spot.
-func (k *knowledge) rankCandidates(s *wire.Submission, n resources, r *placementRound) []*machine {
+func (k *knownState) rankCandidates(s *wire.Submission, n resources, r *placementRound) []*machine {
 	type cand struct {
 		m     *machine
 		score float64
 	}
 	var cs []cand
 	for _, m := range r.freeMachines {
-		if free := k.free(m); n.fits(free) && isEligible(s, m.typeName, m.spot) && (m.keptFor == nil || m.keptFor.rec.ID == s.ID) && (!m.forGangs || s.AllOrNothing()) {
+		if free := k.freeResources(m); n.fits(free) && isEligible(s, m.typeName, m.spot) && (m.reservedFor == nil || m.reservedFor.rec.ID == s.ID) && (!m.reservedForGangs || s.AllOrNothing()) {
 			cs = append(cs, cand{m, k.placementScore(s, n, m, free)})
 		}
 	}
@@ -44,24 +44,24 @@
 }
 
 // placementScore ranks a machine with room for a job's task; less is better.
-func (k *knowledge) placementScore(s *wire.Submission, n resources, m *machine, free resources) float64 {
+func (k *knownState) placementScore(s *wire.Submission, n resources, m *machine, free resources) float64 {
 	score := m.freeShare(free.minus(n))
-	if !m.images[s.Image] {
+	if !m.cachedImages[s.Image] {
 		score += constants.ScoreImageMissing
 	}
 	if s.Spot && !m.spot {
 		// Ordinary machines with services stay whatever happens, so their
 		// gaps cost nothing; an empty one had better stay empty.
-		if k.sumsOf(m).services > 0 {
+		if k.usageOf(m).services > 0 {
 			score -= constants.ScoreServiceMachine
 		} else {
 			score += constants.ScoreOnDemand
 		}
 	}
-	if m.draining || m.leavesNext {
+	if m.consolidating || m.drainNext {
 		score += constants.ScoreDraining
 	}
-	if m.forGangs && !s.IsGang() {
+	if m.reservedForGangs && !s.IsGang() {
 		score += constants.ScoreGangReserve
 	}
 	return score
@@ -77,8 +77,8 @@
 		if !isEligible(s, m.typeName, m.spot) || !v.isSchedulable(now, m) {
 			continue
 		}
-		free := v.free(m)
-		if !n.fits(free) || m.keptFor != nil && m.keptFor.rec.ID != s.ID || m.forGangs && !s.AllOrNothing() || except != nil && !except(m) {
+		free := v.freeResources(m)
+		if !n.fits(free) || m.reservedFor != nil && m.reservedFor.rec.ID != s.ID || m.reservedForGangs && !s.AllOrNothing() || except != nil && !except(m) {
 			continue
 		}
 		if score := v.placementScore(s, n, m, free); best == nil || score < least || score == least && m.name < best.name {
--- a/shard/cloudlist.go
+++ b/shard/cloudlist.go
@@ -20,9 +20,9 @@
 	defer func() {
 		for _, m := range c.fleet {
 			if shown[m.name] {
-				m.listed, m.missing = true, 0
-			} else if m.listed || (m.inherited || m.lapsed) && now.Sub(m.rentedAt) > 3*c.cfg.ListLag {
-				m.missing++
+				m.inCloudList, m.missedLists = true, 0
+			} else if m.inCloudList || (m.inherited || m.leaseExpired) && now.Sub(m.requestedAt) > 3*c.cfg.ListLag {
+				m.missedLists++
 			}
 		}
 	}()
@@ -35,11 +35,11 @@
 		shown[l.Name] = true
 		m := c.machines[l.Name]
 		if l.State == wire.MachineFailed {
-			if m == nil || !m.returning {
+			if m == nil || !m.scalingIn {
 				failed = append(failed, l.Name)
 			}
 			if m != nil {
-				m.returning = true
+				m.scalingIn = true
 			}
 			continue
 		}
@@ -47,10 +47,10 @@
 			continue // the list lags: returned a moment ago
 		}
 		if m == nil && l.State == wire.MachineBooting && time.Duration(l.AgeS*float64(time.Second)) > 2*c.cfg.ListLag {
-			m = c.machine(l.Name)
+			m = c.ensureMachine(l.Name)
 			m.typeName, m.spot = l.Type, l.Spot
-			m.rentedAt = now.Add(-time.Duration(l.AgeS * float64(time.Second)))
-			c.size(m)
+			m.requestedAt = now.Add(-time.Duration(l.AgeS * float64(time.Second)))
+			c.resolveType(m)
 			slog.Info("unexpected machine found in the cloud's list", "machine", l.Name)
 		}
 	}
@@ -61,7 +61,7 @@
 	}
 }
 
-// vanished says that the cloud has stopped listing a machine: it was most likely
+// isDelisted says that the cloud has stopped listing a machine: it was most likely
 // taken back. That proves nothing, since a list may be old, but a silent machine
 // that is listed all the same is more likely cut off.
-func (m *machine) vanished() bool { return m.missing >= constants.ListsMissing }
+func (m *machine) isDelisted() bool { return m.missedLists >= constants.ListsMissing }
--- a/shard/commits.go
+++ b/shard/commits.go
@@ -54,8 +54,8 @@
 		if j := c.jobs[rest]; j != nil && revision == 0 {
 			// Either the feed will bring a newer version, or the write is
 			// tried again.
-			j.writing = false
-			j.retryAt = now.Add(constants.RetryBackoffMax)
+			j.writeInFlight = false
+			j.nextWriteAt = now.Add(constants.RetryBackoffMax)
 			c.check(j)
 		}
 	default:
--- a/shard/consolidation.go
+++ b/shard/consolidation.go
@@ -29,12 +29,12 @@
 			continue
 		}
 		ms = append(ms, m)
-		total += c.prodRoom(m)
-		if m.draining {
+		total += c.productionCPUs(m)
+		if m.consolidating {
 			draining++
 		}
-		for _, h := range m.holds {
-			if h.stop && !h.exited() {
+		for _, att := range m.attempts {
+			if att.stopRequested && !att.hasExited() {
 				moving++
 			}
 		}
@@ -44,7 +44,7 @@
 		return
 	}
 	sort.Slice(ms, func(a, b int) bool {
-		if x, y := c.sumsOf(ms[a]).used.cpus, c.sumsOf(ms[b]).used.cpus; x != y {
+		if x, y := c.usageOf(ms[a]).used.cpus, c.usageOf(ms[b]).used.cpus; x != y {
 			return x < y
 		}
 		return ms[a].name > ms[b].name
@@ -56,16 +56,16 @@
 		// Without it the shard must keep its room ready, and have room for what
 		// is on it; those emptied already count as gone.
 		if total-m.capacity.cpus < keep {
-			if m.draining {
-				m.draining = false
+			if m.consolidating {
+				m.consolidating = false
 				draining--
 			}
 			m.spareSince = time.Time{}
 			continue
 		}
 		if looked++; looked > 4*most || !c.isRedundant(m, others) {
-			if m.draining {
-				m.draining = false
+			if m.consolidating {
+				m.consolidating = false
 				draining--
 			}
 			m.spareSince = time.Time{}
@@ -73,15 +73,15 @@
 		}
 		total -= m.capacity.cpus
 		switch {
-		case m.draining:
+		case m.consolidating:
 			if moving < most && c.migrateOneService(now, m) {
 				moving++
 			}
 		case m.spareSince.IsZero():
 			m.spareSince = now
 		case now.Sub(m.spareSince) > constants.RedundantFor && draining < most:
-			slog.Info("draining machine", "machine", m.name, "cpus", c.sumsOf(m).used.cpus)
-			m.draining = true
+			slog.Info("draining machine", "machine", m.name, "cpus", c.usageOf(m).used.cpus)
+			m.consolidating = true
 			draining++
 		}
 	}
@@ -89,29 +89,29 @@
 
 // isRedundant says whether all that is on a machine would fit on others with room,
 // services on ordinary ones that hold their image.
-func (k *knowledge) isRedundant(m *machine, others []*machine) bool {
+func (k *knownState) isRedundant(m *machine, others []*machine) bool {
 	taken := map[*machine]resources{}
-	for _, h := range m.holds {
-		t := k.taskOf(h)
-		if h.exited() || t == nil {
+	for _, a := range m.attempts {
+		t := k.taskOf(a)
+		if a.hasExited() || t == nil {
 			continue
 		}
 		s := &t.job.rec.Spec
 		var to *machine
 		var left float64
 		for _, o := range others {
-			if o == m || o.draining || s.IsService() && !o.images[s.Image] || !isEligible(s, o.typeName, o.spot) {
+			if o == m || o.consolidating || s.IsService() && !o.cachedImages[s.Image] || !isEligible(s, o.typeName, o.spot) {
 				continue
 			}
-			free := k.free(o).minus(taken[o])
-			if h.needs.fits(free) && (to == nil || free.cpus < left || free.cpus == left && o.name < to.name) {
+			free := k.freeResources(o).minus(taken[o])
+			if a.resources.fits(free) && (to == nil || free.cpus < left || free.cpus == left && o.name < to.name) {
 				to, left = o, free.cpus
 			}
 		}
 		if to == nil {
 			return false
 		}
-		taken[to] = taken[to].plus(h.needs)
+		taken[to] = taken[to].plus(a.resources)
 	}
 	return true
 }
@@ -119,14 +119,14 @@
 // migrateOneService stops one service of a draining machine; it starts again at once
 // where there is room for it.
 func (c *Core) migrateOneService(now time.Time, m *machine) bool {
-	for _, h := range m.holds {
-		t := c.taskOf(h)
-		if h.state != wire.TaskRunning || t == nil || t.hold != h || h.stop || !t.job.rec.Spec.IsService() || !h.instant {
+	for _, a := range m.attempts {
+		t := c.taskOf(a)
+		if a.state != wire.TaskRunning || t == nil || t.attempt != a || a.stopRequested || !t.job.rec.Spec.IsService() || !a.stopsInstantly {
 			continue
 		}
-		if to := c.bestFit(now, &t.job.rec.Spec, nil); to != nil && !to.draining && to.images[t.job.rec.Spec.Image] && c.draining.allowsConsolidation(now, t) {
-			c.evict(h)
-			slog.Debug("moving service", "task", h.key.task, "from", m.name, "to", to.name)
+		if to := c.bestFit(now, &t.job.rec.Spec, nil); to != nil && !to.consolidating && to.cachedImages[t.job.rec.Spec.Image] && c.draining.allowsConsolidation(now, t) {
+			c.evict(a)
+			slog.Debug("moving service", "task", a.key.task, "from", m.name, "to", to.name)
 			return true
 		}
 	}
--- a/shard/core.go
+++ b/shard/core.go
@@ -57,7 +57,7 @@
 // machines and tasks, and which machines are heard.
 type fleetView struct {
 	ownership
-	knowledge
+	knownState
 	hearing
 }
 
@@ -68,9 +68,9 @@
 	jobs map[string]*records.Job, versions map[string]uint64, inventory map[string]*records.InventoryPage, inventoryVersions map[string]uint64) *Core {
 	c := &Core{
 		fleetView: fleetView{
-			ownership: ownership{cfg: cfg, term: term, numbers: newNumbers(term), termVer: termVersion, claimed: now},
-			knowledge: newKnowledge(),
-			hearing:   hearing{period: cfg.HeartbeatPeriod, leaseLasts: cfg.LeaseEnd, began: now, gone: map[string]time.Time{}},
+			ownership:  ownership{cfg: cfg, term: term, numbers: newNumbers(term), termVer: termVersion, claimed: now},
+			knownState: newKnownState(),
+			hearing:    hearing{period: cfg.HeartbeatPeriod, leaseLasts: cfg.LeaseEnd, began: now, gone: map[string]time.Time{}},
 		},
 		placement: newPlacement(cfg.RoundBudget), closings: closings{toClose: map[string]*job{}}, pageBook: newPageBook(cfg.SizeLimits),
 		scaleOutState: scaleOutState{pendingScaleOuts: map[string]*pendingScaleOut{}, refusedUntil: map[bool]time.Time{}},
@@ -88,8 +88,8 @@
 		// Whatever earlier owners started, or sent and is still on its way, is
 		// bounded by the lease counted from here: they had lost their authority
 		// when the claim succeeded.
-		m.inherited = m.inventoryAddr != ""
-		m.leaseUntil = c.leaseEnd(now, m)
+		m.inherited = m.durableAddr != ""
+		m.leaseExpiresAt = c.leaseEnd(now, m)
 	}
 	for id, rec := range jobs {
 		c.applyJob(now, id, rec, versions[id], true)
--- a/shard/core_test.go
+++ b/shard/core_test.go
@@ -193,7 +193,7 @@
 	}
 	// The session's end settles it.
 	r.Heartbeat(r.now, report("m-1", 2, 20, token(r.term, 0)))
-	if h := len(r.machines["m-1"].holds); h > 1 {
+	if h := len(r.machines["m-1"].attempts); h > 1 {
 		t.Fatalf("%d attempts after the session ended", h)
 	}
 }
@@ -212,7 +212,7 @@
 			t.Fatal("forgotten while a late copy could start it again")
 		}
 	}
-	r.machines["m-1"].epoch++
+	r.machines["m-1"].tokenCount++
 	reply, _ = r.Heartbeat(r.now, report("m-1", 1, 6, r.shown("m-1"), failed))
 	forgot := false
 	for _, c := range reply.Commands {
@@ -230,9 +230,9 @@
 	t.Run("returning", func(t *testing.T) {
 		r := newRig(nil)
 		r.up("m-1")
-		r.machines["m-1"].returning = true
+		r.machines["m-1"].scalingIn = true
 		r.wait(10 * time.Second)
-		if _, ok := r.Heartbeat(r.now, report("m-1", 1, 9, token(r.term, 0))); ok && r.machines["m-1"].leaseUntil.Before(r.now.Add(leaseEnd)) {
+		if _, ok := r.Heartbeat(r.now, report("m-1", 1, 9, token(r.term, 0))); ok && r.machines["m-1"].leaseExpiresAt.Before(r.now.Add(leaseEnd)) {
 			t.Fatal("an answer renewed the lease without being counted")
 		}
 	})
@@ -240,7 +240,7 @@
 		r := newRig(nil, records.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"})
 		r.wait(15 * time.Second)
 		r.CommandResult(r.now, "m-1", report("m-1", 2, 1, token(r.term, 0)))
-		if r.machines["m-1"].leaseUntil.Before(r.now.Add(leaseEnd)) {
+		if r.machines["m-1"].leaseExpiresAt.Before(r.now.Add(leaseEnd)) {
 			t.Fatal("the new session is held to the old one's lease")
 		}
 	})
@@ -284,7 +284,7 @@
 			r.wait(100 * time.Millisecond)
 		}
 		for _, m := range r.machines {
-			if u := r.sumsOf(m).used; !u.fits(m.capacity) {
+			if u := r.usageOf(m).used; !u.fits(m.capacity) {
 				t.Fatalf("%s: %+v of %+v", m.name, u, m.capacity)
 			}
 		}
@@ -468,8 +468,8 @@
 	r.Heartbeat(r.now, report("m-2", 1, 40, before, running(9)))
 	r.now = r.now.Add(100 * time.Millisecond)
 	r.Heartbeat(r.now, report("m-2", 1, 41, r.shown("m-2"), running(9)))
-	if h := r.jobs["run-1"].tasks[0].hold; h == nil || h.m.name != "m-2" {
-		t.Fatalf("the running attempt was not adopted: %+v", h)
+	if a := r.jobs["run-1"].tasks[0].attempt; a == nil || a.machine.name != "m-2" {
+		t.Fatalf("the running attempt was not adopted: %+v", a)
 	}
 }
 
@@ -514,8 +514,8 @@
 			}
 			next.Heartbeat(over, report("m-0", 1, 50, tok))
 			m := next.machines["m-0"]
-			ends := m.leaseUntil.Sub(over)
-			if shows && ends != leaseEnd || !shows && (ends < leaseExtension+leaseEnd || m.leaseUntil.Before(last.Add(leaseEnd))) {
+			ends := m.leaseExpiresAt.Sub(over)
+			if shows && ends != leaseEnd || !shows && (ends < leaseExtension+leaseEnd || m.leaseExpiresAt.Before(last.Add(leaseEnd))) {
 				t.Fatalf("its lease counts as over %s after the claim", ends)
 			}
 		})
@@ -641,8 +641,8 @@
 		t.Error("the feed's record was changed")
 	}
 	names := []wire.TaskStatus{}
-	for _, h := range r.machines["m-1"].holds {
-		names = append(names, wire.TaskStatus{Task: h.key.task, Attempt: h.key.attempt, State: wire.TaskRunning})
+	for _, att := range r.machines["m-1"].attempts {
+		names = append(names, wire.TaskStatus{Task: att.key.task, Attempt: att.key.number, State: wire.TaskRunning})
 	}
 	reply, ok := r.Heartbeat(r.now, report("m-1", 1, 3, r.shown("m-1"), names...))
 	if !ok || len(reply.Commands) != 2 || reply.Commands[0].Op != wire.OpStop {
--- a/shard/directcommands.go
+++ b/shard/directcommands.go
@@ -18,7 +18,7 @@
 // requestCommand has the next step send a machine what it should do, unless an
 // answer to a report carries it before.
 func (q *outgoing) requestCommand(m *machine) {
-	m.wantCommand = true
+	m.commandWanted = true
 	if !m.commandQueued {
 		m.commandQueued = true
 		q.commandQueue = append(q.commandQueue, m)
@@ -33,10 +33,10 @@
 	queue := q.commandQueue
 	q.commandQueue = q.commandQueue[:0]
 	for _, m := range queue {
-		if m.wantCommand && m.reachable(now) && !v.unclear(now, m) && q.roomForCall(v) {
+		if m.commandWanted && m.isCallable(now) && !v.unclear(now, m) && q.roomForCall(v) {
 			q.sendOrders(v, now, m)
 		}
-		if m.commandQueued = m.wantCommand; m.wantCommand {
+		if m.commandQueued = m.commandWanted; m.commandWanted {
 			q.commandQueue = append(q.commandQueue, m)
 		}
 	}
@@ -51,11 +51,11 @@
 func (q *outgoing) ask(v *fleetView, now time.Time) {
 	asked := 0
 	for _, m := range v.fleet {
-		if !m.reachable(now) {
+		if !m.isCallable(now) {
 			continue
 		}
 		question := v.unclear(now, m)
-		if !question && !v.overdue(now, m) {
+		if !question && !v.hasOverdueStart(now, m) {
 			continue
 		}
 		if !q.roomForCall(v) {
@@ -70,9 +70,9 @@
 	}
 }
 
-// reachable says whether a machine may be called now.
-func (m *machine) reachable(now time.Time) bool {
-	return !m.inFlight && !m.returning && m.addr != "" && !now.Before(m.nextDirect)
+// isCallable says whether a machine may be called now.
+func (m *machine) isCallable(now time.Time) bool {
+	return !m.commandInFlight && !m.scalingIn && m.addr != "" && !now.Before(m.nextCommandAt)
 }
 
 // roomForCall says whether one more direct command may be under way.
@@ -87,7 +87,7 @@
 // unclear says whether a machine must be asked what is on it before it can be told
 // anything: it is questionable, or wanted while its session is not known yet.
 func (v *fleetView) unclear(now time.Time, m *machine) bool {
-	return m.session == 0 && m.wantCommand || v.questionable(now, m)
+	return m.epoch == 0 && m.commandWanted || v.questionable(now, m)
 }
 
 // questionable says whether a machine is asked directly: an inherited one for
@@ -96,25 +96,25 @@
 // back, and an unconfirmed one whether it hears.
 func (v *fleetView) questionable(now time.Time, m *machine) bool {
 	switch {
-	case m.inherited && !m.verified(v.term):
+	case m.inherited && !m.hasSeenTerm(v.term):
 		return len(v.fleet) <= constants.AsksAStep || now.Sub(v.claimed) > constants.TakeoverAsk
-	case m.lapsed:
+	case m.leaseExpired:
 		return true
 	case !m.up:
 		return false
-	case m.unconfirmed():
+	case m.isUnconfirmed():
 		return true
 	}
 	return v.overdueReport(now, m)
 }
 
-// overdue says whether a machine has a decided start without effect.
-func (k *knowledge) overdue(now time.Time, m *machine) bool {
-	if k.sumsOf(m).sent == 0 {
+// hasOverdueStart says whether a machine has a decided start without effect.
+func (k *knownState) hasOverdueStart(now time.Time, m *machine) bool {
+	if k.usageOf(m).unreportedStarts == 0 {
 		return false // as nearly always: this is asked of every machine in every slow step
 	}
-	for _, h := range m.holds {
-		if h.state == stateSent && now.Sub(h.sentAt) > constants.RepeatCommand && k.wanted(h) {
+	for _, a := range m.attempts {
+		if a.state == stateSent && now.Sub(a.startSentAt) > constants.RepeatCommand && k.isWanted(a) {
 			return true
 		}
 	}
@@ -130,17 +130,17 @@
 
 // call makes a direct command.
 func (q *outgoing) call(v *fleetView, now time.Time, m *machine, commands []wire.Command) {
-	m.inFlight = true
+	m.commandInFlight = true
 	q.inFlight++
-	m.nextDirect = now.Add(constants.RepeatCommand / 4)
-	req := wire.CommandRequest{FencingToken: v.token(m), Epoch: max(m.session, 1), Commands: commands}
+	m.nextCommandAt = now.Add(constants.RepeatCommand / 4)
+	req := wire.CommandRequest{FencingToken: v.token(m), Epoch: max(m.epoch, 1), Commands: commands}
 	q.actions = append(q.actions, SendCommands{Machine: m.name, Addr: m.addr, Request: req})
 }
 
 // landed notes that a direct command to a machine is no longer under way.
 func (q *outgoing) landed(m *machine) {
-	if m.inFlight {
-		m.inFlight = false
+	if m.commandInFlight {
+		m.commandInFlight = false
 		q.inFlight--
 	}
 }
@@ -154,11 +154,11 @@
 	}
 	c.landed(m)
 	if r == nil {
-		m.unanswered++
-		m.unheeded++
-		m.nextDirect = now.Add(constants.RepeatCommand)
+		m.unansweredCommands++
+		m.unansweredUnconfirmed++
+		m.nextCommandAt = now.Add(constants.RepeatCommand)
 		if !m.up || c.questionable(now, m) {
-			m.nextDirect = now // a takeover waits for it, or what was on it
+			m.nextCommandAt = now // a takeover waits for it, or what was on it
 		}
 		c.requestConfirmation(now, m)
 		return
@@ -169,17 +169,17 @@
 	}
 	c.arrive(now, m, r)
 	c.absorb(now, m, r, false)
-	c.needsPlacement = c.needsPlacement || c.freed
+	c.needsPlacement = c.needsPlacement || c.attemptEnded
 	// It answered a call: commands do reach it. But only a report of its own
 	// renews its lease, so an answer does not count for one, except at first.
-	m.unanswered, m.unheeded = 0, 0
-	if m.heard.IsZero() {
-		m.heard = now
+	m.unansweredCommands, m.unansweredUnconfirmed = 0, 0
+	if m.lastHeartbeat.IsZero() {
+		m.lastHeartbeat = now
 	}
 	if c.overdueReport(now, m) {
-		m.nextDirect = now.Add(c.cfg.HeartbeatPeriod / 2)
+		m.nextCommandAt = now.Add(c.cfg.HeartbeatPeriod / 2)
 	}
-	if m.unconfirmed() && m.token >= m.confirmingToken {
+	if m.isUnconfirmed() && m.reportedToken >= m.confirmationToken {
 		c.trust(m)
 	}
 }
--- a/shard/directcommands_test.go
+++ b/shard/directcommands_test.go
@@ -96,9 +96,9 @@
 			clear(open)
 		}
 		for _, m := range r.machines {
-			for _, h := range m.holds {
-				if h.state == stateSent && r.wanted(h) && !h.direct && m.verified(r.term) && !m.unconfirmed() && !m.returning {
-					t.Fatalf("%s was never sent the start of %s", m.name, h.key.task)
+			for _, att := range m.attempts {
+				if att.state == stateSent && r.isWanted(att) && !att.sentDirectly && m.hasSeenTerm(r.term) && !m.isUnconfirmed() && !m.scalingIn {
+					t.Fatalf("%s was never sent the start of %s", m.name, att.key.task)
 				}
 			}
 		}
@@ -108,8 +108,8 @@
 // A machine whose session is not known is asked before it is told anything.
 func TestUnknownSessionIsAskedFirst(t *testing.T) {
 	r := newRig(nil)
-	m := r.machine("m-new")
-	m.addr, m.rentedAt = "m-new:1", r.now
+	m := r.ensureMachine("m-new")
+	m.addr, m.requestedAt = "m-new:1", r.now
 	r.requestCommand(m)
 	for _, a := range r.wait(constants.SlowStep) {
 		if s, ok := a.(SendCommands); ok {
--- a/shard/draining.go
+++ b/shard/draining.go
@@ -142,7 +142,7 @@
 	d.reservedCapacity = d.reservedForMigrations()
 	c.uncordonMachines()
 	for _, m := range c.fleet {
-		m.leavesNext = false
+		m.drainNext = false
 	}
 	if c.rebuilt && !c.isUnreachable {
 		for _, number := range d.drainNumbers() {
@@ -156,11 +156,11 @@
 
 // isAvailable says whether a task runs and has proved itself.
 func (d *draining) isAvailable(v *fleetView, now time.Time, t *task) bool {
-	h := t.hold
+	a := t.attempt
 	if !v.isRunningTask(now, t) {
 		return false
 	}
-	return h.adopted || d.cfg.SkipStableTime || now.Sub(h.runSince) >= d.cfg.Policy.StableAfter
+	return a.adopted || d.cfg.SkipStableTime || now.Sub(a.runningSince) >= d.cfg.Policy.StableAfter
 }
 
 // countUnavailable counts the shard's tasks of services that should be up and are not, and the
@@ -255,7 +255,7 @@
 func (v *fleetView) selectedMachines(s *records.Selection) []*machine {
 	var out []*machine
 	for _, m := range v.fleet {
-		if !m.leaving && drain.Matches(s, v.selectableMachine(m)) {
+		if !m.leavingInventory && drain.Matches(s, v.selectableMachine(m)) {
 			out = append(out, m)
 		}
 	}
@@ -267,14 +267,14 @@
 func (c *Core) advanceDrain(now time.Time, number int, s *drain.ShardDrain) {
 	machines := c.selectedMachines(&s.Record().Selection)
 	for _, m := range machines {
-		m.leavesNext = s.Record().State == records.DrainRunning
+		m.drainNext = s.Record().State == records.DrainRunning
 	}
 	byName := make(map[string]*machine, len(machines))
 	candidates := make([]drain.Candidate, 0, len(machines))
 	for _, m := range machines {
 		byName[m.name] = m
-		sums := c.sumsOf(m)
-		candidates = append(candidates, drain.Candidate{Name: m.name, IsCordoned: m.cordon != nil || m.returning, Services: sums.services, CPUs: sums.used.cpus})
+		sums := c.usageOf(m)
+		candidates = append(candidates, drain.Candidate{Name: m.name, IsCordoned: m.cordon != nil || m.scalingIn, Services: sums.services, CPUs: sums.used.cpus})
 	}
 	for _, name := range s.ChooseMachines(now, candidates, len(c.fleet)) {
 		slog.Info("cordoning machine", "machine", name, "drain", number)
@@ -283,7 +283,7 @@
 	}
 	c.draining.waitReasons[number] = idleReason(now, s)
 	for i := range machines {
-		if m := machines[(i+c.draining.rotation)%len(machines)]; m.cordon != nil && m.cordon.drain == number && !m.returning {
+		if m := machines[(i+c.draining.rotation)%len(machines)]; m.cordon != nil && m.cordon.drain == number && !m.scalingIn {
 			c.evictFromCordoned(now, m, number)
 		}
 	}
--- a/shard/draining_test.go
+++ b/shard/draining_test.go
@@ -32,9 +32,9 @@
 		r.write(r.wait(250 * time.Millisecond))
 		for _, m := range r.Core.fleet {
 			var tasks []wire.TaskStatus
-			for _, h := range m.holds {
-				s := wire.TaskStatus{Task: h.key.task, Attempt: h.key.attempt, State: wire.TaskRunning}
-				if h.stop || h.exited() {
+			for _, a := range m.attempts {
+				s := wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskRunning}
+				if a.stopRequested || a.hasExited() {
 					s.State, s.Cause = wire.TaskExited, wire.CauseStopped
 				}
 				tasks = append(tasks, s)
@@ -64,7 +64,7 @@
 	if r.draining.allowsConsolidation(r.now, second) {
 		t.Error("a second one is moved beside the first")
 	}
-	r.evict(first.hold)
+	r.evict(first.attempt)
 	r.serve(2 * time.Second)
 	if r.draining.allowsConsolidation(r.now, second) {
 		t.Error("a second one is moved before the first has proved itself")
@@ -79,7 +79,7 @@
 	j := r.withAccount()
 	r.up("m-2")
 	for _, task := range j.tasks { // as if each had just been heard of, while it was fetched
-		task.hold.runSince = r.now
+		task.attempt.runningSince = r.now
 	}
 	spread := records.Drain{Number: 1, State: records.DrainRunning, CanaryPassed: true, Selection: records.Selection{Machines: []string{"m-0", "m-1"}}}
 	r.Apply(r.now, records.Change{Key: records.KeyDrain(1), Version: r.version, Record: &spread})
--- a/shard/drainplan.go
+++ b/shard/drainplan.go
@@ -15,12 +15,12 @@
 	promised := c.draining.reservedForMigrations()
 	for _, m := range c.selectedMachines(s) {
 		p.Machines++
-		if c.sumsOf(m).live == 0 {
+		if c.usageOf(m).active == 0 {
 			p.EmptyMachines++
 			continue
 		}
-		for _, h := range m.holds {
-			if t := c.taskOf(h); t != nil && t.hold == h && !h.exited() {
+		for _, a := range m.attempts {
+			if t := c.taskOf(a); t != nil && t.attempt == a && !a.hasExited() {
 				c.planTaskMigration(now, &p, t, promised)
 			}
 		}
@@ -48,7 +48,7 @@
 	}
 	obstacle := func(why string, permanent bool) {
 		if len(p.Obstacles) < constants.MaxDrainMachineNames {
-			p.Obstacles = append(p.Obstacles, drain.Obstacle{Job: s.ID, Machine: t.hold.m.name, Reason: why, Permanent: permanent})
+			p.Obstacles = append(p.Obstacles, drain.Obstacle{Job: s.ID, Machine: t.attempt.machine.name, Reason: why, Permanent: permanent})
 		}
 	}
 	if refused := c.draining.ledger.Check(now, keys); refused != nil && refused.Reason == disruption.ReasonNeverAllowed {
--- a/shard/forecast.go
+++ b/shard/forecast.go
@@ -24,7 +24,7 @@
 		}
 		for _, m := range v.fleet {
 			if m.spot == spot && v.isSchedulable(now, m) {
-				cpus -= v.free(m).cpus
+				cpus -= v.freeResources(m).cpus
 			}
 		}
 		spare = max(0, -cpus)
@@ -93,8 +93,8 @@
 	}
 	room := 0.0
 	for _, m := range c.fleet {
-		if !m.spot && !m.returning && m.typ != nil && m.up && m.notice.IsZero() {
-			room += c.prodRoom(m)
+		if !m.spot && !m.scalingIn && m.typ != nil && m.up && m.reclaimAt.IsZero() {
+			room += c.productionCPUs(m)
 		}
 	}
 	for _, b := range c.pendingCapacity {
@@ -122,5 +122,5 @@
 // productionReserve is the room (CPUs) held ready for production work: what is expected
 // to arrive while a machine would boot, and one of the largest tasks at least.
 func (c *scaleOutState) productionReserve(v *fleetView, now time.Time) float64 {
-	return max(c.productionArrivals.largest.cpus, constants.ReserveFactor*c.productionArrivals.within(now, time.Duration(v.maxBootSeconds()*float64(time.Second))))
+	return max(c.productionArrivals.largest.cpus, constants.ReserveFactor*c.productionArrivals.expectedCPUs(now, time.Duration(v.maxBootSeconds()*float64(time.Second))))
 }
--- a/shard/gang.go
+++ b/shard/gang.go
@@ -43,7 +43,7 @@
 		c.offloadGang(now, j)
 		return
 	}
-	tasks := c.ready(now, j)
+	tasks := c.readyTasks(now, j)
 	if len(tasks) < len(j.tasks) {
 		return // of an earlier attempt something may be left
 	}
@@ -69,7 +69,7 @@
 			c.failGangAttempt(j, "no room after all")
 			return
 		}
-		if m.images[j.rec.Spec.Image] {
+		if m.cachedImages[j.rec.Spec.Image] {
 			warm++
 		}
 		c.startAttempt(now, t, m, attempt)
@@ -90,9 +90,9 @@
 		c.failGangAttempt(j, "incomplete")
 		return
 	}
-	for _, t := range c.ready(now, j) {
+	for _, t := range c.readyTasks(now, j) {
 		if m := c.bestFit(now, &j.rec.Spec, func(m *machine) bool {
-			return m.find(holdKey{wire.TaskName(j.rec.ID, t.index), g.attempt}) == nil
+			return m.findAttempt(attemptKey{wire.TaskName(j.rec.ID, t.index), g.attempt}) == nil
 		}); m != nil {
 			c.startAttempt(now, t, m, g.attempt)
 		}
@@ -102,13 +102,13 @@
 // offloadGang gives a gang, or its share of one, back to the leader: whole, and
 // only when none of it may be anywhere.
 func (c *Core) offloadGang(now time.Time, j *job) bool {
-	if j.recordChanges() || j.rec.End != "" || len(c.ready(now, j)) < len(j.tasks) {
+	if j.recordPending() || j.rec.End != "" || len(c.readyTasks(now, j)) < len(j.tasks) {
 		return false
 	}
 	for _, t := range j.tasks {
-		t.leaving = true
+		t.sendingBack = true
 	}
-	j.backAt = now
+	j.sentBackAt = now
 	c.touch(j)
 	c.check(j)
 	return true
--- a/shard/gang_test.go
+++ b/shard/gang_test.go
@@ -210,7 +210,7 @@
 		if len(again) != 6 || again[0].Attempt == s[0].Attempt {
 			t.Fatalf("restarted %v after attempt %d", again, s[0].Attempt)
 		}
-		if h.machines[other].avoidUntil.After(h.now) || h.jobs["run-1"].errors != nil {
+		if h.machines[other].avoidUntil.After(h.now) || h.jobs["run-1"].failedMachines != nil {
 			t.Fatal("a gang's end is taken for somebody's fault")
 		}
 	}
@@ -389,8 +389,8 @@
 	h.run(time.Second)
 	h.submit(gangOf("run-2", 4, "a"))
 	h.run(time.Second)
-	if !h.machines["m-1"].spot || h.machines["m-1"].forGangs || !h.machines["m-2"].forGangs {
-		t.Fatalf("kept: spot %v, ordinary %v; wanted the ordinary one", h.machines["m-1"].forGangs, h.machines["m-2"].forGangs)
+	if !h.machines["m-1"].spot || h.machines["m-1"].reservedForGangs || !h.machines["m-2"].reservedForGangs {
+		t.Fatalf("kept: spot %v, ordinary %v; wanted the ordinary one", h.machines["m-1"].reservedForGangs, h.machines["m-2"].reservedForGangs)
 	}
 }
 
--- a/shard/gangattempt.go
+++ b/shard/gangattempt.go
@@ -22,8 +22,8 @@
 func (c *Core) markGangDone(j *job) {
 	j.gang.done = true
 	for _, t := range j.tasks {
-		if t.done = true; t.hold != nil {
-			t.hold.m.stale = true
+		if t.done = true; t.attempt != nil {
+			t.attempt.machine.usageStale = true
 		}
 	}
 	c.touch(j)
@@ -32,52 +32,52 @@
 
 // reconcileGangAttempt brings a gang in line with an attempt of one of its tasks that a
 // report showed.
-func (c *Core) reconcileGangAttempt(t *task, h *hold) {
+func (c *Core) reconcileGangAttempt(t *task, a *attempt) {
 	j, g := t.job, t.job.gang
-	if h.exited() {
-		if t.hold == h {
-			t.hold = nil
+	if a.hasExited() {
+		if t.attempt == a {
+			t.attempt = nil
 		}
 		switch {
-		case h.cause == wire.CauseDone:
+		case a.cause == wire.CauseDone:
 			t.uncertain = false
 			c.markGangDone(j)
-		case isRefusal(h.cause) && !g.hasRun:
-		case h.key.attempt == g.attempt:
-			c.failGangAttempt(j, h.cause)
-		case h.key.attempt == j.rec.Attempt && g.attempt == 0:
+		case isRefusal(a.cause) && !g.hasRun:
+		case a.key.number == g.attempt:
+			c.failGangAttempt(j, a.cause)
+		case a.key.number == j.rec.Attempt && g.attempt == 0:
 			// Left by an earlier owner: the leader's number is used up.
-			*g = gang{attempt: h.key.attempt, failed: true}
+			*g = gang{attempt: a.key.number, failed: true}
 		}
 		c.check(j)
 		return
 	}
 	switch {
-	case g.done || h.key.attempt < g.attempt:
+	case g.done || a.key.number < g.attempt:
 		return // a stray: to be stopped
-	case h.key.attempt > g.attempt:
+	case a.key.number > g.attempt:
 		// Left by an earlier owner; the highest number is the last.
 		for _, o := range j.tasks {
-			if o.hold != nil && o.hold.key.attempt != h.key.attempt {
-				c.requestCommand(o.hold.m)
-				o.hold.m.stale = true
-				o.hold = nil
+			if o.attempt != nil && o.attempt.key.number != a.key.number {
+				c.requestCommand(o.attempt.machine)
+				o.attempt.machine.usageStale = true
+				o.attempt = nil
 			}
 		}
-		*g = gang{attempt: h.key.attempt, startedAt: c.stepped}
+		*g = gang{attempt: a.key.number, startedAt: c.stepped}
 		if c.stepped.Before(c.claimed) {
 			g.startedAt = c.claimed // found before the first step
 		}
 	}
-	if t.hold == nil {
-		t.hold = h
-		t.uncertain = t.uncertain && !h.m.verified(c.term)
+	if t.attempt == nil {
+		t.attempt = a
+		t.uncertain = t.uncertain && !a.machine.hasSeenTerm(c.term)
 	}
-	if h.state == wire.TaskRunning || h.state == wire.TaskSaving {
+	if a.state == wire.TaskRunning || a.state == wire.TaskSaving {
 		g.hasRun = true
 	}
 	if g.failed {
-		c.stopWithoutCheckpoint(h)
+		c.stopWithoutCheckpoint(a)
 	}
 }
 
@@ -96,11 +96,11 @@
 	g.failed = true
 	slog.Info("gang's attempt ends", "job", j.rec.ID, "attempt", g.attempt, "why", why, "begun", g.hasRun)
 	for _, t := range j.tasks {
-		if h := t.hold; h != nil && !h.exited() {
-			if why == wire.CauseGangIncomplete && (h.state == stateSent || h.state == wire.TaskFetching) {
-				h.m.avoidUntil = c.stepped.Add(constants.FaultyMachinePause) // the others waited for it in vain
+		if a := t.attempt; a != nil && !a.hasExited() {
+			if why == wire.CauseGangIncomplete && (a.state == stateSent || a.state == wire.TaskFetching) {
+				a.machine.avoidUntil = c.stepped.Add(constants.FaultyMachinePause) // the others waited for it in vain
 			}
-			c.stopWithoutCheckpoint(h)
+			c.stopWithoutCheckpoint(a)
 		}
 	}
 	c.touch(j)
@@ -108,25 +108,25 @@
 }
 
 // stopWithoutCheckpoint stops an attempt with no time to save.
-func (q *outgoing) stopWithoutCheckpoint(h *hold) {
-	h.instant = true
-	q.evict(h)
+func (q *outgoing) stopWithoutCheckpoint(a *attempt) {
+	a.stopsInstantly = true
+	q.evict(a)
 }
 
 // stopGangWithCheckpoint stops a gang whole, with time to save: all its tasks are told at once.
 func (q *outgoing) stopGangWithCheckpoint(j *job, why string) {
 	slog.Info("gang stops and saves", "job", j.rec.ID, "why", why)
 	for _, t := range j.tasks {
-		if h := t.hold; h != nil && !h.exited() {
-			q.evict(h)
+		if a := t.attempt; a != nil && !a.hasExited() {
+			q.evict(a)
 		}
 	}
 }
 
 // handleLostGangTask notes that a task of the attempt under way is surely gone. Before the
 // gang has begun another may take its place; after it the rest is ending.
-func (c *Core) handleLostGangTask(j *job, h *hold) {
-	if g := j.gang; h.key.attempt == g.attempt && g.hasRun && !h.exited() {
+func (c *Core) handleLostGangTask(j *job, a *attempt) {
+	if g := j.gang; a.key.number == g.attempt && g.hasRun && !a.hasExited() {
 		c.failGangAttempt(j, "a machine is gone")
 	}
 }
--- a/shard/gangpacking.go
+++ b/shard/gangpacking.go
@@ -22,22 +22,22 @@
 // the most, so that few machines have to fetch the image. Machines that hold it
 // are enough where all fit on them. One that lists a task of the attempt, refused
 // to an earlier owner, would do nothing on another start.
-func (v *fleetView) packGang(now time.Time, s *wire.Submission, tasks int, attempt uint64) []*machine {
+func (v *fleetView) packGang(now time.Time, s *wire.Submission, tasks int, number uint64) []*machine {
 	n := need(s)
 	var warm, all []machineSlots
 	warmRoom, allRoom := 0, 0
 	for _, m := range v.fleet {
-		if !isEligible(s, m.typeName, m.spot) || !v.isSchedulable(now, m) || m.keptFor != nil && m.keptFor.rec.ID != s.ID {
+		if !isEligible(s, m.typeName, m.spot) || !v.isSchedulable(now, m) || m.reservedFor != nil && m.reservedFor.rec.ID != s.ID {
 			continue
 		}
-		k := v.free(m).holdsOf(n)
-		if k == 0 || slices.ContainsFunc(m.holds, func(h *hold) bool { return h.key.attempt == attempt && h.jobID == s.ID }) {
+		k := v.freeResources(m).holdsOf(n)
+		if k == 0 || slices.ContainsFunc(m.attempts, func(a *attempt) bool { return a.key.number == number && a.jobID == s.ID }) {
 			continue
 		}
-		b := machineSlots{m, k, m.images[s.Image]}
+		b := machineSlots{m, k, m.cachedImages[s.Image]}
 		all = append(all, b)
 		allRoom += k
-		if b.hasImage && !m.draining {
+		if b.hasImage && !m.consolidating {
 			warm = append(warm, b)
 			warmRoom += k
 		}
@@ -73,7 +73,7 @@
 	var kept, others []machineSlots
 	room := 0
 	for _, b := range bs {
-		if b.machine.forGangs && !b.machine.draining {
+		if b.machine.reservedForGangs && !b.machine.consolidating {
 			kept = append(kept, b)
 			room += b.slots
 		} else {
@@ -96,7 +96,7 @@
 // preemptWithCheckpointForGang makes room for a gang where work that can save stands in its way:
 // as much of it is stopped as the gang lacks places.
 func (q *outgoing) preemptWithCheckpointForGang(v *fleetView, now time.Time, tasks []*task, r *placementRound) {
-	if !r.hasCheckpointing || slices.ContainsFunc(tasks, func(t *task) bool { return now.Before(t.roomAt) }) {
+	if !r.hasCheckpointing || slices.ContainsFunc(tasks, func(t *task) bool { return now.Before(t.roomExpectedUntil) }) {
 		return // what was stopped for it is still saving
 	}
 	for missing := len(tasks) - v.freeSlots(now, &tasks[0].job.rec.Spec); missing > 0; {
@@ -114,7 +114,7 @@
 	slots := 0
 	for _, m := range v.fleet {
 		if isEligible(s, m.typeName, m.spot) && v.isSchedulable(now, m) {
-			slots += v.free(m).holdsOf(n)
+			slots += v.freeResources(m).holdsOf(n)
 		}
 	}
 	return slots
@@ -125,10 +125,10 @@
 	sort.Slice(bs, func(a, b int) bool {
 		x, y := bs[a], bs[b]
 		switch {
-		case x.machine.draining != y.machine.draining:
-			return y.machine.draining
-		case x.machine.forGangs != y.machine.forGangs:
-			return x.machine.forGangs // where the next gangs will be, and find the image
+		case x.machine.consolidating != y.machine.consolidating:
+			return y.machine.consolidating
+		case x.machine.reservedForGangs != y.machine.reservedForGangs:
+			return x.machine.reservedForGangs // where the next gangs will be, and find the image
 		case x.slots != y.slots:
 			return x.slots > y.slots
 		case x.hasImage != y.hasImage:
@@ -142,7 +142,7 @@
 		at := 0
 		// Largest first; the last of those that take all the rest is the best fit.
 		for i := range bs {
-			same := bs[i].machine.draining == bs[at].machine.draining && bs[i].machine.forGangs == bs[at].machine.forGangs
+			same := bs[i].machine.consolidating == bs[at].machine.consolidating && bs[i].machine.reservedForGangs == bs[at].machine.reservedForGangs
 			if bs[i].slots >= left && (bs[at].slots < left || same && bs[i].slots < bs[at].slots) {
 				at = i
 			}
@@ -180,7 +180,7 @@
 func (v *fleetView) machineForGangTask(now time.Time, t *task, r *placementRound) *machine {
 	s := &t.job.rec.Spec
 	fit := v.bestFit(now, s, nil)
-	if fit != nil && fit.images[s.Image] {
+	if fit != nil && fit.cachedImages[s.Image] {
 		return fit
 	}
 	if m := v.preempt(now, t, true, r); m != nil {
--- a/shard/gangreserve.go
+++ b/shard/gangreserve.go
@@ -12,7 +12,7 @@
 
 // gangReserves is the room to be held ready for gangs.
 type gangReserves struct {
-	gangArrivals    arrivals // each as a whole
+	gangArrivals    arrivalRate // each as a whole
 	gangShapes      map[string]gangShape
 	gangReserveCPUs float64 // CPUs
 }
@@ -54,12 +54,12 @@
 		n := need(s)
 		var g leader.GangCapacity
 		for _, m := range v.fleet {
-			if m.draining || !isEligible(s, m.typeName, m.spot) || !v.isSchedulable(now, m) {
+			if m.consolidating || !isEligible(s, m.typeName, m.spot) || !v.isSchedulable(now, m) {
 				continue
 			}
-			k := v.free(m).holdsOf(n)
+			k := v.freeResources(m).holdsOf(n)
 			g.Now += k
-			if m.images[s.Image] {
+			if m.cachedImages[s.Image] {
 				g.Warm += k
 			}
 		}
@@ -77,7 +77,7 @@
 	c.gangReserveCPUs = c.targetGangReserve(&c.fleetView, now)
 	waiting := c.waitingGangs()
 	for _, m := range c.fleet {
-		m.forGangs = false
+		m.reservedForGangs = false
 	}
 	if c.gangReserveCPUs == 0 && len(waiting) == 0 {
 		return
@@ -92,7 +92,7 @@
 			break
 		}
 		if !k.machine.spot && k.available.cpus > slack {
-			k.machine.forGangs = true
+			k.machine.reservedForGangs = true
 			left -= k.available.cpus
 		}
 	}
@@ -125,20 +125,20 @@
 func (g *gangReserves) gangReserveCandidates(v *fleetView, now time.Time) []*gangMachine {
 	var list []*gangMachine
 	for _, m := range v.fleet {
-		if m.draining || m.keptFor != nil || !v.isSchedulable(now, m) {
+		if m.consolidating || m.reservedFor != nil || !v.isSchedulable(now, m) {
 			continue
 		}
-		k := &gangMachine{machine: m, available: v.free(m)}
-		for _, h := range m.holds {
-			if t := v.taskOf(h); t != nil && !h.exited() && !t.job.rec.Spec.AllOrNothing() {
-				k.available = k.available.plus(h.needs)
+		k := &gangMachine{machine: m, available: v.freeResources(m)}
+		for _, att := range m.attempts {
+			if t := v.taskOf(att); t != nil && !att.hasExited() && !t.job.rec.Spec.AllOrNothing() {
+				k.available = k.available.plus(att.resources)
 			}
 		}
 		if k.available.cpus < slack {
 			continue
 		}
 		for _, sh := range g.gangShapes {
-			if m.images[sh.spec.Image] {
+			if m.cachedImages[sh.spec.Image] {
 				k.cachedShapes++
 			}
 		}
@@ -169,7 +169,7 @@
 			continue
 		}
 		if t := min(left, k.available.holdsOf(n)); t > 0 {
-			k.machine.forGangs = true
+			k.machine.reservedForGangs = true
 			k.available = k.available.minus(n.times(t))
 			left -= t
 		}
@@ -182,7 +182,7 @@
 	if g.gangArrivals.largest.cpus == 0 {
 		return 0
 	}
-	within := g.gangArrivals.within(now, time.Duration(v.maxBootSeconds()*float64(time.Second)))
+	within := g.gangArrivals.expectedCPUs(now, time.Duration(v.maxBootSeconds()*float64(time.Second)))
 	if within < g.gangArrivals.largest.cpus*constants.MinGangArrivalShare {
 		return 0 // they have stopped coming
 	}
@@ -196,8 +196,8 @@
 	}
 	missing := c.gangReserveCPUs
 	for _, m := range c.fleet {
-		if m.forGangs {
-			missing -= max(0, c.free(m).cpus)
+		if m.reservedForGangs {
+			missing -= max(0, c.freeResources(m).cpus)
 		}
 	}
 	for _, b := range c.pendingCapacity {
--- a/shard/heartbeat.go
+++ b/shard/heartbeat.go
@@ -23,21 +23,21 @@
 	// A machine whose return was asked for is answered like any other until
 	// the cloud confirms it: an answer that renews its lease without counting
 	// it would let the owner believe that the lease had ended.
-	m := c.machine(r.Machine)
+	m := c.ensureMachine(r.Machine)
 	if !m.isNew(r) {
 		return reply, false // late or repeated: nothing in it counts
 	}
 	c.arrive(now, m, r)
 	c.absorb(now, m, r, true)
 	c.heard(&c.fleetView, now, m)
-	m.leaseUntil = c.leaseEnd(now, m)
+	m.leaseExpiresAt = c.leaseEnd(now, m)
 	if !c.may(now) {
 		return wire.HeartbeatReply{FencingToken: c.token(m), Commands: []wire.Command{}}, true
 	}
-	if c.isSchedulable(now, m) && !c.fillFreedMachine(now, m) || m.forGangs && c.freed {
+	if c.isSchedulable(now, m) && !c.fillFreedMachine(now, m) || m.reservedForGangs && c.attemptEnded {
 		c.needsPlacement = true
 	}
-	if (m.lost || c.heldBack(m) >= constants.ExitedRaise) && m.token == c.token(m) {
+	if (m.needsHigherToken || c.exitsNeedingHigherToken(m) >= constants.ExitedRaise) && m.reportedToken == c.token(m) {
 		c.numbers.raise(m) // once the machine shows the new token they can be forgotten
 	}
 	reply = wire.HeartbeatReply{FencingToken: c.token(m), Commands: c.orders(now, m, true)}
@@ -47,21 +47,21 @@
 // arrive notes what a report says of the machine itself.
 func (c *Core) arrive(now time.Time, m *machine, r *wire.Heartbeat) {
 	if !m.up {
-		m.up, m.lapsed = true, false
+		m.up, m.leaseExpired = true, false
 		m.idleSince = now
 		c.needsPlacement, c.pushDirty = true, true
 		if m.typeName == "" {
 			slog.Info("unexpected machine adopted", "machine", m.name)
-			m.rentedAt = now
+			m.requestedAt = now
 		}
 	}
 	if m.typeName != r.Type {
 		m.typeName = r.Type
 		m.typ, m.capacity = nil, resources{}
-		c.size(m)
+		c.resolveType(m)
 	}
 	m.spot, m.addr = r.Spot, r.Addr
-	if !m.returning && (!m.durable || m.inventoryAddr != m.addr) {
+	if !m.scalingIn && (!m.durable || m.durableAddr != m.addr) {
 		c.enrol(m)
 	}
 }
@@ -74,37 +74,37 @@
 // it from then on. A late copy of a report cannot: it is older than that token.
 func (p *placement) heard(v *fleetView, now time.Time, m *machine) {
 	if v.silent(now, m) {
-		m.unheeded = 0 // it was out of reach: what was asked meanwhile says nothing of its ears
+		m.unansweredUnconfirmed = 0 // it was out of reach: what was asked meanwhile says nothing of its ears
 	}
-	m.heard, m.unanswered = now, 0
+	m.lastHeartbeat, m.unansweredCommands = now, 0
 	switch {
-	case m.unconfirmed() && m.token >= m.confirmingToken:
+	case m.isUnconfirmed() && m.reportedToken >= m.confirmationToken:
 		p.trust(m)
-	case !m.unconfirmed() && (m.missed || m.answersSince > 0 && m.token < v.token(m)):
+	case !m.isUnconfirmed() && (m.skippedSeq || m.repliesSinceToken > 0 && m.reportedToken < v.token(m)):
 		v.requestConfirmation(now, m)
 	}
-	m.answersSince++
-	if m.token == v.token(m) {
-		m.answersSince = 0
+	m.repliesSinceToken++
+	if m.reportedToken == v.token(m) {
+		m.repliesSinceToken = 0
 	}
 }
 
 // trust confirms a machine: the machine has shown that it hears.
 func (p *placement) trust(m *machine) {
-	m.unconfirmedSince, m.unheeded = time.Time{}, 0
+	m.unconfirmedSince, m.unansweredUnconfirmed = time.Time{}, 0
 	p.needsPlacement = true
 }
 
-// heldBack is how many exited attempts the machine's token keeps from being
+// exitsNeedingHigherToken is how many exited attempts the machine's token keeps from being
 // forgotten. Those that it does not, but that wait for their assignment to be closed,
 // would have every answer carry a higher token, which a machine reports at once.
-func (k *knowledge) heldBack(m *machine) int {
-	if k.sumsOf(m).exited < constants.ExitedRaise {
+func (k *knownState) exitsNeedingHigherToken(m *machine) int {
+	if k.usageOf(m).exitedDirect < constants.ExitedRaise {
 		return 0
 	}
 	n := 0
-	for _, h := range m.holds {
-		if h.exited() && h.direct && h.directed >= m.token {
+	for _, a := range m.attempts {
+		if a.hasExited() && a.sentDirectly && a.maxDirectToken >= m.reportedToken {
 			n++
 		}
 	}
--- a/shard/interruptions.go
+++ b/shard/interruptions.go
@@ -153,8 +153,8 @@
 
 // isRunningTask says whether a task runs, as far as is known, and is not told to stop.
 func (hear *hearing) isRunningTask(now time.Time, t *task) bool {
-	h := t.hold
-	return h != nil && !h.stop && h.isRunning() && !hear.silent(now, h.m)
+	a := t.attempt
+	return a != nil && !a.stopRequested && a.isRunning() && !hear.silent(now, a.machine)
 }
 
 // tryInterrupt asks the account whether a task of an array, or the gang that it is in, may be
@@ -164,7 +164,7 @@
 	switch {
 	case i == nil:
 		return "" // no budget counts it
-	case i.interrupted && d.mayBecomeAvailable(now, t.hold):
+	case i.interrupted && d.mayBecomeAvailable(now, t.attempt):
 		return "a task of " + t.job.rec.ID + " is not up yet"
 	case !i.hasRun:
 		return "" // nothing that ran is lost
--- a/shard/inventory.go
+++ b/shard/inventory.go
@@ -24,17 +24,17 @@
 			p.dirty = true // written before its return was known
 			continue
 		}
-		m := c.machine(e.Name)
-		if m.page != r.Number && m.page != pageless {
+		m := c.ensureMachine(e.Name)
+		if m.pageNumber != r.Number && m.pageNumber != pageless {
 			p.dirty = true // it was moved, and the owner that did it ended
 			continue
 		}
-		m.page = r.Number
+		m.pageNumber = r.Number
 		p.put(e.Name)
-		m.durable, m.inventoryAddr = true, e.Addr
+		m.durable, m.durableAddr = true, e.Addr
 		if e.Terminating {
 			c.noteClosed(m)
-		} else if m.closing.decided {
+		} else if m.closure.decided {
 			p.dirty = true // a version that does not know the mark has dropped it
 		}
 		if m.addr == "" {
@@ -42,15 +42,15 @@
 		}
 		if m.typeName == "" {
 			m.typeName, m.spot = e.Type, e.Spot
-			c.size(m)
+			c.resolveType(m)
 		}
-		if m.rentedAt.IsZero() {
-			m.rentedAt = now
+		if m.requestedAt.IsZero() {
+			m.requestedAt = now
 			if age := now.Unix() - e.RequestedS; e.RequestedS > 0 && age > 0 && age < 3600 {
-				m.rentedAt = now.Add(-time.Duration(age) * time.Second)
+				m.requestedAt = now.Add(-time.Duration(age) * time.Second)
 			}
 		}
-		if m.inventoryAddr != m.addr && m.addr != "" {
+		if m.durableAddr != m.addr && m.addr != "" {
 			p.dirty = true
 		}
 	}
@@ -68,27 +68,27 @@
 		p.stored[e.Name] = true
 	}
 	for name := range was {
-		if m := v.machines[name]; m != nil && m.page == p.number && !p.stored[name] {
-			m.durable, m.inventoryAddr = false, ""
+		if m := v.machines[name]; m != nil && m.pageNumber == p.number && !p.stored[name] {
+			m.durable, m.durableAddr = false, ""
 		}
 	}
 	for name := range p.names {
-		if m := v.machines[name]; m != nil && m.leaving && !p.stored[name] {
+		if m := v.machines[name]; m != nil && m.leavingInventory && !p.stored[name] {
 			p.drop(name)
 			v.removeMachine(q, m)
 		}
 	}
 }
 
-// entries is what a page should hold now.
-func (k *knowledge) entries(p *page) []records.Machine {
+// pageEntries is what a page should hold now.
+func (k *knownState) pageEntries(p *page) []records.Machine {
 	out := []records.Machine{}
 	for name := range p.names {
 		m := k.machines[name]
-		if m == nil || m.leaving {
+		if m == nil || m.leavingInventory {
 			continue
 		}
-		out = append(out, records.Machine{Name: name, Type: m.typeName, Spot: m.spot, Addr: m.addr, RequestedS: m.rentedAt.Unix(), Terminating: m.closing.decided})
+		out = append(out, records.Machine{Name: name, Type: m.typeName, Spot: m.spot, Addr: m.addr, RequestedS: m.requestedAt.Unix(), Terminating: m.closure.decided})
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].Name < out[b].Name })
 	return out
@@ -121,7 +121,7 @@
 	var changes []wire.Change
 	var conds []wire.Condition
 	for _, p := range ps {
-		entries := c.entries(p)
+		entries := c.pageEntries(p)
 		key := records.KeyInventory(c.cfg.Shard, p.number)
 		var r records.InventoryPage
 		for _, e := range entries {
@@ -174,7 +174,7 @@
 		c.stored(&c.outgoing, p, sent, revision)
 		for _, e := range sent {
 			if m := c.machines[e.Name]; m != nil {
-				m.durable, m.inventoryAddr = true, e.Addr
+				m.durable, m.durableAddr = true, e.Addr
 				if e.Terminating {
 					c.noteClosed(m)
 				}
@@ -186,12 +186,12 @@
 
 // leaveInventory takes a returned machine off the inventory.
 func (c *Core) leaveInventory(m *machine) {
-	if m.page == pageless {
+	if m.pageNumber == pageless {
 		c.removeMachine(&c.outgoing, m)
 		return
 	}
-	m.leaving = true
-	p := c.pages[m.page]
+	m.leavingInventory = true
+	p := c.pages[m.pageNumber]
 	if !p.stored[m.name] && p.sent == nil {
 		p.drop(m.name) // it never stood there
 		c.removeMachine(&c.outgoing, m)
--- a/shard/jobrecords.go
+++ b/shard/jobrecords.go
@@ -25,7 +25,7 @@
 		j = &job{rec: rec, tasks: make(map[int]*task, mine)}
 		c.jobs[id] = j
 		if rec.Spec.IsGang() {
-			j.gang, j.gangSince = &gang{}, now
+			j.gang, j.gangArrivedAt = &gang{}, now
 			c.gangArrivals.add(now, time.Duration(now.UnixMilli()-rec.AcceptedMS)*time.Millisecond, need(&rec.Spec).times(rec.Spec.Tasks))
 		}
 	}
@@ -33,11 +33,11 @@
 		return
 	}
 	j.rec, j.version = rec, version
-	j.writing, j.awaited = false, false
+	j.writeInFlight, j.awaitsRecord = false, false
 	for _, t := range j.tasks {
-		t.leaving = false // a write that was based on an older record can only fail now
-		if t.hold != nil {
-			t.hold.m.stale = true
+		t.sendingBack = false // a write that was based on an older record can only fail now
+		if t.attempt != nil {
+			t.attempt.machine.usageStale = true
 		}
 	}
 	keep := make(map[int]bool, mine)
@@ -50,23 +50,23 @@
 			keep[i] = true
 			t := j.tasks[i]
 			if t == nil {
-				t = &task{job: j, index: i, uncertain: inherited && !c.rebuilt, waitSince: now}
+				t = &task{job: j, index: i, uncertain: inherited && !c.rebuilt, waitingSince: now}
 				j.tasks[i] = t
 				fresh++
-				c.adoptKnown(t)
+				c.adoptAttempts(t)
 				if rec.Spec.Priority == wire.PriorityProduction {
 					c.productionArrivals.add(now, time.Duration(now.UnixMilli()-rec.AcceptedMS)*time.Millisecond, need(&rec.Spec))
 				}
 			}
-			t.keep, t.guarantee = ch.KeepWaiting, ch.Guaranteed
+			t.keepWaiting, t.withinGuarantee = ch.KeepWaiting, ch.Guaranteed
 		}
 	}
 	for i, t := range j.tasks {
 		if !keep[i] {
-			if t.hold != nil {
-				c.requestCommand(t.hold.m) // to be stopped
+			if t.attempt != nil {
+				c.requestCommand(t.attempt.machine) // to be stopped
 			}
-			t.hold = nil
+			t.attempt = nil
 			delete(j.tasks, i)
 		}
 	}
@@ -90,9 +90,9 @@
 // stopAll has the attempts of a job that ended stopped.
 func (q *outgoing) stopAll(j *job) {
 	for _, t := range j.tasks {
-		if t.hold != nil && !t.hold.exited() {
-			t.hold.m.stale = true
-			q.requestCommand(t.hold.m)
+		if t.attempt != nil && !t.attempt.hasExited() {
+			t.attempt.machine.usageStale = true
+			q.requestCommand(t.attempt.machine)
 		}
 	}
 }
@@ -109,7 +109,7 @@
 	}
 	j.rec = j.rec.Clone()
 	j.rec.End = wire.JobCancelled
-	j.awaited = true
+	j.awaitsRecord = true
 	c.stopAll(j)
 	c.touch(j)
 	c.needsPlacement, c.pushDirty = true, true
--- a/shard/liveness.go
+++ b/shard/liveness.go
@@ -28,10 +28,10 @@
 // silence is for how long no report of a machine has come while it could have:
 // what nobody could hear, or had not yet read, says nothing.
 func (hear *hearing) silence(now time.Time, m *machine) time.Duration {
-	if hear.rested.After(m.heard) {
+	if hear.rested.After(m.lastHeartbeat) {
 		return now.Sub(hear.rested)
 	}
-	return now.Sub(m.heard)
+	return now.Sub(m.lastHeartbeat)
 }
 
 // overdueReport says that a machine's report is later than any should be.
@@ -45,10 +45,10 @@
 	return hear.silence(now, m) > hear.periods(constants.SilentPeriods)
 }
 
-// reportsOn says that an unconfirmed machine has reported since, here or to another
+// reportedSinceUnconfirmed says that an unconfirmed machine has reported since, here or to another
 // controller: the report that raised the question may have been a late copy.
-func (m *machine) reportsOn() bool {
-	return m.heard.After(m.unconfirmedSince) || m.misroutedAt.After(m.unconfirmedSince)
+func (m *machine) reportedSinceUnconfirmed() bool {
+	return m.lastHeartbeat.After(m.unconfirmedSince) || m.misroutedAt.After(m.unconfirmedSince)
 }
 
 // rest begins all silences anew: the owner stood still, or its machines were out
@@ -56,29 +56,29 @@
 func (v *fleetView) rest(now time.Time) {
 	v.rested = now
 	for _, m := range v.fleet {
-		m.unanswered, m.unheeded = 0, 0
+		m.unansweredCommands, m.unansweredUnconfirmed = 0, 0
 	}
 }
 
 // lapse forgets what was on machines whose lease has surely ended.
 func (c *Core) lapse(now time.Time) {
 	for _, m := range c.fleet {
-		if m.leaseUntil.IsZero() || now.Before(m.leaseUntil) {
+		if m.leaseExpiresAt.IsZero() || now.Before(m.leaseExpiresAt) {
 			continue
 		}
-		if len(m.holds) > 0 || m.inherited {
-			slog.Info("machine's lease has ended", "machine", m.name, "tasks", len(m.holds))
+		if len(m.attempts) > 0 || m.inherited {
+			slog.Info("machine's lease has ended", "machine", m.name, "tasks", len(m.attempts))
 		}
-		c.releaseAll(now, m)
-		if m.session > 0 {
-			m.minSession = m.session + 1
+		c.releaseAttempts(now, m)
+		if m.epoch > 0 {
+			m.minEpoch = m.epoch + 1
 		}
 		if m.up || m.inherited {
-			m.lapsed, m.rentedAt = true, now // it gets as long to come back as one that boots
+			m.leaseExpired, m.requestedAt = true, now // it gets as long to come back as one that boots
 		}
 		m.inherited = false
 		m.up = false
-		m.leaseUntil = time.Time{}
+		m.leaseExpiresAt = time.Time{}
 		c.needsPlacement = true
 		c.checkRebuilt(now)
 	}
--- a/shard/machineselection.go
+++ b/shard/machineselection.go
@@ -9,8 +9,8 @@
 
 // isSchedulable says whether new tasks may go to a machine now.
 func (v *fleetView) isSchedulable(now time.Time, m *machine) bool {
-	return m.verified(v.term) && m.durable && m.inventoryAddr == m.addr && m.typ != nil && !m.unconfirmed() &&
-		!m.returning && m.cordon == nil && m.notice.IsZero() && !v.silent(now, m) && !now.Before(m.avoidUntil)
+	return m.hasSeenTerm(v.term) && m.durable && m.durableAddr == m.addr && m.typ != nil && !m.isUnconfirmed() &&
+		!m.scalingIn && m.cordon == nil && m.reclaimAt.IsZero() && !v.silent(now, m) && !now.Before(m.avoidUntil)
 }
 
 // isEligible says whether a job's tasks may run on a kind of machine.
@@ -27,7 +27,7 @@
 		if !v.isSchedulable(now, m) {
 			continue
 		}
-		if free := v.free(m); free.cpus > slack && free.mem > slack {
+		if free := v.freeResources(m); free.cpus > slack && free.mem > slack {
 			list = append(list, m)
 		}
 	}
--- a/shard/migration.go
+++ b/shard/migration.go
@@ -17,17 +17,17 @@
 			c.draining.waitReasons[number] = m.name + ": " + why
 		}
 	}
-	if m.unconfirmed() || c.silent(now, m) {
+	if m.isUnconfirmed() || c.silent(now, m) {
 		wait("the machine does not answer")
 		return
 	}
-	for _, h := range m.holds {
-		t := c.taskOf(h)
-		if !isEvictable(h, t) {
+	for _, a := range m.attempts {
+		t := c.taskOf(a)
+		if !isEvictable(a, t) {
 			continue
 		}
 		if !t.job.rec.Spec.IsService() {
-			c.evictBatchTask(now, t, h, wait)
+			c.evictBatchTask(now, t, a, wait)
 			continue
 		}
 		if why := c.migrateService(now, number, t); why != "" {
@@ -38,8 +38,8 @@
 
 // evictBatchTask lets a task of an array or a gang end by itself for a while, and then has it
 // save or stop if its budgets allow it; a gang does so whole.
-func (c *Core) evictBatchTask(now time.Time, t *task, h *hold, wait func(string)) {
-	if now.Sub(h.m.cordon.since) < c.draining.cfg.Policy.ArrayGracePeriod {
+func (c *Core) evictBatchTask(now time.Time, t *task, a *attempt, wait func(string)) {
+	if now.Sub(a.machine.cordon.since) < c.draining.cfg.Policy.ArrayGracePeriod {
 		wait("tasks of arrays or gangs get time to end")
 		return
 	}
@@ -51,14 +51,14 @@
 		c.stopGangWithCheckpoint(t.job, "its machine is drained")
 		return
 	}
-	c.evict(h)
+	c.evict(a)
 }
 
 // evict has an attempt stopped; its task starts again where there is room.
-func (q *outgoing) evict(h *hold) {
-	h.stop = true
-	h.m.stale = true
-	q.requestCommand(h.m)
+func (q *outgoing) evict(a *attempt) {
+	a.stopRequested = true
+	a.machine.usageStale = true
+	q.requestCommand(a.machine)
 }
 
 // migrateService stops a service's task if a machine has room for it and its budgets
@@ -68,7 +68,7 @@
 	s := &t.job.rec.Spec
 	keys := d.budgetsOf(t.job)
 	isUp := d.isAvailable(&c.fleetView, now, t)
-	if !isUp && d.mayBecomeAvailable(now, t.hold) {
+	if !isUp && d.mayBecomeAvailable(now, t.attempt) {
 		return "a task of " + s.ID + " is not up yet"
 	}
 	if refused := d.ledger.Check(now, keys); refused != nil && isUp {
@@ -87,8 +87,8 @@
 			return refused.Error()
 		}
 	}
-	slog.Info("draining: task moves", "task", t.hold.key.task, "from", t.hold.m.name, "room_on", to.name, "drain", number)
-	c.evict(t.hold)
+	slog.Info("draining: task moves", "task", t.attempt.key.task, "from", t.attempt.machine.name, "room_on", to.name, "drain", number)
+	c.evict(t.attempt)
 	d.migrations[t] = &migration{drain: number, target: to, needs: need(s), startedAt: now}
 	d.reservedCapacity[to] = d.reservedCapacity[to].plus(need(s))
 	return ""
@@ -97,15 +97,15 @@
 // mayBecomeAvailable says whether an attempt that is not up is left alone to become so. To stop it
 // would take nothing more down as the owner counts, but would keep its task down for
 // longer, and after a takeover it may have run for long without the owner's knowledge.
-func (d *draining) mayBecomeAvailable(now time.Time, h *hold) bool {
-	return h.isRunning() || now.Sub(h.m.cordon.since) < d.cfg.Policy.ReplacementTimeout
+func (d *draining) mayBecomeAvailable(now time.Time, a *attempt) bool {
+	return a.isRunning() || now.Sub(a.machine.cordon.since) < d.cfg.Policy.ReplacementTimeout
 }
 
 // reservedForMigrations is the room on machines that tasks on their way there are to get.
 func (d *draining) reservedForMigrations() map[*machine]resources {
 	promised := map[*machine]resources{}
 	for t, m := range d.migrations {
-		if t.hold == nil || t.hold.stop {
+		if t.attempt == nil || t.attempt.stopRequested {
 			promised[m.target] = promised[m.target].plus(m.needs)
 		}
 	}
@@ -117,7 +117,7 @@
 func (c *scaleOutState) migrationTarget(v *fleetView, now time.Time, s *wire.Submission, promised map[*machine]resources) *machine {
 	_, _, rentable := c.cheapestMachineKind(v, now, s)
 	return v.bestFit(now, s, func(m *machine) bool {
-		return !(rentable && m.leavesNext) && need(s).fits(v.free(m).minus(promised[m]))
+		return !(rentable && m.drainNext) && need(s).fits(v.freeResources(m).minus(promised[m]))
 	})
 }
 
--- a/shard/offload.go
+++ b/shard/offload.go
@@ -15,7 +15,7 @@
 		return false
 	}
 	for _, m := range v.fleet {
-		if m.images[s.Image] && v.isSchedulable(now, m) && isEligible(s, m.typeName, m.spot) && v.prodRoom(m) >= s.CPUs {
+		if m.cachedImages[s.Image] && v.isSchedulable(now, m) && isEligible(s, m.typeName, m.spot) && v.productionCPUs(m) >= s.CPUs {
 			return false
 		}
 	}
@@ -70,8 +70,8 @@
 // offloadTask marks a waiting task to be sent back to the leader. From here on
 // it is not placed, until a newer record says what became of it.
 func (c *Core) offloadTask(j *job, t *task) {
-	if !j.recordChanges() && !c.somewhere(j.rec.ID, t.index) {
-		t.leaving = true
+	if !j.recordPending() && !c.hasLiveAttempt(j.rec.ID, t.index) {
+		t.sendingBack = true
 		c.touch(j)
 		c.check(j)
 	}
--- a/shard/ownership.go
+++ b/shard/ownership.go
@@ -40,7 +40,7 @@
 // Until it shows a token of this term the owner before may be lease extension it.
 func (o *ownership) leaseEnd(now time.Time, m *machine) time.Time {
 	extendedUntil := o.claimed.Add(time.Duration(float64(o.cfg.LeaseExtension)*(1+constants.MaxClockDrift)) + constants.AuthorityMargin)
-	if !m.verified(o.term) && extendedUntil.After(now) {
+	if !m.hasSeenTerm(o.term) && extendedUntil.After(now) {
 		now = extendedUntil
 	}
 	return now.Add(o.cfg.LeaseEnd)
@@ -49,7 +49,7 @@
 // token is what the owner's answers and commands to a machine carry: its term,
 // and below it a count of its own for the machine, which makes what it sent
 // there before harmless without a new term.
-func (o *ownership) token(m *machine) uint64 { return o.term<<constants.EpochBits | m.epoch }
+func (o *ownership) token(m *machine) uint64 { return o.term<<constants.EpochBits | m.tokenCount }
 
 // outranked stops the owner for good once a machine has seen a later term.
 func (o *ownership) outranked(r *wire.Heartbeat) {
@@ -64,11 +64,11 @@
 
 // requestConfirmation asks a machine to show that answers or commands reach it.
 func (o *ownership) requestConfirmation(now time.Time, m *machine) {
-	if m.unconfirmed() || !m.up {
+	if m.isUnconfirmed() || !m.up {
 		return
 	}
 	o.numbers.raise(m)
-	m.unconfirmedSince, m.confirmingToken, m.unheeded = now, o.token(m), 0
+	m.unconfirmedSince, m.confirmationToken, m.unansweredUnconfirmed = now, o.token(m), 0
 }
 
 // EnablePacking says that no process of the version before can come any more.
--- a/shard/pages.go
+++ b/shard/pages.go
@@ -74,14 +74,14 @@
 
 // enrol gives a machine a place in the inventory.
 func (b *pageBook) enrol(m *machine) {
-	if m.page != pageless {
-		b.pages[m.page].dirty = true
+	if m.pageNumber != pageless {
+		b.pages[m.pageNumber].dirty = true
 		return
 	}
 	for n := 0; ; n++ {
 		p := b.page(n)
 		if len(p.names) == 0 || p.bytes+entryBytes(m.name) <= b.entriesMost {
-			m.page = n
+			m.pageNumber = n
 			p.put(m.name)
 			p.dirty = true
 			return
@@ -109,7 +109,7 @@
 	m := v.machines[name]
 	p.drop(name)
 	p.dirty = true
-	m.page = pageless
+	m.pageNumber = pageless
 	b.enrol(m)
 }
 
@@ -117,7 +117,7 @@
 // theirs.
 func (b *pageBook) writable(v *fleetView, p *page) bool {
 	for name := range p.stored {
-		if m := v.machines[name]; m != nil && m.page != p.number && m.page != pageless && !b.pages[m.page].stored[name] {
+		if m := v.machines[name]; m != nil && m.pageNumber != p.number && m.pageNumber != pageless && !b.pages[m.pageNumber].stored[name] {
 			return false
 		}
 	}
--- a/shard/partition.go
+++ b/shard/partition.go
@@ -25,7 +25,7 @@
 	var s census
 	recent, fresh := 0, 0
 	for _, m := range v.fleet {
-		if m.returning || m.vanished() || !m.up && !m.inherited && !m.lapsed {
+		if m.scalingIn || m.isDelisted() || !m.up && !m.inherited && !m.leaseExpired {
 			continue
 		}
 		s.known++
@@ -36,12 +36,12 @@
 			continue
 		}
 		s.up++
-		silence := now.Sub(m.heard)
+		silence := now.Sub(m.lastHeartbeat)
 		if silence < v.periods(constants.HearingPeriods) {
 			recent++
 		}
 		// Until it shows a token of this term, what came of it may be a late copy.
-		if silence <= v.periods(constants.ProbePeriods) && m.verified(v.term) {
+		if silence <= v.periods(constants.ProbePeriods) && m.hasSeenTerm(v.term) {
 			fresh++
 		}
 		if v.silent(now, m) {
@@ -67,10 +67,10 @@
 	if now.Sub(m.misroutedAt) < hear.misroutedMemory() {
 		return false
 	}
-	if m.vanished() {
+	if m.isDelisted() {
 		return true
 	}
-	last := m.heard
+	last := m.lastHeartbeat
 	if last.Before(hear.began) {
 		last = hear.began
 	}
@@ -128,7 +128,7 @@
 // nothing.
 func (v *fleetView) ApplyMisroutedHeartbeats(now time.Time, list []MisroutedHeartbeat, all bool) {
 	for _, s := range list {
-		if m := v.machines[s.Machine]; m != nil && (s.Epoch > m.lastSession || s.Epoch == m.lastSession && s.Seq > m.lastSequence) {
+		if m := v.machines[s.Machine]; m != nil && (s.Epoch > m.lastHeartbeatEpoch || s.Epoch == m.lastHeartbeatEpoch && s.Seq > m.lastHeartbeatSeq) {
 			m.misroutedAt = now
 		}
 	}
--- a/shard/pendingcapacity.go
+++ b/shard/pendingcapacity.go
@@ -25,11 +25,11 @@
 	if m.typ != nil {
 		boot = max(1, m.typ.BootS)
 	}
-	return now.Sub(m.rentedAt).Seconds() / boot
+	return now.Sub(m.requestedAt).Seconds() / boot
 }
 
 // maxBootSeconds is the longest nominal boot time (s).
-func (k *knowledge) maxBootSeconds() float64 {
+func (k *knownState) maxBootSeconds() float64 {
 	boot := 0.0
 	for _, t := range k.types {
 		boot = max(boot, t.BootS)
@@ -39,7 +39,7 @@
 
 // isPendingMachine says whether a machine that has not come up yet is still counted on.
 func (hear *hearing) isPendingMachine(now time.Time, m *machine) bool {
-	return !m.up && !m.inherited && !hear.isUnreachable && !m.returning && m.typ != nil && m.bootAge(now) < constants.PendingBootTimes
+	return !m.up && !m.inherited && !hear.isUnreachable && !m.scalingIn && m.typ != nil && m.bootAge(now) < constants.PendingBootTimes
 }
 
 // listPendingMachines lists the room of machines that are not up yet or may not take
@@ -49,8 +49,8 @@
 	for _, m := range v.fleet {
 		if v.isPendingMachine(now, m) {
 			out = append(out, pendingMachine{m.capacity, m.typeName, m.spot})
-		} else if m.up && (!m.verified(v.term) || !m.durable || m.inventoryAddr != m.addr) && !m.returning && m.typ != nil && !v.silent(now, m) {
-			out = append(out, pendingMachine{v.free(m), m.typeName, m.spot})
+		} else if m.up && (!m.hasSeenTerm(v.term) || !m.durable || m.durableAddr != m.addr) && !m.scalingIn && m.typ != nil && !v.silent(now, m) {
+			out = append(out, pendingMachine{v.freeResources(m), m.typeName, m.spot})
 		}
 	}
 	for _, r := range c.pendingScaleOuts {
@@ -67,7 +67,7 @@
 // it does not take.
 func (c *Core) tasksBeyondPending(now time.Time, j *job) []*task {
 	s := &j.rec.Spec
-	tasks := c.appendReady(c.taskBuffer[:0], now, j)
+	tasks := c.appendReadyTasks(c.taskBuffer[:0], now, j)
 	c.taskBuffer = tasks
 	c.unplacedDemand = c.unplacedDemand.plus(need(s).times(len(tasks)))
 	return tasks[c.takePendingCapacity(s, len(tasks)):]
--- a/shard/placement.go
+++ b/shard/placement.go
@@ -16,9 +16,9 @@
 	q := make([]*job, 0, len(p.waiting))
 	for j := range p.waiting {
 		q = append(q, j)
-		j.place = v.cfg.Order.Rank(now, j.rec, leader.JobProgress{WithinGuarantee: j.waiting[0].guarantee, Started: j.begun})
+		j.rank = v.cfg.Order.Rank(now, j.rec, leader.JobProgress{WithinGuarantee: j.waiting[0].withinGuarantee, Started: j.begun})
 	}
-	slices.SortFunc(q, func(a, b *job) int { return a.place.Compare(b.place) })
+	slices.SortFunc(q, func(a, b *job) int { return a.rank.Compare(b.rank) })
 	return q
 }
 
@@ -33,7 +33,7 @@
 	c.lastQueue = q
 	start := 0
 	if c.resumeRank != nil {
-		start = sort.Search(len(q), func(i int) bool { return c.resumeRank.Before(q[i].place) })
+		start = sort.Search(len(q), func(i int) bool { return c.resumeRank.Before(q[i].rank) })
 		c.resumeRank = nil
 		c.needsPlacement = true
 	}
@@ -45,7 +45,7 @@
 	for i := start; i < len(q); i++ {
 		c.placeJob(now, q[i], r)
 		if i+1 < len(q) && c.roundClock().Sub(began) > c.roundBudget {
-			p := q[i].place
+			p := q[i].rank
 			c.resumeRank, c.needsPlacement = &p, true
 			return
 		}
@@ -66,7 +66,7 @@
 	if full && r.preemptionIsFutile(j, d, n) && !(overdue && !r.reservationsExhausted) && (s.Priority != wire.PriorityProduction || s.Spread && s.Tasks > 1) {
 		return // nothing can come of a look at its tasks
 	}
-	tasks := c.appendReady(c.taskBuffer[:0], now, j)
+	tasks := c.appendReadyTasks(c.taskBuffer[:0], now, j)
 	c.taskBuffer = tasks
 	if len(tasks) == 0 {
 		return
@@ -74,7 +74,7 @@
 	if c.isImageWarmInOtherShard(&c.fleetView, now, s) {
 		kept := tasks[:0]
 		for _, t := range tasks {
-			if t.keep {
+			if t.keepWaiting {
 				kept = append(kept, t)
 			} else {
 				c.offloadTask(j, t)
@@ -92,7 +92,7 @@
 	prod := s.Priority == wire.PriorityProduction
 	noWarm := false
 	for _, t := range tasks {
-		for len(fit) > 0 && !n.fits(c.free(fit[0])) {
+		for len(fit) > 0 && !n.fits(c.freeResources(fit[0])) {
 			fit = fit[1:]
 		}
 		var m *machine
@@ -100,7 +100,7 @@
 			m = fit[0]
 		}
 		switch {
-		case m != nil && prod && !m.images[s.Image] && !noWarm:
+		case m != nil && prod && !m.cachedImages[s.Image] && !noWarm:
 			// Production tasks rather stop lower work on a machine that holds
 			// their image than wait for it on another.
 			if warm := c.preempt(now, t, true, r); warm != nil {
@@ -130,7 +130,7 @@
 		return false
 	}
 	c.refresh(&c.fleetView)
-	free := c.free(m)
+	free := c.freeResources(m)
 	looked := 0
 	for _, j := range c.lastQueue {
 		if free.cpus < slack || looked >= constants.MaxJobsPerFill {
@@ -138,11 +138,11 @@
 		}
 		s := &j.rec.Spec
 		n := need(s)
-		if j.gang != nil || m.forGangs && !s.IsService() || m.keptFor != nil && m.keptFor != j || len(j.waiting) == 0 || !n.fits(free) || !isEligible(s, m.typeName, m.spot) || c.jobs[s.ID] != j || j.rec.End != "" {
+		if j.gang != nil || m.reservedForGangs && !s.IsService() || m.reservedFor != nil && m.reservedFor != j || len(j.waiting) == 0 || !n.fits(free) || !isEligible(s, m.typeName, m.spot) || c.jobs[s.ID] != j || j.rec.End != "" {
 			continue
 		}
 		looked++
-		c.taskBuffer = c.appendReady(c.taskBuffer[:0], now, j)
+		c.taskBuffer = c.appendReadyTasks(c.taskBuffer[:0], now, j)
 		for _, t := range c.taskBuffer {
 			if !n.fits(free) {
 				break
@@ -160,16 +160,16 @@
 }
 
 // startAttempt decides an attempt. From here on the task counts as maybe there.
-func (c *Core) startAttempt(now time.Time, t *task, m *machine, attempt uint64) {
-	h := &hold{
-		key:   holdKey{wire.TaskName(t.job.rec.ID, t.index), attempt},
-		jobID: t.job.rec.ID, index: t.index, m: m, state: stateSent, sentAt: now,
+func (c *Core) startAttempt(now time.Time, t *task, m *machine, number uint64) {
+	a := &attempt{
+		key:   attemptKey{wire.TaskName(t.job.rec.ID, t.index), number},
+		jobID: t.job.rec.ID, taskIndex: t.index, machine: m, state: stateSent, startSentAt: now,
 	}
-	h.fill(t.job)
-	c.addHold(h)
+	a.applySpec(t.job)
+	c.addAttempt(a)
 	m.idleSince = time.Time{}
 	c.requestCommand(m)
-	t.hold = h
+	t.attempt = a
 	c.touch(t.job)
 	c.pushDirty = true
 }
--- a/shard/placementstate.go
+++ b/shard/placementstate.go
@@ -62,7 +62,7 @@
 // hopeless says that nothing can be stopped for a job's first waiting task either.
 func (r *placementRound) preemptionIsFutile(j *job, d demandClass, n resources) bool {
 	d.priorityLevel = wire.PriorityLevel(j.rec.Spec.Priority)
-	if len(j.waiting) > 0 && j.waiting[0].guarantee {
+	if len(j.waiting) > 0 && j.waiting[0].withinGuarantee {
 		d.guaranteedTeam = j.rec.Spec.Team
 	}
 	return !r.hasCheckpointing && r.known(r.unpreemptable, d, n)
--- a/shard/preempt.go
+++ b/shard/preempt.go
@@ -11,8 +11,8 @@
 )
 
 // isEvictable says whether an attempt is its task's own and not on its way out.
-func isEvictable(h *hold, t *task) bool {
-	return t != nil && t.hold == h && !h.stop && !h.exited()
+func isEvictable(a *attempt, t *task) bool {
+	return t != nil && t.attempt == a && !a.stopRequested && !a.hasExited()
 }
 
 // mayPreempt says whether a task may be stopped to make room for another: for
@@ -22,18 +22,18 @@
 func mayPreempt(victim, preemptor *task) bool {
 	v, f := &victim.job.rec.Spec, &preemptor.job.rec.Spec
 	vl, fl := wire.PriorityLevel(v.Priority), wire.PriorityLevel(f.Priority)
-	return vl < fl || vl == fl && !v.IsService() && preemptor.guarantee && !victim.guarantee && v.Team != f.Team
+	return vl < fl || vl == fl && !v.IsService() && preemptor.withinGuarantee && !victim.withinGuarantee && v.Team != f.Team
 }
 
 // hasPreemptibleWork says whether anything at all might be stopped for a task.
-func (k *knowledge) hasPreemptibleWork(preemptor *task, r *placementRound) bool {
+func (k *knownState) hasPreemptibleWork(preemptor *task, r *placementRound) bool {
 	if !r.preemptionScanned {
 		r.preemptionScanned, r.lowestPriority, r.overGuaranteeTeams = true, math.MaxInt, map[string]bool{}
 		for _, m := range k.fleet {
-			s := k.sumsOf(m)
-			r.hasCheckpointing = r.hasCheckpointing || s.saving
-			r.lowestPriority = min(r.lowestPriority, s.lowest)
-			for _, team := range s.loose {
+			s := k.usageOf(m)
+			r.hasCheckpointing = r.hasCheckpointing || s.needsCheckpoint
+			r.lowestPriority = min(r.lowestPriority, s.lowestPriority)
+			for _, team := range s.teamsBeyondGuarantee {
 				r.overGuaranteeTeams[team] = true
 			}
 		}
@@ -42,7 +42,7 @@
 	if wire.PriorityLevel(s.Priority) > r.lowestPriority {
 		return true
 	}
-	return preemptor.guarantee && (len(r.overGuaranteeTeams) > 1 || len(r.overGuaranteeTeams) == 1 && !r.overGuaranteeTeams[s.Team])
+	return preemptor.withinGuarantee && (len(r.overGuaranteeTeams) > 1 || len(r.overGuaranteeTeams) == 1 && !r.overGuaranteeTeams[s.Team])
 }
 
 // preempt makes room on a machine by stopping work that has to yield: the
@@ -53,7 +53,7 @@
 	n := need(s)
 	d := demandClassOf(s)
 	d.priorityLevel = wire.PriorityLevel(s.Priority)
-	if preemptor.guarantee {
+	if preemptor.withinGuarantee {
 		d.guaranteedTeam = s.Team
 	}
 	if warm {
@@ -67,13 +67,13 @@
 		return nil
 	}
 	var best *machine
-	var bestVictims, can []*hold
+	var bestVictims, can []*attempt
 	bestCost := math.Inf(1)
 	for _, m := range v.fleet {
-		if !isEligible(s, m.typeName, m.spot) || warm && !m.images[s.Image] || !v.isSchedulable(now, m) {
+		if !isEligible(s, m.typeName, m.spot) || warm && !m.cachedImages[s.Image] || !v.isSchedulable(now, m) {
 			continue
 		}
-		free := v.free(m)
+		free := v.freeResources(m)
 		var most resources
 		can, most = v.preemptionVictims(m, preemptor, can[:0])
 		if len(can) == 0 || !n.fits(most) {
@@ -81,26 +81,26 @@
 		}
 		// The youngest lose the least.
 		sort.Slice(can, func(a, b int) bool {
-			if !can[a].sentAt.Equal(can[b].sentAt) {
-				return can[a].sentAt.After(can[b].sentAt)
+			if !can[a].startSentAt.Equal(can[b].startSentAt) {
+				return can[a].startSentAt.After(can[b].startSentAt)
 			}
-			return can[a].key.attempt > can[b].key.attempt
+			return can[a].key.number > can[b].key.number
 		})
 		cost := 0.0
 		victims := 0
 		for victims < len(can) && !n.fits(free) {
-			h := can[victims]
-			free = free.plus(h.needs)
-			cost += h.needs.cpus * (1 + now.Sub(h.sentAt).Seconds())
-			if v.preemptionMissesObjective(now, h) {
-				cost += h.needs.cpus * constants.CostObjectiveMissed
+			att := can[victims]
+			free = free.plus(att.resources)
+			cost += att.resources.cpus * (1 + now.Sub(att.startSentAt).Seconds())
+			if v.preemptionMissesObjective(now, att) {
+				cost += att.resources.cpus * constants.CostObjectiveMissed
 			}
 			victims++
 		}
 		if victims == 0 {
 			continue
 		}
-		if !m.images[s.Image] {
+		if !m.cachedImages[s.Image] {
 			cost += constants.CostImageFetch
 		}
 		if warm && cost > constants.MaxCostForImage {
@@ -115,22 +115,22 @@
 		r.unpreemptable[d] = append(r.unpreemptable[d], n)
 		return nil
 	}
-	for _, h := range bestVictims {
-		h.stop = true
-		slog.Debug("task makes room", "task", h.key.task, "machine", best.name, "for", s.Priority, "guaranteed", preemptor.guarantee, "warm", warm, "age_s", now.Sub(h.sentAt).Seconds())
+	for _, att := range bestVictims {
+		att.stopRequested = true
+		slog.Debug("task makes room", "task", att.key.task, "machine", best.name, "for", s.Priority, "guaranteed", preemptor.withinGuarantee, "warm", warm, "age_s", now.Sub(att.startSentAt).Seconds())
 	}
-	best.stale = true
+	best.usageStale = true
 	return best
 }
 
 // preemptionVictims lists what on a machine could be stopped at once for a task, after what
 // is in can, and all the room that makes. A gang is stopped whole or not at all.
-func (k *knowledge) preemptionVictims(m *machine, preemptor *task, can []*hold) ([]*hold, resources) {
-	most := k.free(m)
-	for _, h := range m.holds {
-		if t := k.taskOf(h); h.instant && isEvictable(h, t) && t.job.gang == nil && mayPreempt(t, preemptor) {
-			can = append(can, h)
-			most = most.plus(h.needs)
+func (k *knownState) preemptionVictims(m *machine, preemptor *task, can []*attempt) ([]*attempt, resources) {
+	most := k.freeResources(m)
+	for _, a := range m.attempts {
+		if t := k.taskOf(a); a.stopsInstantly && isEvictable(a, t) && t.job.gang == nil && mayPreempt(t, preemptor) {
+			can = append(can, a)
+			most = most.plus(a.resources)
 		}
 	}
 	return can, most
@@ -138,11 +138,11 @@
 
 // preemptionMissesObjective says whether a job that would have met an objective on finishing
 // would miss it if this task of it began anew.
-func (v *fleetView) preemptionMissesObjective(now time.Time, h *hold) bool {
-	rec := v.jobs[h.jobID].rec
-	began := h.sentAt
-	if !h.runSince.IsZero() {
-		began = h.runSince
+func (v *fleetView) preemptionMissesObjective(now time.Time, a *attempt) bool {
+	rec := v.jobs[a.jobID].rec
+	began := a.startSentAt
+	if !a.runningSince.IsZero() {
+		began = a.runningSince
 	}
 	whole := time.Duration(rec.Spec.EstimateS * float64(time.Second))
 	age := time.Duration(now.UnixMilli()-rec.AcceptedMS) * time.Millisecond
@@ -154,29 +154,29 @@
 // way: that is stopped with time to save, and the task starts once it is gone.
 // It returns for how many such tasks room will be there.
 func (q *outgoing) preemptWithCheckpoint(v *fleetView, now time.Time, preemptor *task, r *placementRound) int {
-	if !r.hasCheckpointing || now.Before(preemptor.roomAt) {
+	if !r.hasCheckpointing || now.Before(preemptor.roomExpectedUntil) {
 		return 0
 	}
 	s := &preemptor.job.rec.Spec
 	n := need(s)
-	var best []*hold
+	var best []*attempt
 	bestCost := math.Inf(1)
 	for _, m := range v.fleet {
 		if !isEligible(s, m.typeName, m.spot) || !v.isSchedulable(now, m) {
 			continue
 		}
-		free, cost := v.free(m), 0.0
-		var victims []*hold
-		for _, h := range m.holds {
-			t := v.taskOf(h)
-			if n.fits(free) || !isEvictable(h, t) || !mayPreempt(t, preemptor) {
+		free, cost := v.freeResources(m), 0.0
+		var victims []*attempt
+		for _, a := range m.attempts {
+			t := v.taskOf(a)
+			if n.fits(free) || !isEvictable(a, t) || !mayPreempt(t, preemptor) {
 				continue
 			}
-			free = free.plus(h.needs)
-			victims = append(victims, h)
-			cost += h.needs.cpus
+			free = free.plus(a.resources)
+			victims = append(victims, a)
+			cost += a.resources.cpus
 			if t.job.gang != nil {
-				cost += h.needs.cpus * float64(len(t.job.tasks)-1) // all of it goes
+				cost += a.resources.cpus * float64(len(t.job.tasks)-1) // all of it goes
 			}
 		}
 		if len(victims) > 0 && n.fits(free) && cost < bestCost {
@@ -185,22 +185,22 @@
 	}
 	wait := time.Duration(0)
 	var freed resources
-	for _, h := range best {
-		wait = max(wait, v.grace(h)+v.together(h))
-		if t := v.taskOf(h); t.job.gang != nil {
-			if !h.stop {
+	for _, a := range best {
+		wait = max(wait, v.stopGrace(a)+v.together(a))
+		if t := v.taskOf(a); t.job.gang != nil {
+			if !a.stopRequested {
 				q.stopGangWithCheckpoint(t.job, "makes room")
-				freed = freed.plus(h.needs.times(len(t.job.tasks)))
+				freed = freed.plus(a.resources.times(len(t.job.tasks)))
 			}
 			continue
 		}
-		freed = freed.plus(h.needs)
-		q.evict(h)
-		slog.Debug("task saves and makes room", "task", h.key.task, "machine", h.m.name)
+		freed = freed.plus(a.resources)
+		q.evict(a)
+		slog.Debug("task saves and makes room", "task", a.key.task, "machine", a.machine.name)
 	}
 	if len(best) == 0 {
 		return 0
 	}
-	preemptor.roomAt = now.Add(wait + constants.ReclaimMargin)
+	preemptor.roomExpectedUntil = now.Add(wait + constants.ReclaimMargin)
 	return freed.holdsOf(n)
 }
--- a/shard/reconcile.go
+++ b/shard/reconcile.go
@@ -11,62 +11,62 @@
 // absorb takes in a report's task list. beat tells an own report of the
 // worker from the answer to a direct command.
 func (c *Core) absorb(now time.Time, m *machine, r *wire.Heartbeat, beat bool) {
-	if r.Epoch > m.session {
+	if r.Epoch > m.epoch {
 		// The earlier session's end killed and forgot everything.
-		c.releaseAll(now, m)
-		m.session = r.Epoch
-		m.token = 0
-		m.answersSince = 0
+		c.releaseAttempts(now, m)
+		m.epoch = r.Epoch
+		m.reportedToken = 0
+		m.repliesSinceToken = 0
 		// A session has a lease of its own from its first moment on, also when
 		// the owner hears of it by a direct command's answer.
-		m.leaseUntil = c.leaseEnd(now, m)
+		m.leaseExpiresAt = c.leaseEnd(now, m)
 	}
 	// Who is answered stays, and its next report is the next in number.
-	m.missed = beat && m.answeredAt != 0 && r.Epoch == m.lastSession && r.Seq > m.answeredAt+1
+	m.skippedSeq = beat && m.answeredSeq != 0 && r.Epoch == m.lastHeartbeatEpoch && r.Seq > m.answeredSeq+1
 	if beat {
-		m.lastSession, m.lastSequence, m.answeredAt = r.Epoch, r.Seq, r.Seq
-	} else if r.Epoch == m.lastSession && r.Seq == m.seq+1 {
-		m.answeredAt = r.Seq // the answer to a direct command counts as well
+		m.lastHeartbeatEpoch, m.lastHeartbeatSeq, m.answeredSeq = r.Epoch, r.Seq, r.Seq
+	} else if r.Epoch == m.lastHeartbeatEpoch && r.Seq == m.seq+1 {
+		m.answeredSeq = r.Seq // the answer to a direct command counts as well
 	}
 	m.seq = r.Seq
-	if was := m.token; r.FencingToken > was {
-		m.token = r.FencingToken
-		if !(m.up && was>>constants.EpochBits == c.term) && m.verified(c.term) {
+	if was := m.reportedToken; r.FencingToken > was {
+		m.reportedToken = r.FencingToken
+		if !(m.up && was>>constants.EpochBits == c.term) && m.hasSeenTerm(c.term) {
 			c.needsPlacement = true // it may take tasks now
 		}
 	}
-	if r.NoticeS != nil && m.notice.IsZero() {
-		m.notice = now.Add(time.Duration(*r.NoticeS * float64(time.Second)))
+	if r.NoticeS != nil && m.reclaimAt.IsZero() {
+		m.reclaimAt = now.Add(time.Duration(*r.NoticeS * float64(time.Second)))
 		slog.Info("machine will be taken back", "machine", m.name, "in_s", *r.NoticeS)
 	} else if r.NoticeS == nil {
-		m.notice = time.Time{}
+		m.reclaimAt = time.Time{}
 	}
-	c.look++
-	c.freed, m.lost = false, false
+	c.reconcileCount++
+	c.attemptEnded, m.needsHigherToken = false, false
 	for i := range r.Tasks {
 		c.absorbTask(now, m, &r.Tasks[i])
 	}
-	for i := len(m.holds) - 1; i >= 0; i-- {
-		h := m.holds[i]
-		if h.seen == c.look {
+	for i := len(m.attempts) - 1; i >= 0; i-- {
+		a := m.attempts[i]
+		if a.lastReconcile == c.reconcileCount {
 			continue
 		}
 		switch {
-		case h.listed:
-			c.release(now, h) // forgotten on our command
-		case beat && r.Seq > h.sentSeq && (!h.direct || h.directed < m.token):
+		case a.reported:
+			c.releaseAttempt(now, a) // forgotten on our command
+		case beat && r.Seq > a.startSentSeq && (!a.sentDirectly || a.maxDirectToken < m.reportedToken):
 			// The answer that carried the start was dropped or lost, and an
 			// answer is never carried out late; nor is a direct command under a
 			// token lower than the machine's: it is not there. A wanted one is
 			// sent again, to the same machine, under the same attempt.
-			if !c.wanted(h) {
-				c.release(now, h)
+			if !c.isWanted(a) {
+				c.releaseAttempt(now, a)
 			}
-		case beat && !c.wanted(h):
-			m.lost = true // a higher token will settle it
+		case beat && !c.isWanted(a):
+			m.needsHigherToken = true // a higher token will settle it
 		}
 	}
-	if c.busy(m) {
+	if c.isBusy(m) {
 		m.idleSince = time.Time{}
 	} else if m.idleSince.IsZero() {
 		m.idleSince = now
@@ -78,70 +78,70 @@
 
 // absorbTask takes in one task of a report.
 func (c *Core) absorbTask(now time.Time, m *machine, ts *wire.TaskStatus) {
-	h := m.find(holdKey{ts.Task, ts.Attempt})
-	if h == nil {
+	a := m.findAttempt(attemptKey{ts.Task, ts.Attempt})
+	if a == nil {
 		jobID, index, ok := wire.SplitTask(ts.Task)
 		if !ok {
-			if !m.warned {
-				m.warned = true
+			if !m.invalidTaskLogged {
+				m.invalidTaskLogged = true
 				slog.Warn("a machine reports what is no task", "machine", m.name)
 			}
 			return
 		}
 		// Left by an earlier owner, or by a command whose answer was lost. The
 		// term in its number bounds the tokens under which it was ever sent.
-		h = &hold{key: holdKey{ts.Task, ts.Attempt}, jobID: jobID, index: index, m: m, adopted: ts.State == wire.TaskRunning, direct: true, instant: true}
-		h.directed = (ts.Attempt>>constants.AttemptBits+1)<<constants.EpochBits - 1
+		a = &attempt{key: attemptKey{ts.Task, ts.Attempt}, jobID: jobID, taskIndex: index, machine: m, adopted: ts.State == wire.TaskRunning, sentDirectly: true, stopsInstantly: true}
+		a.maxDirectToken = (ts.Attempt>>constants.AttemptBits+1)<<constants.EpochBits - 1
 		if ts.Attempt>>constants.AttemptBits == 0 {
-			h.directed = c.term<<constants.EpochBits - 1 // a gang's shared number names no term
+			a.maxDirectToken = c.term<<constants.EpochBits - 1 // a gang's shared number names no term
 		}
 		if j := c.jobs[jobID]; j != nil {
-			h.fill(j)
+			a.applySpec(j)
 		}
-		c.addHold(h)
+		c.addAttempt(a)
 	}
-	was := h.state
-	h.seen = c.look
-	if h.listed && was == ts.State {
-		if t := c.taskOf(h); t != nil && t.hold == nil && !t.done && !h.exited() {
-			c.matchHold(t, h) // a stray whose task has lost its own attempt
+	was := a.state
+	a.lastReconcile = c.reconcileCount
+	if a.reported && was == ts.State {
+		if t := c.taskOf(a); t != nil && t.attempt == nil && !t.done && !a.hasExited() {
+			c.matchAttempt(t, a) // a stray whose task has lost its own attempt
 		}
 		return
 	}
-	h.listed = true
-	h.state, h.cause = ts.State, ts.Cause
-	m.stale = true
-	if h.state == wire.TaskRunning && was != wire.TaskRunning {
-		h.runSince = now
-		if j := c.jobs[h.jobID]; j != nil {
+	a.reported = true
+	a.state, a.cause = ts.State, ts.Cause
+	m.usageStale = true
+	if a.state == wire.TaskRunning && was != wire.TaskRunning {
+		a.runningSince = now
+		if j := c.jobs[a.jobID]; j != nil {
 			slog.Debug("task runs", "task", ts.Task, "class", j.rec.Spec.Class, "machine", m.name, "spot", m.spot,
-				"accepted_s", float64(now.UnixMilli()-j.rec.AcceptedMS)/1000, "sent_s", now.Sub(h.sentAt).Seconds(), "cached", m.images[h.image])
+				"accepted_s", float64(now.UnixMilli()-j.rec.AcceptedMS)/1000, "sent_s", now.Sub(a.startSentAt).Seconds(), "cached", m.cachedImages[a.image])
 		}
 	}
-	if (h.state == wire.TaskRunning || h.state == wire.TaskWaitingForGang) && h.image != "" {
-		m.images[h.image] = true
+	if (a.state == wire.TaskRunning || a.state == wire.TaskWaitingForGang) && a.image != "" {
+		m.cachedImages[a.image] = true
 	}
-	if h.exited() && was != wire.TaskExited && !h.runSince.IsZero() {
-		if j := c.jobs[h.jobID]; j != nil {
-			slog.Debug("task ended", "task", ts.Task, "cause", h.cause, "machine", m.name, "ran_s", now.Sub(h.runSince).Seconds(), "estimate_s", j.rec.Spec.EstimateS)
+	if a.hasExited() && was != wire.TaskExited && !a.runningSince.IsZero() {
+		if j := c.jobs[a.jobID]; j != nil {
+			slog.Debug("task ended", "task", ts.Task, "cause", a.cause, "machine", m.name, "ran_s", now.Sub(a.runningSince).Seconds(), "estimate_s", j.rec.Spec.EstimateS)
 		}
 	}
 	c.pushDirty = true
-	c.freed = c.freed || h.exited()
-	t := c.taskOf(h)
+	c.attemptEnded = c.attemptEnded || a.hasExited()
+	t := c.taskOf(a)
 	if t == nil {
-		if j := c.jobs[h.jobID]; j != nil && h.exited() {
+		if j := c.jobs[a.jobID]; j != nil && a.hasExited() {
 			c.check(j)
 		}
 		return
 	}
-	if h.exited() && was != wire.TaskExited && h.cause != wire.CauseDone {
+	if a.hasExited() && was != wire.TaskExited && a.cause != wire.CauseDone {
 		c.needsPlacement = true
-		if t.hold == h {
-			c.failed(now, t, h)
+		if t.attempt == a {
+			c.attemptFailed(now, t, a)
 		}
 	}
-	c.matchHold(t, h)
+	c.matchAttempt(t, a)
 }
 
 // checkRebuilt ends the rebuild once every inherited machine has shown all
@@ -151,7 +151,7 @@
 		return
 	}
 	for _, m := range c.fleet {
-		if m.inherited && !m.verified(c.term) {
+		if m.inherited && !m.hasSeenTerm(c.term) {
 			return
 		}
 	}
--- a/shard/reservation.go
+++ b/shard/reservation.go
@@ -20,8 +20,8 @@
 	var most float64
 	kept := 0
 	for _, m := range v.fleet {
-		if m.keptFor != nil {
-			if m.keptFor == j {
+		if m.reservedFor != nil {
+			if m.reservedFor == j {
 				return
 			}
 			kept++
@@ -31,8 +31,8 @@
 			continue
 		}
 		// Where the least must still fall free, arrays count as good as gone.
-		room := m.freeShare(v.free(m))
-		if room += v.sumsOf(m).arrays / max(m.capacity.cpus, 1); best == nil || room > most || room == most && m.name < best.name {
+		room := m.freeShare(v.freeResources(m))
+		if room += v.usageOf(m).batchCPUs / max(m.capacity.cpus, 1); best == nil || room > most || room == most && m.name < best.name {
 			best, most = m, room
 		}
 	}
@@ -40,14 +40,14 @@
 		return
 	}
 	slog.Info("keeping room for a job that waits", "job", s.ID, "machine", best.name)
-	best.keptFor, best.keptUntil = j, now.Add(constants.CapacityHoldTime)
+	best.reservedFor, best.reservedUntil = j, now.Add(constants.CapacityHoldTime)
 }
 
 // releaseReservations ends the keeping of room that was used or not used in time.
 func (p *placement) releaseReservations(v *fleetView, now time.Time) {
 	for _, m := range v.fleet {
-		if j := m.keptFor; j != nil && (now.After(m.keptUntil) || j.begun || len(j.waiting) == 0 || v.jobs[j.rec.ID] != j) {
-			m.keptFor = nil
+		if j := m.reservedFor; j != nil && (now.After(m.reservedUntil) || j.begun || len(j.waiting) == 0 || v.jobs[j.rec.ID] != j) {
+			m.reservedFor = nil
 			p.needsPlacement = true
 		}
 	}
--- a/shard/scale_test.go
+++ b/shard/scale_test.go
@@ -59,7 +59,7 @@
 	}
 	stored := 0
 	for _, m := range r.machines {
-		if m.durable && m.inventoryAddr == m.addr {
+		if m.durable && m.durableAddr == m.addr {
 			stored++
 		}
 	}
@@ -82,8 +82,8 @@
 		}
 		seq := uint64(2)
 		var tasks []wire.TaskStatus
-		for _, h := range r.machines["m-00000"].holds {
-			tasks = append(tasks, wire.TaskStatus{Task: h.key.task, Attempt: h.key.attempt, State: wire.TaskRunning})
+		for _, a := range r.machines["m-00000"].attempts {
+			tasks = append(tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskRunning})
 		}
 		if len(tasks) != 4 {
 			t.Fatalf("%d tasks on a machine", len(tasks))
@@ -178,7 +178,7 @@
 		}
 		back := 0
 		for name, m := range r.machines {
-			if !silent(name) && m.verified(r.term) {
+			if !silent(name) && m.hasSeenTerm(r.term) {
 				back++
 			}
 		}
@@ -205,15 +205,15 @@
 	m := r.machines["m-0"]
 	stale := r.shown("m-0")
 	r.Heartbeat(r.now, report("m-0", 1, 6, stale)) // it has reported elsewhere since
-	if !m.unconfirmed() || r.isSchedulable(r.now, m) {
+	if !m.isUnconfirmed() || r.isSchedulable(r.now, m) {
 		t.Fatal("it stays trusted though it did not stay")
 	}
 	r.Heartbeat(r.now, report("m-0", 1, 7, stale))
-	if !m.unconfirmed() {
+	if !m.isUnconfirmed() {
 		t.Fatal("an old token ended the doubt")
 	}
 	r.Heartbeat(r.now, report("m-0", 1, 8, r.shown("m-0")))
-	if m.unconfirmed() || !r.isSchedulable(r.now, m) {
+	if m.isUnconfirmed() || !r.isSchedulable(r.now, m) {
 		t.Fatal("the new token did not end the doubt")
 	}
 }
@@ -263,8 +263,8 @@
 		r.wait(20 * time.Millisecond)
 	}
 	rep := report("m-00000", 1, 3, r.shown("m-00000"))
-	for _, h := range r.machines["m-00000"].holds {
-		rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: h.key.task, Attempt: h.key.attempt, State: wire.TaskRunning})
+	for _, a := range r.machines["m-00000"].attempts {
+		rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskRunning})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -373,8 +373,8 @@
 func (r *rig) report(seq uint64) {
 	for name, m := range r.machines {
 		rep := report(name, 1, seq, r.shown(name))
-		for _, h := range m.holds {
-			rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: h.key.task, Attempt: h.key.attempt, State: wire.TaskRunning})
+		for _, a := range m.attempts {
+			rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskRunning})
 		}
 		r.Heartbeat(r.now, rep)
 	}
@@ -388,7 +388,7 @@
 		r.CutOff(r.now)
 	}
 	for _, m := range r.machines { // heard meanwhile
-		m.heard, m.leaseUntil = r.now, r.now.Add(leaseEnd)
+		m.lastHeartbeat, m.leaseExpiresAt = r.now, r.now.Add(leaseEnd)
 	}
 	return actions
 }
@@ -407,7 +407,7 @@
 			}
 		}
 		for _, m := range r.machines {
-			m.heard, m.leaseUntil = r.now, r.now.Add(leaseEnd)
+			m.lastHeartbeat, m.leaseExpiresAt = r.now, r.now.Add(leaseEnd)
 		}
 	}
 }
@@ -463,12 +463,12 @@
 				seq++
 				session := uint64(1)
 				if rapid.IntRange(0, 9).Draw(t, "ended") == 0 {
-					session = m.session + 1
+					session = m.epoch + 1
 				}
-				rep := report(name, max(session, m.session), seq, r.shown(name))
-				for _, h := range m.holds {
-					s := wire.TaskStatus{Task: h.key.task, Attempt: h.key.attempt, State: rapid.SampledFrom([]string{wire.TaskFetching, wire.TaskRunning, wire.TaskExited}).Draw(t, "state")}
-					if h.exited() || s.State == wire.TaskExited {
+				rep := report(name, max(session, m.epoch), seq, r.shown(name))
+				for _, a := range m.attempts {
+					s := wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: rapid.SampledFrom([]string{wire.TaskFetching, wire.TaskRunning, wire.TaskExited}).Draw(t, "state")}
+					if a.hasExited() || s.State == wire.TaskExited {
 						s.State, s.Cause = wire.TaskExited, rapid.SampledFrom([]string{wire.CauseDone, wire.CauseError, wire.CauseStopped}).Draw(t, "cause")
 					}
 					rep.Tasks = append(rep.Tasks, s)
@@ -478,13 +478,13 @@
 				r.write(r.wait(time.Duration(rapid.IntRange(20, 900).Draw(t, "ms")) * time.Millisecond))
 			}
 			for _, m := range r.Core.fleet {
-				if m.stale {
+				if m.usageStale {
 					continue
 				}
-				kept := m.sums
-				kept.loose = slices.Clone(kept.loose)
-				m.stale = true
-				if got := *r.sumsOf(m); fmt.Sprint(got) != fmt.Sprint(kept) {
+				kept := m.usage
+				kept.teamsBeyondGuarantee = slices.Clone(kept.teamsBeyondGuarantee)
+				m.usageStale = true
+				if got := *r.usageOf(m); fmt.Sprint(got) != fmt.Sprint(kept) {
 					t.Fatalf("%s: kept %+v, true %+v", m.name, kept, got)
 				}
 			}
@@ -536,14 +536,14 @@
 	r.submit(array("run-1", 40, "a"))
 	r.wait(20 * time.Millisecond) // four are started, by a direct command
 	m := r.machines["m-0"]
-	seq, was, raised := uint64(2), m.epoch, uint64(0)
+	seq, was, raised := uint64(2), m.tokenCount, uint64(0)
 	for range 10 {
 		r.now = r.now.Add(500 * time.Millisecond)
 		seq++
 		rep := report("m-0", 1, seq, r.shown("m-0"))
-		for _, h := range m.holds {
-			if h.direct {
-				rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: h.key.task, Attempt: h.key.attempt, State: wire.TaskExited, Cause: wire.CauseDone})
+		for _, a := range m.attempts {
+			if a.sentDirectly {
+				rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskExited, Cause: wire.CauseDone})
 			}
 		}
 		if len(rep.Tasks) != constants.ExitedRaise {
@@ -552,7 +552,7 @@
 		if _, ok := r.Heartbeat(r.now, rep); !ok {
 			t.Fatal("refused")
 		}
-		raised = m.epoch - was
+		raised = m.tokenCount - was
 	}
 	if raised != 1 {
 		t.Fatalf("the token was raised %d times", raised)
@@ -564,8 +564,8 @@
 func TestQuietReportAllocatesNothing(t *testing.T) {
 	r := settled(50)
 	rep := report("m-00000", 1, 1000, r.shown("m-00000"))
-	for _, h := range r.machines["m-00000"].holds {
-		rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: h.key.task, Attempt: h.key.attempt, State: wire.TaskRunning})
+	for _, a := range r.machines["m-00000"].attempts {
+		rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskRunning})
 	}
 	if len(rep.Tasks) == 0 {
 		t.Fatal("nothing runs")
--- a/shard/scalein.go
+++ b/shard/scalein.go
@@ -28,21 +28,21 @@
 	}
 	idleToo := now.Sub(c.returnedAt) >= c.cfg.CloudGap // a few more come together
 	for _, m := range c.fleet {
-		if m.inventoryAddr != "" && !m.returning {
+		if m.durableAddr != "" && !m.scalingIn {
 			inherited++
 			if m.up {
 				back++
 			}
 		}
-		if m.up && !m.returning {
+		if m.up && !m.scalingIn {
 			up++
-			if !c.silent(now, m) && !m.unconfirmed() {
+			if !c.silent(now, m) && !m.isUnconfirmed() {
 				heard++
 			}
 		}
 	}
 	for _, m := range c.fleet {
-		if m.returning || len(names) >= wire.MaxScaleIn {
+		if m.scalingIn || len(names) >= wire.MaxScaleIn {
 			continue
 		}
 		why := ""
@@ -54,15 +54,15 @@
 		case !m.up && !m.inherited && m.bootAge(now) > constants.MaxBootTimes:
 			why = "did not come up"
 			c.draining.bootFailed(&c.fleetView, m)
-		case m.cordon != nil && !c.isUnreachable && !c.busy(m) && (m.up && m.verified(c.term) || !m.up && !m.inherited && !m.lapsed):
+		case m.cordon != nil && !c.isUnreachable && !c.isBusy(m) && (m.up && m.hasSeenTerm(c.term) || !m.up && !m.inherited && !m.leaseExpired):
 			why = "drained"
-		case idleToo && !c.isUnreachable && !m.forGangs && m.up && !m.idleSince.IsZero() && (m.draining || now.Sub(m.idleSince) > idle) && !c.busy(m) && m.verified(c.term):
+		case idleToo && !c.isUnreachable && !m.reservedForGangs && m.up && !m.idleSince.IsZero() && (m.consolidating || now.Sub(m.idleSince) > idle) && !c.isBusy(m) && m.hasSeenTerm(c.term):
 			why = "idle"
-		case m.up && (c.silent(now, m) && m.unanswered > 0 || c.overdueReport(now, m) && m.unanswered > 1) && c.alone(now, m, sum):
+		case m.up && (c.silent(now, m) && m.unansweredCommands > 0 || c.overdueReport(now, m) && m.unansweredCommands > 1) && c.alone(now, m, sum):
 			// Returning it makes what was on it surely gone, long before its
 			// lease ends.
 			why = "silent"
-		case m.up && !c.isUnreachable && m.unconfirmed() && m.unheeded >= constants.DeafAsks && m.reportsOn() && (sum.hears && heard*2 > up || c.deafOfFew(now, m, up, heard)):
+		case m.up && !c.isUnreachable && m.isUnconfirmed() && m.unansweredUnconfirmed >= constants.DeafAsks && m.reportedSinceUnconfirmed() && (sum.hears && heard*2 > up || c.deafOfFew(now, m, up, heard)):
 			// It reports, here or to others, and hears nothing: its lease
 			// runs out whatever it says. Nobody's hearing of it counts. Of a
 			// shard out of reach the first machines that are back are not deaf for
@@ -71,17 +71,17 @@
 		case m.up && c.silence(now, m) > c.periods(constants.MutePeriods) && sum.hears && heard*2 > up:
 			// It answers but does not report: its lease ends all the same.
 			why = "mute"
-		case m.up && !m.notice.IsZero() && now.After(m.notice):
+		case m.up && !m.reclaimAt.IsZero() && now.After(m.reclaimAt):
 			why = "taken back" // it is gone; the return says so at once
-		case m.inherited && !m.up && m.unanswered > 1 && c.alone(now, m, sum) &&
+		case m.inherited && !m.up && m.unansweredCommands > 1 && c.alone(now, m, sum) &&
 			(now.Sub(asked) > c.periods(constants.SilentAtTakeover) || back*4 >= inherited*3 && now.Sub(asked) > constants.TakeoverPatience):
 			// What is uncertain waits for it. Once most are back, those that
 			// neither reported nor answered twice will not be.
 			why = "silent since the takeover"
 		}
 		if why != "" {
-			slog.Info("returning machine", "machine", m.name, "why", why, "spot", m.spot, "unlisted", m.vanished(), "known", sum.known, "heard", heard)
-			m.returning = true
+			slog.Info("returning machine", "machine", m.name, "why", why, "spot", m.spot, "unlisted", m.isDelisted(), "known", sum.known, "heard", heard)
+			m.scalingIn = true
 			if c.cfg.CloseFirst || m.cordon != nil { // a drain may go on under another owner
 				c.close(m)
 				continue
@@ -117,28 +117,28 @@
 
 // close has a machine's page name it as closed.
 func (b *pageBook) close(m *machine) {
-	m.closing.decided = true
+	m.closure.decided = true
 	b.enrol(m)
 }
 
 // noteClosed takes in that a durable page names a machine as closed. Whoever reads it
 // goes on with the return that an earlier owner decided.
 func (p *placement) noteClosed(m *machine) {
-	m.closing.decided, m.closing.stored = true, true
-	m.returning = true
+	m.closure.decided, m.closure.stored = true, true
+	m.scalingIn = true
 	p.needsPlacement = true
 }
 
 // closedToReturn lists up to so many machines that are durably closed, and for whose
 // return the cloud was not asked yet.
-func (k *knowledge) closedToReturn(most int) []string {
+func (k *knownState) closedToReturn(most int) []string {
 	var names []string
 	for _, m := range k.fleet {
 		if len(names) >= most {
 			break
 		}
-		if m.closing.stored && !m.closing.asked {
-			m.closing.asked = true
+		if m.closure.stored && !m.closure.asked {
+			m.closure.asked = true
 			names = append(names, m.name)
 		}
 	}
@@ -152,10 +152,10 @@
 		if m == nil {
 			continue
 		}
-		c.releaseAll(now, m)
+		c.releaseAttempts(now, m)
 		m.up, m.inherited = false, false
-		m.returning = true
-		m.leaseUntil = time.Time{}
+		m.scalingIn = true
+		m.leaseExpiresAt = time.Time{}
 		c.gone[name] = now
 		c.draining.machineDrained(m)
 		if m.addr != "" {
--- a/shard/scalein_test.go
+++ b/shard/scalein_test.go
@@ -73,7 +73,7 @@
 			r.submit(array("run-1", 8, "a")) // comes now, and finds no machine that may take it
 		}
 		for _, m := range r.machines {
-			if m.closing.decided && len(m.holds) > 0 {
+			if m.closure.decided && len(m.attempts) > 0 {
 				t.Fatalf("%s is closed and takes a task", m.name)
 			}
 		}
@@ -106,10 +106,10 @@
 		if !slices.Contains(asked, "m-1") || slices.Contains(asked, "m-2") {
 			t.Errorf("by its settings %v it returned %v", closeFirst, asked)
 		}
-		if n := len(r.machines["m-1"].holds); n > 0 {
+		if n := len(r.machines["m-1"].attempts); n > 0 {
 			t.Errorf("%d tasks on a closed machine", n)
 		}
-		if len(r.machines["m-2"].holds) == 0 {
+		if len(r.machines["m-2"].attempts) == 0 {
 			t.Error("nothing runs on the other one")
 		}
 	}
--- a/shard/scaleout.go
+++ b/shard/scaleout.go
@@ -23,7 +23,7 @@
 	unplacedDemand        resources          // waiting demand after the last round
 	excessCPUs            float64            // what of it (CPUs) nothing that is coming will take
 	pendingCapacity       []pendingMachine   // room of machines that are coming and not spoken for
-	productionArrivals    arrivals           // of production work
+	productionArrivals    arrivalRate        // of production work
 	forecast              leader.Forecast
 	forecastReceivedAt    time.Time
 	assignedSinceForecast []assignedWork // assignments that are newer than the forecast, or may be
@@ -80,7 +80,7 @@
 	n := need(s)
 	typ, spot, ok := c.cheapestMachineKind(&c.fleetView, now, s)
 	away := 0
-	back := now.Sub(j.backAt) > constants.OffloadWait // together, and not over and over
+	back := now.Sub(j.sentBackAt) > constants.OffloadWait // together, and not over and over
 	var bin *pendingMachine
 	for _, t := range tasks {
 		c.excessCPUs += n.cpus
@@ -88,12 +88,12 @@
 		case bin != nil && n.fits(bin.free):
 			bin.free = bin.free.minus(n)
 			c.excessCPUs -= n.cpus
-		case !t.keep && back && c.otherShardsFitOneMore(now, j.rec, away):
+		case !t.keepWaiting && back && c.otherShardsFitOneMore(now, j.rec, away):
 			// It does not fit: the next shard is asked, if one is known to
 			// have room. Otherwise it would come back, for two writes more.
 			c.offloadTask(j, t)
 			away++
-		case r.mayOffloadOverdue && now.Sub(t.waitSince) > constants.OverdueOffloadWait && c.taskSlotsInOtherShards(now, j.rec) > r.offloaded:
+		case r.mayOffloadOverdue && now.Sub(t.waitingSince) > constants.OverdueOffloadWait && c.taskSlotsInOtherShards(now, j.rec) > r.offloaded:
 			// However little the room elsewhere is and whatever may yet be had
 			// here: it must not wait beside it for ever.
 			c.offloadTask(j, t)
@@ -103,13 +103,13 @@
 		case ok:
 			bin = c.planMachine(typ, spot, n, r.wanted)
 			c.excessCPUs -= n.cpus
-		case now.Sub(t.waitSince) > constants.OffloadWait && back && c.otherShardsFitOneMore(now, j.rec, away):
+		case now.Sub(t.waitingSince) > constants.OffloadWait && back && c.otherShardsFitOneMore(now, j.rec, away):
 			c.offloadTask(j, t)
 			away++
 		}
 	}
 	if away > 0 {
-		j.backAt = now
+		j.sentBackAt = now
 	}
 }
 
@@ -152,30 +152,30 @@
 	within := v.cfg.Order.FinishObjective(s.Class)
 	boot := v.maxBootSeconds()
 	// Estimates may be far too low: what has waited in vain is rented for.
-	if s.IsService() || within == 0 || t.guarantee || now.Sub(t.waitSince).Seconds() > boot*constants.BacklogWaitBootTimes {
+	if s.IsService() || within == 0 || t.withinGuarantee || now.Sub(t.waitingSince).Seconds() > boot*constants.BacklogWaitBootTimes {
 		return false
 	}
 	if c.backlogAt != now {
 		c.backlogAt, c.backlogCPUSeconds, c.backlogCPUs = now, 0, 0
 		for _, m := range v.fleet {
-			if m.draining || !v.isSchedulable(now, m) {
+			if m.consolidating || !v.isSchedulable(now, m) {
 				continue
 			}
 			c.backlogCPUs += m.capacity.cpus
-			for _, h := range m.holds {
-				o := v.taskOf(h)
-				if h.exited() || o == nil {
+			for _, a := range m.attempts {
+				o := v.taskOf(a)
+				if a.hasExited() || o == nil {
 					continue
 				}
 				if o.job.rec.Spec.IsService() {
-					c.backlogCPUs -= h.needs.cpus
+					c.backlogCPUs -= a.resources.cpus
 					continue
 				}
 				left := o.job.rec.Spec.EstimateS
-				if !h.runSince.IsZero() {
-					left -= now.Sub(h.runSince).Seconds()
+				if !a.runningSince.IsZero() {
+					left -= now.Sub(a.runningSince).Seconds()
 				}
-				c.backlogCPUSeconds += h.needs.cpus * max(left, constants.MinRemainingRuntime.Seconds())
+				c.backlogCPUSeconds += a.resources.cpus * max(left, constants.MinRemainingRuntime.Seconds())
 			}
 		}
 	}
@@ -232,10 +232,10 @@
 		c.refusedUntil[r.request.Spot] = now.Add(constants.ScaleOutRefusedPause)
 	}
 	for _, name := range names {
-		m := c.machine(name)
+		m := c.ensureMachine(name)
 		if m.typeName == "" {
-			m.typeName, m.spot, m.rentedAt = r.request.Type, r.request.Spot, r.requestedAt
-			c.size(m)
+			m.typeName, m.spot, m.requestedAt = r.request.Type, r.request.Spot, r.requestedAt
+			c.resolveType(m)
 		}
 		c.enrol(m)
 	}
--- a/shard/scaleoutgang.go
+++ b/shard/scaleoutgang.go
@@ -31,8 +31,8 @@
 	// Free room counts as well: it is what the gang's places will be made of.
 	if !c.isUnreachable {
 		for _, m := range c.fleet {
-			if left > 0 && m.forGangs && isEligible(s, m.typeName, m.spot) && c.isSchedulable(now, m) {
-				left -= min(left, c.free(m).holdsOf(n))
+			if left > 0 && m.reservedForGangs && isEligible(s, m.typeName, m.spot) && c.isSchedulable(now, m) {
+				left -= min(left, c.freeResources(m).holdsOf(n))
 			}
 		}
 	}
@@ -40,8 +40,8 @@
 		return
 	}
 	typ, spot, ok := c.cheapestMachineKind(&c.fleetView, now, s)
-	waited := now.Sub(j.gangSince)
-	back := now.Sub(j.backAt) > constants.OffloadWait && !spansShards(j.rec, c.cfg.Shard)
+	waited := now.Sub(j.gangArrivedAt)
+	back := now.Sub(j.sentBackAt) > constants.OffloadWait && !spansShards(j.rec, c.cfg.Shard)
 	// Where it has waited for long and the cloud has no more, no shard may hold it
 	// whole: then the leader spreads it, if it may.
 	apart := !ok && !s.OneZone && s.Zone == "" && waited > constants.OffloadWait && leader.IsOverdue(now, j.rec, false)
--- a/shard/spotreclaim.go
+++ b/shard/spotreclaim.go
@@ -12,39 +12,39 @@
 // again elsewhere while there is room.
 func (q *outgoing) evictFromNoticedMachines(v *fleetView, now time.Time) {
 	for _, m := range v.fleet {
-		if m.notice.IsZero() || m.returning || !m.up {
+		if m.reclaimAt.IsZero() || m.scalingIn || !m.up {
 			continue
 		}
-		left := m.notice.Sub(now)
+		left := m.reclaimAt.Sub(now)
 		moves := 0
-		for _, h := range m.holds {
-			t := v.taskOf(h)
-			if !isEvictable(h, t) || moves >= constants.MaxReclaimEvictions {
+		for _, a := range m.attempts {
+			t := v.taskOf(a)
+			if !isEvictable(a, t) || moves >= constants.MaxReclaimEvictions {
 				continue
 			}
 			s := &t.job.rec.Spec
 			if t.job.gang != nil {
 				// It saves whole, at the last moment at which all can be told, or
 				// is left to end by itself.
-				if !h.instant && left <= v.grace(h)+v.cfg.GangPeer+constants.ReclaimMargin {
+				if !a.stopsInstantly && left <= v.stopGrace(a)+v.cfg.GangPeer+constants.ReclaimMargin {
 					q.stopGangWithCheckpoint(t.job, "a machine will be taken back")
 				}
 				continue
 			}
 			ends := settings.Seconds(s.EstimateS)
-			if !h.runSince.IsZero() {
-				ends -= now.Sub(h.runSince)
+			if !a.runningSince.IsZero() {
+				ends -= now.Sub(a.runningSince)
 			}
 			switch {
-			case !h.instant && left > v.grace(h)+constants.ReclaimMargin:
+			case !a.stopsInstantly && left > v.stopGrace(a)+constants.ReclaimMargin:
 				continue // it saves at the last moment
-			case !h.instant:
+			case !a.stopsInstantly:
 			case !s.IsService() && float64(ends) < constants.ReclaimRuntimeFactor*float64(left):
 				continue // it may well be done before
 			case v.bestFit(now, s, nil) == nil:
 				continue
 			}
-			q.evict(h)
+			q.evict(a)
 			moves++
 		}
 	}
--- a/shard/state.go
+++ b/shard/state.go
@@ -7,20 +7,20 @@
 	"ravenport/wire"
 )
 
-// knowledge is what the owner knows of machines, jobs and attempts.
-type knowledge struct {
-	types    map[string]*wire.MachineType
-	jobs     map[string]*job
-	machines map[string]*machine
-	fleet    []*machine // the same, in a fixed order
-	byTask   map[taskKey][]*hold
-	look     uint64 // counts looks at reports
-	freed    bool   // the last look found that something had ended
-	rebuilt  bool
+// knownState is what the owner knows of machines, jobs and attempts.
+type knownState struct {
+	types          map[string]*wire.MachineType
+	jobs           map[string]*job
+	machines       map[string]*machine
+	fleet          []*machine // the same, in a fixed order
+	attemptsByTask map[taskKey][]*attempt
+	reconcileCount uint64 // counts looks at reports
+	attemptEnded   bool   // the last look found that something had ended
+	rebuilt        bool
 }
 
-func newKnowledge() knowledge {
-	return knowledge{types: map[string]*wire.MachineType{}, jobs: map[string]*job{}, machines: map[string]*machine{}, byTask: map[taskKey][]*hold{}}
+func newKnownState() knownState {
+	return knownState{types: map[string]*wire.MachineType{}, jobs: map[string]*job{}, machines: map[string]*machine{}, attemptsByTask: map[taskKey][]*attempt{}}
 }
 
 // taskKey names a task.
@@ -29,17 +29,17 @@
 	index int
 }
 
-func (k *knowledge) machine(name string) *machine {
+func (k *knownState) ensureMachine(name string) *machine {
 	m := k.machines[name]
 	if m == nil {
-		m = &machine{name: name, page: pageless, images: map[string]bool{}, stale: true}
+		m = &machine{name: name, pageNumber: pageless, cachedImages: map[string]bool{}, usageStale: true}
 		k.machines[name] = m
 		k.fleet = append(k.fleet, m)
 	}
 	return m
 }
 
-func (k *knowledge) size(m *machine) {
+func (k *knownState) resolveType(m *machine) {
 	if t := k.types[m.typeName]; t != nil {
 		m.typ = t
 		m.capacity = sizeOf(t)
@@ -53,7 +53,7 @@
 		c.types[t.Name] = &t
 	}
 	for _, m := range c.machines {
-		c.size(m)
+		c.resolveType(m)
 	}
 	c.needsPlacement = true
 }
@@ -61,7 +61,7 @@
 func (v *fleetView) removeMachine(q *outgoing, m *machine) {
 	delete(v.machines, m.name)
 	q.landed(m)
-	m.wantCommand = false // its place in the queue goes with the next step
+	m.commandWanted = false // its place in the queue goes with the next step
 	for i, o := range v.fleet {
 		if o == m {
 			v.fleet = append(v.fleet[:i], v.fleet[i+1:]...)
@@ -70,65 +70,65 @@
 	}
 }
 
-// addHold puts an attempt on its machine, in the order of attempts.
-func (k *knowledge) addHold(h *hold) {
-	m := h.m
-	i := len(m.holds)
-	for i > 0 && m.holds[i-1].key.attempt > h.key.attempt {
+// addAttempt puts an attempt on its machine, in the order of attempts.
+func (k *knownState) addAttempt(a *attempt) {
+	m := a.machine
+	i := len(m.attempts)
+	for i > 0 && m.attempts[i-1].key.number > a.key.number {
 		i--
 	}
-	m.holds = slices.Insert(m.holds, i, h)
-	m.stale = true
-	key := taskKey{h.jobID, h.index}
-	k.byTask[key] = append(k.byTask[key], h)
+	m.attempts = slices.Insert(m.attempts, i, a)
+	m.usageStale = true
+	key := taskKey{a.jobID, a.taskIndex}
+	k.attemptsByTask[key] = append(k.attemptsByTask[key], a)
 }
 
-// dropHold takes an attempt off its machine.
-func (k *knowledge) dropHold(h *hold) {
-	m := h.m
-	if i := slices.Index(m.holds, h); i >= 0 {
-		m.holds = slices.Delete(m.holds, i, i+1)
+// removeAttempt takes an attempt off its machine.
+func (k *knownState) removeAttempt(a *attempt) {
+	m := a.machine
+	if i := slices.Index(m.attempts, a); i >= 0 {
+		m.attempts = slices.Delete(m.attempts, i, i+1)
 	}
-	m.stale = true
-	key := taskKey{h.jobID, h.index}
-	hs := k.byTask[key]
-	if i := slices.Index(hs, h); i >= 0 {
+	m.usageStale = true
+	key := taskKey{a.jobID, a.taskIndex}
+	hs := k.attemptsByTask[key]
+	if i := slices.Index(hs, a); i >= 0 {
 		hs = slices.Delete(hs, i, i+1)
 	}
 	if len(hs) == 0 {
-		delete(k.byTask, key)
+		delete(k.attemptsByTask, key)
 	} else {
-		k.byTask[key] = hs
+		k.attemptsByTask[key] = hs
 	}
 }
 
-// somewhere says whether any attempt of a task may be on any machine.
-func (k *knowledge) somewhere(jobID string, index int) bool {
-	for _, h := range k.byTask[taskKey{jobID, index}] {
-		if !h.exited() {
+// hasLiveAttempt says whether any attempt of a task may be on any machine.
+func (k *knownState) hasLiveAttempt(jobID string, index int) bool {
+	for _, a := range k.attemptsByTask[taskKey{jobID, index}] {
+		if !a.hasExited() {
 			return true
 		}
 	}
 	return false
 }
 
-func (k *knowledge) taskOf(h *hold) *task {
-	j := k.jobs[h.jobID]
+func (k *knownState) taskOf(a *attempt) *task {
+	j := k.jobs[a.jobID]
 	if j == nil {
 		return nil
 	}
-	return j.tasks[h.index]
+	return j.tasks[a.taskIndex]
 }
 
-// wanted says whether an attempt is the one its task should have.
-func (k *knowledge) wanted(h *hold) bool {
-	t := k.taskOf(h)
-	return t != nil && t.hold == h && !t.done && !h.stop && t.job.rec.End == ""
+// isWanted says whether an attempt is the one its task should have.
+func (k *knownState) isWanted(a *attempt) bool {
+	t := k.taskOf(a)
+	return t != nil && t.attempt == a && !t.done && !a.stopRequested && t.job.rec.End == ""
 }
 
-// Counts returns the tasks of each job that run here, and those that are done
+// TaskCounts returns the tasks of each job that run here, and those that are done
 // in assignments not closed yet, for display.
-func (k *knowledge) Counts() records.CountsByJob {
+func (k *knownState) TaskCounts() records.CountsByJob {
 	out := make(records.CountsByJob, len(k.jobs))
 	for id, j := range k.jobs {
 		var n records.TaskCounts
@@ -136,7 +136,7 @@
 			switch {
 			case t.done:
 				n.AddDone()
-			case t.hold != nil && (t.hold.state == wire.TaskRunning || t.hold.state == wire.TaskSaving):
+			case t.attempt != nil && (t.attempt.state == wire.TaskRunning || t.attempt.state == wire.TaskSaving):
 				n.AddRunning()
 			}
 		}
--- a/shard/state_test.go
+++ b/shard/state_test.go
@@ -30,7 +30,7 @@
 func TestSilenceBeginsAnew(t *testing.T) {
 	start := time.Unix(1000, 0)
 	hear := hearing{period: 3 * time.Second}
-	m := &machine{heard: start}
+	m := &machine{lastHeartbeat: start}
 	late := start.Add(hear.periods(constants.SilentPeriods) + time.Millisecond)
 	if !hear.silent(late, m) || !hear.overdueReport(late, m) || hear.silent(late.Add(-time.Millisecond), m) {
 		t.Error("the bound of silence is not where it should be")
@@ -39,7 +39,7 @@
 	if hear.silent(late, m) || hear.silence(late.Add(time.Second), m) != time.Second {
 		t.Error("a silence goes on through the time in which nobody could be heard")
 	}
-	m.heard = late.Add(2 * time.Second)
+	m.lastHeartbeat = late.Add(2 * time.Second)
 	if hear.silence(late.Add(3*time.Second), m) != time.Second {
 		t.Error("a report since then does not count")
 	}
@@ -75,7 +75,7 @@
 	m := &machine{up: true}
 	first := o.token(m)
 	o.requestConfirmation(now, m)
-	if !o.may(now) || first>>constants.EpochBits != 5 || o.token(m) != first+1 || !m.unconfirmed() {
+	if !o.may(now) || first>>constants.EpochBits != 5 || o.token(m) != first+1 || !m.isUnconfirmed() {
 		t.Errorf("an owner in its term: may act %v, tokens %d and %d", o.may(now), first, o.token(m))
 	}
 	if o.may(now.Add(time.Second)) || !o.extendsLeases(now.Add(2*time.Second)) || o.extendsLeases(now.Add(6*time.Second)) {
@@ -102,7 +102,7 @@
 	}
 	b := pageBook{pages: map[int]*page{}, entriesMost: 2*entryBytes("m-1") + 1}
 	for _, name := range []string{"m-1", "m-2", "m-3"} {
-		b.enrol(&machine{name: name, page: pageless})
+		b.enrol(&machine{name: name, pageNumber: pageless})
 	}
 	if len(b.pages) != 2 {
 		t.Errorf("three machines are on %d pages, of which each holds two", len(b.pages))
@@ -124,21 +124,21 @@
 
 // An attempt's needs are its job's, and an attempt of another job's task is not wanted.
 func TestKnowledgeOfAttempts(t *testing.T) {
-	k := newKnowledge()
+	k := newKnownState()
 	j := &job{rec: &records.Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", CPUs: 3, MemoryGB: 2, Image: "i"}}, tasks: map[int]*task{}}
 	k.jobs["run-1"] = j
-	m := k.machine("m-1")
-	h := &hold{key: holdKey{"run-1/0", 7}, jobID: "run-1", m: m}
-	h.fill(j)
-	k.addHold(h)
-	if k.wanted(h) {
+	m := k.ensureMachine("m-1")
+	a := &attempt{key: attemptKey{"run-1/0", 7}, jobID: "run-1", machine: m}
+	a.applySpec(j)
+	k.addAttempt(a)
+	if k.isWanted(a) {
 		t.Error("an attempt is wanted of a task that is not here")
 	}
-	j.tasks[0] = &task{job: j, hold: h}
-	if !k.wanted(h) || k.sumsOf(m).used.cpus != 3 {
-		t.Errorf("wanted %v, %v CPUs held", k.wanted(h), k.sumsOf(m).used.cpus)
+	j.tasks[0] = &task{job: j, attempt: a}
+	if !k.isWanted(a) || k.usageOf(m).used.cpus != 3 {
+		t.Errorf("wanted %v, %v CPUs held", k.isWanted(a), k.usageOf(m).used.cpus)
 	}
-	if h.stop = true; k.wanted(h) {
+	if a.stopRequested = true; k.isWanted(a) {
 		t.Error("an attempt is wanted that is to be stopped")
 	}
 }
--- a/shard/summary.go
+++ b/shard/summary.go
@@ -26,7 +26,7 @@
 	s := Summary{Rebuilt: c.rebuilt, WaitingCPUs: c.unplacedDemand.cpus, RefusedSpot: now.Before(c.refusedUntil[true]), RefusedOnDemand: now.Before(c.refusedUntil[false]), Unreachable: c.isUnreachable, ReservedForGangs: c.gangReserveCPUs}
 	for _, m := range c.fleet {
 		switch {
-		case m.returning:
+		case m.scalingIn:
 			s.ScalingIn++
 		case !m.up:
 			s.Booting++
@@ -38,14 +38,14 @@
 			if c.silent(now, m) {
 				s.Silent++
 			}
-			if m.unconfirmed() {
+			if m.isUnconfirmed() {
 				s.Unconfirmed++
 			}
-			if m.draining {
+			if m.consolidating {
 				s.Draining++
 			}
 		}
-		s.ActiveAttempts += c.sumsOf(m).live
+		s.ActiveAttempts += c.usageOf(m).active
 	}
 	c.refresh(&c.fleetView)
 	for j := range c.waiting {
--- a/shard/termcounters.go
+++ b/shard/termcounters.go
@@ -24,8 +24,8 @@
 
 // raise raises a machine's token.
 func (n *numbers) raise(m *machine) {
-	m.epoch++
-	n.epochs = max(n.epochs, m.epoch)
+	m.tokenCount++
+	n.epochs = max(n.epochs, m.tokenCount)
 }
 
 // low says that so many numbers are used that the owner needs a new term.
--- a/shard/termcounters_test.go
+++ b/shard/termcounters_test.go
@@ -23,11 +23,11 @@
 		r.wait(300 * time.Millisecond)
 		for name, m := range r.machines {
 			var tasks []wire.TaskStatus
-			for _, h := range m.holds {
-				tasks = append(tasks, wire.TaskStatus{Task: h.key.task, Attempt: h.key.attempt, State: wire.TaskExited, Cause: wire.CauseDone})
+			for _, a := range m.attempts {
+				tasks = append(tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskExited, Cause: wire.CauseDone})
 				started++
-				if h.key.attempt>>constants.AttemptBits != r.term || h.key.attempt&(1<<constants.AttemptBits-1) >= attempts {
-					t.Fatalf("attempt %d of term %d with %d numbers", h.key.attempt, r.term, attempts)
+				if a.key.number>>constants.AttemptBits != r.term || a.key.number&(1<<constants.AttemptBits-1) >= attempts {
+					t.Fatalf("attempt %d of term %d with %d numbers", a.key.number, r.term, attempts)
 				}
 			}
 			r.Heartbeat(r.now, report(name, 1, uint64(10+i), r.shown(name), tasks...))
@@ -57,10 +57,10 @@
 			r.numbers.raise(m)
 		}
 		if r.TermNumbersLow() && asked == 0 {
-			asked = m.epoch
+			asked = m.tokenCount
 		}
 	}
-	if m.epoch >= epochs || asked == 0 || asked > epochs*constants.TermUsed/16+1 {
-		t.Errorf("raised to %d of %d, a new term asked for at %d", m.epoch, epochs, asked)
+	if m.tokenCount >= epochs || asked == 0 || asked > epochs*constants.TermUsed/16+1 {
+		t.Errorf("raised to %d of %d, a new term asked for at %d", m.tokenCount, epochs, asked)
 	}
 }
--- a/shard/usage.go
+++ b/shard/usage.go
@@ -7,76 +7,76 @@
 	"ravenport/wire"
 )
 
-// sums are what a machine's attempts add up to.
-type sums struct {
-	used     resources // instantly stopping ones left out: a stop and a start travel in one list and are carried out in order
-	live     int       // attempts that have not exited
-	services int
-	yielding float64 // CPUs that production work may have at once
-	exited   int     // exited attempts that a direct command started
-	sent     int     // attempts that no report has shown yet
-	arrays   float64 // CPUs held by arrays and gangs
+// machineUsage are what a machine's attempts add up to.
+type machineUsage struct {
+	used             resources // instantly stopping ones left out: a stop and a start travel in one list and are carried out in order
+	active           int       // attempts that have not exited
+	services         int
+	preemptibleCPUs  float64 // CPUs that production work may have at once
+	exitedDirect     int     // exited attempts that a direct command started
+	unreportedStarts int     // attempts that no report has shown yet
+	batchCPUs        float64 // CPUs held by arrays and gangs
 	// Of what could be stopped: whether some of it saves first, its lowest
 	// priority, and the teams that run arrays beyond their guarantee.
-	saving bool
-	lowest int
-	loose  []string
+	needsCheckpoint      bool
+	lowestPriority       int
+	teamsBeyondGuarantee []string
 }
 
-// sumsOf keeps a machine's sums; they are made anew only after a change.
-func (k *knowledge) sumsOf(m *machine) *sums {
-	if !m.stale {
-		return &m.sums
+// usageOf keeps a machine's sums; they are made anew only after a change.
+func (k *knownState) usageOf(m *machine) *machineUsage {
+	if !m.usageStale {
+		return &m.usage
 	}
-	m.stale = false
-	m.sums = sums{lowest: math.MaxInt, loose: m.sums.loose[:0]}
-	for _, h := range m.holds {
-		if h.exited() {
-			if h.direct {
-				m.sums.exited++
+	m.usageStale = false
+	m.usage = machineUsage{lowestPriority: math.MaxInt, teamsBeyondGuarantee: m.usage.teamsBeyondGuarantee[:0]}
+	for _, a := range m.attempts {
+		if a.hasExited() {
+			if a.sentDirectly {
+				m.usage.exitedDirect++
 			}
 			continue
 		}
-		m.sums.live++
-		if h.state == stateSent {
-			m.sums.sent++
+		m.usage.active++
+		if a.state == stateSent {
+			m.usage.unreportedStarts++
 		}
-		if !(h.stop && h.instant) {
-			m.sums.used = m.sums.used.plus(h.needs)
+		if !(a.stopRequested && a.stopsInstantly) {
+			m.usage.used = m.usage.used.plus(a.resources)
 		}
-		t := k.taskOf(h)
+		t := k.taskOf(a)
 		if t == nil {
 			continue
 		}
 		s := &t.job.rec.Spec
 		if s.IsService() {
-			m.sums.services++
+			m.usage.services++
 		} else {
-			m.sums.arrays += h.needs.cpus
+			m.usage.batchCPUs += a.resources.cpus
 		}
-		if isEvictable(h, t) {
-			m.sums.saving = m.sums.saving || !h.instant || t.job.gang != nil
-			m.sums.lowest = min(m.sums.lowest, wire.PriorityLevel(s.Priority))
-			if !t.guarantee && !s.IsService() && !slices.Contains(m.sums.loose, s.Team) {
-				m.sums.loose = append(m.sums.loose, s.Team)
+		if isEvictable(a, t) {
+			m.usage.needsCheckpoint = m.usage.needsCheckpoint || !a.stopsInstantly || t.job.gang != nil
+			m.usage.lowestPriority = min(m.usage.lowestPriority, wire.PriorityLevel(s.Priority))
+			if !t.withinGuarantee && !s.IsService() && !slices.Contains(m.usage.teamsBeyondGuarantee, s.Team) {
+				m.usage.teamsBeyondGuarantee = append(m.usage.teamsBeyondGuarantee, s.Team)
 			}
 		}
-		if h.instant && !s.IsGang() && isEvictable(h, t) && wire.PriorityLevel(s.Priority) < wire.PriorityLevel(wire.PriorityProduction) {
-			m.sums.yielding += h.needs.cpus
+		if a.stopsInstantly && !s.IsGang() && isEvictable(a, t) && wire.PriorityLevel(s.Priority) < wire.PriorityLevel(wire.PriorityProduction) {
+			m.usage.preemptibleCPUs += a.resources.cpus
 		}
 	}
-	return &m.sums
+	return &m.usage
 }
 
-// busy says whether any attempt has not exited.
-func (k *knowledge) busy(m *machine) bool { return k.sumsOf(m).live > 0 }
+// isBusy says whether any attempt has not exited.
+func (k *knownState) isBusy(m *machine) bool { return k.usageOf(m).active > 0 }
 
-// free is what is left of a machine.
-func (k *knowledge) free(m *machine) resources { return m.capacity.minus(k.sumsOf(m).used) }
+// freeResources is what is left of a machine.
+func (k *knownState) freeResources(m *machine) resources { return m.capacity.minus(k.usageOf(m).used) }
 
-// prodRoom is what production work can have of an ordinary machine (CPUs):
+// productionCPUs is what production work can have of an ordinary machine (CPUs):
 // what is free, and what lower work holds that can be stopped at once.
-func (k *knowledge) prodRoom(m *machine) float64 {
-	s := k.sumsOf(m)
-	return m.capacity.cpus - s.used.cpus + s.yielding
+func (k *knownState) productionCPUs(m *machine) float64 {
+	s := k.usageOf(m)
+	return m.capacity.cpus - s.used.cpus + s.preemptibleCPUs
 }
--- a/shard/waiting.go
+++ b/shard/waiting.go
@@ -8,8 +8,8 @@
 // touch says that a job's tasks have changed, so that a round's cost follows
 // what changed.
 func (p *placement) touch(j *job) {
-	if !j.stale {
-		j.stale = true
+	if !j.waitingStale {
+		j.waitingStale = true
 		p.changedJobs = append(p.changedJobs, j)
 	}
 }
@@ -17,15 +17,15 @@
 // refresh brings the lists of waiting tasks up to date.
 func (p *placement) refresh(v *fleetView) {
 	for _, j := range p.changedJobs {
-		j.stale = false
+		j.waitingStale = false
 		j.waiting, j.begun = j.waiting[:0], false
 		for i := range j.rec.Assignments {
 			j.begun = j.begun || j.rec.Assignments[i].Closed
 		}
 		if v.jobs[j.rec.ID] == j && j.rec.End == "" {
 			for _, t := range j.tasks {
-				j.begun = j.begun || t.done || t.hold != nil
-				if t.waiting() {
+				j.begun = j.begun || t.done || t.attempt != nil
+				if t.isWaiting() {
 					j.waiting = append(j.waiting, t)
 				}
 			}
@@ -36,8 +36,8 @@
 		}
 		sort.Slice(j.waiting, func(a, b int) bool {
 			x, y := j.waiting[a], j.waiting[b]
-			if x.guarantee != y.guarantee {
-				return x.guarantee
+			if x.withinGuarantee != y.withinGuarantee {
+				return x.withinGuarantee
 			}
 			return x.index < y.index
 		})
@@ -46,15 +46,17 @@
 	p.changedJobs = p.changedJobs[:0]
 }
 
-// ready lists a job's waiting tasks that may start now.
-func (k *knowledge) ready(now time.Time, j *job) []*task { return k.appendReady(nil, now, j) }
+// readyTasks lists a job's waiting tasks that may start now.
+func (k *knownState) readyTasks(now time.Time, j *job) []*task {
+	return k.appendReadyTasks(nil, now, j)
+}
 
-// appendReady is ready for rounds, which look at one job after the other: the list
+// appendReadyTasks is ready for rounds, which look at one job after the other: the list
 // of the last one makes room for the next.
-func (k *knowledge) appendReady(out []*task, now time.Time, j *job) []*task {
+func (k *knownState) appendReadyTasks(out []*task, now time.Time, j *job) []*task {
 	for _, t := range j.waiting {
 		// A stray attempt must be gone first.
-		if t.waiting() && !now.Before(t.notBefore) && !k.somewhere(j.rec.ID, t.index) {
+		if t.isWaiting() && !now.Before(t.notBefore) && !k.hasLiveAttempt(j.rec.ID, t.index) {
 			out = append(out, t)
 		}
 	}
