--- a/controller/draining_test.go
+++ b/controller/draining_test.go
@@ -248,17 +248,17 @@
 		}},
 		{name: "the budget is raised while it runs", hurt: func(t *testing.T, w *world, _ int) {
 			midway(t, w)
-			if worst := w.moved().Worst; worst > 2 {
+			if worst := w.moved().MaxVoluntary; worst > 2 {
 				t.Errorf("%d were down by choice before", worst)
 			}
-			w.do(func() { w.disruption.SetMost(4) })
+			w.do(func() { w.disruption.SetLimit(4) })
 			for _, n := range w.controllers {
 				n.kill()
 				n.set.Draining = n.parseDraining(strings.Replace(drainSettings, "* = 2", "* = 4", 1))
 				time.Sleep(3 * time.Second)
 				n.start()
 			}
-			w.until(t, "the new budget is used", 6*time.Minute, func() bool { return w.moved().Worst > 2 })
+			w.until(t, "the new budget is used", 6*time.Minute, func() bool { return w.moved().MaxVoluntary > 2 })
 		}},
 		{name: "machines that never boot", ends: records.DrainStopped, idle: true, hurt: func(t *testing.T, w *world, number int) {
 			w.do(func() { w.upIn = 1000 * time.Hour })
@@ -285,7 +285,7 @@
 				n.start()
 			}
 			time.Sleep(10 * time.Second)
-			w.do(func() { w.disruption.SetMost(1) })
+			w.do(func() { w.disruption.SetLimit(1) })
 		}},
 	} {
 		t.Run(s.name, func(t *testing.T) { s.holds(t, max(1, s.seeds)) })
--- a/controller/standin_draining_test.go
+++ b/controller/standin_draining_test.go
@@ -58,9 +58,9 @@
 			case j.asked:
 				w.disruption.Forget(name)
 			case running[name]:
-				w.disruption.SawUp(name, time.Now())
+				w.disruption.TaskUp(name, time.Now())
 			default:
-				w.disruption.SawDown(name, time.Now())
+				w.disruption.TaskDown(name, time.Now())
 			}
 		}
 	}
@@ -85,10 +85,10 @@
 		case over[unit]:
 			w.interruptions.Forget(unit)
 		case runs[unit]:
-			w.interruptions.SawUp(unit, time.Now())
+			w.interruptions.TaskUp(unit, time.Now())
 			w.haveRun[unit] = true
 		case w.haveRun[unit]:
-			w.interruptions.SawDown(unit, time.Now())
+			w.interruptions.TaskDown(unit, time.Now())
 		}
 	}
 }
@@ -116,7 +116,7 @@
 	if check == nil {
 		return
 	}
-	if err := check.Stop(unit, time.Now()); err != nil {
+	if err := check.TaskStopped(unit, time.Now()); err != nil {
 		w.broke("budget", "%v", err)
 	}
 }
--- a/detector/wallclock_test.go
+++ b/detector/wallclock_test.go
@@ -16,7 +16,7 @@
 		w := newNetwork(3)
 		w.start(time.Now())
 		w.readClock = func(c *simController, now time.Time) time.Time {
-			return testclock.JumpWall(now, int64(rapid.IntRange(-7200, 7200).Draw(t, "jump")))
+			return testclock.ShiftWallClock(now, int64(rapid.IntRange(-7200, 7200).Draw(t, "jump")))
 		}
 		w.run(10 * time.Second)
 		for _, c := range w.controllers {
--- a/internal/disruptioncheck/check.go
+++ b/internal/disruptioncheck/check.go
@@ -1,6 +1,6 @@
-// Package disruptioncheck judges, from the workers' side alone, whether voluntary stops
-// keep within a budget of disruption. Tests feed it what machines see: tasks that begin
-// to run, end, or are told to stop.
+// Package disruptioncheck checks, by what the workers see alone, that voluntary stops of
+// tasks keep within a disruption budget. Tests report to it when tasks start to run, end
+// or are stopped.
 package disruptioncheck
 
 import (
@@ -10,96 +10,115 @@
 
 // Check follows the tasks that should be up. It is not safe for concurrent use.
 type Check struct {
-	most   int           // tasks that may be down
-	stable time.Duration // a task that has run for so long is up
-	known  time.Duration // a failure this old is known to everybody who decides
+	limit        int           // tasks that may be down
+	stableAfter  time.Duration // a task that has run for so long is up
+	reactionTime time.Duration // a failure this old is known to every controller
 
 	upSince   map[string]time.Time
 	downSince map[string]time.Time
-	byChoice  map[string]bool // stopped, and not proved up again since
+	voluntary map[string]bool // stopped voluntarily, and not known to be up again since
 	figures   Figures
 }
 
-// Figures are what was seen.
+// Figures count what was seen.
 type Figures struct {
-	Stops    int // by choice
-	Replaced int // of those, tasks that run again
-	Failed   int // tasks that went down otherwise
-	Worst    int // most that was down by choice at once
+	Stops        int // voluntary stops
+	Replaced     int // of the stopped tasks, those that run again
+	Failed       int // tasks that went down involuntarily
+	MaxVoluntary int // most tasks that were down voluntarily at once
 }
 
-// New makes a check of a budget of so many tasks.
-func New(most int, stable, known time.Duration) *Check {
-	return &Check{most: most, stable: stable, known: known, upSince: map[string]time.Time{}, downSince: map[string]time.Time{}, byChoice: map[string]bool{}}
+// New returns a check of a budget that lets limit tasks be down. A task is up once it has
+// run for stableAfter; a task that has been down involuntarily for longer than
+// reactionTime counts against the budget too.
+func New(limit int, stableAfter, reactionTime time.Duration) *Check {
+	return &Check{
+		limit:        limit,
+		stableAfter:  stableAfter,
+		reactionTime: reactionTime,
+		upSince:      map[string]time.Time{},
+		downSince:    map[string]time.Time{},
+		voluntary:    map[string]bool{},
+	}
 }
 
-// SetMost changes the budget.
-func (c *Check) SetMost(most int) { c.most = most }
+// SetLimit changes the budget.
+func (c *Check) SetLimit(limit int) { c.limit = limit }
 
 // Figures returns what was seen so far.
 func (c *Check) Figures() Figures { return c.figures }
 
-// Down counts the tasks that do not run now.
-func (c *Check) Down() int { return len(c.downSince) }
+// DownCount returns the number of tasks that do not run now.
+func (c *Check) DownCount() int { return len(c.downSince) }
 
-// SawUp takes in that a task runs.
-func (c *Check) SawUp(task string, now time.Time) {
+// TaskUp records that a task runs.
+func (c *Check) TaskUp(task string, now time.Time) {
 	if _, wasUp := c.upSince[task]; wasUp {
 		return
 	}
 	c.upSince[task] = now
 	delete(c.downSince, task)
-	if c.byChoice[task] {
+	if c.voluntary[task] {
 		c.figures.Replaced++
 	}
 }
 
-// SawDown takes in that a task does not run, for whatever reason.
-func (c *Check) SawDown(task string, now time.Time) {
+// TaskDown records that a task does not run, for whatever reason.
+func (c *Check) TaskDown(task string, now time.Time) {
 	if _, wasDown := c.downSince[task]; wasDown {
 		return
 	}
 	_, wasUp := c.upSince[task]
 	c.downSince[task] = now
 	delete(c.upSince, task)
-	if wasUp { // nobody stopped it
+	if wasUp { // it was not stopped: TaskStopped would have marked it as down
 		c.figures.Failed++
-		delete(c.byChoice, task)
+		delete(c.voluntary, task)
 	}
 }
 
-// Forget takes in that a task need not be up any more.
+// Forget records that a task need not be up any more.
 func (c *Check) Forget(task string) {
 	delete(c.upSince, task)
 	delete(c.downSince, task)
-	delete(c.byChoice, task)
+	delete(c.voluntary, task)
 }
 
-// Stop judges the voluntary stop of a task that runs. The error says by how much the
-// budget is broken.
-func (c *Check) Stop(task string, now time.Time) error {
+// TaskStopped records the voluntary stop of a task that runs. The error says by how much
+// it exceeds the budget.
+func (c *Check) TaskStopped(task string, now time.Time) error {
 	c.figures.Stops++
-	c.byChoice[task] = true
+	c.voluntary[task] = true
 	delete(c.upSince, task)
 	c.downSince[task] = now
-	count, old := 0, 0
-	for name := range c.byChoice {
-		up, runs := c.upSince[name]
-		switch {
-		case !runs || now.Sub(up) < c.stable:
-			count++
-		default:
-			delete(c.byChoice, name) // it has proved itself
-		}
+	c.forgetStable(now)
+	voluntary := len(c.voluntary)
+	overdue := c.overdueFailures(now)
+	c.figures.MaxVoluntary = max(c.figures.MaxVoluntary, voluntary)
+	if voluntary+overdue > c.limit {
+		return fmt.Errorf("%s is stopped: %d are down by choice and %d have long been, %d may be", task, voluntary, overdue, c.limit)
 	}
-	for name, since := range c.downSince {
-		if !c.byChoice[name] && now.Sub(since) > c.known {
-			old++
+	return nil
+}
+
+// forgetStable takes the stopped tasks that are up again out of those that are down
+// voluntarily.
+func (c *Check) forgetStable(now time.Time) {
+	for task := range c.voluntary {
+		up, runs := c.upSince[task]
+		if runs && now.Sub(up) >= c.stableAfter {
+			delete(c.voluntary, task)
 		}
 	}
-	c.figures.Worst = max(c.figures.Worst, count)
-	if count+old > c.most {
-		return fmt.Errorf("%s is stopped: %d are down by choice and %d have long been, %d may be", task, count, old, c.most)
+}
+
+// overdueFailures counts the tasks whose failure every controller knows by now.
+func (c *Check) overdueFailures(now time.Time) int {
+	n := 0
+	for task, since := range c.downSince {
+		if !c.voluntary[task] && now.Sub(since) > c.reactionTime {
+			n++
+		}
 	}
-	return nil
+	return n
 }
--- a/internal/loopback/drain_test.go
+++ b/internal/loopback/drain_test.go
@@ -146,7 +146,7 @@
 		}
 	}
 	seen := f.figures()
-	t.Logf("%d stops by choice, %d replaced, %d tasks failed, at most %d down by choice", seen.Stops-before.Stops, seen.Replaced-before.Replaced, seen.Failed-before.Failed, seen.Worst)
+	t.Logf("%d stops by choice, %d replaced, %d tasks failed, at most %d down by choice", seen.Stops-before.Stops, seen.Replaced-before.Replaced, seen.Failed-before.Failed, seen.MaxVoluntary)
 	if seen.Replaced == before.Replaced || !*drainQuiet && seen.Failed == before.Failed {
 		t.Error("nothing was moved, or nothing failed")
 	}
--- a/internal/loopback/record_test.go
+++ b/internal/loopback/record_test.go
@@ -53,7 +53,7 @@
 	r.stays[task] = append(r.stays[task], &stay{machine: machine, from: now})
 	if r.judges(task) {
 		r.lastStart = machine
-		r.services.SawUp(task, now)
+		r.services.TaskUp(task, now)
 	}
 }
 
@@ -65,7 +65,7 @@
 	r.mu.Lock()
 	if r.judges(task) && running {
 		r.lastStop = machine
-		if err := r.services.Stop(task, time.Now()); err != nil {
+		if err := r.services.TaskStopped(task, time.Now()); err != nil {
 			r.broken = append(r.broken, "budget: "+err.Error())
 		}
 	}
@@ -81,7 +81,7 @@
 		if s.to.IsZero() && s.machine == machine {
 			s.to = time.Now()
 			if r.judges(task) {
-				r.services.SawDown(task, s.to)
+				r.services.TaskDown(task, s.to)
 			}
 		}
 	}
--- a/internal/testclock/testclock.go
+++ b/internal/testclock/testclock.go
@@ -1,6 +1,6 @@
-// Package testclock makes times whose wall clock has jumped while their monotonic clock
-// runs on, as a process reads them after somebody has set the time of day. Tests use
-// it; nothing else can make such times.
+// Package testclock makes times whose wall clock has been shifted while their monotonic
+// clock has not, as a process reads them after the time of day was set. Tests use it;
+// package time has no other way to make such times.
 package testclock
 
 import (
@@ -8,9 +8,9 @@
 	"unsafe"
 )
 
-// reading is the layout of a time.Time: with a monotonic reading, wall holds a flag,
+// timeLayout is the layout of a time.Time that has a monotonic reading: wall holds a flag,
 // the seconds of the wall clock above its lowest 30 bits, and nanoseconds below.
-type reading struct {
+type timeLayout struct {
 	wall uint64
 	ext  int64
 	loc  *time.Location
@@ -21,13 +21,13 @@
 	nanosecondBits = 30
 )
 
-// JumpWall returns t with its wall clock, and nothing else, set forward by so many
-// seconds, or back. t must have a monotonic reading.
-func JumpWall(t time.Time, seconds int64) time.Time {
-	r := (*reading)(unsafe.Pointer(&t))
-	if r.wall&hasMonotonic == 0 {
+// ShiftWallClock returns t with its wall clock, and nothing else, set forward by a number
+// of seconds, or back by a negative one. t must have a monotonic reading.
+func ShiftWallClock(t time.Time, seconds int64) time.Time {
+	layout := (*timeLayout)(unsafe.Pointer(&t))
+	if layout.wall&hasMonotonic == 0 {
 		panic("testclock: a time without a monotonic reading")
 	}
-	r.wall += uint64(seconds) << nanosecondBits
+	layout.wall += uint64(seconds) << nanosecondBits
 	return t
 }
--- a/internal/testclock/testclock_test.go
+++ b/internal/testclock/testclock_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// The wall clock jumps, and durations do not notice.
-func TestJumpWall(t *testing.T) {
+// Shifting the wall clock does not change durations.
+func TestShiftWallClock(t *testing.T) {
 	before := time.Now()
 	for _, seconds := range []int64{-7200, -1, 1, 7200} {
-		after := JumpWall(before.Add(time.Second), seconds)
+		after := ShiftWallClock(before.Add(time.Second), seconds)
 		if d := after.Sub(before); d != time.Second {
 			t.Errorf("%d s: %s passed by the monotonic clock", seconds, d)
 		}
--- a/member/revocation_test.go
+++ b/member/revocation_test.go
@@ -188,7 +188,7 @@
 	key := records.KeyShard("b")
 	for _, seconds := range []int64{-86400, -3, 3, 86400} {
 		early, late := now.Add(life), now.Add(life+constants.AuthorityMargin+10*time.Millisecond)
-		if s.cores[0].revokedAuthorityEnded(testclock.JumpWall(early, seconds), key) || !s.cores[0].revokedAuthorityEnded(testclock.JumpWall(late, seconds), key) {
+		if s.cores[0].revokedAuthorityEnded(testclock.ShiftWallClock(early, seconds), key) || !s.cores[0].revokedAuthorityEnded(testclock.ShiftWallClock(late, seconds), key) {
 			t.Errorf("a jump of %d s changes the wait", seconds)
 		}
 	}
