--- a/peer/heartbeat_test.go
+++ b/peer/detection_test.go
@@ -34,23 +34,23 @@
 			return c
 		}
 	}
-	t.Fatal("nobody listens")
+	t.Fatal("the server does not listen")
 	return nil
 }
 
 // Heartbeats and probes arrive as they were sent, and a controller without failure
-// detection is told from one that does not answer.
+// detection is distinguished from one that does not reply.
 func TestHeartbeatsAndProbes(t *testing.T) {
 	status := func(Status) StatusReply { return StatusReply{} }
 	sent := detector.Message{Controller: "n-0", Heartbeat: detector.Heartbeat{Incarnation: 7, Refutation: 1, Sequence: 3, Stalled: []string{"leader"}},
 		Accusations: []detector.Accusation{{Controller: "n-2", Incarnation: 9, Refutation: 2, Evidence: []detector.Evidence{detector.Unserved}}}}
-	answer := detector.Message{Controller: "n-1", Heartbeat: detector.Heartbeat{Incarnation: 8, Sequence: 1}}
+	reply := detector.Message{Controller: "n-1", Heartbeat: detector.Heartbeat{Incarnation: 8, Sequence: 1}}
 	on := serve(t, Handlers{Status: status, Detection: DetectionHandlers{
 		Heartbeat: func(_ context.Context, m detector.Message) (detector.Message, error) {
 			if !reflect.DeepEqual(m, sent) {
 				t.Errorf("%+v became %+v", sent, m)
 			}
-			return answer, nil
+			return reply, nil
 		},
 		Probe: func(_ context.Context, r ProbeRequest) (ProbeReply, error) {
 			if r != (ProbeRequest{Controller: "n-0", Target: "n-2"}) {
@@ -60,7 +60,7 @@
 		},
 	}})
 	ctx := t.Context()
-	if got, err := on.Heartbeat(ctx, sent); err != nil || !reflect.DeepEqual(got, answer) {
+	if got, err := on.Heartbeat(ctx, sent); err != nil || !reflect.DeepEqual(got, reply) {
 		t.Errorf("%+v, %v", got, err)
 	}
 	if got, err := on.Probe(ctx, ProbeRequest{Controller: "n-0", Target: "n-2"}); err != nil || got.Heartbeat != nil {
@@ -73,13 +73,13 @@
 	if _, err := off.Probe(ctx, ProbeRequest{}); !errors.Is(err, ErrDetectionDisabled) {
 		t.Errorf("detection is off there: %v", err)
 	}
-	nobody, err := Dial("127.0.0.1:1")
+	unreachable, err := Dial("127.0.0.1:1")
 	if err != nil {
 		t.Fatal(err)
 	}
 	short, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 	defer cancel()
-	if _, err := nobody.Heartbeat(short, sent); err == nil || errors.Is(err, ErrDetectionDisabled) {
-		t.Errorf("nobody there: %v", err)
+	if _, err := unreachable.Heartbeat(short, sent); err == nil || errors.Is(err, ErrDetectionDisabled) {
+		t.Errorf("unreachable controller: %v", err)
 	}
 }
--- a/peer/drain.go
+++ b/peer/drain.go
@@ -5,7 +5,6 @@
 	"errors"
 	"fmt"
 
-	"google.golang.org/grpc"
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
@@ -14,14 +13,14 @@
 	"ravenport/records"
 )
 
-// ErrDrainingDisabled says that the other controller does not drain machines: it is switched off
-// there, or its version does not know how.
+// ErrDrainingDisabled says that the other controller does not drain machines: draining is
+// switched off there, or its version does not support it. The text is for operators.
 var ErrDrainingDisabled = errors.New("draining is off at this controller (start it with --draining), or its version does not know it")
 
-// DrainOp is what is asked about drains.
+// DrainOp is the operation that a DrainRequest requests.
 type DrainOp string
 
-// What can be asked. OpShardPlan is asked by controllers alone.
+// Operations on drains. OpShardPlan is requested by controllers only.
 const (
 	OpPlan      DrainOp = "plan"
 	OpStart     DrainOp = "start"
@@ -32,21 +31,21 @@
 	OpShardPlan DrainOp = "shard plan"
 )
 
-// DrainRequest asks a controller about drains.
+// DrainRequest requests an operation on drains from a controller.
 type DrainRequest struct {
 	Op        DrainOp           `json:"op"`
 	Number    int               `json:"number,omitempty"`
 	Selection records.Selection `json:"sel"`
-	// MatchAll: a selection without any field is meant as it is.
+	// MatchAll confirms that a selection without any field is to match all machines.
 	MatchAll bool `json:"all,omitempty"`
-	// MinAgeS takes in only machines that are at least so old (s); 0: any.
+	// MinAgeS restricts the selection to machines of at least this age (s); 0: any.
 	MinAgeS float64 `json:"rented_before_s,omitempty"`
-	Shard   string  `json:"shard,omitempty"` // with OpShardPlan
+	Shard   string  `json:"shard,omitempty"` // for OpShardPlan
 }
 
-// DrainReply answers it.
+// DrainReply is the reply to a DrainRequest. Which fields are set depends on the operation.
 type DrainReply struct {
-	// Problem says that nothing was done, and why.
+	// Problem says why nothing was done; nil on success.
 	Problem   *drain.FieldError `json:"problem,omitempty"`
 	Number    int               `json:"number,omitempty"`
 	Plan      *drain.Plan       `json:"plan,omitempty"`
@@ -59,11 +58,11 @@
 	Controller string             `json:"node"`
 	Drains     []DrainView        `json:"drains"`
 	Budgets    []disruption.Usage `json:"budgets"`
-	// Unreadable are drains whose record cannot be read.
+	// Unreadable are the numbers of the drains whose records cannot be read.
 	Unreadable []int `json:"damaged,omitempty"`
 }
 
-// DrainView is one drain.
+// DrainView is one drain's state and progress.
 type DrainView struct {
 	Number       int                   `json:"number"`
 	State        records.DrainState    `json:"state"`
@@ -72,43 +71,32 @@
 	Machines     int                   `json:"machines"` // at its start
 	Remaining    int                   `json:"left"`     // in the inventory
 	CanaryPassed bool                  `json:"proven"`
-	Shards       []drain.ShardProgress `json:"shards,omitempty"` // as their owners told last
+	Shards       []drain.ShardProgress `json:"shards,omitempty"` // as their owners last reported
 }
 
-// DrainHandler answers requests about drains. It is called on a goroutine of its own
+// DrainHandler carries out operations on drains. It is called on a goroutine of its own
 // and may block until ctx ends.
 type DrainHandler func(ctx context.Context, r DrainRequest) (DrainReply, error)
 
-const drainMethod = "/ravenport.Peer/Drain"
+const drainMethod = "Drain"
 
-// Drain asks the other controller about drains.
+// Drain requests an operation on drains. The error is ErrDrainingDisabled if the other
+// controller does not drain machines.
 func (c *Client) Drain(ctx context.Context, r DrainRequest) (DrainReply, error) {
-	var answer DrainReply
-	err := c.conn.Invoke(ctx, drainMethod, &r, &answer)
+	var reply DrainReply
+	err := c.invoke(ctx, drainMethod, &r, &reply)
 	switch {
 	case err == nil:
-		return answer, nil
-	case status.Code(err) == codes.Unimplemented:
-		return answer, ErrDrainingDisabled
+		return reply, nil
+	case isUnimplemented(err):
+		return reply, ErrDrainingDisabled
 	}
-	return answer, fmt.Errorf("peer: %w", err)
+	return reply, fmt.Errorf("peer: %w", err)
 }
 
-// Close ends the connection.
-func (c *Client) Close() { _ = c.conn.Close() } // nothing is left to lose
-
-var drainMethodDesc = grpc.MethodDesc{
-	MethodName: "Drain",
-	Handler: func(srv any, ctx context.Context, dec func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
-		handle := srv.(Handlers).Drain
-		if handle == nil {
-			return nil, status.Error(codes.Unimplemented, "draining is off")
-		}
-		var r DrainRequest
-		if err := dec(&r); err != nil {
-			return nil, err
-		}
-		answer, err := handle(ctx, r)
-		return &answer, err
-	},
-}
+var drainMethodDesc = unaryMethod(drainMethod, func(h Handlers) (func(context.Context, DrainRequest) (DrainReply, error), error) {
+	if h.Drain == nil {
+		return nil, status.Error(codes.Unimplemented, "draining is off")
+	}
+	return h.Drain, nil
+})
--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -1,17 +1,16 @@
 package peer
 
 import (
-	"ravenport/records"
 	"testing"
 
 	"ravenport/detector"
 	"ravenport/leader"
+	"ravenport/records"
 	"ravenport/shard"
 )
 
-// Controllers of several versions read each other's messages during an upgrade, so
-// their encoded forms are fixed to the letter, whatever the Go identifiers are
-// called.
+// Controllers of several versions exchange messages during an upgrade, so the encoded
+// forms are fixed to the byte, whatever the Go identifiers are called.
 func TestEncodedMessagesAreFixed(t *testing.T) {
 	for _, c := range []struct {
 		name, want string
--- a/peer/relay.go
+++ b/peer/relay.go
@@ -5,15 +5,11 @@
 	"errors"
 	"fmt"
 
-	"google.golang.org/grpc"
-	"google.golang.org/grpc/codes"
-	"google.golang.org/grpc/status"
-
 	"ravenport/kvstore"
 	"ravenport/wire"
 )
 
-// Outcome is what came of a transaction that another controller carried out.
+// Outcome is the result of a transaction that another controller carried out.
 type Outcome string
 
 // Outcomes of a relayed transaction.
@@ -21,15 +17,15 @@
 	OutcomeCommitted   Outcome = "written"
 	OutcomeConflict    Outcome = "conflict"
 	OutcomeInvalid     Outcome = "invalid"
-	OutcomeRateLimited Outcome = "limited" // refused for the allowance alone
+	OutcomeRateLimited Outcome = "limited" // refused for the rate limit alone
 	OutcomeRefused     Outcome = "refused" // surely not carried out
-	OutcomeUnknown     Outcome = "unknown" // it may have been, or may be yet
+	OutcomeUnknown     Outcome = "unknown" // it may have been carried out, or may be yet
 )
 
-// CommitReply answers a relayed transaction.
+// CommitReply is the reply to a relayed transaction.
 type CommitReply struct {
 	Outcome    Outcome  `json:"outcome"`
-	Revision   uint64   `json:"rev,omitempty"`
+	Revision   uint64   `json:"rev,omitempty"`    // of the transaction, if it was committed
 	FailedKeys []string `json:"failed,omitempty"` // keys whose conditions did not hold
 }
 
@@ -37,9 +33,7 @@
 // goroutine of its own and may block until ctx ends.
 type CommitHandler func(ctx context.Context, t wire.Txn) CommitReply
 
-const commitMethod = "/ravenport.Peer/Commit"
-
-// NewCommitReply puts what a call of the state service returned into a reply.
+// NewCommitReply makes a reply of what the store's client returned.
 func NewCommitReply(revision uint64, err error) CommitReply {
 	var conflict *kvstore.ConflictError
 	switch {
@@ -57,7 +51,8 @@
 	return CommitReply{Outcome: OutcomeUnknown}
 }
 
-// Result is what the state service's own client would have returned.
+// Result is what the store's own client would have returned: a revision, or one of the
+// errors of package kvstore.
 func (r CommitReply) Result() (revision uint64, err error) {
 	switch r.Outcome {
 	case OutcomeCommitted:
@@ -74,29 +69,23 @@
 	return 0, fmt.Errorf("%w: relayed", kvstore.ErrOutcomeUnknown)
 }
 
-// Commit has the other controller carry out a transaction. One of the version before
-// does not know how, and refuses.
+const commitMethod = "Commit"
+
+// Commit has the other controller carry out a transaction and returns its revision.
+// Errors are those of package kvstore: ErrRefused if the other controller's version does
+// not know the method, and ErrOutcomeUnknown if it did not reply.
 func (c *Client) Commit(ctx context.Context, t wire.Txn) (uint64, error) {
-	var r CommitReply
-	err := c.conn.Invoke(ctx, commitMethod, &t, &r)
+	var reply CommitReply
+	err := c.invoke(ctx, commitMethod, &t, &reply)
 	switch {
 	case err == nil:
-		return r.Result()
-	case status.Code(err) == codes.Unimplemented:
+		return reply.Result()
+	case isUnimplemented(err):
 		return 0, fmt.Errorf("%w: relay: %w", kvstore.ErrRefused, err)
 	}
 	return 0, fmt.Errorf("%w: relay: %w", kvstore.ErrOutcomeUnknown, err)
 }
 
-// commitMethodDesc is the method's description for gRPC.
-var commitMethodDesc = grpc.MethodDesc{
-	MethodName: "Commit",
-	Handler: func(srv any, ctx context.Context, dec func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
-		var t wire.Txn
-		if err := dec(&t); err != nil {
-			return nil, err
-		}
-		r := srv.(Handlers).Commit(ctx, t)
-		return &r, nil
-	},
-}
+var commitMethodDesc = unaryMethod(commitMethod, func(h Handlers) (func(context.Context, wire.Txn) (CommitReply, error), error) {
+	return func(ctx context.Context, t wire.Txn) (CommitReply, error) { return h.Commit(ctx, t), nil }, nil
+})
--- a/peer/relay_test.go
+++ b/peer/relay_test.go
@@ -13,8 +13,8 @@
 	"ravenport/wire"
 )
 
-// Whatever the state service said, the controller that had it asked hears the same
-// over gRPC: what is taken for refused must not have been written.
+// Whatever the store returned, the controller that requested the relay gets the same
+// error over gRPC: what counts as refused must not have been written.
 func TestRelayedOutcomes(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -70,8 +70,7 @@
 	}
 }
 
-// Without an answer nothing is known; a controller of the version before, which does
-// not know the call, has surely written nothing.
+// Without a reply the outcome is unknown.
 func TestRelayWithoutAnswer(t *testing.T) {
 	c, err := Dial("127.0.0.1:1")
 	if err != nil {
--- a/peer/peer_test.go
+++ b/peer/status_test.go
@@ -9,8 +9,8 @@
 	"ravenport/leader"
 )
 
-// The version before and this one read each other's messages: what it wrote is
-// read to the last field, and what is new here can be missing.
+// This version and the one before read each other's messages: every field that the
+// earlier one wrote is read, and fields that are new here may be missing.
 func TestMessagesOfTheVersionBefore(t *testing.T) {
 	text, err := os.ReadFile("testdata/production.json")
 	if err != nil {
