--- a/cmd/ravenport/members.go
+++ b/cmd/ravenport/members.go
@@ -18,7 +18,7 @@
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			events, err := history.Read(args[0])
-			var damage *history.Damage
+			var damage *history.DamageError
 			if err != nil && !errors.As(err, &damage) {
 				return err
 			}
--- a/cmd/ravenport/members_test.go
+++ b/cmd/ravenport/members_test.go
@@ -19,7 +19,7 @@
 		t.Fatal(err)
 	}
 	for _, node := range []string{"n-1", "n-2"} {
-		if err := f.Append(history.Event{At: time.Unix(5, 0), Observer: "n-0", Node: node, From: "alive", To: "failed"}); err != nil {
+		if err := f.Append(history.Event{At: time.Unix(5, 0), Observer: "n-0", Controller: node, From: "alive", To: "failed"}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -36,7 +36,7 @@
 		t.Fatal(err)
 	}
 	out, err = execute(t, "members", path)
-	var damage *history.Damage
+	var damage *history.DamageError
 	if !errors.As(err, &damage) || !strings.Contains(out, "n-1 alive -> failed") || strings.Contains(out, "n-2") {
 		t.Errorf("%q, %v", out, err)
 	}
--- a/controller/monitor.go
+++ b/controller/monitor.go
@@ -220,13 +220,13 @@
 
 // recordChange logs a change of state and keeps it in the history.
 func (m *monitorActor) recordChange(now time.Time, c detector.StateChange) {
-	e := history.Event{At: now, Observer: m.name, Node: c.Controller, Process: c.Incarnation, From: string(c.From), To: string(c.To),
+	e := history.Event{At: now, Observer: m.name, Controller: c.Controller, Incarnation: c.Incarnation, From: string(c.From), To: string(c.To),
 		Evidence: evidenceNames(c.Evidence), Accusers: c.Accusers}
 	log := slog.Info
 	if c.To == detector.Suspect || c.To == detector.Failed {
 		log = slog.Warn
 	}
-	log("controller's state changed", "node", e.Node, "from", e.From, "to", e.To, "evidence", e.Evidence, "accusers", e.Accusers)
+	log("controller's state changed", "node", e.Controller, "from", e.From, "to", e.To, "evidence", e.Evidence, "accusers", e.Accusers)
 	m.recordEvent(e)
 }
 
--- a/controller/node.go
+++ b/controller/node.go
@@ -227,7 +227,7 @@
 		return func() {}
 	}
 	file, err := history.Open(set.Detection.HistoryPath, set.Detection.HistorySize)
-	var damage *history.Damage
+	var damage *history.DamageError
 	switch {
 	case errors.As(err, &damage):
 		slog.Warn("membership history is damaged", "err", damage)
--- a/controller/revocation.go
+++ b/controller/revocation.go
@@ -81,7 +81,7 @@
 	if c.detection.monitor == nil {
 		return
 	}
-	c.detection.monitor.Tell(revocationSeen(history.Event{At: now, Observer: r.RevokedBy, Node: r.Controller, Process: r.Incarnation, To: "revoked", Evidence: r.Evidence, Accusers: r.Accusers}))
+	c.detection.monitor.Tell(revocationSeen(history.Event{At: now, Observer: r.RevokedBy, Controller: r.Controller, Incarnation: r.Incarnation, To: "revoked", Evidence: r.Evidence, Accusers: r.Accusers}))
 	if r.Controller == c.set.Controller && r.Incarnation == c.incarnation && c.incarnation != 0 {
 		slog.Warn("this process was revoked", "by", r.RevokedBy, "evidence", r.Evidence)
 		c.endLease(c.latestAuthorityEnd().Add(constants.AuthorityMargin))
--- a/history/file.go
+++ b/history/file.go
@@ -8,66 +8,77 @@
 	"slices"
 )
 
-// damagedSuffix is added to the name of a damaged file, which is kept beside the
-// new one.
-const damagedSuffix = ".damaged"
+const (
+	// damagedSuffix is added to the name of a damaged file, which is kept beside the
+	// new one.
+	damagedSuffix = ".damaged"
+	// temporarySuffix is added to the name of a file until it replaces the present one.
+	temporarySuffix = ".new"
+	fileMode        = 0o600
+)
 
-// Damage says up to where a file could be read, and why no further.
-type Damage struct {
+// DamageError says up to where a file could be read, and why no further.
+type DamageError struct {
 	Path   string
 	Offset int // bytes that are sound
 	Events int // events read from them
 	Cause  error
 }
 
-func (d *Damage) Error() string {
+func (d *DamageError) Error() string {
 	return fmt.Sprintf("history: %s is damaged after %d bytes (%d events read): %v", d.Path, d.Offset, d.Events, d.Cause)
 }
 
-func (d *Damage) Unwrap() error { return d.Cause }
+// Unwrap returns the cause.
+func (d *DamageError) Unwrap() error { return d.Cause }
 
 // File appends events to a history. It is used by one goroutine.
 type File struct {
-	path   string
-	limit  int
-	codec  *codec
-	events []Event // the latest, at most twice the limit
+	path      string
+	minEvents int // events that are kept at least, once there are so many
+	codec     *codec
+	events    []Event // the latest, at most twice minEvents
 }
 
-// Open opens or creates a history that keeps at least the latest limit events. If
-// the file is damaged, its sound part is kept, the file itself is put aside, and the
-// error is a *Damage beside a File that can be used.
-func Open(path string, limit int) (*File, error) {
+// Open opens or creates a history that keeps at least the latest minEvents events. If
+// the file is damaged, its sound part is kept, the file itself is renamed, and the
+// error is a *DamageError beside a File that can be used.
+func Open(path string, minEvents int) (*File, error) {
 	c, err := newCodec()
 	if err != nil {
 		return nil, err
 	}
-	f := &File{path: path, limit: max(limit, 1), codec: c}
-	events, err := f.read()
-	var damage *Damage
-	if err != nil && !errors.As(err, &damage) {
+	f := &File{path: path, minEvents: max(minEvents, 1), codec: c}
+	damage, err := f.load()
+	if err != nil {
 		c.close()
 		return nil, err
 	}
-	f.events = latest(events, f.limit)
 	if damage != nil {
-		if err := os.Rename(path, path+damagedSuffix); err != nil {
-			c.close()
-			return nil, fmt.Errorf("history: putting a damaged file aside: %w", err)
-		}
+		return f, damage
 	}
-	if err := f.rewrite(); err != nil {
-		c.close()
+	return f, nil
+}
+
+// load reads the file, renames it if it is damaged, and writes it anew with the latest
+// events.
+func (f *File) load() (*DamageError, error) {
+	events, err := f.read()
+	var damage *DamageError
+	if err != nil && !errors.As(err, &damage) {
 		return nil, err
 	}
+	f.events = latest(events, f.minEvents)
 	if damage != nil {
-		return f, damage
+		if err := os.Rename(f.path, f.path+damagedSuffix); err != nil {
+			return nil, fmt.Errorf("history: putting a damaged file aside: %w", err)
+		}
 	}
-	return f, nil
+	return damage, f.rewrite()
 }
 
 // Read reads the events of a history. A damaged one gives those before the damage
-// and a *Damage.
+// and a *DamageError.
 func Read(path string) ([]Event, error) {
 	c, err := newCodec()
 	if err != nil {
@@ -91,24 +102,24 @@
 	}
 	events, intact, cause := f.codec.parse(data)
 	if cause != nil {
-		return events, &Damage{Path: f.path, Offset: intact, Events: len(events), Cause: cause}
+		return events, &DamageError{Path: f.path, Offset: intact, Events: len(events), Cause: cause}
 	}
 	return events, nil
 }
 
-// Append adds events to the file. Once it holds twice the limit it is written anew
-// with the latest.
+// Append adds events to the file. Once it holds more than twice the events to be kept, it
+// is written anew with the latest.
 func (f *File) Append(events ...Event) error {
 	f.events = append(f.events, events...)
-	if len(f.events) > 2*f.limit {
-		f.events = latest(f.events, f.limit)
+	if len(f.events) > 2*f.minEvents {
+		f.events = latest(f.events, f.minEvents)
 		return f.rewrite()
 	}
 	frame, err := f.codec.appendFrame(nil, events)
 	if err != nil {
 		return err
 	}
-	file, err := os.OpenFile(f.path, os.O_APPEND|os.O_WRONLY, 0o600)
+	file, err := os.OpenFile(f.path, os.O_APPEND|os.O_WRONLY, fileMode)
 	if err != nil {
 		return fmt.Errorf("history: %w", err)
 	}
@@ -125,8 +136,8 @@
 // Close frees what the file uses.
 func (f *File) Close() { f.codec.close() }
 
-// rewrite replaces the file by one with the events that are kept. Whoever reads it
-// meanwhile sees the one or the other.
+// rewrite replaces the file by one with the events that are kept. A concurrent reader
+// sees the one or the other.
 func (f *File) rewrite() error {
 	data := []byte(magic)
 	if len(f.events) > 0 {
@@ -135,8 +146,8 @@
 			return err
 		}
 	}
-	temporary := f.path + ".new"
-	if err := os.WriteFile(temporary, data, 0o600); err != nil {
+	temporary := f.path + temporarySuffix
+	if err := os.WriteFile(temporary, data, fileMode); err != nil {
 		return fmt.Errorf("history: %w", err)
 	}
 	if err := os.Rename(temporary, f.path); err != nil {
@@ -145,4 +156,5 @@
 	return nil
 }
 
+// latest returns up to n of the latest events, oldest first.
 func latest(events []Event, n int) []Event { return events[max(0, len(events)-n):] }
--- a/history/frame.go
+++ b/history/frame.go
@@ -14,22 +14,25 @@
 // A file is its magic line and then frames: the payload's length and checksum, four
 // bytes each, and the payload, which is a compressed list of events in JSON.
 const (
-	magic       = "ravenport membership history 1\n"
-	frameHeader = 8
-	// maxPayload bounds a frame (bytes), so that a damaged length asks for no memory.
+	magic          = "ravenport membership history 1\n"
+	checksumOffset = 4
+	frameHeader    = 8
+	// maxPayload bounds a frame (bytes), so that a damaged length allocates no memory.
 	maxPayload = 1 << 20
-	// maxEvents bounds what a payload becomes when it is decompressed (bytes).
-	maxEvents = 16 << 20
+	// maxDecompressed bounds a payload's decompressed size (bytes).
+	maxDecompressed = 16 << 20
+	// encoderWindow is the compressor's window (bytes).
+	encoderWindow = zstd.MinWindowSize << 6
 )
 
-var checksums = crc32.MakeTable(crc32.Castagnoli)
+var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
-// Causes of damage.
+// Causes of damage. DamageError adds the package's prefix.
 var (
-	errMagic    = errors.New("not a membership history")
-	errTorn     = errors.New("the last frame is incomplete")
-	errLength   = errors.New("a frame's length is impossible")
-	errChecksum = errors.New("a frame's checksum does not match")
+	errNotHistory       = errors.New("not a membership history")
+	errTruncated        = errors.New("the last frame is incomplete")
+	errFrameLength      = errors.New("a frame's length is impossible")
+	errChecksumMismatch = errors.New("a frame's checksum does not match")
 )
 
 // codec compresses and decompresses payloads. It is used by one goroutine.
@@ -39,11 +42,11 @@
 }
 
 func newCodec() (*codec, error) {
-	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(zstd.MinWindowSize<<6))
+	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(encoderWindow))
 	if err != nil {
 		return nil, fmt.Errorf("history: %w", err)
 	}
-	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxEvents))
+	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecompressed))
 	if err != nil {
 		return nil, fmt.Errorf("history: %w", err)
 	}
@@ -51,58 +54,59 @@
 }
 
 func (c *codec) close() {
-	_ = c.encoder.Close() // it writes nowhere
+	_ = c.encoder.Close() // it has no writer, so there is nothing to flush
 	c.decoder.Close()
 }
 
 // appendFrame appends a frame with the events to a file's bytes.
-func (c *codec) appendFrame(to []byte, events []Event) ([]byte, error) {
+func (c *codec) appendFrame(data []byte, events []Event) ([]byte, error) {
 	text, err := json.Marshal(events)
 	if err != nil {
-		return to, fmt.Errorf("history: %w", err)
+		return data, fmt.Errorf("history: %w", err)
 	}
 	payload := c.encoder.EncodeAll(text, nil)
-	to = binary.BigEndian.AppendUint32(to, uint32(len(payload)))
-	to = binary.BigEndian.AppendUint32(to, crc32.Checksum(payload, checksums))
-	return append(to, payload...), nil
+	data = binary.BigEndian.AppendUint32(data, uint32(len(payload)))
+	data = binary.BigEndian.AppendUint32(data, crc32.Checksum(payload, checksumTable))
+	return append(data, payload...), nil
 }
 
-// parse reads a file's bytes up to the first damage. intact is how many of them are
+// parse decodes a file's bytes up to the first damage. intact is how many of them are
 // sound.
 func (c *codec) parse(data []byte) (events []Event, intact int, damage error) {
 	if len(data) == 0 {
 		return nil, 0, nil
 	}
 	if !bytes.HasPrefix(data, []byte(magic)) {
-		return nil, 0, errMagic
+		return nil, 0, errNotHistory
 	}
 	intact = len(magic)
 	for intact < len(data) {
-		more, size, err := c.parseFrame(data[intact:])
+		frameEvents, size, err := c.parseFrame(data[intact:])
 		if err != nil {
 			return events, intact, err
 		}
-		events = append(events, more...)
+		events = append(events, frameEvents...)
 		intact += size
 	}
 	return events, intact, nil
 }
 
+// parseFrame decodes the first frame of data. size is its length in bytes.
 func (c *codec) parseFrame(data []byte) (events []Event, size int, err error) {
 	if len(data) < frameHeader {
-		return nil, 0, errTorn
+		return nil, 0, errTruncated
 	}
 	length := int(binary.BigEndian.Uint32(data))
 	if length > maxPayload {
-		return nil, 0, errLength
+		return nil, 0, errFrameLength
 	}
 	size = frameHeader + length
 	if len(data) < size {
-		return nil, 0, errTorn
+		return nil, 0, errTruncated
 	}
 	payload := data[frameHeader:size]
-	if crc32.Checksum(payload, checksums) != binary.BigEndian.Uint32(data[4:]) {
-		return nil, 0, errChecksum
+	if crc32.Checksum(payload, checksumTable) != binary.BigEndian.Uint32(data[checksumOffset:]) {
+		return nil, 0, errChecksumMismatch
 	}
 	text, err := c.decoder.DecodeAll(payload, nil)
 	if err != nil {
--- a/history/history_test.go
+++ b/history/history_test.go
@@ -1,6 +1,7 @@
 package history
 
 import (
+	"encoding/json"
 	"errors"
 	"fmt"
 	"os"
@@ -15,20 +16,20 @@
 	_ "ravenport/internal/testseed"
 )
 
-func event(i int) Event {
-	return Event{At: time.Unix(int64(i), 0).UTC(), Observer: "n-0", Node: fmt.Sprintf("n-%d", i%5), Process: uint64(i) + 1, From: "alive", To: "suspect",
+func testEvent(i int) Event {
+	return Event{At: time.Unix(int64(i), 0).UTC(), Observer: "n-0", Controller: fmt.Sprintf("n-%d", i%5), Incarnation: uint64(i) + 1, From: "alive", To: "suspect",
 		Evidence: []string{"unserved"}, Accusers: []string{"n-0", "n-1"}}
 }
 
-func write(t *testing.T, path string, limit, n int) {
+func writeEvents(t *testing.T, path string, minEvents, n int) {
 	t.Helper()
-	f, err := Open(path, limit)
+	f, err := Open(path, minEvents)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
 	for i := range n {
-		if err := f.Append(event(i)); err != nil {
+		if err := f.Append(testEvent(i)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -45,10 +46,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := f.Append(event(i)); err != nil {
+		if err := f.Append(testEvent(i)); err != nil {
 			t.Fatal(err)
 		}
-		if got := f.Latest(1); len(got) != 1 || !reflect.DeepEqual(got[0], event(i)) {
+		if got := f.Latest(1); len(got) != 1 || !reflect.DeepEqual(got[0], testEvent(i)) {
 			t.Fatalf("the latest of %d is %v", i, got)
 		}
 		f.Close()
@@ -63,7 +64,7 @@
 		t.Fatalf("%d events, %v", len(events), err)
 	}
 	for i, e := range events {
-		if want := event(10*limit - len(events) + i); !reflect.DeepEqual(e, want) {
+		if want := testEvent(10*limit - len(events) + i); !reflect.DeepEqual(e, want) {
 			t.Fatalf("event %d is %v, not %v", i, e, want)
 		}
 	}
@@ -72,13 +73,13 @@
 	}
 }
 
-// A torn file, and one with any byte changed, is read up to the damage, says so, is
-// put aside, and goes on to be written.
+// A truncated file, and one with any byte changed, is read up to the damage, reported,
+// renamed, and goes on to be written.
 func TestDamagedHistoryIsReadUpToTheDamage(t *testing.T) {
 	dir := t.TempDir()
 	whole := filepath.Join(dir, "whole")
 	const n = 20
-	write(t, whole, n, n)
+	writeEvents(t, whole, n, n)
 	data, err := os.ReadFile(whole)
 	if err != nil {
 		t.Fatal(err)
@@ -88,7 +89,7 @@
 		path := filepath.Join(dir, "damaged")
 		spoilt := append([]byte(nil), data...)
 		at := rapid.IntRange(0, len(data)-1).Draw(t, "at")
-		if rapid.Bool().Draw(t, "torn") {
+		if rapid.Bool().Draw(t, "truncated") {
 			spoilt = spoilt[:at]
 		} else {
 			spoilt[at] ^= byte(rapid.IntRange(1, 255).Draw(t, "flip"))
@@ -97,12 +98,12 @@
 			t.Fatal(err)
 		}
 		events, err := Read(path)
-		var damage *Damage
+		var damage *DamageError
 		if err != nil && !errors.As(err, &damage) {
 			t.Fatal(err)
 		}
 		for i, e := range events {
-			if !reflect.DeepEqual(e, event(i)) {
+			if !reflect.DeepEqual(e, testEvent(i)) {
 				t.Fatalf("event %d was read as %v", i, e)
 			}
 		}
@@ -123,7 +124,7 @@
 		if (err != nil) != (damage != nil) {
 			t.Fatalf("opened with %v, read with %v", err, damage)
 		}
-		if err := f.Append(event(len(events))); err != nil {
+		if err := f.Append(testEvent(len(events))); err != nil {
 			t.Fatal(err)
 		}
 		again, err := Read(path)
@@ -135,10 +136,10 @@
 	if err := os.WriteFile(whole, huge, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Read(whole); !errors.Is(err, errLength) {
+	if _, err := Read(whole); !errors.Is(err, errFrameLength) {
 		t.Errorf("an impossible length: %v", err)
 	}
-	for _, cause := range []error{errMagic, errTorn, errChecksum} {
+	for _, cause := range []error{errNotHistory, errTruncated, errChecksumMismatch} {
 		if !found[cause] {
 			t.Errorf("never brought about: %v", cause)
 		}
@@ -151,14 +152,23 @@
 	if _, err := Read(path); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("%v", err)
 	}
-	write(t, path, 5, 0)
+	writeEvents(t, path, 5, 0)
 	if events, err := Read(path); err != nil || len(events) != 0 {
 		t.Errorf("%v, %v", events, err)
 	}
 	if _, err := Open(filepath.Join(path, "below a file"), 5); err == nil {
 		t.Error("a file below a file was opened")
 	}
-	if line := event(3).String(); !strings.Contains(line, "n-3 alive -> suspect") || !strings.Contains(line, "evidence=unserved") {
+	if line := testEvent(3).String(); !strings.Contains(line, "n-3 alive -> suspect") || !strings.Contains(line, "evidence=unserved") {
 		t.Error(line)
 	}
 }
+
+// Events keep the names of their stored fields.
+func TestStoredFormOfEvents(t *testing.T) {
+	const want = `{"at":"1970-01-01T00:00:03Z","by":"n-0","node":"n-3","proc":4,"from":"alive","to":"suspect","ev":["unserved"],"acc":["n-0","n-1"]}`
+	stored, err := json.Marshal(testEvent(3))
+	if err != nil || string(stored) != want {
+		t.Errorf("%s, %v", stored, err)
+	}
+}
--- a/watchdog/watchdog.go
+++ b/watchdog/watchdog.go
@@ -1,5 +1,5 @@
 // Package watchdog finds actors that have messages and handle none. It is pure:
-// samples and time in, names out.
+// samples and monotonic time in, names out.
 package watchdog
 
 import (
@@ -14,52 +14,60 @@
 	Pending int    // messages that wait or are being handled
 }
 
-// progress is when an actor was last seen to have done what it had to do.
+// progress is what an actor had handled when it last made progress or had nothing to do.
 type progress struct {
-	handled uint64
-	at      time.Time
+	handled  uint64
+	lastMade time.Time
 }
 
-// Watchdog watches the actors of one process.
+// Watchdog watches the actors of one process. It is used by one goroutine.
 type Watchdog struct {
-	limit time.Duration
-	seen  map[string]progress
-	last  time.Time
+	stallTimeout time.Duration
+	progress     map[string]progress // by actor, as of the last observation
+	lastObserved time.Time
 }
 
-// New makes a watchdog that takes an actor for stalled after limit.
-func New(limit time.Duration) *Watchdog {
-	return &Watchdog{limit: limit, seen: map[string]progress{}}
+// New makes a watchdog that takes an actor for stalled once it has made no progress for
+// stallTimeout.
+func New(stallTimeout time.Duration) *Watchdog {
+	return &Watchdog{stallTimeout: stallTimeout, progress: map[string]progress{}}
 }
 
-// gapShare is the part of the limit beyond which the time between two
-// observations counts as a pause of the whole process.
-const gapShare = 4
+// pauseFraction is the fraction of the stall timeout, as its divisor, beyond which the
+// time between two observations counts as a pause of the whole process.
+const pauseFraction = 4
 
-// Observe takes in a sample of every actor and returns the names of those that are
+// Observe evaluates a sample of every actor and returns the names of those that are
 // stalled, sorted. A pause of the process as a whole, in which nothing could make
-// progress, is not held against any of them.
+// progress, does not count against any of them.
 func (w *Watchdog) Observe(now time.Time, samples []Sample) []string {
-	pause := time.Duration(0)
-	if gap := now.Sub(w.last); !w.last.IsZero() && gap > w.limit/gapShare {
-		pause = gap
-	}
-	w.last = now
-	seen := make(map[string]progress, len(samples))
+	pause := w.pauseSinceLast(now)
+	w.lastObserved = now
+	observed := make(map[string]progress, len(samples))
 	var stalled []string
-	for _, s := range samples {
-		p, known := w.seen[s.Name]
-		if !known || s.Pending == 0 || s.Handled != p.handled {
-			p = progress{s.Handled, now}
+	for _, sample := range samples {
+		current, known := w.progress[sample.Name]
+		if !known || sample.Pending == 0 || sample.Handled != current.handled {
+			current = progress{handled: sample.Handled, lastMade: now}
 		} else {
-			p.at = p.at.Add(pause)
+			current.lastMade = current.lastMade.Add(pause)
 		}
-		seen[s.Name] = p
-		if now.Sub(p.at) >= w.limit {
-			stalled = append(stalled, s.Name)
+		observed[sample.Name] = current
+		if now.Sub(current.lastMade) >= w.stallTimeout {
+			stalled = append(stalled, sample.Name)
 		}
 	}
-	w.seen = seen
+	w.progress = observed
 	slices.Sort(stalled)
 	return stalled
 }
+
+// pauseSinceLast returns the time since the last observation if the process was paused
+// in it, and otherwise 0.
+func (w *Watchdog) pauseSinceLast(now time.Time) time.Duration {
+	gap := now.Sub(w.lastObserved)
+	if w.lastObserved.IsZero() || gap <= w.stallTimeout/pauseFraction {
+		return 0
+	}
+	return gap
+}
--- a/watchdog/watchdog_test.go
+++ b/watchdog/watchdog_test.go
@@ -10,12 +10,12 @@
 	_ "ravenport/internal/testseed"
 )
 
-// An actor is stalled if, and only if, it had something to do for the limit and did
+// An actor is stalled if, and only if, it had something to do for the stall timeout and did
 // nothing of it while the process as a whole went on.
 func TestStalledActorsAreFound(t *testing.T) {
-	const limit, step = 5 * time.Second, time.Second
+	const stallTimeout, step = 5 * time.Second, time.Second
 	rapid.Check(t, func(t *rapid.T) {
-		w := New(limit)
+		w := New(stallTimeout)
 		now := time.Unix(0, 0)
 		idle := time.Duration(0) // for how long the actor was seen to do nothing, pauses left out
 		s := Sample{Name: "a"}
@@ -35,7 +35,7 @@
 				idle += step
 			}
 			got := w.Observe(now, []Sample{s, {Name: "idle"}})
-			if want := idle >= limit; slices.Contains(got, "a") != want || slices.Contains(got, "idle") {
+			if want := idle >= stallTimeout; slices.Contains(got, "a") != want || slices.Contains(got, "idle") {
 				t.Fatalf("after %s without progress: %v", idle, got)
 			}
 		}
