--- a/controller/actors.go
+++ b/controller/actors.go
@@ -221,11 +221,11 @@
 	set := c.set
 	limits := set.StoreLimits()
 	cfg := shard.Config{
-		Shard: name, HeartbeatPeriod: set.HeartbeatPeriod(), LeaseEnd: set.WorkerLeaseExpiry(), LeaseExtension: set.LeaseExtension(),
-		IdleSpot: set.Operator.SpotIdleTimeout, IdleOnDemand: set.Operator.OnDemandIdleTimeout, UseSpot: set.Operator.UseSpot, CloseFirst: set.Duties.CordonBeforeScaleIn,
-		GangWait: settings.Seconds(set.Deployment.Workers.GangWaitTimeoutS), GangPeer: settings.Seconds(set.Deployment.Workers.GangPeerTimeoutS),
-		ListLag:    time.Duration(set.Deployment.Cloud.ListLagS * float64(time.Second)),
-		SizeLimits: set.RecordSizeLimits(), TxnOps: limits.TxnOps, WriteRPS: max(limits.WriteRPS, 1), CloudGap: set.CloudCallInterval(), Order: leader.NewJobOrder(set.Deployment.Objectives), RoundBudget: set.RoundBudget(),
+		Shard: name, HeartbeatPeriod: set.HeartbeatPeriod(), LeaseExpiry: set.WorkerLeaseExpiry(), LeaseExtension: set.LeaseExtension(),
+		SpotIdleTimeout: set.Operator.SpotIdleTimeout, OnDemandIdleTimeout: set.Operator.OnDemandIdleTimeout, UseSpot: set.Operator.UseSpot, CloseBeforeScaleIn: set.Duties.CordonBeforeScaleIn,
+		GangStartTimeout: settings.Seconds(set.Deployment.Workers.GangWaitTimeoutS), GangPeerTimeout: settings.Seconds(set.Deployment.Workers.GangPeerTimeoutS),
+		CloudListLag: time.Duration(set.Deployment.Cloud.ListLagS * float64(time.Second)),
+		SizeLimits:   set.RecordSizeLimits(), MaxTxnOps: limits.TxnOps, MaxWritesPerSecond: max(limits.WriteRPS, 1), CloudCallInterval: set.CloudCallInterval(), JobOrder: leader.NewJobOrder(set.Deployment.Objectives), RoundBudget: set.RoundBudget(),
 	}
 	cfg.MaxDirectCommands = set.SocketLimits().DirectCommands
 	a := &shardActor{shard: name, store: c.dependencies.Background, cloud: c.dependencies.Cloud, self: actor.NewRef(), control: c.self,
@@ -262,7 +262,7 @@
 		}
 		a.revision = m.Revision
 	case apiserver.JobCancelled:
-		a.core.Cancelled(m.JobID)
+		a.core.ApplyCancellation(m.JobID)
 	case workerHeartbeat:
 		a.handleHeartbeat(now, m)
 	case authorityExtended:
@@ -339,18 +339,18 @@
 			st.drains = drain.ShardStatus{Shard: a.shard, Drains: a.core.DrainProgress(), Usage: a.core.Usage(now)}
 		}
 		a.control.Tell(st)
-		if a.core.TermNumbersLow() {
+		if a.core.IsTermNearlyExhausted() {
 			a.control.Tell(newTermRequest{a.shard})
 		}
 	}
 	if now.Sub(a.reachabilityAt) >= constants.CensusEvery { // it looks at the whole fleet
 		a.reachabilityAt = now
-		if silent, seen := a.core.CutOff(now); silent {
+		if silent, seen := a.core.IsIsolated(now); silent {
 			a.control.Tell(shardUnreachable{a.shard, seen})
 		}
 	}
 	every := constants.CloudListEvery
-	if !a.core.Unreachable() { // the list tells whether its machines are cut off or gone
+	if !a.core.IsPartitioned() { // the list tells whether its machines are cut off or gone
 		every *= time.Duration(1 + a.listSize/wire.MaxList)
 	}
 	if !a.listing && now.Sub(a.listAt) > every {
@@ -367,7 +367,7 @@
 	switch act := act.(type) {
 	case shard.SendCommands:
 		a.workers.Send(ctx, act.Addr, act.Request, func(r worker.Result) { a.self.Tell(commandDone{act.Machine, r}) })
-	case shard.Gone:
+	case shard.CloseConnection:
 		a.workers.Forget(act.Addr)
 	case shard.Commit:
 		go func() {
--- a/controller/control.go
+++ b/controller/control.go
@@ -291,7 +291,7 @@
 func (c *controlActor) handleShardStatus(now time.Time, m shardStatus) {
 	c.pushPending = true
 	if m.counts != nil {
-		if m.summary.Unreachable || !m.summary.Rebuilt {
+		if m.summary.Partitioned || !m.summary.Rebuilt {
 			c.unstableAt[records.KeyShard(m.shard)] = now
 		}
 		c.api.Tell(apiserver.ShardCounts{Shard: m.shard, ByJob: m.counts})
--- a/controller/term_test.go
+++ b/controller/term_test.go
@@ -40,7 +40,7 @@
 		control := actor.NewRef()
 		c := newControlActor(w.controllers[0].set, out, control, actor.NewRef(), nil)
 		a := newShardActor(c, "a", 3, 7, time.Now(), map[string]*records.InventoryPage{}, map[string]uint64{})
-		a.core.LimitTermNumbers(0, 0)
+		a.core.LimitTermCounters(0, 0)
 		for range 5 {
 			time.Sleep(2 * time.Second)
 			a.Receive(t.Context(), wake{})
--- a/shard/action.go
+++ b/shard/action.go
@@ -5,11 +5,11 @@
 // Action is something the actor has to do: SendCommands, Commit, Rent, Gone or Return.
 type Action interface{ isAction() }
 
-func (SendCommands) isAction() {}
-func (Commit) isAction()       {}
-func (ScaleOut) isAction()     {}
-func (Gone) isAction()         {}
-func (ScaleIn) isAction()      {}
+func (SendCommands) isAction()    {}
+func (Commit) isAction()          {}
+func (ScaleOut) isAction()        {}
+func (CloseConnection) isAction() {}
+func (ScaleIn) isAction()         {}
 
 // SendCommands is a direct command to a machine.
 type SendCommands struct {
@@ -26,8 +26,8 @@
 // ScaleOut asks the cloud for machines.
 type ScaleOut struct{ Request wire.ScaleOutRequest }
 
-// Gone says that a machine is gone and its connection can be closed.
-type Gone struct{ Addr string }
+// CloseConnection says that a machine is gone and its connection can be closed.
+type CloseConnection struct{ Addr string }
 
 // ScaleIn gives machines back.
 type ScaleIn struct{ Names []string }
--- a/shard/aggregate.go
+++ b/shard/aggregate.go
@@ -7,15 +7,15 @@
 	"ravenport/leader"
 )
 
-// figures is what other shards have told, and whether this one has something to tell.
-type figures struct {
-	others    map[string]other // by shard
-	pushDirty bool
+// aggregates is what other shards have told, and whether this one has something to tell.
+type aggregates struct {
+	otherShards      map[string]otherShard // by shard
+	aggregateChanged bool
 }
 
-type other struct {
-	agg leader.Aggregate
-	at  time.Time
+type otherShard struct {
+	aggregate  leader.Aggregate
+	receivedAt time.Time
 }
 
 // Aggregate is what the owner pushes to the leader: the free room of the
@@ -32,7 +32,7 @@
 		r.Machines++
 		r.CPUs.Add(free.cpus)
 		r.GPUs.Add(free.gpus)
-		r.Memory.Add(free.mem)
+		r.Memory.Add(free.memory)
 	}
 	for _, m := range c.fleet {
 		if !c.isSchedulable(now, m) {
@@ -70,7 +70,7 @@
 }
 
 // PushDue says whether the aggregate has changed since it was last taken.
-func (f *figures) PushDue() bool { d := f.pushDirty; f.pushDirty = false; return d }
+func (f *aggregates) PushDue() bool { d := f.aggregateChanged; f.aggregateChanged = false; return d }
 
 // PushInterval is the least time between two pushes of a part of this size.
 func (k *knownState) PushInterval() time.Duration {
@@ -82,7 +82,7 @@
 func (c *Core) ApplyOtherShards(now time.Time, as []leader.Aggregate) {
 	for _, a := range as {
 		if a.Shard != c.cfg.Shard {
-			c.others[a.Shard] = other{a, now}
+			c.otherShards[a.Shard] = otherShard{a, now}
 		}
 	}
 }
--- a/shard/arrivals.go
+++ b/shard/arrivals.go
@@ -27,7 +27,7 @@
 func (a *arrivalRate) add(now time.Time, ago time.Duration, n resources) {
 	a.decay(now)
 	a.cpus += n.cpus * math.Exp(-max(0, ago.Seconds())/constants.ArrivalTimeConstant.Seconds())
-	a.largest = resources{max(a.largest.cpus, n.cpus), max(a.largest.gpus, n.gpus), max(a.largest.mem, n.mem)}
+	a.largest = resources{max(a.largest.cpus, n.cpus), max(a.largest.gpus, n.gpus), max(a.largest.memory, n.memory)}
 }
 
 // expectedCPUs is how many CPUs are expected within d.
--- a/shard/assignments.go
+++ b/shard/assignments.go
@@ -9,22 +9,22 @@
 	"ravenport/wire"
 )
 
-// closings is which jobs may have something to record.
-type closings struct {
-	toClose map[string]*job
-	heldAt  time.Time // when jobs of teams at their limit were last looked at for done tasks
+// closeQueue is which jobs may have something to record.
+type closeQueue struct {
+	closeCandidates map[string]*job
+	heldAt          time.Time // when jobs of teams at their limit were last looked at for done tasks
 }
 
 // closeAssignments records what is finished, for the jobs that have changed.
 func (c *Core) closeAssignments(now time.Time) {
-	for id, j := range c.toClose {
+	for id, j := range c.closeCandidates {
 		switch {
 		case c.jobs[id] != j:
-			delete(c.toClose, id)
+			delete(c.closeCandidates, id)
 		case j.recordPending() || now.Before(j.nextWriteAt):
 		case !j.closeCheckDue && now.Before(j.closeAt):
 		default:
-			delete(c.toClose, id)
+			delete(c.closeCandidates, id)
 			j.closeCheckDue = false
 			c.closeJob(now, id, j)
 		}
@@ -35,11 +35,11 @@
 // leave. Assignments that are over wait a little for the job's others here: a change
 // of the record for each would cost more than all else.
 func (c *Core) closeJob(now time.Time, id string, j *job) {
-	f := c.finished(&c.fleetView, now, j)
-	if !f.over && !f.leaving && !f.some {
+	f := c.closeStatusOf(&c.fleetView, now, j)
+	if !f.assignmentFinished && !f.tasksSentBack && !f.tasksFinished {
 		return
 	}
-	if c.waitsForOthers(now, id, j, f) {
+	if c.defersClose(now, id, j, f) {
 		return
 	}
 	j.closeAt = time.Time{}
@@ -50,11 +50,11 @@
 			ch.Closed = true
 		}
 	}
-	if f.some && !c.closeDone(j, rec) && !f.over && !f.leaving {
+	if f.tasksFinished && !c.closeFinishedTasks(j, rec) && !f.assignmentFinished && !f.tasksSentBack {
 		return
 	}
-	if f.leaving {
-		if rec = c.releaseLeaving(&c.fleetView, j, rec, f.over); rec == nil {
+	if f.tasksSentBack {
+		if rec = c.removeSentBack(&c.fleetView, j, rec, f.assignmentFinished); rec == nil {
 			return
 		}
 	} else {
@@ -66,17 +66,17 @@
 	c.writeJob(now, id, j, rec)
 }
 
-// finish is what of a job is to be recorded.
-type finish struct {
-	over    bool // an assignment here is over
-	open    bool // another one here is not
-	some    bool // tasks of an open one are done, and their team's limit keeps others waiting
-	leaving bool // tasks go back to the leader
+// closeStatus is what of a job is to be recorded.
+type closeStatus struct {
+	assignmentFinished bool // an assignment here is over
+	assignmentOpen     bool // another one here is not
+	tasksFinished      bool // tasks of an open one are done, and their team's limit keeps others waiting
+	tasksSentBack      bool // tasks go back to the leader
 }
 
-// finished looks at a job's assignments here.
-func (c *scaleOutState) finished(v *fleetView, now time.Time, j *job) finish {
-	var f finish
+// closeStatusOf looks at a job's assignments here.
+func (c *scaleOutState) closeStatusOf(v *fleetView, now time.Time, j *job) closeStatus {
+	var f closeStatus
 	held := c.blocksTeamAtLimit(now, j)
 	for i := range j.rec.Assignments {
 		ch := &j.rec.Assignments[i]
@@ -84,26 +84,26 @@
 			continue
 		}
 		if v.isAssignmentFinished(j, ch) {
-			f.over = true
+			f.assignmentFinished = true
 			continue
 		}
-		f.open = true
-		for k := ch.From; held && !f.some && k < ch.To; k++ {
-			f.some = v.isTaskFinished(j, k)
+		f.assignmentOpen = true
+		for k := ch.From; held && !f.tasksFinished && k < ch.To; k++ {
+			f.tasksFinished = v.isTaskFinished(j, k)
 		}
 	}
 	if j.rec.End == "" {
 		for _, t := range j.tasks {
-			f.leaving = f.leaving || t.sendingBack
+			f.tasksSentBack = f.tasksSentBack || t.sendingBack
 		}
 	}
 	return f
 }
 
-// waitsForOthers says whether what is over waits a little longer for the job's other
+// defersClose says whether what is over waits a little longer for the job's other
 // assignments here.
-func (s *closings) waitsForOthers(now time.Time, id string, j *job, f finish) bool {
-	if !(f.over || f.some) || !f.open || f.leaving || j.rec.End != "" {
+func (s *closeQueue) defersClose(now time.Time, id string, j *job, f closeStatus) bool {
+	if !(f.assignmentFinished || f.tasksFinished) || !f.assignmentOpen || f.tasksSentBack || j.rec.End != "" {
 		return false
 	}
 	if j.closeAt.IsZero() {
@@ -112,18 +112,18 @@
 	if !now.Before(j.closeAt) {
 		return false
 	}
-	s.toClose[id] = j
+	s.closeCandidates[id] = j
 	return true
 }
 
-// releaseLeaving takes the tasks that leave out of a record's assignments. Where their
+// removeSentBack takes the tasks that leave out of a record's assignments. Where their
 // gaps would outgrow the state service's values, they stay, and only what closed is
 // returned; nil if nothing did.
-func (p *placement) releaseLeaving(v *fleetView, j *job, rec *records.Job, closed bool) *records.Job {
+func (p *placement) removeSentBack(v *fleetView, j *job, rec *records.Job, closed bool) *records.Job {
 	staying := rec.Clone()
 	for k, t := range j.tasks {
 		if t.sendingBack {
-			cutOut(rec, k)
+			removeTask(rec, k)
 		}
 	}
 	rec.Normalize()
@@ -134,7 +134,7 @@
 	for _, t := range j.tasks {
 		t.sendingBack = false
 	}
-	p.touch(j)
+	p.markWaitingStale(j)
 	if !closed {
 		return nil
 	}
@@ -148,18 +148,18 @@
 	if !ok {
 		slog.Error("job's record does not fit", "job", id, "bytes", len(value))
 		j.nextWriteAt = now.Add(constants.RetryBackoffMax)
-		c.check(j)
+		c.queueForClose(j)
 		return
 	}
 	j.writeInFlight = true
-	c.commit(&c.fleetView, "job/"+id, []wire.Change{{Put: records.KeyJob(id), Value: value}},
+	c.commitInTerm(&c.fleetView, "job/"+id, []wire.Change{{Put: records.KeyJob(id), Value: value}},
 		wire.Condition{Key: records.KeyJob(id), Version: j.version})
 }
 
 // isAssignmentFinished says whether every task of an assignment is over.
-func (known *knownState) isAssignmentFinished(j *job, ch *records.Assignment) bool {
-	for k := ch.From; k < ch.To; k++ {
-		if !known.isTaskFinished(j, k) {
+func (k *knownState) isAssignmentFinished(j *job, ch *records.Assignment) bool {
+	for index := ch.From; index < ch.To; index++ {
+		if !k.isTaskFinished(j, index) {
 			return false
 		}
 	}
@@ -168,8 +168,8 @@
 
 // isTaskFinished says whether a task is done or, for a job that ended, need not be, and is
 // surely on no machine.
-func (known *knownState) isTaskFinished(j *job, k int) bool {
-	t := j.tasks[k]
+func (k *knownState) isTaskFinished(j *job, index int) bool {
+	t := j.tasks[index]
 	ended := j.rec.End != ""
 	switch {
 	case t == nil:
@@ -179,14 +179,14 @@
 	case !ended && !t.done:
 		return false
 	}
-	return !known.hasLiveAttempt(j.rec.ID, k)
+	return !k.hasLiveAttempt(j.rec.ID, index)
 }
 
-// closeDone closes the done tasks of open assignments here by themselves, unless the
+// closeFinishedTasks closes the done tasks of open assignments here by themselves, unless the
 // record would take too much room in so many pieces: then it returns false. While an
 // assignment is open, all its tasks count within their team's limit: one that runs on
 // would hold back others.
-func (v *fleetView) closeDone(j *job, rec *records.Job) bool {
+func (v *fleetView) closeFinishedTasks(j *job, rec *records.Job) bool {
 	whole := rec.Assignments
 	var split []records.Assignment
 	for _, ch := range whole {
@@ -209,8 +209,8 @@
 	return true
 }
 
-// cutOut takes one task out of its assignment.
-func cutOut(rec *records.Job, index int) {
+// removeTask takes one task out of its assignment.
+func removeTask(rec *records.Job, index int) {
 	for i := range rec.Assignments {
 		ch := &rec.Assignments[i]
 		if ch.Closed || index < ch.From || index >= ch.To {
@@ -224,8 +224,8 @@
 	}
 }
 
-// check says that a job's assignments may have something to record.
-func (s *closings) check(j *job) {
-	s.toClose[j.rec.ID] = j
+// queueForClose says that a job's assignments may have something to record.
+func (s *closeQueue) queueForClose(j *job) {
+	s.closeCandidates[j.rec.ID] = j
 	j.closeCheckDue = true
 }
--- a/shard/attempt.go
+++ b/shard/attempt.go
@@ -48,7 +48,7 @@
 // applySpec takes in what the job says of its tasks.
 func (a *attempt) applySpec(j *job) {
 	s := &j.rec.Spec
-	a.resources, a.image = need(s), s.Image
+	a.resources, a.image = taskResources(s), s.Image
 	a.stopsInstantly = s.CheckpointS == 0
 	a.machine.usageStale = true
 }
@@ -64,7 +64,7 @@
 // matchAttempt brings a task in line with an attempt that a report showed.
 func (c *Core) matchAttempt(t *task, a *attempt) {
 	a.machine.usageStale = true
-	c.touch(t.job)
+	c.markWaitingStale(t.job)
 	if t.job.gang != nil {
 		c.reconcileGangAttempt(t, a)
 		return
@@ -77,7 +77,7 @@
 		if t.attempt == a {
 			t.attempt = nil
 		}
-		c.check(t.job)
+		c.queueForClose(t.job)
 		return
 	}
 	if t.attempt == nil && !t.done {
@@ -95,7 +95,7 @@
 	if !a.hasExited() {
 		c.needsPlacement = true
 	}
-	c.pushDirty = true
+	c.aggregateChanged = true
 	if j := c.jobs[a.jobID]; j != nil {
 		if t := j.tasks[a.taskIndex]; t != nil && t.attempt == a {
 			t.attempt = nil
@@ -105,8 +105,8 @@
 				c.handleLostGangTask(j, a)
 			}
 		}
-		c.touch(j)
-		c.check(j)
+		c.markWaitingStale(j)
+		c.queueForClose(j)
 	}
 }
 
--- a/shard/bestfit.go
+++ b/shard/bestfit.go
@@ -70,7 +70,7 @@
 // bestFit is the best candidate for one task of a job, or nil; except leaves out
 // those that it is false for.
 func (v *fleetView) bestFit(now time.Time, s *wire.Submission, except func(*machine) bool) *machine {
-	n := need(s)
+	n := taskResources(s)
 	var best *machine
 	var least float64
 	for _, m := range v.fleet {
@@ -94,8 +94,8 @@
 	if m.capacity.cpus > 0 {
 		l += free.cpus / m.capacity.cpus
 	}
-	if m.capacity.mem > 0 {
-		l += free.mem / m.capacity.mem
+	if m.capacity.memory > 0 {
+		l += free.memory / m.capacity.memory
 	}
 	return l
 }
--- a/shard/cloudlist.go
+++ b/shard/cloudlist.go
@@ -11,9 +11,9 @@
 // ApplyMachineList takes in the cloud's list, which lags: it brings unexpected machines
 // to light and those that failed, and proves nothing else.
 func (c *Core) ApplyMachineList(now time.Time, list []wire.CloudMachine) {
-	for name, at := range c.gone {
+	for name, at := range c.terminated {
 		if now.Sub(at) > constants.GoneMemory {
-			delete(c.gone, name)
+			delete(c.terminated, name)
 		}
 	}
 	shown := make(map[string]bool, len(list))
@@ -21,7 +21,7 @@
 		for _, m := range c.fleet {
 			if shown[m.name] {
 				m.inCloudList, m.missedLists = true, 0
-			} else if m.inCloudList || (m.inherited || m.leaseExpired) && now.Sub(m.requestedAt) > 3*c.cfg.ListLag {
+			} else if m.inCloudList || (m.inherited || m.leaseExpired) && now.Sub(m.requestedAt) > 3*c.cfg.CloudListLag {
 				m.missedLists++
 			}
 		}
@@ -43,10 +43,10 @@
 			}
 			continue
 		}
-		if _, gone := c.gone[l.Name]; gone {
+		if _, gone := c.terminated[l.Name]; gone {
 			continue // the list lags: returned a moment ago
 		}
-		if m == nil && l.State == wire.MachineBooting && time.Duration(l.AgeS*float64(time.Second)) > 2*c.cfg.ListLag {
+		if m == nil && l.State == wire.MachineBooting && time.Duration(l.AgeS*float64(time.Second)) > 2*c.cfg.CloudListLag {
 			m = c.ensureMachine(l.Name)
 			m.typeName, m.spot = l.Type, l.Spot
 			m.requestedAt = now.Add(-time.Duration(l.AgeS * float64(time.Second)))
--- a/shard/commits.go
+++ b/shard/commits.go
@@ -9,10 +9,10 @@
 	"ravenport/wire"
 )
 
-// commit gathers a transaction that holds only while the term stands.
-func (q *outgoing) commit(v *fleetView, id string, changes []wire.Change, conds ...wire.Condition) {
+// commitInTerm gathers a transaction that holds only while the term stands.
+func (q *outbox) commitInTerm(v *fleetView, id string, changes []wire.Change, conds ...wire.Condition) {
 	q.actions = append(q.actions, Commit{ID: id, Txn: wire.Txn{
-		Conditions: append([]wire.Condition{{Key: records.KeyShard(v.cfg.Shard), Version: v.termVer}}, conds...),
+		Conditions: append([]wire.Condition{{Key: records.KeyShard(v.cfg.Shard), Version: v.termVersion}}, conds...),
 		Changes:    changes,
 	}})
 }
@@ -28,18 +28,18 @@
 		c.EnablePacking()
 		return
 	}
-	c.cfg.TxnOps = 1
+	c.cfg.MaxTxnOps = 1
 	largest := 0
 	for _, p := range c.pages {
-		if p.sent != nil {
+		if p.inFlight != nil {
 			largest = max(largest, p.bytes)
 		}
 	}
 	// Pages are of 90% of a value at most, so nine tenths of it are a smaller one.
 	c.cfg.SizeLimits.Next = max(constants.LeastValue, min(c.cfg.SizeLimits.Next, largest)*constants.PageFill/100)
-	c.limit(c.cfg.SizeLimits)
+	c.setSizeLimits(c.cfg.SizeLimits)
 	for _, p := range c.pages {
-		c.split(&c.fleetView, p)
+		c.splitOversized(&c.fleetView, p)
 	}
 }
 
@@ -49,14 +49,14 @@
 	kind, rest, _ := strings.Cut(id, "/")
 	switch kind {
 	case "roster":
-		c.inventoryWritten(now, revision)
+		c.inventoryCommitted(now, revision)
 	case "job":
 		if j := c.jobs[rest]; j != nil && revision == 0 {
 			// Either the feed will bring a newer version, or the write is
 			// tried again.
 			j.writeInFlight = false
 			j.nextWriteAt = now.Add(constants.RetryBackoffMax)
-			c.check(j)
+			c.queueForClose(j)
 		}
 	default:
 		c.draining.applyCommitResult(now, kind, rest, revision)
--- a/shard/core.go
+++ b/shard/core.go
@@ -14,42 +14,42 @@
 
 // Config is what the owner needs to know of the deployment.
 type Config struct {
-	Shard             string
-	HeartbeatPeriod   time.Duration // workers' report period
-	LeaseEnd          time.Duration // after the last answer that could count, a worker's lease has surely ended
-	LeaseExtension    time.Duration // how long an owner answers reports after the end of its authority
-	IdleSpot          time.Duration
-	IdleOnDemand      time.Duration
-	UseSpot           bool
-	CloseFirst        bool // a machine is durably closed before it is returned
-	ListLag           time.Duration
-	CloudGap          time.Duration      // between calls of one kind to the cloud that can wait for each other
-	SizeLimits        records.SizeLimits // the state service's limits on a record
-	MaxDirectCommands int                // direct commands that may be under way at once
-	GangWait          time.Duration      // how long a gang's tasks wait for each other
-	GangPeer          time.Duration      // within which they notice that one is gone, or must all be told to stop
-	TxnOps            int                // and on the changes of a transaction
-	WriteRPS          float64            // and on changes a second, of all controllers
-	Order             leader.JobOrder
-	RoundBudget       time.Duration // of a round of placing; 0: the usual one
+	Shard               string
+	HeartbeatPeriod     time.Duration // workers' report period
+	LeaseExpiry         time.Duration // after the last answer that could count, a worker's lease has surely ended
+	LeaseExtension      time.Duration // how long an owner answers reports after the end of its authority
+	SpotIdleTimeout     time.Duration
+	OnDemandIdleTimeout time.Duration
+	UseSpot             bool
+	CloseBeforeScaleIn  bool // a machine is durably closed before it is returned
+	CloudListLag        time.Duration
+	CloudCallInterval   time.Duration      // between calls of one kind to the cloud that can wait for each other
+	SizeLimits          records.SizeLimits // the state service's limits on a record
+	MaxDirectCommands   int                // direct commands that may be under way at once
+	GangStartTimeout    time.Duration      // how long a gang's tasks wait for each other
+	GangPeerTimeout     time.Duration      // within which they notice that one is gone, or must all be told to stop
+	MaxTxnOps           int                // and on the changes of a transaction
+	MaxWritesPerSecond  float64            // and on changes a second, of all controllers
+	JobOrder            leader.JobOrder
+	RoundBudget         time.Duration // of a round of placing; 0: the usual one
 }
 
 // Core is one shard's owner in one term: what holds for the whole term, and the states
 // that a step asks in turn. A method of a state's own type changes nothing but that state;
 // Core's methods bring several together.
 type Core struct {
-	stepped   time.Time // when the last step was made
-	slowSteps pace      // looks at the whole fleet
+	lastStepAt time.Time // when the last step was made
+	fleetScans pace      // looks at the whole fleet
 
 	fleetView
-	outgoing
+	outbox
 	placement
-	closings
-	pageBook
+	closeQueue
+	inventoryPages
 	scaleOutState
 	gangReserves
 	consolidation
-	figures
+	aggregates
 	draining *draining // nil: drains and disruption budgets are off
 }
 
@@ -58,7 +58,7 @@
 type fleetView struct {
 	ownership
 	knownState
-	hearing
+	liveness
 }
 
 // New makes the core at the moment when the feed showed the claim: jobs and
@@ -68,13 +68,13 @@
 	jobs map[string]*records.Job, versions map[string]uint64, inventory map[string]*records.InventoryPage, inventoryVersions map[string]uint64) *Core {
 	c := &Core{
 		fleetView: fleetView{
-			ownership:  ownership{cfg: cfg, term: term, numbers: newNumbers(term), termVer: termVersion, claimed: now},
+			ownership:  ownership{cfg: cfg, term: term, counters: newTermCounters(term), termVersion: termVersion, acquiredAt: now},
 			knownState: newKnownState(),
-			hearing:    hearing{period: cfg.HeartbeatPeriod, leaseLasts: cfg.LeaseEnd, began: now, gone: map[string]time.Time{}},
+			liveness:   liveness{heartbeatPeriod: cfg.HeartbeatPeriod, leaseDuration: cfg.LeaseExpiry, startedAt: now, terminated: map[string]time.Time{}},
 		},
-		placement: newPlacement(cfg.RoundBudget), closings: closings{toClose: map[string]*job{}}, pageBook: newPageBook(cfg.SizeLimits),
+		placement: newPlacement(cfg.RoundBudget), closeQueue: closeQueue{closeCandidates: map[string]*job{}}, inventoryPages: newInventoryPages(cfg.SizeLimits),
 		scaleOutState: scaleOutState{pendingScaleOuts: map[string]*pendingScaleOut{}, refusedUntil: map[bool]time.Time{}},
-		gangReserves:  gangReserves{gangShapes: map[string]gangShape{}}, figures: figures{others: map[string]other{}, pushDirty: true},
+		gangReserves:  gangReserves{gangShapes: map[string]gangShape{}}, aggregates: aggregates{otherShards: map[string]otherShard{}, aggregateChanged: true},
 	}
 	c.SetTypes(types)
 	// Pages split off a large one have higher numbers: a machine found on both
@@ -89,12 +89,12 @@
 		// bounded by the lease counted from here: they had lost their authority
 		// when the claim succeeded.
 		m.inherited = m.durableAddr != ""
-		m.leaseExpiresAt = c.leaseEnd(now, m)
+		m.leaseExpiresAt = c.leaseExpiry(now, m)
 	}
 	for id, rec := range jobs {
 		c.applyJob(now, id, rec, versions[id], true)
 	}
-	c.checkRebuilt(now)
+	c.finishRebuild(now)
 	return c
 }
 
@@ -119,18 +119,18 @@
 
 // Step does what is due and returns the actions gathered since the last call.
 func (c *Core) Step(now time.Time) []Action {
-	if !c.stepped.IsZero() && now.Sub(c.stepped) > constants.StoodStill {
-		slog.Warn("stood still", "shard", c.cfg.Shard, "for_ms", now.Sub(c.stepped).Milliseconds())
-		c.rest(now)
+	if !c.lastStepAt.IsZero() && now.Sub(c.lastStepAt) > constants.StoodStill {
+		slog.Warn("stood still", "shard", c.cfg.Shard, "for_ms", now.Sub(c.lastStepAt).Milliseconds())
+		c.resetLiveness(now)
 	}
-	c.stepped = now
-	slow := c.slowSteps.due(now, constants.SlowStep)
+	c.lastStepAt = now
+	slow := c.fleetScans.due(now, constants.SlowStep)
 	if slow {
-		c.lapse(now)
+		c.expireLeases(now)
 		c.reserveMachinesForGangs(now)
 	}
-	if c.may(now) {
-		c.inventory(now)
+	if c.mayAct(now) {
+		c.writeInventory(now)
 		if c.needsPlacement || now.Sub(c.lastPlacement) > constants.PlacementInterval {
 			c.runPlacementRound(now)
 		}
@@ -143,11 +143,11 @@
 			c.consolidate(now)
 		}
 		c.advanceDrains(now)
-		if c.censuses.due(now, constants.CensusEvery) {
-			c.giveBack(now)
+		if c.scaleInScans.due(now, constants.CensusEvery) {
+			c.scaleIn(now)
 		}
 		c.closeAssignments(now)
-		c.direct(&c.fleetView, now, slow)
+		c.sendDirectCommands(&c.fleetView, now, slow)
 	}
 	out := c.actions
 	c.actions = nil
--- a/shard/core_test.go
+++ b/shard/core_test.go
@@ -39,7 +39,7 @@
 			pages[k].Add(m)
 		}
 	}
-	cfg := Config{Shard: "a", HeartbeatPeriod: 3 * time.Second, LeaseEnd: leaseEnd, IdleSpot: time.Hour, IdleOnDemand: time.Hour, UseSpot: true, ListLag: 5 * time.Second, SizeLimits: records.SizeLimits{Current: 8192, Next: 8192}, MaxDirectCommands: 200, TxnOps: 12, WriteRPS: 100, Order: leader.NewJobOrder(nil)}
+	cfg := Config{Shard: "a", HeartbeatPeriod: 3 * time.Second, LeaseExpiry: leaseEnd, SpotIdleTimeout: time.Hour, OnDemandIdleTimeout: time.Hour, UseSpot: true, CloudListLag: 5 * time.Second, SizeLimits: records.SizeLimits{Current: 8192, Next: 8192}, MaxDirectCommands: 200, MaxTxnOps: 12, MaxWritesPerSecond: 100, JobOrder: leader.NewJobOrder(nil)}
 	types := []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.4, BootS: 10, Zones: []string{"a"}}}
 	r.Core = New(cfg, r.term, 50, r.now, types, jobs, versions, pages, pageV)
 	r.SetAuthority(r.now.Add(time.Hour))
@@ -93,7 +93,7 @@
 }
 
 // shown is the token that a worker shows which got the last answer.
-func (r *rig) shown(name string) uint64 { return r.token(r.machines[name]) }
+func (r *rig) shown(name string) uint64 { return r.fencingToken(r.machines[name]) }
 
 // started lists the starts sent to a machine by a direct command.
 func started(acts []Action, name string) []wire.Command {
@@ -343,11 +343,11 @@
 		r.wait(100 * time.Millisecond)
 	}
 	r.ApplyMisroutedHeartbeats(r.now, []MisroutedHeartbeat{{"m-1", 1, 3}, {"m-2", 1, 3}, {"m-3", 1, 3}}, true)
-	if _, misroutedReports := r.CutOff(r.now); misroutedReports {
+	if _, misroutedReports := r.IsIsolated(r.now); misroutedReports {
 		t.Fatal("late copies of old reports count as evidence")
 	}
 	r.ApplyMisroutedHeartbeats(r.now, []MisroutedHeartbeat{{"m-1", 1, 900}, {"m-2", 1, 900}, {"m-3", 1, 900}}, true)
-	if silent, misroutedReports := r.CutOff(r.now); !silent || !misroutedReports {
+	if silent, misroutedReports := r.IsIsolated(r.now); !silent || !misroutedReports {
 		t.Fatalf("silent %v, misrouted reports %v: the owner does not see that it is cut off", silent, misroutedReports)
 	}
 	for _, a := range r.Step(r.now) {
@@ -503,7 +503,7 @@
 	for name, shows := range map[string]bool{"silent": false, "shows the new token": true} {
 		t.Run(name, func(t *testing.T) {
 			next := newRig(map[string]*records.Job{"run-1": array("run-1", 2, "a")}, records.Machine{Name: "m-0", Type: "box", Addr: "m-0:1"})
-			next.Core = New(Config{Shard: "a", HeartbeatPeriod: 3 * time.Second, LeaseEnd: leaseEnd, LeaseExtension: leaseExtension, SizeLimits: records.SizeLimits{Current: 8192, Next: 8192}, MaxDirectCommands: 200, TxnOps: 12, WriteRPS: 100, Order: leader.NewJobOrder(nil)},
+			next.Core = New(Config{Shard: "a", HeartbeatPeriod: 3 * time.Second, LeaseExpiry: leaseEnd, LeaseExtension: leaseExtension, SizeLimits: records.SizeLimits{Current: 8192, Next: 8192}, MaxDirectCommands: 200, MaxTxnOps: 12, MaxWritesPerSecond: 100, JobOrder: leader.NewJobOrder(nil)},
 				6, 51, over, nil, nil, nil, nil, nil)
 			next.SetAuthority(over.Add(time.Hour))
 			// It is heard once, but its answer may be lost, and then the old owner
@@ -543,8 +543,8 @@
 	look(4 * time.Second)
 	r.submit(array("run-2", 400, "a"))
 	look(4 * time.Second)
-	if !r.isUnreachable || len(returned) > 0 || len(r.pendingScaleOuts) > 0 {
-		t.Fatalf("dark %v, returned %d, rentals %d", r.isUnreachable, len(returned), len(r.pendingScaleOuts))
+	if !r.partitioned || len(returned) > 0 || len(r.pendingScaleOuts) > 0 {
+		t.Fatalf("dark %v, returned %d, rentals %d", r.partitioned, len(returned), len(r.pendingScaleOuts))
 	}
 	if a := r.Aggregate(r.now, 1); a.CanScaleOutOnDemand || a.CanScaleOutSpot || a.OnDemand.CPUs.Sum > 0 {
 		t.Fatalf("a dark part offers room: %+v", a)
@@ -556,8 +556,8 @@
 		r.Heartbeat(r.now, rep)
 	}
 	look(2 * time.Second)
-	if r.isUnreachable || len(returned) > 0 {
-		t.Fatalf("dark %v, returned %d machines that were about to report", r.isUnreachable, len(returned))
+	if r.partitioned || len(returned) > 0 {
+		t.Fatalf("dark %v, returned %d machines that were about to report", r.partitioned, len(returned))
 	}
 }
 
@@ -574,18 +574,18 @@
 	}
 	r.ApplyMachineList(r.now, list)
 	returned := 0
-	look := func(d time.Duration) { returned += len(r.unacknowledged(d, func() { r.siblingsAt = r.now })) }
+	look := func(d time.Duration) { returned += len(r.unacknowledged(d, func() { r.peersHeardAt = r.now })) }
 	look(9 * time.Second)
 	r.ApplyMachineList(r.now, list)
 	r.ApplyMachineList(r.now, nil) // one list may be older than the one before
 	look(time.Second)
-	if returned > 0 || !r.isUnreachable {
-		t.Fatalf("returned %d machines that are listed, dark %v", returned, r.isUnreachable)
+	if returned > 0 || !r.partitioned {
+		t.Fatalf("returned %d machines that are listed, dark %v", returned, r.partitioned)
 	}
 	r.ApplyMachineList(r.now, nil)
 	look(7 * time.Second)
-	if returned != 5 || r.isUnreachable {
-		t.Fatalf("returned %d of 5 machines that are gone, dark %v", returned, r.isUnreachable)
+	if returned != 5 || r.partitioned {
+		t.Fatalf("returned %d of 5 machines that are gone, dark %v", returned, r.partitioned)
 	}
 }
 
@@ -635,8 +635,8 @@
 	if n := len(started(r.wait(time.Second), "m-1")); n != 2 {
 		t.Fatalf("%d of 2 tasks started", n)
 	}
-	r.Cancelled("run-1")
-	r.Cancelled("run-2") // not here
+	r.ApplyCancellation("run-1")
+	r.ApplyCancellation("run-2") // not here
 	if j.End != "" {
 		t.Error("the feed's record was changed")
 	}
@@ -694,7 +694,7 @@
 		r.unacknowledged(time.Second, func() {})
 		r.Heartbeat(r.now, report("m-0", 1, seq, seen))
 		returned := r.unacknowledged(15*time.Second, func() {
-			r.siblingsAt = r.now
+			r.peersHeardAt = r.now
 			if !copied {
 				seq++
 				r.Heartbeat(r.now, report("m-0", 1, seq, r.shown("m-0")))
--- a/shard/directcommands.go
+++ b/shard/directcommands.go
@@ -7,17 +7,17 @@
 	"ravenport/wire"
 )
 
-// outgoing is what goes out: which machines wait for a direct command, how many of those
+// outbox is what goes out: which machines wait for a direct command, how many of those
 // are under way, and what the actor is to do.
-type outgoing struct {
-	actions      []Action // gathered since the last step
-	commandQueue []*machine
-	inFlight     int
+type outbox struct {
+	actions          []Action // gathered since the last step
+	commandQueue     []*machine
+	commandsInFlight int
 }
 
 // requestCommand has the next step send a machine what it should do, unless an
 // answer to a report carries it before.
-func (q *outgoing) requestCommand(m *machine) {
+func (q *outbox) requestCommand(m *machine) {
 	m.commandWanted = true
 	if !m.commandQueued {
 		m.commandQueued = true
@@ -25,47 +25,47 @@
 	}
 }
 
-// direct sends waiting commands straight to the machines. Which machines wait for
+// sendDirectCommands sends waiting commands straight to the machines. Which machines wait for
 // one is kept in a queue; only a slow step looks at all of them, for starts without
 // effect and for machines to be asked what is on them. Guards against a shard whose
 // every step costs as much as it has machines.
-func (q *outgoing) direct(v *fleetView, now time.Time, slow bool) {
+func (q *outbox) sendDirectCommands(v *fleetView, now time.Time, slow bool) {
 	queue := q.commandQueue
 	q.commandQueue = q.commandQueue[:0]
 	for _, m := range queue {
-		if m.commandWanted && m.isCallable(now) && !v.unclear(now, m) && q.roomForCall(v) {
-			q.sendOrders(v, now, m)
+		if m.commandWanted && m.isCallable(now) && !v.mustProbeFirst(now, m) && q.canSendCommand(v) {
+			q.sendPendingCommands(v, now, m)
 		}
 		if m.commandQueued = m.commandWanted; m.commandWanted {
 			q.commandQueue = append(q.commandQueue, m)
 		}
 	}
 	if slow {
-		q.ask(v, now)
+		q.scanForCommands(v, now)
 	}
 }
 
-// ask looks at the whole fleet for commands that were sent without effect and for
+// scanForCommands looks at the whole fleet for commands that were sent without effect and for
 // questions, of which a few go out at a time so that a wave of silent machines
 // holds nobody up.
-func (q *outgoing) ask(v *fleetView, now time.Time) {
+func (q *outbox) scanForCommands(v *fleetView, now time.Time) {
 	asked := 0
 	for _, m := range v.fleet {
 		if !m.isCallable(now) {
 			continue
 		}
-		question := v.unclear(now, m)
+		question := v.mustProbeFirst(now, m)
 		if !question && !v.hasOverdueStart(now, m) {
 			continue
 		}
-		if !q.roomForCall(v) {
+		if !q.canSendCommand(v) {
 			return
 		}
 		if !question {
-			q.sendOrders(v, now, m)
+			q.sendPendingCommands(v, now, m)
 		} else if asked < constants.AsksAStep {
 			asked++
-			q.call(v, now, m, []wire.Command{})
+			q.sendDirectCommand(v, now, m, []wire.Command{})
 		}
 	}
 }
@@ -75,29 +75,29 @@
 	return !m.commandInFlight && !m.scalingIn && m.addr != "" && !now.Before(m.nextCommandAt)
 }
 
-// roomForCall says whether one more direct command may be under way.
-func (q *outgoing) roomForCall(v *fleetView) bool {
+// canSendCommand says whether one more direct command may be under way.
+func (q *outbox) canSendCommand(v *fleetView) bool {
 	most := v.cfg.MaxDirectCommands
-	if v.isUnreachable {
+	if v.partitioned {
 		most = min(most, constants.UnreachableCalls)
 	}
-	return q.inFlight < most
+	return q.commandsInFlight < most
 }
 
-// unclear says whether a machine must be asked what is on it before it can be told
+// mustProbeFirst says whether a machine must be asked what is on it before it can be told
 // anything: it is questionable, or wanted while its session is not known yet.
-func (v *fleetView) unclear(now time.Time, m *machine) bool {
-	return m.epoch == 0 && m.commandWanted || v.questionable(now, m)
+func (v *fleetView) mustProbeFirst(now time.Time, m *machine) bool {
+	return m.epoch == 0 && m.commandWanted || v.needsProbe(now, m)
 }
 
-// questionable says whether a machine is asked directly: an inherited one for
+// needsProbe says whether a machine is asked directly: an inherited one for
 // what is on it, once it had the time to report by itself, one that missed its
 // report whether it still is there, one whose lease ended unheard whether it is
 // back, and an unconfirmed one whether it hears.
-func (v *fleetView) questionable(now time.Time, m *machine) bool {
+func (v *fleetView) needsProbe(now time.Time, m *machine) bool {
 	switch {
 	case m.inherited && !m.hasSeenTerm(v.term):
-		return len(v.fleet) <= constants.AsksAStep || now.Sub(v.claimed) > constants.TakeoverAsk
+		return len(v.fleet) <= constants.AsksAStep || now.Sub(v.acquiredAt) > constants.TakeoverAsk
 	case m.leaseExpired:
 		return true
 	case !m.up:
@@ -105,7 +105,7 @@
 	case m.isUnconfirmed():
 		return true
 	}
-	return v.overdueReport(now, m)
+	return v.isHeartbeatOverdue(now, m)
 }
 
 // hasOverdueStart says whether a machine has a decided start without effect.
@@ -121,27 +121,27 @@
 	return false
 }
 
-// sendOrders sends a machine what it should do, if there is anything.
-func (q *outgoing) sendOrders(v *fleetView, now time.Time, m *machine) {
-	if commands := v.orders(now, m, false); len(commands) > 0 {
-		q.call(v, now, m, commands)
+// sendPendingCommands sends a machine what it should do, if there is anything.
+func (q *outbox) sendPendingCommands(v *fleetView, now time.Time, m *machine) {
+	if commands := v.pendingCommands(now, m, false); len(commands) > 0 {
+		q.sendDirectCommand(v, now, m, commands)
 	}
 }
 
-// call makes a direct command.
-func (q *outgoing) call(v *fleetView, now time.Time, m *machine, commands []wire.Command) {
+// sendDirectCommand makes a direct command.
+func (q *outbox) sendDirectCommand(v *fleetView, now time.Time, m *machine, commands []wire.Command) {
 	m.commandInFlight = true
-	q.inFlight++
+	q.commandsInFlight++
 	m.nextCommandAt = now.Add(constants.RepeatCommand / 4)
-	req := wire.CommandRequest{FencingToken: v.token(m), Epoch: max(m.epoch, 1), Commands: commands}
+	req := wire.CommandRequest{FencingToken: v.fencingToken(m), Epoch: max(m.epoch, 1), Commands: commands}
 	q.actions = append(q.actions, SendCommands{Machine: m.name, Addr: m.addr, Request: req})
 }
 
-// landed notes that a direct command to a machine is no longer under way.
-func (q *outgoing) landed(m *machine) {
+// directCommandDone notes that a direct command to a machine is no longer under way.
+func (q *outbox) directCommandDone(m *machine) {
 	if m.commandInFlight {
 		m.commandInFlight = false
-		q.inFlight--
+		q.commandsInFlight--
 	}
 }
 
@@ -152,23 +152,23 @@
 	if m == nil {
 		return
 	}
-	c.landed(m)
+	c.directCommandDone(m)
 	if r == nil {
 		m.unansweredCommands++
 		m.unansweredUnconfirmed++
 		m.nextCommandAt = now.Add(constants.RepeatCommand)
-		if !m.up || c.questionable(now, m) {
+		if !m.up || c.needsProbe(now, m) {
 			m.nextCommandAt = now // a takeover waits for it, or what was on it
 		}
 		c.requestConfirmation(now, m)
 		return
 	}
-	c.outranked(r)
-	if r.Machine != name || c.deposed || !m.isNew(r) {
+	c.observeToken(r)
+	if r.Machine != name || c.fenced || !m.isNew(r) {
 		return
 	}
-	c.arrive(now, m, r)
-	c.absorb(now, m, r, false)
+	c.updateMachine(now, m, r)
+	c.reconcile(now, m, r, false)
 	c.needsPlacement = c.needsPlacement || c.attemptEnded
 	// It answered a call: commands do reach it. But only a report of its own
 	// renews its lease, so an answer does not count for one, except at first.
@@ -176,10 +176,10 @@
 	if m.lastHeartbeat.IsZero() {
 		m.lastHeartbeat = now
 	}
-	if c.overdueReport(now, m) {
+	if c.isHeartbeatOverdue(now, m) {
 		m.nextCommandAt = now.Add(c.cfg.HeartbeatPeriod / 2)
 	}
 	if m.isUnconfirmed() && m.reportedToken >= m.confirmationToken {
-		c.trust(m)
+		c.confirm(m)
 	}
 }
--- a/shard/directcommands_test.go
+++ b/shard/directcommands_test.go
@@ -57,8 +57,8 @@
 			if len(open) > r.cfg.MaxDirectCommands {
 				t.Fatalf("%d commands under way, %d allowed", len(open), r.cfg.MaxDirectCommands)
 			}
-			if r.inFlight != len(open) {
-				t.Fatalf("%d commands under way, counted as %d", len(open), r.inFlight)
+			if r.commandsInFlight != len(open) {
+				t.Fatalf("%d commands under way, counted as %d", len(open), r.commandsInFlight)
 			}
 		}
 		for i := range rapid.IntRange(5, 60).Draw(t, "moves") {
@@ -74,7 +74,7 @@
 			case 2: // its return is confirmed while a command may be under way
 				if r.machines[name] != nil {
 					r.ScaleInResult(r.now, []string{name})
-					r.removeMachine(&r.outgoing, r.machines[name])
+					r.removeMachine(&r.outbox, r.machines[name])
 					delete(open, name)
 				}
 			case 3: // what a returned machine was sent is answered late
--- a/shard/doc.go
+++ b/shard/doc.go
@@ -21,9 +21,9 @@
 //   - assignments: closing of finished assignments in the jobs' records
 //   - pendingcommands, directcommands: commands, and those that go straight to machines
 //
-// Core is composed of states: fleetView (ownership, knowledge, hearing), pageBook,
+// Core is composed of states: fleetView (ownership, knowledge, hearing), inventoryPages,
 // placement, gangReserves, scaleOutState, consolidation, draining with its interruptions and the
-// ledger of package disruption, closings, outgoing and figures. A state's method changes
+// ledger of package disruption, closeQueue, outbox and aggregates. A state's method changes
 // that state and what it is handed, machines, jobs, attempts and tasks among it; many are
 // handed the fleetView. Methods of Core bring several states together.
 //
--- a/shard/draining.go
+++ b/shard/draining.go
@@ -144,13 +144,13 @@
 	for _, m := range c.fleet {
 		m.drainNext = false
 	}
-	if c.rebuilt && !c.isUnreachable {
+	if c.rebuilt && !c.partitioned {
 		for _, number := range d.drainNumbers() {
 			c.advanceDrain(now, number, d.drains[number])
 		}
 	}
 	if changes, conditions := d.ledger.PrepareWrite(now, d.hasRunningDrain()); changes != nil {
-		c.commit(&c.fleetView, commitClaim+"/", changes, conditions...)
+		c.commitInTerm(&c.fleetView, commitClaim+"/", changes, conditions...)
 	}
 }
 
@@ -241,7 +241,7 @@
 		if s := c.draining.drains[m.cordon.drain]; s == nil || s.Record().State != records.DrainRunning {
 			slog.Info("cordon is lifted", "machine", m.name, "drain", m.cordon.drain)
 			m.cordon = nil
-			c.needsPlacement, c.pushDirty = true, true
+			c.needsPlacement, c.aggregateChanged = true, true
 		}
 	}
 }
@@ -279,7 +279,7 @@
 	for _, name := range s.ChooseMachines(now, candidates, len(c.fleet)) {
 		slog.Info("cordoning machine", "machine", name, "drain", number)
 		byName[name].cordon = &cordon{number, now}
-		c.pushDirty = true
+		c.aggregateChanged = true
 	}
 	c.draining.waitReasons[number] = idleReason(now, s)
 	for i := range machines {
@@ -289,7 +289,7 @@
 	}
 	if record, version := s.NextRecord(c.draining.migrationsSettled(number)); record != nil {
 		key := records.KeyDrain(number)
-		c.commit(&c.fleetView, commitDrain+"/"+strconv.Itoa(number), []wire.Change{{Put: key, Value: records.Encode(record)}}, wire.Condition{Key: key, Version: version})
+		c.commitInTerm(&c.fleetView, commitDrain+"/"+strconv.Itoa(number), []wire.Change{{Put: key, Value: records.Encode(record)}}, wire.Condition{Key: key, Version: version})
 	}
 }
 
--- a/shard/draining_test.go
+++ b/shard/draining_test.go
@@ -39,7 +39,7 @@
 				}
 				tasks = append(tasks, s)
 			}
-			r.Heartbeat(r.now, report(m.name, 1, m.seq+1, r.token(m), tasks...))
+			r.Heartbeat(r.now, report(m.name, 1, m.seq+1, r.fencingToken(m), tasks...))
 		}
 	}
 }
--- a/shard/forecast.go
+++ b/shard/forecast.go
@@ -53,7 +53,7 @@
 		c.heldAt = now
 		for _, j := range c.jobs {
 			if c.blocksTeamAtLimit(now, j) {
-				c.check(j)
+				c.queueForClose(j)
 			}
 		}
 	}
@@ -108,7 +108,7 @@
 	}
 	var best *wire.MachineType
 	for _, t := range c.types {
-		if c.productionArrivals.largest.fits(sizeOf(t)) && slices.Contains(t.Zones, c.cfg.Shard) &&
+		if c.productionArrivals.largest.fits(machineResources(t)) && slices.Contains(t.Zones, c.cfg.Shard) &&
 			(best == nil || t.Price < best.Price) {
 			best = t
 		}
--- a/shard/gang.go
+++ b/shard/gang.go
@@ -57,7 +57,7 @@
 		return
 	}
 	if !spread {
-		attempt = c.numbers.attempt()
+		attempt = c.counters.nextAttempt()
 	}
 	*g = gang{attempt: attempt, startedAt: now}
 	warm := 0
@@ -86,7 +86,7 @@
 	if len(j.waiting) == 0 {
 		return
 	}
-	if g.hasRun || now.Sub(g.startedAt) > c.cfg.GangWait*constants.GangReplacePercent/100 {
+	if g.hasRun || now.Sub(g.startedAt) > c.cfg.GangStartTimeout*constants.GangReplacePercent/100 {
 		c.failGangAttempt(j, "incomplete")
 		return
 	}
@@ -109,7 +109,7 @@
 		t.sendingBack = true
 	}
 	j.sentBackAt = now
-	c.touch(j)
-	c.check(j)
+	c.markWaitingStale(j)
+	c.queueForClose(j)
 	return true
 }
--- a/shard/gang_test.go
+++ b/shard/gang_test.go
@@ -25,7 +25,7 @@
 
 func newHands(r *rig, machines ...string) *hands {
 	h := &hands{rig: r, held: map[string][]wire.TaskStatus{}, seq: map[string]uint64{}, stops: map[string]float64{}}
-	h.cfg.GangWait, h.cfg.GangPeer = 30*time.Second, 8*time.Second
+	h.cfg.GangStartTimeout, h.cfg.GangPeerTimeout = 30*time.Second, 8*time.Second
 	for _, m := range machines {
 		r.up(m)
 		h.seq[m] = 10
@@ -288,7 +288,7 @@
 		for term := uint64(5); term < 9; term++ {
 			r := newRig(nil)
 			cfg := r.cfg
-			cfg.SizeLimits, cfg.TxnOps = records.SizeLimits{Current: 8192, Next: limit}, rapid.IntRange(1, 4).Draw(t, "ops")
+			cfg.SizeLimits, cfg.MaxTxnOps = records.SizeLimits{Current: 8192, Next: limit}, rapid.IntRange(1, 4).Draw(t, "ops")
 			now := r.now
 			c := New(cfg, term, 50, now, []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 32, Zones: []string{"a"}}}, nil, nil, pages, versions)
 			c.SetAuthority(now.Add(time.Hour))
@@ -298,14 +298,14 @@
 			}
 			for range steps {
 				now = now.Add(300 * time.Millisecond)
-				c.slowSteps.last = now // nobody reports: nothing is to be given up for it
+				c.fleetScans.last = now // nobody reports: nothing is to be given up for it
 				for _, a := range c.Step(now) {
 					cm, ok := a.(Commit)
 					if !ok {
 						continue
 					}
-					if len(cm.Txn.Changes) > cfg.TxnOps {
-						t.Fatalf("%d changes where %d are allowed", len(cm.Txn.Changes), cfg.TxnOps)
+					if len(cm.Txn.Changes) > cfg.MaxTxnOps {
+						t.Fatalf("%d changes where %d are allowed", len(cm.Txn.Changes), cfg.MaxTxnOps)
 					}
 					rev++
 					for _, ch := range cm.Txn.Changes {
--- a/shard/gangattempt.go
+++ b/shard/gangattempt.go
@@ -26,8 +26,8 @@
 			t.attempt.machine.usageStale = true
 		}
 	}
-	c.touch(j)
-	c.check(j)
+	c.markWaitingStale(j)
+	c.queueForClose(j)
 }
 
 // reconcileGangAttempt brings a gang in line with an attempt of one of its tasks that a
@@ -49,7 +49,7 @@
 			// Left by an earlier owner: the leader's number is used up.
 			*g = gang{attempt: a.key.number, failed: true}
 		}
-		c.check(j)
+		c.queueForClose(j)
 		return
 	}
 	switch {
@@ -64,9 +64,9 @@
 				o.attempt = nil
 			}
 		}
-		*g = gang{attempt: a.key.number, startedAt: c.stepped}
-		if c.stepped.Before(c.claimed) {
-			g.startedAt = c.claimed // found before the first step
+		*g = gang{attempt: a.key.number, startedAt: c.lastStepAt}
+		if c.lastStepAt.Before(c.acquiredAt) {
+			g.startedAt = c.acquiredAt // found before the first step
 		}
 	}
 	if t.attempt == nil {
@@ -98,23 +98,23 @@
 	for _, t := range j.tasks {
 		if a := t.attempt; a != nil && !a.hasExited() {
 			if why == wire.CauseGangIncomplete && (a.state == stateSent || a.state == wire.TaskFetching) {
-				a.machine.avoidUntil = c.stepped.Add(constants.FaultyMachinePause) // the others waited for it in vain
+				a.machine.avoidUntil = c.lastStepAt.Add(constants.FaultyMachinePause) // the others waited for it in vain
 			}
 			c.stopWithoutCheckpoint(a)
 		}
 	}
-	c.touch(j)
-	c.needsPlacement, c.pushDirty = true, true
+	c.markWaitingStale(j)
+	c.needsPlacement, c.aggregateChanged = true, true
 }
 
 // stopWithoutCheckpoint stops an attempt with no time to save.
-func (q *outgoing) stopWithoutCheckpoint(a *attempt) {
+func (q *outbox) stopWithoutCheckpoint(a *attempt) {
 	a.stopsInstantly = true
 	q.evict(a)
 }
 
 // stopGangWithCheckpoint stops a gang whole, with time to save: all its tasks are told at once.
-func (q *outgoing) stopGangWithCheckpoint(j *job, why string) {
+func (q *outbox) stopGangWithCheckpoint(j *job, why string) {
 	slog.Info("gang stops and saves", "job", j.rec.ID, "why", why)
 	for _, t := range j.tasks {
 		if a := t.attempt; a != nil && !a.hasExited() {
--- a/shard/gangpacking.go
+++ b/shard/gangpacking.go
@@ -23,7 +23,7 @@
 // are enough where all fit on them. One that lists a task of the attempt, refused
 // to an earlier owner, would do nothing on another start.
 func (v *fleetView) packGang(now time.Time, s *wire.Submission, tasks int, number uint64) []*machine {
-	n := need(s)
+	n := taskResources(s)
 	var warm, all []machineSlots
 	warmRoom, allRoom := 0, 0
 	for _, m := range v.fleet {
@@ -58,7 +58,7 @@
 // fetchMissesStartObjective says whether a gang that has to fetch its image may well miss its
 // class's aim on starting by that alone: the slowest of its machines counts.
 func (v *fleetView) fetchMissesStartObjective(s *wire.Submission) bool {
-	within := v.cfg.Order.StartObjective(s.Class)
+	within := v.cfg.JobOrder.StartObjective(s.Class)
 	for _, t := range v.types {
 		if t.FetchGBPerS > 0 && isEligible(s, t.Name, false) && within > 0 && s.ImageGB/t.FetchGBPerS*constants.SlowFetchFactor < within.Seconds() {
 			return false
@@ -95,7 +95,7 @@
 
 // preemptWithCheckpointForGang makes room for a gang where work that can save stands in its way:
 // as much of it is stopped as the gang lacks places.
-func (q *outgoing) preemptWithCheckpointForGang(v *fleetView, now time.Time, tasks []*task, r *placementRound) {
+func (q *outbox) preemptWithCheckpointForGang(v *fleetView, now time.Time, tasks []*task, r *placementRound) {
 	if !r.hasCheckpointing || slices.ContainsFunc(tasks, func(t *task) bool { return now.Before(t.roomExpectedUntil) }) {
 		return // what was stopped for it is still saving
 	}
@@ -110,7 +110,7 @@
 
 // freeSlots is how many tasks of a job there is room for now.
 func (v *fleetView) freeSlots(now time.Time, s *wire.Submission) int {
-	n := need(s)
+	n := taskResources(s)
 	slots := 0
 	for _, m := range v.fleet {
 		if isEligible(s, m.typeName, m.spot) && v.isSchedulable(now, m) {
@@ -162,7 +162,7 @@
 		return false
 	}
 	s := &tasks[0].job.rec.Spec
-	n := need(s)
+	n := taskResources(s)
 	room := 0
 	for _, m := range v.fleet {
 		if isEligible(s, m.typeName, m.spot) && v.isSchedulable(now, m) {
--- a/shard/gangreserve.go
+++ b/shard/gangreserve.go
@@ -51,7 +51,7 @@
 			continue
 		}
 		s := &sh.spec
-		n := need(s)
+		n := taskResources(s)
 		var g leader.GangCapacity
 		for _, m := range v.fleet {
 			if m.consolidating || !isEligible(s, m.typeName, m.spot) || !v.isSchedulable(now, m) {
@@ -73,7 +73,7 @@
 // gang needs all its places at the same moment, and arrays would take each that
 // falls free. It is made anew each time, so none outlives its reason.
 func (c *Core) reserveMachinesForGangs(now time.Time) {
-	c.refresh(&c.fleetView)
+	c.refreshWaiting(&c.fleetView)
 	c.gangReserveCPUs = c.targetGangReserve(&c.fleetView, now)
 	waiting := c.waitingGangs()
 	for _, m := range c.fleet {
@@ -88,10 +88,10 @@
 	}
 	left := c.gangReserveCPUs
 	for _, k := range machines {
-		if left <= slack {
+		if left <= roundingSlack {
 			break
 		}
-		if !k.machine.spot && k.available.cpus > slack {
+		if !k.machine.spot && k.available.cpus > roundingSlack {
 			k.machine.reservedForGangs = true
 			left -= k.available.cpus
 		}
@@ -134,7 +134,7 @@
 				k.available = k.available.plus(att.resources)
 			}
 		}
-		if k.available.cpus < slack {
+		if k.available.cpus < roundingSlack {
 			continue
 		}
 		for _, sh := range g.gangShapes {
@@ -160,7 +160,7 @@
 // reserveForGang keeps room for all tasks of a gang that waits, as far as there is any.
 func reserveForGang(machines []*gangMachine, j *job) {
 	s := &j.rec.Spec
-	n, left := need(s), len(j.tasks)
+	n, left := taskResources(s), len(j.tasks)
 	for _, k := range machines {
 		if left == 0 {
 			return
--- a/shard/heartbeat.go
+++ b/shard/heartbeat.go
@@ -13,11 +13,11 @@
 	if r.Zone != c.cfg.Shard {
 		return reply, false
 	}
-	c.outranked(r)
-	if !c.may(now) && (!c.extendsLeases(now) || r.FencingToken>>constants.EpochBits > c.term) {
+	c.observeToken(r)
+	if !c.mayAct(now) && (!c.mayExtendLeases(now) || r.FencingToken>>constants.EpochBits > c.term) {
 		return reply, false
 	}
-	if _, gone := c.gone[r.Machine]; gone {
+	if _, gone := c.terminated[r.Machine]; gone {
 		return reply, false // held back on its way: the machine is gone for good
 	}
 	// A machine whose return was asked for is answered like any other until
@@ -27,29 +27,29 @@
 	if !m.isNew(r) {
 		return reply, false // late or repeated: nothing in it counts
 	}
-	c.arrive(now, m, r)
-	c.absorb(now, m, r, true)
-	c.heard(&c.fleetView, now, m)
-	m.leaseExpiresAt = c.leaseEnd(now, m)
-	if !c.may(now) {
-		return wire.HeartbeatReply{FencingToken: c.token(m), Commands: []wire.Command{}}, true
+	c.updateMachine(now, m, r)
+	c.reconcile(now, m, r, true)
+	c.noteHeartbeat(&c.fleetView, now, m)
+	m.leaseExpiresAt = c.leaseExpiry(now, m)
+	if !c.mayAct(now) {
+		return wire.HeartbeatReply{FencingToken: c.fencingToken(m), Commands: []wire.Command{}}, true
 	}
 	if c.isSchedulable(now, m) && !c.fillFreedMachine(now, m) || m.reservedForGangs && c.attemptEnded {
 		c.needsPlacement = true
 	}
-	if (m.needsHigherToken || c.exitsNeedingHigherToken(m) >= constants.ExitedRaise) && m.reportedToken == c.token(m) {
-		c.numbers.raise(m) // once the machine shows the new token they can be forgotten
+	if (m.needsHigherToken || c.exitsNeedingHigherToken(m) >= constants.ExitedRaise) && m.reportedToken == c.fencingToken(m) {
+		c.counters.raiseToken(m) // once the machine shows the new token they can be forgotten
 	}
-	reply = wire.HeartbeatReply{FencingToken: c.token(m), Commands: c.orders(now, m, true)}
+	reply = wire.HeartbeatReply{FencingToken: c.fencingToken(m), Commands: c.pendingCommands(now, m, true)}
 	return reply, true
 }
 
-// arrive notes what a report says of the machine itself.
-func (c *Core) arrive(now time.Time, m *machine, r *wire.Heartbeat) {
+// updateMachine notes what a report says of the machine itself.
+func (c *Core) updateMachine(now time.Time, m *machine, r *wire.Heartbeat) {
 	if !m.up {
 		m.up, m.leaseExpired = true, false
 		m.idleSince = now
-		c.needsPlacement, c.pushDirty = true, true
+		c.needsPlacement, c.aggregateChanged = true, true
 		if m.typeName == "" {
 			slog.Info("unexpected machine adopted", "machine", m.name)
 			m.requestedAt = now
@@ -62,35 +62,35 @@
 	}
 	m.spot, m.addr = r.Spot, r.Addr
 	if !m.scalingIn && (!m.durable || m.durableAddr != m.addr) {
-		c.enrol(m)
+		c.enroll(m)
 	}
 }
 
-// heard takes note that a machine lives. Whether it hears is another matter:
+// noteHeartbeat takes note that a machine lives. Whether it hears is another matter:
 // a machine whose reports arrive while answers and commands do not reach it
 // loses its lease unnoticed. One that does not show the token it was answered
 // with, that made reports elsewhere though it was answered here, or leaves a
 // direct command unanswered, is unconfirmed until it shows a token that is sent to
 // it from then on. A late copy of a report cannot: it is older than that token.
-func (p *placement) heard(v *fleetView, now time.Time, m *machine) {
-	if v.silent(now, m) {
+func (p *placement) noteHeartbeat(v *fleetView, now time.Time, m *machine) {
+	if v.isUnreachable(now, m) {
 		m.unansweredUnconfirmed = 0 // it was out of reach: what was asked meanwhile says nothing of its ears
 	}
 	m.lastHeartbeat, m.unansweredCommands = now, 0
 	switch {
 	case m.isUnconfirmed() && m.reportedToken >= m.confirmationToken:
-		p.trust(m)
-	case !m.isUnconfirmed() && (m.skippedSeq || m.repliesSinceToken > 0 && m.reportedToken < v.token(m)):
+		p.confirm(m)
+	case !m.isUnconfirmed() && (m.skippedSeq || m.repliesSinceToken > 0 && m.reportedToken < v.fencingToken(m)):
 		v.requestConfirmation(now, m)
 	}
 	m.repliesSinceToken++
-	if m.reportedToken == v.token(m) {
+	if m.reportedToken == v.fencingToken(m) {
 		m.repliesSinceToken = 0
 	}
 }
 
-// trust confirms a machine: the machine has shown that it hears.
-func (p *placement) trust(m *machine) {
+// confirm confirms a machine: the machine has shown that it hears.
+func (p *placement) confirm(m *machine) {
 	m.unconfirmedSince, m.unansweredUnconfirmed = time.Time{}, 0
 	p.needsPlacement = true
 }
--- a/shard/interruptions.go
+++ b/shard/interruptions.go
@@ -152,9 +152,9 @@
 }
 
 // isRunningTask says whether a task runs, as far as is known, and is not told to stop.
-func (hear *hearing) isRunningTask(now time.Time, t *task) bool {
+func (l *liveness) isRunningTask(now time.Time, t *task) bool {
 	a := t.attempt
-	return a != nil && !a.stopRequested && a.isRunning() && !hear.silent(now, a.machine)
+	return a != nil && !a.stopRequested && a.isRunning() && !l.isUnreachable(now, a.machine)
 }
 
 // tryInterrupt asks the account whether a task of an array, or the gang that it is in, may be
--- a/shard/inventory.go
+++ b/shard/inventory.go
@@ -12,28 +12,28 @@
 
 // applyPage takes in a page as the state service has it.
 func (c *Core) applyPage(now time.Time, r *records.InventoryPage, version uint64) {
-	p := c.page(r.Number)
+	p := c.ensurePage(r.Number)
 	if version <= p.version {
 		return
 	}
 	entries := r.Machines()
-	c.stored(&c.outgoing, p, entries, version)
+	c.applyStoredPage(&c.outbox, p, entries, version)
 	for i := range entries {
 		e := &entries[i]
-		if _, gone := c.gone[e.Name]; gone && c.machines[e.Name] == nil {
+		if _, gone := c.terminated[e.Name]; gone && c.machines[e.Name] == nil {
 			p.dirty = true // written before its return was known
 			continue
 		}
 		m := c.ensureMachine(e.Name)
-		if m.pageNumber != r.Number && m.pageNumber != pageless {
+		if m.pageNumber != r.Number && m.pageNumber != noPage {
 			p.dirty = true // it was moved, and the owner that did it ended
 			continue
 		}
 		m.pageNumber = r.Number
-		p.put(e.Name)
+		p.add(e.Name)
 		m.durable, m.durableAddr = true, e.Addr
 		if e.Terminating {
-			c.noteClosed(m)
+			c.markClosed(m)
 		} else if m.closure.decided {
 			p.dirty = true // a version that does not know the mark has dropped it
 		}
@@ -54,27 +54,27 @@
 			p.dirty = true
 		}
 	}
-	c.split(&c.fleetView, p)
+	c.splitOversized(&c.fleetView, p)
 	c.needsPlacement = true
 }
 
-// stored notes what a page durably holds: a machine on no durable page gets no
+// applyStoredPage notes what a page durably holds: a machine on no durable page gets no
 // task, and one that left its page for good is forgotten.
-func (v *fleetView) stored(q *outgoing, p *page, entries []records.Machine, version uint64) {
+func (v *fleetView) applyStoredPage(q *outbox, p *page, entries []records.Machine, version uint64) {
 	p.version = version
-	was := p.stored
-	p.stored = make(map[string]bool, len(entries))
+	was := p.storedNames
+	p.storedNames = make(map[string]bool, len(entries))
 	for _, e := range entries {
-		p.stored[e.Name] = true
+		p.storedNames[e.Name] = true
 	}
 	for name := range was {
-		if m := v.machines[name]; m != nil && m.pageNumber == p.number && !p.stored[name] {
+		if m := v.machines[name]; m != nil && m.pageNumber == p.number && !p.storedNames[name] {
 			m.durable, m.durableAddr = false, ""
 		}
 	}
 	for name := range p.names {
-		if m := v.machines[name]; m != nil && m.leavingInventory && !p.stored[name] {
-			p.drop(name)
+		if m := v.machines[name]; m != nil && m.leavingInventory && !p.storedNames[name] {
+			p.remove(name)
 			v.removeMachine(q, m)
 		}
 	}
@@ -94,15 +94,15 @@
 	return out
 }
 
-// inventory writes the pages that changed: no machine gets a task before it
+// writeInventory writes the pages that changed: no machine gets a task before it
 // stands there with its address.
-func (c *Core) inventory(now time.Time) {
-	if c.inventoryBusy || now.Before(c.inventoryNext) {
+func (c *Core) writeInventory(now time.Time) {
+	if c.inventoryInFlight || now.Before(c.nextInventoryWriteAt) {
 		return
 	}
 	var ps []*page
 	for _, p := range c.pages {
-		if p.dirty && c.writable(&c.fleetView, p) {
+		if p.dirty && c.isWritable(&c.fleetView, p) {
 			ps = append(ps, p)
 		}
 	}
@@ -112,12 +112,12 @@
 	// The one written longest ago first: small pages are many, and those of low
 	// numbers, which change most, must not keep the others waiting.
 	sort.Slice(ps, func(a, b int) bool {
-		if !ps[a].writtenAt.Equal(ps[b].writtenAt) {
-			return ps[a].writtenAt.Before(ps[b].writtenAt)
+		if !ps[a].sentAt.Equal(ps[b].sentAt) {
+			return ps[a].sentAt.Before(ps[b].sentAt)
 		}
 		return ps[a].number < ps[b].number
 	})
-	ps = ps[:min(len(ps), constants.InventoryPages, max(1, c.cfg.TxnOps))]
+	ps = ps[:min(len(ps), constants.InventoryPages, max(1, c.cfg.MaxTxnOps))]
 	var changes []wire.Change
 	var conds []wire.Condition
 	for _, p := range ps {
@@ -132,13 +132,13 @@
 			// Many kinds of machine or long addresses take more than was allowed
 			// for: half of them go to another page, and this one waits for that.
 			for _, e := range entries[len(entries)/2:] {
-				c.moveOff(&c.fleetView, p, e.Name)
+				c.moveToOtherPage(&c.fleetView, p, e.Name)
 			}
 			continue
 		}
 		p.dirty = false
-		p.sent = entries
-		p.writtenAt = now
+		p.inFlight = entries
+		p.sentAt = now
 		changes = append(changes, wire.Change{Put: key, Value: value})
 		conds = append(conds, wire.Condition{Key: key, Version: p.version})
 	}
@@ -147,36 +147,36 @@
 	}
 	// Its share of the state service's changes, so that a wave of boots or
 	// returns becomes one change of a page and not one a machine.
-	c.inventoryBusy = true
-	c.inventoryNext = now.Add(max(constants.InventoryGap, time.Duration(float64(len(ps))/(c.cfg.WriteRPS*constants.InventoryShare)*float64(time.Second))))
-	c.commit(&c.fleetView, "roster/", changes, conds...)
+	c.inventoryInFlight = true
+	c.nextInventoryWriteAt = now.Add(max(constants.InventoryGap, time.Duration(float64(len(ps))/(c.cfg.MaxWritesPerSecond*constants.InventoryShare)*float64(time.Second))))
+	c.commitInTerm(&c.fleetView, "roster/", changes, conds...)
 }
 
-// inventoryWritten takes in what came of a write of pages.
-func (c *Core) inventoryWritten(now time.Time, revision uint64) {
-	c.inventoryBusy = false
+// inventoryCommitted takes in what came of a write of pages.
+func (c *Core) inventoryCommitted(now time.Time, revision uint64) {
+	c.inventoryInFlight = false
 	for _, p := range c.pages {
-		if p.sent == nil {
+		if p.inFlight == nil {
 			continue
 		}
-		sent := p.sent
-		p.sent = nil
+		sent := p.inFlight
+		p.inFlight = nil
 		if revision == 0 {
 			// If it was carried out all the same the feed brings the page, and
 			// the next write is based on that.
 			p.dirty = true
-			c.inventoryNext = now.Add(constants.RetryBackoffMin)
+			c.nextInventoryWriteAt = now.Add(constants.RetryBackoffMin)
 			continue
 		}
 		if revision <= p.version {
 			continue // the feed was faster
 		}
-		c.stored(&c.outgoing, p, sent, revision)
+		c.applyStoredPage(&c.outbox, p, sent, revision)
 		for _, e := range sent {
 			if m := c.machines[e.Name]; m != nil {
 				m.durable, m.durableAddr = true, e.Addr
 				if e.Terminating {
-					c.noteClosed(m)
+					c.markClosed(m)
 				}
 			}
 		}
@@ -184,17 +184,17 @@
 	}
 }
 
-// leaveInventory takes a returned machine off the inventory.
-func (c *Core) leaveInventory(m *machine) {
-	if m.pageNumber == pageless {
-		c.removeMachine(&c.outgoing, m)
+// removeFromInventory takes a returned machine off the inventory.
+func (c *Core) removeFromInventory(m *machine) {
+	if m.pageNumber == noPage {
+		c.removeMachine(&c.outbox, m)
 		return
 	}
 	m.leavingInventory = true
 	p := c.pages[m.pageNumber]
-	if !p.stored[m.name] && p.sent == nil {
-		p.drop(m.name) // it never stood there
-		c.removeMachine(&c.outgoing, m)
+	if !p.storedNames[m.name] && p.inFlight == nil {
+		p.remove(m.name) // it never stood there
+		c.removeMachine(&c.outbox, m)
 		return
 	}
 	p.dirty = true
--- a/shard/jobrecords.go
+++ b/shard/jobrecords.go
@@ -26,7 +26,7 @@
 		c.jobs[id] = j
 		if rec.Spec.IsGang() {
 			j.gang, j.gangArrivedAt = &gang{}, now
-			c.gangArrivals.add(now, time.Duration(now.UnixMilli()-rec.AcceptedMS)*time.Millisecond, need(&rec.Spec).times(rec.Spec.Tasks))
+			c.gangArrivals.add(now, time.Duration(now.UnixMilli()-rec.AcceptedMS)*time.Millisecond, taskResources(&rec.Spec).times(rec.Spec.Tasks))
 		}
 	}
 	if version <= j.version {
@@ -55,7 +55,7 @@
 				fresh++
 				c.adoptAttempts(t)
 				if rec.Spec.Priority == wire.PriorityProduction {
-					c.productionArrivals.add(now, time.Duration(now.UnixMilli()-rec.AcceptedMS)*time.Millisecond, need(&rec.Spec))
+					c.productionArrivals.add(now, time.Duration(now.UnixMilli()-rec.AcceptedMS)*time.Millisecond, taskResources(&rec.Spec))
 				}
 			}
 			t.keepWaiting, t.withinGuarantee = ch.KeepWaiting, ch.Guaranteed
@@ -74,21 +74,21 @@
 		c.assignedSinceForecast = append(c.assignedSinceForecast, assignedWork{version, rec.Spec.Spot, float64(fresh) * rec.Spec.CPUs})
 	}
 	if rec.End != "" {
-		c.stopAll(j)
+		c.stopJob(j)
 	}
 	if j.gang != nil {
 		c.reconcileGangRecord(j)
 	}
-	c.touch(j)
-	c.check(j)
-	c.needsPlacement, c.pushDirty = true, true
+	c.markWaitingStale(j)
+	c.queueForClose(j)
+	c.needsPlacement, c.aggregateChanged = true, true
 	if len(j.tasks) == 0 {
 		delete(c.jobs, id)
 	}
 }
 
-// stopAll has the attempts of a job that ended stopped.
-func (q *outgoing) stopAll(j *job) {
+// stopJob has the attempts of a job that ended stopped.
+func (q *outbox) stopJob(j *job) {
 	for _, t := range j.tasks {
 		if t.attempt != nil && !t.attempt.hasExited() {
 			t.attempt.machine.usageStale = true
@@ -97,12 +97,12 @@
 	}
 }
 
-// Cancelled takes in another controller's word that a job is stored as cancelled,
+// ApplyCancellation takes in another controller's word that a job is stored as cancelled,
 // before the feed brings the record: its tasks are stopped and none is started.
 // Guards against an owner that the state service refuses while others confirm
 // cancellations. The record keeps its version, so nothing written of it before the
 // feed brings the stored one can be carried out.
-func (c *Core) Cancelled(id string) {
+func (c *Core) ApplyCancellation(id string) {
 	j := c.jobs[id]
 	if j == nil || j.rec.End != "" {
 		return
@@ -110,9 +110,9 @@
 	j.rec = j.rec.Clone()
 	j.rec.End = wire.JobCancelled
 	j.awaitsRecord = true
-	c.stopAll(j)
-	c.touch(j)
-	c.needsPlacement, c.pushDirty = true, true
+	c.stopJob(j)
+	c.markWaitingStale(j)
+	c.needsPlacement, c.aggregateChanged = true, true
 }
 
 // assignedWork is work that a record brought.
--- a/shard/liveness.go
+++ b/shard/liveness.go
@@ -7,42 +7,42 @@
 	"ravenport/constants"
 )
 
-// hearing is whom the owner hears.
-type hearing struct {
-	period        time.Duration        // between two reports of a machine
-	leaseLasts    time.Duration        // after the last answer that could count
-	began         time.Time            // when the owner could first have heard anybody
-	rested        time.Time            // silences are counted from here at the earliest
-	isUnreachable bool                 // its machines are out of reach all together
-	siblingsAt    time.Time            // when all live controllers had been heard from
-	gone          map[string]time.Time // machines returned lately
-	censuses      pace                 // looks at which machines are to be returned
-	returnedAt    time.Time            // when idle machines were last returned
+// liveness is whom the owner hears.
+type liveness struct {
+	heartbeatPeriod time.Duration        // between two reports of a machine
+	leaseDuration   time.Duration        // after the last answer that could count
+	startedAt       time.Time            // when the owner could first have heard anybody
+	livenessResetAt time.Time            // silences are counted from here at the earliest
+	partitioned     bool                 // its machines are out of reach all together
+	peersHeardAt    time.Time            // when all live controllers had been heard from
+	terminated      map[string]time.Time // machines returned lately
+	scaleInScans    pace                 // looks at which machines are to be returned
+	lastScaleInAt   time.Time            // when idle machines were last returned
 }
 
 // periods is a number of report periods.
-func (hear *hearing) periods(n float64) time.Duration {
-	return time.Duration(n * float64(hear.period))
+func (l *liveness) periods(n float64) time.Duration {
+	return time.Duration(n * float64(l.heartbeatPeriod))
 }
 
-// silence is for how long no report of a machine has come while it could have:
+// sinceHeartbeat is for how long no report of a machine has come while it could have:
 // what nobody could hear, or had not yet read, says nothing.
-func (hear *hearing) silence(now time.Time, m *machine) time.Duration {
-	if hear.rested.After(m.lastHeartbeat) {
-		return now.Sub(hear.rested)
+func (l *liveness) sinceHeartbeat(now time.Time, m *machine) time.Duration {
+	if l.livenessResetAt.After(m.lastHeartbeat) {
+		return now.Sub(l.livenessResetAt)
 	}
 	return now.Sub(m.lastHeartbeat)
 }
 
-// overdueReport says that a machine's report is later than any should be.
-func (hear *hearing) overdueReport(now time.Time, m *machine) bool {
-	return hear.silence(now, m) > hear.periods(constants.ProbePeriods)
+// isHeartbeatOverdue says that a machine's report is later than any should be.
+func (l *liveness) isHeartbeatOverdue(now time.Time, m *machine) bool {
+	return l.sinceHeartbeat(now, m) > l.periods(constants.ProbePeriods)
 }
 
-// silent says that no report of a machine's own has come for so long that its
+// isUnreachable says that no report of a machine's own has come for so long that its
 // lease may end, whether or not it answers when it is called.
-func (hear *hearing) silent(now time.Time, m *machine) bool {
-	return hear.silence(now, m) > hear.periods(constants.SilentPeriods)
+func (l *liveness) isUnreachable(now time.Time, m *machine) bool {
+	return l.sinceHeartbeat(now, m) > l.periods(constants.SilentPeriods)
 }
 
 // reportedSinceUnconfirmed says that an unconfirmed machine has reported since, here or to another
@@ -51,17 +51,17 @@
 	return m.lastHeartbeat.After(m.unconfirmedSince) || m.misroutedAt.After(m.unconfirmedSince)
 }
 
-// rest begins all silences anew: the owner stood still, or its machines were out
+// resetLiveness begins all silences anew: the owner stood still, or its machines were out
 // of reach all together and come back one after the other.
-func (v *fleetView) rest(now time.Time) {
-	v.rested = now
+func (v *fleetView) resetLiveness(now time.Time) {
+	v.livenessResetAt = now
 	for _, m := range v.fleet {
 		m.unansweredCommands, m.unansweredUnconfirmed = 0, 0
 	}
 }
 
-// lapse forgets what was on machines whose lease has surely ended.
-func (c *Core) lapse(now time.Time) {
+// expireLeases forgets what was on machines whose lease has surely ended.
+func (c *Core) expireLeases(now time.Time) {
 	for _, m := range c.fleet {
 		if m.leaseExpiresAt.IsZero() || now.Before(m.leaseExpiresAt) {
 			continue
@@ -80,6 +80,6 @@
 		m.up = false
 		m.leaseExpiresAt = time.Time{}
 		c.needsPlacement = true
-		c.checkRebuilt(now)
+		c.finishRebuild(now)
 	}
 }
--- a/shard/machine.go
+++ b/shard/machine.go
@@ -39,7 +39,7 @@
 	requestedAt      time.Time
 	idleSince        time.Time
 	scalingIn        bool
-	closure          closing
+	closure          machineClosure
 	cordon           *cordon // it takes no new task; nil: it may
 	drainNext        bool    // a drain that runs takes it in: what comes here would move once more
 	consolidating    bool    // its tasks move elsewhere; it takes new ones last
--- a/shard/machineselection.go
+++ b/shard/machineselection.go
@@ -10,7 +10,7 @@
 // isSchedulable says whether new tasks may go to a machine now.
 func (v *fleetView) isSchedulable(now time.Time, m *machine) bool {
 	return m.hasSeenTerm(v.term) && m.durable && m.durableAddr == m.addr && m.typ != nil && !m.isUnconfirmed() &&
-		!m.scalingIn && m.cordon == nil && m.reclaimAt.IsZero() && !v.silent(now, m) && !now.Before(m.avoidUntil)
+		!m.scalingIn && m.cordon == nil && m.reclaimAt.IsZero() && !v.isUnreachable(now, m) && !now.Before(m.avoidUntil)
 }
 
 // isEligible says whether a job's tasks may run on a kind of machine.
@@ -27,7 +27,7 @@
 		if !v.isSchedulable(now, m) {
 			continue
 		}
-		if free := v.freeResources(m); free.cpus > slack && free.mem > slack {
+		if free := v.freeResources(m); free.cpus > roundingSlack && free.memory > roundingSlack {
 			list = append(list, m)
 		}
 	}
--- a/shard/migration.go
+++ b/shard/migration.go
@@ -17,7 +17,7 @@
 			c.draining.waitReasons[number] = m.name + ": " + why
 		}
 	}
-	if m.isUnconfirmed() || c.silent(now, m) {
+	if m.isUnconfirmed() || c.isUnreachable(now, m) {
 		wait("the machine does not answer")
 		return
 	}
@@ -55,7 +55,7 @@
 }
 
 // evict has an attempt stopped; its task starts again where there is room.
-func (q *outgoing) evict(a *attempt) {
+func (q *outbox) evict(a *attempt) {
 	a.stopRequested = true
 	a.machine.usageStale = true
 	q.requestCommand(a.machine)
@@ -89,8 +89,8 @@
 	}
 	slog.Info("draining: task moves", "task", t.attempt.key.task, "from", t.attempt.machine.name, "room_on", to.name, "drain", number)
 	c.evict(t.attempt)
-	d.migrations[t] = &migration{drain: number, target: to, needs: need(s), startedAt: now}
-	d.reservedCapacity[to] = d.reservedCapacity[to].plus(need(s))
+	d.migrations[t] = &migration{drain: number, target: to, needs: taskResources(s), startedAt: now}
+	d.reservedCapacity[to] = d.reservedCapacity[to].plus(taskResources(s))
 	return ""
 }
 
@@ -117,7 +117,7 @@
 func (c *scaleOutState) migrationTarget(v *fleetView, now time.Time, s *wire.Submission, promised map[*machine]resources) *machine {
 	_, _, rentable := c.cheapestMachineKind(v, now, s)
 	return v.bestFit(now, s, func(m *machine) bool {
-		return !(rentable && m.drainNext) && need(s).fits(v.freeResources(m).minus(promised[m]))
+		return !(rentable && m.drainNext) && taskResources(s).fits(v.freeResources(m).minus(promised[m]))
 	})
 }
 
@@ -149,7 +149,7 @@
 			continue
 		}
 		if typ, spot, ok := c.cheapestMachineKind(&c.fleetView, now, s); ok {
-			c.planMachine(typ, spot, need(s), want)
+			c.planMachine(typ, spot, taskResources(s), want)
 		}
 	}
 }
--- a/shard/offload.go
+++ b/shard/offload.go
@@ -10,7 +10,7 @@
 
 // isImageWarmInOtherShard says whether a production task would wait for its image
 // here, and would not in another shard.
-func (f *figures) isImageWarmInOtherShard(v *fleetView, now time.Time, s *wire.Submission) bool {
+func (f *aggregates) isImageWarmInOtherShard(v *fleetView, now time.Time, s *wire.Submission) bool {
 	if s.Priority != wire.PriorityProduction || s.OneZone || s.Spread && s.Tasks > 1 || s.Zone != "" {
 		return false
 	}
@@ -19,8 +19,8 @@
 			return false
 		}
 	}
-	for _, o := range f.others {
-		if now.Sub(o.at) < constants.AggregateStaleAfter && o.agg.Warm[s.Image] >= s.CPUs {
+	for _, o := range f.otherShards {
+		if now.Sub(o.receivedAt) < constants.AggregateStaleAfter && o.aggregate.Warm[s.Image] >= s.CPUs {
 			return true
 		}
 	}
@@ -29,19 +29,19 @@
 
 // otherShardsFitOneMore says whether another shard is known to have room for one more of a
 // job's tasks, after so many.
-func (f *figures) otherShardsFitOneMore(now time.Time, rec *records.Job, after int) bool {
+func (f *aggregates) otherShardsFitOneMore(now time.Time, rec *records.Job, after int) bool {
 	// Others see the same room.
-	return f.taskSlotsInOtherShards(now, rec) > (after+1)*max(1, len(f.others))
+	return f.taskSlotsInOtherShards(now, rec) > (after+1)*max(1, len(f.otherShards))
 }
 
 // taskSlotsInOtherShards is for how many more of a job's tasks other shards are known to have
 // room.
-func (f *figures) taskSlotsInOtherShards(now time.Time, rec *records.Job) int {
+func (f *aggregates) taskSlotsInOtherShards(now time.Time, rec *records.Job) int {
 	s := &rec.Spec
 	n := 0
-	for _, o := range f.others {
-		if now.Sub(o.at) < constants.AggregateStaleAfter && (s.Zone == "" || s.Zone == o.agg.Shard) {
-			n += o.agg.EstimateTasks(s)
+	for _, o := range f.otherShards {
+		if now.Sub(o.receivedAt) < constants.AggregateStaleAfter && (s.Zone == "" || s.Zone == o.aggregate.Shard) {
+			n += o.aggregate.EstimateTasks(s)
 		}
 	}
 	// spread may leave no place for it outside this shard, whatever the room.
@@ -53,9 +53,9 @@
 
 // spreadSlotsInOtherShards is how many more tasks of a job may be in the other shards,
 // beside those there: at most half of all in each.
-func (f *figures) spreadSlotsInOtherShards(rec *records.Job) int {
+func (f *aggregates) spreadSlotsInOtherShards(rec *records.Job) int {
 	n := 0
-	for name := range f.others {
+	for name := range f.otherShards {
 		left := (rec.Spec.Tasks + 1) / 2
 		for _, ch := range rec.Assignments {
 			if ch.Shard == name && !ch.Closed {
@@ -72,7 +72,7 @@
 func (c *Core) offloadTask(j *job, t *task) {
 	if !j.recordPending() && !c.hasLiveAttempt(j.rec.ID, t.index) {
 		t.sendingBack = true
-		c.touch(j)
-		c.check(j)
+		c.markWaitingStale(j)
+		c.queueForClose(j)
 	}
 }
--- a/shard/partition_test.go
+++ b/shard/partition_test.go
@@ -28,7 +28,7 @@
 	for _, machines := range []int{2, 3} {
 		r := newRig(nil)
 		if machines > 2 {
-			r.cfg.IdleSpot, r.cfg.IdleOnDemand = 12*time.Second, 12*time.Second
+			r.cfg.SpotIdleTimeout, r.cfg.OnDemandIdleTimeout = 12*time.Second, 12*time.Second
 		}
 		for i := range machines {
 			r.up(fmt.Sprintf("m-%d", i))
@@ -36,7 +36,7 @@
 		if gone := r.reportElsewhere(16 * time.Second); len(gone) > 0 {
 			t.Errorf("of %d machines that report to others %v were returned", machines, gone)
 		}
-		if silent, elsewhere := r.CutOff(r.now); !silent || !elsewhere {
+		if silent, elsewhere := r.IsIsolated(r.now); !silent || !elsewhere {
 			t.Errorf("with %d machines the owner does not see that it is cut off", machines)
 		}
 	}
--- a/shard/pendingcapacity.go
+++ b/shard/pendingcapacity.go
@@ -38,8 +38,8 @@
 }
 
 // isPendingMachine says whether a machine that has not come up yet is still counted on.
-func (hear *hearing) isPendingMachine(now time.Time, m *machine) bool {
-	return !m.up && !m.inherited && !hear.isUnreachable && !m.scalingIn && m.typ != nil && m.bootAge(now) < constants.PendingBootTimes
+func (l *liveness) isPendingMachine(now time.Time, m *machine) bool {
+	return !m.up && !m.inherited && !l.partitioned && !m.scalingIn && m.typ != nil && m.bootAge(now) < constants.PendingBootTimes
 }
 
 // listPendingMachines lists the room of machines that are not up yet or may not take
@@ -49,14 +49,14 @@
 	for _, m := range v.fleet {
 		if v.isPendingMachine(now, m) {
 			out = append(out, pendingMachine{m.capacity, m.typeName, m.spot})
-		} else if m.up && (!m.hasSeenTerm(v.term) || !m.durable || m.durableAddr != m.addr) && !m.scalingIn && m.typ != nil && !v.silent(now, m) {
+		} else if m.up && (!m.hasSeenTerm(v.term) || !m.durable || m.durableAddr != m.addr) && !m.scalingIn && m.typ != nil && !v.isUnreachable(now, m) {
 			out = append(out, pendingMachine{v.freeResources(m), m.typeName, m.spot})
 		}
 	}
 	for _, r := range c.pendingScaleOuts {
 		if t := v.types[r.request.Type]; t != nil {
 			for range r.request.Count {
-				out = append(out, pendingMachine{sizeOf(t), t.Name, r.request.Spot})
+				out = append(out, pendingMachine{machineResources(t), t.Name, r.request.Spot})
 			}
 		}
 	}
@@ -69,14 +69,14 @@
 	s := &j.rec.Spec
 	tasks := c.appendReadyTasks(c.taskBuffer[:0], now, j)
 	c.taskBuffer = tasks
-	c.unplacedDemand = c.unplacedDemand.plus(need(s).times(len(tasks)))
+	c.unplacedDemand = c.unplacedDemand.plus(taskResources(s).times(len(tasks)))
 	return tasks[c.takePendingCapacity(s, len(tasks)):]
 }
 
 // takePendingCapacity gives so many tasks of a job room that is coming, spot room first since
 // ordinary room is all that some may use, and returns how many it takes.
 func (c *scaleOutState) takePendingCapacity(s *wire.Submission, tasks int) int {
-	n := need(s)
+	n := taskResources(s)
 	left := tasks
 	for _, spot := range []bool{true, false} {
 		for i := range c.pendingCapacity {
@@ -98,6 +98,6 @@
 // coming, which is returned.
 func (c *scaleOutState) planMachine(typ *wire.MachineType, spot bool, taken resources, want map[machineKind]int) *pendingMachine {
 	want[machineKind{typ.Name, spot}]++
-	c.pendingCapacity = append(c.pendingCapacity, pendingMachine{sizeOf(typ).minus(taken), typ.Name, spot})
+	c.pendingCapacity = append(c.pendingCapacity, pendingMachine{machineResources(typ).minus(taken), typ.Name, spot})
 	return &c.pendingCapacity[len(c.pendingCapacity)-1]
 }
--- a/shard/pendingcommands.go
+++ b/shard/pendingcommands.go
@@ -6,9 +6,9 @@
 	"ravenport/wire"
 )
 
-// orders lists what a machine should do: stops, then forgets, then starts, so
+// pendingCommands lists what a machine should do: stops, then forgets, then starts, so
 // that room is free when a start needs it.
-func (v *fleetView) orders(now time.Time, m *machine, beat bool) []wire.Command {
+func (v *fleetView) pendingCommands(now time.Time, m *machine, beat bool) []wire.Command {
 	out := []wire.Command{}
 	var starts []wire.Command
 	for _, a := range m.attempts {
@@ -21,7 +21,7 @@
 			// A saving task is left to finish unless its time is up.
 			// A gang's tasks save together, and show it only by their exits: until
 			// their time is up they are told the same again, should they have missed it.
-			together := v.together(a)
+			together := v.gangSaveTime(a)
 			if a.state == wire.TaskSaving && now.Sub(a.stopSentAt) < v.stopGrace(a)+together {
 				continue
 			}
@@ -38,7 +38,7 @@
 				a.startSentSeq = m.seq
 			} else {
 				a.sentDirectly = true
-				a.maxDirectToken = max(a.maxDirectToken, v.token(m))
+				a.maxDirectToken = max(a.maxDirectToken, v.fencingToken(m))
 			}
 			a.startSentAt = now
 			starts = append(starts, wire.Command{Op: wire.OpStart, Task: a.key.task, Attempt: a.key.number})
@@ -58,13 +58,13 @@
 	return time.Duration((t.job.rec.Spec.SaveS + 0.5) * float64(time.Second))
 }
 
-// together is how much longer an attempt takes to save because a gang's tasks
+// gangSaveTime is how much longer an attempt takes to save because a gang's tasks
 // wait for each other.
-func (v *fleetView) together(a *attempt) time.Duration {
+func (v *fleetView) gangSaveTime(a *attempt) time.Duration {
 	if j := v.jobs[a.jobID]; j == nil || j.gang == nil || a.stopsInstantly || j.rec.End != "" {
 		return 0
 	}
-	return v.cfg.GangPeer
+	return v.cfg.GangPeerTimeout
 }
 
 // canForget says whether an exited attempt may be forgotten by its machine.
--- a/shard/placement.go
+++ b/shard/placement.go
@@ -12,11 +12,11 @@
 
 // rankWaitingJobs lists the jobs with waiting tasks in their order, each with its place.
 func (p *placement) rankWaitingJobs(v *fleetView, now time.Time) []*job {
-	p.refresh(v)
+	p.refreshWaiting(v)
 	q := make([]*job, 0, len(p.waiting))
 	for j := range p.waiting {
 		q = append(q, j)
-		j.rank = v.cfg.Order.Rank(now, j.rec, leader.JobProgress{WithinGuarantee: j.waiting[0].withinGuarantee, Started: j.begun})
+		j.rank = v.cfg.JobOrder.Rank(now, j.rec, leader.JobProgress{WithinGuarantee: j.waiting[0].withinGuarantee, Started: j.begun})
 	}
 	slices.SortFunc(q, func(a, b *job) int { return a.rank.Compare(b.rank) })
 	return q
@@ -59,7 +59,7 @@
 		return
 	}
 	s := &j.rec.Spec
-	n := need(s)
+	n := taskResources(s)
 	d := demandClassOf(s)
 	overdue := leader.IsOverdue(now, j.rec, j.begun)
 	full := r.known(r.unplaceable, d, n)
@@ -129,15 +129,15 @@
 	if c.needsPlacement {
 		return false
 	}
-	c.refresh(&c.fleetView)
+	c.refreshWaiting(&c.fleetView)
 	free := c.freeResources(m)
 	looked := 0
 	for _, j := range c.lastQueue {
-		if free.cpus < slack || looked >= constants.MaxJobsPerFill {
+		if free.cpus < roundingSlack || looked >= constants.MaxJobsPerFill {
 			break
 		}
 		s := &j.rec.Spec
-		n := need(s)
+		n := taskResources(s)
 		if j.gang != nil || m.reservedForGangs && !s.IsService() || m.reservedFor != nil && m.reservedFor != j || len(j.waiting) == 0 || !n.fits(free) || !isEligible(s, m.typeName, m.spot) || c.jobs[s.ID] != j || j.rec.End != "" {
 			continue
 		}
@@ -156,7 +156,7 @@
 
 // startTask decides an attempt of its own.
 func (c *Core) startTask(now time.Time, t *task, m *machine) {
-	c.startAttempt(now, t, m, c.numbers.attempt())
+	c.startAttempt(now, t, m, c.counters.nextAttempt())
 }
 
 // startAttempt decides an attempt. From here on the task counts as maybe there.
@@ -170,6 +170,6 @@
 	m.idleSince = time.Time{}
 	c.requestCommand(m)
 	t.attempt = a
-	c.touch(t.job)
-	c.pushDirty = true
+	c.markWaitingStale(t.job)
+	c.aggregateChanged = true
 }
--- a/shard/preempt.go
+++ b/shard/preempt.go
@@ -50,7 +50,7 @@
 // image. It returns nil where none can be made.
 func (v *fleetView) preempt(now time.Time, preemptor *task, warm bool, r *placementRound) *machine {
 	s := &preemptor.job.rec.Spec
-	n := need(s)
+	n := taskResources(s)
 	d := demandClassOf(s)
 	d.priorityLevel = wire.PriorityLevel(s.Priority)
 	if preemptor.withinGuarantee {
@@ -147,18 +147,18 @@
 	whole := time.Duration(rec.Spec.EstimateS * float64(time.Second))
 	age := time.Duration(now.UnixMilli()-rec.AcceptedMS) * time.Millisecond
 	left := max(whole-now.Sub(began), constants.MinRemainingRuntime)
-	return v.cfg.Order.ObjectivesMet(rec.Spec.Class, age+left) > v.cfg.Order.ObjectivesMet(rec.Spec.Class, age+whole)
+	return v.cfg.JobOrder.ObjectivesMet(rec.Spec.Class, age+left) > v.cfg.JobOrder.ObjectivesMet(rec.Spec.Class, age+whole)
 }
 
 // preemptWithCheckpoint makes room for a task where only work that can save stands in its
 // way: that is stopped with time to save, and the task starts once it is gone.
 // It returns for how many such tasks room will be there.
-func (q *outgoing) preemptWithCheckpoint(v *fleetView, now time.Time, preemptor *task, r *placementRound) int {
+func (q *outbox) preemptWithCheckpoint(v *fleetView, now time.Time, preemptor *task, r *placementRound) int {
 	if !r.hasCheckpointing || now.Before(preemptor.roomExpectedUntil) {
 		return 0
 	}
 	s := &preemptor.job.rec.Spec
-	n := need(s)
+	n := taskResources(s)
 	var best []*attempt
 	bestCost := math.Inf(1)
 	for _, m := range v.fleet {
@@ -186,7 +186,7 @@
 	wait := time.Duration(0)
 	var freed resources
 	for _, a := range best {
-		wait = max(wait, v.stopGrace(a)+v.together(a))
+		wait = max(wait, v.stopGrace(a)+v.gangSaveTime(a))
 		if t := v.taskOf(a); t.job.gang != nil {
 			if !a.stopRequested {
 				q.stopGangWithCheckpoint(t.job, "makes room")
--- a/shard/reconcile.go
+++ b/shard/reconcile.go
@@ -8,9 +8,9 @@
 	"ravenport/wire"
 )
 
-// absorb takes in a report's task list. beat tells an own report of the
+// reconcile takes in a report's task list. beat tells an own report of the
 // worker from the answer to a direct command.
-func (c *Core) absorb(now time.Time, m *machine, r *wire.Heartbeat, beat bool) {
+func (c *Core) reconcile(now time.Time, m *machine, r *wire.Heartbeat, beat bool) {
 	if r.Epoch > m.epoch {
 		// The earlier session's end killed and forgot everything.
 		c.releaseAttempts(now, m)
@@ -19,7 +19,7 @@
 		m.repliesSinceToken = 0
 		// A session has a lease of its own from its first moment on, also when
 		// the owner hears of it by a direct command's answer.
-		m.leaseExpiresAt = c.leaseEnd(now, m)
+		m.leaseExpiresAt = c.leaseExpiry(now, m)
 	}
 	// Who is answered stays, and its next report is the next in number.
 	m.skippedSeq = beat && m.answeredSeq != 0 && r.Epoch == m.lastHeartbeatEpoch && r.Seq > m.answeredSeq+1
@@ -44,7 +44,7 @@
 	c.reconcileCount++
 	c.attemptEnded, m.needsHigherToken = false, false
 	for i := range r.Tasks {
-		c.absorbTask(now, m, &r.Tasks[i])
+		c.reconcileTask(now, m, &r.Tasks[i])
 	}
 	for i := len(m.attempts) - 1; i >= 0; i-- {
 		a := m.attempts[i]
@@ -72,12 +72,12 @@
 		m.idleSince = now
 	}
 	if !c.rebuilt {
-		c.checkRebuilt(now)
+		c.finishRebuild(now)
 	}
 }
 
-// absorbTask takes in one task of a report.
-func (c *Core) absorbTask(now time.Time, m *machine, ts *wire.TaskStatus) {
+// reconcileTask takes in one task of a report.
+func (c *Core) reconcileTask(now time.Time, m *machine, ts *wire.TaskStatus) {
 	a := m.findAttempt(attemptKey{ts.Task, ts.Attempt})
 	if a == nil {
 		jobID, index, ok := wire.SplitTask(ts.Task)
@@ -126,12 +126,12 @@
 			slog.Debug("task ended", "task", ts.Task, "cause", a.cause, "machine", m.name, "ran_s", now.Sub(a.runningSince).Seconds(), "estimate_s", j.rec.Spec.EstimateS)
 		}
 	}
-	c.pushDirty = true
+	c.aggregateChanged = true
 	c.attemptEnded = c.attemptEnded || a.hasExited()
 	t := c.taskOf(a)
 	if t == nil {
 		if j := c.jobs[a.jobID]; j != nil && a.hasExited() {
-			c.check(j)
+			c.queueForClose(j)
 		}
 		return
 	}
@@ -144,9 +144,9 @@
 	c.matchAttempt(t, a)
 }
 
-// checkRebuilt ends the rebuild once every inherited machine has shown all
+// finishRebuild ends the rebuild once every inherited machine has shown all
 // that is on it or has surely lost it.
-func (c *Core) checkRebuilt(now time.Time) {
+func (c *Core) finishRebuild(now time.Time) {
 	if c.rebuilt {
 		return
 	}
@@ -160,9 +160,9 @@
 		for _, t := range j.tasks {
 			t.uncertain = false
 		}
-		c.touch(j)
-		c.check(j)
+		c.markWaitingStale(j)
+		c.queueForClose(j)
 	}
 	c.needsPlacement = true
-	slog.Info("shard rebuilt", "shard", c.cfg.Shard, "term", c.term, "after_ms", now.Sub(c.claimed).Milliseconds(), "machines", len(c.machines))
+	slog.Info("shard rebuilt", "shard", c.cfg.Shard, "term", c.term, "after_ms", now.Sub(c.acquiredAt).Milliseconds(), "machines", len(c.machines))
 }
--- a/shard/reservation.go
+++ b/shard/reservation.go
@@ -15,7 +15,7 @@
 		return // hundreds of jobs may be waiting after a shard has lost all
 	}
 	s := &j.rec.Spec
-	n := need(s)
+	n := taskResources(s)
 	var best *machine
 	var most float64
 	kept := 0
--- a/shard/resources.go
+++ b/shard/resources.go
@@ -7,39 +7,39 @@
 )
 
 // resources is an amount of what tasks take of machines.
-type resources struct{ cpus, gpus, mem float64 }
+type resources struct{ cpus, gpus, memory float64 }
 
 func (r resources) plus(o resources) resources {
-	return resources{r.cpus + o.cpus, r.gpus + o.gpus, r.mem + o.mem}
+	return resources{r.cpus + o.cpus, r.gpus + o.gpus, r.memory + o.memory}
 }
 
 func (r resources) minus(o resources) resources {
-	return resources{r.cpus - o.cpus, r.gpus - o.gpus, r.mem - o.mem}
+	return resources{r.cpus - o.cpus, r.gpus - o.gpus, r.memory - o.memory}
 }
 
 // times is the amount n tasks take.
 func (r resources) times(n int) resources {
-	return resources{r.cpus * float64(n), r.gpus * float64(n), r.mem * float64(n)}
+	return resources{r.cpus * float64(n), r.gpus * float64(n), r.memory * float64(n)}
 }
 
-// slack forgives rounding in sums of decimal amounts.
-const slack = 1e-6
+// roundingSlack forgives rounding in sums of decimal amounts.
+const roundingSlack = 1e-6
 
 func (r resources) fits(in resources) bool {
-	return r.cpus <= in.cpus+slack && r.gpus <= in.gpus+slack && r.mem <= in.mem+slack
+	return r.cpus <= in.cpus+roundingSlack && r.gpus <= in.gpus+roundingSlack && r.memory <= in.memory+roundingSlack
 }
 
-// sizeOf is what a machine of a type has.
-func sizeOf(t *wire.MachineType) resources { return resources{t.CPUs, t.GPUs, t.MemoryGB} }
+// machineResources is what a machine of a type has.
+func machineResources(t *wire.MachineType) resources { return resources{t.CPUs, t.GPUs, t.MemoryGB} }
 
-func need(s *wire.Submission) resources { return resources{s.CPUs, s.GPUs, s.MemoryGB} }
+func taskResources(s *wire.Submission) resources { return resources{s.CPUs, s.GPUs, s.MemoryGB} }
 
 // holdsOf is how many tasks of a size a room takes.
 func (r resources) holdsOf(n resources) int {
 	k := math.MaxInt32
-	for _, x := range [][2]float64{{n.cpus, r.cpus}, {n.gpus, r.gpus}, {n.mem, r.mem}} {
+	for _, x := range [][2]float64{{n.cpus, r.cpus}, {n.gpus, r.gpus}, {n.memory, r.memory}} {
 		if x[0] > 0 {
-			k = min(k, int((x[1]+slack)/x[0]))
+			k = min(k, int((x[1]+roundingSlack)/x[0]))
 		}
 	}
 	return max(k, 0)
--- a/shard/scale_test.go
+++ b/shard/scale_test.go
@@ -182,7 +182,7 @@
 				back++
 			}
 		}
-		if back == 130 && r.now.Sub(r.claimed) > constants.TakeoverAsk+2*time.Second && step < 300 && returned == 0 && r.rebuilt {
+		if back == 130 && r.now.Sub(r.acquiredAt) > constants.TakeoverAsk+2*time.Second && step < 300 && returned == 0 && r.rebuilt {
 			t.Fatal("rebuilt while silent machines may run its tasks")
 		}
 	}
@@ -246,7 +246,7 @@
 				}
 			}
 		}
-		if r.now.Sub(r.claimed) < 8*time.Second && returned["m-0"] {
+		if r.now.Sub(r.acquiredAt) < 8*time.Second && returned["m-0"] {
 			t.Fatal("given up at once")
 		}
 	}
@@ -336,7 +336,7 @@
 	if got := play(8*time.Second, func(int) bool { return false }); len(got) != 0 {
 		t.Fatalf("returned %d machines to an owner that hears nobody", len(got))
 	}
-	if silent, misroutedReports := r.CutOff(r.now); !silent || misroutedReports {
+	if silent, misroutedReports := r.IsIsolated(r.now); !silent || misroutedReports {
 		t.Fatalf("silent %v, misrouted reports %v", silent, misroutedReports)
 	}
 	var seen []MisroutedHeartbeat
@@ -344,7 +344,7 @@
 		seen = append(seen, MisroutedHeartbeat{fmt.Sprintf("m-%05d", 60+i), 1, 900})
 	}
 	r.ApplyMisroutedHeartbeats(r.now, seen, true)
-	if silent, misroutedReports := r.CutOff(r.now); !silent || !misroutedReports {
+	if silent, misroutedReports := r.IsIsolated(r.now); !silent || !misroutedReports {
 		t.Fatalf("silent %v, misrouted reports %v: the owner does not see that it is cut off", silent, misroutedReports)
 	}
 }
@@ -385,7 +385,7 @@
 	for range int(time.Second / constants.OwnerTick) {
 		r.now = r.now.Add(constants.OwnerTick)
 		actions += len(r.Step(r.now))
-		r.CutOff(r.now)
+		r.IsIsolated(r.now)
 	}
 	for _, m := range r.machines { // heard meanwhile
 		m.lastHeartbeat, m.leaseExpiresAt = r.now, r.now.Add(leaseEnd)
@@ -403,7 +403,7 @@
 			r.now = r.now.Add(constants.OwnerGap)
 			r.Step(r.now)
 			if i%int(constants.SlowStep/constants.OwnerGap) == 0 {
-				r.CutOff(r.now)
+				r.IsIsolated(r.now)
 			}
 		}
 		for _, m := range r.machines {
--- a/shard/scalein_test.go
+++ b/shard/scalein_test.go
@@ -50,7 +50,7 @@
 // out, however often that fails, and takes nothing from the decision on.
 func TestMachineIsClosedBeforeItsReturn(t *testing.T) {
 	r := newRig(nil)
-	r.cfg.CloseFirst, r.cfg.IdleSpot, r.cfg.IdleOnDemand = true, 10*time.Second, 10*time.Second
+	r.cfg.CloseBeforeScaleIn, r.cfg.SpotIdleTimeout, r.cfg.OnDemandIdleTimeout = true, 10*time.Second, 10*time.Second
 	r.fleet(3)
 	closed, refused := 0, 0
 	for range 200 {
@@ -89,7 +89,7 @@
 func TestNextOwnerKeepsClosedMachinesClosed(t *testing.T) {
 	for _, closeFirst := range []bool{true, false} {
 		r := newRig(nil, records.Machine{Name: "m-1", Type: "box", Addr: "m-1", Terminating: true}, records.Machine{Name: "m-2", Type: "box", Addr: "m-2"})
-		r.cfg.CloseFirst = closeFirst
+		r.cfg.CloseBeforeScaleIn = closeFirst
 		r.submit(array("run-1", 16, "a"))
 		var asked []string
 		for i := range 40 {
--- a/shard/scaleout.go
+++ b/shard/scaleout.go
@@ -77,7 +77,7 @@
 // scaleOutForJob rents for a job's tasks that nothing coming takes, or sends them back.
 func (c *Core) scaleOutForJob(now time.Time, j *job, tasks []*task, r *scaleOutRound) {
 	s := &j.rec.Spec
-	n := need(s)
+	n := taskResources(s)
 	typ, spot, ok := c.cheapestMachineKind(&c.fleetView, now, s)
 	away := 0
 	back := now.Sub(j.sentBackAt) > constants.OffloadWait // together, and not over and over
@@ -120,7 +120,7 @@
 	for _, n := range want {
 		total += n
 	}
-	if total == 0 || total < wire.MaxScaleOut/2 && now.Sub(c.scaleOutRequestedAt) < c.cfg.CloudGap {
+	if total == 0 || total < wire.MaxScaleOut/2 && now.Sub(c.scaleOutRequestedAt) < c.cfg.CloudCallInterval {
 		return
 	}
 	c.scaleOutRequestedAt = now
@@ -149,7 +149,7 @@
 // class's objective: renting for it would only cost.
 func (c *scaleOutState) backlogClearsInTime(v *fleetView, now time.Time, j *job, t *task) bool {
 	s := &j.rec.Spec
-	within := v.cfg.Order.FinishObjective(s.Class)
+	within := v.cfg.JobOrder.FinishObjective(s.Class)
 	boot := v.maxBootSeconds()
 	// Estimates may be far too low: what has waited in vain is rented for.
 	if s.IsService() || within == 0 || t.withinGuarantee || now.Sub(t.waitingSince).Seconds() > boot*constants.BacklogWaitBootTimes {
@@ -191,7 +191,7 @@
 // canScaleOut says whether the shard may get more machines of a kind: the cloud had
 // some a moment ago, and they would not be out of reach like all others.
 func (c *scaleOutState) canScaleOut(v *fleetView, now time.Time, spot bool) bool {
-	return !v.isUnreachable && !now.Before(c.refusedUntil[spot])
+	return !v.partitioned && !now.Before(c.refusedUntil[spot])
 }
 
 // cheapestMachineKind chooses the cheapest kind of machine for a task that can be had.
@@ -199,7 +199,7 @@
 	var best *wire.MachineType
 	bestSpot, bestPrice := false, math.Inf(1)
 	for _, t := range v.types {
-		if !need(s).fits(sizeOf(t)) || !isEligible(s, t.Name, false) || !slices.Contains(t.Zones, v.cfg.Shard) {
+		if !taskResources(s).fits(machineResources(t)) || !isEligible(s, t.Name, false) || !slices.Contains(t.Zones, v.cfg.Shard) {
 			continue
 		}
 		for _, spot := range []bool{false, true} {
@@ -237,7 +237,7 @@
 			m.typeName, m.spot, m.requestedAt = r.request.Type, r.request.Spot, r.requestedAt
 			c.resolveType(m)
 		}
-		c.enrol(m)
+		c.enroll(m)
 	}
-	c.needsPlacement, c.pushDirty = true, true
+	c.needsPlacement, c.aggregateChanged = true, true
 }
--- a/shard/scaleoutgang.go
+++ b/shard/scaleoutgang.go
@@ -13,7 +13,7 @@
 // coming, or gives it back where another shard is known to have room.
 func (c *Core) scaleOutForGang(now time.Time, j *job, want map[machineKind]int) {
 	s := &j.rec.Spec
-	n := need(s)
+	n := taskResources(s)
 	g := j.gang
 	if g.done || g.attempt != 0 && !g.failed {
 		return // under way; a replacement needs no machine of its own
@@ -29,7 +29,7 @@
 		}
 	}
 	// Free room counts as well: it is what the gang's places will be made of.
-	if !c.isUnreachable {
+	if !c.partitioned {
 		for _, m := range c.fleet {
 			if left > 0 && m.reservedForGangs && isEligible(s, m.typeName, m.spot) && c.isSchedulable(now, m) {
 				left -= min(left, c.freeResources(m).holdsOf(n))
@@ -51,7 +51,7 @@
 		return
 	}
 	for ok && left > 0 {
-		size := sizeOf(typ)
+		size := machineResources(typ)
 		k := min(left, max(1, size.holdsOf(n)))
 		c.planMachine(typ, spot, n.times(k), want)
 		left -= k
@@ -60,9 +60,9 @@
 }
 
 // otherShardFitsGang says whether another shard is known to take all of a gang now.
-func (f *figures) otherShardFitsGang(now time.Time, s *wire.Submission) bool {
-	for _, o := range f.others {
-		if now.Sub(o.at) < constants.AggregateStaleAfter && (s.Zone == "" || s.Zone == o.agg.Shard) && o.agg.Gangs[leader.GangShape(s)].Now >= s.Tasks {
+func (f *aggregates) otherShardFitsGang(now time.Time, s *wire.Submission) bool {
+	for _, o := range f.otherShards {
+		if now.Sub(o.receivedAt) < constants.AggregateStaleAfter && (s.Zone == "" || s.Zone == o.aggregate.Shard) && o.aggregate.Gangs[leader.GangShape(s)].Now >= s.Tasks {
 			return true
 		}
 	}
--- a/shard/spotreclaim.go
+++ b/shard/spotreclaim.go
@@ -10,7 +10,7 @@
 // evictFromNoticedMachines moves work off machines that the cloud is about to take: what
 // can save is told to in time, services and arrays that will not be done start
 // again elsewhere while there is room.
-func (q *outgoing) evictFromNoticedMachines(v *fleetView, now time.Time) {
+func (q *outbox) evictFromNoticedMachines(v *fleetView, now time.Time) {
 	for _, m := range v.fleet {
 		if m.reclaimAt.IsZero() || m.scalingIn || !m.up {
 			continue
@@ -26,7 +26,7 @@
 			if t.job.gang != nil {
 				// It saves whole, at the last moment at which all can be told, or
 				// is left to end by itself.
-				if !a.stopsInstantly && left <= v.stopGrace(a)+v.cfg.GangPeer+constants.ReclaimMargin {
+				if !a.stopsInstantly && left <= v.stopGrace(a)+v.cfg.GangPeerTimeout+constants.ReclaimMargin {
 					q.stopGangWithCheckpoint(t.job, "a machine will be taken back")
 				}
 				continue
--- a/shard/state.go
+++ b/shard/state.go
@@ -32,7 +32,7 @@
 func (k *knownState) ensureMachine(name string) *machine {
 	m := k.machines[name]
 	if m == nil {
-		m = &machine{name: name, pageNumber: pageless, cachedImages: map[string]bool{}, usageStale: true}
+		m = &machine{name: name, pageNumber: noPage, cachedImages: map[string]bool{}, usageStale: true}
 		k.machines[name] = m
 		k.fleet = append(k.fleet, m)
 	}
@@ -42,7 +42,7 @@
 func (k *knownState) resolveType(m *machine) {
 	if t := k.types[m.typeName]; t != nil {
 		m.typ = t
-		m.capacity = sizeOf(t)
+		m.capacity = machineResources(t)
 	}
 }
 
@@ -58,9 +58,9 @@
 	c.needsPlacement = true
 }
 
-func (v *fleetView) removeMachine(q *outgoing, m *machine) {
+func (v *fleetView) removeMachine(q *outbox, m *machine) {
 	delete(v.machines, m.name)
-	q.landed(m)
+	q.directCommandDone(m)
 	m.commandWanted = false // its place in the queue goes with the next step
 	for i, o := range v.fleet {
 		if o == m {
--- a/shard/state_test.go
+++ b/shard/state_test.go
@@ -29,18 +29,18 @@
 // late and silent are so many report periods.
 func TestSilenceBeginsAnew(t *testing.T) {
 	start := time.Unix(1000, 0)
-	hear := hearing{period: 3 * time.Second}
+	hear := liveness{heartbeatPeriod: 3 * time.Second}
 	m := &machine{lastHeartbeat: start}
 	late := start.Add(hear.periods(constants.SilentPeriods) + time.Millisecond)
-	if !hear.silent(late, m) || !hear.overdueReport(late, m) || hear.silent(late.Add(-time.Millisecond), m) {
+	if !hear.isUnreachable(late, m) || !hear.isHeartbeatOverdue(late, m) || hear.isUnreachable(late.Add(-time.Millisecond), m) {
 		t.Error("the bound of silence is not where it should be")
 	}
-	hear.rested = late
-	if hear.silent(late, m) || hear.silence(late.Add(time.Second), m) != time.Second {
+	hear.livenessResetAt = late
+	if hear.isUnreachable(late, m) || hear.sinceHeartbeat(late.Add(time.Second), m) != time.Second {
 		t.Error("a silence goes on through the time in which nobody could be heard")
 	}
 	m.lastHeartbeat = late.Add(2 * time.Second)
-	if hear.silence(late.Add(3*time.Second), m) != time.Second {
+	if hear.sinceHeartbeat(late.Add(3*time.Second), m) != time.Second {
 		t.Error("a report since then does not count")
 	}
 }
@@ -49,7 +49,7 @@
 // that they do not hear.
 func TestFewMachinesAreNotTakenForDeaf(t *testing.T) {
 	now := time.Unix(1000, 0)
-	hear := hearing{period: 3 * time.Second, leaseLasts: 20 * time.Second, siblingsAt: now}
+	hear := liveness{heartbeatPeriod: 3 * time.Second, leaseDuration: 20 * time.Second, peersHeardAt: now}
 	doubted := &machine{unconfirmedSince: now.Add(-10 * time.Second)}
 	forLong := &machine{unconfirmedSince: now.Add(-21 * time.Second)}
 	for _, c := range []struct {
@@ -57,11 +57,11 @@
 		up, heard int
 		want      bool
 	}{{doubted, 1, 0, true}, {doubted, 2, 1, true}, {doubted, 2, 0, false}, {forLong, 2, 0, true}, {forLong, 3, 0, false}} {
-		if got := hear.deafOfFew(now, c.m, c.up, c.heard); got != c.want {
+		if got := hear.isNotReceivingOfFew(now, c.m, c.up, c.heard); got != c.want {
 			t.Errorf("of %d up, %d heard: deaf %v, not %v", c.up, c.heard, got, c.want)
 		}
 	}
-	if hear.siblingsAt = now.Add(-time.Hour); hear.deafOfFew(now, forLong, 2, 1) {
+	if hear.peersHeardAt = now.Add(-time.Hour); hear.isNotReceivingOfFew(now, forLong, 2, 1) {
 		t.Error("deaf though the other controllers were not heard from")
 	}
 }
@@ -70,22 +70,22 @@
 // lost its authority, may not act.
 func TestOwnershipEnds(t *testing.T) {
 	now := time.Unix(1000, 0)
-	o := ownership{term: 5, numbers: newNumbers(5), cfg: Config{Shard: "a", LeaseExtension: 4 * time.Second}}
+	o := ownership{term: 5, counters: newTermCounters(5), cfg: Config{Shard: "a", LeaseExtension: 4 * time.Second}}
 	o.SetAuthority(now.Add(time.Second))
 	m := &machine{up: true}
-	first := o.token(m)
+	first := o.fencingToken(m)
 	o.requestConfirmation(now, m)
-	if !o.may(now) || first>>constants.EpochBits != 5 || o.token(m) != first+1 || !m.isUnconfirmed() {
-		t.Errorf("an owner in its term: may act %v, tokens %d and %d", o.may(now), first, o.token(m))
+	if !o.mayAct(now) || first>>constants.EpochBits != 5 || o.fencingToken(m) != first+1 || !m.isUnconfirmed() {
+		t.Errorf("an owner in its term: may act %v, tokens %d and %d", o.mayAct(now), first, o.fencingToken(m))
 	}
-	if o.may(now.Add(time.Second)) || !o.extendsLeases(now.Add(2*time.Second)) || o.extendsLeases(now.Add(6*time.Second)) {
+	if o.mayAct(now.Add(time.Second)) || !o.mayExtendLeases(now.Add(2*time.Second)) || o.mayExtendLeases(now.Add(6*time.Second)) {
 		t.Error("its authority, or the extension of leases, does not end in time")
 	}
-	o.outranked(&wire.Heartbeat{FencingToken: first})
-	if !o.may(now) {
+	o.observeToken(&wire.Heartbeat{FencingToken: first})
+	if !o.mayAct(now) {
 		t.Error("its own token ends it")
 	}
-	if o.outranked(&wire.Heartbeat{FencingToken: 6 << constants.EpochBits}); o.may(now) {
+	if o.observeToken(&wire.Heartbeat{FencingToken: 6 << constants.EpochBits}); o.mayAct(now) {
 		t.Error("it goes on after a later term was seen")
 	}
 }
@@ -93,16 +93,16 @@
 // A machine waits once for a direct command, however often it is asked for; machines are
 // put on pages only as long as their entries fit.
 func TestQueuesAndPagesAreBounded(t *testing.T) {
-	var q outgoing
+	var q outbox
 	m := &machine{name: "m-1"}
 	q.requestCommand(m)
 	q.requestCommand(m)
 	if len(q.commandQueue) != 1 {
 		t.Errorf("it waits %d times", len(q.commandQueue))
 	}
-	b := pageBook{pages: map[int]*page{}, entriesMost: 2*entryBytes("m-1") + 1}
+	b := inventoryPages{pages: map[int]*page{}, maxPageBytes: 2*entryBytes("m-1") + 1}
 	for _, name := range []string{"m-1", "m-2", "m-3"} {
-		b.enrol(&machine{name: name, pageNumber: pageless})
+		b.enroll(&machine{name: name, pageNumber: noPage})
 	}
 	if len(b.pages) != 2 {
 		t.Errorf("three machines are on %d pages, of which each holds two", len(b.pages))
@@ -114,11 +114,11 @@
 	r := newRig(nil)
 	r.up("m-1")
 	for _, p := range r.pages {
-		p.sent = []records.Machine{{Name: "m-1"}}
+		p.inFlight = []records.Machine{{Name: "m-1"}}
 	}
-	before := r.entriesMost
-	if r.CommitInvalid("roster/"); r.entriesMost >= before {
-		t.Errorf("%d bytes a page, %d before it was refused", r.entriesMost, before)
+	before := r.maxPageBytes
+	if r.CommitInvalid("roster/"); r.maxPageBytes >= before {
+		t.Errorf("%d bytes a page, %d before it was refused", r.maxPageBytes, before)
 	}
 }
 
--- a/shard/summary.go
+++ b/shard/summary.go
@@ -8,22 +8,22 @@
 	Up               int     `json:"machines_up"`
 	Spot             int     `json:"machines_spot"`
 	Booting          int     `json:"machines_booting"`
-	Silent           int     `json:"machines_silent"`
+	Unreachable      int     `json:"machines_silent"`
 	Unconfirmed      int     `json:"machines_in_doubt"` // heard, but not known to hear
-	Draining         int     `json:"machines_draining"`
+	Consolidating    int     `json:"machines_draining"`
 	ScalingIn        int     `json:"machines_returning"`
 	ActiveAttempts   int     `json:"attempts"` // tasks that are, or may be, on machines
 	Waiting          int     `json:"tasks_waiting"`
 	WaitingCPUs      float64 `json:"waiting_cpus"`
 	RefusedSpot      bool    `json:"spot_refused"` // the cloud had none a moment ago
 	RefusedOnDemand  bool    `json:"ordinary_refused"`
-	Unreachable      bool    `json:"out_of_reach"` // all its machines together
+	Partitioned      bool    `json:"out_of_reach"` // all its machines together
 	ReservedForGangs float64 `json:"cpus_kept_for_gangs"`
 }
 
 // Summary counts what the owner knows.
 func (c *Core) Summary(now time.Time) Summary {
-	s := Summary{Rebuilt: c.rebuilt, WaitingCPUs: c.unplacedDemand.cpus, RefusedSpot: now.Before(c.refusedUntil[true]), RefusedOnDemand: now.Before(c.refusedUntil[false]), Unreachable: c.isUnreachable, ReservedForGangs: c.gangReserveCPUs}
+	s := Summary{Rebuilt: c.rebuilt, WaitingCPUs: c.unplacedDemand.cpus, RefusedSpot: now.Before(c.refusedUntil[true]), RefusedOnDemand: now.Before(c.refusedUntil[false]), Partitioned: c.partitioned, ReservedForGangs: c.gangReserveCPUs}
 	for _, m := range c.fleet {
 		switch {
 		case m.scalingIn:
@@ -35,19 +35,19 @@
 			if m.spot {
 				s.Spot++
 			}
-			if c.silent(now, m) {
-				s.Silent++
+			if c.isUnreachable(now, m) {
+				s.Unreachable++
 			}
 			if m.isUnconfirmed() {
 				s.Unconfirmed++
 			}
 			if m.consolidating {
-				s.Draining++
+				s.Consolidating++
 			}
 		}
 		s.ActiveAttempts += c.usageOf(m).active
 	}
-	c.refresh(&c.fleetView)
+	c.refreshWaiting(&c.fleetView)
 	for j := range c.waiting {
 		s.Waiting += len(j.waiting)
 	}
--- a/shard/termcounters_test.go
+++ b/shard/termcounters_test.go
@@ -16,7 +16,7 @@
 	const attempts = 2048
 	r := newRig(nil)
 	r.fleet(4)
-	r.LimitTermNumbers(attempts, 1<<constants.EpochBits)
+	r.LimitTermCounters(attempts, 1<<constants.EpochBits)
 	asked, started := 0, 0
 	for i := range 2 * attempts / 8 {
 		r.submit(array(fmt.Sprintf("run-%06d", i), 8, "a"))
@@ -32,15 +32,15 @@
 			}
 			r.Heartbeat(r.now, report(name, 1, uint64(10+i), r.shown(name), tasks...))
 		}
-		if r.TermNumbersLow() && asked == 0 {
+		if r.IsTermNearlyExhausted() && asked == 0 {
 			asked = started
 		}
 	}
 	if asked == 0 || started <= asked {
 		t.Errorf("a new term was asked for after %d of %d starts", asked, started)
 	}
-	if !r.numbers.out() {
-		t.Errorf("%d starts did not use the term up", r.numbers.attempts)
+	if !r.counters.isExhausted() {
+		t.Errorf("%d starts did not use the term up", r.counters.attempts)
 	}
 }
 
@@ -49,14 +49,14 @@
 	const epochs = 512
 	r := newRig(nil)
 	r.fleet(1)
-	r.LimitTermNumbers(1<<constants.AttemptBits, epochs)
+	r.LimitTermCounters(1<<constants.AttemptBits, epochs)
 	m := r.machines["m-00000"]
 	asked := uint64(0)
 	for range 2 * epochs {
-		if r.may(r.now) {
-			r.numbers.raise(m)
+		if r.mayAct(r.now) {
+			r.counters.raiseToken(m)
 		}
-		if r.TermNumbersLow() && asked == 0 {
+		if r.IsTermNearlyExhausted() && asked == 0 {
 			asked = m.tokenCount
 		}
 	}
--- a/shard/waiting.go
+++ b/shard/waiting.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// touch says that a job's tasks have changed, so that a round's cost follows
+// markWaitingStale says that a job's tasks have changed, so that a round's cost follows
 // what changed.
-func (p *placement) touch(j *job) {
+func (p *placement) markWaitingStale(j *job) {
 	if !j.waitingStale {
 		j.waitingStale = true
 		p.changedJobs = append(p.changedJobs, j)
 	}
 }
 
-// refresh brings the lists of waiting tasks up to date.
-func (p *placement) refresh(v *fleetView) {
+// refreshWaiting brings the lists of waiting tasks up to date.
+func (p *placement) refreshWaiting(v *fleetView) {
 	for _, j := range p.changedJobs {
 		j.waitingStale = false
 		j.waiting, j.begun = j.waiting[:0], false
