--- a/cmd/ravenport/drain.go
+++ b/cmd/ravenport/drain.go
@@ -105,7 +105,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(constants.PushEvery):
+		case <-time.After(constants.MaxPushInterval):
 		}
 	}
 }
--- a/constants/shard_owner.go
+++ b/constants/shard_owner.go
@@ -4,34 +4,37 @@
 
 // Steps of a shard owner, its pushes to the leader, and the numbers of its term.
 const (
-	// OwnerTick is how often an owner looks at its deadlines without events.
-	OwnerTick = 250 * time.Millisecond
-	// OwnerGap is the least time between two steps of an owner: what arrives in
-	// between is decided together.
-	OwnerGap = 20 * time.Millisecond
-	// StoodStill is a gap between two steps after which the process counts as
-	// having stood still: its own timer wakes an owner every OwnerTick.
-	StoodStill = 1500 * time.Millisecond
-	// SlowStep is how often an owner looks at its whole fleet for leases, notices
-	// and machines to be asked.
-	SlowStep = 100 * time.Millisecond
-	// CensusEvery is how often it looks whom of its fleet it hears, whether the shard
-	// is cut off and which machines to return: silences count in seconds.
-	CensusEvery = 250 * time.Millisecond
-	// PushEvery is how often an owner pushes its aggregate when nothing
-	// changes; changes are pushed after PushInterval.
-	PushEvery = time.Second
-	PushGap   = 100 * time.Millisecond
-	// PushGapMachine lengthens PushInterval for each machine of a shard: taking its
-	// figures costs in proportion.
-	PushGapMachine = 300 * time.Microsecond
+	// MaxOwnerStepInterval is how often an owner makes a step when no event causes
+	// one, to check its deadlines.
+	MaxOwnerStepInterval = 250 * time.Millisecond
+	// MinOwnerStepInterval is the least time between two steps of an owner: events
+	// that arrive in between are handled together.
+	MinOwnerStepInterval = 20 * time.Millisecond
+	// ProcessPauseThreshold is the time between two steps above which the process
+	// counts as having been paused: its own timer causes a step every
+	// MaxOwnerStepInterval.
+	ProcessPauseThreshold = 1500 * time.Millisecond
+	// FleetScanInterval is how often an owner checks every machine of its fleet for
+	// lease expiry, spot notices and due probes.
+	FleetScanInterval = 100 * time.Millisecond
+	// ScaleInScanInterval is how often an owner checks whether its shard is
+	// partitioned and which machines to terminate: the timeouts are of seconds.
+	ScaleInScanInterval = 250 * time.Millisecond
+	// MaxPushInterval is how often an owner pushes its aggregate when nothing
+	// changes. MinPushInterval is the least time between two pushes of an empty shard:
+	// changes are pushed after Core.PushInterval.
+	MaxPushInterval = time.Second
+	MinPushInterval = 100 * time.Millisecond
+	// PushIntervalPerMachine lengthens Core.PushInterval for each machine of a shard:
+	// the cost of an aggregate is proportional to them.
+	PushIntervalPerMachine = 300 * time.Microsecond
 	// AttemptBits is the part of an attempt number that counts within a
 	// term (bits).
 	AttemptBits = 24
-	// EpochBits is the part of a token that counts within a term (bits).
-	EpochBits = 20
-	// TermUsed is when an owner asks for a new term: that much of the numbers of this
-	// one is used (sixteenths). A large fleet starts its sixteen million attempts
-	// within hours.
-	TermUsed = 15
+	// TokenCounterBits is the part of a fencing token that counts within a term (bits).
+	TokenCounterBits = 20
+	// RenewTermAtSixteenths is the used part of a term's numbers at which an owner
+	// acquires a new term (sixteenths). A large fleet starts its sixteen million
+	// attempts within hours.
+	RenewTermAtSixteenths = 15
 )
--- a/controller/actors.go
+++ b/controller/actors.go
@@ -305,7 +305,7 @@
 	case wake:
 		a.pacer.noteWake(m)
 	}
-	if !a.pacer.isStepDue(now, constants.OwnerGap, a.self) {
+	if !a.pacer.isStepDue(now, constants.MinOwnerStepInterval, a.self) {
 		return
 	}
 	for _, act := range a.core.Step(now) {
@@ -329,11 +329,11 @@
 
 // runPeriodicWork does what is not the core's: ticks, pushes and the cloud's list.
 func (a *shardActor) runPeriodicWork(ctx context.Context, now time.Time) {
-	due := now.Sub(a.statusAt) > constants.PushEvery
+	due := now.Sub(a.statusAt) > constants.MaxPushInterval
 	if due || now.Sub(a.statusAt) > a.core.PushInterval() && a.core.PushDue() {
 		a.statusAt = now
 		st := shardStatus{shard: a.shard, aggregate: a.core.Aggregate(now, a.revision)}
-		if now.Sub(a.summaryAt) >= constants.PushEvery {
+		if now.Sub(a.summaryAt) >= constants.MaxPushInterval {
 			a.summaryAt = now
 			st.counts, st.summary = a.core.TaskCounts(), a.core.Summary(now)
 			st.drains = drain.ShardStatus{Shard: a.shard, Drains: a.core.DrainProgress(), Usage: a.core.Usage(now)}
@@ -343,13 +343,13 @@
 			a.control.Tell(newTermRequest{a.shard})
 		}
 	}
-	if now.Sub(a.reachabilityAt) >= constants.CensusEvery { // it looks at the whole fleet
+	if now.Sub(a.reachabilityAt) >= constants.ScaleInScanInterval { // it looks at the whole fleet
 		a.reachabilityAt = now
 		if silent, seen := a.core.IsIsolated(now); silent {
 			a.control.Tell(shardUnreachable{a.shard, seen})
 		}
 	}
-	every := constants.CloudListEvery
+	every := constants.CloudListInterval
 	if !a.core.IsPartitioned() { // the list tells whether its machines are cut off or gone
 		every *= time.Duration(1 + a.listSize/wire.MaxList)
 	}
@@ -360,7 +360,7 @@
 			a.self.Tell(machinesListed{l, err})
 		}()
 	}
-	a.pacer.scheduleTick(constants.OwnerTick, a.self)
+	a.pacer.scheduleTick(constants.MaxOwnerStepInterval, a.self)
 }
 
 func (a *shardActor) perform(ctx context.Context, act shard.Action) {
--- a/controller/control.go
+++ b/controller/control.go
@@ -169,7 +169,7 @@
 	if monitor != nil {
 		c.member.EnableDetection()
 		// A worker that is not served comes back after it has waited for an answer.
-		window := time.Duration(constants.MisroutedPeriods*float64(set.HeartbeatPeriod())) + constants.NextController
+		window := time.Duration(constants.MisroutedPeriods*float64(set.HeartbeatPeriod())) + constants.ControllerSwitchTime
 		c.detection = detectionState{monitor: monitor, redirects: newRedirectTracker(window)}
 	}
 	return c
--- a/controller/peers.go
+++ b/controller/peers.go
@@ -28,8 +28,8 @@
 // put that off: from it owners know that they are cut off, and users' counts.
 func (c *controlActor) pushStatus(ctx context.Context, now time.Time) {
 	ask := c.termsToExtend(now)
-	due := now.Sub(c.lastFullPushAt) > constants.PushEvery || len(ask) > 0 && now.Sub(c.lastFullPushAt) > constants.ExtensionRequestInterval
-	if !due && !(c.pushPending && now.Sub(c.lastPushAt) >= constants.PushGap) {
+	due := now.Sub(c.lastFullPushAt) > constants.MaxPushInterval || len(ask) > 0 && now.Sub(c.lastFullPushAt) > constants.ExtensionRequestInterval
+	if !due && !(c.pushPending && now.Sub(c.lastPushAt) >= constants.MinPushInterval) {
 		return
 	}
 	c.lastPushAt, c.pushPending = now, false
@@ -111,7 +111,7 @@
 	// machine that none of them has seen does not just miss its owner.
 	all := true
 	for _, p := range c.set.Peers {
-		if c.member.IsAlive(p.Controller) && now.Sub(c.peerViews[p.Controller].lastContact) > constants.PushEvery*2 {
+		if c.member.IsAlive(p.Controller) && now.Sub(c.peerViews[p.Controller].lastContact) > constants.MaxPushInterval*2 {
 			all = false
 		}
 	}
--- a/controller/revocation.go
+++ b/controller/revocation.go
@@ -151,7 +151,7 @@
 	}
 	out := map[string]bool{}
 	for node, machines := range c.detection.redirects.countReturned(now) {
-		out[node] = machines >= max(constants.MinUnservedMachines, (c.machinesOf(node)+constants.HearingShare-1)/constants.HearingShare)
+		out[node] = machines >= max(constants.MinUnservedMachines, (c.machinesOf(node)+constants.RecentHeartbeatShare-1)/constants.RecentHeartbeatShare)
 	}
 	return out
 }
--- a/controller/standin_cloud_test.go
+++ b/controller/standin_cloud_test.go
@@ -100,7 +100,7 @@
 			continue
 		}
 		w.seen["tasks ended by a return"]++
-		if lately >= constants.DeafAsks {
+		if lately >= constants.MaxUnansweredCommands {
 			w.seen["tasks ended by the return of an unheard machine"]++
 		}
 	}
--- a/internal/loopback/record_check_test.go
+++ b/internal/loopback/record_check_test.go
@@ -14,7 +14,7 @@
 // earlier owner after a later one.
 func TestOwnershipJudge(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
-	token := func(term uint64) uint64 { return term << constants.EpochBits }
+	token := func(term uint64) uint64 { return term << constants.TokenCounterBits }
 	for name, c := range map[string]struct {
 		play func(r *record)
 		want porcupine.CheckResult
--- a/internal/loopback/record_test.go
+++ b/internal/loopback/record_test.go
@@ -157,7 +157,7 @@
 
 // obeys notes commands that a worker carried out under a term.
 func (r *record) obeys(zone, machine string, token uint64, from, to time.Time) {
-	term := token >> constants.EpochBits
+	term := token >> constants.TokenCounterBits
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	note(r.obeyed, zone, term, to)
--- a/shard/aggregate.go
+++ b/shard/aggregate.go
@@ -74,7 +74,7 @@
 
 // PushInterval is the least time between two pushes of a part of this size.
 func (k *knownState) PushInterval() time.Duration {
-	return constants.PushGap + time.Duration(len(k.fleet))*constants.PushGapMachine
+	return constants.MinPushInterval + time.Duration(len(k.fleet))*constants.PushIntervalPerMachine
 }
 
 // ApplyOtherShards takes in what the other shards push. Tasks that wait for machines that
--- a/shard/assignments.go
+++ b/shard/assignments.go
@@ -107,7 +107,7 @@
 		return false
 	}
 	if j.closeAt.IsZero() {
-		j.closeAt = now.Add(constants.CloseWait)
+		j.closeAt = now.Add(constants.CloseDelay)
 	}
 	if !now.Before(j.closeAt) {
 		return false
--- a/shard/cloudlist.go
+++ b/shard/cloudlist.go
@@ -12,7 +12,7 @@
 // to light and those that failed, and proves nothing else.
 func (c *Core) ApplyMachineList(now time.Time, list []wire.CloudMachine) {
 	for name, at := range c.terminated {
-		if now.Sub(at) > constants.GoneMemory {
+		if now.Sub(at) > constants.TerminatedMemory {
 			delete(c.terminated, name)
 		}
 	}
@@ -64,4 +64,4 @@
 // isDelisted says that the cloud has stopped listing a machine: it was most likely
 // taken back. That proves nothing, since a list may be old, but a silent machine
 // that is listed all the same is more likely cut off.
-func (m *machine) isDelisted() bool { return m.missedLists >= constants.ListsMissing }
+func (m *machine) isDelisted() bool { return m.missedLists >= constants.DelistedAfterLists }
--- a/shard/commits.go
+++ b/shard/commits.go
@@ -36,7 +36,7 @@
 		}
 	}
 	// Pages are of 90% of a value at most, so nine tenths of it are a smaller one.
-	c.cfg.SizeLimits.Next = max(constants.LeastValue, min(c.cfg.SizeLimits.Next, largest)*constants.PageFill/100)
+	c.cfg.SizeLimits.Next = max(constants.MinInventoryValueBytes, min(c.cfg.SizeLimits.Next, largest)*constants.PageFillPercent/100)
 	c.setSizeLimits(c.cfg.SizeLimits)
 	for _, p := range c.pages {
 		c.splitOversized(&c.fleetView, p)
--- a/shard/core.go
+++ b/shard/core.go
@@ -119,12 +119,12 @@
 
 // Step does what is due and returns the actions gathered since the last call.
 func (c *Core) Step(now time.Time) []Action {
-	if !c.lastStepAt.IsZero() && now.Sub(c.lastStepAt) > constants.StoodStill {
+	if !c.lastStepAt.IsZero() && now.Sub(c.lastStepAt) > constants.ProcessPauseThreshold {
 		slog.Warn("stood still", "shard", c.cfg.Shard, "for_ms", now.Sub(c.lastStepAt).Milliseconds())
 		c.resetLiveness(now)
 	}
 	c.lastStepAt = now
-	slow := c.fleetScans.due(now, constants.SlowStep)
+	slow := c.fleetScans.due(now, constants.FleetScanInterval)
 	if slow {
 		c.expireLeases(now)
 		c.reserveMachinesForGangs(now)
@@ -143,7 +143,7 @@
 			c.consolidate(now)
 		}
 		c.advanceDrains(now)
-		if c.scaleInScans.due(now, constants.CensusEvery) {
+		if c.scaleInScans.due(now, constants.ScaleInScanInterval) {
 			c.scaleIn(now)
 		}
 		c.closeAssignments(now)
--- a/shard/core_test.go
+++ b/shard/core_test.go
@@ -71,7 +71,7 @@
 }
 
 // token is what a worker shows that has seen the n-th token of a term.
-func token(term, n uint64) uint64 { return term<<constants.EpochBits | n }
+func token(term, n uint64) uint64 { return term<<constants.TokenCounterBits | n }
 
 func report(name string, session, seq, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
 	return &wire.Heartbeat{Machine: name, Addr: name + ":1", Type: "box", Zone: "a", Epoch: session, Seq: seq, FencingToken: token, Tasks: tasks}
@@ -87,7 +87,7 @@
 	if _, ok := r.Heartbeat(r.now, report(name, 1, 1, 0)); !ok {
 		panic("report refused")
 	}
-	r.now = r.now.Add(constants.InventoryGap)
+	r.now = r.now.Add(constants.MinInventoryWriteInterval)
 	r.write(r.Step(r.now))
 	r.Heartbeat(r.now, report(name, 1, 2, r.shown(name)))
 }
--- a/shard/directcommands.go
+++ b/shard/directcommands.go
@@ -63,7 +63,7 @@
 		}
 		if !question {
 			q.sendPendingCommands(v, now, m)
-		} else if asked < constants.AsksAStep {
+		} else if asked < constants.MaxProbesPerStep {
 			asked++
 			q.sendDirectCommand(v, now, m, []wire.Command{})
 		}
@@ -79,7 +79,7 @@
 func (q *outbox) canSendCommand(v *fleetView) bool {
 	most := v.cfg.MaxDirectCommands
 	if v.partitioned {
-		most = min(most, constants.UnreachableCalls)
+		most = min(most, constants.MaxCommandsWhilePartitioned)
 	}
 	return q.commandsInFlight < most
 }
@@ -97,7 +97,7 @@
 func (v *fleetView) needsProbe(now time.Time, m *machine) bool {
 	switch {
 	case m.inherited && !m.hasSeenTerm(v.term):
-		return len(v.fleet) <= constants.AsksAStep || now.Sub(v.acquiredAt) > constants.TakeoverAsk
+		return len(v.fleet) <= constants.MaxProbesPerStep || now.Sub(v.acquiredAt) > constants.FailoverProbeDelay
 	case m.leaseExpired:
 		return true
 	case !m.up:
@@ -114,7 +114,7 @@
 		return false // as nearly always: this is asked of every machine in every slow step
 	}
 	for _, a := range m.attempts {
-		if a.state == stateSent && now.Sub(a.startSentAt) > constants.RepeatCommand && k.isWanted(a) {
+		if a.state == stateSent && now.Sub(a.startSentAt) > constants.CommandRetryInterval && k.isWanted(a) {
 			return true
 		}
 	}
@@ -132,7 +132,7 @@
 func (q *outbox) sendDirectCommand(v *fleetView, now time.Time, m *machine, commands []wire.Command) {
 	m.commandInFlight = true
 	q.commandsInFlight++
-	m.nextCommandAt = now.Add(constants.RepeatCommand / 4)
+	m.nextCommandAt = now.Add(constants.CommandRetryInterval / 4)
 	req := wire.CommandRequest{FencingToken: v.fencingToken(m), Epoch: max(m.epoch, 1), Commands: commands}
 	q.actions = append(q.actions, SendCommands{Machine: m.name, Addr: m.addr, Request: req})
 }
@@ -156,7 +156,7 @@
 	if r == nil {
 		m.unansweredCommands++
 		m.unansweredUnconfirmed++
-		m.nextCommandAt = now.Add(constants.RepeatCommand)
+		m.nextCommandAt = now.Add(constants.CommandRetryInterval)
 		if !m.up || c.needsProbe(now, m) {
 			m.nextCommandAt = now // a takeover waits for it, or what was on it
 		}
--- a/shard/directcommands_test.go
+++ b/shard/directcommands_test.go
@@ -17,11 +17,11 @@
 	for i := range 3 {
 		r.up(fmt.Sprintf("m-%d", i))
 	}
-	r.wait(constants.SlowStep) // a look at the fleet; the next one is that far away
+	r.wait(constants.FleetScanInterval) // a look at the fleet; the next one is that far away
 	job := array("run-1", 2, "a")
 	job.AcceptedMS = r.now.UnixMilli()
 	r.submit(job)
-	acts := r.wait(constants.OwnerGap)
+	acts := r.wait(constants.MinOwnerStepInterval)
 	n := 0
 	for i := range 3 {
 		n += len(started(acts, fmt.Sprintf("m-%d", i)))
@@ -82,14 +82,14 @@
 					r.CommandResult(r.now, name, nil)
 				}
 			}
-			take(r.wait(constants.OwnerGap))
+			take(r.wait(constants.MinOwnerStepInterval))
 		}
 		for name := range open {
 			r.CommandResult(r.now, name, nil)
 		}
 		clear(open)
 		for range 4 * machines { // every machine in turn, within the bound
-			take(r.wait(constants.RepeatCommand))
+			take(r.wait(constants.CommandRetryInterval))
 			for name := range open {
 				r.CommandResult(r.now, name, nil)
 			}
@@ -111,7 +111,7 @@
 	m := r.ensureMachine("m-new")
 	m.addr, m.requestedAt = "m-new:1", r.now
 	r.requestCommand(m)
-	for _, a := range r.wait(constants.SlowStep) {
+	for _, a := range r.wait(constants.FleetScanInterval) {
 		if s, ok := a.(SendCommands); ok {
 			if s.Machine != "m-new" || len(s.Request.Commands) != 0 {
 				t.Fatalf("sent %+v", s)
@@ -125,7 +125,7 @@
 // Only as many are asked at a time as a wave of silent machines may cost.
 func TestQuestionsGoOutAFewAtATime(t *testing.T) {
 	r := newRig(nil)
-	const machines = 3 * constants.AsksAStep
+	const machines = 3 * constants.MaxProbesPerStep
 	r.fleet(machines)
 	r.Step(r.now)
 	asked := 0
@@ -136,7 +136,7 @@
 			}
 		}
 	}
-	if asked != constants.AsksAStep {
+	if asked != constants.MaxProbesPerStep {
 		t.Fatalf("%d machines asked in one step of %d silent ones", asked, machines)
 	}
 }
--- a/shard/forecast.go
+++ b/shard/forecast.go
@@ -49,7 +49,7 @@
 		}
 	}
 	c.assignedSinceForecast = kept
-	if len(f.TeamsAtLimit) > 0 && now.Sub(c.heldAt) >= constants.CloseWait {
+	if len(f.TeamsAtLimit) > 0 && now.Sub(c.heldAt) >= constants.CloseDelay {
 		c.heldAt = now
 		for _, j := range c.jobs {
 			if c.blocksTeamAtLimit(now, j) {
--- a/shard/heartbeat.go
+++ b/shard/heartbeat.go
@@ -14,7 +14,7 @@
 		return reply, false
 	}
 	c.observeToken(r)
-	if !c.mayAct(now) && (!c.mayExtendLeases(now) || r.FencingToken>>constants.EpochBits > c.term) {
+	if !c.mayAct(now) && (!c.mayExtendLeases(now) || r.FencingToken>>constants.TokenCounterBits > c.term) {
 		return reply, false
 	}
 	if _, gone := c.terminated[r.Machine]; gone {
@@ -37,7 +37,7 @@
 	if c.isSchedulable(now, m) && !c.fillFreedMachine(now, m) || m.reservedForGangs && c.attemptEnded {
 		c.needsPlacement = true
 	}
-	if (m.needsHigherToken || c.exitsNeedingHigherToken(m) >= constants.ExitedRaise) && m.reportedToken == c.fencingToken(m) {
+	if (m.needsHigherToken || c.exitsNeedingHigherToken(m) >= constants.ExitsBeforeTokenRaise) && m.reportedToken == c.fencingToken(m) {
 		c.counters.raiseToken(m) // once the machine shows the new token they can be forgotten
 	}
 	reply = wire.HeartbeatReply{FencingToken: c.fencingToken(m), Commands: c.pendingCommands(now, m, true)}
@@ -99,7 +99,7 @@
 // forgotten. Those that it does not, but that wait for their assignment to be closed,
 // would have every answer carry a higher token, which a machine reports at once.
 func (k *knownState) exitsNeedingHigherToken(m *machine) int {
-	if k.usageOf(m).exitedDirect < constants.ExitedRaise {
+	if k.usageOf(m).exitedDirect < constants.ExitsBeforeTokenRaise {
 		return 0
 	}
 	n := 0
--- a/shard/inventory.go
+++ b/shard/inventory.go
@@ -117,7 +117,7 @@
 		}
 		return ps[a].number < ps[b].number
 	})
-	ps = ps[:min(len(ps), constants.InventoryPages, max(1, c.cfg.MaxTxnOps))]
+	ps = ps[:min(len(ps), constants.MaxPagesPerWrite, max(1, c.cfg.MaxTxnOps))]
 	var changes []wire.Change
 	var conds []wire.Condition
 	for _, p := range ps {
@@ -148,7 +148,7 @@
 	// Its share of the state service's changes, so that a wave of boots or
 	// returns becomes one change of a page and not one a machine.
 	c.inventoryInFlight = true
-	c.nextInventoryWriteAt = now.Add(max(constants.InventoryGap, time.Duration(float64(len(ps))/(c.cfg.MaxWritesPerSecond*constants.InventoryShare)*float64(time.Second))))
+	c.nextInventoryWriteAt = now.Add(max(constants.MinInventoryWriteInterval, time.Duration(float64(len(ps))/(c.cfg.MaxWritesPerSecond*constants.InventoryWriteShare)*float64(time.Second))))
 	c.commitInTerm(&c.fleetView, "roster/", changes, conds...)
 }
 
--- a/shard/liveness.go
+++ b/shard/liveness.go
@@ -36,13 +36,13 @@
 
 // isHeartbeatOverdue says that a machine's report is later than any should be.
 func (l *liveness) isHeartbeatOverdue(now time.Time, m *machine) bool {
-	return l.sinceHeartbeat(now, m) > l.periods(constants.ProbePeriods)
+	return l.sinceHeartbeat(now, m) > l.periods(constants.HeartbeatOverduePeriods)
 }
 
 // isUnreachable says that no report of a machine's own has come for so long that its
 // lease may end, whether or not it answers when it is called.
 func (l *liveness) isUnreachable(now time.Time, m *machine) bool {
-	return l.sinceHeartbeat(now, m) > l.periods(constants.SilentPeriods)
+	return l.sinceHeartbeat(now, m) > l.periods(constants.UnreachablePeriods)
 }
 
 // reportedSinceUnconfirmed says that an unconfirmed machine has reported since, here or to another
--- a/shard/machine.go
+++ b/shard/machine.go
@@ -71,7 +71,7 @@
 // nothing that earlier owners sent can be carried out any more and its report
 // shows all that is there.
 func (m *machine) hasSeenTerm(term uint64) bool {
-	return m.up && m.reportedToken>>constants.EpochBits == term
+	return m.up && m.reportedToken>>constants.TokenCounterBits == term
 }
 
 // doubted says that answers and commands may not reach the machine.
--- a/shard/ownership.go
+++ b/shard/ownership.go
@@ -50,12 +50,12 @@
 // and below it a count of its own for the machine, which makes what it sent
 // there before harmless without a new term.
 func (o *ownership) fencingToken(m *machine) uint64 {
-	return o.term<<constants.EpochBits | m.tokenCount
+	return o.term<<constants.TokenCounterBits | m.tokenCount
 }
 
 // observeToken stops the owner for good once a machine has seen a later term.
 func (o *ownership) observeToken(r *wire.Heartbeat) {
-	if r.FencingToken>>constants.EpochBits <= o.term {
+	if r.FencingToken>>constants.TokenCounterBits <= o.term {
 		return
 	}
 	if !o.fenced {
--- a/shard/pages.go
+++ b/shard/pages.go
@@ -60,7 +60,7 @@
 
 // setSizeLimits has pages written so that they fit what the state service takes.
 func (b *inventoryPages) setSizeLimits(sizes records.SizeLimits) {
-	b.maxPageBytes = sizes.Next * constants.PageFill / 100
+	b.maxPageBytes = sizes.Next * constants.PageFillPercent / 100
 }
 
 func (b *inventoryPages) ensurePage(n int) *page {
--- a/shard/partition.go
+++ b/shard/partition.go
@@ -37,23 +37,23 @@
 		}
 		s.reporting++
 		silence := now.Sub(m.lastHeartbeat)
-		if silence < v.periods(constants.HearingPeriods) {
+		if silence < v.periods(constants.RecentHeartbeatPeriods) {
 			recent++
 		}
 		// Until it shows a token of this term, what came of it may be a late copy.
-		if silence <= v.periods(constants.ProbePeriods) && m.hasSeenTerm(v.term) {
+		if silence <= v.periods(constants.HeartbeatOverduePeriods) && m.hasSeenTerm(v.term) {
 			fresh++
 		}
 		if v.isUnreachable(now, m) {
 			s.unreachable++
 		}
 	}
-	s.small = s.expected < constants.FewMachines
+	s.small = s.expected < constants.SmallFleet
 	if s.small {
 		s.receiving = fresh*2 > s.expected
-		s.noneHeard = s.expected > constants.FewTogether && fresh == 0
+		s.noneHeard = s.expected > constants.MaxCoincidentFailures && fresh == 0
 	} else {
-		s.receiving = recent*constants.HearingShare >= s.expected
+		s.receiving = recent*constants.RecentHeartbeatShare >= s.expected
 	}
 	return s
 }
@@ -74,13 +74,13 @@
 	if last.Before(l.startedAt) {
 		last = l.startedAt
 	}
-	elsewhere := l.periods(constants.LateReport) + constants.NextController + 2*constants.PushEvery
+	elsewhere := l.periods(constants.MaxHeartbeatDelayPeriods) + constants.ControllerSwitchTime + 2*constants.MaxPushInterval
 	return s.receiving || s.small && !s.noneHeard && l.hasHeardPeers(now) && now.Sub(last) > elsewhere
 }
 
 // hasHeardPeers says whether all live controllers were heard from lately.
 func (l *liveness) hasHeardPeers(now time.Time) bool {
-	return now.Sub(l.peersHeardAt) < constants.PushEvery*2
+	return now.Sub(l.peersHeardAt) < constants.MaxPushInterval*2
 }
 
 // misroutedWindow is how long a report to another controller counts.
@@ -95,10 +95,10 @@
 	if s.small {
 		return s.unreachable*2 > s.expected, s.misrouted*2 > s.expected
 	}
-	if now.Sub(v.acquiredAt) < v.periods(constants.LateReport) {
+	if now.Sub(v.acquiredAt) < v.periods(constants.MaxHeartbeatDelayPeriods) {
 		return false, false // not all can have come yet
 	}
-	misroutedReports = s.misrouted*constants.HearingShare > s.expected
+	misroutedReports = s.misrouted*constants.RecentHeartbeatShare > s.expected
 	// Of machines that nobody ever heard it is not known whose fault it is.
 	return !s.receiving && (s.reporting > 0 || misroutedReports), misroutedReports
 }
@@ -112,8 +112,8 @@
 func (l *liveness) detectPartition(now time.Time, s fleetHealth) bool {
 	// Where all controllers had ended, a worker may come back to this one only
 	// after it has tried the others and its next report is due.
-	return (!s.small && !s.receiving || s.noneHeard) && now.Sub(l.startedAt) > l.periods(constants.LateReport)+constants.NextController &&
-		now.Sub(l.livenessResetAt) > l.periods(constants.LateReport)
+	return (!s.small && !s.receiving || s.noneHeard) && now.Sub(l.startedAt) > l.periods(constants.MaxHeartbeatDelayPeriods)+constants.ControllerSwitchTime &&
+		now.Sub(l.livenessResetAt) > l.periods(constants.MaxHeartbeatDelayPeriods)
 }
 
 // MisroutedHeartbeat is a report that a machine made to another controller.
--- a/shard/reconcile.go
+++ b/shard/reconcile.go
@@ -31,7 +31,7 @@
 	m.seq = r.Seq
 	if was := m.reportedToken; r.FencingToken > was {
 		m.reportedToken = r.FencingToken
-		if !(m.up && was>>constants.EpochBits == c.term) && m.hasSeenTerm(c.term) {
+		if !(m.up && was>>constants.TokenCounterBits == c.term) && m.hasSeenTerm(c.term) {
 			c.needsPlacement = true // it may take tasks now
 		}
 	}
@@ -91,9 +91,9 @@
 		// Left by an earlier owner, or by a command whose answer was lost. The
 		// term in its number bounds the tokens under which it was ever sent.
 		a = &attempt{key: attemptKey{ts.Task, ts.Attempt}, jobID: jobID, taskIndex: index, machine: m, adopted: ts.State == wire.TaskRunning, sentDirectly: true, stopsInstantly: true}
-		a.maxDirectToken = (ts.Attempt>>constants.AttemptBits+1)<<constants.EpochBits - 1
+		a.maxDirectToken = (ts.Attempt>>constants.AttemptBits+1)<<constants.TokenCounterBits - 1
 		if ts.Attempt>>constants.AttemptBits == 0 {
-			a.maxDirectToken = c.term<<constants.EpochBits - 1 // a gang's shared number names no term
+			a.maxDirectToken = c.term<<constants.TokenCounterBits - 1 // a gang's shared number names no term
 		}
 		if j := c.jobs[jobID]; j != nil {
 			a.applySpec(j)
--- a/shard/scale_test.go
+++ b/shard/scale_test.go
@@ -164,7 +164,7 @@
 			switch {
 			case !silent(f.name):
 				r.CommandResult(r.now, f.name, report(f.name, 1, uint64(100+step), r.shown(f.name)))
-			case r.now.Sub(f.at) >= constants.AskTimeout:
+			case r.now.Sub(f.at) >= constants.ProbeTimeout:
 				r.CommandResult(r.now, f.name, nil)
 			default:
 				kept = append(kept, f)
@@ -182,7 +182,7 @@
 				back++
 			}
 		}
-		if back == 130 && r.now.Sub(r.acquiredAt) > constants.TakeoverAsk+2*time.Second && step < 300 && returned == 0 && r.rebuilt {
+		if back == 130 && r.now.Sub(r.acquiredAt) > constants.FailoverProbeDelay+2*time.Second && step < 300 && returned == 0 && r.rebuilt {
 			t.Fatal("rebuilt while silent machines may run its tasks")
 		}
 	}
@@ -382,8 +382,8 @@
 
 // idleSecond plays a second in which nothing changes, at an owner's own pace.
 func (r *rig) idleSecond() (actions int) {
-	for range int(time.Second / constants.OwnerTick) {
-		r.now = r.now.Add(constants.OwnerTick)
+	for range int(time.Second / constants.MaxOwnerStepInterval) {
+		r.now = r.now.Add(constants.MaxOwnerStepInterval)
 		actions += len(r.Step(r.now))
 		r.IsIsolated(r.now)
 	}
@@ -399,10 +399,10 @@
 	r := settled(400)
 	b.ReportAllocs()
 	for b.Loop() {
-		for i := range int(time.Second / constants.OwnerGap) {
-			r.now = r.now.Add(constants.OwnerGap)
+		for i := range int(time.Second / constants.MinOwnerStepInterval) {
+			r.now = r.now.Add(constants.MinOwnerStepInterval)
 			r.Step(r.now)
-			if i%int(constants.SlowStep/constants.OwnerGap) == 0 {
+			if i%int(constants.FleetScanInterval/constants.MinOwnerStepInterval) == 0 {
 				r.IsIsolated(r.now)
 			}
 		}
@@ -546,7 +546,7 @@
 				rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskExited, Cause: wire.CauseDone})
 			}
 		}
-		if len(rep.Tasks) != constants.ExitedRaise {
+		if len(rep.Tasks) != constants.ExitsBeforeTokenRaise {
 			t.Fatalf("%d tasks sent by a direct command", len(rep.Tasks))
 		}
 		if _, ok := r.Heartbeat(r.now, rep); !ok {
--- a/shard/scalein.go
+++ b/shard/scalein.go
@@ -62,19 +62,19 @@
 			// Returning it makes what was on it surely gone, long before its
 			// lease ends.
 			why = "silent"
-		case m.up && !c.partitioned && m.isUnconfirmed() && m.unansweredUnconfirmed >= constants.DeafAsks && m.reportedSinceUnconfirmed() && (sum.receiving && heard*2 > up || c.isNotReceivingOfFew(now, m, up, heard)):
+		case m.up && !c.partitioned && m.isUnconfirmed() && m.unansweredUnconfirmed >= constants.MaxUnansweredCommands && m.reportedSinceUnconfirmed() && (sum.receiving && heard*2 > up || c.isNotReceivingOfFew(now, m, up, heard)):
 			// It reports, here or to others, and hears nothing: its lease
 			// runs out whatever it says. Nobody's hearing of it counts. Of a
 			// shard out of reach the first machines that are back are not deaf for
 			// what they were asked before.
 			why = "deaf"
-		case m.up && c.sinceHeartbeat(now, m) > c.periods(constants.MutePeriods) && sum.receiving && heard*2 > up:
+		case m.up && c.sinceHeartbeat(now, m) > c.periods(constants.NoHeartbeatPeriods) && sum.receiving && heard*2 > up:
 			// It answers but does not report: its lease ends all the same.
 			why = "mute"
 		case m.up && !m.reclaimAt.IsZero() && now.After(m.reclaimAt):
 			why = "taken back" // it is gone; the return says so at once
 		case m.inherited && !m.up && m.unansweredCommands > 1 && c.isIsolatedFailure(now, m, sum) &&
-			(now.Sub(asked) > c.periods(constants.SilentAtTakeover) || back*4 >= inherited*3 && now.Sub(asked) > constants.TakeoverPatience):
+			(now.Sub(asked) > c.periods(constants.FailoverUnreachablePeriods) || back*4 >= inherited*3 && now.Sub(asked) > constants.FailoverProbeTimeout):
 			// What is uncertain waits for it. Once most are back, those that
 			// neither reported nor answered twice will not be.
 			why = "silent since the takeover"
--- a/shard/scalein_test.go
+++ b/shard/scalein_test.go
@@ -96,7 +96,7 @@
 			r.now = r.now.Add(300 * time.Millisecond)
 			for _, name := range []string{"m-1", "m-2"} {
 				if r.machines[name] != nil {
-					r.Heartbeat(r.now, report(name, 1, uint64(1+i), r.term<<constants.EpochBits))
+					r.Heartbeat(r.now, report(name, 1, uint64(1+i), r.term<<constants.TokenCounterBits))
 				}
 			}
 			acts := r.Step(r.now)
--- a/shard/state_test.go
+++ b/shard/state_test.go
@@ -31,7 +31,7 @@
 	start := time.Unix(1000, 0)
 	hear := liveness{heartbeatPeriod: 3 * time.Second}
 	m := &machine{lastHeartbeat: start}
-	late := start.Add(hear.periods(constants.SilentPeriods) + time.Millisecond)
+	late := start.Add(hear.periods(constants.UnreachablePeriods) + time.Millisecond)
 	if !hear.isUnreachable(late, m) || !hear.isHeartbeatOverdue(late, m) || hear.isUnreachable(late.Add(-time.Millisecond), m) {
 		t.Error("the bound of silence is not where it should be")
 	}
@@ -75,7 +75,7 @@
 	m := &machine{up: true}
 	first := o.fencingToken(m)
 	o.requestConfirmation(now, m)
-	if !o.mayAct(now) || first>>constants.EpochBits != 5 || o.fencingToken(m) != first+1 || !m.isUnconfirmed() {
+	if !o.mayAct(now) || first>>constants.TokenCounterBits != 5 || o.fencingToken(m) != first+1 || !m.isUnconfirmed() {
 		t.Errorf("an owner in its term: may act %v, tokens %d and %d", o.mayAct(now), first, o.fencingToken(m))
 	}
 	if o.mayAct(now.Add(time.Second)) || !o.mayExtendLeases(now.Add(2*time.Second)) || o.mayExtendLeases(now.Add(6*time.Second)) {
@@ -85,7 +85,7 @@
 	if !o.mayAct(now) {
 		t.Error("its own token ends it")
 	}
-	if o.observeToken(&wire.Heartbeat{FencingToken: 6 << constants.EpochBits}); o.mayAct(now) {
+	if o.observeToken(&wire.Heartbeat{FencingToken: 6 << constants.TokenCounterBits}); o.mayAct(now) {
 		t.Error("it goes on after a later term was seen")
 	}
 }
--- a/shard/termcounters.go
+++ b/shard/termcounters.go
@@ -13,7 +13,7 @@
 }
 
 func newTermCounters(term uint64) termCounters {
-	return termCounters{term: term, attemptLimit: 1 << constants.AttemptBits, tokenLimit: 1 << constants.EpochBits}
+	return termCounters{term: term, attemptLimit: 1 << constants.AttemptBits, tokenLimit: 1 << constants.TokenCounterBits}
 }
 
 // nextAttempt returns the next attempt number, which no other attempt has.
@@ -31,7 +31,7 @@
 // isNearlyExhausted says that so many numbers are used that the owner needs a new term.
 func (n *termCounters) isNearlyExhausted() bool {
 	const whole = 16
-	return n.attempts >= n.attemptLimit/whole*constants.TermUsed || n.maxTokenCount >= n.tokenLimit/whole*constants.TermUsed
+	return n.attempts >= n.attemptLimit/whole*constants.RenewTermAtSixteenths || n.maxTokenCount >= n.tokenLimit/whole*constants.RenewTermAtSixteenths
 }
 
 // isExhausted says that nothing more may be decided under this term. Some numbers are left
--- a/shard/termcounters_test.go
+++ b/shard/termcounters_test.go
@@ -16,7 +16,7 @@
 	const attempts = 2048
 	r := newRig(nil)
 	r.fleet(4)
-	r.LimitTermCounters(attempts, 1<<constants.EpochBits)
+	r.LimitTermCounters(attempts, 1<<constants.TokenCounterBits)
 	asked, started := 0, 0
 	for i := range 2 * attempts / 8 {
 		r.submit(array(fmt.Sprintf("run-%06d", i), 8, "a"))
@@ -60,7 +60,7 @@
 			asked = m.tokenCount
 		}
 	}
-	if m.tokenCount >= epochs || asked == 0 || asked > epochs*constants.TermUsed/16+1 {
+	if m.tokenCount >= epochs || asked == 0 || asked > epochs*constants.RenewTermAtSixteenths/16+1 {
 		t.Errorf("raised to %d of %d, a new term asked for at %d", m.tokenCount, epochs, asked)
 	}
 }
--- a/worker/commands.go
+++ b/worker/commands.go
@@ -53,7 +53,7 @@
 	}
 	timeout := constants.CommandTimeout
 	if len(req.Commands) == 0 {
-		timeout = constants.AskTimeout
+		timeout = constants.ProbeTimeout
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
