--- /dev/null
+++ b/records/codec.go
@@ -0,0 +1,88 @@
+package records
+
+import (
+	"encoding/json"
+	"fmt"
+	"strconv"
+	"strings"
+
+	"ravenport/wire"
+)
+
+// Encode writes a record, or a request to the key-value store, as JSON.
+func Encode(v any) json.RawMessage {
+	data, err := json.Marshal(v)
+	if err != nil {
+		// Records hold only checked numbers and strings.
+		panic(fmt.Sprintf("records: encoding a %T: %v", v, err))
+	}
+	return data
+}
+
+// Decode reads the record under key: *Controller, *Revocation, *Term, *InventoryPage,
+// *Job, *Drain or *DisruptionClaim. It returns nil for a key of no known kind.
+func Decode(key string, data []byte) (any, error) {
+	record := newRecord(key)
+	if record == nil {
+		return nil, nil
+	}
+	var err error
+	if job, ok := record.(*Job); ok && isPackedJob(data) {
+		err = unpackJob(data, job)
+	} else {
+		err = wire.Decode(data, record)
+	}
+	if err != nil {
+		return nil, fmt.Errorf("records: decoding %s: %w", key, err)
+	}
+	return record, nil
+}
+
+// newRecord makes the empty record for a key, with the fields that the key holds; nil
+// for a key of no known kind.
+func newRecord(key string) any {
+	if key == KeyLeader {
+		return &Term{}
+	}
+	if shard, ok := strings.CutPrefix(key, shardPrefix); ok {
+		return &Term{Shard: shard}
+	}
+	if name, ok := strings.CutPrefix(key, controllerPrefix); ok {
+		return &Controller{Name: name}
+	}
+	if controller, ok := strings.CutPrefix(key, revocationPrefix); ok {
+		return &Revocation{Controller: controller}
+	}
+	if page, ok := strings.CutPrefix(key, inventoryPrefix); ok {
+		return newInventoryPage(page)
+	}
+	if id, ok := strings.CutPrefix(key, jobPrefix); ok {
+		return &Job{ID: id}
+	}
+	return newDrainingRecord(key)
+}
+
+// newInventoryPage makes the empty page for the rest of a key, "shard/number"; nil if
+// that is no number.
+func newInventoryPage(keyRest string) any {
+	shard, pageNumber, _ := strings.Cut(keyRest, "/")
+	number, err := strconv.Atoi(pageNumber)
+	if err != nil {
+		return nil
+	}
+	return &InventoryPage{Shard: shard, Number: number}
+}
+
+// newDrainingRecord makes the empty record for the key of a drain or of a disruption
+// claim; nil for a key of another kind.
+func newDrainingRecord(key string) any {
+	if shard, ok := strings.CutPrefix(key, claimPrefix); ok {
+		return &DisruptionClaim{Shard: shard}
+	}
+	if text, ok := strings.CutPrefix(key, drainPrefix); ok {
+		if number, err := strconv.Atoi(text); err == nil {
+			return &Drain{Number: number}
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/records/job.go
@@ -0,0 +1,155 @@
+package records
+
+import (
+	"strings"
+
+	"ravenport/wire"
+)
+
+// Job is the record of an accepted job.
+type Job struct {
+	ID         string          `json:"-"`
+	Spec       wire.Submission `json:"spec"`
+	AcceptedMS int64           `json:"at"`            // time of day (ms)
+	End        string          `json:"end,omitempty"` // wire.JobDone or wire.JobCancelled
+	// Assignments are kept sorted by their tasks; see Normalize.
+	Assignments []Assignment `json:"ch,omitempty"`
+	// Attempt is the number under which a gang in several shards is started. It rises
+	// with every such assignment and is never used again.
+	Attempt uint64 `json:"try,omitempty"`
+}
+
+// Assignment is a range of a job's tasks for which one shard is responsible. Tasks in no
+// assignment wait for the leader.
+type Assignment struct {
+	From  int    `json:"f"`
+	To    int    `json:"t"` // exclusive
+	Shard string `json:"p"`
+	// Closed: every task of the range is done or, if the job has ended, is surely on no
+	// machine any more. A closed assignment uses no capacity.
+	Closed bool `json:"c,omitempty"`
+	// KeepWaiting: other shards have been asked or are known to be full, so the owner
+	// waits for capacity or scales out instead of sending the tasks back to the leader.
+	KeepWaiting bool `json:"k,omitempty"`
+	// Guaranteed: the leader found the work within its team's guaranteed quota.
+	Guaranteed bool `json:"g,omitempty"`
+}
+
+// Tasks is the number of tasks in the assignment.
+func (a Assignment) Tasks() int { return a.To - a.From }
+
+// canMerge says whether the next assignment continues this one, so that both can be one.
+// Of closed assignments nothing but the range matters any more.
+func (a Assignment) canMerge(next Assignment) bool {
+	if a.To != next.From || a.Closed != next.Closed {
+		return false
+	}
+	if a.Closed {
+		return true
+	}
+	return a.Shard == next.Shard && a.KeepWaiting == next.KeepWaiting && a.Guaranteed == next.Guaranteed
+}
+
+// Range is a range of a job's tasks.
+type Range struct {
+	From int
+	To   int // exclusive
+}
+
+// Tasks is the number of tasks in the range.
+func (r Range) Tasks() int { return r.To - r.From }
+
+// TasksIn is the number of tasks in several ranges.
+func TasksIn(ranges []Range) int {
+	n := 0
+	for _, r := range ranges {
+		n += r.Tasks()
+	}
+	return n
+}
+
+// Unassigned returns the ranges of tasks that are in no assignment.
+func (j *Job) Unassigned() []Range {
+	var unassigned []Range
+	next := 0 // the first task that was not looked at yet
+	for _, assignment := range j.Assignments {
+		if assignment.From > next {
+			unassigned = append(unassigned, Range{From: next, To: assignment.From})
+		}
+		next = assignment.To
+	}
+	if next < j.Spec.Tasks {
+		unassigned = append(unassigned, Range{From: next, To: j.Spec.Tasks})
+	}
+	return unassigned
+}
+
+// AllTasksClosed says whether every task of the job is in a closed assignment.
+func (j *Job) AllTasksClosed() bool {
+	next := 0 // the first task that was not looked at yet
+	for _, assignment := range j.Assignments {
+		if assignment.From != next || !assignment.Closed {
+			return false
+		}
+		next = assignment.To
+	}
+	return next == j.Spec.Tasks
+}
+
+// AllAssignmentsClosed says whether no assignment is open any more, so that no task of
+// the job can be on any machine. There may be tasks in no assignment.
+func (j *Job) AllAssignmentsClosed() bool {
+	for _, assignment := range j.Assignments {
+		if !assignment.Closed {
+			return false
+		}
+	}
+	return true
+}
+
+// Clone copies the record so that the copy's assignments can be changed. Records from
+// the feed are shared and must not be changed.
+func (j *Job) Clone() *Job {
+	clone := *j
+	clone.Assignments = append([]Assignment(nil), j.Assignments...)
+	return &clone
+}
+
+// Normalize sorts the assignments, drops empty ones and merges those that continue one
+// another.
+func (j *Job) Normalize() {
+	j.sortAssignments()
+	merged := j.Assignments[:0]
+	for _, assignment := range j.Assignments {
+		if assignment.From >= assignment.To {
+			continue
+		}
+		if last := len(merged) - 1; last >= 0 && merged[last].canMerge(assignment) {
+			merged[last].To = assignment.To
+			continue
+		}
+		merged = append(merged, assignment)
+	}
+	j.Assignments = merged
+}
+
+// sortAssignments is an insertion sort by the first task.
+func (j *Job) sortAssignments() {
+	for i := 1; i < len(j.Assignments); i++ {
+		for k := i; k > 0 && j.Assignments[k].From < j.Assignments[k-1].From; k-- {
+			j.Assignments[k], j.Assignments[k-1] = j.Assignments[k-1], j.Assignments[k]
+		}
+	}
+}
+
+// CreatesJob says whether a transaction creates one job's record and does nothing else:
+// executed twice, or late, it changes nothing that exists.
+func CreatesJob(txn wire.Txn) bool {
+	if len(txn.Conditions) != 1 || len(txn.Changes) != 1 {
+		return false
+	}
+	condition := txn.Conditions[0]
+	change := txn.Changes[0]
+	return strings.HasPrefix(condition.Key, jobPrefix) && condition.Version == 0 &&
+		change.Put == condition.Key && change.Lease == 0 && change.Delete == ""
+}
--- a/records/packed_test.go
+++ b/records/packed_job_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"os"
 	"reflect"
+	"strings"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -188,6 +189,12 @@
 	})
 }
 
+// keyKind is the kind of record that a key is for.
+func keyKind(key string) string {
+	kind, _, _ := strings.Cut(strings.TrimPrefix(key, KeyPrefix), "/")
+	return kind
+}
+
 // What the version before wrote, produced by running it, is read to the last field.
 func TestReadsWhatTheVersionBeforeWrote(t *testing.T) {
 	text, err := os.ReadFile("testdata/production.json")
@@ -214,7 +221,7 @@
 		if !reflect.DeepEqual(was, is) {
 			t.Errorf("%s: %v became %v", key, was, is)
 		}
-		kind, _ := KeyKind(key)
+		kind := keyKind(key)
 		kinds[kind]++
 	}
 	for _, kind := range []string{"job", "part", "leader", "roster", "node"} {
--- a/records/counts.go
+++ b/records/task_counts.go
@@ -1,7 +1,7 @@
 package records
 
-// TaskCounts is how many of a job's tasks run, and how many are done in open
-// assignments. It is sent as a list of two numbers.
+// TaskCounts counts the running tasks of a job, and those that are done in open
+// assignments. Its encoded form is a list of these two numbers.
 type TaskCounts [2]int
 
 // Indexes of the two numbers.
@@ -10,25 +10,25 @@
 	doneIndex
 )
 
-// Running is how many tasks run.
+// Running is the number of running tasks.
 func (c TaskCounts) Running() int { return c[runningIndex] }
 
-// Done is how many tasks are done in open assignments.
+// Done is the number of tasks that are done in open assignments.
 func (c TaskCounts) Done() int { return c[doneIndex] }
 
-// IsZero says that nothing is counted.
+// IsZero says whether nothing is counted.
 func (c TaskCounts) IsZero() bool { return c == TaskCounts{} }
 
-// AddRunning counts one more task that runs.
+// AddRunning counts one more running task.
 func (c *TaskCounts) AddRunning() { c[runningIndex]++ }
 
 // AddDone counts one more task that is done.
 func (c *TaskCounts) AddDone() { c[doneIndex]++ }
 
-// Plus is the sum of two counts.
+// Plus returns the sum of two counts.
 func (c TaskCounts) Plus(other TaskCounts) TaskCounts {
 	return TaskCounts{c.Running() + other.Running(), c.Done() + other.Done()}
 }
 
-// CountsByJob are the counts of a shard's jobs.
+// CountsByJob are the counts of a shard's jobs, by job id.
 type CountsByJob map[string]TaskCounts
