--- a/disruption/ledger_test.go
+++ b/disruption/ledger_test.go
@@ -14,15 +14,15 @@
 	"ravenport/wire"
 )
 
-// source draws numbers from 0 to n-1.
-type source func(n int) int
+// picker draws numbers from 0 to n-1.
+type picker func(n int) int
 
 // modelTask is one task of the service that the model's budget is for.
 type modelTask struct {
-	shard     string // "": none
-	running   bool
-	since     time.Time // it runs
-	voluntary bool      // stopped by choice, and not proved up again since
+	shard             string // "": none
+	isRunning         bool
+	runningSince      time.Time // when it started, if it runs
+	isVoluntarilyDown bool      // stopped by a request, and not stable again since
 }
 
 // modelStop is a stop on its way to a machine.
@@ -34,63 +34,63 @@
 
 // modelWrite is a transaction under way.
 type modelWrite struct {
-	shard   string
-	term    uint64
-	changes []wire.Change
-	ifs     []wire.Condition
+	shard      string
+	term       uint64
+	changes    []wire.Change
+	conditions []wire.Condition
 }
 
-// modelOwner is the owner of a shard, in one term.
+// modelOwner is the owner of a shard in one term.
 type modelOwner struct {
-	shard    string
-	term     uint64
-	ledger   *Ledger
-	read     int            // changes of the state service that it has read
-	views    map[int]string // by task: the shard that it believes it to be in
-	ready    bool
-	stopping map[int]bool
-	write    *modelWrite
+	shard       string
+	term        uint64
+	ledger      *Ledger
+	changesRead int            // changes of the feed that it has read
+	views       map[int]string // by task: the shard that it believes it to be in
+	isRebuilt   bool
+	stopping    map[int]bool
+	inFlight    *modelWrite
 }
 
-// model is a deployment of three shards whose owners end, fall behind, lose answers and
-// are replaced, while tasks fail, move between shards and are stopped by choice.
+// model is a deployment of three shards whose owners end, fall behind, lose replies and
+// are replaced, while tasks fail, move between shards and are stopped by request.
 type model struct {
-	pick   source
+	pick   picker
 	now    time.Time
 	stable time.Duration
-	most   MaxUnavailable
+	budget MaxUnavailable
 	tasks  []modelTask
 	owners map[string]*modelOwner
 	shards []string
 
-	log      []records.Change
-	versions map[string]uint64
-	claims   map[string]*records.DisruptionClaim
-	stops    []modelStop
-	late     []*modelWrite
+	log        []records.Change
+	versions   map[string]uint64
+	claims     map[string]*records.DisruptionClaim
+	stops      []modelStop
+	lateWrites []*modelWrite
 
-	hasty, hastyProof bool // mutants: no claim is needed, a grant ends at the start
-	broken            string
-	voluntaryStops    int
-	refusals          map[Reason]int
+	skipClaimProof, provedAtStart bool // mutants: no claim is needed, a task counts as available once it starts
+	violation                     string
+	voluntaryStops                int
+	refusals                      map[Reason]int
 }
 
 const modelTeam = "team"
 
-func newModel(pick source) *model {
-	m := &model{pick: pick, now: time.Unix(1000, 0), stable: 10 * time.Second, most: MaxUnavailable{Tasks: 1 + pick(3)}, shards: []string{"a", "b", "c"},
+func newModel(pick picker) *model {
+	m := &model{pick: pick, now: time.Unix(1000, 0), stable: 10 * time.Second, budget: MaxUnavailable{Tasks: 1 + pick(3)}, shards: []string{"a", "b", "c"},
 		owners: map[string]*modelOwner{}, versions: map[string]uint64{}, claims: map[string]*records.DisruptionClaim{}, refusals: map[Reason]int{}}
 	if pick(3) == 0 {
-		m.most = MaxUnavailable{Percent: 25, IsPercent: true}
+		m.budget = MaxUnavailable{Percent: 25, IsPercent: true}
 	}
 	for i := range 6 + pick(10) {
-		m.tasks = append(m.tasks, modelTask{shard: m.shards[i%3], running: true, since: m.now.Add(-time.Minute)})
+		m.tasks = append(m.tasks, modelTask{shard: m.shards[i%3], isRunning: true, runningSince: m.now.Add(-time.Minute)})
 	}
 	m.storeJob()
 	return m
 }
 
-// store puts a record into the state service.
+// store puts a record into the key-value store.
 func (m *model) store(key string, record any) uint64 {
 	version := uint64(len(m.log) + 1)
 	m.versions[key] = version
@@ -109,25 +109,25 @@
 	m.store(records.KeyJob(j.ID), j)
 }
 
-// begin starts an owner of a shard under the next term.
-func (m *model) begin(shard string) {
+// startOwner starts an owner of a shard under the next term.
+func (m *model) startOwner(shard string) {
 	term := uint64(1)
 	if o := m.owners[shard]; o != nil {
 		term = o.term + 1
 	}
 	m.store(records.KeyShard(shard), &records.Term{Shard: shard, Number: term})
 	var budgets Budgets
-	budgets.SetServicesDefault(m.most)
+	budgets.SetServicesDefault(m.budget)
 	o := &modelOwner{shard: shard, term: term, views: map[int]string{}, stopping: map[int]bool{},
-		ledger: NewLedger(Config{Shard: shard, Shards: m.shards, Term: term, Budgets: budgets, StableAfter: m.stable, SkipClaimProof: m.hasty})}
+		ledger: NewLedger(Config{Shard: shard, Shards: m.shards, Term: term, Budgets: budgets, StableAfter: m.stable, SkipClaimProof: m.skipClaimProof})}
 	m.owners[shard] = o
 	m.deliver(o, len(m.log))
 }
 
-// deliver has an owner read the state service up to a change.
+// deliver has an owner read the feed up to a change.
 func (m *model) deliver(o *modelOwner, to int) {
-	for ; o.read < to; o.read++ {
-		ch := m.log[o.read]
+	for ; o.changesRead < to; o.changesRead++ {
+		ch := m.log[o.changesRead]
 		switch r := ch.Record.(type) {
 		case *records.Job:
 			o.ledger.ApplyJob(m.now, r)
@@ -143,14 +143,14 @@
 	}
 }
 
-// isUp says whether a task has proved itself, as its owner sees it.
+// isUp reports whether a task is stable, as its owner sees it.
 func (m *model) isUp(t *modelTask) bool {
-	return t.running && (m.hastyProof || m.now.Sub(t.since) >= m.stable)
+	return t.isRunning && (m.provedAtStart || m.now.Sub(t.runningSince) >= m.stable)
 }
 
-// step has an owner count, ask for stops and write its claim.
+// step has an owner count, request stops and write its claim.
 func (m *model) step(o *modelOwner) {
-	m.deliver(o, o.read+m.pick(len(m.log)-o.read+1))
+	m.deliver(o, o.changesRead+m.pick(len(m.log)-o.changesRead+1))
 	down := Counts{}
 	keys := o.ledger.BudgetsOf(&wire.Submission{Team: modelTeam, Class: "c", Kind: wire.KindService})
 	var up []int
@@ -164,7 +164,7 @@
 			up = append(up, i)
 		}
 	}
-	o.ledger.Observe(m.now, down, o.ready)
+	o.ledger.Observe(m.now, down, o.isRebuilt)
 	for range 1 + m.pick(3) {
 		if len(up) == 0 {
 			break
@@ -179,55 +179,55 @@
 		o.stopping[i] = true
 		m.stops = append(m.stops, modelStop{o.shard, o.term, i})
 	}
-	if o.write != nil {
+	if o.inFlight != nil {
 		return
 	}
 	if changes, ifs := o.ledger.PrepareWrite(m.now, true); changes != nil {
-		o.write = &modelWrite{o.shard, o.term, changes, ifs}
+		o.inFlight = &modelWrite{o.shard, o.term, changes, ifs}
 	}
 }
 
-// land carries a stop out, unless the shard's next owner has seen to it that nothing of
-// earlier ones is carried out any more.
-func (m *model) land(s modelStop) {
+// applyStop applies a stop, unless the shard's next owner has made sure that no stop of earlier
+// owners is applied any more.
+func (m *model) applyStop(s modelStop) {
 	o := m.owners[s.shard]
 	if o.term == s.term {
 		delete(o.stopping, s.task)
-	} else if o.ready {
+	} else if o.isRebuilt {
 		return
 	}
 	t := &m.tasks[s.task]
-	if t.shard != s.shard || !t.running {
+	if t.shard != s.shard || !t.isRunning {
 		return
 	}
-	t.running, t.voluntary = false, true
+	t.isRunning, t.isVoluntarilyDown = false, true
 	m.voluntaryStops++
-	m.judge(fmt.Sprintf("task %d of %s was stopped", s.task, s.shard))
+	m.checkBudget(fmt.Sprintf("task %d of %s was stopped", s.task, s.shard))
 }
 
-// judge compares what is down by choice with the budget.
-func (m *model) judge(what string) {
+// checkBudget compares the tasks that are down by request with the budget.
+func (m *model) checkBudget(what string) {
 	n := 0
 	for i := range m.tasks {
 		t := &m.tasks[i]
-		if t.running && m.now.Sub(t.since) >= m.stable {
-			t.voluntary = false
+		if t.isRunning && m.now.Sub(t.runningSince) >= m.stable {
+			t.isVoluntarilyDown = false
 		}
-		if t.voluntary {
+		if t.isVoluntarilyDown {
 			n++
 		}
 	}
-	if most := m.most.For(len(m.tasks)); n > most && m.broken == "" {
-		m.broken = fmt.Sprintf("%s: %d are down by choice, %s of %d may be", what, n, m.most, len(m.tasks))
+	if most := m.budget.For(len(m.tasks)); n > most && m.violation == "" {
+		m.violation = fmt.Sprintf("%s: %d are down by request, %s of %d may be", what, n, m.budget, len(m.tasks))
 	}
 }
 
-// commit carries a write out if its conditions hold.
+// commit applies a write if its conditions hold.
 func (m *model) commit(w *modelWrite) uint64 {
 	if m.owners[w.shard].term != w.term {
 		return 0
 	}
-	for _, c := range w.ifs {
+	for _, c := range w.conditions {
 		if m.versions[c.Key] != c.Version {
 			return 0
 		}
@@ -240,33 +240,33 @@
 	was := m.claims[w.shard]
 	m.claims[w.shard] = claim
 	version := m.store(w.changes[0].Put, claim)
-	if len(w.ifs) > 1 && (was == nil || claim.Unavailable[modelTeam] > was.Unavailable[modelTeam]) {
-		m.judgeClaims()
+	if len(w.conditions) > 1 && (was == nil || claim.Unavailable[modelTeam] > was.Unavailable[modelTeam]) {
+		m.checkClaims()
 	}
 	return version
 }
 
-// judgeClaims compares all claims, as they are stored after a raise for stops, with the
+// checkClaims compares all claims, as they are stored after a raise for stops, with the
 // budget: a raise counts every failure that was published before.
-func (m *model) judgeClaims() {
+func (m *model) checkClaims() {
 	n := 0
 	for _, c := range m.claims {
 		n += c.Unavailable[modelTeam]
 	}
-	if most := m.most.For(len(m.tasks)); n > most && m.broken == "" {
-		m.broken = fmt.Sprintf("a raise makes all claims %d, of %d that may be", n, most)
+	if most := m.budget.For(len(m.tasks)); n > most && m.violation == "" {
+		m.violation = fmt.Sprintf("a raise makes all claims %d, of %d that may be", n, most)
 	}
 }
 
 // settleWrite decides what becomes of an owner's write.
 func (m *model) settleWrite(o *modelOwner) {
-	w := o.write
-	o.write = nil
+	w := o.inFlight
+	o.inFlight = nil
 	switch m.pick(8) {
-	case 0: // carried out late, if at all
-		m.late = append(m.late, w)
+	case 0: // applied late, if at all
+		m.lateWrites = append(m.lateWrites, w)
 		o.ledger.ApplyWriteResult(m.now, 0)
-	case 1: // carried out, the answer is lost
+	case 1: // applied, the reply is lost
 		m.commit(w)
 		o.ledger.ApplyWriteResult(m.now, 0)
 	case 2: // refused
@@ -284,7 +284,7 @@
 	case 0, 1, 2, 3, 4, 5:
 		m.step(o)
 	case 6, 7, 8:
-		if o.write != nil {
+		if o.inFlight != nil {
 			m.settleWrite(o)
 		}
 	case 9, 10: // a stop arrives
@@ -292,18 +292,18 @@
 			at := m.pick(n)
 			s := m.stops[at]
 			m.stops = slices.Delete(m.stops, at, at+1)
-			m.land(s)
+			m.applyStop(s)
 		}
 	case 11, 12: // a task starts again
-		if !t.running && t.shard != "" {
-			t.running, t.since = true, m.now
+		if !t.isRunning && t.shard != "" {
+			t.isRunning, t.runningSince = true, m.now
 		}
 	case 13: // one fails, or moves to another shard
 		if t.shard != "" && m.pick(3) > 0 {
-			t.running = false
+			t.isRunning = false
 			break
 		}
-		if !t.running {
+		if !t.isRunning {
 			if t.shard != "" {
 				t.shard = ""
 			} else {
@@ -313,42 +313,42 @@
 		}
 	case 14: // an owner ends, another begins and rebuilds after a while
 		if m.pick(3) == 0 {
-			m.begin(o.shard)
+			m.startOwner(o.shard)
 		} else {
-			o.ready = true
+			o.isRebuilt = true
 		}
 	case 15:
-		if n := len(m.late); n > 0 {
-			w := m.late[n-1]
-			m.late = m.late[:n-1]
+		if n := len(m.lateWrites); n > 0 {
+			w := m.lateWrites[n-1]
+			m.lateWrites = m.lateWrites[:n-1]
 			m.commit(w)
 		}
 	}
 	m.now = m.now.Add(time.Duration(m.pick(600)) * time.Millisecond)
 }
 
-// play lets a deployment live for so many events.
+// play runs a deployment for so many events.
 func (m *model) play(events int) {
 	for _, s := range m.shards {
-		m.begin(s)
-		m.owners[s].ready = true
+		m.startOwner(s)
+		m.owners[s].isRebuilt = true
 	}
 	for range events {
-		if m.event(); m.broken != "" {
+		if m.event(); m.violation != "" {
 			return
 		}
 	}
 }
 
-// Whatever fails, what is down by choice stays within the budget, and no claim is raised
-// past it.
+// Whatever fails, the tasks that are down by request stay within the budget, and no claim
+// is raised past it.
 func TestClaimsKeepWithinBudgets(t *testing.T) {
 	stops, refusals := 0, map[Reason]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") })
 		m.play(400)
-		if m.broken != "" {
-			t.Fatal(m.broken)
+		if m.violation != "" {
+			t.Fatal(m.violation)
 		}
 		stops += m.voluntaryStops
 		for r, n := range m.refusals {
@@ -361,12 +361,12 @@
 	}
 }
 
-// Without claims, or with grants that end as soon as the replacement starts, the same
-// model breaks budgets.
+// Without claims, or if tasks count as available as soon as they start, the same model
+// violates budgets.
 func TestModelCatchesMutants(t *testing.T) {
 	for name, mutate := range map[string]func(*model){
-		"no claim":            func(m *model) { m.hasty = true },
-		"proved by its start": func(m *model) { m.hastyProof = true },
+		"no claim":            func(m *model) { m.skipClaimProof = true },
+		"proved by its start": func(m *model) { m.provedAtStart = true },
 	} {
 		caught := ""
 		for seed := uint64(0); seed < 300 && caught == ""; seed++ {
@@ -374,7 +374,7 @@
 			m := newModel(rng.IntN)
 			mutate(m)
 			m.play(400)
-			caught = m.broken
+			caught = m.violation
 		}
 		if caught == "" {
 			t.Errorf("%s: never seen broken", name)
@@ -382,7 +382,7 @@
 	}
 }
 
-// Amounts round down, and say what they are.
+// Percentages are rounded down, and String returns what was parsed.
 func TestAmounts(t *testing.T) {
 	for _, c := range []struct {
 		text       string
--- a/disruption/population.go
+++ b/disruption/population.go
@@ -1,19 +1,21 @@
 package disruption
 
 import (
+	"slices"
 	"time"
 
 	"ravenport/constants"
 	"ravenport/records"
 )
 
-// Counts are numbers of tasks by budget.
+// Counts are numbers of tasks by budget. Budgets without tasks are absent.
 type Counts map[BudgetKey]int
 
-// Add adds n to each of some keys.
+// Add adds n to the count of each key.
 func (c Counts) Add(keys []BudgetKey, n int) {
 	for _, k := range keys {
-		if c[k] += n; c[k] == 0 {
+		c[k] += n
+		if c[k] == 0 {
 			delete(c, k)
 		}
 	}
@@ -23,23 +25,23 @@
 type jobPopulation struct {
 	keys       []BudgetKey
 	tasks      int
-	unassigned int
+	unassigned int // services' tasks in no assignment
 }
 
-// recentAssignment is a number of tasks that have just been given to a shard.
+// recentAssignment is a number of tasks that were assigned to a shard lately.
 type recentAssignment struct {
-	until time.Time
+	until time.Time // when the shard's owner counts them
 	keys  []BudgetKey
 	tasks int
 }
 
-// population follows, from the records of all jobs, how many tasks there are, and how many
-// of those that should be up no shard looks after: services', as others may wait. Tasks
-// that were just given to a shard count as the latter for a while longer, until its owner
-// can have claimed them.
+// population counts, from the records of all jobs, the tasks that count against each
+// budget, and the tasks of services that no owner counts as unavailable because they are in
+// no shard. Tasks that were assigned lately count among the latter until their owner can
+// have claimed them. Arrays' and gangs' unassigned tasks do not count: they may wait.
 type population struct {
 	budgets           Budgets
-	jobs              map[string]jobPopulation
+	jobs              map[string]jobPopulation // by job, of those that count against a budget
 	total             Counts
 	unassigned        Counts
 	recentAssignments []recentAssignment
@@ -49,51 +51,59 @@
 	return population{budgets: b, jobs: map[string]jobPopulation{}, total: Counts{}, unassigned: Counts{}}
 }
 
-// apply takes in a job's record.
+// apply applies a job's record.
 func (p *population) apply(now time.Time, j *records.Job) {
-	was, known := p.jobs[j.ID]
-	var is jobPopulation
-	if j.End == "" {
-		is = jobPopulation{keys: was.keys, tasks: j.Spec.Tasks}
-		if !known {
-			is.keys = p.budgets.KeysFor(j.Spec.Team, j.Spec.Class, j.Spec.IsService())
-		}
-		switch {
-		case j.Spec.IsService():
-			is.unassigned = records.TasksIn(j.Unassigned())
-		case j.Spec.IsGang():
-			is.tasks = 1
-		}
+	before, known := p.jobs[j.ID]
+	keys := before.keys
+	if !known && j.End == "" {
+		keys = p.budgets.KeysFor(j.Spec.Team, j.Spec.Class, j.Spec.IsService())
 	}
-	p.total.Add(was.keys, -was.tasks)
-	p.unassigned.Add(was.keys, -was.unassigned)
-	p.total.Add(is.keys, is.tasks)
-	p.unassigned.Add(is.keys, is.unassigned)
-	if given := was.unassigned - is.unassigned; given > 0 && is.tasks > 0 {
-		p.recentAssignments = append(p.recentAssignments, recentAssignment{now.Add(constants.AssignmentHandoverTime), is.keys, given})
+	after := newJobPopulation(j, keys)
+	p.total.Add(before.keys, -before.tasks)
+	p.unassigned.Add(before.keys, -before.unassigned)
+	p.total.Add(after.keys, after.tasks)
+	p.unassigned.Add(after.keys, after.unassigned)
+	if assigned := before.unassigned - after.unassigned; assigned > 0 && after.tasks > 0 {
+		until := now.Add(constants.AssignmentHandoverTime)
+		p.recentAssignments = append(p.recentAssignments, recentAssignment{until, after.keys, assigned})
 	}
-	if len(is.keys) == 0 {
+	if len(after.keys) == 0 {
 		delete(p.jobs, j.ID)
 		return
 	}
-	p.jobs[j.ID] = is
+	p.jobs[j.ID] = after
+}
+
+// newJobPopulation is what a job whose tasks count against the keys adds: nothing once it
+// has ended. A gang counts as one task.
+func newJobPopulation(j *records.Job, keys []BudgetKey) jobPopulation {
+	if j.End != "" {
+		return jobPopulation{}
+	}
+	added := jobPopulation{keys: keys, tasks: j.Spec.Tasks}
+	switch {
+	case j.Spec.IsService():
+		added.unassigned = records.TasksIn(j.Unassigned())
+	case j.Spec.IsGang():
+		added.tasks = 1
+	}
+	return added
 }
 
-// countUnowned is how many tasks are in no shard's care, or were until a moment ago.
+// countUnowned is how many tasks are in no shard, or were until a moment ago. It forgets
+// the assignments that are not recent any more.
 func (p *population) countUnowned(now time.Time, k BudgetKey) int {
 	n := p.unassigned[k]
-	kept := p.recentAssignments[:0]
-	for _, t := range p.recentAssignments {
-		if !now.Before(t.until) {
+	recent := p.recentAssignments[:0]
+	for _, a := range p.recentAssignments {
+		if !now.Before(a.until) {
 			continue
 		}
-		kept = append(kept, t)
-		for _, has := range t.keys {
-			if has == k {
-				n += t.tasks
-			}
+		recent = append(recent, a)
+		if slices.Contains(a.keys, k) {
+			n += a.tasks
 		}
 	}
-	p.recentAssignments = kept
+	p.recentAssignments = recent
 	return n
 }
