--- a/member/revocation_test.go
+++ b/member/revocation_test.go
@@ -56,7 +56,7 @@
 // Nobody takes a revoked holder's term before its authority has ended, however late
 // the holder hears of the revocation, whatever its clock does within its bound and
 // however its reads of the revision fell; and in bounded time somebody does.
-func TestRevokedHolderIsOutlived(t *testing.T) {
+func TestRevokedTermIsTakenAfterAuthorityEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		life := time.Duration(rapid.IntRange(2000, 10000).Draw(t, "life ms")) * time.Millisecond
 		now := time.Unix(1000, 0)
@@ -130,7 +130,7 @@
 	}
 	order := s.cores[0].rankedControllers(now.Add(time.Second), records.KeyShard("b"))
 	if order[2].Name != "n-1" {
-		t.Errorf("a controller that was revoked a moment ago is asked before others: %v", order)
+		t.Errorf("a controller that was revoked a moment ago is ranked before others: %v", order)
 	}
 	if order = s.cores[0].rankedControllers(now.Add(constants.FailbackCooldown), records.KeyShard("b")); order[0].Name != "n-1" {
 		t.Errorf("its own zone's controller is not trusted again: %v", order)
