--- /dev/null
+++ b/worker/client.go
@@ -0,0 +1,104 @@
+// Package worker sends direct commands to workers.
+package worker
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"slices"
+
+	"ravenport/constants"
+	"ravenport/httpwire"
+	"ravenport/wire"
+)
+
+// Client sends commands to workers and keeps connections to those that it called last.
+// It belongs to one actor and is not safe for concurrent use.
+type Client struct {
+	clients map[string]*httpwire.Client // by address
+	recent  []string                    // addresses with a client, the oldest first
+}
+
+// NewClient makes a client without connections.
+func NewClient() *Client { return &Client{clients: map[string]*httpwire.Client{}} }
+
+// Result is the outcome of a direct command.
+type Result struct {
+	// Executed says whether the worker executed the commands.
+	Executed bool
+	// Heartbeat is the worker's response; nil without one, and then the commands may
+	// still be executed.
+	Heartbeat *wire.Heartbeat
+	Err       error
+}
+
+// Send sends a command request to the worker at addr. It does not wait: done is called
+// with the result on another goroutine.
+func (c *Client) Send(ctx context.Context, addr string, request wire.CommandRequest, done func(Result)) {
+	client := c.clientOf(addr)
+	go func() { done(send(ctx, client, request)) }()
+}
+
+// clientOf returns the client of the worker at addr, and closes the oldest client when
+// there are too many: a fleet has more machines than this process has sockets to spare.
+func (c *Client) clientOf(addr string) *httpwire.Client {
+	if client := c.clients[addr]; client != nil {
+		return client
+	}
+	client := httpwire.NewClient(addr, 1, constants.DialTimeout,
+		httpwire.Limits{Header: constants.MaxHeaderBytes, Body: constants.MaxResponseBody})
+	c.clients[addr] = client
+	c.recent = append(c.recent, addr)
+	for len(c.recent) > constants.MaxIdleWorkerConns {
+		c.Forget(c.recent[0])
+	}
+	return client
+}
+
+func send(ctx context.Context, client *httpwire.Client, request wire.CommandRequest) Result {
+	body, err := json.Marshal(request)
+	if err != nil {
+		return Result{Err: fmt.Errorf("worker: encoding commands: %w", err)}
+	}
+	timeout := constants.CommandTimeout
+	if len(request.Commands) == 0 {
+		timeout = constants.ProbeTimeout
+	}
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	response, err := client.Do(ctx, http.MethodPost, wire.PathCommands, body)
+	if err != nil {
+		return Result{Err: err}
+	}
+	// A worker that did not execute the commands responds with Conflict and its heartbeat.
+	executed := response.Status == http.StatusOK
+	if !executed && response.Status != http.StatusConflict {
+		return Result{Err: fmt.Errorf("worker: status %d", response.Status)}
+	}
+	heartbeat, err := wire.ParseHeartbeat(response.Body)
+	if err != nil {
+		return Result{Err: fmt.Errorf("worker: unreadable heartbeat: %w", err)}
+	}
+	return Result{Executed: executed, Heartbeat: heartbeat}
+}
+
+// Forget closes the connections to the worker at addr.
+func (c *Client) Forget(addr string) {
+	client := c.clients[addr]
+	if client == nil {
+		return
+	}
+	client.Close()
+	delete(c.clients, addr)
+	if i := slices.Index(c.recent, addr); i >= 0 {
+		c.recent = slices.Delete(c.recent, i, i+1)
+	}
+}
+
+// Close closes all connections.
+func (c *Client) Close() {
+	for addr := range c.clients {
+		c.Forget(addr)
+	}
+}
--- a/worker/commands_test.go
+++ b/worker/client_test.go
@@ -19,9 +19,9 @@
 	os.Exit(m.Run())
 }
 
-// A fleet has more machines than the process has sockets to spare: however many
-// were called, only so many connections stay open.
-func TestCommanderKeepsFewConnections(t *testing.T) {
+// A fleet has more machines than the process has sockets to spare: however many workers
+// were called, only MaxIdleWorkerConns connections stay open.
+func TestClientKeepsFewConnections(t *testing.T) {
 	var open atomic.Int64
 	listen := func() string {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -45,25 +45,25 @@
 		}()
 		return l.Addr().String()
 	}
-	cmd := NewClient()
-	defer cmd.Close()
+	client := NewClient()
+	defer client.Close()
 	done := make(chan Result, 1)
 	const machines = 3 * constants.MaxIdleWorkerConns
 	for i := range machines {
-		cmd.Send(context.Background(), listen(), wire.CommandRequest{FencingToken: 1, Epoch: 1}, func(r Result) { done <- r })
+		client.Send(context.Background(), listen(), wire.CommandRequest{FencingToken: 1, Epoch: 1}, func(r Result) { done <- r })
 		if r := <-done; r.Err != nil {
 			t.Fatalf("call %d: %v", i, r.Err)
 		}
 	}
 	for end := time.Now().Add(5 * time.Second); open.Load() > constants.MaxIdleWorkerConns && time.Now().Before(end); {
-		time.Sleep(5 * time.Millisecond) // closing takes its way through the kernel
+		time.Sleep(5 * time.Millisecond) // the kernel closes connections asynchronously
 	}
 	if n := open.Load(); n > constants.MaxIdleWorkerConns {
 		t.Fatalf("%d connections open after calls to %d machines", n, machines)
 	}
 }
 
-// answer answers every request with a worker's report.
+// answer answers every request with a worker's heartbeat.
 func answer(c net.Conn) {
 	body := `{"host":"m-1","shift":1,"tally":1,"baton":1}`
 	buf := make([]byte, 4096)
