--- a/cloud/client.go
+++ b/cloud/client.go
@@ -1,4 +1,5 @@
-// Package cloud calls the cloud that rents machines.
+// Package cloud calls the cloud that provides machines: machine types, scale-out,
+// scale-in and the list of machines.
 package cloud
 
 import (
@@ -6,6 +7,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"net/http"
 
 	"golang.org/x/time/rate"
 
@@ -14,92 +16,118 @@
 	"ravenport/wire"
 )
 
-// Errors of calls to the cloud.
+// Errors of calls to the cloud; test for them with errors.Is.
 var (
-	// ErrNoCapacity: there is no such machine to be had now.
+	// ErrNoCapacity: the cloud has no machine of the requested type at present.
 	ErrNoCapacity = errors.New("cloud: no capacity")
-	// ErrTrouble: the call failed or went unanswered and may be repeated; a
-	// rental under the same request name.
-	ErrTrouble = errors.New("cloud: trouble")
+	// ErrTransient: the call failed or was not answered, and may be retried; a scale-out
+	// under the same request ID.
+	ErrTransient = errors.New("cloud: transient failure")
 )
 
-// Client calls the cloud within this controller's share of the allowance.
+// noCapacityText is the cloud's error text for ErrNoCapacity.
+const noCapacityText = "no capacity"
+
+// maxIdleConns is how many idle connections to the cloud are kept.
+const maxIdleConns = 2
+
+// Client calls the cloud within this controller's share of the rate limit. It is safe for
+// concurrent use.
 type Client struct {
-	http  *httpwire.Client
-	calls *rate.Limiter
+	http    *httpwire.Client
+	limiter *rate.Limiter
 }
 
-// NewClient makes a client; rps is this controller's share.
+// NewClient makes a client of the cloud at addr that makes at most rps calls a second.
 func NewClient(addr string, rps float64) *Client {
 	return &Client{
-		http: httpwire.NewClient(addr, 2, constants.DialTimeout,
+		http: httpwire.NewClient(addr, maxIdleConns, constants.DialTimeout,
 			httpwire.Limits{Header: constants.MaxHeaderBytes, Body: constants.MaxResponseBody}),
-		calls: rate.NewLimiter(rate.Limit(rps), max(1, int(rps))),
+		limiter: rate.NewLimiter(rate.Limit(rps), max(1, int(rps))),
 	}
 }
 
-func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
-	if err := c.calls.Wait(ctx); err != nil {
-		return fmt.Errorf("%w: %w", ErrTrouble, err)
+// call makes one call. request and response are encoded as JSON; a nil request has no
+// body, and with a nil response the body is not read.
+func (c *Client) call(ctx context.Context, method, path string, request, response any) error {
+	if err := c.limiter.Wait(ctx); err != nil {
+		return fmt.Errorf("%w: %w", ErrTransient, err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, constants.CloudTimeout)
 	defer cancel()
-	var body []byte
-	if in != nil {
-		var err error
-		if body, err = json.Marshal(in); err != nil {
-			return fmt.Errorf("cloud: encoding a request: %w", err)
-		}
+	body, err := encode(request)
+	if err != nil {
+		return err
 	}
-	m, err := c.http.Do(ctx, method, path, body)
+	message, err := c.http.Do(ctx, method, path, body)
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrTrouble, err)
+		return fmt.Errorf("%w: %w", ErrTransient, err)
 	}
-	if m.Status != 200 {
-		var p wire.Problem
-		if wire.Decode(m.Body, &p) == nil && m.Status == 503 && p.Error == "no capacity" {
-			return ErrNoCapacity
-		}
-		return fmt.Errorf("%w: status %d: %.200s", ErrTrouble, m.Status, m.Body)
+	if message.Status != http.StatusOK {
+		return statusError(message)
 	}
-	if out == nil {
+	if response == nil {
 		return nil
 	}
-	if err := wire.Decode(m.Body, out); err != nil {
-		return fmt.Errorf("%w: unreadable answer: %w", ErrTrouble, err)
+	if err := wire.Decode(message.Body, response); err != nil {
+		return fmt.Errorf("%w: unreadable response: %w", ErrTransient, err)
 	}
 	return nil
 }
 
-// MachineTypes reads the machine types.
+func encode(request any) ([]byte, error) {
+	if request == nil {
+		return nil, nil
+	}
+	body, err := json.Marshal(request)
+	if err != nil {
+		return nil, fmt.Errorf("cloud: encoding a request: %w", err)
+	}
+	return body, nil
+}
+
+// statusError is the error of a response with another status than OK.
+func statusError(message *httpwire.Message) error {
+	var problem wire.Problem
+	isProblem := wire.Decode(message.Body, &problem) == nil
+	if isProblem && message.Status == http.StatusServiceUnavailable && problem.Error == noCapacityText {
+		return ErrNoCapacity
+	}
+	return fmt.Errorf("%w: status %d: %.200s", ErrTransient, message.Status, message.Body)
+}
+
+// MachineTypes reads the machine types that the cloud offers.
 func (c *Client) MachineTypes(ctx context.Context) ([]wire.MachineType, error) {
-	var r wire.MachineTypes
-	err := c.call(ctx, "GET", wire.PathTypes, nil, &r)
-	if err == nil && len(r.Types) == 0 {
-		err = fmt.Errorf("%w: no machine types", ErrTrouble)
+	var response wire.MachineTypes
+	if err := c.call(ctx, http.MethodGet, wire.PathTypes, nil, &response); err != nil {
+		return response.Types, err
+	}
+	if len(response.Types) == 0 {
+		return nil, fmt.Errorf("%w: no machine types", ErrTransient)
 	}
-	return r.Types, err
+	return response.Types, nil
 }
 
-// ScaleOut asks for machines. Repeating it under the same name rents nothing more.
-func (c *Client) ScaleOut(ctx context.Context, r wire.ScaleOutRequest) ([]string, error) {
-	var out wire.MachineNames
-	err := c.call(ctx, "POST", wire.PathMachines, r, &out)
-	return out.Machines, err
+// ScaleOut requests machines and returns their names. It is idempotent: repeated under the
+// same request ID it adds no more machines.
+func (c *Client) ScaleOut(ctx context.Context, request wire.ScaleOutRequest) ([]string, error) {
+	var response wire.MachineNames
+	err := c.call(ctx, http.MethodPost, wire.PathMachines, request, &response)
+	return response.Machines, err
 }
 
-// ScaleIn gives machines back; when it succeeds, they and all on them are gone.
+// ScaleIn releases machines. When it succeeds, they and all that ran on them are gone.
 func (c *Client) ScaleIn(ctx context.Context, names []string) error {
-	return c.call(ctx, "POST", wire.PathScaleIn, wire.MachineNames{Machines: names}, nil)
+	return c.call(ctx, http.MethodPost, wire.PathScaleIn, wire.MachineNames{Machines: names}, nil)
 }
 
-// Machines reads the whole list of machines.
+// Machines lists all machines, page by page.
 func (c *Client) Machines(ctx context.Context) ([]wire.CloudMachine, error) {
 	var all []wire.CloudMachine
 	after := ""
 	for {
 		var page wire.MachineList
-		if err := c.call(ctx, "GET", wire.MachinesPath(after, wire.MaxList), nil, &page); err != nil {
+		if err := c.call(ctx, http.MethodGet, wire.MachinesPath(after, wire.MaxList), nil, &page); err != nil {
 			return nil, err
 		}
 		all = append(all, page.Machines...)
--- a/controller/actors.go
+++ b/controller/actors.go
@@ -395,7 +395,7 @@
 	wait := constants.RetryBackoffMin
 	for {
 		err := call()
-		if !errors.Is(err, cloud.ErrTrouble) {
+		if !errors.Is(err, cloud.ErrTransient) {
 			return err
 		}
 		slog.Info("cloud call failed", "what", what, "err", err)
--- a/controller/standin_cloud_test.go
+++ b/controller/standin_cloud_test.go
@@ -29,7 +29,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.cloudOut || w.cutZone == c.n.set.Zone {
-		return nil, cloud.ErrTrouble
+		return nil, cloud.ErrTransient
 	}
 	if names, ok := w.requests[r.RequestID]; ok {
 		return names, nil
@@ -59,7 +59,7 @@
 	}
 	w.requests[r.RequestID] = names
 	if !w.tame && w.rng.Float64() < 0.05 {
-		return nil, cloud.ErrTrouble // carried out, the answer lost
+		return nil, cloud.ErrTransient // carried out, the answer lost
 	}
 	return names, nil
 }
@@ -73,7 +73,7 @@
 	defer c.n.w.mu.Unlock()
 	c.n.w.noteLateReturn(asked, names)
 	if c.n.w.cloudOut || c.n.w.noReturn || c.n.w.cutZone == c.n.set.Zone {
-		return cloud.ErrTrouble
+		return cloud.ErrTransient
 	}
 	for _, n := range names {
 		c.n.w.noteReturn(n)
