--- a/shard/action.go
+++ b/shard/action.go
@@ -2,7 +2,8 @@
 
 import "ravenport/wire"
 
-// Action is something the actor has to do: SendCommands, Commit, Rent, Gone or Return.
+// Action is something the actor has to do: SendCommands, Commit, ScaleOut, CloseConnection
+// or ScaleIn.
 type Action interface{ isAction() }
 
 func (SendCommands) isAction()    {}
@@ -11,23 +12,25 @@
 func (CloseConnection) isAction() {}
 func (ScaleIn) isAction()         {}
 
-// SendCommands is a direct command to a machine.
+// SendCommands sends a request with commands directly to a machine. Its outcome is passed
+// to Core.CommandResult.
 type SendCommands struct {
 	Machine, Addr string
 	Request       wire.CommandRequest
 }
 
-// Commit is a transaction; its outcome is told with Committed under ID.
+// Commit writes a transaction to the key-value store. Its outcome is passed to
+// Core.CommitResult or Core.CommitInvalid with ID.
 type Commit struct {
 	ID  string
 	Txn wire.Txn
 }
 
-// ScaleOut asks the cloud for machines.
+// ScaleOut requests machines from the cloud. Its outcome is passed to Core.ScaleOutResult.
 type ScaleOut struct{ Request wire.ScaleOutRequest }
 
-// CloseConnection says that a machine is gone and its connection can be closed.
+// CloseConnection closes the connection to a machine that was terminated.
 type CloseConnection struct{ Addr string }
 
-// ScaleIn gives machines back.
+// ScaleIn terminates machines. Its outcome is passed to Core.ScaleInResult.
 type ScaleIn struct{ Names []string }
--- a/shard/aggregate.go
+++ b/shard/aggregate.go
@@ -7,23 +7,31 @@
 	"ravenport/leader"
 )
 
-// aggregates is what other shards have told, and whether this one has something to tell.
+// aggregates owns the aggregates that other shards push, and whether this shard's own has
+// changed since it was last pushed.
 type aggregates struct {
 	otherShards      map[string]otherShard // by shard
 	aggregateChanged bool
 }
 
+// otherShard is the last aggregate of another shard.
 type otherShard struct {
 	aggregate  leader.Aggregate
 	receivedAt time.Time
 }
 
-// Aggregate is what the owner pushes to the leader: the free room of the
-// machines that take tasks and, less what already waits for it, of those that
-// are coming.
+// Aggregate is what the owner pushes to the leader: the free resources of the schedulable
+// machines and, less what already waits for it, the capacity of those that are booting.
 func (c *Core) Aggregate(now time.Time, revision uint64) leader.Aggregate {
-	a := leader.Aggregate{Shard: c.cfg.Shard, Term: c.term, Revision: revision, WaitingCPUs: c.excessCPUs,
-		Warm: map[string]float64{}, CanScaleOutOnDemand: c.canScaleOut(&c.fleetView, now, false), CanScaleOutSpot: c.cfg.UseSpot && c.canScaleOut(&c.fleetView, now, true)}
+	a := leader.Aggregate{
+		Shard:               c.cfg.Shard,
+		Term:                c.term,
+		Revision:            revision,
+		WaitingCPUs:         c.excessCPUs,
+		Warm:                map[string]float64{},
+		CanScaleOutOnDemand: c.canScaleOut(&c.fleetView, now, false),
+		CanScaleOutSpot:     c.cfg.UseSpot && c.canScaleOut(&c.fleetView, now, true),
+	}
 	add := func(free resources, spot bool) {
 		r := &a.OnDemand
 		if spot {
@@ -47,14 +55,15 @@
 			continue
 		}
 		a.Preemptible += c.usageOf(m).preemptibleCPUs
-		room := c.productionCPUs(m)
+		available := c.productionCPUs(m)
 		for image := range m.cachedImages {
-			a.Warm[image] += room
+			a.Warm[image] += available
 		}
 	}
-	a.Gangs, a.ReservedForGangs = c.gangCapacities(&c.fleetView, now), c.gangReserveCPUs
-	for _, b := range c.pendingCapacity {
-		add(b.free, b.spot)
+	a.Gangs = c.gangCapacities(&c.fleetView, now)
+	a.ReservedForGangs = c.gangReserveCPUs
+	for _, pending := range c.pendingCapacity {
+		add(pending.free, pending.spot)
 	}
 	for _, r := range c.pendingScaleOuts {
 		if t := c.types[r.request.Type]; t != nil {
@@ -69,18 +78,23 @@
 	return a
 }
 
-// PushDue says whether the aggregate has changed since it was last taken.
-func (f *aggregates) PushDue() bool { d := f.aggregateChanged; f.aggregateChanged = false; return d }
+// PushDue reports whether the aggregate has changed since the last call.
+func (f *aggregates) PushDue() bool {
+	due := f.aggregateChanged
+	f.aggregateChanged = false
+	return due
+}
 
-// PushInterval is the least time between two pushes of a part of this size.
+// PushInterval is the least time between two pushes of a shard of this size.
 func (k *knownState) PushInterval() time.Duration {
 	return constants.MinPushInterval + time.Duration(len(k.fleet))*constants.PushIntervalPerMachine
 }
 
-// ApplyOtherShards takes in what the other shards push. Tasks that wait for machines that
-// are not to be had go up again only when some other shard has room.
-func (c *Core) ApplyOtherShards(now time.Time, as []leader.Aggregate) {
-	for _, a := range as {
+// ApplyOtherShards stores the aggregates that other shards push. Tasks that wait for
+// machines that the cloud does not have are sent back to the leader only when another shard
+// has capacity for them.
+func (c *Core) ApplyOtherShards(now time.Time, list []leader.Aggregate) {
+	for _, a := range list {
 		if a.Shard != c.cfg.Shard {
 			c.otherShards[a.Shard] = otherShard{a, now}
 		}
--- a/shard/attempt.go
+++ b/shard/attempt.go
@@ -5,27 +5,28 @@
 	"time"
 
 	"ravenport/constants"
+	"ravenport/logkey"
 	"ravenport/wire"
 )
 
-// attempt is an attempt that is, or may be, on a machine.
+// attempt is one attempt of a task that is, or may be, on a machine.
 type attempt struct {
 	key            attemptKey
 	jobID          string
 	taskIndex      int
 	machine        *machine
-	state          string // a state of wire, or stateSent
+	state          string // a task state of package wire, or stateSent
 	cause          string
 	resources      resources
 	image          string
-	reported       bool   // a report of this session has shown it
-	lastReconcile  uint64 // the look at a report that last showed it
-	adopted        bool   // it ran already when this owner first heard of it
-	sentDirectly   bool   // a direct command may have carried its start; such a one can be repeated late
-	maxDirectToken uint64 // the highest token under which one may have
-	startSentSeq   uint64 // the report whose answer last carried the start
+	reported       bool   // a heartbeat of this epoch has shown it
+	lastReconcile  uint64 // knownState.reconcileCount of the heartbeat that last showed it
+	adopted        bool   // it ran already when this owner first learned of it
+	sentDirectly   bool   // a direct command may have carried its start; a late copy of it may arrive
+	maxDirectToken uint64 // the highest fencing token of such a command
+	startSentSeq   uint64 // sequence number of the heartbeat whose reply last carried the start
 	stopRequested  bool   // to be stopped though its task is still wanted
-	stopsInstantly bool   // stopping takes no saving
+	stopsInstantly bool   // it stops without a checkpoint
 	stopSentAt     time.Time
 	startSentAt    time.Time
 	runningSince   time.Time
@@ -37,15 +38,15 @@
 	number uint64
 }
 
-// stateSent: a start was decided and may have been sent, and no report has
-// shown the attempt yet.
+// stateSent is the state of an attempt whose start was decided and may have been sent, and
+// which no heartbeat has shown yet.
 const stateSent = "sent"
 
 func (a *attempt) hasExited() bool { return a.state == wire.TaskExited }
 
 func (a *attempt) isRunning() bool { return a.state == wire.TaskRunning }
 
-// applySpec takes in what the job says of its tasks.
+// applySpec copies what the job's specification says of its tasks.
 func (a *attempt) applySpec(j *job) {
 	s := &j.rec.Spec
 	a.resources, a.image = taskResources(s), s.Image
@@ -53,7 +54,7 @@
 	a.machine.usageStale = true
 }
 
-// adoptAttempts looks for a task that is already known to be on a machine.
+// adoptAttempts matches a new task with the attempts of it that are known on machines.
 func (c *Core) adoptAttempts(t *task) {
 	for _, a := range c.attemptsByTask[taskKey{t.job.rec.ID, t.index}] {
 		a.applySpec(t.job)
@@ -61,7 +62,7 @@
 	}
 }
 
-// matchAttempt brings a task in line with an attempt that a report showed.
+// matchAttempt reconciles a task with an attempt that a heartbeat showed.
 func (c *Core) matchAttempt(t *task, a *attempt) {
 	a.machine.usageStale = true
 	c.markWaitingStale(t.job)
@@ -82,14 +83,14 @@
 	}
 	if t.attempt == nil && !t.done {
 		t.attempt = a
-		// Only a machine that shows this term's token speaks of now. A late copy
-		// may name a machine that the task has left since, for another that has
-		// not reported yet.
+		// Only a machine that shows this term's token proves the present. A late copy
+		// of a heartbeat may name a machine that the task has left since, for another
+		// one that has sent no heartbeat yet.
 		t.uncertain = t.uncertain && !a.machine.hasSeenTerm(c.term)
 	}
 }
 
-// releaseAttempt takes an attempt that is surely gone off its machine and its task.
+// releaseAttempt removes an attempt that has surely ended from its machine and its task.
 func (c *Core) releaseAttempt(now time.Time, a *attempt) {
 	c.removeAttempt(a)
 	if !a.hasExited() {
@@ -100,7 +101,7 @@
 		if t := j.tasks[a.taskIndex]; t != nil && t.attempt == a {
 			t.attempt = nil
 			t.waitingSince = now
-			t.keepWaiting = false // lost its machine: what does not fit here goes up at once
+			t.keepWaiting = false // lost its machine: what does not fit here goes back to the leader at once
 			if j.gang != nil {
 				c.handleLostGangTask(j, a)
 			}
@@ -110,36 +111,37 @@
 	}
 }
 
-// releaseAttempts is release for all that was on a machine.
+// releaseAttempts releases every attempt on a machine.
 func (c *Core) releaseAttempts(now time.Time, m *machine) {
 	for len(m.attempts) > 0 {
 		c.releaseAttempt(now, m.attempts[len(m.attempts)-1])
 	}
 }
 
-// attemptFailed notes that an attempt ended without its task being done.
+// attemptFailed records that an attempt ended without its task being done, and delays the
+// next one.
 func (c *Core) attemptFailed(now time.Time, t *task, a *attempt) {
 	t.waitingSince = now
 	switch a.cause {
 	case wire.CauseStopped, wire.CauseGangPeerLost, wire.CauseGangIncomplete:
-		return // nobody's fault
+		return // neither the task nor the machine is at fault
 	case wire.CauseError, wire.CauseUnknown:
-		slog.Warn("task failed", "task", a.key.task, "machine", a.machine.name, "cause", a.cause)
+		slog.Warn("task failed", logkey.TaskID, a.key.task, logkey.Machine, a.machine.name, "cause", a.cause)
 		j := t.job
 		if j.failedMachines == nil {
 			j.failedMachines = map[string]bool{}
 		}
 		j.failedMachines[a.machine.name] = true
 		t.failures++
-		// Failing on several machines, the job is at fault, not they.
+		// Where tasks fail on several machines, the job is at fault and not the machines.
 		if len(j.failedMachines) < constants.FaultyJobMachines {
 			a.machine.avoidUntil = now.Add(constants.FaultyMachinePause)
 		}
 		wait := time.Second << min(t.failures, 5)
 		t.notBefore = now.Add(min(wait, constants.MaxFailedTaskRetry))
 		c.draining.migrationFailed(t, a.machine.name)
-	default: // refused for room, or as busy
-		slog.Warn("start refused", "task", a.key.task, "machine", a.machine.name, "cause", a.cause)
+	default: // refused for lack of resources, or as busy
+		slog.Warn("start refused", logkey.TaskID, a.key.task, logkey.Machine, a.machine.name, "cause", a.cause)
 		t.notBefore = now.Add(constants.RefusedStartRetry)
 	}
 }
--- a/shard/job.go
+++ b/shard/job.go
@@ -7,27 +7,27 @@
 	"ravenport/records"
 )
 
-// job is a job of which the shard looks after some tasks.
+// job is a job of which some tasks are assigned to the shard.
 type job struct {
 	rec            *records.Job
 	version        uint64
 	tasks          map[int]*task
-	writeInFlight  bool // a change of its record is under way
+	writeInFlight  bool // a write of its record is in flight
 	awaitsRecord   bool // a newer record is known to be stored, and the feed will bring it
 	nextWriteAt    time.Time
 	sentBackAt     time.Time       // when tasks of it were last sent back
-	closeCheckDue  bool            // since its assignments were last looked at
-	closeAt        time.Time       // when assignments that are over are recorded though others here are not; zero: none is
+	closeCheckDue  bool            // it changed since its assignments were last checked
+	closeAt        time.Time       // when finished assignments are closed though others here are not finished; zero: none is
 	failedMachines map[string]bool // machines on which its tasks failed
 
-	gang          *gang     // of a gang
-	gangArrivedAt time.Time // since when the gang has been here
+	gang          *gang     // nil: the job is no gang
+	gangArrivedAt time.Time // when the gang was assigned to the shard
 
-	begun        bool    // a task of it runs or is done, here or elsewhere
-	waitingStale bool    // waiting and begun are to be made anew
-	waiting      []*task // those within the guarantee first, then by index
+	begun        bool    // a task of it runs or is done, in this shard or another
+	waitingStale bool    // waiting and begun are to be computed again
+	waiting      []*task // sorted: those within the guaranteed quota first, then by index
 
-	rank leader.Rank // in the order of the last look at all that wait
+	rank leader.Rank // in the order of the last placement round
 }
 
 // task is one task of an open assignment.
@@ -36,18 +36,19 @@
 	index             int
 	attempt           *attempt
 	done              bool
-	uncertain         bool // may run on an inherited machine that has not reported yet
-	sendingBack       bool // is being sent back to the leader
+	uncertain         bool // may run on an inherited machine that has sent no heartbeat yet
+	sendingBack       bool // it is being sent back to the leader, and is not placed
 	notBefore         time.Time
 	waitingSince      time.Time
 	failures          int
 	keepWaiting       bool
 	withinGuarantee   bool
-	roomExpectedUntil time.Time // until then, work that saves first is making room for it
+	roomExpectedUntil time.Time // until then, preempted work is saving its checkpoint to free resources for it
 }
 
+// isWaiting reports whether the task has no attempt and needs one.
 func (t *task) isWaiting() bool { return t.attempt == nil && !t.done && !t.uncertain && !t.sendingBack }
 
-// recordPending says that the record known here will be replaced by a newer one:
-// nothing may be written on the ground of it.
+// recordPending reports whether a newer record will replace the one known here: no write
+// may be based on this one.
 func (j *job) recordPending() bool { return j.writeInFlight || j.awaitsRecord }
--- a/shard/ownership.go
+++ b/shard/ownership.go
@@ -5,39 +5,42 @@
 	"time"
 
 	"ravenport/constants"
+	"ravenport/logkey"
 	"ravenport/wire"
 )
 
-// ownership is whose shard it is: the deployment, the owner's term, and until when the
-// owner may act under it.
+// ownership owns the owner's term and authority: the configuration, the term, until when
+// the owner may act under it, and whether it was fenced. Only its own methods change it,
+// and CommitInvalid its limits on the size of writes.
 type ownership struct {
 	cfg            Config
 	term           uint64
-	termVersion    uint64
-	acquiredAt     time.Time
+	termVersion    uint64    // version of the shard's record, on which every transaction depends
+	acquiredAt     time.Time // when the owner learned that it had acquired the term
 	authorityUntil time.Time // may act until then
-	fenced         bool
+	fenced         bool      // a machine has seen a later term: the owner must not act any more
 	counters       termCounters
 }
 
-// SetAuthority says until when the owner may answer workers and start tasks.
+// SetAuthority sets until when the owner may answer workers and start tasks.
 func (o *ownership) SetAuthority(until time.Time) { o.authorityUntil = until }
 
+// mayAct reports whether the owner may give commands and write to the key-value store.
 func (o *ownership) mayAct(now time.Time) bool {
 	return !o.fenced && !o.counters.isExhausted() && now.Before(o.authorityUntil)
 }
 
-// mayExtendLeases says whether the owner still answers reports though its authority has
-// ended, whether or not another one is known to have begun: a zone that is cut off
-// has nobody else, and its machines would end what they run. It gives no commands
-// then, and does not keep a machine that has seen a later token.
+// mayExtendLeases reports whether the owner still answers heartbeats after the end of its
+// authority, whether or not another owner is known to have begun: a partitioned zone has no
+// other controller, and its machines would end what they run. It gives no commands then,
+// and does not extend the lease of a machine that has seen a later term.
 func (o *ownership) mayExtendLeases(now time.Time) bool {
 	extension := time.Duration(float64(o.cfg.LeaseExtension)*(1-constants.MaxClockDrift)) - constants.AuthorityMargin
 	return !o.authorityUntil.IsZero() && now.Before(o.authorityUntil.Add(extension))
 }
 
-// leaseExpiry is when the lease of a machine has surely ended that is answered now.
-// Until it shows a token of this term the owner before may be lease extension it.
+// leaseExpiry is when the lease of a machine has surely expired that is answered now.
+// Until the machine shows a token of this term, the previous owner may extend its lease.
 func (o *ownership) leaseExpiry(now time.Time, m *machine) time.Time {
 	extendedUntil := o.acquiredAt.Add(time.Duration(float64(o.cfg.LeaseExtension)*(1+constants.MaxClockDrift)) + constants.AuthorityMargin)
 	if !m.hasSeenTerm(o.term) && extendedUntil.After(now) {
@@ -46,32 +49,36 @@
 	return now.Add(o.cfg.LeaseExpiry)
 }
 
-// fencingToken is what the owner's answers and commands to a machine carry: its term,
-// and below it a count of its own for the machine, which makes what it sent
-// there before harmless without a new term.
+// fencingToken is the token of the owner's replies and commands to a machine: the term, and
+// in its low bits a counter for the machine. Raising the counter fences what was sent to
+// the machine before without a new term.
 func (o *ownership) fencingToken(m *machine) uint64 {
 	return o.term<<constants.TokenCounterBits | m.tokenCount
 }
 
-// observeToken stops the owner for good once a machine has seen a later term.
+// observeToken fences the owner for good if a machine has seen a later term.
 func (o *ownership) observeToken(r *wire.Heartbeat) {
 	if r.FencingToken>>constants.TokenCounterBits <= o.term {
 		return
 	}
 	if !o.fenced {
-		slog.Warn("a machine has seen a higher token", "machine", r.Machine, "token", r.FencingToken, "term", o.term)
+		slog.Warn("machine has seen a later term", logkey.Machine, r.Machine, logkey.FencingToken, r.FencingToken, logkey.Term, o.term)
 	}
 	o.fenced = true
 }
 
-// requestConfirmation asks a machine to show that answers or commands reach it.
+// requestConfirmation marks a machine as unconfirmed: it must show a new fencing token,
+// which proves that replies or commands reach it.
 func (o *ownership) requestConfirmation(now time.Time, m *machine) {
 	if m.isUnconfirmed() || !m.up {
 		return
 	}
 	o.counters.raiseToken(m)
-	m.unconfirmedSince, m.confirmationToken, m.unansweredUnconfirmed = now, o.fencingToken(m), 0
+	m.unconfirmedSince = now
+	m.confirmationToken = o.fencingToken(m)
+	m.unansweredUnconfirmed = 0
 }
 
-// EnablePacking says that no process of the version before can come any more.
+// EnablePacking allows packed records: no process of the previous version, which cannot
+// read them, can join any more.
 func (o *ownership) EnablePacking() { o.cfg.SizeLimits.PackingEnabled = true }
--- a/shard/pace.go
+++ b/shard/pace.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// pace keeps a step from being made more often than every so long.
+// pace limits how often a step is made.
 type pace struct{ last time.Time }
 
-// due says whether the step may be made now, and notes it as made if so.
+// due reports whether gap has passed since the step was last made, and if so records now as
+// the time of the next one.
 func (p *pace) due(now time.Time, gap time.Duration) bool {
 	if now.Sub(p.last) < gap {
 		return false
--- a/shard/resources.go
+++ b/shard/resources.go
@@ -6,7 +6,7 @@
 	"ravenport/wire"
 )
 
-// resources is an amount of what tasks take of machines.
+// resources is an amount of what machines have and tasks need; memory is in GB.
 type resources struct{ cpus, gpus, memory float64 }
 
 func (r resources) plus(o resources) resources {
@@ -17,21 +17,23 @@
 	return resources{r.cpus - o.cpus, r.gpus - o.gpus, r.memory - o.memory}
 }
 
-// times is the amount n tasks take.
+// times is the amount that n tasks of this size need.
 func (r resources) times(n int) resources {
 	return resources{r.cpus * float64(n), r.gpus * float64(n), r.memory * float64(n)}
 }
 
-// roundingSlack forgives rounding in sums of decimal amounts.
+// roundingSlack allows for rounding in sums of decimal amounts.
 const roundingSlack = 1e-6
 
+// fits reports whether an amount fits into another.
 func (r resources) fits(in resources) bool {
 	return r.cpus <= in.cpus+roundingSlack && r.gpus <= in.gpus+roundingSlack && r.memory <= in.memory+roundingSlack
 }
 
-// machineResources is what a machine of a type has.
+// machineResources is the capacity of a machine of a type.
 func machineResources(t *wire.MachineType) resources { return resources{t.CPUs, t.GPUs, t.MemoryGB} }
 
+// taskResources is what each task of a submission needs.
 func taskResources(s *wire.Submission) resources { return resources{s.CPUs, s.GPUs, s.MemoryGB} }
 
 // holdsOf is how many tasks of a size a room takes.
--- a/shard/state.go
+++ b/shard/state.go
@@ -7,28 +7,35 @@
 	"ravenport/wire"
 )
 
-// knownState is what the owner knows of machines, jobs and attempts.
+// knownState owns what the owner knows of machines, jobs and attempts. Heartbeats, the feed
+// and the cloud's lists change it through Core; placement adds attempts.
 type knownState struct {
 	types          map[string]*wire.MachineType
 	jobs           map[string]*job
 	machines       map[string]*machine
-	fleet          []*machine // the same, in a fixed order
+	fleet          []*machine // the same, in the order in which they became known
 	attemptsByTask map[taskKey][]*attempt
-	reconcileCount uint64 // counts looks at reports
-	attemptEnded   bool   // the last look found that something had ended
-	rebuilt        bool
+	reconcileCount uint64 // number of heartbeats and command replies reconciled
+	attemptEnded   bool   // the last reconciliation found that an attempt had ended
+	rebuilt        bool   // every inherited machine has shown its attempts or surely lost them
 }
 
 func newKnownState() knownState {
-	return knownState{types: map[string]*wire.MachineType{}, jobs: map[string]*job{}, machines: map[string]*machine{}, attemptsByTask: map[taskKey][]*attempt{}}
+	return knownState{
+		types:          map[string]*wire.MachineType{},
+		jobs:           map[string]*job{},
+		machines:       map[string]*machine{},
+		attemptsByTask: map[taskKey][]*attempt{},
+	}
 }
 
-// taskKey names a task.
+// taskKey identifies a task.
 type taskKey struct {
 	job   string
 	index int
 }
 
+// ensureMachine returns the machine with a name, which it adds if it is not known.
 func (k *knownState) ensureMachine(name string) *machine {
 	m := k.machines[name]
 	if m == nil {
@@ -39,6 +46,7 @@
 	return m
 }
 
+// resolveType looks up the machine's type and sets its capacity.
 func (k *knownState) resolveType(m *machine) {
 	if t := k.types[m.typeName]; t != nil {
 		m.typ = t
@@ -46,7 +54,7 @@
 	}
 }
 
-// SetTypes takes in the cloud's machine types.
+// SetTypes sets the cloud's machine types.
 func (c *Core) SetTypes(types []wire.MachineType) {
 	for i := range types {
 		t := types[i]
@@ -58,10 +66,11 @@
 	c.needsPlacement = true
 }
 
+// removeMachine forgets a machine.
 func (v *fleetView) removeMachine(q *outbox, m *machine) {
 	delete(v.machines, m.name)
 	q.directCommandDone(m)
-	m.commandWanted = false // its place in the queue goes with the next step
+	m.commandWanted = false // the next step drops it from the queue
 	for i, o := range v.fleet {
 		if o == m {
 			v.fleet = append(v.fleet[:i], v.fleet[i+1:]...)
@@ -70,7 +79,7 @@
 	}
 }
 
-// addAttempt puts an attempt on its machine, in the order of attempts.
+// addAttempt adds an attempt to its machine, in the order of attempt numbers.
 func (k *knownState) addAttempt(a *attempt) {
 	m := a.machine
 	i := len(m.attempts)
@@ -83,7 +92,7 @@
 	k.attemptsByTask[key] = append(k.attemptsByTask[key], a)
 }
 
-// removeAttempt takes an attempt off its machine.
+// removeAttempt removes an attempt from its machine.
 func (k *knownState) removeAttempt(a *attempt) {
 	m := a.machine
 	if i := slices.Index(m.attempts, a); i >= 0 {
@@ -91,18 +100,19 @@
 	}
 	m.usageStale = true
 	key := taskKey{a.jobID, a.taskIndex}
-	hs := k.attemptsByTask[key]
-	if i := slices.Index(hs, a); i >= 0 {
-		hs = slices.Delete(hs, i, i+1)
+	rest := k.attemptsByTask[key]
+	if i := slices.Index(rest, a); i >= 0 {
+		rest = slices.Delete(rest, i, i+1)
 	}
-	if len(hs) == 0 {
+	if len(rest) == 0 {
 		delete(k.attemptsByTask, key)
 	} else {
-		k.attemptsByTask[key] = hs
+		k.attemptsByTask[key] = rest
 	}
 }
 
-// hasLiveAttempt says whether any attempt of a task may be on any machine.
+// hasLiveAttempt reports whether an attempt of a task that has not exited may be on any
+// machine.
 func (k *knownState) hasLiveAttempt(jobID string, index int) bool {
 	for _, a := range k.attemptsByTask[taskKey{jobID, index}] {
 		if !a.hasExited() {
@@ -112,6 +122,7 @@
 	return false
 }
 
+// taskOf returns an attempt's task, or nil if it is not assigned to the shard.
 func (k *knownState) taskOf(a *attempt) *task {
 	j := k.jobs[a.jobID]
 	if j == nil {
@@ -120,14 +131,14 @@
 	return j.tasks[a.taskIndex]
 }
 
-// isWanted says whether an attempt is the one its task should have.
+// isWanted reports whether an attempt is the one its task should have.
 func (k *knownState) isWanted(a *attempt) bool {
 	t := k.taskOf(a)
 	return t != nil && t.attempt == a && !t.done && !a.stopRequested && t.job.rec.End == ""
 }
 
-// TaskCounts returns the tasks of each job that run here, and those that are done
-// in assignments not closed yet, for display.
+// TaskCounts returns for each job how many of its tasks run in the shard, and how many are
+// done in assignments that are not closed yet, for display.
 func (k *knownState) TaskCounts() records.CountsByJob {
 	out := make(records.CountsByJob, len(k.jobs))
 	for id, j := range k.jobs {
--- a/shard/summary.go
+++ b/shard/summary.go
@@ -9,21 +9,28 @@
 	Spot             int     `json:"machines_spot"`
 	Booting          int     `json:"machines_booting"`
 	Unreachable      int     `json:"machines_silent"`
-	Unconfirmed      int     `json:"machines_in_doubt"` // heard, but not known to hear
+	Unconfirmed      int     `json:"machines_in_doubt"` // send heartbeats, but may not receive replies
 	Consolidating    int     `json:"machines_draining"`
 	ScalingIn        int     `json:"machines_returning"`
-	ActiveAttempts   int     `json:"attempts"` // tasks that are, or may be, on machines
+	ActiveAttempts   int     `json:"attempts"` // attempts that are, or may be, on machines
 	Waiting          int     `json:"tasks_waiting"`
 	WaitingCPUs      float64 `json:"waiting_cpus"`
-	RefusedSpot      bool    `json:"spot_refused"` // the cloud had none a moment ago
+	RefusedSpot      bool    `json:"spot_refused"` // the cloud refused some a moment ago
 	RefusedOnDemand  bool    `json:"ordinary_refused"`
-	Partitioned      bool    `json:"out_of_reach"` // all its machines together
+	Partitioned      bool    `json:"out_of_reach"` // its machines as a whole are unreachable
 	ReservedForGangs float64 `json:"cpus_kept_for_gangs"`
 }
 
-// Summary counts what the owner knows.
+// Summary counts the shard's machines, attempts and waiting tasks.
 func (c *Core) Summary(now time.Time) Summary {
-	s := Summary{Rebuilt: c.rebuilt, WaitingCPUs: c.unplacedDemand.cpus, RefusedSpot: now.Before(c.refusedUntil[true]), RefusedOnDemand: now.Before(c.refusedUntil[false]), Partitioned: c.partitioned, ReservedForGangs: c.gangReserveCPUs}
+	s := Summary{
+		Rebuilt:          c.rebuilt,
+		WaitingCPUs:      c.unplacedDemand.cpus,
+		RefusedSpot:      now.Before(c.refusedUntil[true]),
+		RefusedOnDemand:  now.Before(c.refusedUntil[false]),
+		Partitioned:      c.partitioned,
+		ReservedForGangs: c.gangReserveCPUs,
+	}
 	for _, m := range c.fleet {
 		switch {
 		case m.scalingIn:
--- a/shard/usage.go
+++ b/shard/usage.go
@@ -7,23 +7,23 @@
 	"ravenport/wire"
 )
 
-// machineUsage are what a machine's attempts add up to.
+// machineUsage is the sum of what a machine's attempts use.
 type machineUsage struct {
-	used             resources // instantly stopping ones left out: a stop and a start travel in one list and are carried out in order
+	used             resources // without attempts that are stopping instantly: a stop and a start in one list of commands are carried out in order
 	active           int       // attempts that have not exited
 	services         int
-	preemptibleCPUs  float64 // CPUs that production work may have at once
-	exitedDirect     int     // exited attempts that a direct command started
-	unreportedStarts int     // attempts that no report has shown yet
-	batchCPUs        float64 // CPUs held by arrays and gangs
-	// Of what could be stopped: whether some of it saves first, its lowest
-	// priority, and the teams that run arrays beyond their guarantee.
+	preemptibleCPUs  float64 // CPUs that production work may preempt at once
+	exitedDirect     int     // exited attempts that a direct command may have started
+	unreportedStarts int     // attempts that no heartbeat has shown yet
+	batchCPUs        float64 // CPUs used by arrays and gangs
+	// Of the attempts that may be evicted: whether one needs a checkpoint, their lowest
+	// priority, and the teams that run arrays beyond their guaranteed quota.
 	needsCheckpoint      bool
 	lowestPriority       int
 	teamsBeyondGuarantee []string
 }
 
-// usageOf keeps a machine's sums; they are made anew only after a change.
+// usageOf returns a machine's usage, which is computed again only after a change.
 func (k *knownState) usageOf(m *machine) *machineUsage {
 	if !m.usageStale {
 		return &m.usage
@@ -68,14 +68,14 @@
 	return &m.usage
 }
 
-// isBusy says whether any attempt has not exited.
+// isBusy reports whether the machine has an attempt that has not exited.
 func (k *knownState) isBusy(m *machine) bool { return k.usageOf(m).active > 0 }
 
-// freeResources is what is left of a machine.
+// freeResources is the part of a machine's capacity that no attempt uses.
 func (k *knownState) freeResources(m *machine) resources { return m.capacity.minus(k.usageOf(m).used) }
 
-// productionCPUs is what production work can have of an ordinary machine (CPUs):
-// what is free, and what lower work holds that can be stopped at once.
+// productionCPUs is what production work can use of an on-demand machine (CPUs): what is
+// free, and what it can preempt at once.
 func (k *knownState) productionCPUs(m *machine) float64 {
 	s := k.usageOf(m)
 	return m.capacity.cpus - s.used.cpus + s.preemptibleCPUs
--- a/shard/waiting.go
+++ b/shard/waiting.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// markWaitingStale says that a job's tasks have changed, so that a round's cost follows
-// what changed.
+// markWaitingStale records that a job's tasks have changed: the cost of a round is then
+// proportional to what changed.
 func (p *placement) markWaitingStale(j *job) {
 	if !j.waitingStale {
 		j.waitingStale = true
@@ -14,7 +14,7 @@
 	}
 }
 
-// refreshWaiting brings the lists of waiting tasks up to date.
+// refreshWaiting lists the waiting tasks of the jobs that changed.
 func (p *placement) refreshWaiting(v *fleetView) {
 	for _, j := range p.changedJobs {
 		j.waitingStale = false
@@ -46,16 +46,16 @@
 	p.changedJobs = p.changedJobs[:0]
 }
 
-// readyTasks lists a job's waiting tasks that may start now.
+// readyTasks returns a job's waiting tasks that may start now.
 func (k *knownState) readyTasks(now time.Time, j *job) []*task {
 	return k.appendReadyTasks(nil, now, j)
 }
 
-// appendReadyTasks is ready for rounds, which look at one job after the other: the list
-// of the last one makes room for the next.
+// appendReadyTasks appends a job's ready tasks to out. Rounds, which go through one job
+// after the other, use the same slice for each.
 func (k *knownState) appendReadyTasks(out []*task, now time.Time, j *job) []*task {
 	for _, t := range j.waiting {
-		// A stray attempt must be gone first.
+		// An attempt that is still on another machine must have ended first.
 		if t.isWaiting() && !now.Before(t.notBefore) && !k.hasLiveAttempt(j.rec.ID, t.index) {
 			out = append(out, t)
 		}
