--- a/detector/heartbeat.go
+++ b/detector/heartbeat.go
@@ -46,7 +46,8 @@
 func (d *Detector) handleMessage(now time.Time, m Message) (*peer, error) {
 	sender := d.peer(m.Controller)
 	if sender == nil {
-		return nil, &DroppedMessageError{Sender: m.Controller, Reason: fmt.Errorf("%w: %q", ErrUnknownController, m.Controller)}
+		reason := fmt.Errorf("%w: %q", ErrUnknownController, m.Controller)
+		return nil, &DroppedMessageError{Sender: m.Controller, Reason: reason}
 	}
 	if err := m.validate(len(d.config.Controllers)); err != nil {
 		return nil, &DroppedMessageError{Sender: m.Controller, Reason: err}
--- a/detector/peer.go
+++ b/detector/peer.go
@@ -118,7 +118,12 @@
 // ownAccusation returns this observer's evidence as an accusation, which counts only if
 // there is some.
 func (p *peer) ownAccusation() Accusation {
-	return Accusation{Controller: p.name, Incarnation: p.incarnation(), Refutation: p.latest.Refutation, Evidence: p.evidence()}
+	return Accusation{
+		Controller:  p.name,
+		Incarnation: p.incarnation(),
+		Refutation:  p.latest.Refutation,
+		Evidence:    p.evidence(),
+	}
 }
 
 // markSeen records a sign of life.
@@ -173,7 +178,9 @@
 
 // clearEvidence drops all evidence.
 func (p *peer) clearEvidence() {
-	for _, since := range []*time.Time{&p.unreachableSince, &p.unansweredSince, &p.stalledSince, &p.unservedSince, &p.suspectSince} {
+	for _, since := range []*time.Time{
+		&p.unreachableSince, &p.unansweredSince, &p.stalledSince, &p.unservedSince, &p.suspectSince,
+	} {
 		*since = time.Time{}
 	}
 	p.probing = probeRound{}
--- a/history/history_test.go
+++ b/history/history_test.go
@@ -73,6 +73,17 @@
 	}
 }
 
+// corrupted returns a copy of data that is truncated or has one byte changed.
+func corrupted(t *rapid.T, data []byte) []byte {
+	damaged := append([]byte(nil), data...)
+	at := rapid.IntRange(0, len(data)-1).Draw(t, "at")
+	if rapid.Bool().Draw(t, "truncated") {
+		return damaged[:at]
+	}
+	damaged[at] ^= byte(rapid.IntRange(1, 255).Draw(t, "flip"))
+	return damaged
+}
+
 // A truncated file, and one with any byte changed, is read up to the damage, reported,
 // renamed, and goes on to be written.
 func TestDamagedHistoryIsReadUpToTheDamage(t *testing.T) {
@@ -87,14 +98,8 @@
 	found := map[error]bool{}
 	rapid.Check(t, func(t *rapid.T) {
 		path := filepath.Join(dir, "damaged")
-		spoilt := append([]byte(nil), data...)
-		at := rapid.IntRange(0, len(data)-1).Draw(t, "at")
-		if rapid.Bool().Draw(t, "truncated") {
-			spoilt = spoilt[:at]
-		} else {
-			spoilt[at] ^= byte(rapid.IntRange(1, 255).Draw(t, "flip"))
-		}
-		if err := os.WriteFile(path, spoilt, 0o600); err != nil {
+		damaged := corrupted(t, data)
+		if err := os.WriteFile(path, damaged, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		events, err := Read(path)
@@ -107,12 +112,12 @@
 				t.Fatalf("event %d was read as %v", i, e)
 			}
 		}
-		if damage == nil && len(spoilt) == len(data) {
+		if damage == nil && len(damaged) == len(data) {
 			t.Fatal("a changed byte was not noticed")
 		}
 		if damage != nil {
 			found[damage.Cause] = true
-			if damage.Events != len(events) || damage.Offset > len(spoilt) {
+			if damage.Events != len(events) || damage.Offset > len(damaged) {
 				t.Fatalf("%+v with %d events", damage, len(events))
 			}
 		}
@@ -132,13 +137,6 @@
 			t.Fatalf("%d events after %d, %v", len(again), len(events), err)
 		}
 	})
-	huge := append([]byte(magic), 0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0)
-	if err := os.WriteFile(whole, huge, 0o600); err != nil {
-		t.Fatal(err)
-	}
-	if _, err := Read(whole); !errors.Is(err, errFrameLength) {
-		t.Errorf("an impossible length: %v", err)
-	}
 	for _, cause := range []error{errNotHistory, errTruncated, errChecksumMismatch} {
 		if !found[cause] {
 			t.Errorf("never brought about: %v", cause)
@@ -146,6 +144,18 @@
 	}
 }
 
+// A frame length beyond the bound is damage.
+func TestImpossibleFrameLengthIsDamage(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "members")
+	huge := append([]byte(magic), 0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0)
+	if err := os.WriteFile(path, huge, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := Read(path); !errors.Is(err, errFrameLength) {
+		t.Errorf("an impossible length: %v", err)
+	}
+}
+
 // Reading what is not there is an error; opening it makes it.
 func TestMissingHistory(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "members")
--- a/member/core_test.go
+++ b/member/core_test.go
@@ -16,10 +16,11 @@
 
 // storeSim is a key-value store whose feed three cores apply.
 type storeSim struct {
-	version      uint64
-	keys         map[string]records.Change
-	cores        []*Core
-	incarnations []uint64
+	version         uint64
+	keys            map[string]records.Change
+	cores           []*Core
+	incarnations    []uint64
+	lastIncarnation uint64 // of any controller's process
 }
 
 func (s *storeSim) apply(now time.Time, key string, rec any) {
@@ -49,6 +50,47 @@
 	return true
 }
 
+// start registers the next process of a controller.
+func (s *storeSim) start(now time.Time, i int) {
+	s.lastIncarnation++
+	s.incarnations[i] = s.lastIncarnation
+	name := testControllers[i].Name
+	s.apply(now, records.KeyController(name), &records.Controller{Name: name, Incarnation: s.lastIncarnation})
+}
+
+// stop ends the registration of a controller's process, if there is one.
+func (s *storeSim) stop(now time.Time, i int) {
+	if s.incarnations[i] != 0 {
+		s.incarnations[i] = 0
+		s.apply(now, records.KeyController(testControllers[i].Name), nil)
+	}
+}
+
+// acquireDue commits all due acquisitions. Each raises a term by one, and none takes a
+// term from another controller that lives.
+func (s *storeSim) acquireDue(t *rapid.T, now time.Time) {
+	t.Helper()
+	for i, c := range s.cores {
+		if s.incarnations[i] == 0 {
+			continue
+		}
+		for _, acquisition := range c.DueAcquisitions(now, s.incarnations[i], true) {
+			before, _ := c.Term(acquisition.Key)
+			holder, held := c.Holder(acquisition.Key)
+			if held && holder != testControllers[i].Name {
+				t.Fatalf("%s acquired %s from live %s", testControllers[i].Name, acquisition.Key, holder)
+			}
+			if !s.commit(now, acquisition) {
+				continue
+			}
+			after, _ := c.Term(acquisition.Key)
+			if after.Number != before.Number+1 {
+				t.Fatalf("%s went from term %d to %d", acquisition.Key, before.Number, after.Number)
+			}
+		}
+	}
+}
+
 // Through any run of failures and returns: terms only rise, nobody takes a
 // term from a live holder unless it was transferred, and once all is calm every
 // shard is held in its own zone.
@@ -58,76 +100,52 @@
 		s := &storeSim{keys: map[string]records.Change{}, incarnations: make([]uint64, 3)}
 		wait := time.Duration(rapid.IntRange(0, 5000).Draw(t, "second shard wait")) * time.Millisecond
 		for _, k := range testControllers {
-			s.cores = append(s.cores, New(k.Name, testControllers, []string{"a", "b"}, now))
-			s.cores[len(s.cores)-1].SetSecondShardDelay(wait)
-		}
-		next := uint64(0)
-		up := func(i int) {
-			next++
-			s.incarnations[i] = next
-			s.apply(now, records.KeyController(testControllers[i].Name), &records.Controller{Name: testControllers[i].Name, Incarnation: next})
-		}
-		down := func(i int) {
-			if s.incarnations[i] != 0 {
-				s.incarnations[i] = 0
-				s.apply(now, records.KeyController(testControllers[i].Name), nil)
-			}
-		}
-		step := func() {
-			for i, c := range s.cores {
-				if s.incarnations[i] == 0 {
-					continue
-				}
-				for _, acquisition := range c.DueAcquisitions(now, s.incarnations[i], true) {
-					before, _ := c.Term(acquisition.Key)
-					holder, held := c.Holder(acquisition.Key)
-					if held && holder != testControllers[i].Name {
-						t.Fatalf("%s acquired %s from live %s", testControllers[i].Name, acquisition.Key, holder)
-					}
-					if s.commit(now, acquisition) {
-						after, _ := c.Term(acquisition.Key)
-						if after.Number != before.Number+1 {
-							t.Fatalf("%s went from term %d to %d", acquisition.Key, before.Number, after.Number)
-						}
-					}
-				}
-			}
+			c := New(k.Name, testControllers, []string{"a", "b"}, now)
+			c.SetSecondShardDelay(wait)
+			s.cores = append(s.cores, c)
 		}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(50, 3000).Draw(t, "ms")) * time.Millisecond)
 			i := rapid.IntRange(0, 2).Draw(t, "node")
 			if rapid.Bool().Draw(t, "up") {
-				up(i)
+				s.start(now, i)
 			} else {
-				down(i)
+				s.stop(now, i)
 			}
-			step()
+			s.acquireDue(t, now)
 		}
 		for i := range testControllers {
 			if s.incarnations[i] == 0 {
-				up(i)
+				s.start(now, i)
 			}
 		}
 		for range 300 {
 			now = now.Add(100 * time.Millisecond)
-			step()
+			s.acquireDue(t, now)
 		}
-		for _, shard := range []string{"a", "b"} {
-			holder, held := s.cores[0].Holder(records.KeyShard(shard))
-			zone := ""
-			for _, k := range testControllers {
-				if k.Name == holder {
-					zone = k.Zone
-				}
-			}
-			if !held || zone != shard {
-				t.Fatalf("shard %s is held by %s in %q", shard, holder, zone)
+		s.checkSettled(t)
+	})
+}
+
+// checkSettled checks that there is a leader, and that every shard is held in its own
+// zone.
+func (s *storeSim) checkSettled(t *rapid.T) {
+	t.Helper()
+	for _, shard := range []string{"a", "b"} {
+		holder, held := s.cores[0].Holder(records.KeyShard(shard))
+		zone := ""
+		for _, k := range testControllers {
+			if k.Name == holder {
+				zone = k.Zone
 			}
 		}
-		if _, held := s.cores[0].Holder(records.KeyLeader); !held {
-			t.Fatal("nobody leads")
+		if !held || zone != shard {
+			t.Fatalf("shard %s is held by %s in %q", shard, holder, zone)
 		}
-	})
+	}
+	if _, held := s.cores[0].Holder(records.KeyLeader); !held {
+		t.Fatal("nobody leads")
+	}
 }
 
 // newSim makes three controllers that are up and know of each other.
