--- a/controller/actors.go
+++ b/controller/actors.go
@@ -26,10 +26,11 @@
 type (
 	authorityExtended time.Time // may act until then
 	commitDone        struct {
-		id       string
-		revision uint64 // 0: not known to have been written
-		invalid  bool   // the state service found fault with it
-		urgent   bool
+		id          string
+		shardCommit shard.CommitID // the transaction of a shard owner
+		revision    uint64         // 0: not known to have been written
+		invalid     bool           // the state service found fault with it
+		urgent      bool
 	}
 	packingEnabled struct{} // every controller reads packed records
 	commandDone    struct {
@@ -271,9 +272,9 @@
 		a.core.EnablePacking()
 	case commitDone:
 		if m.invalid {
-			a.core.CommitInvalid(m.id)
+			a.core.CommitInvalid(m.shardCommit)
 		}
-		a.core.CommitResult(now, m.id, m.revision)
+		a.core.CommitResult(now, m.shardCommit, m.revision)
 	case commandDone:
 		if m.result.Err != nil {
 			slog.Debug("direct command unanswered", "machine", m.machine, "err", m.result.Err)
@@ -371,8 +372,8 @@
 		a.workers.Forget(act.Addr)
 	case shard.Commit:
 		go func() {
-			r := commit(ctx, a.store, act.Txn, act.ID, false)
-			r.id = act.ID
+			r := commit(ctx, a.store, act.Txn, act.ID.String(), false)
+			r.shardCommit = act.ID
 			a.self.Tell(r)
 		}()
 	case shard.ScaleOut:
--- a/shard/action.go
+++ b/shard/action.go
@@ -22,7 +22,7 @@
 // Commit writes a transaction to the key-value store. Its outcome is passed to
 // Core.CommitResult or Core.CommitInvalid with ID.
 type Commit struct {
-	ID  string
+	ID  CommitID
 	Txn wire.Txn
 }
 
--- a/shard/assignments.go
+++ b/shard/assignments.go
@@ -152,7 +152,7 @@
 		return
 	}
 	j.writeInFlight = true
-	c.commitInTerm(&c.fleetView, "job/"+id, []wire.Change{{Put: records.KeyJob(id), Value: value}},
+	c.commitInTerm(&c.fleetView, CommitID{kind: commitJob, jobID: id}, []wire.Change{{Put: records.KeyJob(id), Value: value}},
 		wire.Condition{Key: records.KeyJob(id), Version: j.version})
 }
 
--- a/shard/commits.go
+++ b/shard/commits.go
@@ -1,7 +1,7 @@
 package shard
 
 import (
-	"strings"
+	"strconv"
 	"time"
 
 	"ravenport/constants"
@@ -9,25 +9,62 @@
 	"ravenport/wire"
 )
 
-// commitInTerm gathers a transaction that holds only while the term stands.
-func (q *outbox) commitInTerm(v *fleetView, id string, changes []wire.Change, conds ...wire.Condition) {
+// CommitID identifies a transaction of a shard owner in Core.CommitResult and
+// Core.CommitInvalid.
+type CommitID struct {
+	kind  commitKind
+	jobID string // of commitJob
+	drain int    // of commitDrain: the drain's number
+}
+
+// commitKind is what a transaction writes.
+type commitKind int
+
+const (
+	commitInventory commitKind = iota // pages of the inventory
+	commitJob                         // a job's record
+	commitClaim                       // the shard's claim on disruption budgets
+	commitDrain                       // a drain's record
+)
+
+// String names the transaction in logs.
+func (id CommitID) String() string {
+	switch id.kind {
+	case commitJob:
+		return "job/" + id.jobID
+	case commitClaim:
+		return "claim"
+	case commitDrain:
+		return "drain/" + strconv.Itoa(id.drain)
+	default:
+		return "inventory"
+	}
+}
+
+// commitInTerm adds a transaction to the outbox that succeeds only while the owner's term
+// is the shard's latest.
+func (q *outbox) commitInTerm(v *fleetView, id CommitID, changes []wire.Change, conditions ...wire.Condition) {
 	q.actions = append(q.actions, Commit{ID: id, Txn: wire.Txn{
-		Conditions: append([]wire.Condition{{Key: records.KeyShard(v.cfg.Shard), Version: v.termVersion}}, conds...),
+		Conditions: append([]wire.Condition{{Key: records.KeyShard(v.cfg.Shard), Version: v.termVersion}}, conditions...),
 		Changes:    changes,
 	}})
 }
 
-// CommitInvalid takes note that the state service found fault with a write: smaller
-// ones follow.
-func (c *Core) CommitInvalid(id string) {
-	switch kind, _, _ := strings.Cut(id, "/"); kind {
-	case "roster":
-	case commitClaim, commitDrain:
-		return // nothing of them can be made smaller
-	default:
+// CommitInvalid records that the key-value store refused a transaction as invalid: the next
+// ones are smaller. CommitResult is called for the transaction as well.
+func (c *Core) CommitInvalid(id CommitID) {
+	switch id.kind {
+	case commitInventory:
+		c.shrinkPages()
+	case commitJob:
 		c.EnablePacking()
-		return
+	case commitClaim, commitDrain: // they cannot be made smaller
 	}
+}
+
+// shrinkPages writes one page of the inventory in a transaction from now on, and smaller
+// ones than the largest that was just refused.
+func (c *Core) shrinkPages() {
 	c.cfg.MaxTxnOps = 1
 	largest := 0
 	for _, p := range c.pages {
@@ -35,30 +72,33 @@
 			largest = max(largest, p.bytes)
 		}
 	}
-	// Pages are of 90% of a value at most, so nine tenths of it are a smaller one.
-	c.cfg.SizeLimits.Next = max(constants.MinInventoryValueBytes, min(c.cfg.SizeLimits.Next, largest)*constants.PageFillPercent/100)
+	// A page fills PageFillPercent of a value at most: that part of it is smaller.
+	refused := min(c.cfg.SizeLimits.Next, largest)
+	c.cfg.SizeLimits.Next = max(constants.MinInventoryValueBytes, refused*constants.PageFillPercent/100)
 	c.setSizeLimits(c.cfg.SizeLimits)
 	for _, p := range c.pages {
 		c.splitOversized(&c.fleetView, p)
 	}
 }
 
-// CommitResult takes in what came of a transaction. A conflict needs nothing: the
-// feed brings the change that caused it.
-func (c *Core) CommitResult(now time.Time, id string, revision uint64) {
-	kind, rest, _ := strings.Cut(id, "/")
-	switch kind {
-	case "roster":
+// CommitResult handles the result of a transaction: its revision, or 0 if it is not known to
+// have been written. A compare-and-swap conflict needs nothing more: the feed brings the
+// change that caused it.
+func (c *Core) CommitResult(now time.Time, id CommitID, revision uint64) {
+	switch id.kind {
+	case commitInventory:
 		c.inventoryCommitted(now, revision)
-	case "job":
-		if j := c.jobs[rest]; j != nil && revision == 0 {
+	case commitJob:
+		if j := c.jobs[id.jobID]; j != nil && revision == 0 {
 			// Either the feed will bring a newer version, or the write is
 			// tried again.
 			j.writeInFlight = false
 			j.nextWriteAt = now.Add(constants.RetryBackoffMax)
 			c.queueForClose(j)
 		}
-	default:
-		c.draining.applyCommitResult(now, kind, rest, revision)
+	case commitClaim:
+		c.draining.ledger.ApplyWriteResult(now, revision)
+	case commitDrain:
+		c.draining.applyDrainResult(id.drain, revision)
 	}
 }
--- a/shard/core_test.go
+++ b/shard/core_test.go
@@ -654,7 +654,7 @@
 	r.Heartbeat(r.now, report("m-1", 1, 4, r.shown("m-1"), names...))
 	for range 20 {
 		for _, a := range r.wait(time.Second) {
-			if cm, ok := a.(Commit); ok && cm.ID == "job/run-1" {
+			if cm, ok := a.(Commit); ok && cm.ID == (CommitID{kind: commitJob, jobID: "run-1"}) {
 				t.Fatal("a record is written that the state service does not have yet")
 			}
 		}
@@ -668,7 +668,7 @@
 	closed := false
 	for _, a := range r.wait(time.Second) {
 		cm, ok := a.(Commit)
-		closed = closed || ok && cm.ID == "job/run-1"
+		closed = closed || ok && cm.ID == (CommitID{kind: commitJob, jobID: "run-1"})
 	}
 	if !closed {
 		t.Error("the assignments were not closed once the feed brought the cancellation")
--- a/shard/draining.go
+++ b/shard/draining.go
@@ -4,7 +4,6 @@
 	"log/slog"
 	"maps"
 	"slices"
-	"strconv"
 	"time"
 
 	"ravenport/constants"
@@ -150,7 +149,7 @@
 		}
 	}
 	if changes, conditions := d.ledger.PrepareWrite(now, d.hasRunningDrain()); changes != nil {
-		c.commitInTerm(&c.fleetView, commitClaim+"/", changes, conditions...)
+		c.commitInTerm(&c.fleetView, CommitID{kind: commitClaim}, changes, conditions...)
 	}
 }
 
@@ -289,7 +288,7 @@
 	}
 	if record, version := s.NextRecord(c.draining.migrationsSettled(number)); record != nil {
 		key := records.KeyDrain(number)
-		c.commitInTerm(&c.fleetView, commitDrain+"/"+strconv.Itoa(number), []wire.Change{{Put: key, Value: records.Encode(record)}}, wire.Condition{Key: key, Version: version})
+		c.commitInTerm(&c.fleetView, CommitID{kind: commitDrain, drain: number}, []wire.Change{{Put: key, Value: records.Encode(record)}}, wire.Condition{Key: key, Version: version})
 	}
 }
 
@@ -316,22 +315,10 @@
 	return true
 }
 
-// Kinds of transactions of drains and claims, in their names.
-const (
-	commitClaim = "claim"
-	commitDrain = "drain"
-)
-
-// applyCommitResult takes in what came of a transaction of a drain or a claim.
-func (d *draining) applyCommitResult(now time.Time, kind, rest string, revision uint64) {
-	switch kind {
-	case commitClaim:
-		d.ledger.ApplyWriteResult(now, revision)
-	case commitDrain:
-		number, _ := strconv.Atoi(rest) // as it was written by advanceDrain
-		if s := d.drains[number]; s != nil {
-			s.ApplyWriteResult(revision != 0)
-		}
+// applyDrainResult handles the result of a transaction that wrote a drain's record.
+func (d *draining) applyDrainResult(number int, revision uint64) {
+	if s := d.drains[number]; s != nil {
+		s.ApplyWriteResult(revision != 0)
 	}
 }
 
--- a/shard/inventory.go
+++ b/shard/inventory.go
@@ -149,7 +149,7 @@
 	// returns becomes one change of a page and not one a machine.
 	c.inventoryInFlight = true
 	c.nextInventoryWriteAt = now.Add(max(constants.MinInventoryWriteInterval, time.Duration(float64(len(ps))/(c.cfg.MaxWritesPerSecond*constants.InventoryWriteShare)*float64(time.Second))))
-	c.commitInTerm(&c.fleetView, "roster/", changes, conds...)
+	c.commitInTerm(&c.fleetView, CommitID{kind: commitInventory}, changes, conds...)
 }
 
 // inventoryCommitted takes in what came of a write of pages.
--- a/shard/scalein_test.go
+++ b/shard/scalein_test.go
@@ -65,7 +65,7 @@
 		if names := closes(t, acts); len(names) > 0 {
 			if refused < 3 { // the write fails; nobody may be returned for it
 				refused++
-				r.CommitResult(r.now, "roster/", 0)
+				r.CommitResult(r.now, CommitID{kind: commitInventory}, 0)
 				continue
 			}
 			closed = len(names)
--- a/shard/state_test.go
+++ b/shard/state_test.go
@@ -117,7 +117,7 @@
 		p.inFlight = []records.Machine{{Name: "m-1"}}
 	}
 	before := r.maxPageBytes
-	if r.CommitInvalid("roster/"); r.maxPageBytes >= before {
+	if r.CommitInvalid(CommitID{kind: commitInventory}); r.maxPageBytes >= before {
 		t.Errorf("%d bytes a page, %d before it was refused", r.maxPageBytes, before)
 	}
 }
