--- a/apiserver/cancellations.go
+++ b/apiserver/cancellations.go
@@ -44,7 +44,7 @@
 }
 
 func respondEnded(request Request, jobID, endState string) {
-	respondJSON(request, http.StatusOK, wire.Accepted{ID: jobID, Status: endState})
+	respondJSON(request, http.StatusOK, wire.JobReply{ID: jobID, Status: endState})
 }
 
 // cancelJob cancels a job that has not ended and returns the state in which it ended;
--- a/apiserver/server.go
+++ b/apiserver/server.go
@@ -141,8 +141,8 @@
 }
 
 // state is the job's state as far as the record shows it, without running tasks.
-func (j jobSummary) state(jobID string) wire.JobState {
-	state := wire.JobState{ID: jobID, Status: j.endState, Done: j.closedTasks}
+func (j jobSummary) state(jobID string) wire.JobStatus {
+	state := wire.JobStatus{ID: jobID, Status: j.endState, Done: j.closedTasks}
 	if j.endState == "" {
 		state.Status = wire.JobQueued
 	}
--- a/apiserver/submissions.go
+++ b/apiserver/submissions.go
@@ -85,7 +85,7 @@
 		s.stats.accepted++
 		s.stats.submit.observe(elapsed)
 		slog.Debug("job accepted", logkey.JobID, jobID, "class", m.submission.Class, "tasks", m.submission.Tasks, "took_ms", elapsed.Milliseconds())
-		respondJSON(m.request, http.StatusCreated, wire.Accepted{ID: jobID, Status: wire.JobQueued})
+		respondJSON(m.request, http.StatusCreated, wire.JobReply{ID: jobID, Status: wire.JobQueued})
 	case isConflict(m.err):
 		// The record exists already.
 		s.poll(ctx, &pendingPoll{request: m.request, jobID: jobID, missing: &rejectNotReady})
--- a/cloud/client.go
+++ b/cloud/client.go
@@ -127,7 +127,7 @@
 	after := ""
 	for {
 		var page wire.MachineList
-		if err := c.call(ctx, http.MethodGet, wire.MachinesPath(after, wire.MaxList), nil, &page); err != nil {
+		if err := c.call(ctx, http.MethodGet, wire.MachinesPath(after, wire.MaxMachinesListed), nil, &page); err != nil {
 			return nil, err
 		}
 		all = append(all, page.Machines...)
--- a/controller/actors.go
+++ b/controller/actors.go
@@ -352,7 +352,7 @@
 	}
 	every := constants.CloudListInterval
 	if !a.core.IsPartitioned() { // the list tells whether its machines are cut off or gone
-		every *= time.Duration(1 + a.listSize/wire.MaxList)
+		every *= time.Duration(1 + a.listSize/wire.MaxMachinesListed)
 	}
 	if !a.listing && now.Sub(a.listAt) > every {
 		a.listing, a.listAt = true, now
--- a/controller/draining_test.go
+++ b/controller/draining_test.go
@@ -158,7 +158,7 @@
 			go w.playGangs()
 			lot := []*simJob{w.newArray("run-000200", 6, 2, 90)}
 			gang := w.newArray("run-000201", 3, 2, 60)
-			gang.spec.Kind, gang.spec.CheckpointS, gang.spec.SaveS, gang.spec.Spot = wire.KindGang, 4, 1, false
+			gang.spec.Kind, gang.spec.CheckpointIntervalS, gang.spec.CheckpointSaveS, gang.spec.Spot = wire.KindGang, 4, 1, false
 			for _, j := range append(lot, gang) {
 				go w.user(j, 0, 0)
 			}
@@ -176,7 +176,7 @@
 			})
 			go w.playGangs()
 			work := []*simJob{w.newArray("run-000200", 6, 2, 240), w.newArray("run-000201", 3, 2, 240)}
-			work[1].spec.Kind, work[1].spec.CheckpointS, work[1].spec.SaveS, work[1].spec.Spot = wire.KindGang, 4, 1, false
+			work[1].spec.Kind, work[1].spec.CheckpointIntervalS, work[1].spec.CheckpointSaveS, work[1].spec.Spot = wire.KindGang, 4, 1, false
 			for _, j := range work { // of the services' team and priority, so that none is preempted for them
 				j.spec.Team, j.spec.Priority = "free", wire.PriorityProduction
 				go w.user(j, 0, 0)
--- a/controller/faults_test.go
+++ b/controller/faults_test.go
@@ -111,7 +111,7 @@
 	for _, name := range slices.Sorted(maps.Keys(w.machines)) {
 		m := w.machines[name]
 		for _, x := range m.held {
-			if id, _, _ := wire.SplitTask(x.name); id == job && onMachine(x.state) {
+			if id, _, _ := wire.ParseTaskName(x.name); id == job && onMachine(x.state) {
 				out = append(out, m)
 				break
 			}
@@ -140,7 +140,7 @@
 				if r == nil || r.Status == 503 || r.Status == 429 {
 					return
 				}
-				var s wire.JobState
+				var s wire.JobStatus
 				err := json.Unmarshal(r.Body, &s)
 				w.mu.Lock()
 				defer w.mu.Unlock()
--- a/controller/overload_test.go
+++ b/controller/overload_test.go
@@ -179,7 +179,7 @@
 		for _, x := range w.held {
 			if x.status.State != wire.TaskExited && !x.ends.IsZero() && !c.now.Before(x.ends) {
 				x.status.State, x.status.Cause = wire.TaskExited, wire.CauseDone
-				id, i, _ := wire.SplitTask(x.status.Task)
+				id, i, _ := wire.ParseTaskName(x.status.Task)
 				delete(c.jobs[id].left, i)
 				w.changed = true
 			}
@@ -219,7 +219,7 @@
 		x := w.held[key]
 		switch {
 		case cmd.Op == wire.OpStart && x == nil:
-			id, _, _ := wire.SplitTask(cmd.Task)
+			id, _, _ := wire.ParseTaskName(cmd.Task)
 			j := c.jobs[id]
 			if j.began.IsZero() {
 				j.began = c.now
--- a/controller/scenario_test.go
+++ b/controller/scenario_test.go
@@ -134,7 +134,7 @@
 	w.do(func() { j.asked = true })
 	r := w.askAt(node, func(q apiserver.Request) any { return apiserver.Cancel{Request: q, JobID: j.spec.ID} })
 	w.check(j, r, true)
-	var s wire.JobState
+	var s wire.JobStatus
 	return r != nil && r.Status == 200 && json.Unmarshal(r.Body, &s) == nil && s.Status == wire.JobCancelled
 }
 
@@ -163,7 +163,7 @@
 			continue
 		}
 		for _, x := range m.held {
-			if id, _, _ := wire.SplitTask(x.name); id == job && onMachine(x.state) {
+			if id, _, _ := wire.ParseTaskName(x.name); id == job && onMachine(x.state) {
 				n++
 			}
 		}
--- a/controller/sim_test.go
+++ b/controller/sim_test.go
@@ -53,7 +53,7 @@
 		}
 		if i%6 == 2 {
 			s.Kind, s.Tasks, s.CPUs = wire.KindGang, 2+w.rng.IntN(3), float64(1+w.rng.IntN(2))
-			s.CheckpointS, s.SaveS, s.Priority = 4, 1, []string{wire.PriorityNormal, wire.PriorityHigh}[w.rng.IntN(2)]
+			s.CheckpointIntervalS, s.CheckpointSaveS, s.Priority = 4, 1, []string{wire.PriorityNormal, wire.PriorityHigh}[w.rng.IntN(2)]
 			s.OneZone, s.Spread = w.rng.IntN(2) == 0, false
 			if i%12 == 8 {
 				s.OneZone, s.Spread = false, true
@@ -388,7 +388,7 @@
 			zone := ""
 			for _, m := range w.machines {
 				for _, x := range m.held {
-					if id, _, _ := wire.SplitTask(x.name); id == j.spec.ID {
+					if id, _, _ := wire.ParseTaskName(x.name); id == j.spec.ID {
 						zone = m.zone
 					}
 				}
@@ -528,7 +528,7 @@
 	n := 0
 	for _, m := range w.machines {
 		for _, x := range m.held {
-			if job, _, _ := wire.SplitTask(x.name); job == id && x.state == wire.TaskRunning {
+			if job, _, _ := wire.ParseTaskName(x.name); job == id && x.state == wire.TaskRunning {
 				n++
 			}
 		}
--- a/controller/standin_draining_test.go
+++ b/controller/standin_draining_test.go
@@ -103,7 +103,7 @@
 
 // stopped judges the stop of a running task. The caller holds the lock.
 func (w *world) stopped(task string) {
-	id, _, _ := wire.SplitTask(task)
+	id, _, _ := wire.ParseTaskName(task)
 	j := w.jobs[id]
 	if w.disruption == nil || j.asked || !j.accepted {
 		return
@@ -299,7 +299,7 @@
 	n := 0
 	for _, m := range w.machines {
 		for _, x := range m.held {
-			if id, _, _ := wire.SplitTask(x.name); x.state == wire.TaskRunning && w.jobs[id].spec.IsService() {
+			if id, _, _ := wire.ParseTaskName(x.name); x.state == wire.TaskRunning && w.jobs[id].spec.IsService() {
 				n++
 			}
 		}
@@ -500,7 +500,7 @@
 	var names []string
 	for name, m := range w.machines {
 		for _, x := range m.held {
-			if id, _, _ := wire.SplitTask(x.name); x.state == wire.TaskRunning && w.jobs[id].spec.IsService() {
+			if id, _, _ := wire.ParseTaskName(x.name); x.state == wire.TaskRunning && w.jobs[id].spec.IsService() {
 				names = append(names, name)
 			}
 		}
--- a/controller/standin_gang_test.go
+++ b/controller/standin_gang_test.go
@@ -35,7 +35,7 @@
 }
 
 func gangKey(t *simTask) string {
-	job, _, _ := wire.SplitTask(t.name)
+	job, _, _ := wire.ParseTaskName(t.name)
 	return fmt.Sprintf("%s#%d", job, t.attempt)
 }
 
@@ -56,7 +56,7 @@
 		groups := map[string][]gangTask{}
 		for _, m := range w.machines {
 			for _, t := range m.held {
-				job, i, _ := wire.SplitTask(t.name)
+				job, i, _ := wire.ParseTaskName(t.name)
 				if j := w.jobs[job]; j != nil && j.spec.IsGang() {
 					groups[gangKey(t)] = append(groups[gangKey(t)], gangTask{m, t, i})
 				}
@@ -87,7 +87,7 @@
 		return
 	}
 	now := time.Now()
-	job, _, _ := wire.SplitTask(all[0].t.name)
+	job, _, _ := wire.ParseTaskName(all[0].t.name)
 	j := w.jobs[job]
 	there := map[int]bool{} // on a machine that carries out its tasks
 	for _, x := range all {
@@ -113,7 +113,7 @@
 			end = g.firstStop
 		}
 		progress := j.saved + end.Sub(g.began).Seconds()
-		mark := max(j.saved, math.Floor(progress/max(j.spec.CheckpointS, 0.1))*j.spec.CheckpointS)
+		mark := max(j.saved, math.Floor(progress/max(j.spec.CheckpointIntervalS, 0.1))*j.spec.CheckpointIntervalS)
 		switch {
 		case whole && !g.firstStop.IsZero() && len(g.told) == j.spec.Tasks:
 			last := g.firstStop
@@ -122,7 +122,7 @@
 					last = at
 				}
 			}
-			if now.Sub(last).Seconds() >= j.spec.SaveS {
+			if now.Sub(last).Seconds() >= j.spec.CheckpointSaveS {
 				g.over, g.kept, j.saved = true, true, progress
 			}
 		case !g.firstStop.IsZero():
@@ -174,9 +174,9 @@
 
 // stopGangTask carries out a stop of a gang's task. The caller holds the lock.
 func (m *simWorker) stopGangTask(t *simTask, j *simJob, graceS float64) {
-	_, i, _ := wire.SplitTask(t.name)
+	_, i, _ := wire.ParseTaskName(t.name)
 	g := m.w.gangs[gangKey(t)]
-	if t.state == wire.TaskRunning && g != nil && !g.over && j.spec.CheckpointS > 0 && graceS >= j.spec.SaveS {
+	if t.state == wire.TaskRunning && g != nil && !g.over && j.spec.CheckpointIntervalS > 0 && graceS >= j.spec.CheckpointSaveS {
 		if g.firstStop.IsZero() {
 			g.firstStop = time.Now()
 		}
--- a/controller/standin_user_test.go
+++ b/controller/standin_user_test.go
@@ -142,7 +142,7 @@
 		w.broke("forgotten", "%s: status %d", j.spec.ID, r.Status)
 		return
 	}
-	var s wire.JobState
+	var s wire.JobStatus
 	if err := json.Unmarshal(r.Body, &s); err != nil {
 		panic(err)
 	}
--- a/controller/standin_worker_test.go
+++ b/controller/standin_worker_test.go
@@ -191,7 +191,7 @@
 		if t.next.IsZero() || now.Before(t.next) {
 			continue
 		}
-		job, i, _ := wire.SplitTask(t.name)
+		job, i, _ := wire.ParseTaskName(t.name)
 		j := m.w.jobs[job]
 		m.changed = true
 		switch t.state {
@@ -241,7 +241,7 @@
 		}
 		free[m] = simTypes[0].CPUs
 		for _, x := range m.held {
-			if id, _, _ := wire.SplitTask(x.name); x.state != wire.TaskExited {
+			if id, _, _ := wire.ParseTaskName(x.name); x.state != wire.TaskExited {
 				here[id]++
 				used[w.jobs[id].spec.Team] += w.jobs[id].spec.CPUs
 				free[m] -= w.jobs[id].spec.CPUs
@@ -277,7 +277,7 @@
 	defer w.mu.Unlock()
 	for _, m := range w.machines {
 		for _, t := range m.held {
-			job, _, _ := wire.SplitTask(t.name)
+			job, _, _ := wire.ParseTaskName(t.name)
 			j := w.jobs[job]
 			if w.deadHangs && time.Since(m.renewed) > w.times.lease() {
 				continue
@@ -311,7 +311,7 @@
 			if !onMachine(x.state) {
 				continue
 			}
-			job, _, _ := wire.SplitTask(x.name)
+			job, _, _ := wire.ParseTaskName(x.name)
 			k := w.jobs[job]
 			if x.name == t.name && o != m {
 				w.broke("ran_twice", "%s on %s and %s", t.name, m.name, o.name)
@@ -349,7 +349,7 @@
 			if t != nil {
 				continue
 			}
-			if id, _, _ := wire.SplitTask(c.Task); inAnswer {
+			if id, _, _ := wire.ParseTaskName(c.Task); inAnswer {
 				// An answer is never carried out late, so whoever gave it decided the
 				// start within its authority and without knowing of the cancellation.
 				if j := m.w.jobs[id]; !j.cancelled.IsZero() && time.Since(j.cancelled) > 4*time.Second {
@@ -361,15 +361,15 @@
 			m.changed = true
 			used := 0.0
 			for _, o := range m.held {
-				job, _, _ := wire.SplitTask(o.name)
+				job, _, _ := wire.ParseTaskName(o.name)
 				if o != t && o.state != wire.TaskExited {
 					used += m.w.jobs[job].spec.CPUs
 					if o.name == t.name {
-						t.state, t.cause = wire.TaskExited, wire.CauseBusy
+						t.state, t.cause = wire.TaskExited, wire.CauseOtherAttempt
 					}
 				}
 			}
-			job, _, _ := wire.SplitTask(c.Task)
+			job, _, _ := wire.ParseTaskName(c.Task)
 			if t.state != wire.TaskExited && used+m.w.jobs[job].spec.CPUs > 8+1e-6 {
 				t.state, t.cause = wire.TaskExited, wire.CauseNoCapacity
 			}
@@ -383,7 +383,7 @@
 			if t == nil || t.state == wire.TaskExited {
 				continue
 			}
-			job, _, _ := wire.SplitTask(c.Task)
+			job, _, _ := wire.ParseTaskName(c.Task)
 			if t.state == wire.TaskRunning && m.takenBack.IsZero() {
 				m.w.stopped(t.name)
 			}
--- a/internal/loopback/census_test.go
+++ b/internal/loopback/census_test.go
@@ -144,7 +144,7 @@
 
 // isArray says whether a task is an array's: only those end by themselves.
 func (f *fleet) isArray(task string) bool {
-	job, _, _ := wire.SplitTask(task)
+	job, _, _ := wire.ParseTaskName(task)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.runTime[job] > 0
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -165,7 +165,7 @@
 }
 
 func (f *fleet) runsFor(task string) time.Duration {
-	job, _, _ := wire.SplitTask(task)
+	job, _, _ := wire.ParseTaskName(task)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return time.Duration(float64(f.runTime[job]) * (0.5 + rand.Float64()))
--- a/internal/loopback/takeover_test.go
+++ b/internal/loopback/takeover_test.go
@@ -435,7 +435,7 @@
 // isDone asks whether an array is done.
 func (f *fleet) isDone(t *testing.T, id string) bool {
 	t.Helper()
-	var s wire.JobState
+	var s wire.JobStatus
 	if err := json.Unmarshal(f.ask("GET", wire.PathJobs+"/"+id, nil), &s); err != nil {
 		t.Fatal(err)
 	}
--- a/shard/attempt.go
+++ b/shard/attempt.go
@@ -50,7 +50,7 @@
 func (a *attempt) applySpec(j *job) {
 	s := &j.rec.Spec
 	a.resources, a.image = taskResources(s), s.Image
-	a.stopsInstantly = s.CheckpointS == 0
+	a.stopsInstantly = s.CheckpointIntervalS == 0
 	a.machine.usageStale = true
 }
 
@@ -125,7 +125,7 @@
 	switch a.cause {
 	case wire.CauseStopped, wire.CauseGangPeerLost, wire.CauseGangIncomplete:
 		return // neither the task nor the machine is at fault
-	case wire.CauseError, wire.CauseUnknown:
+	case wire.CauseError, wire.CauseUnknownTask:
 		slog.Warn("task failed", logkey.TaskID, a.key.task, logkey.Machine, a.machine.name, "cause", a.cause)
 		j := t.job
 		if j.failedMachines == nil {
--- a/shard/cloudlist.go
+++ b/shard/cloudlist.go
@@ -55,7 +55,7 @@
 		}
 	}
 	for len(failed) > 0 {
-		k := min(len(failed), wire.MaxScaleIn)
+		k := min(len(failed), wire.MaxMachinesPerScaleIn)
 		c.actions = append(c.actions, ScaleIn{failed[:k]})
 		failed = failed[k:]
 	}
--- a/shard/core_test.go
+++ b/shard/core_test.go
@@ -368,7 +368,7 @@
 	r := newRig(nil)
 	r.up("m-1")
 	j := array("run-1", 1, "a")
-	j.Spec.CheckpointS, j.Spec.SaveS, j.Spec.EstimateS = 30, 5, 500
+	j.Spec.CheckpointIntervalS, j.Spec.CheckpointSaveS, j.Spec.EstimateS = 30, 5, 500
 	r.submit(j)
 	s := started(r.wait(time.Millisecond), "m-1")
 	if len(s) != 1 {
@@ -387,7 +387,7 @@
 			if c.Op != wire.OpStop {
 				continue
 			}
-			if left < *c.GraceS || *c.GraceS < j.Spec.SaveS || left > 12 {
+			if left < *c.GraceS || *c.GraceS < j.Spec.CheckpointSaveS || left > 12 {
 				t.Fatalf("told to stop %g s before the end, with %g s to save in", left, *c.GraceS)
 			}
 			return
@@ -402,7 +402,7 @@
 	r := newRig(nil)
 	r.up("m-1")
 	low := array("run-1", 1, "a")
-	low.Spec.CPUs, low.Spec.CheckpointS, low.Spec.SaveS = 8, 30, 5
+	low.Spec.CPUs, low.Spec.CheckpointIntervalS, low.Spec.CheckpointSaveS = 8, 30, 5
 	r.submit(low)
 	s := started(r.wait(time.Millisecond), "m-1")
 	if len(s) != 1 {
@@ -422,7 +422,7 @@
 					t.Fatalf("%s started before the room was there", c.Task)
 				case wire.OpStop:
 					stops++
-					if *c.GraceS < low.Spec.SaveS {
+					if *c.GraceS < low.Spec.CheckpointSaveS {
 						t.Fatalf("%g s to save in", *c.GraceS)
 					}
 				}
--- a/shard/gang_test.go
+++ b/shard/gang_test.go
@@ -111,7 +111,7 @@
 
 func gangOf(id string, tasks int, shard string) *records.Job {
 	j := array(id, tasks, shard)
-	j.Spec.Kind, j.Spec.Spot, j.Spec.CheckpointS, j.Spec.SaveS, j.Spec.OneZone = wire.KindGang, false, 20, 3, true
+	j.Spec.Kind, j.Spec.Spot, j.Spec.CheckpointIntervalS, j.Spec.CheckpointSaveS, j.Spec.OneZone = wire.KindGang, false, 20, 3, true
 	return j
 }
 
@@ -153,7 +153,7 @@
 	began := map[string]int{}
 	count := func(s []wire.Command) {
 		for _, c := range s {
-			job, _, _ := wire.SplitTask(c.Task)
+			job, _, _ := wire.ParseTaskName(c.Task)
 			began[job]++
 		}
 	}
--- a/shard/gangattempt.go
+++ b/shard/gangattempt.go
@@ -83,7 +83,7 @@
 
 // isRefusal says that a start was refused, so that the attempt lost nothing by it.
 func isRefusal(cause string) bool {
-	return cause == wire.CauseNoCapacity || cause == wire.CauseBusy || cause == wire.CauseUnknown
+	return cause == wire.CauseNoCapacity || cause == wire.CauseOtherAttempt || cause == wire.CauseUnknownTask
 }
 
 // failGangAttempt gives up the attempt under way: a task of it is gone. Nothing that
--- a/shard/pendingcommands.go
+++ b/shard/pendingcommands.go
@@ -55,7 +55,7 @@
 	if a.stopsInstantly || t == nil || t.job.rec.End != "" {
 		return 0
 	}
-	return time.Duration((t.job.rec.Spec.SaveS + 0.5) * float64(time.Second))
+	return time.Duration((t.job.rec.Spec.CheckpointSaveS + 0.5) * float64(time.Second))
 }
 
 // gangSaveTime is how much longer an attempt takes to save because a gang's tasks
--- a/shard/reconcile.go
+++ b/shard/reconcile.go
@@ -80,7 +80,7 @@
 func (c *Core) reconcileTask(now time.Time, m *machine, ts *wire.TaskStatus) {
 	a := m.findAttempt(attemptKey{ts.Task, ts.Attempt})
 	if a == nil {
-		jobID, index, ok := wire.SplitTask(ts.Task)
+		jobID, index, ok := wire.ParseTaskName(ts.Task)
 		if !ok {
 			if !m.invalidTaskLogged {
 				m.invalidTaskLogged = true
--- a/shard/scale_test.go
+++ b/shard/scale_test.go
@@ -432,7 +432,7 @@
 				if rapid.Bool().Draw(t, "service") {
 					j.Spec.Kind = wire.KindService
 				} else if rapid.Bool().Draw(t, "saves") {
-					j.Spec.CheckpointS, j.Spec.SaveS = 3, 1
+					j.Spec.CheckpointIntervalS, j.Spec.CheckpointSaveS = 3, 1
 				}
 				r.submit(j)
 				jobs++
--- a/shard/scalein.go
+++ b/shard/scalein.go
@@ -42,7 +42,7 @@
 		}
 	}
 	for _, m := range c.fleet {
-		if m.scalingIn || len(names) >= wire.MaxScaleIn {
+		if m.scalingIn || len(names) >= wire.MaxMachinesPerScaleIn {
 			continue
 		}
 		why := ""
@@ -89,7 +89,7 @@
 			names = append(names, m.name)
 		}
 	}
-	names = append(names, c.closedMachines(wire.MaxScaleIn-len(names))...)
+	names = append(names, c.closedMachines(wire.MaxMachinesPerScaleIn-len(names))...)
 	if len(names) > 0 {
 		c.lastScaleInAt = now
 		c.actions = append(c.actions, ScaleIn{names})
--- a/shard/scaleout.go
+++ b/shard/scaleout.go
@@ -120,13 +120,13 @@
 	for _, n := range want {
 		total += n
 	}
-	if total == 0 || total < wire.MaxScaleOut/2 && now.Sub(c.scaleOutRequestedAt) < c.cfg.CloudCallInterval {
+	if total == 0 || total < wire.MaxMachinesPerScaleOut/2 && now.Sub(c.scaleOutRequestedAt) < c.cfg.CloudCallInterval {
 		return
 	}
 	c.scaleOutRequestedAt = now
 	for k, n := range want {
-		for ; n > 0; n -= wire.MaxScaleOut {
-			c.requestScaleOut(now, k, min(n, wire.MaxScaleOut))
+		for ; n > 0; n -= wire.MaxMachinesPerScaleOut {
+			c.requestScaleOut(now, k, min(n, wire.MaxMachinesPerScaleOut))
 		}
 	}
 }
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -9,9 +9,9 @@
 
 // Limits of the cloud's calls.
 const (
-	MaxScaleOut = 50
-	MaxScaleIn  = 100
-	MaxList     = 500
+	MaxMachinesPerScaleOut = 50
+	MaxMachinesPerScaleIn  = 100
+	MaxMachinesListed      = 500
 )
 
 // MachineType is what the cloud says of one type.
--- a/wire/decode.go
+++ b/wire/decode.go
@@ -5,11 +5,11 @@
 	jsonv1 "github.com/go-json-experiment/json/v1"
 )
 
-// rules are those of the present encoding/json.
-var rules = jsonv1.DefaultOptionsV1()
+// stdlibRules are those of the present encoding/json.
+var stdlibRules = jsonv1.DefaultOptionsV1()
 
 // Decode reads JSON as encoding/json does; after an error v may be half read. It
 // uses the mirror of the standard library's coming version, with the rules of the
 // present one: reports are most of what a controller reads, and it takes about
 // half the processor and a fifth of the allocations for them.
-func Decode(data []byte, v any) error { return json.Unmarshal(data, v, rules) }
+func Decode(data []byte, v any) error { return json.Unmarshal(data, v, stdlibRules) }
--- a/wire/users.go
+++ b/wire/users.go
@@ -66,36 +66,36 @@
 const (
 	// MaxTasks is the protocol's limit on a job's tasks.
 	MaxTasks = 100000
-	// maxName bounds ids and names so that a job's record stays small (bytes).
-	maxName = 128
-	// maxTypes bounds the list of allowed machine types (entries).
-	maxTypes = 32
+	// maxNameBytes bounds ids and names so that a job's record stays small (bytes).
+	maxNameBytes = 128
+	// maxAllowedTypes bounds the list of allowed machine types (entries).
+	maxAllowedTypes = 32
 	// maxAmount bounds amounts and durations, far above any real machine.
 	maxAmount = 1e9
 )
 
 // Submission is the body of POST /v2/runs: a job as its user describes it.
 type Submission struct {
-	ID          string   `json:"uid"`
-	Class       string   `json:"lane"`
-	Team        string   `json:"crew"`
-	Kind        string   `json:"shape"`
-	Priority    string   `json:"rank"`
-	Tasks       int      `json:"pieces"`
-	CPUs        float64  `json:"cpus"`
-	GPUs        float64  `json:"cards"`
-	MemoryGB    float64  `json:"mem_gb"`
-	Image       string   `json:"kit"`
-	ImageGB     float64  `json:"pull_gb"`
-	Types       []string `json:"builds,omitempty"`
-	Zone        string   `json:"yard,omitempty"`
-	OneZone     bool     `json:"one_zone,omitempty"`
-	Spread      bool     `json:"scatter,omitempty"`
-	Spot        bool     `json:"loaners,omitempty"`
-	EstimateS   float64  `json:"guess_s"`
-	CheckpointS float64  `json:"mark_every_s"`
-	SaveS       float64  `json:"stow_s"`
-	DeadlineS   *float64 `json:"due_s,omitempty"`
+	ID                  string   `json:"uid"`
+	Class               string   `json:"lane"`
+	Team                string   `json:"crew"`
+	Kind                string   `json:"shape"`
+	Priority            string   `json:"rank"`
+	Tasks               int      `json:"pieces"`
+	CPUs                float64  `json:"cpus"`
+	GPUs                float64  `json:"cards"`
+	MemoryGB            float64  `json:"mem_gb"`
+	Image               string   `json:"kit"`
+	ImageGB             float64  `json:"pull_gb"`
+	Types               []string `json:"builds,omitempty"`
+	Zone                string   `json:"yard,omitempty"`
+	OneZone             bool     `json:"one_zone,omitempty"`
+	Spread              bool     `json:"scatter,omitempty"`
+	Spot                bool     `json:"loaners,omitempty"`
+	EstimateS           float64  `json:"guess_s"`
+	CheckpointIntervalS float64  `json:"mark_every_s"`
+	CheckpointSaveS     float64  `json:"stow_s"`
+	DeadlineS           *float64 `json:"due_s,omitempty"`
 }
 
 // IsService says whether the job's tasks run until it is cancelled.
@@ -110,26 +110,26 @@
 
 // rawSubmission tells a missing field from a zero one.
 type rawSubmission struct {
-	ID          *string   `json:"uid"`
-	Class       *string   `json:"lane"`
-	Team        *string   `json:"crew"`
-	Kind        *string   `json:"shape"`
-	Priority    *string   `json:"rank"`
-	Tasks       *int      `json:"pieces"`
-	CPUs        *float64  `json:"cpus"`
-	GPUs        *float64  `json:"cards"`
-	MemoryGB    *float64  `json:"mem_gb"`
-	Image       *string   `json:"kit"`
-	ImageGB     *float64  `json:"pull_gb"`
-	Types       *[]string `json:"builds"`
-	Zone        *string   `json:"yard"`
-	OneZone     *bool     `json:"one_zone"`
-	Spread      *bool     `json:"scatter"`
-	Spot        *bool     `json:"loaners"`
-	EstimateS   *float64  `json:"guess_s"`
-	CheckpointS *float64  `json:"mark_every_s"`
-	SaveS       *float64  `json:"stow_s"`
-	DeadlineS   *float64  `json:"due_s"`
+	ID                  *string   `json:"uid"`
+	Class               *string   `json:"lane"`
+	Team                *string   `json:"crew"`
+	Kind                *string   `json:"shape"`
+	Priority            *string   `json:"rank"`
+	Tasks               *int      `json:"pieces"`
+	CPUs                *float64  `json:"cpus"`
+	GPUs                *float64  `json:"cards"`
+	MemoryGB            *float64  `json:"mem_gb"`
+	Image               *string   `json:"kit"`
+	ImageGB             *float64  `json:"pull_gb"`
+	Types               *[]string `json:"builds"`
+	Zone                *string   `json:"yard"`
+	OneZone             *bool     `json:"one_zone"`
+	Spread              *bool     `json:"scatter"`
+	Spot                *bool     `json:"loaners"`
+	EstimateS           *float64  `json:"guess_s"`
+	CheckpointIntervalS *float64  `json:"mark_every_s"`
+	CheckpointSaveS     *float64  `json:"stow_s"`
+	DeadlineS           *float64  `json:"due_s"`
 }
 
 // FieldError names the field that made a message invalid.
@@ -143,35 +143,35 @@
 func ParseSubmission(body []byte) (s Submission, id string, err error) {
 	var raw rawSubmission
 	if err := unmarshalObject(body, &raw); err != nil {
-		return s, peekID(body), err
+		return s, readJobID(body), err
 	}
 	if raw.ID != nil && ValidJobID(*raw.ID) {
 		id = *raw.ID
 	}
-	c := checker{}
+	c := fieldChecker{}
 	s = Submission{
-		ID:          c.id("uid", raw.ID),
-		Class:       c.name("lane", raw.Class),
-		Team:        c.name("crew", raw.Team),
-		Kind:        c.oneOf("shape", raw.Kind, KindArray, KindService, KindGang),
-		Priority:    c.oneOf("rank", raw.Priority, PriorityProduction, PriorityHigh, PriorityNormal, PriorityLow),
-		Tasks:       c.count("pieces", raw.Tasks, 1, MaxTasks),
-		CPUs:        c.amount("cpus", raw.CPUs),
-		GPUs:        c.amount("cards", raw.GPUs),
-		MemoryGB:    c.amount("mem_gb", raw.MemoryGB),
-		Image:       c.name("kit", raw.Image),
-		ImageGB:     c.amount("pull_gb", raw.ImageGB),
-		OneZone:     c.flag("one_zone", raw.OneZone),
-		Spread:      c.flag("scatter", raw.Spread),
-		Spot:        c.flag("loaners", raw.Spot),
-		EstimateS:   c.amount("guess_s", raw.EstimateS),
-		CheckpointS: c.amount("mark_every_s", raw.CheckpointS),
-		SaveS:       c.amount("stow_s", raw.SaveS),
+		ID:                  c.id("uid", raw.ID),
+		Class:               c.name("lane", raw.Class),
+		Team:                c.name("crew", raw.Team),
+		Kind:                c.oneOf("shape", raw.Kind, KindArray, KindService, KindGang),
+		Priority:            c.oneOf("rank", raw.Priority, PriorityProduction, PriorityHigh, PriorityNormal, PriorityLow),
+		Tasks:               c.count("pieces", raw.Tasks, 1, MaxTasks),
+		CPUs:                c.amount("cpus", raw.CPUs),
+		GPUs:                c.amount("cards", raw.GPUs),
+		MemoryGB:            c.amount("mem_gb", raw.MemoryGB),
+		Image:               c.name("kit", raw.Image),
+		ImageGB:             c.amount("pull_gb", raw.ImageGB),
+		OneZone:             c.flag("one_zone", raw.OneZone),
+		Spread:              c.flag("scatter", raw.Spread),
+		Spot:                c.flag("loaners", raw.Spot),
+		EstimateS:           c.amount("guess_s", raw.EstimateS),
+		CheckpointIntervalS: c.amount("mark_every_s", raw.CheckpointIntervalS),
+		CheckpointSaveS:     c.amount("stow_s", raw.CheckpointSaveS),
 	}
 	if raw.Types != nil {
 		s.Types = *raw.Types
-		if len(s.Types) == 0 || len(s.Types) > maxTypes {
-			c.fail("builds", fmt.Sprintf("must name 1 to %d machine types, or be null", maxTypes))
+		if len(s.Types) == 0 || len(s.Types) > maxAllowedTypes {
+			c.fail("builds", fmt.Sprintf("must name 1 to %d machine types, or be null", maxAllowedTypes))
 		}
 		for i := range s.Types {
 			c.name("builds", &s.Types[i])
@@ -189,7 +189,7 @@
 
 // ValidJobID says whether id can be the id of a job.
 func ValidJobID(id string) bool {
-	if !strings.HasPrefix(id, jobIDPrefix) || len(id) == len(jobIDPrefix) || len(id) > maxName {
+	if !strings.HasPrefix(id, jobIDPrefix) || len(id) == len(jobIDPrefix) || len(id) > maxNameBytes {
 		return false
 	}
 	for _, r := range id {
@@ -200,7 +200,7 @@
 	return true
 }
 
-func peekID(body []byte) string {
+func readJobID(body []byte) string {
 	var v struct {
 		ID any `json:"uid"`
 	}
@@ -236,16 +236,16 @@
 	return nil
 }
 
-// checker collects the first problem among a message's fields.
-type checker struct{ err error }
+// fieldChecker collects the first problem among a message's fields.
+type fieldChecker struct{ err error }
 
-func (c *checker) fail(field, problem string) {
+func (c *fieldChecker) fail(field, problem string) {
 	if c.err == nil {
 		c.err = &FieldError{field, problem}
 	}
 }
 
-func (c *checker) id(field string, v *string) string {
+func (c *fieldChecker) id(field string, v *string) string {
 	if v == nil {
 		c.fail(field, "is missing")
 		return ""
@@ -256,18 +256,18 @@
 	return *v
 }
 
-func (c *checker) name(field string, v *string) string {
+func (c *fieldChecker) name(field string, v *string) string {
 	switch {
 	case v == nil:
 		c.fail(field, "is missing")
 		return ""
-	case *v == "" || len(*v) > maxName:
-		c.fail(field, fmt.Sprintf("must have 1 to %d bytes", maxName))
+	case *v == "" || len(*v) > maxNameBytes:
+		c.fail(field, fmt.Sprintf("must have 1 to %d bytes", maxNameBytes))
 	}
 	return *v
 }
 
-func (c *checker) oneOf(field string, v *string, allowed ...string) string {
+func (c *fieldChecker) oneOf(field string, v *string, allowed ...string) string {
 	if v == nil {
 		c.fail(field, "is missing")
 		return ""
@@ -281,7 +281,7 @@
 	return ""
 }
 
-func (c *checker) count(field string, v *int, lo, hi int) int {
+func (c *fieldChecker) count(field string, v *int, lo, hi int) int {
 	if v == nil {
 		c.fail(field, "is missing")
 		return 0
@@ -292,7 +292,7 @@
 	return *v
 }
 
-func (c *checker) amount(field string, v *float64) float64 {
+func (c *fieldChecker) amount(field string, v *float64) float64 {
 	if v == nil {
 		c.fail(field, "is missing")
 		return 0
@@ -303,7 +303,7 @@
 	return *v
 }
 
-func (c *checker) flag(field string, v *bool) bool {
+func (c *fieldChecker) flag(field string, v *bool) bool {
 	if v == nil {
 		c.fail(field, "is missing")
 		return false
@@ -311,14 +311,14 @@
 	return *v
 }
 
-// Accepted answers a submission or a cancellation.
-type Accepted struct {
+// JobReply answers a submission or a cancellation.
+type JobReply struct {
 	ID     string `json:"uid"`
 	Status string `json:"status"`
 }
 
-// JobState answers a poll.
-type JobState struct {
+// JobStatus answers a poll.
+type JobStatus struct {
 	ID      string `json:"uid"`
 	Status  string `json:"status"`
 	Done    int    `json:"done"`
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -15,25 +15,25 @@
 	amount := rapid.Float64Range(0, 1e6)
 	name := rapid.StringMatching(`[a-z0-9-]{1,20}`)
 	s := Submission{
-		ID:          "run-" + rapid.StringMatching(`[0-9]{1,9}`).Draw(t, "id"),
-		Class:       name.Draw(t, "class"),
-		Team:        name.Draw(t, "team"),
-		Kind:        rapid.SampledFrom([]string{KindArray, KindService, KindGang}).Draw(t, "kind"),
-		Priority:    rapid.SampledFrom([]string{PriorityProduction, PriorityHigh, PriorityNormal, PriorityLow}).Draw(t, "priority"),
-		Tasks:       rapid.IntRange(1, MaxTasks).Draw(t, "tasks"),
-		CPUs:        amount.Draw(t, "cpus"),
-		GPUs:        amount.Draw(t, "gpus"),
-		MemoryGB:    amount.Draw(t, "mem"),
-		Image:       name.Draw(t, "image"),
-		ImageGB:     amount.Draw(t, "gb"),
-		Types:       rapid.SliceOfN(name, 0, 4).Draw(t, "types"),
-		Zone:        rapid.OneOf(rapid.Just(""), name).Draw(t, "zone"),
-		OneZone:     rapid.Bool().Draw(t, "one"),
-		Spread:      rapid.Bool().Draw(t, "spread"),
-		Spot:        rapid.Bool().Draw(t, "spot"),
-		EstimateS:   amount.Draw(t, "est"),
-		CheckpointS: amount.Draw(t, "cp"),
-		SaveS:       amount.Draw(t, "save"),
+		ID:                  "run-" + rapid.StringMatching(`[0-9]{1,9}`).Draw(t, "id"),
+		Class:               name.Draw(t, "class"),
+		Team:                name.Draw(t, "team"),
+		Kind:                rapid.SampledFrom([]string{KindArray, KindService, KindGang}).Draw(t, "kind"),
+		Priority:            rapid.SampledFrom([]string{PriorityProduction, PriorityHigh, PriorityNormal, PriorityLow}).Draw(t, "priority"),
+		Tasks:               rapid.IntRange(1, MaxTasks).Draw(t, "tasks"),
+		CPUs:                amount.Draw(t, "cpus"),
+		GPUs:                amount.Draw(t, "gpus"),
+		MemoryGB:            amount.Draw(t, "mem"),
+		Image:               name.Draw(t, "image"),
+		ImageGB:             amount.Draw(t, "gb"),
+		Types:               rapid.SliceOfN(name, 0, 4).Draw(t, "types"),
+		Zone:                rapid.OneOf(rapid.Just(""), name).Draw(t, "zone"),
+		OneZone:             rapid.Bool().Draw(t, "one"),
+		Spread:              rapid.Bool().Draw(t, "spread"),
+		Spot:                rapid.Bool().Draw(t, "spot"),
+		EstimateS:           amount.Draw(t, "est"),
+		CheckpointIntervalS: amount.Draw(t, "cp"),
+		CheckpointSaveS:     amount.Draw(t, "save"),
 	}
 	if len(s.Types) == 0 {
 		s.Types = nil
@@ -139,10 +139,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		job := "run-" + rapid.StringMatching(`[0-9]{1,9}`).Draw(t, "job")
 		i := rapid.IntRange(0, MaxTasks-1).Draw(t, "i")
-		if j, n, ok := SplitTask(TaskName(job, i)); !ok || j != job || n != i {
+		if j, n, ok := ParseTaskName(TaskName(job, i)); !ok || j != job || n != i {
 			t.Fatalf("%s/%d became %s/%d %v", job, i, j, n, ok)
 		}
-		if _, _, ok := SplitTask(rapid.StringMatching(`(run-1)?/?(-1|01|\+1|100000|x)?`).Draw(t, "bad")); ok {
+		if _, _, ok := ParseTaskName(rapid.StringMatching(`(run-1)?/?(-1|01|\+1|100000|x)?`).Draw(t, "bad")); ok {
 			t.Fatal("a malformed name was taken")
 		}
 	})
--- a/wire/workers.go
+++ b/wire/workers.go
@@ -28,8 +28,8 @@
 	CauseStopped        = "halted"
 	CauseError          = "error"
 	CauseNoCapacity     = "full"
-	CauseBusy           = "busy"
-	CauseUnknown        = "unknown"
+	CauseOtherAttempt   = "busy"
+	CauseUnknownTask    = "unknown"
 	CauseGangPeerLost   = "peers" // a gang's: another task of it is gone
 	CauseGangIncomplete = "alone" // a gang's: it was not complete in time
 )
@@ -74,7 +74,7 @@
 		return nil, &FieldError{"body", "is no report: " + err.Error()}
 	}
 	switch {
-	case r.Machine == "" || len(r.Machine) > maxName:
+	case r.Machine == "" || len(r.Machine) > maxNameBytes:
 		return nil, &FieldError{"host", "is missing or too long"}
 	case r.Epoch == 0:
 		return nil, &FieldError{"shift", "is missing"}
@@ -113,8 +113,8 @@
 // TaskName writes the name of a job's task.
 func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
-// SplitTask reads the name of a task.
-func SplitTask(name string) (job string, index int, ok bool) {
+// ParseTaskName reads the name of a task.
+func ParseTaskName(name string) (job string, index int, ok bool) {
 	i := strings.LastIndexByte(name, '/')
 	if i < 0 {
 		return "", 0, false
