--- a/cmd/ravenport/drainprint.go
+++ b/cmd/ravenport/drainprint.go
@@ -40,7 +40,7 @@
 		for _, n := range shard.MovesByBudget {
 			moves = max(moves, n)
 		}
-		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\n", shard.Shard, shard.Machines, shard.EmptyMachines, moves, shard.ArrayTasks, shard.Steps)
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\n", shard.Shard, shard.Machines, shard.EmptyMachines, moves, shard.ArrayTasks, shard.Rounds)
 	}
 	table.Flush()
 	if plan.BindingBudget != "" {
@@ -52,10 +52,10 @@
 	for _, shard := range plan.Shards {
 		for _, obstacle := range shard.Obstacles {
 			kind := "waits"
-			if obstacle.Permanent {
+			if obstacle.IsPermanent {
 				kind = "never"
 			}
-			fmt.Fprintf(out, "%s: %s on %s: %s\n", kind, obstacle.Job, obstacle.Machine, obstacle.Reason)
+			fmt.Fprintf(out, "%s: %s on %s: %s\n", kind, obstacle.JobID, obstacle.Machine, obstacle.Reason)
 		}
 	}
 }
@@ -88,6 +88,6 @@
 			wholeDrain = "\t\t\t"
 		}
 		waits := strings.TrimSpace(d.StopReason + " " + shard.WaitingFor)
-		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%s\n", wholeDrain, shard.Shard, shard.Remaining, len(shard.Cordoned), shard.MovingTasks, shard.Failures, waits)
+		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%s\n", wholeDrain, shard.Shard, shard.Remaining, len(shard.Cordoned), shard.MovingTasks, shard.ConsecutiveFailures, waits)
 	}
 }
--- a/controller/actors.go
+++ b/controller/actors.go
@@ -337,7 +337,7 @@
 		if now.Sub(a.summaryAt) >= constants.MaxPushInterval {
 			a.summaryAt = now
 			st.counts, st.summary = a.core.TaskCounts(), a.core.Summary(now)
-			st.drains = drain.ShardStatus{Shard: a.shard, Drains: a.core.DrainProgress(), Usage: a.core.Usage(now)}
+			st.drains = drain.ShardStatus{Shard: a.shard, Drains: a.core.DrainProgress(), BudgetUsage: a.core.Usage(now)}
 		}
 		a.control.Tell(st)
 		if a.core.IsTermNearlyExhausted() {
--- a/controller/drains.go
+++ b/controller/drains.go
@@ -222,7 +222,7 @@
 		return refusal("zone", "the owner of shard %s cannot be asked, or does not drain", plan.MissingShards[0]), nil
 	}
 	if x := plan.FirstPermanentObstacle(); x != nil {
-		return refusal("budget", "a task of %s on %s can never be moved: %s", x.Job, x.Machine, x.Reason), nil
+		return refusal("budget", "a task of %s on %s can never be moved: %s", x.JobID, x.Machine, x.Reason), nil
 	}
 	number, wrong, err := r.start(ctx, &s, selection)
 	if wrong != nil || err != nil {
@@ -374,7 +374,7 @@
 		out.Drains = append(out.Drains, v)
 	}
 	for _, zone := range s.inventory.Zones {
-		for _, u := range s.views[zone].Usage {
+		for _, u := range s.views[zone].BudgetUsage {
 			at := slices.IndexFunc(out.Budgets, func(x disruption.Usage) bool { return x.Budget == u.Budget })
 			if at < 0 {
 				out.Budgets = append(out.Budgets, u)
--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -12,15 +12,15 @@
 	"ravenport/records"
 )
 
-// A selection takes in what fits every field, and is refused with the field that is
-// wrong.
+// A selection selects the machines that match every field, and is refused with the field
+// that is invalid.
 func TestSelections(t *testing.T) {
 	spot := true
-	known := Inventory{Zones: []string{"a", "b"}, Types: []string{"box", "tub"}, Machines: []Machine{{"m-1", "a", "box", false}, {"m-2", "a", "tub", true}, {"m-3", "b", "box", true}}}
-	known.RunningDrains = []*records.Drain{{Number: 4, Selection: records.Selection{Zones: []string{"b"}}}}
+	inventory := Inventory{Zones: []string{"a", "b"}, Types: []string{"box", "tub"}, Machines: []Machine{{"m-1", "a", "box", false}, {"m-2", "a", "tub", true}, {"m-3", "b", "box", true}}}
+	inventory.RunningDrains = []*records.Drain{{Number: 4, Selection: records.Selection{Zones: []string{"b"}}}}
 	for _, c := range []struct {
 		selection records.Selection
-		takes     []string
+		selected  []string
 		field     string
 	}{
 		{records.Selection{Zones: []string{"a"}}, []string{"m-1", "m-2"}, ""},
@@ -34,27 +34,27 @@
 		{records.Selection{LastMachine: "m-0"}, nil, "selection"},
 	} {
 		var names []string
-		for _, m := range known.Select(&c.selection) {
+		for _, m := range inventory.Select(&c.selection) {
 			names = append(names, m.Name)
 		}
-		wrong := known.Validate(&c.selection)
-		if !slices.Equal(names, c.takes) || (wrong == nil) != (c.field == "") || wrong != nil && wrong.Field != c.field {
-			t.Errorf("%+v takes %v, %v", c.selection, names, wrong)
+		invalid := inventory.Validate(&c.selection)
+		if !slices.Equal(names, c.selected) || (invalid == nil) != (c.field == "") || invalid != nil && invalid.Field != c.field {
+			t.Errorf("%+v selects %v, %v", c.selection, names, invalid)
 		}
 	}
 }
 
-// Whatever happens to its machines, a drain of several shards begins with one machine of
-// one shard, cordons no more than its share at a time, and ends finished, or stopped
-// after so many failures in a row.
-func TestStepsComeToAnEnd(t *testing.T) {
+// Whatever happens to its machines, a drain of several shards begins with a canary in one
+// shard, cordons no more than its share at a time, and ends finished, or stopped after so
+// many consecutive failures.
+func TestDrainsComeToAnEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := []string{"a", "b", "c"}
 		policy := Policy{ParallelPercent: float64(rapid.IntRange(0, 100).Draw(t, "parallel")), MaxConsecutiveFailures: rapid.IntRange(1, 4).Draw(t, "failures")}
 		record, version := &records.Drain{Number: 1, State: records.DrainRunning}, uint64(1)
-		steps, left, cordoned := map[string]*ShardDrain{}, map[string][]string{}, map[string][]string{}
+		drains, left, cordoned := map[string]*ShardDrain{}, map[string][]string{}, map[string][]string{}
 		for _, z := range zones {
-			steps[z] = NewShardDrain(policy, z, zones, record, version)
+			drains[z] = NewShardDrain(policy, z, zones, record, version)
 			for i := range rapid.IntRange(0, 6).Draw(t, "machines") {
 				left[z] = append(left[z], z+string(rune('0'+i)))
 			}
@@ -62,10 +62,10 @@
 		failures := 0
 		for range 400 {
 			z := rapid.SampledFrom(zones).Draw(t, "zone")
-			s := steps[z]
+			s := drains[z]
 			if rapid.IntRange(0, 9).Draw(t, "new owner") == 0 {
 				s = NewShardDrain(policy, z, zones, record, version)
-				steps[z], cordoned[z] = s, nil // they follow from the record
+				drains[z], cordoned[z] = s, nil // cordons follow from the record
 			}
 			var candidates []Candidate
 			for _, name := range left[z] {
@@ -94,7 +94,7 @@
 				}
 				version++
 				record = next
-				for _, other := range steps {
+				for _, other := range drains {
 					other.ApplyRecord(record, version)
 				}
 			}
@@ -119,15 +119,15 @@
 	})
 }
 
-// The plan's least time is that of the budget that binds, over all shards.
+// The plan's minimum time is that of the binding budget, over all shards.
 func TestPlansAreMerged(t *testing.T) {
 	usage := []disruption.Usage{{Budget: "x", Limit: 2}, {Budget: "y", Limit: 10}}
-	p := MergePlans([]ShardPlan{{Shard: "b", MovesByBudget: map[string]int{"x": 3, "y": 9}, Usage: usage, Steps: 4}, {Shard: "a", MovesByBudget: map[string]int{"x": 2, "": 50}, Usage: usage, Steps: 2}}, []string{"c"}, 10*time.Second)
-	if p.BindingBudget != "x" || p.MinimumS != 30 || p.Steps != 5 || p.Shards[0].Shard != "a" || p.FirstPermanentObstacle() != nil {
+	p := MergePlans([]ShardPlan{{Shard: "b", MovesByBudget: map[string]int{"x": 3, "y": 9}, BudgetUsage: usage, Rounds: 4}, {Shard: "a", MovesByBudget: map[string]int{"x": 2, "": 50}, BudgetUsage: usage, Rounds: 2}}, []string{"c"}, 10*time.Second)
+	if p.BindingBudget != "x" || p.MinimumS != 30 || p.Rounds != 5 || p.Shards[0].Shard != "a" || p.FirstPermanentObstacle() != nil {
 		t.Errorf("%+v", p)
 	}
-	p.Shards[1].Obstacles = []Obstacle{{Job: "run-1"}, {Job: "run-2", Permanent: true}}
-	if x := p.FirstPermanentObstacle(); x == nil || x.Job != "run-2" {
+	p.Shards[1].Obstacles = []Obstacle{{JobID: "run-1"}, {JobID: "run-2", IsPermanent: true}}
+	if x := p.FirstPermanentObstacle(); x == nil || x.JobID != "run-2" {
 		t.Errorf("%+v", x)
 	}
 }
--- a/drain/plan.go
+++ b/drain/plan.go
@@ -9,84 +9,89 @@
 	"ravenport/disruption"
 )
 
-// ShardPlan is what the owner of a shard can say of a drain beforehand.
+// ShardPlan is what a drain would do in one shard, as its owner predicts it.
 type ShardPlan struct {
 	Shard         string             `json:"shard"`
-	Machines      int                `json:"machines"`
-	EmptyMachines int                `json:"empty"`  // of those: nothing runs on them
-	ArrayTasks    int                `json:"arrays"` // tasks of arrays and gangs, which get time to end
-	MovesByBudget map[string]int     `json:"moves"`  // services' tasks by budget; "": under none
-	Usage         []disruption.Usage `json:"usage"`
-	Steps         int                `json:"steps"` // rounds of machines at the parallel setting
-	// Obstacles are why tasks cannot be moved; so many are named at most.
+	Machines      int                `json:"machines"` // selected
+	EmptyMachines int                `json:"empty"`    // of those, without tasks
+	ArrayTasks    int                `json:"arrays"`   // tasks of arrays and gangs, which get time to end
+	MovesByBudget map[string]int     `json:"moves"`    // services' tasks, by the budget's name; "": under none
+	BudgetUsage   []disruption.Usage `json:"usage"`
+	Rounds        int                `json:"steps"` // of machines that are cordoned at once
+	// Obstacles are why tasks cannot be moved. Not all of them are listed if they are many.
 	Obstacles []Obstacle `json:"obstacles,omitempty"`
 }
 
 // Obstacle is why a task cannot be moved.
 type Obstacle struct {
-	Job     string `json:"job"`
+	JobID   string `json:"job"`
 	Machine string `json:"machine"`
 	Reason  string `json:"why"`
-	// Permanent: it does not end by itself, so the drain would wait for ever.
-	Permanent bool `json:"permanent"`
+	// IsPermanent: the obstacle does not end by itself, so the drain would wait for ever.
+	IsPermanent bool `json:"permanent"`
 }
 
-// Plan is a drain without acting.
+// Plan is what a drain would do.
 type Plan struct {
 	Shards []ShardPlan `json:"shards"`
-	Steps  int         `json:"steps"`
-	// BindingBudget is the budget that takes longest, and MinimumS the least possible time
-	// under it (s): each move takes a part of the budget for the stable time at least.
+	Rounds int         `json:"steps"` // of machines that are cordoned at once, the canary included
+	// BindingBudget is the name of the budget that takes longest, and MinimumS the least
+	// possible time under it (s): each move uses one task of the budget for the stable time
+	// at least.
 	BindingBudget string  `json:"binding,omitempty"`
 	MinimumS      float64 `json:"least_s"`
-	// MissingShards are shards whose owner could not be asked.
+	// MissingShards are the shards whose owner sent no plan.
 	MissingShards []string `json:"missing,omitempty"`
 }
 
-// FirstPermanentObstacle is the first thing that can never be done, nil if there is none.
+// FirstPermanentObstacle is the first obstacle that never ends by itself, or nil.
 func (p *Plan) FirstPermanentObstacle() *Obstacle {
-	for _, s := range p.Shards {
-		for i := range s.Obstacles {
-			if s.Obstacles[i].Permanent {
-				return &s.Obstacles[i]
+	for _, shard := range p.Shards {
+		for i := range shard.Obstacles {
+			if shard.Obstacles[i].IsPermanent {
+				return &shard.Obstacles[i]
 			}
 		}
 	}
 	return nil
 }
 
-// MergePlans makes the plan of the plans of all shards. stable is the time for which a
-// moved task must run before it counts as up.
+// MergePlans merges the plans of all shards; it sorts shards in place. missing are the
+// shards without a plan, and stable is how long a moved task must run before it counts as
+// available.
 func MergePlans(shards []ShardPlan, missing []string, stable time.Duration) Plan {
-	p := Plan{Shards: shards, MissingShards: missing}
-	slices.SortFunc(p.Shards, func(a, b ShardPlan) int { return strings.Compare(a.Shard, b.Shard) })
-	moves, most := map[string]int{}, map[string]int{}
-	for _, s := range shards {
-		p.Steps = max(p.Steps, s.Steps)
-		for budget, n := range s.MovesByBudget {
+	plan := Plan{Shards: shards, MissingShards: missing}
+	slices.SortFunc(plan.Shards, func(a, b ShardPlan) int { return strings.Compare(a.Shard, b.Shard) })
+	moves := map[string]int{}
+	limits := map[string]int{}
+	for _, shard := range shards {
+		plan.Rounds = max(plan.Rounds, shard.Rounds)
+		for budget, n := range shard.MovesByBudget {
 			moves[budget] += n
 		}
-		for _, u := range s.Usage {
-			most[u.Budget] = u.Limit
+		for _, usage := range shard.BudgetUsage {
+			limits[usage.Budget] = usage.Limit
 		}
 	}
 	for budget, n := range moves {
-		if budget == "" || most[budget] < 1 {
+		if budget == "" || limits[budget] < 1 {
 			continue
 		}
-		least := MinimumTime(n, most[budget], stable).Seconds()
-		if least > p.MinimumS || least == p.MinimumS && budget < p.BindingBudget {
-			p.BindingBudget, p.MinimumS = budget, least
+		minimum := MinimumTime(n, limits[budget], stable).Seconds()
+		// Of budgets that take equally long, the first by name binds.
+		if minimum > plan.MinimumS || minimum == plan.MinimumS && budget < plan.BindingBudget {
+			plan.BindingBudget = budget
+			plan.MinimumS = minimum
 		}
 	}
-	if p.Steps > 0 {
-		p.Steps++ // the first machine alone
+	if plan.Rounds > 0 {
+		plan.Rounds++ // the canary is a round of its own
 	}
-	return p
+	return plan
 }
 
-// MinimumTime bounds from below how long so many moves take under a budget: each uses one
-// of its tasks for the stable time at least.
+// MinimumTime is a lower bound of the time that a number of moves takes under a budget of
+// so many unavailable tasks: each move uses one of them for the stable time at least.
 func MinimumTime(moves, budget int, stable time.Duration) time.Duration {
 	return time.Duration(math.Ceil(float64(moves)/float64(budget))) * stable
 }
--- a/drain/selection.go
+++ b/drain/selection.go
@@ -1,7 +1,7 @@
-// Package drain decides in which steps machines are drained: which machines a drain
-// takes in, which of them are emptied next, when it has succeeded, failed or ended, and
-// what a plan can say beforehand. It is pure: records, machines and time in, decisions
-// out. Package shard carries them out, package disruption says what may be stopped.
+// Package drain decides how machines are drained: which machines a drain selects, which of
+// them are cordoned next, when the drain has finished or is stopped, and what it would do.
+// It is pure: records, machines and time in, decisions out. Package shard carries the
+// decisions out, and package disruption decides which tasks may be stopped.
 package drain
 
 import (
@@ -12,71 +12,88 @@
 	"ravenport/records"
 )
 
-// Machine is what a selection looks at.
+// Machine is the properties of a machine that a selection matches.
 type Machine struct {
 	Name, Zone, Type string
 	Spot             bool
 }
 
-// FieldError says what is wrong with a request.
+// FieldError says which field of a request is invalid, and why.
 type FieldError struct {
 	Field   string `json:"field"`
 	Problem string `json:"problem"`
 }
 
+// Error implements error.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
-// Matches says whether a selection takes a machine in.
+// Matches reports whether a selection selects a machine. A field of the selection that is
+// empty matches all machines.
 func Matches(s *records.Selection, m Machine) bool {
-	in := func(list []string, x string) bool { return len(list) == 0 || slices.Contains(list, x) }
-	return in(s.Machines, m.Name) && in(s.Zones, m.Zone) && in(s.Types, m.Type) &&
-		(s.Spot == nil || *s.Spot == m.Spot) && (s.LastMachine == "" || m.Name <= s.LastMachine)
+	return matchesName(s.Machines, m.Name) &&
+		matchesName(s.Zones, m.Zone) &&
+		matchesName(s.Types, m.Type) &&
+		(s.Spot == nil || *s.Spot == m.Spot) &&
+		(s.LastMachine == "" || m.Name <= s.LastMachine)
 }
 
-// Inventory is what a selection is checked against.
+func matchesName(allowed []string, name string) bool {
+	return len(allowed) == 0 || slices.Contains(allowed, name)
+}
+
+// Inventory is what a selection is validated against.
 type Inventory struct {
-	Zones         []string
-	Types         []string  // that the cloud has
-	Machines      []Machine // in the inventory
+	Zones         []string // of the deployment
+	Types         []string // machine types of the cloud
+	Machines      []Machine
 	RunningDrains []*records.Drain
 }
 
-// Select lists the machines that a selection takes in.
-func (k *Inventory) Select(s *records.Selection) []Machine {
-	var out []Machine
-	for _, m := range k.Machines {
+// Select lists the machines that a selection selects.
+func (inv *Inventory) Select(s *records.Selection) []Machine {
+	var selected []Machine
+	for _, m := range inv.Machines {
 		if Matches(s, m) {
-			out = append(out, m)
+			selected = append(selected, m)
 		}
 	}
-	return out
+	return selected
 }
 
-// Validate returns the first thing that is wrong with a selection, nil if it can be drained.
-func (k *Inventory) Validate(s *records.Selection) *FieldError {
-	for _, z := range s.Zones {
-		if !slices.Contains(k.Zones, z) {
-			return &FieldError{"zone", fmt.Sprintf("there is no zone %q", z)}
+// Validate returns the first reason why a selection cannot be drained, or nil.
+func (inv *Inventory) Validate(s *records.Selection) *FieldError {
+	for _, zone := range s.Zones {
+		if !slices.Contains(inv.Zones, zone) {
+			return &FieldError{"zone", fmt.Sprintf("there is no zone %q", zone)}
 		}
 	}
-	for _, t := range s.Types {
-		if !slices.Contains(k.Types, t) {
-			return &FieldError{"type", fmt.Sprintf("the cloud has no machine type %q", t)}
+	for _, machineType := range s.Types {
+		if !slices.Contains(inv.Types, machineType) {
+			return &FieldError{"type", fmt.Sprintf("the cloud has no machine type %q", machineType)}
 		}
 	}
 	if len(s.Machines) > constants.MaxDrainMachineNames {
 		return &FieldError{"machine", fmt.Sprintf("names %d machines; at most %d can be named, select by zone, type or age instead", len(s.Machines), constants.MaxDrainMachineNames)}
 	}
 	for _, name := range s.Machines {
-		if !slices.ContainsFunc(k.Machines, func(m Machine) bool { return m.Name == name }) {
+		if !inv.hasMachine(name) {
 			return &FieldError{"machine", fmt.Sprintf("no machine %q is in the inventory", name)}
 		}
 	}
-	selected := k.Select(s)
+	selected := inv.Select(s)
 	if len(selected) == 0 {
 		return &FieldError{"selection", "takes in no machine"}
 	}
-	for _, d := range k.RunningDrains {
+	return inv.findOverlap(selected)
+}
+
+func (inv *Inventory) hasMachine(name string) bool {
+	return slices.ContainsFunc(inv.Machines, func(m Machine) bool { return m.Name == name })
+}
+
+// findOverlap returns an error if a running drain selects one of the machines.
+func (inv *Inventory) findOverlap(selected []Machine) *FieldError {
+	for _, d := range inv.RunningDrains {
 		for _, m := range selected {
 			if Matches(&d.Selection, m) {
 				return &FieldError{"selection", fmt.Sprintf("overlaps drain %d: both take in %s", d.Number, m.Name)}
@@ -86,13 +103,14 @@
 	return nil
 }
 
-// SelectedZones lists the zones whose machines a selection may take in, in the deployment's order.
+// SelectedZones lists the zones whose machines a selection may select, in the order of all,
+// which are the deployment's.
 func SelectedZones(s *records.Selection, all []string) []string {
-	var out []string
-	for _, z := range all {
-		if len(s.Zones) == 0 || slices.Contains(s.Zones, z) {
-			out = append(out, z)
+	var selected []string
+	for _, zone := range all {
+		if matchesName(s.Zones, zone) {
+			selected = append(selected, zone)
 		}
 	}
-	return out
+	return selected
 }
--- a/settings/load/draining.go
+++ b/settings/load/draining.go
@@ -75,7 +75,7 @@
 	if policy.ParallelPercent, err = readPercent(p, "drain.parallel.percent", policy.ParallelPercent); err != nil {
 		return err
 	}
-	policy.Window, err = readWindow(p)
+	policy.Windows, err = readWindow(p)
 	return err
 }
 
--- a/shard/draining.go
+++ b/shard/draining.go
@@ -273,7 +273,7 @@
 	for _, m := range machines {
 		byName[m.name] = m
 		sums := c.usageOf(m)
-		candidates = append(candidates, drain.Candidate{Name: m.name, IsCordoned: m.cordon != nil || m.scalingIn, Services: sums.services, CPUs: sums.used.cpus})
+		candidates = append(candidates, drain.Candidate{Name: m.name, IsCordoned: m.cordon != nil || m.scalingIn, Services: sums.services, UsedCPUs: sums.used.cpus})
 	}
 	for _, name := range s.ChooseMachines(now, candidates, len(c.fleet)) {
 		slog.Info("cordoning machine", "machine", name, "drain", number)
@@ -297,8 +297,8 @@
 	switch open, next := s.WindowState(now); {
 	case s.Record().State != records.DrainRunning:
 		return string(s.Record().State)
-	case !s.MayCordon() && s.ProvingShard() != "":
-		return "the first machine, in " + s.ProvingShard() + ", is not replaced yet"
+	case !s.MayCordon() && s.CanaryShard() != "":
+		return "the first machine, in " + s.CanaryShard() + ", is not replaced yet"
 	case !open:
 		return "the maintenance window opens at " + next.UTC().Format(time.RFC3339)
 	}
--- a/shard/drainplan.go
+++ b/shard/drainplan.go
@@ -11,7 +11,7 @@
 
 // PlanDrain says what a drain would do in this shard.
 func (c *Core) PlanDrain(now time.Time, s *records.Selection) drain.ShardPlan {
-	p := drain.ShardPlan{Shard: c.cfg.Shard, MovesByBudget: map[string]int{}, Usage: c.Usage(now)}
+	p := drain.ShardPlan{Shard: c.cfg.Shard, MovesByBudget: map[string]int{}, BudgetUsage: c.Usage(now)}
 	promised := c.draining.reservedForMigrations()
 	for _, m := range c.selectedMachines(s) {
 		p.Machines++
@@ -27,7 +27,7 @@
 	}
 	if p.Machines > 0 {
 		atOnce := c.draining.cfg.Policy.MaxCordoned(len(c.fleet))
-		p.Steps = (p.Machines + atOnce - 1) / atOnce
+		p.Rounds = (p.Machines + atOnce - 1) / atOnce
 	}
 	return p
 }
@@ -48,7 +48,7 @@
 	}
 	obstacle := func(why string, permanent bool) {
 		if len(p.Obstacles) < constants.MaxDrainMachineNames {
-			p.Obstacles = append(p.Obstacles, drain.Obstacle{Job: s.ID, Machine: t.attempt.machine.name, Reason: why, Permanent: permanent})
+			p.Obstacles = append(p.Obstacles, drain.Obstacle{JobID: s.ID, Machine: t.attempt.machine.name, Reason: why, IsPermanent: permanent})
 		}
 	}
 	if refused := c.draining.ledger.Check(now, keys); refused != nil && refused.Reason == disruption.ReasonNeverAllowed {
@@ -71,7 +71,7 @@
 }
 
 func (d *draining) progress(v *fleetView, number int, s *drain.ShardDrain) drain.ShardProgress {
-	p := drain.ShardProgress{Drain: number, Shard: v.cfg.Shard, WaitingFor: d.waitReasons[number], Failures: s.Failures()}
+	p := drain.ShardProgress{Drain: number, Shard: v.cfg.Shard, WaitingFor: d.waitReasons[number], ConsecutiveFailures: s.ConsecutiveFailures()}
 	for _, m := range v.selectedMachines(&s.Record().Selection) {
 		p.Remaining++
 		if m.cordon != nil && m.cordon.drain == number && len(p.Cordoned) < constants.MaxDrainMachineNames {
--- a/window/window.go
+++ b/window/window.go
@@ -1,26 +1,26 @@
-// Package window knows recurring maintenance windows: a recurrence rule (RFC 5545) in a
-// time zone says when one opens, and a length when it closes. Zone data is part of the
-// program, so every controller reads a rule alike.
+// Package window computes recurring maintenance windows. A recurrence rule (RFC 5545) in a
+// time zone says when a window opens, and a length when it closes. The zone data is compiled
+// in, so that all controllers evaluate a rule alike.
 package window
 
 import (
 	"errors"
 	"fmt"
 	"time"
-	_ "time/tzdata" // the machine may have none
+	_ "time/tzdata" // the machine may have no zone data
 
 	"github.com/teambition/rrule-go"
 )
 
-// MaxLength is the longest that a window may be open: a week, which a rule for every day
-// turns into always.
+// MaxLength is the maximum length of a window: a week, with which a rule for every day
+// means always.
 const MaxLength = 7 * 24 * time.Hour
 
-// maxTimeToOpen is how far ahead a window must open at least once: a leap day comes every eight
-// years at the latest.
+// maxTimeToOpen is how far ahead a window must open at least once: a leap day comes every
+// eight years at the latest.
 const maxTimeToOpen = 9 * 366 * 24 * time.Hour
 
-// Errors of a schedule.
+// Errors of Parse. All but ErrInvalidLength are wrapped, after the text that they are about.
 var (
 	ErrInvalidRule   = errors.New("is no recurrence rule of days, weeks, months or years")
 	ErrUnknownZone   = errors.New("is no time zone")
@@ -28,23 +28,24 @@
 	ErrNeverOpens    = errors.New("never opens")
 )
 
-// Window is one time in which a window is open.
+// Window is one interval in which a maintenance window is open. Closes is exclusive.
 type Window struct{ Opens, Closes time.Time }
 
-// IsOpen says whether it is open at a time.
+// IsOpen reports whether the window is open at a time.
 func (w Window) IsOpen(at time.Time) bool { return !at.Before(w.Opens) && at.Before(w.Closes) }
 
-// Schedule is a recurring window. It does not change and may be shared.
+// Schedule is a recurring window. It is immutable and safe for concurrent use.
 type Schedule struct {
 	rule   *rrule.RRule
 	length time.Duration
 	text   string
 }
 
-// Parse makes a schedule. Times of day in the rule are those of the zone. Where a clock
-// is set forward over the opening, the window opens as much later; where it is set back,
-// at the first of the two. A window is as long as its length by the steady clock,
-// whatever is done to the clocks meanwhile.
+// Parse returns the schedule of a rule whose times of day are those of the zone. Where
+// clocks are set forward over the opening time, the window opens that much later; where
+// they are set back and the opening time occurs twice, it opens at the first. The length is
+// elapsed time, whatever is done to the clocks meanwhile. The schedule must open at least
+// once in the nine years from now.
 func Parse(rule, zone string, length time.Duration, now time.Time) (*Schedule, error) {
 	location, err := time.LoadLocation(zone)
 	if err != nil || zone == "" {
@@ -53,8 +54,21 @@
 	if length < time.Second || length > MaxLength {
 		return nil, ErrInvalidLength
 	}
+	parsedRule, err := parseRule(rule, location)
+	if err != nil {
+		return nil, err
+	}
+	s := &Schedule{rule: parsedRule, length: length, text: rule + " in " + zone}
+	if next, ok := s.Next(now); !ok || next.Opens.Sub(now) > maxTimeToOpen {
+		return nil, fmt.Errorf("%q %w", rule, ErrNeverOpens)
+	}
+	return s, nil
+}
+
+// parseRule parses a recurrence rule. Those that recur more often than daily are refused.
+func parseRule(rule string, location *time.Location) (*rrule.RRule, error) {
 	options, err := rrule.StrToROptionInLocation(rule, location)
-	if err != nil || options.Freq > rrule.DAILY { // those after it come more often
+	if err != nil || options.Freq > rrule.DAILY { // frequencies are in falling order of length
 		return nil, fmt.Errorf("%q %w", rule, ErrInvalidRule)
 	}
 	if options.Dtstart.IsZero() {
@@ -64,29 +78,27 @@
 	if err != nil {
 		return nil, fmt.Errorf("%q %w: %w", rule, ErrInvalidRule, err)
 	}
-	s := &Schedule{parsed, length, rule + " in " + zone}
-	if next, ok := s.Next(now); !ok || next.Opens.Sub(now) > maxTimeToOpen {
-		return nil, fmt.Errorf("%q %w", rule, ErrNeverOpens)
-	}
-	return s, nil
+	return parsed, nil
 }
 
-// defaultStart is the day from which intervals are counted where a rule names none: the first
-// day of a year that began on a Monday.
+// defaultStart is the day from which intervals are counted where a rule names none: the
+// first day of a year that began on a Monday.
 func defaultStart(location *time.Location) time.Time {
 	return time.Date(1996, time.January, 1, 0, 0, 0, 0, location)
 }
 
-// Next is the window that is open at a time or, if none is, the next one; ok is false if
-// none opens any more. Windows that overlap are one after the other here.
+// Next returns the window that is open at a time or, if none is, the next one; ok is false
+// if none opens any more. If windows overlap, Next returns the one that opened last.
 func (s *Schedule) Next(at time.Time) (w Window, ok bool) {
 	if last := s.rule.Before(at, true); !last.IsZero() {
-		if w = s.windowAt(last); w.IsOpen(at) {
+		w = s.windowAt(last)
+		if w.IsOpen(at) {
 			return w, true
 		}
 	}
 	for next := s.rule.After(at, false); !next.IsZero(); next = s.rule.After(next, false) {
-		if w = s.windowAt(next); at.Before(w.Closes) {
+		w = s.windowAt(next)
+		if at.Before(w.Closes) {
 			return w, true
 		}
 	}
@@ -96,10 +108,12 @@
 // clockSetBacks are by how much clocks are set back somewhere in the zone data.
 var clockSetBacks = []time.Duration{time.Hour, 30 * time.Minute}
 
-// windowAt is the window of an occurrence: of two equal times of day the first.
+// windowAt is the window of an occurrence of the rule. If its time of day occurs twice, the
+// window opens at the first.
 func (s *Schedule) windowAt(opens time.Time) Window {
-	for _, change := range clockSetBacks {
-		if first := opens.Add(-change); first.Format(time.DateTime) == opens.Format(time.DateTime) {
+	for _, setBack := range clockSetBacks {
+		first := opens.Add(-setBack)
+		if first.Format(time.DateTime) == opens.Format(time.DateTime) {
 			opens = first
 			break
 		}
@@ -107,4 +121,5 @@
 	return Window{opens, opens.Add(s.length)}
 }
 
+// String returns the rule and the zone.
 func (s *Schedule) String() string { return s.text }
--- a/window/window_test.go
+++ b/window/window_test.go
@@ -23,11 +23,11 @@
 	for name, c := range map[string]struct {
 		rule, zone    string
 		length        time.Duration
-		asked         string
+		now           string
 		opens, closes string
 	}{
-		"at night, asked by day":     {"FREQ=DAILY;BYHOUR=1", "Africa/Johannesburg", 2 * time.Hour, "2026-12-02T13:00:00Z", "2026-12-02T23:00:00Z", "2026-12-03T01:00:00Z"},
-		"over midnight, asked in it": {"FREQ=DAILY;BYHOUR=23;BYMINUTE=30", "Europe/Berlin", 2 * time.Hour, "2026-12-02T23:45:00Z", "2026-12-02T22:30:00Z", "2026-12-03T00:30:00Z"},
+		"at night, queried by day":     {"FREQ=DAILY;BYHOUR=1", "Africa/Johannesburg", 2 * time.Hour, "2026-12-02T13:00:00Z", "2026-12-02T23:00:00Z", "2026-12-03T01:00:00Z"},
+		"over midnight, queried in it": {"FREQ=DAILY;BYHOUR=23;BYMINUTE=30", "Europe/Berlin", 2 * time.Hour, "2026-12-02T23:45:00Z", "2026-12-02T22:30:00Z", "2026-12-03T00:30:00Z"},
 		"in the hour that is left out": {"FREQ=DAILY;BYHOUR=2;BYMINUTE=30", "Europe/Berlin", time.Hour, "2026-03-29T00:00:00Z",
 			"2026-03-29T01:30:00Z", "2026-03-29T02:30:00Z"},
 		"in the hour that comes twice": {"FREQ=DAILY;BYHOUR=2;BYMINUTE=30", "Europe/Berlin", time.Hour, "2026-10-24T23:00:00Z",
@@ -35,18 +35,18 @@
 		"every second Tuesday": {"FREQ=WEEKLY;INTERVAL=2;BYDAY=TU", "UTC", time.Hour, "2026-12-02T00:00:00Z", "2026-12-08T00:00:00Z", "2026-12-08T01:00:00Z"},
 		"on leap days":         {"FREQ=YEARLY;BYMONTH=2;BYMONTHDAY=29", "UTC", time.Hour, "2026-12-02T00:00:00Z", "2028-02-29T00:00:00Z", "2028-02-29T01:00:00Z"},
 	} {
-		s, err := Parse(c.rule, c.zone, c.length, at(c.asked))
+		s, err := Parse(c.rule, c.zone, c.length, at(c.now))
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
 		}
-		if w, ok := s.Next(at(c.asked)); !ok || !w.Opens.Equal(at(c.opens)) || !w.Closes.Equal(at(c.closes)) {
+		if w, ok := s.Next(at(c.now)); !ok || !w.Opens.Equal(at(c.opens)) || !w.Closes.Equal(at(c.closes)) {
 			t.Errorf("%s: %s to %s, %v", name, w.Opens.UTC(), w.Closes.UTC(), ok)
 		}
 	}
 }
 
-// What cannot be a window is refused, and says why.
+// Invalid schedules are refused with the reason.
 func TestBadWindows(t *testing.T) {
 	now := at("2026-12-02T13:00:00Z")
 	for _, c := range []struct {
@@ -71,7 +71,7 @@
 	}
 }
 
-// Whenever it is asked, the window is open then or opens later, and none opens between.
+// At any time, Next returns a window that is open then or opens later, and none opens between.
 func TestNextWindowIsTheNext(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zone := rapid.SampledFrom([]string{"Europe/Berlin", "Africa/Johannesburg", "America/New_York", "Australia/Lord_Howe"}).Draw(t, "zone")
