--- /dev/null
+++ b/server/connections.go
@@ -0,0 +1,106 @@
+package server
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"github.com/panjf2000/gnet/v2"
+
+	"ravenport/constants"
+	"ravenport/logkey"
+)
+
+// connState is the event loop's record of one connection.
+type connState struct {
+	busy        bool // a request waits for its response
+	lastEventAt time.Time
+}
+
+// OnOpen implements gnet.EventHandler.
+func (s *Server) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
+	if !s.eventLoopPublished {
+		s.eventLoopPublished = true
+		s.eventLoops <- c.EventLoop()
+	}
+	if len(s.conns) >= s.maxConns && !s.reclaimConn() {
+		return nil, gnet.Close
+	}
+	state := &connState{lastEventAt: time.Now()}
+	s.conns[c] = state
+	c.SetContext(state)
+	s.updateCrowded()
+	return nil, gnet.None
+}
+
+// OnClose implements gnet.EventHandler.
+func (s *Server) OnClose(c gnet.Conn, _ error) gnet.Action {
+	delete(s.conns, c)
+	s.updateCrowded()
+	return gnet.None
+}
+
+func (s *Server) updateCrowded() {
+	s.crowded.Store(len(s.conns) > s.maxConns*constants.ServerCrowdedEighths/8+1)
+}
+
+// reclaimConn closes the connection that has idled longest, if it has idled so long that
+// its client cannot be using it: abandoned connections must not shut out users and health
+// checks. It returns whether there was one.
+func (s *Server) reclaimConn() bool {
+	var longestIdle gnet.Conn
+	idleSince := time.Now().Add(-s.reclaimIdle)
+	for c, state := range s.conns {
+		if !state.busy && c.InboundBuffered() == 0 && state.lastEventAt.Before(idleSince) {
+			longestIdle = c
+			idleSince = state.lastEventAt
+		}
+	}
+	if longestIdle == nil {
+		return false
+	}
+	delete(s.conns, longestIdle)
+	closeConn(longestIdle)
+	return true
+}
+
+func closeConn(c gnet.Conn) {
+	if err := c.Close(); err != nil {
+		slog.Debug("cannot close idle connection", logkey.Err, err)
+	}
+}
+
+// OnTick implements gnet.EventHandler. It runs on the ticker's goroutine, beside the event
+// loop that owns the connections, so it only has that loop check them: a check from here,
+// while connections open and close, would end the process.
+func (s *Server) OnTick() (time.Duration, gnet.Action) {
+	if s.tickerEventLoop == nil {
+		select {
+		case s.tickerEventLoop = <-s.eventLoops:
+		default:
+			return s.idleCheckInterval, gnet.None // there has been no connection yet
+		}
+	}
+	check := func(context.Context) error {
+		s.closeIdle(time.Now())
+		return nil
+	}
+	if err := s.tickerEventLoop.Execute(context.Background(), gnet.RunnableFunc(check)); err != nil {
+		slog.Debug("cannot check for idle connections", logkey.Err, err)
+	}
+	return s.idleCheckInterval, gnet.None
+}
+
+// closeIdle closes connections that idle or send a request too slowly, so that slow or
+// abandoned clients cannot hold all sockets. It runs on the event loop.
+func (s *Server) closeIdle(now time.Time) {
+	for c, state := range s.conns {
+		timeout := constants.ServerIdleTimeout
+		if c.InboundBuffered() > 0 {
+			timeout = constants.ServerSlowRequestTimeout
+		}
+		if !state.busy && now.Sub(state.lastEventAt) > timeout {
+			closeConn(c)
+		}
+	}
+}
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"fmt"
+	"io"
 	"net"
 	"strings"
 	"sync"
@@ -12,14 +13,13 @@
 	"ravenport/httpwire"
 )
 
-// start serves on a free loopback port and echoes the method and target.
-func start(t *testing.T, maxConn int) string { return startSparing(t, maxConn, time.Hour) }
-
-func startSparing(t *testing.T, maxConn int, spare time.Duration) string {
-	return startTicking(t, maxConn, spare, time.Second)
+// startServer serves on a free loopback port and echoes the method and target.
+func startServer(t *testing.T, maxConns int) string {
+	t.Helper()
+	return startServerWith(t, maxConns, time.Hour, time.Second)
 }
 
-func startTicking(t *testing.T, maxConn int, spare, tick time.Duration) string {
+func startServerWith(t *testing.T, maxConns int, reclaimIdle, idleCheckInterval time.Duration) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -27,10 +27,11 @@
 	}
 	addr := l.Addr().String()
 	l.Close()
-	s := New(addr, maxConn, func(r *Request) {
+	s := New(addr, maxConns, func(r *Request) {
 		go r.Respond(&httpwire.Response{Status: 200, Body: []byte(r.Method + " " + r.Target)})
 	})
-	s.spare, s.tick = spare, tick
+	s.reclaimIdle = reclaimIdle
+	s.idleCheckInterval = idleCheckInterval
 	go func() {
 		if err := s.Run(); err != nil {
 			t.Error(err)
@@ -53,26 +54,26 @@
 	return c, bufio.NewReader(c)
 }
 
-// A connection serves one request after the other, also when they come in
-// pieces or before the last one is answered.
+// A connection serves one request after the other, also when they arrive in pieces or
+// before the last one is answered.
 func TestRequestsOnOneConnection(t *testing.T) {
-	c, in := dial(t, start(t, 10))
+	c, in := dial(t, startServer(t, 10))
 	for i := range 3 {
 		for _, piece := range []string{"GET /x", fmt.Sprint(i), " HTTP/1.1\r\nHost", ": h\r\n\r\n"} {
 			if _, err := c.Write([]byte(piece)); err != nil {
 				t.Fatal(err)
 			}
 		}
-		expect(t, in, "200", fmt.Sprintf("GET /x%d", i))
+		expectResponse(t, in, "200", fmt.Sprintf("GET /x%d", i))
 	}
 	if _, err := c.Write([]byte("GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\n")); err != nil {
 		t.Fatal(err)
 	}
-	expect(t, in, "200", "GET /a")
-	expect(t, in, "200", "GET /b")
+	expectResponse(t, in, "200", "GET /a")
+	expectResponse(t, in, "200", "GET /b")
 }
 
-func expect(t *testing.T, in *bufio.Reader, status, body string) {
+func expectResponse(t *testing.T, in *bufio.Reader, status, body string) {
 	t.Helper()
 	line, err := in.ReadString('\n')
 	if err != nil || !strings.Contains(line, " "+status+" ") {
@@ -90,41 +91,37 @@
 		_, _ = fmt.Sscanf(h, "Content-Length: %d", &n)
 	}
 	buf := make([]byte, n)
-	for at := 0; at < n; {
-		k, err := in.Read(buf[at:])
-		if err != nil {
-			t.Fatal(err)
-		}
-		at += k
+	if _, err := io.ReadFull(in, buf); err != nil {
+		t.Fatal(err)
 	}
 	if body != "" && string(buf) != body {
 		t.Fatalf("body %q, wanted %q", buf, body)
 	}
 }
 
-// What is not HTTP, or too large, is refused and the connection closed.
-func TestMalformedIsClosed(t *testing.T) {
-	addr := start(t, 10)
+// A message that is not HTTP, or too large, is refused and the connection closed.
+func TestMalformedRequestIsRefused(t *testing.T) {
+	addr := startServer(t, 10)
 	for _, raw := range []string{"nonsense\r\n\r\n", "POST / HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n"} {
 		c, in := dial(t, addr)
 		if _, err := c.Write([]byte(raw)); err != nil {
 			t.Fatal(err)
 		}
-		expect(t, in, "400", "")
+		expectResponse(t, in, "400", "")
 		if _, err := in.ReadByte(); err == nil {
 			t.Errorf("%q: the connection stays open", raw)
 		}
 	}
 }
 
-// Beyond the limit of connections new ones are closed, and old ones served.
+// Beyond the limit of connections new ones are closed, and open ones are still served.
 func TestConnectionsAreBounded(t *testing.T) {
-	addr := start(t, 1)
+	addr := startServer(t, 1)
 	c, in := dial(t, addr)
 	if _, err := c.Write([]byte("GET /1 HTTP/1.1\r\n\r\n")); err != nil {
 		t.Fatal(err)
 	}
-	expect(t, in, "200", "GET /1")
+	expectResponse(t, in, "200", "GET /1")
 	_, over := dial(t, addr)
 	if _, err := over.ReadByte(); err == nil {
 		t.Error("a connection over the limit was served")
@@ -132,34 +129,33 @@
 	if _, err := c.Write([]byte("GET /2 HTTP/1.1\r\n\r\n")); err != nil {
 		t.Fatal(err)
 	}
-	expect(t, in, "200", "GET /2")
+	expectResponse(t, in, "200", "GET /2")
 }
 
-// At the limit, forgotten connections make room for users and health checks.
-func TestIdleConnectionsMakeRoom(t *testing.T) {
-	addr := startSparing(t, 3, 0)
-	for range 3 { // whose owners never ask again
+// At the limit, idle connections are closed for those of users and health checks.
+func TestIdleConnectionsAreReclaimed(t *testing.T) {
+	addr := startServerWith(t, 3, 0, time.Second)
+	for range 3 { // whose clients send no further request
 		c, in := dial(t, addr)
 		if _, err := c.Write([]byte("GET /1 HTTP/1.1\r\n\r\n")); err != nil {
 			t.Fatal(err)
 		}
-		expect(t, in, "200", "GET /1")
+		expectResponse(t, in, "200", "GET /1")
 	}
 	for i := range 5 {
 		c, in := dial(t, addr)
 		if _, err := fmt.Fprintf(c, "GET /healthz%d HTTP/1.1\r\n\r\n", i); err != nil {
 			t.Fatal(err)
 		}
-		expect(t, in, "200", fmt.Sprintf("GET /healthz%d", i))
+		expectResponse(t, in, "200", fmt.Sprintf("GET /healthz%d", i))
 	}
 }
 
-// When nearly all sockets are in use, answers end their connections, so that
-// those who wait for their next report or poll shut nobody out; with room again
-// connections stay open.
-func TestCrowdedServerKeepsRoom(t *testing.T) {
-	addr := start(t, 20)
-	ask := func(c net.Conn, in *bufio.Reader) bool {
+// When nearly all sockets are in use, responses end their connections, so that clients
+// between two heartbeats or polls shut nobody out; with fewer in use connections stay open.
+func TestCrowdedServerClosesConnections(t *testing.T) {
+	addr := startServer(t, 20)
+	closesAfterRequest := func(c net.Conn, in *bufio.Reader) bool {
 		if _, err := c.Write([]byte("GET /x HTTP/1.1\r\nHost: h\r\n\r\n")); err != nil {
 			t.Fatal(err)
 		}
@@ -188,28 +184,28 @@
 	var open []client
 	for i := range 18 {
 		c, in := dial(t, addr)
-		if ask(c, in) {
+		if closesAfterRequest(c, in) {
 			t.Fatalf("connection %d of 20 is ended", i+1)
 		}
 		open = append(open, client{c, in})
 	}
 	c, in := dial(t, addr)
-	if !ask(c, in) {
-		t.Fatal("with 19 of 20 sockets in use the answer keeps its connection")
+	if !closesAfterRequest(c, in) {
+		t.Fatal("with 19 of 20 sockets in use the response keeps its connection")
 	}
 	if _, err := in.ReadByte(); err == nil {
 		t.Fatal("the connection is not ended")
 	}
-	if ask(open[0].Conn, open[0].in) {
+	if closesAfterRequest(open[0].Conn, open[0].in) {
 		t.Fatal("with 18 in use again a connection is ended")
 	}
 }
 
-// The look for idle connections and connections that come and go do not meet: on
-// real processors the process ended by itself when a fleet's workers went from one
+// The check for idle connections does not run beside connections that open and close: on
+// real processors the process ended by itself when a fleet's workers turned from one
 // controller to another within the second.
-func TestLooksForIdleConnectionsWhileOthersComeAndGo(t *testing.T) {
-	addr := startTicking(t, 5000, time.Hour, 100*time.Microsecond)
+func TestIdleCheckDuringConnectionChurn(t *testing.T) {
+	addr := startServerWith(t, 5000, time.Hour, 100*time.Microsecond)
 	for range 300 {
 		dial(t, addr)
 	}
@@ -231,5 +227,5 @@
 	if _, err := c.Write([]byte("GET /still HTTP/1.1\r\n\r\n")); err != nil {
 		t.Fatal(err)
 	}
-	expect(t, in, "200", "GET /still")
+	expectResponse(t, in, "200", "GET /still")
 }
