--- a/shard/bestfit.go
+++ b/shard/bestfit.go
@@ -8,50 +8,59 @@
 	"ravenport/wire"
 )
 
-// rankCandidates is the paper's Resource-Only Match: the machines that have room
-// in the order in which they are filled, the one that is left with the least
-// first. A machine that got a task is left with less and so stays the best fit
-// for the job's next, until it is full. Machines that hold the image already
-// come first, and spot machines before ordinary ones where both are allowed:
-// ordinary room is the only room for those that may not use spot.
-func (k *knownState) rankCandidates(s *wire.Submission, n resources, r *placementRound) []*machine {
-	type cand struct {
-		m     *machine
-		score float64
+// candidate is a machine with free capacity for a task, and its placement score.
+type candidate struct {
+	machine *machine
+	score   float64
+}
+
+// compare orders candidates by score, the best first, and then by name.
+func (c candidate) compare(other candidate) int {
+	switch {
+	case c.score < other.score:
+		return -1
+	case c.score > other.score:
+		return 1
+	case c.machine.name < other.machine.name:
+		return -1
 	}
-	var cs []cand
+	return 1
+}
+
+// rankCandidates lists the machines that have free capacity for a task of a job in the
+// order in which they are filled: best fit, which the paper calls Resource-Only Match. A
+// machine that got a task is left with less, and so stays the best fit for the job's next
+// one until it is full. Machines that hold the image come first, and spot machines before
+// on-demand ones where both are allowed: other tasks can use on-demand capacity only.
+func (k *knownState) rankCandidates(s *wire.Submission, n resources, r *placementRound) []*machine {
+	var candidates []candidate
 	for _, m := range r.freeMachines {
-		if free := k.freeResources(m); n.fits(free) && isEligible(s, m.typeName, m.spot) && (m.reservedFor == nil || m.reservedFor.rec.ID == s.ID) && (!m.reservedForGangs || s.AllOrNothing()) {
-			cs = append(cs, cand{m, k.placementScore(s, n, m, free)})
+		free := k.freeResources(m)
+		if !n.fits(free) || !isEligible(s, m.typeName, m.spot) || m.isReservedForOthers(s) {
+			continue
 		}
+		candidates = append(candidates, candidate{m, k.placementScore(s, n, m, free)})
 	}
-	slices.SortFunc(cs, func(a, b cand) int {
-		switch {
-		case a.score < b.score:
-			return -1
-		case a.score > b.score:
-			return 1
-		case a.m.name < b.m.name:
-			return -1
-		}
-		return 1
-	})
-	out := make([]*machine, len(cs))
-	for i := range cs {
-		out[i] = cs[i].m
+	slices.SortFunc(candidates, candidate.compare)
+	machines := make([]*machine, len(candidates))
+	for i := range candidates {
+		machines[i] = candidates[i].machine
 	}
-	return out
+	return machines
 }
 
-// placementScore ranks a machine with room for a job's task; less is better.
+// placementScore scores a machine with the given free capacity for a task that needs n;
+// less is better. The unit is the share of the machine that would stay free, from 0 to 2
+// (see freeShare); the constants Score... are added in the same unit, and most of them
+// outweigh every difference in fit.
 func (k *knownState) placementScore(s *wire.Submission, n resources, m *machine, free resources) float64 {
 	score := m.freeShare(free.minus(n))
 	if !m.cachedImages[s.Image] {
 		score += constants.ScoreImageMissing
 	}
 	if s.Spot && !m.spot {
-		// Ordinary machines with services stay whatever happens, so their
-		// gaps cost nothing; an empty one had better stay empty.
+		// An on-demand machine with services stays in use whatever happens, so its gaps
+		// cost nothing; one without had better become empty.
 		if k.usageOf(m).services > 0 {
 			score -= constants.ScoreServiceMachine
 		} else {
@@ -67,35 +76,40 @@
 	return score
 }
 
-// bestFit is the best candidate for one task of a job, or nil; except leaves out
-// those that it is false for.
-func (v *fleetView) bestFit(now time.Time, s *wire.Submission, except func(*machine) bool) *machine {
+// bestFit is the machine with the best placement score for one task of a job, or nil.
+// Machines for which the filter is false are left out; a nil filter allows all.
+func (v *fleetView) bestFit(now time.Time, s *wire.Submission, filter func(*machine) bool) *machine {
 	n := taskResources(s)
 	var best *machine
-	var least float64
+	var bestScore float64
 	for _, m := range v.fleet {
 		if !isEligible(s, m.typeName, m.spot) || !v.isSchedulable(now, m) {
 			continue
 		}
 		free := v.freeResources(m)
-		if !n.fits(free) || m.reservedFor != nil && m.reservedFor.rec.ID != s.ID || m.reservedForGangs && !s.AllOrNothing() || except != nil && !except(m) {
+		if !n.fits(free) || m.isReservedForOthers(s) {
+			continue
+		}
+		if filter != nil && !filter(m) {
 			continue
 		}
-		if score := v.placementScore(s, n, m, free); best == nil || score < least || score == least && m.name < best.name {
-			best, least = m, score
+		score := v.placementScore(s, n, m, free)
+		if best == nil || score < bestScore || score == bestScore && m.name < best.name {
+			best = m
+			bestScore = score
 		}
 	}
 	return best
 }
 
-// freeShare is the share of a machine that stays free, from 0 to 2.
+// freeShare is the free share of a machine's CPUs plus that of its memory, from 0 to 2.
 func (m *machine) freeShare(free resources) float64 {
-	l := 0.0
+	share := 0.0
 	if m.capacity.cpus > 0 {
-		l += free.cpus / m.capacity.cpus
+		share += free.cpus / m.capacity.cpus
 	}
 	if m.capacity.memory > 0 {
-		l += free.memory / m.capacity.memory
+		share += free.memory / m.capacity.memory
 	}
-	return l
+	return share
 }
--- a/shard/doc.go
+++ b/shard/doc.go
@@ -9,8 +9,8 @@
 //   - heartbeat, reconcile: what a heartbeat proves of them
 //   - pages, inventory: the durable inventory of machines
 //   - placement, with waiting, placementstate, machineselection, bestfit, reservation,
-//     preempt and offload: which waiting task goes to which machine, what is preempted, what
-//     goes back to the leader
+//     preempt, preemptcheckpoint and offload: which waiting task goes to which machine, what
+//     is preempted, what goes back to the leader
 //   - gang, gangattempt, gangpacking, gangreserve: the same for gangs
 //   - scaleout, scaleoutgang, pendingcapacity, arrivals, forecast: scale out, and the
 //     capacity that is kept ready
--- a/shard/gangpacking.go
+++ b/shard/gangpacking.go
@@ -96,7 +96,7 @@
 // preemptWithCheckpointForGang makes room for a gang where work that can save stands in its way:
 // as much of it is stopped as the gang lacks places.
 func (q *outbox) preemptWithCheckpointForGang(v *fleetView, now time.Time, tasks []*task, r *placementRound) {
-	if !r.hasCheckpointing || slices.ContainsFunc(tasks, func(t *task) bool { return now.Before(t.roomExpectedUntil) }) {
+	if !r.preemptionScan.needsCheckpoint || slices.ContainsFunc(tasks, func(t *task) bool { return now.Before(t.roomExpectedUntil) }) {
 		return // what was stopped for it is still saving
 	}
 	for missing := len(tasks) - v.freeSlots(now, &tasks[0].job.rec.Spec); missing > 0; {
@@ -183,11 +183,11 @@
 	if fit != nil && fit.cachedImages[s.Image] {
 		return fit
 	}
-	if m := v.preempt(now, t, true, r); m != nil {
+	if m := v.preempt(now, t, machineWithImage, r); m != nil {
 		return m
 	}
 	if fit != nil {
 		return fit
 	}
-	return v.preempt(now, t, false, r)
+	return v.preempt(now, t, anyMachine, r)
 }
--- a/shard/placement.go
+++ b/shard/placement.go
@@ -10,138 +10,190 @@
 	"ravenport/wire"
 )
 
-// rankWaitingJobs lists the jobs with waiting tasks in their order, each with its place.
+// rankWaitingJobs lists the jobs with waiting tasks by rank, and notes the rank of each.
 func (p *placement) rankWaitingJobs(v *fleetView, now time.Time) []*job {
 	p.refreshWaiting(v)
-	q := make([]*job, 0, len(p.waiting))
+	queue := make([]*job, 0, len(p.waiting))
 	for j := range p.waiting {
-		q = append(q, j)
+		queue = append(queue, j)
 		j.rank = v.cfg.JobOrder.Rank(now, j.rec, leader.JobProgress{WithinGuarantee: j.waiting[0].withinGuarantee, Started: j.begun})
 	}
-	slices.SortFunc(q, func(a, b *job) int { return a.rank.Compare(b.rank) })
-	return q
+	slices.SortFunc(queue, func(a, b *job) int { return a.rank.Compare(b.rank) })
+	return queue
 }
 
-// runPlacementRound gives waiting tasks to machines, best fit first, within a budget of
-// time. The next round goes on after the job where this one stopped, whatever
-// came or went in between, and only a round that reached the end begins anew:
-// so every job's turn comes.
+// runPlacementRound places waiting tasks on machines, best fit first, within a time
+// budget. The next round continues after the job at which this one stopped, whichever
+// jobs came or went in between, and only a round that reached the end starts over: so
+// every job gets its turn.
 func (c *Core) runPlacementRound(now time.Time) {
 	c.needsPlacement = false
 	c.lastPlacement = now
-	q := c.rankWaitingJobs(&c.fleetView, now)
-	c.lastQueue = q
+	queue := c.rankWaitingJobs(&c.fleetView, now)
+	c.lastQueue = queue
 	start := 0
 	if c.resumeRank != nil {
-		start = sort.Search(len(q), func(i int) bool { return c.resumeRank.Before(q[i].rank) })
+		start = sort.Search(len(queue), func(i int) bool { return c.resumeRank.Before(queue[i].rank) })
 		c.resumeRank = nil
 		c.needsPlacement = true
 	}
-	if start == len(q) {
+	if start == len(queue) {
 		return
 	}
 	r := c.newPlacementRound(now)
-	began := c.roundClock()
-	for i := start; i < len(q); i++ {
-		c.placeJob(now, q[i], r)
-		if i+1 < len(q) && c.roundClock().Sub(began) > c.roundBudget {
-			p := q[i].rank
-			c.resumeRank, c.needsPlacement = &p, true
+	startedAt := c.roundClock()
+	for i := start; i < len(queue); i++ {
+		c.placeJob(now, queue[i], r)
+		isLast := i+1 == len(queue)
+		if !isLast && c.roundClock().Sub(startedAt) > c.roundBudget {
+			rank := queue[i].rank
+			c.resumeRank = &rank
+			c.needsPlacement = true
 			return
 		}
 	}
 }
 
-// placeJob places what it can of a job's waiting tasks.
+// jobPlacement is the placement of one job's tasks in one round.
+type jobPlacement struct {
+	job        *job
+	spec       *wire.Submission
+	demand     resources // of one task
+	class      demandClass
+	isOverdue  bool
+	candidates []*machine // with free capacity, best fit first
+
+	imagePreemptionFailed bool // no machine that holds the image can be made free
+}
+
+// placeJob places as many of a job's waiting tasks as it can.
 func (c *Core) placeJob(now time.Time, j *job, r *placementRound) {
 	if j.gang != nil {
 		c.placeGang(now, j, r)
 		return
 	}
 	s := &j.rec.Spec
-	n := taskResources(s)
-	d := demandClassOf(s)
-	overdue := leader.IsOverdue(now, j.rec, j.begun)
-	full := r.known(r.unplaceable, d, n)
-	if full && r.preemptionIsFutile(j, d, n) && !(overdue && !r.reservationsExhausted) && (s.Priority != wire.PriorityProduction || s.Spread && s.Tasks > 1) {
-		return // nothing can come of a look at its tasks
-	}
-	tasks := c.appendReadyTasks(c.taskBuffer[:0], now, j)
-	c.taskBuffer = tasks
+	p := jobPlacement{job: j, spec: s, demand: taskResources(s), class: demandClassOf(s), isOverdue: leader.IsOverdue(now, j.rec, j.begun)}
+	isUnplaceable := r.unplaceable.covers(p.class, p.demand)
+	if isUnplaceable && r.isHopeless(&p) {
+		return
+	}
+	tasks := c.tasksToPlace(now, &p)
 	if len(tasks) == 0 {
 		return
 	}
-	if c.isImageWarmInOtherShard(&c.fleetView, now, s) {
-		kept := tasks[:0]
-		for _, t := range tasks {
-			if t.keepWaiting {
-				kept = append(kept, t)
-			} else {
-				c.offloadTask(j, t)
-			}
+	if !isUnplaceable {
+		p.candidates = c.rankCandidates(s, p.demand, r)
+	}
+	for _, t := range tasks {
+		m := c.machineForTask(now, t, &p, r)
+		if m == nil {
+			return // the job's other tasks have the same demand, and rank no higher
 		}
-		tasks = kept
+		c.startTask(now, t, m)
 	}
-	if !s.IsService() && overdue {
-		tasks = tasks[:min(len(tasks), leader.OverdueBatch(s.Tasks))]
+}
+
+// isHopeless says whether the tasks of a job for which no machine has free capacity need
+// not be looked at: nothing can be preempted for them, no machine can be reserved, and
+// they cannot be offloaded for the sake of their image.
+func (r *placementRound) isHopeless(p *jobPlacement) bool {
+	if !r.preemptionIsFutile(p.job, p.class, p.demand) {
+		return false
 	}
-	var fit []*machine
-	if !full {
-		fit = c.rankCandidates(s, n, r)
+	if p.isOverdue && !r.reservationsExhausted {
+		return false
 	}
-	prod := s.Priority == wire.PriorityProduction
-	noWarm := false
+	return p.spec.Priority != wire.PriorityProduction || p.spec.Spread && p.spec.Tasks > 1
+}
+
+// tasksToPlace lists the ready tasks of a job that this round tries to place. Those that
+// would start sooner in another shard are offloaded instead.
+func (c *Core) tasksToPlace(now time.Time, p *jobPlacement) []*task {
+	tasks := c.appendReadyTasks(c.taskBuffer[:0], now, p.job)
+	c.taskBuffer = tasks
+	if len(tasks) == 0 {
+		return nil
+	}
+	if c.isImageWarmInOtherShard(&c.fleetView, now, p.spec) {
+		tasks = c.offloadUnlessKept(p.job, tasks)
+	}
+	if !p.spec.IsService() && p.isOverdue {
+		tasks = tasks[:min(len(tasks), leader.OverdueBatch(p.spec.Tasks))]
+	}
+	return tasks
+}
+
+// offloadUnlessKept offloads the tasks that need not wait in this shard, and returns the
+// others in place.
+func (c *Core) offloadUnlessKept(j *job, tasks []*task) []*task {
+	kept := tasks[:0]
 	for _, t := range tasks {
-		for len(fit) > 0 && !n.fits(c.freeResources(fit[0])) {
-			fit = fit[1:]
+		if t.keepWaiting {
+			kept = append(kept, t)
+		} else {
+			c.offloadTask(j, t)
 		}
-		var m *machine
-		if len(fit) > 0 {
-			m = fit[0]
-		}
-		switch {
-		case m != nil && prod && !m.cachedImages[s.Image] && !noWarm:
-			// Production tasks rather stop lower work on a machine that holds
-			// their image than wait for it on another.
-			if warm := c.preempt(now, t, true, r); warm != nil {
-				m = warm
-			} else {
-				noWarm = true
-			}
-		case m == nil:
-			r.unplaceable[d] = append(r.unplaceable[d], n)
-			if m = c.preempt(now, t, false, r); m == nil {
-				c.preemptWithCheckpoint(&c.fleetView, now, t, r)
-				if overdue {
-					c.reserveMachineFor(now, j, r)
-				}
-				return // the job's other tasks need the same, and rank no higher
-			}
-		}
-		c.startTask(now, t, m)
 	}
+	return kept
+}
+
+// machineForTask finds a machine for a task, if need be by preemption. It returns nil
+// where none can take the task now.
+func (c *Core) machineForTask(now time.Time, t *task, p *jobPlacement, r *placementRound) *machine {
+	for len(p.candidates) > 0 && !p.demand.fits(c.freeResources(p.candidates[0])) {
+		p.candidates = p.candidates[1:]
+	}
+	if len(p.candidates) == 0 {
+		return c.preemptForTask(now, t, p, r)
+	}
+	best := p.candidates[0]
+	if p.spec.Priority != wire.PriorityProduction || best.cachedImages[p.spec.Image] || p.imagePreemptionFailed {
+		return best
+	}
+	// A production task rather preempts work of lower priority on a machine that holds
+	// its image than waits for the image on another.
+	if withImage := c.preempt(now, t, machineWithImage, r); withImage != nil {
+		return withImage
+	}
+	p.imagePreemptionFailed = true
+	return best
 }
 
-// fillFreedMachine gives a machine, of which room has just fallen free, to those who
-// waited longest for it: after a whole round nothing else has room for them.
-// It returns false if a whole round is due anyway.
+// preemptForTask makes a machine free for a task for which none has free capacity. Where
+// that takes time or fails, it returns nil: the task starts in a later round, on the
+// capacity that tasks with a checkpoint release, or that is reserved for an overdue job.
+func (c *Core) preemptForTask(now time.Time, t *task, p *jobPlacement, r *placementRound) *machine {
+	r.unplaceable.add(p.class, p.demand)
+	if m := c.preempt(now, t, anyMachine, r); m != nil {
+		return m
+	}
+	c.preemptWithCheckpoint(&c.fleetView, now, t, r)
+	if p.isOverdue {
+		c.reserveMachineFor(now, p.job, r)
+	}
+	return nil
+}
+
+// fillFreedMachine places tasks on a machine on which capacity has just become free, in
+// the order of the last round: after a whole round no other machine can take them. It
+// returns false if a whole round is due anyway.
 func (c *Core) fillFreedMachine(now time.Time, m *machine) bool {
 	if c.needsPlacement {
 		return false
 	}
 	c.refreshWaiting(&c.fleetView)
 	free := c.freeResources(m)
-	looked := 0
+	tried := 0
 	for _, j := range c.lastQueue {
-		if free.cpus < roundingSlack || looked >= constants.MaxJobsPerFill {
+		if free.cpus < roundingSlack || tried >= constants.MaxJobsPerFill {
 			break
 		}
-		s := &j.rec.Spec
-		n := taskResources(s)
-		if j.gang != nil || m.reservedForGangs && !s.IsService() || m.reservedFor != nil && m.reservedFor != j || len(j.waiting) == 0 || !n.fits(free) || !isEligible(s, m.typeName, m.spot) || c.jobs[s.ID] != j || j.rec.End != "" {
+		if !c.mayFill(j, m, free) {
 			continue
 		}
-		looked++
+		tried++
+		n := taskResources(&j.rec.Spec)
 		c.taskBuffer = c.appendReadyTasks(c.taskBuffer[:0], now, j)
 		for _, t := range c.taskBuffer {
 			if !n.fits(free) {
@@ -154,12 +206,30 @@
 	return true
 }
 
-// startTask decides an attempt of its own.
+// mayFill says whether a machine with so much free capacity may take tasks of a job of the
+// last round, which may have ended since. A gang is only placed as a whole.
+func (k *knownState) mayFill(j *job, m *machine, free resources) bool {
+	s := &j.rec.Spec
+	switch {
+	case j.gang != nil || len(j.waiting) == 0:
+		return false
+	case m.reservedForGangs && !s.IsService():
+		return false
+	case m.reservedFor != nil && m.reservedFor != j:
+		return false
+	case !taskResources(s).fits(free) || !isEligible(s, m.typeName, m.spot):
+		return false
+	}
+	return k.jobs[s.ID] == j && j.rec.End == ""
+}
+
+// startTask starts a task on a machine as an attempt with a new number.
 func (c *Core) startTask(now time.Time, t *task, m *machine) {
 	c.startAttempt(now, t, m, c.counters.nextAttempt())
 }
 
-// startAttempt decides an attempt. From here on the task counts as maybe there.
+// startAttempt decides that a task starts on a machine. From here on the attempt counts as
+// one that may be on the machine.
 func (c *Core) startAttempt(now time.Time, t *task, m *machine, number uint64) {
 	a := &attempt{
 		key:   attemptKey{wire.TaskName(t.job.rec.ID, t.index), number},
--- a/shard/placementstate.go
+++ b/shard/placementstate.go
@@ -9,65 +9,61 @@
 	"ravenport/wire"
 )
 
-// placement is which tasks wait, and how far rounds of placing have come.
+// placement is the queue of waiting tasks and the progress of placement rounds.
 type placement struct {
-	changedJobs    []*job           // jobs whose waiting tasks are to be listed anew
+	changedJobs    []*job           // jobs whose lists of waiting tasks are stale
 	waiting        map[*job]bool    // jobs with waiting tasks
 	lastQueue      []*job           // waiting jobs in the order of the last round
-	taskBuffer     []*task          // ready tasks of the job that a round looks at
-	resumeRank     *leader.Rank     // where the last round stopped
-	roundBudget    time.Duration    // of a round
-	roundClock     func() time.Time // what a round's time is taken by
-	needsPlacement bool             // something changed that placing may use
+	taskBuffer     []*task          // reused for the ready tasks of one job
+	resumeRank     *leader.Rank     // rank of the job at which the last round ran out of time; nil: it reached the end
+	roundBudget    time.Duration    // time limit of a round
+	roundClock     func() time.Time // measures a round against its limit
+	needsPlacement bool             // something has changed that a round may use
 	lastPlacement  time.Time
 }
 
+// newPlacement returns an empty queue; a budget of 0 stands for constants.RoundBudget.
 func newPlacement(budget time.Duration) placement {
-	return placement{waiting: map[*job]bool{}, roundBudget: cmp.Or(budget, constants.RoundBudget), roundClock: time.Now, needsPlacement: true}
+	return placement{
+		waiting:        map[*job]bool{},
+		roundBudget:    cmp.Or(budget, constants.RoundBudget),
+		roundClock:     time.Now,
+		needsPlacement: true,
+	}
 }
 
-// placementRound is what a round of placing has found out.
+// placementRound is what one round of placement has found out so far, so that jobs with
+// the same or a larger demand need no search of their own.
 type placementRound struct {
-	freeMachines []*machine // usable machines with anything free
-	// unplaceable are demands that found no room, and so will no larger ones; stuck
-	// are those for which nothing could be stopped either.
-	unplaceable, unpreemptable map[demandClass][]resources
-	// lowest is the lowest priority among what could be stopped, and loose the
-	// teams that run arrays beyond their guarantee; made when first asked for.
-	preemptionScanned     bool
-	reservationsExhausted bool // as many machines are kept for single jobs as may be
-	hasCheckpointing      bool // some of it saves first
-	lowestPriority        int
-	overGuaranteeTeams    map[string]bool
-}
+	freeMachines []*machine // schedulable machines with free capacity when the round began
 
-// demandClass is what the room for a task depends on beside its size.
-type demandClass struct {
-	spot           bool
-	types          string
-	priorityLevel  int
-	guaranteedTeam string // the team, for work within its guarantee
-	image          string // for a search among machines that hold it
+	unplaceable    failedDemands // no machine has free capacity for these
+	unpreemptable  failedDemands // nor can preemption make it
+	preemptionScan preemptionScan
+
+	reservationsExhausted bool // as many machines are reserved for single jobs as may be
 }
 
-func (r *placementRound) known(in map[demandClass][]resources, d demandClass, n resources) bool {
-	for _, f := range in[d] {
-		if f.fits(n) {
-			return true
-		}
+// newPlacementRound begins a round with the machines that have free capacity now.
+func (v *fleetView) newPlacementRound(now time.Time) *placementRound {
+	return &placementRound{
+		unplaceable:   failedDemands{},
+		unpreemptable: failedDemands{},
+		freeMachines:  v.machinesWithFreeCapacity(now),
 	}
-	return false
 }
 
-// hopeless says that nothing can be stopped for a job's first waiting task either.
-func (r *placementRound) preemptionIsFutile(j *job, d demandClass, n resources) bool {
-	d.priorityLevel = wire.PriorityLevel(j.rec.Spec.Priority)
-	if len(j.waiting) > 0 && j.waiting[0].withinGuarantee {
-		d.guaranteedTeam = j.rec.Spec.Team
-	}
-	return !r.hasCheckpointing && r.known(r.unpreemptable, d, n)
+// demandClass is everything beside a task's size that decides whether a machine can take
+// it.
+type demandClass struct {
+	spot           bool
+	types          string // machine types, each followed by a space; empty: any
+	priorityLevel  int    // for preemption only
+	guaranteedTeam string // for preemption only: the team, where the task is within its guarantee
+	image          string // for a search among the machines that hold this image
 }
 
+// demandClassOf is the class of a job's tasks for placement without preemption.
 func demandClassOf(s *wire.Submission) demandClass {
 	d := demandClass{spot: s.Spot}
 	for _, t := range s.Types {
@@ -76,6 +72,35 @@
 	return d
 }
 
-func (v *fleetView) newPlacementRound(now time.Time) *placementRound {
-	return &placementRound{unplaceable: map[demandClass][]resources{}, unpreemptable: map[demandClass][]resources{}, freeMachines: v.machinesWithFreeCapacity(now)}
+// forPreemption is the class of a job's tasks as preemptors.
+func (d demandClass) forPreemption(s *wire.Submission, withinGuarantee bool) demandClass {
+	d.priorityLevel = wire.PriorityLevel(s.Priority)
+	if withinGuarantee {
+		d.guaranteedTeam = s.Team
+	}
+	return d
+}
+
+// failedDemands are the amounts, by class, for which a search has found nothing. The same
+// holds for larger amounts of the class.
+type failedDemands map[demandClass][]resources
+
+// covers says whether a search for an amount is known to find nothing.
+func (f failedDemands) covers(d demandClass, n resources) bool {
+	for _, failed := range f[d] {
+		if failed.fits(n) {
+			return true
+		}
+	}
+	return false
+}
+
+// add notes that a search for an amount has found nothing.
+func (f failedDemands) add(d demandClass, n resources) { f[d] = append(f[d], n) }
+
+// preemptionIsFutile says whether preemption is known to find nothing for a job's first
+// waiting task either.
+func (r *placementRound) preemptionIsFutile(j *job, d demandClass, n resources) bool {
+	withinGuarantee := len(j.waiting) > 0 && j.waiting[0].withinGuarantee
+	return !r.preemptionScan.needsCheckpoint && r.unpreemptable.covers(d.forPreemption(&j.rec.Spec, withinGuarantee), n)
 }
--- a/shard/preempt.go
+++ b/shard/preempt.go
@@ -7,200 +7,200 @@
 	"time"
 
 	"ravenport/constants"
+	"ravenport/logkey"
 	"ravenport/wire"
 )
 
-// isEvictable says whether an attempt is its task's own and not on its way out.
+// isEvictable says whether an attempt is its task's current one and is not about to end.
 func isEvictable(a *attempt, t *task) bool {
 	return t != nil && t.attempt == a && !a.stopRequested && !a.hasExited()
 }
 
-// mayPreempt says whether a task may be stopped to make room for another: for
-// one of higher priority, or, where it runs beyond its team's guarantee, for
-// one within another team's. The protocol would let guaranteed work stop also
-// services and work of higher priority; what others wait for is not worth that.
+// mayPreempt says whether a task may be preempted by another: by one of higher priority,
+// or, where it runs beyond its team's guarantee, by one within another team's. The
+// protocol would let guaranteed work preempt also services and work of higher priority;
+// what others wait for is not worth that.
 func mayPreempt(victim, preemptor *task) bool {
-	v, f := &victim.job.rec.Spec, &preemptor.job.rec.Spec
-	vl, fl := wire.PriorityLevel(v.Priority), wire.PriorityLevel(f.Priority)
-	return vl < fl || vl == fl && !v.IsService() && preemptor.withinGuarantee && !victim.withinGuarantee && v.Team != f.Team
+	victimSpec, spec := &victim.job.rec.Spec, &preemptor.job.rec.Spec
+	victimLevel, level := wire.PriorityLevel(victimSpec.Priority), wire.PriorityLevel(spec.Priority)
+	if victimLevel != level {
+		return victimLevel < level
+	}
+	return !victimSpec.IsService() && preemptor.withinGuarantee && !victim.withinGuarantee && victimSpec.Team != spec.Team
 }
 
-// hasPreemptibleWork says whether anything at all might be stopped for a task.
-func (k *knownState) hasPreemptibleWork(preemptor *task, r *placementRound) bool {
-	if !r.preemptionScanned {
-		r.preemptionScanned, r.lowestPriority, r.overGuaranteeTeams = true, math.MaxInt, map[string]bool{}
-		for _, m := range k.fleet {
-			s := k.usageOf(m)
-			r.hasCheckpointing = r.hasCheckpointing || s.needsCheckpoint
-			r.lowestPriority = min(r.lowestPriority, s.lowestPriority)
-			for _, team := range s.teamsBeyondGuarantee {
-				r.overGuaranteeTeams[team] = true
-			}
+// preemptionScan sums up what could be preempted in the shard. A round makes it when it
+// first asks for it.
+type preemptionScan struct {
+	done                 bool
+	needsCheckpoint      bool // some of it checkpoints before it stops
+	lowestPriority       int
+	teamsBeyondGuarantee map[string]bool // teams with arrays or gangs beyond their guarantee
+}
+
+// scanForPreemption makes the round's scan of what could be preempted.
+func (k *knownState) scanForPreemption(scan *preemptionScan) {
+	scan.done = true
+	scan.lowestPriority = math.MaxInt
+	scan.teamsBeyondGuarantee = map[string]bool{}
+	for _, m := range k.fleet {
+		usage := k.usageOf(m)
+		scan.needsCheckpoint = scan.needsCheckpoint || usage.needsCheckpoint
+		scan.lowestPriority = min(scan.lowestPriority, usage.lowestPriority)
+		for _, team := range usage.teamsBeyondGuarantee {
+			scan.teamsBeyondGuarantee[team] = true
 		}
 	}
+}
+
+// hasPreemptibleWork says whether anything at all in the shard could be preempted by a
+// task.
+func (k *knownState) hasPreemptibleWork(preemptor *task, r *placementRound) bool {
+	scan := &r.preemptionScan
+	if !scan.done {
+		k.scanForPreemption(scan)
+	}
 	s := &preemptor.job.rec.Spec
-	if wire.PriorityLevel(s.Priority) > r.lowestPriority {
+	if wire.PriorityLevel(s.Priority) > scan.lowestPriority {
 		return true
 	}
-	return preemptor.withinGuarantee && (len(r.overGuaranteeTeams) > 1 || len(r.overGuaranteeTeams) == 1 && !r.overGuaranteeTeams[s.Team])
+	if !preemptor.withinGuarantee {
+		return false
+	}
+	teams := len(scan.teamsBeyondGuarantee)
+	return teams > 1 || teams == 1 && !scan.teamsBeyondGuarantee[s.Team]
 }
 
-// preempt makes room on a machine by stopping work that has to yield: the
-// machine on which the least is lost; with warm, only one that holds the
-// image. It returns nil where none can be made.
-func (v *fleetView) preempt(now time.Time, preemptor *task, warm bool, r *placementRound) *machine {
+// imageRequirement says which machines preemption is tried on.
+type imageRequirement bool
+
+const (
+	anyMachine       imageRequirement = false
+	machineWithImage imageRequirement = true // that hold the preemptor's image
+)
+
+// preempt makes a machine free for a task by preempting others that stop at once: the
+// machine on which that costs the least. It returns nil where there is none.
+func (v *fleetView) preempt(now time.Time, preemptor *task, image imageRequirement, r *placementRound) *machine {
 	s := &preemptor.job.rec.Spec
 	n := taskResources(s)
-	d := demandClassOf(s)
-	d.priorityLevel = wire.PriorityLevel(s.Priority)
-	if preemptor.withinGuarantee {
-		d.guaranteedTeam = s.Team
-	}
-	if warm {
-		d.image = s.Image
+	class := demandClassOf(s).forPreemption(s, preemptor.withinGuarantee)
+	if image == machineWithImage {
+		class.image = s.Image
 	}
-	if r.known(r.unpreemptable, d, n) {
+	if r.unpreemptable.covers(class, n) {
 		return nil
 	}
 	if !v.hasPreemptibleWork(preemptor, r) {
-		r.unpreemptable[d] = append(r.unpreemptable[d], resources{})
+		r.unpreemptable.add(class, resources{})
 		return nil
 	}
+	best, victims := v.cheapestPreemption(now, preemptor, image)
+	if best == nil {
+		r.unpreemptable.add(class, n)
+		return nil
+	}
+	for _, victim := range victims {
+		victim.stopRequested = true
+		slog.Debug("task preempted", logkey.TaskID, victim.key.task, logkey.Machine, best.name, "for", s.Priority,
+			"guaranteed", preemptor.withinGuarantee, "image_required", bool(image), "age_s", now.Sub(victim.startSentAt).Seconds())
+	}
+	best.usageStale = true
+	return best
+}
+
+// cheapestPreemption is the machine on which making a task's capacity free costs the least
+// (CPU seconds of lost work and the constants Cost...), and the attempts to stop there.
+func (v *fleetView) cheapestPreemption(now time.Time, preemptor *task, image imageRequirement) (*machine, []*attempt) {
+	s := &preemptor.job.rec.Spec
+	n := taskResources(s)
 	var best *machine
-	var bestVictims, can []*attempt
+	var bestVictims, evictable []*attempt
 	bestCost := math.Inf(1)
 	for _, m := range v.fleet {
-		if !isEligible(s, m.typeName, m.spot) || warm && !m.cachedImages[s.Image] || !v.isSchedulable(now, m) {
+		if !isEligible(s, m.typeName, m.spot) {
 			continue
 		}
-		free := v.freeResources(m)
-		var most resources
-		can, most = v.preemptionVictims(m, preemptor, can[:0])
-		if len(can) == 0 || !n.fits(most) {
+		hasImage := m.cachedImages[s.Image]
+		if image == machineWithImage && !hasImage || !v.isSchedulable(now, m) {
 			continue
 		}
-		// The youngest lose the least.
-		sort.Slice(can, func(a, b int) bool {
-			if !can[a].startSentAt.Equal(can[b].startSentAt) {
-				return can[a].startSentAt.After(can[b].startSentAt)
-			}
-			return can[a].key.number > can[b].key.number
-		})
-		cost := 0.0
-		victims := 0
-		for victims < len(can) && !n.fits(free) {
-			att := can[victims]
-			free = free.plus(att.resources)
-			cost += att.resources.cpus * (1 + now.Sub(att.startSentAt).Seconds())
-			if v.preemptionMissesObjective(now, att) {
-				cost += att.resources.cpus * constants.CostObjectiveMissed
-			}
-			victims++
+		var available resources
+		evictable, available = v.preemptionVictims(m, preemptor, evictable[:0])
+		if len(evictable) == 0 || !n.fits(available) {
+			continue
 		}
-		if victims == 0 {
+		victims, cost := v.chooseVictims(now, n, v.freeResources(m), evictable)
+		if len(victims) == 0 {
 			continue
 		}
-		if !m.cachedImages[s.Image] {
+		if !hasImage {
 			cost += constants.CostImageFetch
 		}
-		if warm && cost > constants.MaxCostForImage {
-			continue // rather wait for the image where there is room
+		if image == machineWithImage && cost > constants.MaxCostForImage {
+			continue // rather fetch the image where there is free capacity
 		}
 		if cost < bestCost || cost == bestCost && m.name < best.name {
-			best, bestCost = m, cost
-			bestVictims = append(bestVictims[:0], can[:victims]...)
+			best = m
+			bestCost = cost
+			bestVictims = append(bestVictims[:0], victims...)
 		}
 	}
-	if best == nil {
-		r.unpreemptable[d] = append(r.unpreemptable[d], n)
-		return nil
-	}
-	for _, att := range bestVictims {
-		att.stopRequested = true
-		slog.Debug("task makes room", "task", att.key.task, "machine", best.name, "for", s.Priority, "guaranteed", preemptor.withinGuarantee, "warm", warm, "age_s", now.Sub(att.startSentAt).Seconds())
+	return best, bestVictims
+}
+
+// chooseVictims chooses as many of a machine's attempts, the youngest first, as must stop
+// beside its free capacity to fit n, and returns their cost. The youngest lose the least.
+// It sorts the list that it is given and returns a part of it.
+func (v *fleetView) chooseVictims(now time.Time, n, free resources, evictable []*attempt) ([]*attempt, float64) {
+	sort.Slice(evictable, func(i, j int) bool {
+		a, b := evictable[i], evictable[j]
+		if !a.startSentAt.Equal(b.startSentAt) {
+			return a.startSentAt.After(b.startSentAt)
+		}
+		return a.key.number > b.key.number
+	})
+	cost := 0.0
+	count := 0
+	for count < len(evictable) && !n.fits(free) {
+		victim := evictable[count]
+		free = free.plus(victim.resources)
+		cost += victim.resources.cpus * (1 + now.Sub(victim.startSentAt).Seconds())
+		if v.preemptionMissesObjective(now, victim) {
+			cost += victim.resources.cpus * constants.CostObjectiveMissed
+		}
+		count++
 	}
-	best.usageStale = true
-	return best
+	return evictable[:count], cost
 }
 
-// preemptionVictims lists what on a machine could be stopped at once for a task, after what
-// is in can, and all the room that makes. A gang is stopped whole or not at all.
-func (k *knownState) preemptionVictims(m *machine, preemptor *task, can []*attempt) ([]*attempt, resources) {
-	most := k.freeResources(m)
+// preemptionVictims appends the attempts on a machine that a task may preempt at once to a
+// list, and returns with it the free capacity that there would be without them. A gang is
+// preempted as a whole or not at all.
+func (k *knownState) preemptionVictims(m *machine, preemptor *task, list []*attempt) ([]*attempt, resources) {
+	available := k.freeResources(m)
 	for _, a := range m.attempts {
-		if t := k.taskOf(a); a.stopsInstantly && isEvictable(a, t) && t.job.gang == nil && mayPreempt(t, preemptor) {
-			can = append(can, a)
-			most = most.plus(a.resources)
+		t := k.taskOf(a)
+		if a.stopsInstantly && isEvictable(a, t) && t.job.gang == nil && mayPreempt(t, preemptor) {
+			list = append(list, a)
+			available = available.plus(a.resources)
 		}
 	}
-	return can, most
+	return list, available
 }
 
-// preemptionMissesObjective says whether a job that would have met an objective on finishing
-// would miss it if this task of it began anew.
+// preemptionMissesObjective says whether a job that would have met an objective for its
+// end would miss it if this task of it started anew.
 func (v *fleetView) preemptionMissesObjective(now time.Time, a *attempt) bool {
 	rec := v.jobs[a.jobID].rec
-	began := a.startSentAt
+	startedAt := a.startSentAt
 	if !a.runningSince.IsZero() {
-		began = a.runningSince
+		startedAt = a.runningSince
 	}
-	whole := time.Duration(rec.Spec.EstimateS * float64(time.Second))
+	estimate := time.Duration(rec.Spec.EstimateS * float64(time.Second))
 	age := time.Duration(now.UnixMilli()-rec.AcceptedMS) * time.Millisecond
-	left := max(whole-now.Sub(began), constants.MinRemainingRuntime)
-	return v.cfg.JobOrder.ObjectivesMet(rec.Spec.Class, age+left) > v.cfg.JobOrder.ObjectivesMet(rec.Spec.Class, age+whole)
-}
-
-// preemptWithCheckpoint makes room for a task where only work that can save stands in its
-// way: that is stopped with time to save, and the task starts once it is gone.
-// It returns for how many such tasks room will be there.
-func (q *outbox) preemptWithCheckpoint(v *fleetView, now time.Time, preemptor *task, r *placementRound) int {
-	if !r.hasCheckpointing || now.Before(preemptor.roomExpectedUntil) {
-		return 0
-	}
-	s := &preemptor.job.rec.Spec
-	n := taskResources(s)
-	var best []*attempt
-	bestCost := math.Inf(1)
-	for _, m := range v.fleet {
-		if !isEligible(s, m.typeName, m.spot) || !v.isSchedulable(now, m) {
-			continue
-		}
-		free, cost := v.freeResources(m), 0.0
-		var victims []*attempt
-		for _, a := range m.attempts {
-			t := v.taskOf(a)
-			if n.fits(free) || !isEvictable(a, t) || !mayPreempt(t, preemptor) {
-				continue
-			}
-			free = free.plus(a.resources)
-			victims = append(victims, a)
-			cost += a.resources.cpus
-			if t.job.gang != nil {
-				cost += a.resources.cpus * float64(len(t.job.tasks)-1) // all of it goes
-			}
-		}
-		if len(victims) > 0 && n.fits(free) && cost < bestCost {
-			best, bestCost = victims, cost
-		}
-	}
-	wait := time.Duration(0)
-	var freed resources
-	for _, a := range best {
-		wait = max(wait, v.stopGrace(a)+v.gangSaveTime(a))
-		if t := v.taskOf(a); t.job.gang != nil {
-			if !a.stopRequested {
-				q.stopGangWithCheckpoint(t.job, "makes room")
-				freed = freed.plus(a.resources.times(len(t.job.tasks)))
-			}
-			continue
-		}
-		freed = freed.plus(a.resources)
-		q.evict(a)
-		slog.Debug("task saves and makes room", "task", a.key.task, "machine", a.machine.name)
-	}
-	if len(best) == 0 {
-		return 0
-	}
-	preemptor.roomExpectedUntil = now.Add(wait + constants.ReclaimMargin)
-	return freed.holdsOf(n)
+	remaining := max(estimate-now.Sub(startedAt), constants.MinRemainingRuntime)
+	undisturbed := v.cfg.JobOrder.ObjectivesMet(rec.Spec.Class, age+remaining)
+	restarted := v.cfg.JobOrder.ObjectivesMet(rec.Spec.Class, age+estimate)
+	return undisturbed > restarted
 }
--- a/shard/reservation.go
+++ b/shard/reservation.go
@@ -5,48 +5,72 @@
 	"time"
 
 	"ravenport/constants"
+	"ravenport/logkey"
+	"ravenport/wire"
 )
 
-// reserveMachineFor keeps the room that falls free on a machine for a job that has long
-// found none: its tasks may be larger than what others leave, and smaller ones
-// would take every gap before one was large enough.
+// isReservedForOthers says whether a machine takes no task of a job because it is reserved
+// for another job, or for gangs.
+func (m *machine) isReservedForOthers(s *wire.Submission) bool {
+	if m.reservedFor != nil && m.reservedFor.rec.ID != s.ID {
+		return true
+	}
+	return m.reservedForGangs && !s.AllOrNothing()
+}
+
+// reserveMachineFor reserves a machine for a job that is overdue and fits nowhere: what
+// becomes free there goes to no other job. Its tasks may be larger than what others leave
+// free, and smaller ones would take every gap before one was large enough.
 func (v *fleetView) reserveMachineFor(now time.Time, j *job, r *placementRound) {
 	if r.reservationsExhausted {
-		return // hundreds of jobs may be waiting after a shard has lost all
+		return // hundreds of jobs may be waiting after a shard has lost all its machines
 	}
-	s := &j.rec.Spec
-	n := taskResources(s)
-	var best *machine
-	var most float64
-	kept := 0
+	reserved := 0
 	for _, m := range v.fleet {
+		if m.reservedFor == j {
+			return
+		}
 		if m.reservedFor != nil {
-			if m.reservedFor == j {
-				return
-			}
-			kept++
-			continue
+			reserved++
 		}
-		if !isEligible(s, m.typeName, m.spot) || !n.fits(m.capacity) || !v.isSchedulable(now, m) {
+	}
+	best := v.bestReservation(now, &j.rec.Spec)
+	r.reservationsExhausted = reserved > len(v.fleet)/constants.MachinesPerReservation
+	if best == nil || r.reservationsExhausted {
+		return
+	}
+	slog.Info("reserving machine for overdue job", logkey.JobID, j.rec.ID, logkey.Machine, best.name)
+	best.reservedFor = j
+	best.reservedUntil = now.Add(constants.CapacityHoldTime)
+}
+
+// bestReservation is the machine on which the least must still become free for a task of
+// a job; nil: none is large enough. Arrays count as good as finished.
+func (v *fleetView) bestReservation(now time.Time, s *wire.Submission) *machine {
+	n := taskResources(s)
+	var best *machine
+	var largest float64 // share of the machine, from 0 to 2
+	for _, m := range v.fleet {
+		if m.reservedFor != nil || !isEligible(s, m.typeName, m.spot) || !n.fits(m.capacity) || !v.isSchedulable(now, m) {
 			continue
 		}
-		// Where the least must still fall free, arrays count as good as gone.
-		room := m.freeShare(v.freeResources(m))
-		if room += v.usageOf(m).batchCPUs / max(m.capacity.cpus, 1); best == nil || room > most || room == most && m.name < best.name {
-			best, most = m, room
+		available := m.freeShare(v.freeResources(m)) + v.usageOf(m).batchCPUs/max(m.capacity.cpus, 1)
+		if best == nil || available > largest || available == largest && m.name < best.name {
+			best = m
+			largest = available
 		}
 	}
-	if r.reservationsExhausted = kept > len(v.fleet)/constants.MachinesPerReservation; best == nil || r.reservationsExhausted {
-		return
-	}
-	slog.Info("keeping room for a job that waits", "job", s.ID, "machine", best.name)
-	best.reservedFor, best.reservedUntil = j, now.Add(constants.CapacityHoldTime)
+	return best
 }
 
-// releaseReservations ends the keeping of room that was used or not used in time.
+// releaseReservations ends the reservations that were used, or not used in time.
 func (p *placement) releaseReservations(v *fleetView, now time.Time) {
 	for _, m := range v.fleet {
-		if j := m.reservedFor; j != nil && (now.After(m.reservedUntil) || j.begun || len(j.waiting) == 0 || v.jobs[j.rec.ID] != j) {
+		j := m.reservedFor
+		if j == nil {
+			continue
+		}
+		if now.After(m.reservedUntil) || j.begun || len(j.waiting) == 0 || v.jobs[j.rec.ID] != j {
 			m.reservedFor = nil
 			p.needsPlacement = true
 		}
