--- a/internal/loopback/cloud_test.go
+++ b/internal/loopback/cloud_test.go
@@ -20,24 +20,24 @@
 // cloud stands in for the cloud: machines come up after their boot time, and
 // none is refused before the fleet has its size.
 type cloud struct {
-	mu       sync.Mutex
-	zones    []string
-	left     map[string]int // machines that may still be rented, by zone
-	requests map[string][]string
-	workers  map[string]*machine
-	names    []string // in their order of creation
-	start    func(*machine)
-	lease    time.Duration
-	record   *record
-
-	bootless, sick int    // of the next machines: so many never boot, or fail all their tasks
-	lastReturn     string // zone of the last machine that a controller returned
+	mu                sync.Mutex
+	zones             []string
+	capacity          map[string]int // machines that may still be rented, by zone
+	machinesByRequest map[string][]string
+	machines          map[string]*machine
+	names             []string // in their order of creation
+	start             func(*machine)
+	lease             time.Duration
+	observer          *observer
+
+	neverBootNext, failTasksNext int    // of the next machines: so many never boot, or fail all their tasks
+	lastScaleInZone              string // zone of the last machine that a controller returned
 }
 
 func newCloud(zones []string, machines int, start func(*machine)) *cloud {
-	c := &cloud{zones: zones, left: map[string]int{}, requests: map[string][]string{}, workers: map[string]*machine{}, start: start}
+	c := &cloud{zones: zones, capacity: map[string]int{}, machinesByRequest: map[string][]string{}, machines: map[string]*machine{}, start: start}
 	for _, z := range zones {
-		c.left[z] = machines / len(zones)
+		c.capacity[z] = machines / len(zones)
 	}
 	return c
 }
@@ -48,16 +48,16 @@
 	case wire.PathTypes:
 		t := machineType
 		t.Zones = c.zones
-		answer(r, 200, wire.MachineTypes{Types: []wire.MachineType{t}})
+		respond(r, 200, wire.MachineTypes{Types: []wire.MachineType{t}})
 	case wire.PathScaleIn:
 		var names wire.MachineNames
 		if err := json.Unmarshal(r.Body, &names); err != nil {
-			answer(r, 400, wire.Problem{Error: err.Error()})
+			respond(r, 400, wire.Problem{Error: err.Error()})
 			return
 		}
-		c.noteReturn(names.Machines)
-		c.giveBack(names.Machines)
-		answer(r, 200, struct{}{})
+		c.noteScaleIn(names.Machines)
+		c.remove(names.Machines)
+		respond(r, 200, struct{}{})
 	case wire.PathMachines:
 		if r.Method == "GET" {
 			c.list(r, query)
@@ -65,73 +65,73 @@
 		}
 		var req wire.ScaleOutRequest
 		if err := json.Unmarshal(r.Body, &req); err != nil {
-			answer(r, 400, wire.Problem{Error: err.Error()})
+			respond(r, 400, wire.Problem{Error: err.Error()})
 			return
 		}
-		c.rent(r, req)
+		c.scaleOut(r, req)
 	default:
-		answer(r, 404, wire.Problem{Error: "not found"})
+		respond(r, 404, wire.Problem{Error: "not found"})
 	}
 }
 
-func (c *cloud) rent(r *server.Request, req wire.ScaleOutRequest) {
+func (c *cloud) scaleOut(r *server.Request, req wire.ScaleOutRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	names, known := c.requests[req.RequestID]
+	names, known := c.machinesByRequest[req.RequestID]
 	if !known {
-		n := min(req.Count, c.left[req.Zone])
-		c.left[req.Zone] -= n
+		n := min(req.Count, c.capacity[req.Zone])
+		c.capacity[req.Zone] -= n
 		for range n {
-			names = append(names, c.add(req))
+			names = append(names, c.addMachine(req))
 		}
 	}
 	if len(names) == 0 {
-		answer(r, 503, wire.Problem{Error: "no capacity"})
+		respond(r, 503, wire.Problem{Error: "no capacity"})
 		return
 	}
-	c.requests[req.RequestID] = names
-	answer(r, 200, wire.MachineNames{Machines: names})
+	c.machinesByRequest[req.RequestID] = names
+	respond(r, 200, wire.MachineNames{Machines: names})
 }
 
-// add rents one machine. The caller holds the lock.
-func (c *cloud) add(req wire.ScaleOutRequest) string {
+// addMachine rents one machine. The caller holds the lock.
+func (c *cloud) addMachine(req wire.ScaleOutRequest) string {
 	n := len(c.names) + 1
-	m := newMachine(fmt.Sprintf("m-%06d", n), machineAddress(n), req.Zone, req.Spot)
-	m.lease, m.record = c.lease, c.record
+	m := newMachine(fmt.Sprintf("m-%06d", n), workerAddress(n), req.Zone, req.Spot)
+	m.lease, m.observer = c.lease, c.observer
 	c.names = append(c.names, m.name)
-	c.workers[m.name] = m
+	c.machines[m.name] = m
 	switch {
-	case c.bootless > 0:
-		c.bootless--
-		m.bootless = true
+	case c.neverBootNext > 0:
+		c.neverBootNext--
+		m.neverBoots = true
 		return m.name
-	case c.sick > 0:
-		c.sick--
-		m.sick = true
+	case c.failTasksNext > 0:
+		c.failTasksNext--
+		m.failsTasks = true
 	}
 	time.AfterFunc(time.Duration(machineType.BootS*float64(time.Second)), func() { c.start(m) })
 	return m.name
 }
 
-// noteReturn notes where a controller returns machines.
-func (c *cloud) noteReturn(names []string) {
+// noteScaleIn notes where a controller returns machines.
+func (c *cloud) noteScaleIn(names []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, name := range names {
-		if m := c.workers[name]; m != nil {
-			c.lastReturn = m.zone
+		if m := c.machines[name]; m != nil {
+			c.lastScaleInZone = m.zone
 		}
 	}
 }
 
-func (c *cloud) giveBack(names []string) {
+func (c *cloud) remove(names []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, name := range names {
-		if m := c.workers[name]; m != nil {
-			m.end()
-			c.left[m.zone]++
-			delete(c.workers, name)
+		if m := c.machines[name]; m != nil {
+			m.terminate()
+			c.capacity[m.zone]++
+			delete(c.machines, name)
 		}
 	}
 }
@@ -139,7 +139,7 @@
 func (c *cloud) list(r *server.Request, query string) {
 	q, err := url.ParseQuery(query)
 	if err != nil {
-		answer(r, 400, wire.Problem{Error: err.Error()})
+		respond(r, 400, wire.Problem{Error: err.Error()})
 		return
 	}
 	limit, _ := strconv.Atoi(q.Get("limit"))
@@ -151,7 +151,7 @@
 		from++
 	}
 	for _, name := range c.names[from:] {
-		m := c.workers[name]
+		m := c.machines[name]
 		if m == nil {
 			continue
 		}
@@ -160,18 +160,43 @@
 			break
 		}
 		shows := wire.MachineRunning
-		if m.bootless {
+		if m.neverBoots {
 			shows = wire.MachineBooting
 		}
 		page.Machines = append(page.Machines, wire.CloudMachine{Name: m.name, Addr: m.addr, Type: machineType.Name, Zone: m.zone,
-			Spot: m.spot, State: shows, AgeS: time.Since(m.born).Seconds()})
+			Spot: m.spot, State: shows, AgeS: time.Since(m.createdAt).Seconds()})
+	}
+	respond(r, 200, page)
+}
+
+// machineCount is how many machines there are.
+func (c *cloud) machineCount() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.machines)
+}
+
+// allMachines lists the machines that are rented.
+func (c *cloud) allMachines() []*machine {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var out []*machine
+	for _, m := range c.machines {
+		out = append(out, m)
 	}
-	answer(r, 200, page)
+	return out
+}
+
+// lastScaleIn is the zone of the last machine that a controller returned.
+func (c *cloud) lastScaleIn() string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.lastScaleInZone
 }
 
-// running is how many machines there are.
-func (c *cloud) running() int {
+// forgetScaleIn has lastScaleIn wait for another return.
+func (c *cloud) forgetScaleIn() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.workers)
+	c.lastScaleInZone = ""
 }
--- a/internal/loopback/links_test.go
+++ b/internal/loopback/links_test.go
@@ -12,7 +12,7 @@
 // While it is cut, connections hang: nothing passes, and nothing is refused.
 type link struct {
 	listener net.Listener
-	to       string
+	target   string
 
 	mu    sync.Mutex
 	isCut bool
@@ -25,7 +25,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &link{listener: listener, to: to, conns: map[net.Conn]struct{}{}}
+	l := &link{listener: listener, target: to, conns: map[net.Conn]struct{}{}}
 	go l.accept()
 	return l, nil
 }
@@ -39,51 +39,51 @@
 			return
 		}
 		if err == nil {
-			go l.carry(conn)
+			go l.proxy(conn)
 		}
 	}
 }
 
-// carry connects one accepted connection and copies both ways.
-func (l *link) carry(near net.Conn) {
-	if !l.hold(near) {
+// proxy connects one accepted connection and copies both ways.
+func (l *link) proxy(near net.Conn) {
+	if !l.register(near) {
 		return
 	}
-	far, err := net.Dial("tcp4", l.to)
+	far, err := net.Dial("tcp4", l.target)
 	if err != nil {
-		l.drop(near)
+		l.closeConn(near)
 		return
 	}
-	if !l.hold(far) {
-		l.drop(near)
+	if !l.register(far) {
+		l.closeConn(near)
 		return
 	}
 	copyOneWay := func(to, from net.Conn) {
-		_, _ = io.Copy(passing{l, to}, from) // either side's end ends both
-		l.drop(near)
-		l.drop(far)
+		_, _ = io.Copy(linkWriter{l, to}, from) // either side's end ends both
+		l.closeConn(near)
+		l.closeConn(far)
 	}
 	go copyOneWay(far, near)
 	copyOneWay(near, far)
 }
 
-// hold notes an open connection. On a cut link it stays open and carries nothing.
-func (l *link) hold(c net.Conn) bool {
+// register notes an open connection. On a cut link it stays open and carries nothing.
+func (l *link) register(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.conns[c] = struct{}{}
 	return !l.isCut
 }
 
-func (l *link) drop(c net.Conn) {
+func (l *link) closeConn(c net.Conn) {
 	l.mu.Lock()
 	delete(l.conns, c)
 	l.mu.Unlock()
 	c.Close()
 }
 
-// cut cuts the link, or mends it. What hung on it is reset then.
-func (l *link) cut(is bool) {
+// setCut cuts the link, or mends it. What hung on it is reset then.
+func (l *link) setCut(is bool) {
 	l.mu.Lock()
 	was := l.isCut
 	l.isCut = is
@@ -95,31 +95,31 @@
 	}
 	l.mu.Unlock()
 	for _, c := range open {
-		l.drop(c)
+		l.closeConn(c)
 	}
 }
 
 func (l *link) close() {
 	l.listener.Close()
-	l.cut(true)
-	l.cut(false)
+	l.setCut(true)
+	l.setCut(false)
 }
 
-// passing writes to a connection as long as the link is not cut, and swallows what is
+// linkWriter writes to a connection as long as the link is not cut, and swallows what is
 // written after.
-type passing struct {
+type linkWriter struct {
 	link *link
-	to   net.Conn
+	conn net.Conn
 }
 
-func (p passing) Write(b []byte) (int, error) {
+func (p linkWriter) Write(b []byte) (int, error) {
 	p.link.mu.Lock()
 	isCut := p.link.isCut
 	p.link.mu.Unlock()
 	if isCut {
 		return len(b), nil
 	}
-	return p.to.Write(b)
+	return p.conn.Write(b)
 }
 
 // links are the links of a deployment's controllers.
@@ -150,20 +150,20 @@
 	return l
 }
 
-// cutCallsTo cuts other controllers' calls to one, or mends them.
-func (l *links) cutCallsTo(to int, is bool) {
+// setInboundCut cuts other controllers' calls to one, or mends them.
+func (l *links) setInboundCut(to int, is bool) {
 	for from := range l.peers {
 		if from != to {
-			l.peers[from][to].cut(is)
+			l.peers[from][to].setCut(is)
 		}
 	}
 }
 
-// cutCallsFrom cuts a controller's calls to the others, or mends them.
-func (l *links) cutCallsFrom(from int, is bool) {
+// setOutboundCut cuts a controller's calls to the others, or mends them.
+func (l *links) setOutboundCut(from int, is bool) {
 	for to, x := range l.peers[from] {
 		if to != from {
-			x.cut(is)
+			x.setCut(is)
 		}
 	}
 }
--- a/internal/loopback/store_test.go
+++ b/internal/loopback/store_test.go
@@ -23,12 +23,6 @@
 	lease   uint64
 }
 
-// storeLease is one lease of it.
-type storeLease struct {
-	life time.Duration
-	ends time.Time
-}
-
 // store stands in for the state service. It answers within a millisecond and
 // refuses nothing for rate.
 type store struct {
@@ -39,11 +33,11 @@
 	leases   map[uint64]*storeLease
 	leaseSeq uint64
 	changed  chan struct{}
-	record   *record
+	observer *observer
 }
 
-func newStore(r *record) *store {
-	return &store{record: r, keys: map[string]storeEntry{}, leases: map[uint64]*storeLease{}, changed: make(chan struct{})}
+func newStore(r *observer) *store {
+	return &store{observer: r, keys: map[string]storeEntry{}, leases: map[uint64]*storeLease{}, changed: make(chan struct{})}
 }
 
 // handle answers one request on a goroutine of its own, since a watch waits.
@@ -53,14 +47,14 @@
 	path, query, _ := strings.Cut(r.Target, "?")
 	values, err := url.ParseQuery(query)
 	if err != nil {
-		answer(r, 400, wire.Problem{Error: "malformed query"})
+		respond(r, 400, wire.Problem{Error: "malformed query"})
 		return
 	}
 	switch {
 	case path == wire.PathTxn:
 		var txn wire.Txn
 		if err := json.Unmarshal(r.Body, &txn); err != nil {
-			answer(r, 400, wire.Problem{Error: err.Error()})
+			respond(r, 400, wire.Problem{Error: err.Error()})
 			return
 		}
 		s.commit(r, txn)
@@ -71,9 +65,9 @@
 	case path == wire.PathWatch:
 		s.watch(r, values)
 	case path == wire.PathLeases:
-		s.grant(r)
+		s.grantLease(r)
 	default:
-		s.renew(r, path)
+		s.renewLease(r, path)
 	}
 }
 
@@ -83,79 +77,29 @@
 	defer s.mu.Unlock()
 	for _, c := range txn.Conditions {
 		if s.keys[c.Key].version != c.Version {
-			answer(r, 409, wire.TxnReply{Failed: []string{c.Key}, Revision: s.revision})
+			respond(r, 409, wire.TxnReply{Failed: []string{c.Key}, Revision: s.revision})
 			return
 		}
 	}
 	for _, ch := range txn.Changes {
 		if ch.Lease != 0 && s.leases[ch.Lease] == nil {
-			answer(r, 400, wire.Problem{Error: "no such lease"})
+			respond(r, 400, wire.Problem{Error: "no such lease"})
 			return
 		}
 	}
 	s.apply(txn.Changes)
 	for _, ch := range txn.Changes {
-		s.noteClaim(ch, came)
+		s.noteTermAcquisition(ch, came)
 	}
-	answer(r, 200, wire.TxnReply{Revision: s.revision})
+	respond(r, 200, wire.TxnReply{Revision: s.revision})
 }
 
-// noteClaim records a write that raised a shard's term.
-func (s *store) noteClaim(ch wire.Change, came time.Time) {
+// noteTermAcquisition records a write that raised a shard's term.
+func (s *store) noteTermAcquisition(ch wire.Change, came time.Time) {
 	record, err := records.Decode(ch.Put, ch.Value)
 	if term, ok := record.(*records.Term); err == nil && ok && term.Shard != "" {
-		s.record.claims(term.Shard, term.Number, came, time.Now())
-	}
-}
-
-// holder is the controller that holds a shard's term.
-func (s *store) holder(zone string) (node string, term uint64) {
-	return s.holderOf(records.KeyShard(zone))
-}
-
-// leads is who leads.
-func (s *store) leads() string {
-	node, _ := s.holderOf(records.KeyLeader)
-	return node
-}
-
-// unassigned counts the tasks of arrays that are in no assignment, and tells the
-// revision.
-func (s *store) unassigned() (tasks int, revision uint64) {
-	s.mu.Lock()
-	values := map[string]json.RawMessage{}
-	for key, e := range s.keys {
-		if strings.HasPrefix(key, records.KeyJob("")) {
-			values[key] = e.value
-		}
-	}
-	revision = s.revision
-	s.mu.Unlock()
-	for key, value := range values {
-		record, err := records.Decode(key, value)
-		if err != nil {
-			panic(err) // the controllers' own record
-		}
-		if j := record.(*records.Job); j.End == "" && !j.Spec.IsService() {
-			tasks += records.TasksIn(j.Unassigned())
-		}
-	}
-	return tasks, revision
-}
-
-func (s *store) holderOf(key string) (node string, term uint64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	e, ok := s.keys[key]
-	if !ok {
-		return "", 0
+		s.observer.termAcquired(term.Shard, term.Number, came, time.Now())
 	}
-	record, err := records.Decode(key, e.value)
-	if err != nil {
-		panic(err) // the controllers' own record
-	}
-	t := record.(*records.Term)
-	return t.Controller, t.Number
 }
 
 // apply carries out changes under one revision. The caller holds the lock.
@@ -182,10 +126,10 @@
 	defer s.mu.Unlock()
 	e, ok := s.keys[key]
 	if !ok {
-		answer(r, 404, wire.TxnReply{Revision: s.revision})
+		respond(r, 404, wire.TxnReply{Revision: s.revision})
 		return
 	}
-	answer(r, 200, wire.KeyValue{Key: key, Value: e.value, Version: e.version, Lease: e.lease})
+	respond(r, 200, wire.KeyValue{Key: key, Value: e.value, Version: e.version, Lease: e.lease})
 }
 
 func (s *store) list(r *server.Request, q url.Values) {
@@ -202,7 +146,7 @@
 	if len(page.Items) > limit {
 		page.Items, page.HasMore = page.Items[:limit], true
 	}
-	answer(r, 200, page)
+	respond(r, 200, page)
 }
 
 func (s *store) watch(r *server.Request, q url.Values) {
@@ -217,67 +161,20 @@
 		changed := s.changed
 		s.mu.Unlock()
 		if len(out.Events) > 0 {
-			answer(r, 200, out)
+			respond(r, 200, out)
 			return
 		}
 		select {
 		case <-end:
-			answer(r, 200, out)
+			respond(r, 200, out)
 			return
 		case <-changed:
 		}
 	}
 }
 
-func (s *store) grant(r *server.Request) {
-	var req wire.LeaseRequest
-	if err := json.Unmarshal(r.Body, &req); err != nil {
-		answer(r, 400, wire.Problem{Error: err.Error()})
-		return
-	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.leaseSeq++
-	life := time.Duration(req.TTLMS) * time.Millisecond
-	s.leases[s.leaseSeq] = &storeLease{life, time.Now().Add(life)}
-	answer(r, 200, wire.LeaseReply{Lease: s.leaseSeq})
-}
-
-func (s *store) renew(r *server.Request, path string) {
-	id, _, _ := strings.Cut(strings.TrimPrefix(path, wire.PathLeases+"/"), "/")
-	n, _ := strconv.ParseUint(id, 10, 64)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	l := s.leases[n]
-	if l == nil {
-		answer(r, 404, wire.Problem{Error: "no such lease"})
-		return
-	}
-	l.ends = time.Now().Add(l.life)
-	answer(r, 200, struct{}{})
-}
-
-// expire ends the leases whose time is up, with the keys attached to them.
-func (s *store) expire() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for id, l := range s.leases {
-		if time.Now().Before(l.ends) {
-			continue
-		}
-		delete(s.leases, id)
-		var gone []wire.Change
-		for key, e := range s.keys {
-			if e.lease == id {
-				gone = append(gone, wire.Change{Delete: key})
-			}
-		}
-		s.apply(gone)
-	}
-}
-
-// answer sends v as the JSON body of a response.
-func answer(r *server.Request, status int, v any) {
+// respond sends v as the JSON body of a response.
+func respond(r *server.Request, status int, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
 		panic(err) // the stand-ins' own types
