--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -3,38 +3,43 @@
 // Paths of the cloud.
 const (
 	PathTypes    = "/flavors"
-	PathMachines = "/machines"
+	PathMachines = "/machines" // lists machines, and scales out
 	PathScaleIn  = "/machines/return"
 )
 
-// Limits of the cloud's calls.
+// Limits on a call of the cloud (machines).
 const (
 	MaxMachinesPerScaleOut = 50
 	MaxMachinesPerScaleIn  = 100
 	MaxMachinesListed      = 500
 )
 
-// MachineType is what the cloud says of one type.
+// MachineType is one type of machine that the cloud offers.
 type MachineType struct {
-	Name        string   `json:"sku"`
-	CPUs        float64  `json:"cpus"`
-	GPUs        float64  `json:"cards"`
-	MemoryGB    float64  `json:"mem_gb"`
-	CacheGB     float64  `json:"cache_gb"`
-	FetchGBPerS float64  `json:"fetch_gb_per_s"`
-	Price       float64  `json:"hourly"`
-	SpotPrice   float64  `json:"spot_price"`
-	BootS       float64  `json:"ready_s"`
-	Zones       []string `json:"yards"`
+	Name        string  `json:"sku"`
+	CPUs        float64 `json:"cpus"`
+	GPUs        float64 `json:"cards"`
+	MemoryGB    float64 `json:"mem_gb"`
+	CacheGB     float64 `json:"cache_gb"` // for images
+	FetchGBPerS float64 `json:"fetch_gb_per_s"`
+	Price       float64 `json:"hourly"` // of an on-demand machine, per hour
+	// SpotPrice is the current price of a spot instance, per hour.
+	SpotPrice float64 `json:"spot_price"`
+	// BootS is the nominal time from the scale-out request until the machine is up (s).
+	BootS float64 `json:"ready_s"`
+	// Zones are those that offer the type; none: not known.
+	Zones []string `json:"yards"`
 }
 
-// MachineTypes answers the call for the machine types.
+// MachineTypes is the response to a call for the machine types.
 type MachineTypes struct {
 	Types []MachineType `json:"builds"`
 }
 
-// ScaleOutRequest asks for machines.
+// ScaleOutRequest requests machines.
 type ScaleOutRequest struct {
+	// RequestID is the idempotency key: a request that succeeded returns the same
+	// machines again, so that an id must never be used for another request.
 	RequestID string `json:"requisition"`
 	Type      string `json:"build"`
 	Zone      string `json:"yard"`
@@ -42,7 +47,8 @@
 	Count     int    `json:"number"`
 }
 
-// MachineNames carries the names of machines, rented or to be returned.
+// MachineNames is the response to a scale-out request, with the machines that the cloud
+// grants, and the body of a scale-in request.
 type MachineNames struct {
 	Machines []string `json:"hosts"`
 }
@@ -51,7 +57,7 @@
 const (
 	MachineBooting = "booting"
 	MachineRunning = "running"
-	MachineFailed  = "failed"
+	MachineFailed  = "failed" // stopped on its own; it is listed until it is scaled in
 )
 
 // CloudMachine is one machine in the cloud's list.
@@ -62,10 +68,10 @@
 	Zone  string  `json:"yard"`
 	Spot  bool    `json:"loaners"`
 	State string  `json:"status"`
-	AgeS  float64 `json:"age_s"`
+	AgeS  float64 `json:"age_s"` // since the scale-out request (s)
 }
 
-// MachineList is one page of the cloud's list.
+// MachineList is one page of the cloud's list, in the order of names.
 type MachineList struct {
 	Machines []CloudMachine `json:"hosts"`
 	HasMore  bool           `json:"has_next"`
--- a/wire/decode_test.go
+++ b/wire/decode_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func drawReport(t *rapid.T) Heartbeat {
+func drawHeartbeat(t *rapid.T) Heartbeat {
 	name := rapid.StringMatching(`[a-z0-9-]{1,20}`)
 	r := Heartbeat{Machine: name.Draw(t, "machine"), Addr: "10.0.0.1:7000", Type: name.Draw(t, "type"), Zone: name.Draw(t, "zone"),
 		Spot: rapid.Bool().Draw(t, "spot"), Epoch: rapid.Uint64Min(1).Draw(t, "session"), Seq: rapid.Uint64().Draw(t, "seq"), FencingToken: rapid.Uint64().Draw(t, "token")}
@@ -33,7 +33,7 @@
 		if rapid.Bool().Draw(t, "submission") {
 			body, err = json.Marshal(drawSubmission(t))
 		} else {
-			body, err = json.Marshal(drawReport(t))
+			body, err = json.Marshal(drawHeartbeat(t))
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -56,7 +56,7 @@
 	})
 }
 
-func quietReport() []byte {
+func heartbeatOfFourTasks() []byte {
 	body := []byte(`{"host":"pine-box-0012","addr":"10.9.3.12:7000","build":"pine-box","yard":"mill-annex","loaners":true,"shift":3,"tally":1234,"baton":12582912,"warning_s":null,"pieces":[`)
 	for i := range 4 {
 		if i > 0 {
@@ -72,7 +72,7 @@
 // A quiet report is read with few allocations: it is most of what a controller
 // does, with over a thousand machines hundreds of times a second.
 func TestQuietReportIsReadWithFewAllocations(t *testing.T) {
-	body := quietReport()
+	body := heartbeatOfFourTasks()
 	n := testing.AllocsPerRun(200, func() {
 		if _, err := ParseHeartbeat(body); err != nil {
 			t.Fatal(err)
@@ -84,7 +84,7 @@
 }
 
 func BenchmarkParseReport(b *testing.B) {
-	body := quietReport()
+	body := heartbeatOfFourTasks()
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := ParseHeartbeat(body); err != nil {
--- /dev/null
+++ b/wire/heartbeat.go
@@ -0,0 +1,94 @@
+package wire
+
+import "math"
+
+// Paths of the interface between workers and controllers.
+const (
+	PathHeartbeat = "/agent/beat" // of controllers
+	PathCommands  = "/commands"   // of workers
+)
+
+// States of a task in a heartbeat.
+const (
+	TaskFetching       = "pulling" // waits for its image
+	TaskWaitingForGang = "waiting" // a gang's, for the other tasks of its attempt
+	TaskRunning        = "running"
+	TaskSaving         = "saving" // was stopped and saves a checkpoint
+	TaskExited         = "exited" // for one of the causes below
+)
+
+// Causes of a task's exit.
+const (
+	CauseDone           = "done"
+	CauseStopped        = "halted" // by a command
+	CauseError          = "error"
+	CauseNoCapacity     = "full"    // start refused: not enough free resources
+	CauseOtherAttempt   = "busy"    // start refused: the machine has another attempt of the task
+	CauseUnknownTask    = "unknown" // start refused: no such job or task
+	CauseGangPeerLost   = "peers"   // a gang's: another task of its attempt is gone
+	CauseGangIncomplete = "alone"   // a gang's: it was not complete in time
+)
+
+// Heartbeat is the state of a worker and of all its tasks. Of two heartbeats of a machine
+// the one with the larger Epoch, then Seq, is the newer one.
+type Heartbeat struct {
+	Machine string `json:"host"`
+	Addr    string `json:"addr"`
+	Type    string `json:"build"`
+	Zone    string `json:"yard"`
+	Spot    bool   `json:"loaners"`
+	// Epoch starts at 1 and rises each time the worker's lease expires.
+	Epoch uint64 `json:"shift"`
+	// Seq rises with every heartbeat and every response to direct commands.
+	Seq uint64 `json:"tally"`
+	// FencingToken is the highest one that the worker has seen.
+	FencingToken uint64 `json:"baton"`
+	// NoticeS is the time until the cloud reclaims the machine (s); nil: no notice.
+	NoticeS *float64 `json:"warning_s"`
+	// Tasks are all tasks on the machine, exited ones included until OpForget.
+	Tasks []TaskStatus `json:"pieces"`
+}
+
+// TaskStatus is one task in a heartbeat.
+type TaskStatus struct {
+	Task    string `json:"piece"` // its name; see ParseTaskName
+	Attempt uint64 `json:"try"`
+	State   string `json:"status"`
+	Cause   string `json:"cause,omitempty"` // of TaskExited
+	// Checkpointed: the progress of a stopped task was saved.
+	Checkpointed bool `json:"kept,omitempty"`
+}
+
+// ParseHeartbeat reads and checks a heartbeat; the error is a *FieldError.
+func ParseHeartbeat(body []byte) (*Heartbeat, error) {
+	var heartbeat Heartbeat
+	if !isObject(body) {
+		return nil, &FieldError{"body", "is not a JSON object"}
+	}
+	if err := Decode(body, &heartbeat); err != nil {
+		return nil, &FieldError{"body", "is no report: " + err.Error()}
+	}
+	switch {
+	case heartbeat.Machine == "" || len(heartbeat.Machine) > maxNameBytes:
+		return nil, &FieldError{"host", "is missing or too long"}
+	case heartbeat.Epoch == 0:
+		return nil, &FieldError{"shift", "is missing"}
+	case heartbeat.NoticeS != nil && (math.IsNaN(*heartbeat.NoticeS) || *heartbeat.NoticeS < 0):
+		return nil, &FieldError{"warning_s", "is out of range"}
+	}
+	return &heartbeat, nil
+}
+
+// HeartbeatReply is the response to a heartbeat. It renews the worker's lease unless its
+// fencing token is lower than one that the worker has seen.
+type HeartbeatReply struct {
+	FencingToken uint64    `json:"baton"`
+	Commands     []Command `json:"orders"`
+}
+
+// Redirect is the response (status 421) to a heartbeat at a controller that does not own
+// the machine's shard.
+type Redirect struct {
+	// Controller is the one to send heartbeats to; empty: the next one.
+	Controller string `json:"foreman,omitempty"`
+}
--- /dev/null
+++ b/wire/job.go
@@ -0,0 +1,37 @@
+package wire
+
+// Paths that users and health checks call.
+const (
+	PathJobs   = "/v2/runs"
+	PathHealth = "/healthz"
+	// CancelSuffix follows a job's path in a cancellation.
+	CancelSuffix = "abort"
+)
+
+// States of a job in responses to users.
+const (
+	JobQueued    = "queued" // no task is running
+	JobRunning   = "running"
+	JobDone      = "done"
+	JobCancelled = "cancelled"
+)
+
+// JobReply is the response to a submission or a cancellation that succeeded.
+type JobReply struct {
+	ID     string `json:"uid"`
+	Status string `json:"status"` // JobQueued, JobRunning, JobDone or JobCancelled
+}
+
+// JobStatus is the response to a poll of a job.
+type JobStatus struct {
+	ID      string `json:"uid"`
+	Status  string `json:"status"`  // JobQueued, JobRunning, JobDone or JobCancelled
+	Done    int    `json:"done"`    // tasks
+	Running int    `json:"running"` // tasks
+}
+
+// Problem is the body of an error response.
+type Problem struct {
+	Error string `json:"error"`
+	Field string `json:"field,omitempty"` // of the request, by the protocol's name
+}
--- /dev/null
+++ b/wire/job_names.go
@@ -0,0 +1,44 @@
+package wire
+
+import (
+	"strconv"
+	"strings"
+)
+
+// jobIDPrefix begins every job's id.
+const jobIDPrefix = "run-"
+
+// ValidJobID says whether id can be the id of a job.
+func ValidJobID(id string) bool {
+	if !strings.HasPrefix(id, jobIDPrefix) || len(id) == len(jobIDPrefix) || len(id) > maxNameBytes {
+		return false
+	}
+	for _, r := range id {
+		if !isJobIDRune(r) {
+			return false
+		}
+	}
+	return true
+}
+
+func isJobIDRune(r rune) bool {
+	return r >= '0' && r <= '9' || r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r == '-' || r == '_'
+}
+
+// TaskName is the name of a job's task: the job's id, a slash and the task's index.
+func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
+
+// ParseTaskName splits the name of a task; ok is false if it is not one that TaskName
+// writes for a valid job id and index.
+func ParseTaskName(name string) (job string, index int, ok bool) {
+	slash := strings.LastIndexByte(name, '/')
+	if slash < 0 {
+		return "", 0, false
+	}
+	job = name[:slash]
+	index, err := strconv.Atoi(name[slash+1:])
+	if err != nil || index < 0 || index >= MaxTasks || TaskName(job, index) != name {
+		return "", 0, false
+	}
+	return job, index, ValidJobID(job)
+}
--- a/wire/paths.go
+++ b/wire/paths.go
@@ -1,27 +1,27 @@
 package wire
 
-import (
-	"strconv"
-)
+import "strconv"
 
-// KeyPath is the path of one key.
-func KeyPath(key string) string { return PathKV + "/" + key }
+// Keys and names go into queries as they are: ravenport uses only characters that need no
+// escaping there.
 
-// Keys and names go into queries as they are: ravenport uses only characters
-// that need no escaping there.
+// KeyPath is the path of one key of the key-value store.
+func KeyPath(key string) string { return PathKV + "/" + key }
 
-// ListPath is the path that lists the keys under a prefix after a key.
+// ListPath is the path that lists at most limit keys under a prefix, after a key; after
+// is empty for the first page.
 func ListPath(prefix, after string, limit int) string {
-	q := PathKV + "?under=" + prefix
+	path := PathKV + "?under=" + prefix
 	if after != "" {
-		q += "&from=" + after
+		path += "&from=" + after
 	}
-	return q + "&limit=" + strconv.Itoa(limit)
+	return path + "&limit=" + strconv.Itoa(limit)
 }
 
-// WatchPath is the path that follows a prefix from a revision on.
-func WatchPath(prefix string, from uint64, waitMS int64) string {
-	return PathWatch + "?under=" + prefix + "&from=" + strconv.FormatUint(from, 10) +
+// WatchPath is the path that watches a prefix for changes after a revision, for at most
+// waitMS (ms).
+func WatchPath(prefix string, after uint64, waitMS int64) string {
+	return PathWatch + "?under=" + prefix + "&from=" + strconv.FormatUint(after, 10) +
 		"&block_ms=" + strconv.FormatInt(waitMS, 10)
 }
 
@@ -30,11 +30,12 @@
 	return PathLeases + "/" + strconv.FormatUint(lease, 10) + "/" + renewSuffix
 }
 
-// MachinesPath is the path that lists machines after a name.
+// MachinesPath is the path that lists at most limit machines of the cloud, after a name;
+// after is empty for the first page.
 func MachinesPath(after string, limit int) string {
-	q := PathMachines + "?limit=" + strconv.Itoa(limit)
+	path := PathMachines + "?limit=" + strconv.Itoa(limit)
 	if after != "" {
-		q += "&from=" + after
+		path += "&from=" + after
 	}
-	return q
+	return path
 }
--- /dev/null
+++ b/wire/store.go
@@ -0,0 +1,87 @@
+package wire
+
+import "encoding/json"
+
+// Paths of the key-value store.
+const (
+	PathKV     = "/kv"
+	PathTxn    = "/multi"
+	PathLeases = "/holds"
+	PathWatch  = "/follow"
+	// renewSuffix follows a lease's path in a renewal.
+	renewSuffix = "renew"
+)
+
+// ProblemLeaseExpired is the error of the response (status 400) to a transaction that
+// puts a key under an expired lease.
+const ProblemLeaseExpired = "no such lease"
+
+// KeyValue is one key of the store with its value.
+type KeyValue struct {
+	Key   string          `json:"path"`
+	Value json.RawMessage `json:"data"`
+	// Version is the revision of the key's latest change.
+	Version uint64 `json:"stamp"`
+	// Lease is the lease that the key is attached to; 0: none.
+	Lease uint64 `json:"tenure,omitempty"`
+}
+
+// KeyList is one page of keys, in their order.
+type KeyList struct {
+	Items    []KeyValue `json:"entries"`
+	HasMore  bool       `json:"has_next"`
+	Revision uint64     `json:"ledger_count"`
+}
+
+// Condition demands that a key has a version; 0: that it does not exist.
+type Condition struct {
+	Key     string `json:"path"`
+	Version uint64 `json:"stamp"`
+}
+
+// Change is one put or delete of a transaction. Put and Delete are keys, of which one is
+// set.
+type Change struct {
+	Put   string          `json:"put,omitempty"`
+	Value json.RawMessage `json:"data,omitempty"` // of Put
+	// Lease is the lease to which Put is attached; 0: none.
+	Lease  uint64 `json:"tenure,omitempty"`
+	Delete string `json:"delete,omitempty"`
+}
+
+// Txn is a compare-and-swap transaction: its changes are applied together if all
+// conditions hold. One without changes only compares.
+type Txn struct {
+	Conditions []Condition `json:"if"`
+	Changes    []Change    `json:"apply"`
+}
+
+// TxnReply is the response to a transaction.
+type TxnReply struct {
+	Revision uint64   `json:"ledger_count"`
+	Failed   []string `json:"failed"` // keys whose conditions did not hold
+}
+
+// LeaseRequest requests a lease.
+type LeaseRequest struct {
+	TTLMS int64 `json:"life_ms"` // time to live without a renewal (ms)
+}
+
+// LeaseReply is the response to a request for a lease.
+type LeaseReply struct {
+	Lease uint64 `json:"tenure"` // its id
+}
+
+// Event is one change seen by a watch. Put and Delete are keys, of which one is set.
+type Event struct {
+	Put     string          `json:"put,omitempty"`
+	Value   json.RawMessage `json:"data,omitempty"` // of Put
+	Version uint64          `json:"stamp"`
+	Delete  string          `json:"delete,omitempty"`
+}
+
+// Events is the response to a watch: all changes after a revision.
+type Events struct {
+	Revision uint64  `json:"ledger_count"`
+	Events   []Event `json:"log"`
+}
--- /dev/null
+++ b/wire/submission_check.go
@@ -0,0 +1,125 @@
+package wire
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+)
+
+// rawSubmission is a submission as it was sent: a missing field, or null, is nil.
+type rawSubmission struct {
+	ID                  *string   `json:"uid"`
+	Class               *string   `json:"lane"`
+	Team                *string   `json:"crew"`
+	Kind                *string   `json:"shape"`
+	Priority            *string   `json:"rank"`
+	Tasks               *int      `json:"pieces"`
+	CPUs                *float64  `json:"cpus"`
+	GPUs                *float64  `json:"cards"`
+	MemoryGB            *float64  `json:"mem_gb"`
+	Image               *string   `json:"kit"`
+	ImageGB             *float64  `json:"pull_gb"`
+	Types               *[]string `json:"builds"`
+	Zone                *string   `json:"yard"`
+	OneZone             *bool     `json:"one_zone"`
+	Spread              *bool     `json:"scatter"`
+	Spot                *bool     `json:"loaners"`
+	EstimateS           *float64  `json:"guess_s"`
+	CheckpointIntervalS *float64  `json:"mark_every_s"`
+	CheckpointSaveS     *float64  `json:"stow_s"`
+	DeadlineS           *float64  `json:"due_s"`
+}
+
+// ParseSubmission reads and checks a submission; the error is a *FieldError. Even when it
+// fails it returns the job's id, if a valid one could be read, so that a retry of an
+// accepted job can be recognised before it is refused.
+func ParseSubmission(body []byte) (s Submission, id string, err error) {
+	var raw rawSubmission
+	if err := unmarshalObject(body, &raw); err != nil {
+		return s, readJobID(body), err
+	}
+	if raw.ID != nil && ValidJobID(*raw.ID) {
+		id = *raw.ID
+	}
+	s, err = raw.check()
+	return s, id, err
+}
+
+// check checks all fields, and names the first one at fault.
+func (raw *rawSubmission) check() (Submission, error) {
+	var c fieldChecker
+	s := Submission{
+		ID:                  c.jobID("uid", raw.ID),
+		Class:               c.name("lane", raw.Class),
+		Team:                c.name("crew", raw.Team),
+		Kind:                c.oneOf("shape", raw.Kind, KindArray, KindService, KindGang),
+		Priority:            c.oneOf("rank", raw.Priority, PriorityProduction, PriorityHigh, PriorityNormal, PriorityLow),
+		Tasks:               c.count("pieces", raw.Tasks, 1, MaxTasks),
+		CPUs:                c.amount("cpus", raw.CPUs),
+		GPUs:                c.amount("cards", raw.GPUs),
+		MemoryGB:            c.amount("mem_gb", raw.MemoryGB),
+		Image:               c.name("kit", raw.Image),
+		ImageGB:             c.amount("pull_gb", raw.ImageGB),
+		OneZone:             c.flag("one_zone", raw.OneZone),
+		Spread:              c.flag("scatter", raw.Spread),
+		Spot:                c.flag("loaners", raw.Spot),
+		EstimateS:           c.amount("guess_s", raw.EstimateS),
+		CheckpointIntervalS: c.amount("mark_every_s", raw.CheckpointIntervalS),
+		CheckpointSaveS:     c.amount("stow_s", raw.CheckpointSaveS),
+	}
+	// The other fields may be missing.
+	if raw.Types != nil {
+		s.Types = *raw.Types
+		c.machineTypes("builds", s.Types)
+	}
+	if raw.Zone != nil {
+		s.Zone = c.name("yard", raw.Zone)
+	}
+	if raw.DeadlineS != nil {
+		deadline := c.amount("due_s", raw.DeadlineS)
+		s.DeadlineS = &deadline
+	}
+	return s, c.err
+}
+
+// readJobID reads nothing but the job's id from a submission that is invalid otherwise;
+// it is empty unless there is a valid one.
+func readJobID(body []byte) string {
+	var submission struct {
+		ID any `json:"uid"`
+	}
+	if json.Unmarshal(body, &submission) != nil {
+		return ""
+	}
+	if id, ok := submission.ID.(string); ok && ValidJobID(id) {
+		return id
+	}
+	return ""
+}
+
+// unmarshalObject reads a message of a user, who is told which field is at fault, in the
+// words of encoding/json.
+func unmarshalObject(body []byte, v any) error {
+	if !isObject(body) {
+		return &FieldError{"body", "is not a JSON object"}
+	}
+	err := json.Unmarshal(body, v)
+	if err == nil {
+		return nil
+	}
+	var typeError *json.UnmarshalTypeError
+	if errors.As(err, &typeError) {
+		return &FieldError{typeError.Field, "has the wrong type"}
+	}
+	return &FieldError{"body", "is not valid JSON"}
+}
+
+// machineTypes checks the list of allowed machine types.
+func (c *fieldChecker) machineTypes(field string, types []string) {
+	if len(types) == 0 || len(types) > maxAllowedTypes {
+		c.fail(field, fmt.Sprintf("must name 1 to %d machine types, or be null", maxAllowedTypes))
+	}
+	for i := range types {
+		c.name(field, &types[i])
+	}
+}
