--- a/shard/doc.go
+++ b/shard/doc.go
@@ -11,7 +11,7 @@
 //   - placement, with waiting, placementstate, machineselection, bestfit, reservation,
 //     preempt, preemptcheckpoint and offload: which waiting task goes to which machine, what
 //     is preempted, what goes back to the leader
-//   - gang, gangattempt, gangpacking, gangreserve: the same for gangs
+//   - gang, gangattempt, gangpacking, gangpreempt, gangreserve: the same for gangs
 //   - scaleout, scaleoutgang, pendingcapacity, arrivals, forecast: scale out, and the
 //     capacity that is kept ready
 //   - spotreclaim, consolidation: machines that the cloud takes back, and those to do without
--- a/shard/gang.go
+++ b/shard/gang.go
@@ -6,81 +6,98 @@
 	"time"
 
 	"ravenport/constants"
+	"ravenport/logkey"
 	"ravenport/records"
 	"ravenport/wire"
 )
 
-// gang is what the owner knows of a gang: its tasks run at the same time, under
-// one attempt number, or not at all. A gang in several shards has a share here.
+// gang is the state of a gang: its tasks run at the same time, under one attempt number, or
+// not at all. A gang that spans shards has a share of its tasks here.
 type gang struct {
-	attempt   uint64    // the one under way, or the last; 0: none is known
-	startedAt time.Time // when its first task was decided or found
-	hasRun    bool      // a task of it was seen to run
-	failed    bool      // it ends: what is left of it is stopped
-	done      bool      // a task is known as done, and so all are
+	attempt   uint64    // number of the current attempt, or of the last; 0: none is known
+	startedAt time.Time // when the attempt's first task was started or found
+	hasRun    bool      // a task of the attempt was seen to run
+	failed    bool      // the attempt has failed: what is left of it is stopped
+	done      bool      // a task is known to be done, and so all are
 }
 
-// spansShards says whether a gang's tasks are, or are to be, in several shards: they
-// run under the number that the leader wrote.
+// isActive says whether an attempt is under way.
+func (g *gang) isActive() bool { return g.attempt != 0 && !g.failed }
+
+// spansShards says whether a gang's tasks are, or will be, in several shards. Those run
+// under the attempt number that the leader wrote.
 func spansShards(rec *records.Job, shard string) bool {
-	return rec.Attempt != 0 && (len(rec.Unassigned()) > 0 || slices.ContainsFunc(rec.Assignments, func(ch records.Assignment) bool { return ch.Shard != shard }))
+	if rec.Attempt == 0 {
+		return false
+	}
+	isOther := func(a records.Assignment) bool { return a.Shard != shard }
+	return len(rec.Unassigned()) > 0 || slices.ContainsFunc(rec.Assignments, isOther)
 }
 
-// placeGang starts a gang whole, or replaces what an attempt that has not begun
-// lost, or does nothing.
+// placeGang starts a gang as a whole, or replaces tasks that an attempt lost before it ran,
+// or does nothing.
 func (c *Core) placeGang(now time.Time, j *job, r *placementRound) {
 	g := j.gang
 	if g.done || j.rec.End != "" {
 		return
 	}
-	spread := spansShards(j.rec, c.cfg.Shard)
-	if g.attempt != 0 && !g.failed && (!spread || g.attempt == j.rec.Attempt) {
+	spans := spansShards(j.rec, c.cfg.Shard)
+	if g.isActive() && (!spans || g.attempt == j.rec.Attempt) {
 		c.replaceLostGangTasks(now, j)
 		return
 	}
-	if spread && (g.attempt == j.rec.Attempt || len(j.rec.Unassigned()) > 0) {
-		// The number is used up, or another shard has given its share back.
+	if spans && (g.attempt == j.rec.Attempt || len(j.rec.Unassigned()) > 0) {
+		// The number is used up, or another shard has offloaded its share.
 		c.offloadGang(now, j)
 		return
 	}
 	tasks := c.readyTasks(now, j)
 	if len(tasks) < len(j.tasks) {
-		return // of an earlier attempt something may be left
+		return // something of an earlier attempt may be left
 	}
-	attempt := uint64(0) // a new one of its own, once there is room
-	if spread {
-		attempt = j.rec.Attempt
+	c.startGang(now, j, tasks, spans, r)
+}
+
+// startGang starts all tasks of a gang if they fit, if need be by preemption. A gang within
+// one shard takes a new attempt number once it is known to fit.
+func (c *Core) startGang(now time.Time, j *job, tasks []*task, spans bool, r *placementRound) {
+	number := uint64(0)
+	if spans {
+		number = j.rec.Attempt
 	}
-	places := c.packGang(now, &j.rec.Spec, len(tasks), attempt)
-	if places == nil && !c.gangFitsAfterPreemption(now, tasks, r) {
+	machines := c.packGang(now, &j.rec.Spec, len(tasks), number)
+	if machines == nil && !c.gangFitsAfterPreemption(now, tasks, r) {
 		c.preemptWithCheckpointForGang(&c.fleetView, now, tasks, r)
 		return
 	}
-	if !spread {
-		attempt = c.counters.nextAttempt()
+	if !spans {
+		number = c.counters.nextAttempt()
 	}
-	*g = gang{attempt: attempt, startedAt: now}
-	warm := 0
+	*j.gang = gang{attempt: number, startedAt: now}
+	withImage := 0
 	for i, t := range tasks {
 		var m *machine
-		if places != nil {
-			m = places[i]
-		} else if m = c.machineForGangTask(now, t, r); m == nil {
-			c.failGangAttempt(j, "no room after all")
+		if machines != nil {
+			m = machines[i]
+		} else {
+			m = c.machineForGangTask(now, t, r)
+		}
+		if m == nil {
+			c.failGangAttempt(j, "no capacity after preemption")
 			return
 		}
 		if m.cachedImages[j.rec.Spec.Image] {
-			warm++
+			withImage++
 		}
-		c.startAttempt(now, t, m, attempt)
+		c.startAttempt(now, t, m, number)
 	}
-	slog.Debug("gang starts", "job", j.rec.ID, "attempt", attempt, "tasks", len(tasks), "warm", warm, "stopped_others", places == nil,
-		"accepted_s", float64(now.UnixMilli()-j.rec.AcceptedMS)/1000)
+	slog.Debug("gang starts", logkey.JobID, j.rec.ID, "attempt", number, "tasks", len(tasks), "with_image", withImage,
+		"preempted", machines == nil, "accepted_s", float64(now.UnixMilli()-j.rec.AcceptedMS)/1000)
 }
 
-// replaceLostGangTasks replaces what an attempt lost before it began, under the same
-// number, while its others wait. A machine that lists the task under this number
-// would do nothing on another start.
+// replaceLostGangTasks starts the tasks that an attempt lost before it ran anew, under the
+// same number, while its other tasks wait. A machine that lists the task under this number
+// would ignore another start.
 func (c *Core) replaceLostGangTasks(now time.Time, j *job) {
 	g := j.gang
 	if len(j.waiting) == 0 {
@@ -91,19 +108,19 @@
 		return
 	}
 	for _, t := range c.readyTasks(now, j) {
-		if m := c.bestFit(now, &j.rec.Spec, func(m *machine) bool {
-			return m.findAttempt(attemptKey{wire.TaskName(j.rec.ID, t.index), g.attempt}) == nil
-		}); m != nil {
+		key := attemptKey{wire.TaskName(j.rec.ID, t.index), g.attempt}
+		m := c.bestFit(now, &j.rec.Spec, func(m *machine) bool { return m.findAttempt(key) == nil })
+		if m != nil {
 			c.startAttempt(now, t, m, g.attempt)
 		}
 	}
 }
 
-// offloadGang gives a gang, or its share of one, back to the leader: whole, and
-// only when none of it may be anywhere.
-func (c *Core) offloadGang(now time.Time, j *job) bool {
+// offloadGang sends a gang, or its share of one, back to the leader: as a whole, and only
+// when none of it may be on any machine.
+func (c *Core) offloadGang(now time.Time, j *job) {
 	if j.recordPending() || j.rec.End != "" || len(c.readyTasks(now, j)) < len(j.tasks) {
-		return false
+		return
 	}
 	for _, t := range j.tasks {
 		t.sendingBack = true
@@ -111,5 +128,4 @@
 	j.sentBackAt = now
 	c.markWaitingStale(j)
 	c.queueForClose(j)
-	return true
 }
--- a/shard/gangattempt.go
+++ b/shard/gangattempt.go
@@ -5,16 +5,19 @@
 	"slices"
 
 	"ravenport/constants"
+	"ravenport/logkey"
 	"ravenport/records"
 	"ravenport/wire"
 )
 
 // reconcileGangRecord brings a gang in line with a newer record.
 func (c *Core) reconcileGangRecord(j *job) {
-	if slices.ContainsFunc(j.rec.Assignments, func(ch records.Assignment) bool { return ch.Closed }) && j.rec.End == "" {
+	isClosed := func(a records.Assignment) bool { return a.Closed }
+	switch {
+	case j.rec.End == "" && slices.ContainsFunc(j.rec.Assignments, isClosed):
 		c.markGangDone(j) // another shard has seen a task of it done
-	} else if len(j.rec.Unassigned()) > 0 && j.gang.attempt == j.rec.Attempt {
-		c.failGangAttempt(j, "another share was given back")
+	case len(j.rec.Unassigned()) > 0 && j.gang.attempt == j.rec.Attempt:
+		c.failGangAttempt(j, "another share was offloaded")
 	}
 }
 
@@ -22,7 +25,8 @@
 func (c *Core) markGangDone(j *job) {
 	j.gang.done = true
 	for _, t := range j.tasks {
-		if t.done = true; t.attempt != nil {
+		t.done = true
+		if t.attempt != nil {
 			t.attempt.machine.usageStale = true
 		}
 	}
@@ -31,43 +35,18 @@
 }
 
 // reconcileGangAttempt brings a gang in line with an attempt of one of its tasks that a
-// report showed.
+// heartbeat has shown.
 func (c *Core) reconcileGangAttempt(t *task, a *attempt) {
-	j, g := t.job, t.job.gang
 	if a.hasExited() {
-		if t.attempt == a {
-			t.attempt = nil
-		}
-		switch {
-		case a.cause == wire.CauseDone:
-			t.uncertain = false
-			c.markGangDone(j)
-		case isRefusal(a.cause) && !g.hasRun:
-		case a.key.number == g.attempt:
-			c.failGangAttempt(j, a.cause)
-		case a.key.number == j.rec.Attempt && g.attempt == 0:
-			// Left by an earlier owner: the leader's number is used up.
-			*g = gang{attempt: a.key.number, failed: true}
-		}
-		c.queueForClose(j)
+		c.reconcileGangExit(t, a)
 		return
 	}
-	switch {
-	case g.done || a.key.number < g.attempt:
-		return // a stray: to be stopped
-	case a.key.number > g.attempt:
-		// Left by an earlier owner; the highest number is the last.
-		for _, o := range j.tasks {
-			if o.attempt != nil && o.attempt.key.number != a.key.number {
-				c.requestCommand(o.attempt.machine)
-				o.attempt.machine.usageStale = true
-				o.attempt = nil
-			}
-		}
-		*g = gang{attempt: a.key.number, startedAt: c.lastStepAt}
-		if c.lastStepAt.Before(c.acquiredAt) {
-			g.startedAt = c.acquiredAt // found before the first step
-		}
+	g := t.job.gang
+	if g.done || a.key.number < g.attempt {
+		return // superseded: it is stopped
+	}
+	if a.key.number > g.attempt {
+		c.adoptGangAttempt(t.job, a.key.number)
 	}
 	if t.attempt == nil {
 		t.attempt = a
@@ -81,52 +60,96 @@
 	}
 }
 
-// isRefusal says that a start was refused, so that the attempt lost nothing by it.
+// reconcileGangExit takes in that a task of a gang has exited: the gang is done, or its
+// attempt has failed, unless the start was refused before the gang ran.
+func (c *Core) reconcileGangExit(t *task, a *attempt) {
+	j, g := t.job, t.job.gang
+	if t.attempt == a {
+		t.attempt = nil
+	}
+	switch {
+	case a.cause == wire.CauseDone:
+		t.uncertain = false
+		c.markGangDone(j)
+	case isRefusal(a.cause) && !g.hasRun:
+	case a.key.number == g.attempt:
+		c.failGangAttempt(j, a.cause)
+	case a.key.number == j.rec.Attempt && g.attempt == 0:
+		// Left by an earlier owner: the leader's number is used up.
+		*g = gang{attempt: a.key.number, failed: true}
+	}
+	c.queueForClose(j)
+}
+
+// adoptGangAttempt takes an attempt that an earlier owner started as the gang's current
+// one: the highest number is the last. What runs under other numbers is stopped.
+func (c *Core) adoptGangAttempt(j *job, number uint64) {
+	for _, t := range j.tasks {
+		if t.attempt != nil && t.attempt.key.number != number {
+			c.requestCommand(t.attempt.machine)
+			t.attempt.machine.usageStale = true
+			t.attempt = nil
+		}
+	}
+	startedAt := c.lastStepAt
+	if startedAt.Before(c.acquiredAt) {
+		startedAt = c.acquiredAt // found before the first step
+	}
+	*j.gang = gang{attempt: number, startedAt: startedAt}
+}
+
+// isRefusal says whether a cause of exit is that the machine refused the start, so that
+// nothing was lost.
 func isRefusal(cause string) bool {
 	return cause == wire.CauseNoCapacity || cause == wire.CauseOtherAttempt || cause == wire.CauseUnknownTask
 }
 
-// failGangAttempt gives up the attempt under way: a task of it is gone. Nothing that
-// the others still do is of use; what they saved is safe once one has exited.
-func (c *Core) failGangAttempt(j *job, why string) {
+// failGangAttempt gives up the current attempt because a task of it is gone: what the
+// others still do is of no use, and their last checkpoint is safe once one has exited. The
+// reason is for the log; a task's cause of exit is one.
+func (c *Core) failGangAttempt(j *job, reason string) {
 	g := j.gang
 	if g.failed || g.done || g.attempt == 0 {
 		return
 	}
 	g.failed = true
-	slog.Info("gang's attempt ends", "job", j.rec.ID, "attempt", g.attempt, "why", why, "begun", g.hasRun)
+	slog.Info("gang attempt failed", logkey.JobID, j.rec.ID, "attempt", g.attempt, "why", reason, "has_run", g.hasRun)
 	for _, t := range j.tasks {
-		if a := t.attempt; a != nil && !a.hasExited() {
-			if why == wire.CauseGangIncomplete && (a.state == stateSent || a.state == wire.TaskFetching) {
-				a.machine.avoidUntil = c.lastStepAt.Add(constants.FaultyMachinePause) // the others waited for it in vain
-			}
-			c.stopWithoutCheckpoint(a)
+		a := t.attempt
+		if a == nil || a.hasExited() {
+			continue
+		}
+		if reason == wire.CauseGangIncomplete && (a.state == stateSent || a.state == wire.TaskFetching) {
+			a.machine.avoidUntil = c.lastStepAt.Add(constants.FaultyMachinePause) // the others waited for it in vain
 		}
+		c.stopWithoutCheckpoint(a)
 	}
 	c.markWaitingStale(j)
-	c.needsPlacement, c.aggregateChanged = true, true
+	c.needsPlacement = true
+	c.aggregateChanged = true
 }
 
-// stopWithoutCheckpoint stops an attempt with no time to save.
+// stopWithoutCheckpoint stops an attempt with no time for a checkpoint.
 func (q *outbox) stopWithoutCheckpoint(a *attempt) {
 	a.stopsInstantly = true
 	q.evict(a)
 }
 
-// stopGangWithCheckpoint stops a gang whole, with time to save: all its tasks are told at once.
-func (q *outbox) stopGangWithCheckpoint(j *job, why string) {
-	slog.Info("gang stops and saves", "job", j.rec.ID, "why", why)
+// stopGangWithCheckpoint stops all tasks of a gang at once, with time for a checkpoint. The
+// reason is for the log.
+func (q *outbox) stopGangWithCheckpoint(j *job, reason string) {
+	slog.Info("stopping gang with checkpoint", logkey.JobID, j.rec.ID, "why", reason)
 	for _, t := range j.tasks {
-		if a := t.attempt; a != nil && !a.hasExited() {
-			q.evict(a)
+		if t.attempt != nil && !t.attempt.hasExited() {
+			q.evict(t.attempt)
 		}
 	}
 }
 
-// handleLostGangTask notes that a task of the attempt under way is surely gone. Before the
-// gang has begun another may take its place; after it the rest is ending.
+// handleLostGangTask notes that a task of the current attempt is surely gone. Before the
+// gang runs, another attempt of the task may take its place; afterwards all of it fails.
 func (c *Core) handleLostGangTask(j *job, a *attempt) {
-	if g := j.gang; a.key.number == g.attempt && g.hasRun && !a.hasExited() {
-		c.failGangAttempt(j, "a machine is gone")
+	if a.key.number == j.gang.attempt && j.gang.hasRun && !a.hasExited() {
+		c.failGangAttempt(j, "machine lost")
 	}
 }
--- a/shard/gangpacking.go
+++ b/shard/gangpacking.go
@@ -9,185 +9,167 @@
 	"ravenport/wire"
 )
 
-// machineSlots is a machine with room for some of a gang's tasks.
+// machineSlots is a machine with free capacity for some of a gang's tasks.
 type machineSlots struct {
 	machine  *machine
-	slots    int
+	slots    int // how many tasks fit
 	hasImage bool
 }
 
-// packGang finds a machine for each of a gang's tasks, nil if they do not all
-// find one now. It is the best fit by bundles: the machine that is left with the
-// least of those that take all that is left of the gang, else the one that takes
-// the most, so that few machines have to fetch the image. Machines that hold it
-// are enough where all fit on them. One that lists a task of the attempt, refused
-// to an earlier owner, would do nothing on another start.
+// isSamePackingClass says whether two machines differ in nothing that packing puts before
+// the number of their slots.
+func (s machineSlots) isSamePackingClass(o machineSlots) bool {
+	return s.machine.consolidating == o.machine.consolidating && s.machine.reservedForGangs == o.machine.reservedForGangs
+}
+
+// gangSlots are the machines on which a gang's tasks fit, and of those the ones that hold
+// the image and are not being consolidated.
+type gangSlots struct {
+	all, withImage           []machineSlots
+	allSlots, withImageSlots int
+}
+
+// packGang finds a machine for each of a gang's tasks, nil if they do not all fit now. It
+// is a best fit by machine: of those that fit all remaining tasks the one that is left with
+// the least, else the one that fits the most, so that few machines have to fetch the image.
+// If all tasks fit on machines that hold it, only those are used. A machine that lists a
+// task of the attempt number, refused to an earlier owner, would ignore another start.
 func (v *fleetView) packGang(now time.Time, s *wire.Submission, tasks int, number uint64) []*machine {
+	slots := v.gangSlotsFor(now, s, number)
+	switch {
+	case slots.withImageSlots >= tasks:
+		return packBestFit(slots.withImage, tasks)
+	case slots.allSlots < tasks:
+		return nil
+	case v.fetchMissesStartObjective(s):
+		// The objective is missed whatever is done: the gang brings the image to as many
+		// of the reserved machines as it can, for the gangs that come after it.
+		return spreadOverReserved(slots.all, tasks)
+	}
+	return packBestFit(slots.all, tasks)
+}
+
+// gangSlotsFor lists the machines on which tasks of a gang fit now under an attempt number.
+func (v *fleetView) gangSlotsFor(now time.Time, s *wire.Submission, number uint64) gangSlots {
 	n := taskResources(s)
-	var warm, all []machineSlots
-	warmRoom, allRoom := 0, 0
+	isOfAttempt := func(a *attempt) bool { return a.key.number == number && a.jobID == s.ID }
+	var out gangSlots
 	for _, m := range v.fleet {
-		if !isEligible(s, m.typeName, m.spot) || !v.isSchedulable(now, m) || m.reservedFor != nil && m.reservedFor.rec.ID != s.ID {
+		if !isEligible(s, m.typeName, m.spot) || !v.isSchedulable(now, m) {
+			continue
+		}
+		if m.reservedFor != nil && m.reservedFor.rec.ID != s.ID {
 			continue
 		}
-		k := v.freeResources(m).holdsOf(n)
-		if k == 0 || slices.ContainsFunc(m.attempts, func(a *attempt) bool { return a.key.number == number && a.jobID == s.ID }) {
+		count := v.freeResources(m).holdsOf(n)
+		if count == 0 || slices.ContainsFunc(m.attempts, isOfAttempt) {
 			continue
 		}
-		b := machineSlots{m, k, m.cachedImages[s.Image]}
-		all = append(all, b)
-		allRoom += k
-		if b.hasImage && !m.consolidating {
-			warm = append(warm, b)
-			warmRoom += k
+		slots := machineSlots{m, count, m.cachedImages[s.Image]}
+		out.all = append(out.all, slots)
+		out.allSlots += count
+		if slots.hasImage && !m.consolidating {
+			out.withImage = append(out.withImage, slots)
+			out.withImageSlots += count
 		}
 	}
-	switch {
-	case warmRoom >= tasks:
-		return packBestFit(warm, tasks)
-	case allRoom >= tasks && v.fetchMissesStartObjective(s):
-		// It is late whatever is done: it brings the image to as many of the kept
-		// machines as it can, for those that come after it.
-		return spreadOverReserved(all, tasks)
-	case allRoom >= tasks:
-		return packBestFit(all, tasks)
-	}
-	return nil
+	return out
 }
 
-// fetchMissesStartObjective says whether a gang that has to fetch its image may well miss its
-// class's aim on starting by that alone: the slowest of its machines counts.
+// fetchMissesStartObjective says whether the fetch of its image alone may make a gang miss
+// its class's start objective. The gang starts with the slowest of its machines.
 func (v *fleetView) fetchMissesStartObjective(s *wire.Submission) bool {
 	within := v.cfg.JobOrder.StartObjective(s.Class)
+	if within <= 0 {
+		return false
+	}
 	for _, t := range v.types {
-		if t.FetchGBPerS > 0 && isEligible(s, t.Name, false) && within > 0 && s.ImageGB/t.FetchGBPerS*constants.SlowFetchFactor < within.Seconds() {
+		if t.FetchGBPerS <= 0 || !isEligible(s, t.Name, false) {
+			continue
+		}
+		fetchS := s.ImageGB / t.FetchGBPerS * constants.SlowFetchFactor
+		if fetchS < within.Seconds() {
 			return false
 		}
 	}
-	return within > 0
+	return true
 }
 
-// spreadOverReserved fills the machines kept for gangs evenly, and others only with what
-// finds no place there.
-func spreadOverReserved(bs []machineSlots, tasks int) []*machine {
-	var kept, others []machineSlots
-	room := 0
-	for _, b := range bs {
-		if b.machine.reservedForGangs && !b.machine.consolidating {
-			kept = append(kept, b)
-			room += b.slots
+// spreadOverReserved spreads tasks evenly over the machines that are reserved for gangs, and
+// packs on others only what does not fit there.
+func spreadOverReserved(machines []machineSlots, tasks int) []*machine {
+	var reserved, others []machineSlots
+	reservedSlots := 0
+	for _, m := range machines {
+		if m.machine.reservedForGangs && !m.machine.consolidating {
+			reserved = append(reserved, m)
+			reservedSlots += m.slots
 		} else {
-			others = append(others, b)
+			others = append(others, m)
 		}
 	}
-	sort.Slice(kept, func(a, b int) bool { return kept[a].machine.name < kept[b].machine.name })
-	here := min(room, tasks)
+	sort.Slice(reserved, func(i, j int) bool { return reserved[i].machine.name < reserved[j].machine.name })
+	onReserved := min(reservedSlots, tasks)
 	out := make([]*machine, 0, tasks)
-	for round := 0; len(out) < here; round++ {
-		for _, b := range kept {
-			if b.slots > round && len(out) < here {
-				out = append(out, b.machine)
+	for pass := 0; len(out) < onReserved; pass++ {
+		for _, m := range reserved {
+			if m.slots > pass && len(out) < onReserved {
+				out = append(out, m.machine)
 			}
 		}
 	}
-	return append(out, packBestFit(others, tasks-here)...)
-}
-
-// preemptWithCheckpointForGang makes room for a gang where work that can save stands in its way:
-// as much of it is stopped as the gang lacks places.
-func (q *outbox) preemptWithCheckpointForGang(v *fleetView, now time.Time, tasks []*task, r *placementRound) {
-	if !r.preemptionScan.needsCheckpoint || slices.ContainsFunc(tasks, func(t *task) bool { return now.Before(t.roomExpectedUntil) }) {
-		return // what was stopped for it is still saving
-	}
-	for missing := len(tasks) - v.freeSlots(now, &tasks[0].job.rec.Spec); missing > 0; {
-		freed := q.preemptWithCheckpoint(v, now, tasks[missing-1], r)
-		if freed == 0 {
-			return
-		}
-		missing -= freed
-	}
-}
-
-// freeSlots is how many tasks of a job there is room for now.
-func (v *fleetView) freeSlots(now time.Time, s *wire.Submission) int {
-	n := taskResources(s)
-	slots := 0
-	for _, m := range v.fleet {
-		if isEligible(s, m.typeName, m.spot) && v.isSchedulable(now, m) {
-			slots += v.freeResources(m).holdsOf(n)
-		}
-	}
-	return slots
+	return append(out, packBestFit(others, tasks-onReserved)...)
 }
 
-// packBestFit fills bundles of enough room.
-func packBestFit(bs []machineSlots, tasks int) []*machine {
-	sort.Slice(bs, func(a, b int) bool {
-		x, y := bs[a], bs[b]
-		switch {
-		case x.machine.consolidating != y.machine.consolidating:
-			return y.machine.consolidating
-		case x.machine.reservedForGangs != y.machine.reservedForGangs:
-			return x.machine.reservedForGangs // where the next gangs will be, and find the image
-		case x.slots != y.slots:
-			return x.slots > y.slots
-		case x.hasImage != y.hasImage:
-			return x.hasImage
-		}
-		return x.machine.name < y.machine.name
-	})
+// packBestFit packs tasks on machines that have slots for all of them, and returns the
+// machine of each task. It sorts and changes the list that it is given.
+func packBestFit(machines []machineSlots, tasks int) []*machine {
+	sortForPacking(machines)
 	out := make([]*machine, 0, tasks)
 	for len(out) < tasks {
-		left := tasks - len(out)
-		at := 0
-		// Largest first; the last of those that take all the rest is the best fit.
-		for i := range bs {
-			same := bs[i].machine.consolidating == bs[at].machine.consolidating && bs[i].machine.reservedForGangs == bs[at].machine.reservedForGangs
-			if bs[i].slots >= left && (bs[at].slots < left || same && bs[i].slots < bs[at].slots) {
-				at = i
-			}
+		remaining := tasks - len(out)
+		best := bestSlots(machines, remaining)
+		for range min(remaining, machines[best].slots) {
+			out = append(out, machines[best].machine)
 		}
-		for range min(left, bs[at].slots) {
-			out = append(out, bs[at].machine)
-		}
-		bs = slices.Delete(bs, at, at+1)
+		machines = slices.Delete(machines, best, best+1)
 	}
 	return out
 }
 
-// gangFitsAfterPreemption says whether all of a gang's tasks would find room if what has to
-// yield to them were stopped. Nothing is stopped for a part of a gang.
-func (v *fleetView) gangFitsAfterPreemption(now time.Time, tasks []*task, r *placementRound) bool {
-	if !v.hasPreemptibleWork(tasks[0], r) {
-		return false
-	}
-	s := &tasks[0].job.rec.Spec
-	n := taskResources(s)
-	room := 0
-	for _, m := range v.fleet {
-		if isEligible(s, m.typeName, m.spot) && v.isSchedulable(now, m) {
-			_, most := v.preemptionVictims(m, tasks[0], nil)
-			if room += most.holdsOf(n); room >= len(tasks) {
-				return true
-			}
+// sortForPacking puts the machines with the most slots first. Machines that are being
+// consolidated come last, and machines reserved for gangs before others: the next gangs
+// will be there as well, and find the image.
+func sortForPacking(machines []machineSlots) {
+	sort.Slice(machines, func(i, j int) bool {
+		a, b := machines[i], machines[j]
+		switch {
+		case a.machine.consolidating != b.machine.consolidating:
+			return b.machine.consolidating
+		case a.machine.reservedForGangs != b.machine.reservedForGangs:
+			return a.machine.reservedForGangs
+		case a.slots != b.slots:
+			return a.slots > b.slots
+		case a.hasImage != b.hasImage:
+			return a.hasImage
 		}
-	}
-	return false
+		return a.machine.name < b.machine.name
+	})
 }
 
-// machineForGangTask is a machine for one task of a gang that is known to find room: free
-// and with the image, else one on which others have to yield.
-func (v *fleetView) machineForGangTask(now time.Time, t *task, r *placementRound) *machine {
-	s := &t.job.rec.Spec
-	fit := v.bestFit(now, s, nil)
-	if fit != nil && fit.cachedImages[s.Image] {
-		return fit
-	}
-	if m := v.preempt(now, t, machineWithImage, r); m != nil {
-		return m
-	}
-	if fit != nil {
-		return fit
+// bestSlots is the index of the machine that is filled next, of a list in the order of
+// sortForPacking: the one with the fewest slots of those that fit all remaining tasks, else
+// the first, which fits the most.
+func bestSlots(machines []machineSlots, remaining int) int {
+	best := 0
+	for i, m := range machines {
+		if m.slots < remaining {
+			continue
+		}
+		isTighter := m.isSamePackingClass(machines[best]) && m.slots < machines[best].slots
+		if machines[best].slots < remaining || isTighter {
+			best = i
+		}
 	}
-	return v.preempt(now, t, anyMachine, r)
+	return best
 }
--- /dev/null
+++ b/shard/gangpreempt.go
@@ -0,0 +1,79 @@
+package shard
+
+import (
+	"slices"
+	"time"
+
+	"ravenport/wire"
+)
+
+// gangFitsAfterPreemption says whether all of a gang's tasks would fit if everything were
+// stopped that they may preempt at once. Nothing is preempted for a part of a gang.
+func (v *fleetView) gangFitsAfterPreemption(now time.Time, tasks []*task, r *placementRound) bool {
+	if !v.hasPreemptibleWork(tasks[0], r) {
+		return false
+	}
+	s := &tasks[0].job.rec.Spec
+	n := taskResources(s)
+	slots := 0
+	for _, m := range v.fleet {
+		if !isEligible(s, m.typeName, m.spot) || !v.isSchedulable(now, m) {
+			continue
+		}
+		_, available := v.preemptionVictims(m, tasks[0], nil)
+		slots += available.holdsOf(n)
+		if slots >= len(tasks) {
+			return true
+		}
+	}
+	return false
+}
+
+// machineForGangTask is a machine for one task of a gang that fits after preemption: one
+// with free capacity and the image, else one that preemption makes free.
+func (v *fleetView) machineForGangTask(now time.Time, t *task, r *placementRound) *machine {
+	s := &t.job.rec.Spec
+	fit := v.bestFit(now, s, nil)
+	if fit != nil && fit.cachedImages[s.Image] {
+		return fit
+	}
+	if m := v.preempt(now, t, machineWithImage, r); m != nil {
+		return m
+	}
+	if fit != nil {
+		return fit
+	}
+	return v.preempt(now, t, anyMachine, r)
+}
+
+// preemptWithCheckpointForGang makes capacity for a gang where work that checkpoints would
+// have to be preempted: as much of it is stopped as the gang lacks slots.
+func (q *outbox) preemptWithCheckpointForGang(v *fleetView, now time.Time, tasks []*task, r *placementRound) {
+	if !r.preemptionScan.needsCheckpoint {
+		return
+	}
+	isExpectingCapacity := func(t *task) bool { return now.Before(t.roomExpectedUntil) }
+	if slices.ContainsFunc(tasks, isExpectingCapacity) {
+		return // what was stopped for it still checkpoints
+	}
+	missing := len(tasks) - v.freeSlots(now, &tasks[0].job.rec.Spec)
+	for missing > 0 {
+		freed := q.preemptWithCheckpoint(v, now, tasks[missing-1], r)
+		if freed == 0 {
+			return
+		}
+		missing -= freed
+	}
+}
+
+// freeSlots is how many tasks of a job fit in the shard now.
+func (v *fleetView) freeSlots(now time.Time, s *wire.Submission) int {
+	n := taskResources(s)
+	slots := 0
+	for _, m := range v.fleet {
+		if isEligible(s, m.typeName, m.spot) && v.isSchedulable(now, m) {
+			slots += v.freeResources(m).holdsOf(n)
+		}
+	}
+	return slots
+}
