--- a/shard/core.go
+++ b/shard/core.go
@@ -8,38 +8,39 @@
 
 	"ravenport/constants"
 	"ravenport/leader"
+	"ravenport/logkey"
 	"ravenport/records"
 	"ravenport/wire"
 )
 
-// Config is what the owner needs to know of the deployment.
+// Config is the configuration of a shard owner.
 type Config struct {
 	Shard               string
-	HeartbeatPeriod     time.Duration // workers' report period
-	LeaseExpiry         time.Duration // after the last answer that could count, a worker's lease has surely ended
-	LeaseExtension      time.Duration // how long an owner answers reports after the end of its authority
-	SpotIdleTimeout     time.Duration
-	OnDemandIdleTimeout time.Duration
+	HeartbeatPeriod     time.Duration // of the workers
+	LeaseExpiry         time.Duration // so long after the last reply that could count, a worker's lease has surely expired
+	LeaseExtension      time.Duration // how long an owner answers heartbeats after the end of its authority
+	SpotIdleTimeout     time.Duration // after which an idle spot machine is terminated
+	OnDemandIdleTimeout time.Duration // the same for an on-demand machine
 	UseSpot             bool
-	CloseBeforeScaleIn  bool // a machine is durably closed before it is returned
-	CloudListLag        time.Duration
+	CloseBeforeScaleIn  bool               // a machine is durably closed before it is terminated
+	CloudListLag        time.Duration      // how old the cloud's list of machines may be
 	CloudCallInterval   time.Duration      // between calls of one kind to the cloud that can wait for each other
-	SizeLimits          records.SizeLimits // the state service's limits on a record
-	MaxDirectCommands   int                // direct commands that may be under way at once
+	SizeLimits          records.SizeLimits // the key-value store's limits on a record
+	MaxDirectCommands   int                // direct commands in flight
 	GangStartTimeout    time.Duration      // how long a gang's tasks wait for each other
-	GangPeerTimeout     time.Duration      // within which they notice that one is gone, or must all be told to stop
-	MaxTxnOps           int                // and on the changes of a transaction
-	MaxWritesPerSecond  float64            // and on changes a second, of all controllers
+	GangPeerTimeout     time.Duration      // within which a gang's tasks notice that one has ended, and all must be told to stop
+	MaxTxnOps           int                // the key-value store's limit on the changes of a transaction
+	MaxWritesPerSecond  float64            // the key-value store's limit on writes, of all controllers
 	JobOrder            leader.JobOrder
-	RoundBudget         time.Duration // of a round of placing; 0: the usual one
+	RoundBudget         time.Duration // of a placement round; 0: constants.RoundBudget
 }
 
-// Core is one shard's owner in one term: what holds for the whole term, and the states
-// that a step asks in turn. A method of a state's own type changes nothing but that state;
-// Core's methods bring several together.
+// Core is the owner of one shard in one term. It is composed of states, each of which owns
+// what its type says. A method of a state changes only that state and what it is handed;
+// Core's methods bring several states together. Core is not safe for concurrent use.
 type Core struct {
-	lastStepAt time.Time // when the last step was made
-	fleetScans pace      // looks at the whole fleet
+	lastStepAt time.Time
+	fleetScans pace // checks of every machine of the fleet
 
 	fleetView
 	outbox
@@ -53,56 +54,65 @@
 	draining *draining // nil: drains and disruption budgets are off
 }
 
-// fleetView is what places are looked for with: whose shard it is, what is known of its
-// machines and tasks, and which machines are heard.
+// fleetView is what decisions are based on: the owner's term, the known state of machines
+// and jobs, and the liveness of machines. Other states are handed it to read.
 type fleetView struct {
 	ownership
 	knownState
 	liveness
 }
 
-// New makes the core at the moment when the feed showed the claim: jobs and
-// inventory are as of that revision.
+// New makes the owner of a shard at the moment when the feed showed that its term was
+// acquired: jobs and inventory are as of that revision. termVersion is the version of the
+// shard's record; versions and inventoryVersions are those of the records of the same key.
 func New(cfg Config, term, termVersion uint64, now time.Time, types []wire.MachineType,
-
-	jobs map[string]*records.Job, versions map[string]uint64, inventory map[string]*records.InventoryPage, inventoryVersions map[string]uint64) *Core {
+	jobs map[string]*records.Job, versions map[string]uint64,
+	inventory map[string]*records.InventoryPage, inventoryVersions map[string]uint64) *Core {
 	c := &Core{
 		fleetView: fleetView{
 			ownership:  ownership{cfg: cfg, term: term, counters: newTermCounters(term), termVersion: termVersion, acquiredAt: now},
 			knownState: newKnownState(),
-			liveness:   liveness{heartbeatPeriod: cfg.HeartbeatPeriod, leaseDuration: cfg.LeaseExpiry, startedAt: now, terminated: map[string]time.Time{}},
+			liveness:   newLiveness(cfg, now),
 		},
-		placement: newPlacement(cfg.RoundBudget), closeQueue: closeQueue{closeCandidates: map[string]*job{}}, inventoryPages: newInventoryPages(cfg.SizeLimits),
-		scaleOutState: scaleOutState{pendingScaleOuts: map[string]*pendingScaleOut{}, refusedUntil: map[bool]time.Time{}},
-		gangReserves:  gangReserves{gangShapes: map[string]gangShape{}}, aggregates: aggregates{otherShards: map[string]otherShard{}, aggregateChanged: true},
+		placement:      newPlacement(cfg.RoundBudget),
+		closeQueue:     closeQueue{closeCandidates: map[string]*job{}},
+		inventoryPages: newInventoryPages(cfg.SizeLimits),
+		scaleOutState:  scaleOutState{pendingScaleOuts: map[string]*pendingScaleOut{}, refusedUntil: map[bool]time.Time{}},
+		gangReserves:   gangReserves{gangShapes: map[string]gangShape{}},
+		aggregates:     aggregates{otherShards: map[string]otherShard{}, aggregateChanged: true},
 	}
 	c.SetTypes(types)
+	c.loadInventory(now, inventory, inventoryVersions)
+	for id, rec := range jobs {
+		c.applyJob(now, id, rec, versions[id], true)
+	}
+	c.finishRebuild(now)
+	return c
+}
+
+// loadInventory adds the machines of the stored inventory, which the term inherits.
+func (c *Core) loadInventory(now time.Time, inventory map[string]*records.InventoryPage, versions map[string]uint64) {
 	// Pages split off a large one have higher numbers: a machine found on both
 	// stays on its new page.
 	keys := slices.Collect(maps.Keys(inventory))
 	slices.SortFunc(keys, func(a, b string) int { return inventory[b].Number - inventory[a].Number })
 	for _, key := range keys {
-		c.applyPage(now, inventory[key], inventoryVersions[key])
+		c.applyPage(now, inventory[key], versions[key])
 	}
 	for _, m := range c.machines {
-		// Whatever earlier owners started, or sent and is still on its way, is
+		// Whatever earlier owners started, or sent and is still in flight, is
 		// bounded by the lease counted from here: they had lost their authority
-		// when the claim succeeded.
+		// when this term was acquired.
 		m.inherited = m.durableAddr != ""
 		m.leaseExpiresAt = c.leaseExpiry(now, m)
 	}
-	for id, rec := range jobs {
-		c.applyJob(now, id, rec, versions[id], true)
-	}
-	c.finishRebuild(now)
-	return c
 }
 
-// SetRoundClock has a round's time taken by another clock than the machine's, which
-// a busy machine would make run differently every time.
+// SetRoundClock sets the clock by which a placement round's time is taken: by the machine's
+// own clock, rounds on a busy machine differ from run to run.
 func (p *placement) SetRoundClock(clock func() time.Time) { p.roundClock = clock }
 
-// Apply takes in a change from the feed.
+// Apply applies a change from the feed.
 func (c *Core) Apply(now time.Time, ch records.Change) {
 	if c.draining != nil {
 		c.draining.applyChange(now, c.cfg.Shard, ch)
@@ -117,15 +127,15 @@
 	}
 }
 
-// Step does what is due and returns the actions gathered since the last call.
+// Step does what is due and returns the actions decided since the last call.
 func (c *Core) Step(now time.Time) []Action {
 	if !c.lastStepAt.IsZero() && now.Sub(c.lastStepAt) > constants.ProcessPauseThreshold {
-		slog.Warn("stood still", "shard", c.cfg.Shard, "for_ms", now.Sub(c.lastStepAt).Milliseconds())
+		slog.Warn("process was paused", logkey.Shard, c.cfg.Shard, "for_ms", now.Sub(c.lastStepAt).Milliseconds())
 		c.resetLiveness(now)
 	}
 	c.lastStepAt = now
-	slow := c.fleetScans.due(now, constants.FleetScanInterval)
-	if slow {
+	scanFleet := c.fleetScans.due(now, constants.FleetScanInterval)
+	if scanFleet {
 		c.expireLeases(now)
 		c.reserveMachinesForGangs(now)
 	}
@@ -137,7 +147,7 @@
 		if c.resumeRank == nil && c.scaleOutPace.due(now, constants.ScaleOutInterval) {
 			c.planScaleOut(now)
 		}
-		if slow {
+		if scanFleet {
 			c.releaseReservations(&c.fleetView, now)
 			c.evictFromNoticedMachines(&c.fleetView, now)
 			c.consolidate(now)
@@ -147,9 +157,9 @@
 			c.scaleIn(now)
 		}
 		c.closeAssignments(now)
-		c.sendDirectCommands(&c.fleetView, now, slow)
+		c.sendDirectCommands(&c.fleetView, now, scanFleet)
 	}
-	out := c.actions
+	actions := c.actions
 	c.actions = nil
-	return out
+	return actions
 }
--- a/shard/doc.go
+++ b/shard/doc.go
@@ -21,7 +21,7 @@
 //   - assignments: closing of finished assignments in the jobs' records
 //   - pendingcommands, directcommands: commands, and those that go straight to machines
 //
-// Core is composed of states: fleetView (ownership, knowledge, hearing), inventoryPages,
+// Core is composed of states: fleetView (ownership, knownState, liveness), inventoryPages,
 // placement, gangReserves, scaleOutState, consolidation, draining with its interruptions and the
 // ledger of package disruption, closeQueue, outbox and aggregates. A state's method changes
 // that state and what it is handed, machines, jobs, attempts and tasks among it; many are
--- a/shard/liveness.go
+++ b/shard/liveness.go
@@ -5,28 +5,41 @@
 	"time"
 
 	"ravenport/constants"
+	"ravenport/logkey"
 )
 
-// liveness is whom the owner hears.
+// liveness owns what the owner knows of heartbeats beyond single machines: since when they
+// are counted, whether the shard is partitioned, and which machines were terminated.
+// resetLiveness, scaleIn, ScaleInResult and ApplyMachineList change it, and
+// ApplyMisroutedHeartbeats.
 type liveness struct {
-	heartbeatPeriod time.Duration        // between two reports of a machine
-	leaseDuration   time.Duration        // after the last answer that could count
-	startedAt       time.Time            // when the owner could first have heard anybody
-	livenessResetAt time.Time            // silences are counted from here at the earliest
-	partitioned     bool                 // its machines are out of reach all together
-	peersHeardAt    time.Time            // when all live controllers had been heard from
-	terminated      map[string]time.Time // machines returned lately
-	scaleInScans    pace                 // looks at which machines are to be returned
-	lastScaleInAt   time.Time            // when idle machines were last returned
+	heartbeatPeriod time.Duration        // between two heartbeats of a machine
+	leaseDuration   time.Duration        // after the last reply that could count
+	startedAt       time.Time            // when the owner could first have received a heartbeat
+	livenessResetAt time.Time            // missing heartbeats are counted from here at the earliest
+	partitioned     bool                 // the shard's machines as a whole are unreachable
+	peersHeardAt    time.Time            // when all live controllers had last been heard from
+	terminated      map[string]time.Time // by machine: when it was terminated, for constants.TerminatedMemory
+	scaleInScans    pace                 // checks for machines to terminate
+	lastScaleInAt   time.Time            // when machines were last terminated
 }
 
-// periods is a number of report periods.
+func newLiveness(cfg Config, now time.Time) liveness {
+	return liveness{
+		heartbeatPeriod: cfg.HeartbeatPeriod,
+		leaseDuration:   cfg.LeaseExpiry,
+		startedAt:       now,
+		terminated:      map[string]time.Time{},
+	}
+}
+
+// periods is the duration of n heartbeat periods.
 func (l *liveness) periods(n float64) time.Duration {
 	return time.Duration(n * float64(l.heartbeatPeriod))
 }
 
-// sinceHeartbeat is for how long no report of a machine has come while it could have:
-// what nobody could hear, or had not yet read, says nothing.
+// sinceHeartbeat is for how long no heartbeat of a machine has come while one could have:
+// time in which the owner could not receive, or had not yet read any, does not count.
 func (l *liveness) sinceHeartbeat(now time.Time, m *machine) time.Duration {
 	if l.livenessResetAt.After(m.lastHeartbeat) {
 		return now.Sub(l.livenessResetAt)
@@ -34,25 +47,26 @@
 	return now.Sub(m.lastHeartbeat)
 }
 
-// isHeartbeatOverdue says that a machine's report is later than any should be.
+// isHeartbeatOverdue reports whether a machine's heartbeat is later than any should be.
 func (l *liveness) isHeartbeatOverdue(now time.Time, m *machine) bool {
 	return l.sinceHeartbeat(now, m) > l.periods(constants.HeartbeatOverduePeriods)
 }
 
-// isUnreachable says that no report of a machine's own has come for so long that its
-// lease may end, whether or not it answers when it is called.
+// isUnreachable reports whether no heartbeat of a machine has come for so long that its
+// lease may expire, whether or not it answers direct commands.
 func (l *liveness) isUnreachable(now time.Time, m *machine) bool {
 	return l.sinceHeartbeat(now, m) > l.periods(constants.UnreachablePeriods)
 }
 
-// reportedSinceUnconfirmed says that an unconfirmed machine has reported since, here or to another
-// controller: the report that raised the question may have been a late copy.
+// reportedSinceUnconfirmed reports whether an unconfirmed machine has sent a heartbeat since,
+// to this owner or to another controller: the heartbeat that made it unconfirmed may have
+// been a late copy.
 func (m *machine) reportedSinceUnconfirmed() bool {
 	return m.lastHeartbeat.After(m.unconfirmedSince) || m.misroutedAt.After(m.unconfirmedSince)
 }
 
-// resetLiveness begins all silences anew: the owner stood still, or its machines were out
-// of reach all together and come back one after the other.
+// resetLiveness counts missing heartbeats and unanswered commands anew: the owner's process
+// was paused, or a partition has ended and the machines come back one after the other.
 func (v *fleetView) resetLiveness(now time.Time) {
 	v.livenessResetAt = now
 	for _, m := range v.fleet {
@@ -60,21 +74,22 @@
 	}
 }
 
-// expireLeases forgets what was on machines whose lease has surely ended.
+// expireLeases releases the attempts on machines whose lease has surely expired.
 func (c *Core) expireLeases(now time.Time) {
 	for _, m := range c.fleet {
 		if m.leaseExpiresAt.IsZero() || now.Before(m.leaseExpiresAt) {
 			continue
 		}
 		if len(m.attempts) > 0 || m.inherited {
-			slog.Info("machine's lease has ended", "machine", m.name, "tasks", len(m.attempts))
+			slog.Info("machine's lease expired", logkey.Machine, m.name, "tasks", len(m.attempts))
 		}
 		c.releaseAttempts(now, m)
 		if m.epoch > 0 {
 			m.minEpoch = m.epoch + 1
 		}
 		if m.up || m.inherited {
-			m.leaseExpired, m.requestedAt = true, now // it gets as long to come back as one that boots
+			m.leaseExpired = true
+			m.requestedAt = now // it gets as long to come back as one that boots
 		}
 		m.inherited = false
 		m.up = false
