--- a/shard/cloudlist.go
+++ b/shard/cloudlist.go
@@ -5,63 +5,82 @@
 	"time"
 
 	"ravenport/constants"
+	"ravenport/logkey"
 	"ravenport/wire"
 )
 
-// ApplyMachineList takes in the cloud's list, which lags: it brings unexpected machines
-// to light and those that failed, and proves nothing else.
+// ApplyMachineList applies the cloud's list of machines, which lags: it shows machines that
+// the owner does not know and those that have failed, and proves nothing else.
 func (c *Core) ApplyMachineList(now time.Time, list []wire.CloudMachine) {
-	for name, at := range c.terminated {
-		if now.Sub(at) > constants.TerminatedMemory {
-			delete(c.terminated, name)
-		}
-	}
-	shown := make(map[string]bool, len(list))
-	defer func() {
-		for _, m := range c.fleet {
-			if shown[m.name] {
-				m.inCloudList, m.missedLists = true, 0
-			} else if m.inCloudList || (m.inherited || m.leaseExpired) && now.Sub(m.requestedAt) > 3*c.cfg.CloudListLag {
-				m.missedLists++
-			}
-		}
-	}()
+	c.forgetTerminated(now)
+	listed := make(map[string]bool, len(list))
 	var failed []string
 	for i := range list {
-		l := &list[i]
-		if l.Zone != c.cfg.Shard {
+		entry := &list[i]
+		if entry.Zone != c.cfg.Shard {
 			continue
 		}
-		shown[l.Name] = true
-		m := c.machines[l.Name]
-		if l.State == wire.MachineFailed {
+		listed[entry.Name] = true
+		m := c.machines[entry.Name]
+		if entry.State == wire.MachineFailed {
 			if m == nil || !m.scalingIn {
-				failed = append(failed, l.Name)
+				failed = append(failed, entry.Name)
 			}
 			if m != nil {
 				m.scalingIn = true
 			}
 			continue
 		}
-		if _, gone := c.terminated[l.Name]; gone {
-			continue // the list lags: returned a moment ago
+		if _, terminated := c.terminated[entry.Name]; terminated {
+			continue // the list lags: terminated a moment ago
 		}
-		if m == nil && l.State == wire.MachineBooting && time.Duration(l.AgeS*float64(time.Second)) > 2*c.cfg.CloudListLag {
-			m = c.ensureMachine(l.Name)
-			m.typeName, m.spot = l.Type, l.Spot
-			m.requestedAt = now.Add(-time.Duration(l.AgeS * float64(time.Second)))
-			c.resolveType(m)
-			slog.Info("unexpected machine found in the cloud's list", "machine", l.Name)
+		if m == nil {
+			c.adoptListedMachine(now, entry)
 		}
 	}
 	for len(failed) > 0 {
-		k := min(len(failed), wire.MaxMachinesPerScaleIn)
-		c.actions = append(c.actions, ScaleIn{failed[:k]})
-		failed = failed[k:]
+		n := min(len(failed), wire.MaxMachinesPerScaleIn)
+		c.actions = append(c.actions, ScaleIn{failed[:n]})
+		failed = failed[n:]
+	}
+	c.countMissedLists(now, listed)
+}
+
+// forgetTerminated drops machines that were terminated long ago.
+func (l *liveness) forgetTerminated(now time.Time) {
+	for name, at := range l.terminated {
+		if now.Sub(at) > constants.TerminatedMemory {
+			delete(l.terminated, name)
+		}
+	}
+}
+
+// adoptListedMachine adds an unknown machine that has been booting for longer than the list
+// lags: its request's answer was lost.
+func (c *Core) adoptListedMachine(now time.Time, entry *wire.CloudMachine) {
+	age := time.Duration(entry.AgeS * float64(time.Second))
+	if entry.State != wire.MachineBooting || age <= 2*c.cfg.CloudListLag {
+		return
+	}
+	m := c.ensureMachine(entry.Name)
+	m.typeName, m.spot = entry.Type, entry.Spot
+	m.requestedAt = now.Add(-age)
+	c.resolveType(m)
+	slog.Info("unknown machine found in the cloud's list", logkey.Machine, entry.Name)
+}
+
+// countMissedLists counts for each machine the lists in a row that did not show it.
+func (v *fleetView) countMissedLists(now time.Time, listed map[string]bool) {
+	for _, m := range v.fleet {
+		if listed[m.name] {
+			m.inCloudList, m.missedLists = true, 0
+		} else if m.inCloudList || (m.inherited || m.leaseExpired) && now.Sub(m.requestedAt) > 3*v.cfg.CloudListLag {
+			m.missedLists++
+		}
 	}
 }
 
-// isDelisted says that the cloud has stopped listing a machine: it was most likely
-// taken back. That proves nothing, since a list may be old, but a silent machine
-// that is listed all the same is more likely cut off.
+// isDelisted reports whether the cloud has stopped listing a machine: it was most likely
+// terminated. That proves nothing, since a list may be old, but an unreachable machine
+// that is still listed is more likely partitioned.
 func (m *machine) isDelisted() bool { return m.missedLists >= constants.DelistedAfterLists }
--- a/shard/heartbeat.go
+++ b/shard/heartbeat.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"ravenport/constants"
+	"ravenport/logkey"
 	"ravenport/wire"
 )
 
@@ -51,7 +52,7 @@
 		m.idleSince = now
 		c.needsPlacement, c.aggregateChanged = true, true
 		if m.typeName == "" {
-			slog.Info("unexpected machine adopted", "machine", m.name)
+			slog.Info("unknown machine adopted", logkey.Machine, m.name)
 			m.requestedAt = now
 		}
 	}
--- a/shard/partition.go
+++ b/shard/partition.go
@@ -6,24 +6,24 @@
 	"ravenport/constants"
 )
 
-// fleetHealth is what the owner hears of its machines taken together.
+// fleetHealth is what the heartbeats of all machines together prove.
 type fleetHealth struct {
-	expected    int // machines that should report here
-	reporting   int // those that have, in this term and session
-	unreachable int // those that have been silent
-	misrouted   int // those that another controller has heard since
-	small       bool
-	noneHeard   bool // there are few, but more than two, and none is heard
-	receiving   bool // enough reports have come lately
+	expected    int  // machines that should send heartbeats to the owner
+	reporting   int  // those that have, in this term and epoch
+	unreachable int  // those of them that are unreachable now
+	misrouted   int  // machines that have sent heartbeats to another controller lately
+	small       bool // fewer than constants.SmallFleet are expected
+	noneHeard   bool // the fleet is small, but of more than two, and no heartbeat has come lately
+	receiving   bool // enough heartbeats have come lately
 }
 
-// assessHealth tells machines that fail by themselves from an owner that hears
-// nobody. Right after a cut most machines were heard not long ago, so of many
-// it is asked how many of the reports that were due in the last moment have
-// come; of few, that would often be none.
+// assessHealth distinguishes machines that fail by themselves from a partition of the owner
+// or the shard. Right after the begin of a partition the last heartbeats of most machines are
+// recent, so for many machines it counts which of the heartbeats that were due in the last
+// moment have come; for few, that would often be none.
 func (v *fleetView) assessHealth(now time.Time) fleetHealth {
 	var s fleetHealth
-	recent, fresh := 0, 0
+	recent, current := 0, 0
 	for _, m := range v.fleet {
 		if m.scalingIn || m.isDelisted() || !m.up && !m.inherited && !m.leaseExpired {
 			continue
@@ -36,13 +36,13 @@
 			continue
 		}
 		s.reporting++
-		silence := now.Sub(m.lastHeartbeat)
-		if silence < v.periods(constants.RecentHeartbeatPeriods) {
+		age := now.Sub(m.lastHeartbeat)
+		if age < v.periods(constants.RecentHeartbeatPeriods) {
 			recent++
 		}
-		// Until it shows a token of this term, what came of it may be a late copy.
-		if silence <= v.periods(constants.HeartbeatOverduePeriods) && m.hasSeenTerm(v.term) {
-			fresh++
+		// Until it shows a token of this term, its heartbeat may be a late copy.
+		if age <= v.periods(constants.HeartbeatOverduePeriods) && m.hasSeenTerm(v.term) {
+			current++
 		}
 		if v.isUnreachable(now, m) {
 			s.unreachable++
@@ -50,19 +50,19 @@
 	}
 	s.small = s.expected < constants.SmallFleet
 	if s.small {
-		s.receiving = fresh*2 > s.expected
-		s.noneHeard = s.expected > constants.MaxCoincidentFailures && fresh == 0
+		s.receiving = current*2 > s.expected
+		s.noneHeard = s.expected > constants.MaxCoincidentFailures && current == 0
 	} else {
 		s.receiving = recent*constants.RecentHeartbeatShare >= s.expected
 	}
 	return s
 }
 
-// isIsolatedFailure says whether a silent machine is silent by itself: the owner hears
-// others, or, where there are few, it has been silent for long enough to be
-// heard by another controller, and all of those are heard and none was. Else it
-// is the owner or the whole shard that is cut off: returning machines then would
-// end everything that runs on them.
+// isIsolatedFailure reports whether an unreachable machine has failed by itself: the owner
+// receives heartbeats of others or, in a small fleet, the machine has been unreachable for so
+// long that another controller would have heard from it, all controllers are heard from, and
+// none has. Otherwise the owner or the whole shard is partitioned: terminating machines would
+// then end everything that runs on them.
 func (l *liveness) isIsolatedFailure(now time.Time, m *machine, s fleetHealth) bool {
 	if now.Sub(m.misroutedAt) < l.misroutedWindow() {
 		return false
@@ -74,65 +74,75 @@
 	if last.Before(l.startedAt) {
 		last = l.startedAt
 	}
-	elsewhere := l.periods(constants.MaxHeartbeatDelayPeriods) + constants.ControllerSwitchTime + 2*constants.MaxPushInterval
-	return s.receiving || s.small && !s.noneHeard && l.hasHeardPeers(now) && now.Sub(last) > elsewhere
+	otherControllers := l.periods(constants.MaxHeartbeatDelayPeriods) + constants.ControllerSwitchTime + 2*constants.MaxPushInterval
+	if s.receiving {
+		return true
+	}
+	return s.small && !s.noneHeard && l.hasHeardPeers(now) && now.Sub(last) > otherControllers
 }
 
-// hasHeardPeers says whether all live controllers were heard from lately.
+// hasHeardPeers reports whether all live controllers were heard from lately.
 func (l *liveness) hasHeardPeers(now time.Time) bool {
 	return now.Sub(l.peersHeardAt) < constants.MaxPushInterval*2
 }
 
-// misroutedWindow is how long a report to another controller counts.
+// misroutedWindow is how long a heartbeat to another controller counts.
 func (l *liveness) misroutedWindow() time.Duration { return l.periods(constants.MisroutedPeriods) }
 
-// IsIsolated says whether the owner no longer hears its machines, and whether they
-// have been reporting to other controllers: then it is the owner that they
-// cannot reach. Of many machines it is enough that hardly any report comes and
-// a fair share is heard elsewhere: their leases run out while one waits.
-func (v *fleetView) IsIsolated(now time.Time) (isolated, misroutedReports bool) {
+// IsIsolated reports whether the owner no longer receives its machines' heartbeats, and
+// whether they have been sending them to other controllers: then it is the owner that they
+// cannot reach. For many machines it is enough that hardly any heartbeat comes and a fair
+// share is heard by others: their leases expire while the owner waits.
+func (v *fleetView) IsIsolated(now time.Time) (isolated, misrouted bool) {
 	s := v.assessHealth(now)
 	if s.small {
 		return s.unreachable*2 > s.expected, s.misrouted*2 > s.expected
 	}
 	if now.Sub(v.acquiredAt) < v.periods(constants.MaxHeartbeatDelayPeriods) {
-		return false, false // not all can have come yet
+		return false, false // not all heartbeats can have come yet
 	}
-	misroutedReports = s.misrouted*constants.RecentHeartbeatShare > s.expected
-	// Of machines that nobody ever heard it is not known whose fault it is.
-	return !s.receiving && (s.reporting > 0 || misroutedReports), misroutedReports
+	misrouted = s.misrouted*constants.RecentHeartbeatShare > s.expected
+	// If no controller ever heard from the machines, it is not known which side has failed.
+	return !s.receiving && (s.reporting > 0 || misrouted), misrouted
 }
 
-// IsPartitioned says whether the shard's machines as a whole count as out of reach.
+// IsPartitioned reports whether the shard's machines as a whole counted as unreachable at the
+// last check.
 func (l *liveness) IsPartitioned() bool { return l.partitioned }
 
-// detectPartition says that the shard's machines as a whole are out of reach. Then none are
-// rented, which would be so as well, and the leader sends nothing here that may
-// go elsewhere.
+// detectPartition reports whether the shard's machines as a whole are unreachable. Then the
+// owner requests no more, which would be unreachable as well, and the leader assigns nothing
+// to the shard that may go to another.
 func (l *liveness) detectPartition(now time.Time, s fleetHealth) bool {
+	delay := l.periods(constants.MaxHeartbeatDelayPeriods)
 	// Where all controllers had ended, a worker may come back to this one only
-	// after it has tried the others and its next report is due.
-	return (!s.small && !s.receiving || s.noneHeard) && now.Sub(l.startedAt) > l.periods(constants.MaxHeartbeatDelayPeriods)+constants.ControllerSwitchTime &&
-		now.Sub(l.livenessResetAt) > l.periods(constants.MaxHeartbeatDelayPeriods)
+	// after it has tried the others and its next heartbeat is due.
+	return (!s.small && !s.receiving || s.noneHeard) &&
+		now.Sub(l.startedAt) > delay+constants.ControllerSwitchTime && now.Sub(l.livenessResetAt) > delay
 }
 
-// MisroutedHeartbeat is a report that a machine made to another controller.
+// MisroutedHeartbeat is a heartbeat that a machine sent to another controller than its
+// shard's owner.
 type MisroutedHeartbeat struct {
 	Machine string `json:"m"`
 	Epoch   uint64 `json:"s"`
 	Seq     uint64 `json:"q"`
 }
 
-// ApplyMisroutedHeartbeats takes in which machines reported to another controller. A report that
-// is no newer than the machine's last one here may be a late copy and says
-// nothing.
-func (v *fleetView) ApplyMisroutedHeartbeats(now time.Time, list []MisroutedHeartbeat, all bool) {
-	for _, s := range list {
-		if m := v.machines[s.Machine]; m != nil && (s.Epoch > m.lastHeartbeatEpoch || s.Epoch == m.lastHeartbeatEpoch && s.Seq > m.lastHeartbeatSeq) {
+// ApplyMisroutedHeartbeats records which machines sent heartbeats to another controller;
+// allPeersHeard says that every live controller was heard from. A heartbeat that is no newer
+// than the machine's last one to this owner may be a late copy and proves nothing.
+func (v *fleetView) ApplyMisroutedHeartbeats(now time.Time, list []MisroutedHeartbeat, allPeersHeard bool) {
+	for _, r := range list {
+		m := v.machines[r.Machine]
+		if m == nil {
+			continue
+		}
+		if r.Epoch > m.lastHeartbeatEpoch || r.Epoch == m.lastHeartbeatEpoch && r.Seq > m.lastHeartbeatSeq {
 			m.misroutedAt = now
 		}
 	}
-	if all {
+	if allPeersHeard {
 		v.peersHeardAt = now
 	}
 }
--- a/shard/reconcile.go
+++ b/shard/reconcile.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"ravenport/constants"
+	"ravenport/logkey"
 	"ravenport/wire"
 )
 
@@ -37,7 +38,7 @@
 	}
 	if r.NoticeS != nil && m.reclaimAt.IsZero() {
 		m.reclaimAt = now.Add(time.Duration(*r.NoticeS * float64(time.Second)))
-		slog.Info("machine will be taken back", "machine", m.name, "in_s", *r.NoticeS)
+		slog.Info("spot notice: machine will be reclaimed", logkey.Machine, m.name, "in_s", *r.NoticeS)
 	} else if r.NoticeS == nil {
 		m.reclaimAt = time.Time{}
 	}
@@ -84,7 +85,7 @@
 		if !ok {
 			if !m.invalidTaskLogged {
 				m.invalidTaskLogged = true
-				slog.Warn("a machine reports what is no task", "machine", m.name)
+				slog.Warn("heartbeat with an invalid task name", logkey.Machine, m.name)
 			}
 			return
 		}
