--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -44,78 +44,132 @@
 	}
 }
 
+// drainModel is a drain of several shards whose owners change, whose machines leave or fail
+// to be replaced, and whose record is written late or not at all.
+type drainModel struct {
+	zones     []string
+	policy    Policy
+	record    *records.Drain
+	version   uint64
+	drains    map[string]*ShardDrain
+	remaining map[string][]string // by shard: machines
+	cordoned  map[string][]string // by shard: machines
+	failures  int
+}
+
+func newDrainModel(t *rapid.T) *drainModel {
+	m := &drainModel{
+		zones:     []string{"a", "b", "c"},
+		policy:    Policy{ParallelPercent: float64(rapid.IntRange(0, 100).Draw(t, "parallel")), MaxConsecutiveFailures: rapid.IntRange(1, 4).Draw(t, "failures")},
+		record:    &records.Drain{Number: 1, State: records.DrainRunning},
+		version:   1,
+		drains:    map[string]*ShardDrain{},
+		remaining: map[string][]string{},
+		cordoned:  map[string][]string{},
+	}
+	for _, zone := range m.zones {
+		m.startOwner(zone)
+		for i := range rapid.IntRange(0, 6).Draw(t, "machines") {
+			m.remaining[zone] = append(m.remaining[zone], zone+string(rune('0'+i)))
+		}
+	}
+	return m
+}
+
+// startOwner starts a new owner of a shard, which has no cordons: they follow from the
+// record.
+func (m *drainModel) startOwner(zone string) {
+	m.drains[zone] = NewShardDrain(m.policy, zone, m.zones, m.record, m.version)
+	m.cordoned[zone] = nil
+}
+
+// cordon cordons the machines that a shard chooses, and checks how many are cordoned.
+func (m *drainModel) cordon(t *rapid.T, zone string) {
+	s := m.drains[zone]
+	var candidates []Candidate
+	for _, name := range m.remaining[zone] {
+		candidates = append(candidates, Candidate{Name: name, IsCordoned: slices.Contains(m.cordoned[zone], name)})
+	}
+	m.cordoned[zone] = append(m.cordoned[zone], s.ChooseMachines(time.Unix(0, 0), candidates, 10)...)
+	most := max(1, int(m.policy.ParallelPercent/10))
+	if !m.record.CanaryPassed {
+		most = 1
+	}
+	if n := len(m.cordoned[zone]); n > most || n > 0 && !s.MayCordon() && m.record.State == records.DrainRunning {
+		t.Fatalf("%v of %s are cordoned, %d may be", m.cordoned[zone], zone, most)
+	}
+}
+
+// replaceOrFail draws whether a cordoned machine leaves or its replacement fails.
+func (m *drainModel) replaceOrFail(t *rapid.T, zone string) {
+	s := m.drains[zone]
+	if n := len(m.cordoned[zone]); n > 0 && rapid.Bool().Draw(t, "gone") {
+		last := m.cordoned[zone][n-1]
+		m.remaining[zone] = slices.DeleteFunc(m.remaining[zone], func(name string) bool { return name == last })
+		m.cordoned[zone] = m.cordoned[zone][:n-1]
+		s.RecordReplacement()
+	} else if rapid.IntRange(0, 4).Draw(t, "failure") == 0 && s.MayCordon() {
+		s.RecordFailure("test")
+		m.failures++
+	}
+}
+
+// write writes the record that a shard requests, if any, unless the write is lost.
+func (m *drainModel) write(t *rapid.T, zone string) {
+	s := m.drains[zone]
+	next, on := s.NextRecord(rapid.Bool().Draw(t, "settled"))
+	if next == nil {
+		return
+	}
+	if on != m.version || rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
+		s.ApplyWriteResult(false)
+		return
+	}
+	m.version++
+	m.record = next
+	for _, other := range m.drains {
+		other.ApplyRecord(m.record, m.version)
+	}
+}
+
+// checkEnd checks the state of the drain after all events.
+func (m *drainModel) checkEnd(t *rapid.T) {
+	remaining := len(m.remaining["a"]) + len(m.remaining["b"]) + len(m.remaining["c"])
+	switch m.record.State {
+	case records.DrainStopped:
+		if m.failures < m.policy.MaxConsecutiveFailures || m.record.StopReason == "" {
+			t.Fatalf("stopped after %d failures: %+v", m.failures, m.record)
+		}
+	case records.DrainFinished:
+		if remaining > 0 {
+			t.Fatalf("finished, and %d machines are left", remaining)
+		}
+	default:
+		if remaining == 0 && len(m.record.DrainedShards) == len(m.zones) {
+			t.Fatalf("all are gone, and it goes on: %+v", m.record)
+		}
+	}
+}
+
 // Whatever happens to its machines, a drain of several shards begins with a canary in one
 // shard, cordons no more than its share at a time, and ends finished, or stopped after so
 // many consecutive failures.
 func TestDrainsComeToAnEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		zones := []string{"a", "b", "c"}
-		policy := Policy{ParallelPercent: float64(rapid.IntRange(0, 100).Draw(t, "parallel")), MaxConsecutiveFailures: rapid.IntRange(1, 4).Draw(t, "failures")}
-		record, version := &records.Drain{Number: 1, State: records.DrainRunning}, uint64(1)
-		drains, left, cordoned := map[string]*ShardDrain{}, map[string][]string{}, map[string][]string{}
-		for _, z := range zones {
-			drains[z] = NewShardDrain(policy, z, zones, record, version)
-			for i := range rapid.IntRange(0, 6).Draw(t, "machines") {
-				left[z] = append(left[z], z+string(rune('0'+i)))
-			}
-		}
-		failures := 0
+		m := newDrainModel(t)
 		for range 400 {
-			z := rapid.SampledFrom(zones).Draw(t, "zone")
-			s := drains[z]
+			zone := rapid.SampledFrom(m.zones).Draw(t, "zone")
 			if rapid.IntRange(0, 9).Draw(t, "new owner") == 0 {
-				s = NewShardDrain(policy, z, zones, record, version)
-				drains[z], cordoned[z] = s, nil // cordons follow from the record
+				m.startOwner(zone)
 			}
-			var candidates []Candidate
-			for _, name := range left[z] {
-				candidates = append(candidates, Candidate{Name: name, IsCordoned: slices.Contains(cordoned[z], name)})
-			}
-			cordoned[z] = append(cordoned[z], s.ChooseMachines(time.Unix(0, 0), candidates, 10)...)
-			most := max(1, int(policy.ParallelPercent/10))
-			if !record.CanaryPassed {
-				most = 1
-			}
-			if n := len(cordoned[z]); n > most || n > 0 && !s.MayCordon() && record.State == records.DrainRunning {
-				t.Fatalf("%v of %s are cordoned, %d may be", cordoned[z], z, most)
-			}
-			if n := len(cordoned[z]); n > 0 && rapid.Bool().Draw(t, "gone") {
-				left[z] = slices.DeleteFunc(left[z], func(name string) bool { return name == cordoned[z][n-1] })
-				cordoned[z] = cordoned[z][:n-1]
-				s.RecordReplacement()
-			} else if rapid.IntRange(0, 4).Draw(t, "failure") == 0 && s.MayCordon() {
-				s.RecordFailure("test")
-				failures++
-			}
-			if next, on := s.NextRecord(rapid.Bool().Draw(t, "settled")); next != nil {
-				if on != version || rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
-					s.ApplyWriteResult(false)
-					continue
-				}
-				version++
-				record = next
-				for _, other := range drains {
-					other.ApplyRecord(record, version)
-				}
-			}
-			if record.State != records.DrainRunning {
+			m.cordon(t, zone)
+			m.replaceOrFail(t, zone)
+			m.write(t, zone)
+			if m.record.State != records.DrainRunning {
 				break
 			}
 		}
-		switch record.State {
-		case records.DrainStopped:
-			if failures < policy.MaxConsecutiveFailures || record.StopReason == "" {
-				t.Fatalf("stopped after %d failures: %+v", failures, record)
-			}
-		case records.DrainFinished:
-			if n := len(left["a"]) + len(left["b"]) + len(left["c"]); n > 0 {
-				t.Fatalf("finished, and %d machines are left", n)
-			}
-		default:
-			if n := len(left["a"]) + len(left["b"]) + len(left["c"]); n == 0 && len(record.DrainedShards) == len(zones) {
-				t.Fatalf("all are gone, and it goes on: %+v", record)
-			}
-		}
+		m.checkEnd(t)
 	})
 }
 
--- a/leader/gang_test.go
+++ b/leader/gang_test.go
@@ -6,7 +6,6 @@
 
 	"ravenport/constants"
 	"ravenport/records"
-	"ravenport/settings"
 	"ravenport/wire"
 )
 
@@ -15,14 +14,6 @@
 		Tasks: tasks, CPUs: 2, MemoryGB: 1, Image: "i"}}
 }
 
-// newTestLeader returns a leader with authority that has no aggregates and no jobs yet.
-func newTestLeader() (time.Time, *settings.Settings, *Core) {
-	now, set := time.Unix(1000, 0), testSettings()
-	c := New(set, 1, now, nil, nil)
-	c.SetAuthority(now.Add(time.Hour))
-	return now, set, c
-}
-
 // A gang is assigned to one shard as one range: to one that could start it now, however
 // little capacity is left elsewhere, and on machines with its image if there are any.
 func TestGangGoesWhole(t *testing.T) {
--- /dev/null
+++ b/leader/quota_test.go
@@ -0,0 +1,239 @@
+package leader
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"ravenport/records"
+	"ravenport/wire"
+)
+
+// limitsModel is a leader and a store on which commits may be applied late, with or without
+// a reply, or not at all, while jobs are submitted and owners change assignments.
+type limitsModel struct {
+	now         time.Time
+	store       *store
+	leader      *Core
+	seen        map[string]uint64 // by job: the version that the leader has read
+	lateCommits []Commit
+}
+
+func newLimitsModel() *limitsModel {
+	now := time.Unix(1000, 0)
+	m := &limitsModel{
+		now:    now,
+		store:  &store{jobs: map[string]*records.Job{}, version: map[string]uint64{}},
+		leader: New(testSettings(), 1, now, nil, nil),
+		seen:   map[string]uint64{},
+	}
+	m.leader.SetAuthority(now.Add(time.Hour))
+	return m
+}
+
+// submit stores a job.
+func (m *limitsModel) submit(t *rapid.T, step int) {
+	s := wire.Submission{ID: fmt.Sprintf("run-%d", step), Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal,
+		Tasks: rapid.IntRange(1, 8).Draw(t, "tasks"), CPUs: rapid.Float64Range(0.5, 6).Draw(t, "cpus"), MemoryGB: 1, Spot: true}
+	switch rapid.IntRange(0, 3).Draw(t, "rule") {
+	case 0:
+		s.Spread = true
+	case 1:
+		s.OneZone = true
+	case 2:
+		s.Kind, s.Tasks = wire.KindService, 2
+	}
+	m.store.put(&records.Job{ID: s.ID, Spec: s})
+}
+
+// changeAssignment has an owner close an assignment or send it back.
+func (m *limitsModel) changeAssignment(t *rapid.T) {
+	for id, stored := range m.store.jobs {
+		if len(stored.Assignments) == 0 || rapid.Bool().Draw(t, "skip") {
+			continue
+		}
+		job := stored.Clone()
+		i := rapid.IntRange(0, len(job.Assignments)-1).Draw(t, "assignment")
+		if rapid.Bool().Draw(t, "close") {
+			job.Assignments[i].Closed = true
+		} else if !job.Assignments[i].Closed {
+			job.Assignments = append(job.Assignments[:i], job.Assignments[i+1:]...)
+		}
+		job.ID = id
+		m.store.put(job)
+		return
+	}
+}
+
+// feed has the leader read all records and new aggregates.
+func (m *limitsModel) feed() {
+	for id, job := range m.store.jobs {
+		if m.store.version[id] > m.seen[id] {
+			m.seen[id] = m.store.version[id]
+			m.leader.ApplyJob(m.now, id, job, m.store.version[id])
+		}
+	}
+	for _, zone := range []string{"a", "b", "c"} {
+		m.leader.ApplyAggregate(m.now, testAggregate(zone, m.store.rev, 16, 2))
+	}
+}
+
+// applyLateCommit applies the oldest late commit.
+func (m *limitsModel) applyLateCommit() {
+	if len(m.lateCommits) > 0 {
+		m.store.try(m.lateCommits[0])
+		m.lateCommits = m.lateCommits[1:]
+	}
+}
+
+// settle draws what becomes of a commit.
+func (m *limitsModel) settle(t *rapid.T, commit Commit) {
+	revision := uint64(0)
+	switch rapid.IntRange(0, 3).Draw(t, "fate") {
+	case 0, 1:
+		if m.store.try(commit) {
+			revision = m.store.rev
+		}
+	case 2: // applied, the reply lost
+		m.store.try(commit)
+	case 3: // applied later, or never
+		m.lateCommits = append(m.lateCommits, commit)
+	}
+	m.leader.ApplyCommitResult(m.now, commit.JobID, commit.Urgent, revision)
+}
+
+// check checks the records in the store against the quota limit and the zone rules.
+func (m *limitsModel) check(t *rapid.T) {
+	use := 0.0
+	for _, job := range m.store.jobs {
+		zones := map[string]int{}
+		at := 0
+		for _, a := range job.Assignments {
+			if a.From < at {
+				t.Fatalf("%s: assignments overlap: %+v", job.ID, job.Assignments)
+			}
+			at = a.To
+			if !a.Closed {
+				use += float64(a.Tasks()) * job.Spec.CPUs
+				zones[a.Shard] += a.Tasks()
+			}
+		}
+		for zone, n := range zones {
+			if job.Spec.Spread && n > (job.Spec.Tasks+1)/2 {
+				t.Fatalf("%s: %d of %d tasks in %s", job.ID, n, job.Spec.Tasks, zone)
+			}
+		}
+		if job.Spec.OneZone && len(zones) > 1 {
+			t.Fatalf("%s: one zone, but %v", job.ID, zones)
+		}
+	}
+	if use > 20+1e-6 {
+		t.Fatalf("team uses %g of 20 CPUs", use)
+	}
+}
+
+// Whatever replies are lost and whatever is written late, the tasks in open
+// assignments never exceed a team's quota limit, nor a job's zone rules.
+func TestLimitsHoldUnderLostAndLateWrites(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := newLimitsModel()
+		for step := range rapid.IntRange(5, 40).Draw(t, "steps") {
+			m.now = m.now.Add(time.Duration(rapid.IntRange(1, 900).Draw(t, "ms")) * time.Millisecond)
+			switch rapid.IntRange(0, 4).Draw(t, "what") {
+			case 0:
+				m.submit(t, step)
+			case 1:
+				m.changeAssignment(t)
+			case 2:
+				m.feed()
+			case 3:
+				m.applyLateCommit()
+			}
+			for _, commit := range m.leader.Step(m.now) {
+				m.settle(t, commit)
+			}
+			m.check(t)
+		}
+	})
+}
+
+// The quota reserved for a commit whose reply was lost is freed by the next record; it
+// must not count for as long as the job lives.
+func TestReservationEndsWithNewerRecord(t *testing.T) {
+	now := time.Unix(1000, 0)
+	c := New(testSettings(), 1, now, nil, nil)
+	c.SetAuthority(now.Add(time.Hour))
+	c.ApplyAggregate(now, testAggregate("a", 1, 64, 4))
+	job := &records.Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", Team: "t", Kind: wire.KindService, Priority: wire.PriorityNormal, Tasks: 2, CPUs: 5, MemoryGB: 1}}
+	c.ApplyJob(now, "run-1", job, 5)
+	commits := c.Step(now)
+	if len(commits) != 1 {
+		t.Fatalf("%d assignments", len(commits))
+	}
+	c.ApplyCommitResult(now, "run-1", false, 0) // the reply was lost, but it was written
+	if cpus := c.usedQuotaExcept("t", "").cpus; cpus != 10 {
+		t.Fatalf("%g CPUs counted while the write may still come, wanted 10", cpus)
+	}
+	c.ApplyJob(now, "run-1", decodeCommit(commits[0]), 6)
+	if cpus := c.usedQuotaExcept("t", "").cpus; cpus != 10 {
+		t.Fatalf("%g CPUs counted, wanted the 10 of the record", cpus)
+	}
+}
+
+// A service that needs all of its team's quota limit is admitted, though small ones of
+// the team are submitted all the time.
+func TestLargeServiceIsAdmitted(t *testing.T) {
+	now := time.Unix(1000, 0)
+	c := New(testSettings(), 1, now, nil, nil)
+	rev := uint64(0)
+	type run struct {
+		job *records.Job
+		end time.Time
+	}
+	jobs := map[string]*run{}
+	put := func(j *records.Job) {
+		rev++
+		c.ApplyJob(now, j.ID, j, rev)
+	}
+	submit := func(id string, tasks int) {
+		j := &records.Job{ID: id, AcceptedMS: now.UnixMilli(), Spec: wire.Submission{ID: id, Team: "t", Kind: wire.KindService, Priority: wire.PriorityNormal, Tasks: tasks, CPUs: 2, MemoryGB: 1}}
+		jobs[id] = &run{job: j, end: now.Add(40 * time.Second)}
+		put(j)
+	}
+	began := now
+	for i := 0; now.Sub(began) < 4*time.Minute; i++ {
+		c.SetAuthority(now.Add(time.Hour))
+		if i%10 == 0 {
+			submit(fmt.Sprintf("run-small-%d", i), 1)
+		}
+		if i == 100 {
+			submit("run-large", 10) // all 20 CPUs
+		}
+		for _, z := range []string{"a", "b", "c"} {
+			c.ApplyAggregate(now, testAggregate(z, rev, 64, 4))
+		}
+		for _, cm := range c.Step(now) {
+			if cm.JobID == "run-large" {
+				return
+			}
+			j := decodeCommit(cm)
+			jobs[cm.JobID].job, jobs[cm.JobID].end = j, now.Add(40*time.Second)
+			put(j)
+			c.ApplyCommitResult(now, cm.JobID, cm.Urgent, rev)
+		}
+		for _, r := range jobs { // services that have run for a while are cancelled and closed
+			if len(r.job.Assignments) > 0 && now.After(r.end) && r.job.End == "" {
+				r.job = r.job.Clone()
+				r.job.End = wire.JobCancelled
+				for k := range r.job.Assignments {
+					r.job.Assignments[k].Closed = true
+				}
+				put(r.job)
+			}
+		}
+		now = now.Add(200 * time.Millisecond)
+	}
+	t.Fatal("not admitted within four minutes")
+}
