--- a/constants/peers.go
+++ b/constants/peers.go
@@ -10,11 +10,11 @@
 	PeerBuffer = 8 << 10
 	// PeerTimeout bounds a call to another controller.
 	PeerTimeout = 1500 * time.Millisecond
-	// CancellationsKept is how many of the latest cancellations are remembered at
+	// MinCancellationsKept is how many of the latest cancellations are remembered at
 	// least, to be named to a controller whose feed is behind (jobs): those of
 	// minutes at several a second, where a feed is behind by a lease's life.
-	CancellationsKept = 512
-	// StateSilence is when a controller that heard nothing from the state
+	MinCancellationsKept = 512
+	// StoreSilenceTimeout is when a controller that heard nothing from the state
 	// service counts as cut off from it.
-	StateSilence = 3 * time.Second
+	StoreSilenceTimeout = 3 * time.Second
 )
--- /dev/null
+++ b/controller/controller.go
@@ -0,0 +1,109 @@
+// Package controller is the controller process: its actors, the calls that they make, and
+// the servers that users, workers and other controllers call.
+//
+// The control actor (control.go) holds the controller's lease and starts and stops the
+// leader's actor and the actors of shard owners as the stored terms say. The monitor
+// (monitor.go) runs failure detection. Decisions are made in pure packages (member,
+// leader, shard, detector); the actors here give them messages and time, and carry out
+// what they decide.
+package controller
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"ravenport/actor"
+	"ravenport/apiserver"
+	"ravenport/constants"
+	"ravenport/kvstore"
+	"ravenport/records"
+	"ravenport/settings"
+)
+
+// ErrStalled ends a controller one of whose actors makes no progress.
+var ErrStalled = errors.New("controller: an actor makes no progress")
+
+// Controller is one controller without its servers.
+type Controller struct {
+	name         string
+	store        Store
+	control      *actor.Ref
+	apiServer    *actor.Ref
+	monitor      *actor.Ref // nil: failure detection is off
+	monitorPeers map[string]MonitorPeer
+	drainService *drainService // nil: draining is off
+	failures     chan error
+}
+
+// Start starts a controller's actors; they run until ctx ends. The error is that of an
+// invalid configuration of failure detection.
+func Start(ctx context.Context, set *settings.Settings, dependencies Dependencies) (*Controller, error) {
+	c := &Controller{
+		name:         set.Controller,
+		store:        dependencies.Store,
+		control:      actor.NewRef(),
+		apiServer:    actor.NewRef(),
+		monitorPeers: dependencies.Monitors,
+		failures:     make(chan error, 1),
+	}
+	if set.Detection != nil {
+		if err := c.startMonitor(ctx, set, dependencies); err != nil {
+			return nil, err
+		}
+	}
+	if set.Draining != nil {
+		c.drainService = &drainService{
+			name:        set.Controller,
+			control:     c.control,
+			store:       dependencies.Store,
+			cloud:       dependencies.Cloud,
+			peers:       dependencies.Drains,
+			stableAfter: set.Draining.Policy.StableAfter,
+		}
+	}
+	control := newControlActor(set, dependencies, c.control, c.apiServer, c.monitor)
+	feed := kvstore.NewFeed(dependencies.Store, set.WatchInterval(), func(update records.Update) { c.control.Tell(update) })
+	go c.apiServer.Run(ctx, apiserver.New(set, dependencies.Store, c.apiServer, c.control))
+	go c.control.Run(ctx, control)
+	go feed.Run(ctx)
+	go runEvery(ctx, constants.MembershipTickInterval, func(now time.Time) {
+		c.control.Tell(controlTick(now))
+		c.apiServer.Tell(apiserver.Tick(now))
+	})
+	return c, nil
+}
+
+// startMonitor starts failure detection.
+func (c *Controller) startMonitor(ctx context.Context, set *settings.Settings, dependencies Dependencies) error {
+	c.monitor = actor.NewRef()
+	monitor, err := newMonitorActor(set, dependencies, c.monitor, c.control, c.failures)
+	if err != nil {
+		return err
+	}
+	if dependencies.History != nil {
+		monitor.events.writer = actor.NewRef()
+		go monitor.events.writer.Run(ctx, historyWriter{dependencies.History})
+	}
+	go c.monitor.Run(ctx, monitor)
+	go runEvery(ctx, constants.MembershipTickInterval, func(now time.Time) { c.monitor.Tell(monitorTick(now)) })
+	return nil
+}
+
+// runEvery calls f at an interval until ctx ends.
+func runEvery(ctx context.Context, interval time.Duration, f func(now time.Time)) {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case now := <-ticker.C:
+			f(now)
+		}
+	}
+}
+
+// Failed delivers the error with which this controller must end because it cannot go on;
+// errors.Is(err, ErrStalled) holds.
+func (c *Controller) Failed() <-chan error { return c.failures }
--- /dev/null
+++ b/controller/detection.go
@@ -0,0 +1,69 @@
+package controller
+
+import (
+	"context"
+	"time"
+
+	"ravenport/actor"
+	"ravenport/constants"
+	"ravenport/detector"
+	"ravenport/watchdog"
+)
+
+// detectionState is what the control actor keeps for failure detection.
+type detectionState struct {
+	monitor    *actor.Ref // nil: failure detection is off
+	membership membershipView
+	redirects  *redirectTracker
+	revoking   bool // a revocation is being written
+	resigned   bool // this process ends its lease because an actor is stalled
+}
+
+// receiveDetectionMessage handles a message about failure detection.
+func (c *controlActor) receiveDetectionMessage(ctx context.Context, now time.Time, msg any) {
+	switch m := msg.(type) {
+	case []detector.RevocationProposal:
+		c.revokeFailed(ctx, now, m)
+	case revocationDone:
+		c.handleRevocationDone(m)
+	case membershipView:
+		c.detection.membership = m
+	case resignLease:
+		c.detection.resigned = true
+	}
+}
+
+// updateMonitor sends the monitor what it needs to know of the cluster.
+func (c *controlActor) updateMonitor(now time.Time) {
+	if c.detection.monitor == nil || !c.feed.synced {
+		return
+	}
+	view := clusterView{
+		incarnation:  c.lease.incarnation,
+		incarnations: map[string]uint64{},
+		unserved:     c.unservedBy(now),
+		actors:       map[string]*actor.Ref{"control": c.self, "api server": c.apiServer},
+		feed:         watchdog.Sample{Name: "feed", Handled: c.feed.revision, Pending: c.overdueReads(now)},
+	}
+	for _, p := range c.settings.Peers {
+		view.incarnations[p.Controller] = c.member.Incarnation(p.Controller)
+	}
+	for shard, owner := range c.roles.owners {
+		view.actors["owner of "+shard] = owner.ref
+	}
+	if c.roles.leader != nil {
+		view.actors["leader"] = c.roles.leader.ref
+	}
+	c.detection.monitor.Tell(view)
+}
+
+// overdueReads counts the revisions that the feed should have reached by now and has not.
+func (c *controlActor) overdueReads(now time.Time) int {
+	overdue := 0
+	for _, read := range c.authority.revisionReads {
+		if now.Sub(read.sentAt) > constants.WatchTimeout {
+			overdue++
+		}
+	}
+	return overdue
+}
--- /dev/null
+++ b/controller/drain_records.go
@@ -0,0 +1,49 @@
+package controller
+
+import (
+	"maps"
+	"slices"
+
+	"ravenport/drain"
+	"ravenport/records"
+	"ravenport/shard"
+)
+
+// drainRecords is what a controller knows of drains: the stored records, and the progress
+// that owners report.
+type drainRecords struct {
+	stored map[string]records.Change    // drains, disruption claims and terms of shards, by key
+	views  map[string]drain.ShardStatus // by shard
+}
+
+func newDrainRecords() drainRecords {
+	return drainRecords{stored: map[string]records.Change{}, views: map[string]drain.ShardStatus{}}
+}
+
+// apply applies a change from the feed.
+func (r *drainRecords) apply(change records.Change) {
+	switch change.Record.(type) {
+	case *records.Drain, *records.DisruptionClaim, *records.Term, *records.DamagedRecord:
+		r.stored[change.Key] = change
+	case nil:
+		delete(r.stored, change.Key)
+	}
+}
+
+// changes lists the stored records, for an owner that starts.
+func (r *drainRecords) changes() []records.Change {
+	return slices.Collect(maps.Values(r.stored))
+}
+
+// drainingConfig is what an owner here needs to drain machines.
+func (c *controlActor) drainingConfig() shard.DrainingConfig {
+	config := shard.DrainingConfig{
+		Shards:  c.settings.Deployment.Zones,
+		Budgets: c.settings.Draining.Budgets,
+		Policy:  c.settings.Draining.Policy,
+	}
+	if c.dependencies.drainingGuards != nil {
+		c.dependencies.drainingGuards(&config)
+	}
+	return config
+}
--- /dev/null
+++ b/controller/drain_service.go
@@ -0,0 +1,279 @@
+package controller
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	"ravenport/actor"
+	"ravenport/constants"
+	"ravenport/drain"
+	"ravenport/kvstore"
+	"ravenport/peer"
+	"ravenport/records"
+	"ravenport/wire"
+)
+
+// drainService answers operators' requests about drains. It runs beside the actors.
+type drainService struct {
+	name        string // of this controller
+	control     *actor.Ref
+	store       Store
+	cloud       Cloud
+	peers       map[string]DrainPeer
+	stableAfter time.Duration
+}
+
+// errActorTimeout says that an actor did not answer in time. Operators see its text.
+var errActorTimeout = errors.New("the controller is busy and did not answer in time")
+
+// request sends an actor a request and waits for its answer.
+func request[T any](ctx context.Context, to *actor.Ref, message func(answer chan<- T) any) (T, error) {
+	answer := make(chan T, 1)
+	to.Tell(message(answer))
+	select {
+	case got := <-answer:
+		return got, nil
+	case <-ctx.Done():
+		var none T
+		return none, errActorTimeout
+	}
+}
+
+func (s *drainService) snapshot(ctx context.Context) (drainSnapshot, error) {
+	return request(ctx, s.control, func(answer chan<- drainSnapshot) any { return drainSnapshotRequest{answer} })
+}
+
+// refusal returns a reply that says that nothing was done, and why.
+func refusal(field, format string, args ...any) peer.DrainReply {
+	return peer.DrainReply{Problem: &drain.FieldError{Field: field, Problem: fmt.Sprintf(format, args...)}}
+}
+
+// Answer answers a request about drains. An error means that it is not known whether
+// anything was done; a refusal is a reply.
+func (s *drainService) Answer(ctx context.Context, r peer.DrainRequest) (peer.DrainReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, constants.DrainCallTimeout)
+	defer cancel()
+	switch r.Op {
+	case peer.OpShardPlan:
+		plan, err := s.planShard(ctx, r.Shard, r.Selection)
+		return peer.DrainReply{ShardPlan: plan}, err
+	case peer.OpPlan, peer.OpStart:
+		return s.planOrStart(ctx, r)
+	case peer.OpStatus:
+		snapshot, err := s.snapshot(ctx)
+		return peer.DrainReply{Status: snapshot.status(s.name)}, err
+	case peer.OpPause, peer.OpResume, peer.OpCancel:
+		return s.changeState(ctx, r)
+	}
+	return refusal("op", "%q is nothing that can be asked of a drain", r.Op), nil
+}
+
+// planShard asks the owner of a shard here for its plan; nil if there is no owner here.
+func (s *drainService) planShard(ctx context.Context, shard string, selection records.Selection) (*drain.ShardPlan, error) {
+	owner, err := request(ctx, s.control, func(answer chan<- *actor.Ref) any { return ownerRequest{shard, answer} })
+	if err != nil || owner == nil {
+		return nil, err
+	}
+	plan, err := request(ctx, owner, func(answer chan<- drain.ShardPlan) any { return shardPlanRequest{selection, answer} })
+	if err != nil {
+		return nil, err
+	}
+	return &plan, nil
+}
+
+// planOrStart checks a selection and plans its drain; with OpStart the drain is then
+// written.
+func (s *drainService) planOrStart(ctx context.Context, r peer.DrainRequest) (peer.DrainReply, error) {
+	snapshot, err := s.snapshot(ctx)
+	if err != nil {
+		return peer.DrainReply{}, err
+	}
+	selection, problem := s.resolve(ctx, r, &snapshot)
+	if problem == nil {
+		problem = snapshot.inventory.Validate(&selection)
+	}
+	if problem != nil {
+		return peer.DrainReply{Problem: problem}, nil
+	}
+	plan := s.plan(ctx, &snapshot, selection)
+	reply := peer.DrainReply{Plan: &plan}
+	if r.Op == peer.OpPlan {
+		return reply, nil
+	}
+	if len(plan.MissingShards) > 0 {
+		return refusal("zone", "the owner of shard %s cannot be asked, or does not drain", plan.MissingShards[0]), nil
+	}
+	if obstacle := plan.FirstPermanentObstacle(); obstacle != nil {
+		return refusal("budget", "a task of %s on %s can never be moved: %s", obstacle.JobID, obstacle.Machine, obstacle.Reason), nil
+	}
+	number, problem, err := s.start(ctx, &snapshot, selection)
+	if problem != nil || err != nil {
+		return peer.DrainReply{Problem: problem}, err
+	}
+	reply.Number = number
+	return reply, nil
+}
+
+// resolve turns a request into a selection. It ends with the last machine that is known
+// now, so that machines of later scale-outs are no part of it.
+func (s *drainService) resolve(ctx context.Context, r peer.DrainRequest, snapshot *drainSnapshot) (records.Selection, *drain.FieldError) {
+	selection := r.Selection
+	namesNothing := len(selection.Machines)+len(selection.Zones)+len(selection.Types) == 0 && selection.Spot == nil && r.MinAgeS == 0
+	if namesNothing && !r.MatchAll {
+		return selection, &drain.FieldError{Field: "selection", Problem: "names no machine, zone, type, kind or age; say so if all machines are meant"}
+	}
+	if r.MinAgeS < 0 {
+		return selection, &drain.FieldError{Field: "rented-before", Problem: "must not be negative"}
+	}
+	if r.MinAgeS == 0 {
+		if n := len(snapshot.inventory.Machines); n > 0 {
+			selection.LastMachine = snapshot.inventory.Machines[n-1].Name
+		}
+		return selection, nil
+	}
+	last, problem := s.lastMachineOfAge(ctx, r.MinAgeS)
+	selection.LastMachine = last
+	return selection, problem
+}
+
+// lastMachineOfAge returns the last machine, by name, that is at least as old.
+func (s *drainService) lastMachineOfAge(ctx context.Context, minAgeS float64) (string, *drain.FieldError) {
+	machines, err := s.cloud.Machines(ctx)
+	if err != nil {
+		return "", &drain.FieldError{Field: "rented-before", Problem: "the cloud does not tell the machines' ages: " + err.Error()}
+	}
+	last := ""
+	for _, m := range machines {
+		if m.AgeS >= minAgeS {
+			last = max(last, m.Name)
+		}
+	}
+	if last == "" {
+		return "", &drain.FieldError{Field: "rented-before", Problem: "no machine is that old"}
+	}
+	return last, nil
+}
+
+// plan asks the owners of all shards that a selection may touch for their plans.
+func (s *drainService) plan(ctx context.Context, snapshot *drainSnapshot, selection records.Selection) drain.Plan {
+	var plans []drain.ShardPlan
+	var missing []string
+	for _, zone := range drain.SelectedZones(&selection, snapshot.inventory.Zones) {
+		plan := s.planOfOwner(ctx, snapshot.holders[zone], zone, selection)
+		if plan == nil {
+			missing = append(missing, zone)
+			continue
+		}
+		plans = append(plans, *plan)
+	}
+	return drain.MergePlans(plans, missing, s.stableAfter)
+}
+
+// planOfOwner asks the owner of a shard, here or at another controller, for its plan; nil
+// if it does not answer.
+func (s *drainService) planOfOwner(ctx context.Context, owner, shard string, selection records.Selection) *drain.ShardPlan {
+	if owner == s.name {
+		plan, _ := s.planShard(ctx, shard, selection)
+		return plan
+	}
+	p := s.peers[owner]
+	if p == nil {
+		return nil
+	}
+	reply, err := p.Drain(ctx, peer.DrainRequest{Op: peer.OpShardPlan, Shard: shard, Selection: selection})
+	if err != nil {
+		return nil
+	}
+	return reply.ShardPlan
+}
+
+// start writes a new drain under the next number, and deletes the oldest one if too many
+// are kept and it is over.
+func (s *drainService) start(ctx context.Context, snapshot *drainSnapshot, selection records.Selection) (int, *drain.FieldError, error) {
+	numbers := slices.Sorted(maps.Keys(snapshot.drains))
+	next := 1
+	for _, number := range append(numbers, snapshot.unreadable...) {
+		next = max(next, number+1)
+	}
+	record := records.Drain{
+		Selection:    selection,
+		State:        records.DrainRunning,
+		StartedS:     time.Now().Unix(),
+		MachineCount: len(snapshot.inventory.Select(&selection)),
+	}
+	key := records.KeyDrain(next)
+	txn := wire.Txn{
+		Conditions: []wire.Condition{{Key: key, Version: 0}},
+		Changes:    []wire.Change{{Put: key, Value: records.Encode(record)}},
+	}
+	if len(numbers) >= constants.MaxFinishedDrains {
+		oldest := snapshot.drains[numbers[0]]
+		if oldest.Record.(*records.Drain).State.IsTerminal() {
+			txn.Conditions = append(txn.Conditions, wire.Condition{Key: oldest.Key, Version: oldest.Version})
+			txn.Changes = append(txn.Changes, wire.Change{Delete: oldest.Key})
+		}
+	}
+	problem, err := s.commit(ctx, txn)
+	return next, problem, err
+}
+
+// commit writes what an operator requested.
+func (s *drainService) commit(ctx context.Context, txn wire.Txn) (*drain.FieldError, error) {
+	err := kvstore.RetryRateLimited(ctx, constants.DrainCallTimeout, constants.RetryBackoffMin, constants.RetryBackoffMin, func() error {
+		_, err := s.store.Commit(ctx, txn)
+		return err
+	})
+	var conflict *kvstore.ConflictError
+	if errors.As(err, &conflict) {
+		return &drain.FieldError{Field: "drain", Problem: "its record changed meanwhile; look at the status and ask again"}, nil
+	}
+	return nil, err
+}
+
+// changeState pauses, resumes or cancels a drain.
+func (s *drainService) changeState(ctx context.Context, r peer.DrainRequest) (peer.DrainReply, error) {
+	snapshot, err := s.snapshot(ctx)
+	if err != nil {
+		return peer.DrainReply{}, err
+	}
+	if slices.Contains(snapshot.unreadable, r.Number) {
+		return refusal("drain", "the record of drain %d cannot be read; it does nothing, and is not written over", r.Number), nil
+	}
+	stored, ok := snapshot.drains[r.Number]
+	if !ok {
+		return refusal("drain", "there is no drain %d", r.Number), nil
+	}
+	next := stored.Record.(*records.Drain).Clone()
+	if !applyOperation(next, r.Op) {
+		return refusal("drain", "drain %d is %s already", r.Number, next.State), nil
+	}
+	problem, err := s.commit(ctx, wire.Txn{
+		Conditions: []wire.Condition{{Key: stored.Key, Version: stored.Version}},
+		Changes:    []wire.Change{{Put: stored.Key, Value: records.Encode(next)}},
+	})
+	return peer.DrainReply{Number: r.Number, Problem: problem}, err
+}
+
+// applyOperation changes a drain's state as an operator requested, and returns whether
+// there was anything to change.
+func applyOperation(d *records.Drain, op peer.DrainOp) bool {
+	switch {
+	case d.State.IsTerminal():
+		return false
+	case op == peer.OpCancel:
+		d.State = records.DrainCancelled
+	case op == peer.OpPause && d.State == records.DrainRunning:
+		d.State = records.DrainPaused
+	case op == peer.OpResume && d.State != records.DrainRunning:
+		d.State = records.DrainRunning
+		d.StopReason = ""
+		d.ResumeCount++
+	default:
+		return false
+	}
+	return true
+}
--- /dev/null
+++ b/controller/drain_snapshot.go
@@ -0,0 +1,153 @@
+package controller
+
+import (
+	"maps"
+	"slices"
+	"strings"
+
+	"ravenport/actor"
+	"ravenport/disruption"
+	"ravenport/drain"
+	"ravenport/peer"
+	"ravenport/records"
+)
+
+// Messages about drains, to the control actor and to owners. Their answer channels are
+// buffered.
+type (
+	drainSnapshotRequest struct{ answer chan<- drainSnapshot }
+	// ownerRequest asks for the owner of a shard here; nil if there is none.
+	ownerRequest struct {
+		shard  string
+		answer chan<- *actor.Ref
+	}
+	// shardPlanRequest asks an owner how it would drain the machines of a selection.
+	shardPlanRequest struct {
+		selection records.Selection
+		answer    chan<- drain.ShardPlan
+	}
+)
+
+// receiveDrainMessage answers a request about drains, and returns whether a message is
+// one.
+func (c *controlActor) receiveDrainMessage(msg any) bool {
+	switch m := msg.(type) {
+	case drainSnapshotRequest:
+		m.answer <- c.drainSnapshot()
+	case ownerRequest:
+		var ref *actor.Ref
+		if owner := c.roles.owners[m.shard]; owner != nil {
+			ref = owner.ref
+		}
+		m.answer <- ref
+	default:
+		return false
+	}
+	return true
+}
+
+// drainSnapshot is what a request about drains is answered from.
+type drainSnapshot struct {
+	inventory  drain.Inventory
+	drains     map[int]records.Change // readable ones, by number
+	unreadable []int                  // numbers of damaged ones
+	views      map[string]drain.ShardStatus
+	holders    map[string]string // by shard: its owner, if that is alive
+}
+
+// drainSnapshot makes a snapshot of what is known here now.
+func (c *controlActor) drainSnapshot() drainSnapshot {
+	s := drainSnapshot{
+		inventory: drain.Inventory{Zones: c.settings.Deployment.Zones},
+		drains:    map[int]records.Change{},
+		views:     maps.Clone(c.drains.views),
+		holders:   map[string]string{},
+	}
+	for _, t := range c.machineTypes.known {
+		s.inventory.Types = append(s.inventory.Types, t.Name)
+	}
+	for _, page := range c.feed.inventory {
+		s.addMachines(page)
+	}
+	for _, change := range c.drains.stored {
+		s.addRecord(change)
+	}
+	slices.SortFunc(s.inventory.Machines, func(a, b drain.Machine) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(s.inventory.RunningDrains, func(a, b *records.Drain) int { return a.Number - b.Number })
+	slices.Sort(s.unreadable)
+	for _, zone := range c.settings.Deployment.Zones {
+		if name, alive := c.member.Holder(records.KeyShard(zone)); alive {
+			s.holders[zone] = name
+		}
+	}
+	return s
+}
+
+func (s *drainSnapshot) addMachines(page *records.InventoryPage) {
+	for _, m := range page.Machines() {
+		s.inventory.Machines = append(s.inventory.Machines, drain.Machine{Name: m.Name, Zone: page.Shard, Type: m.Type, Spot: m.Spot})
+	}
+}
+
+func (s *drainSnapshot) addRecord(change records.Change) {
+	switch r := change.Record.(type) {
+	case *records.Drain:
+		s.drains[r.Number] = change
+		if !r.State.IsTerminal() {
+			s.inventory.RunningDrains = append(s.inventory.RunningDrains, r)
+		}
+	case *records.DamagedRecord:
+		if number, ok := r.DrainNumber(); ok {
+			s.unreadable = append(s.unreadable, number)
+		}
+	}
+}
+
+// status returns the status of all drains, as seen by a controller.
+func (s *drainSnapshot) status(controller string) *peer.DrainStatus {
+	status := &peer.DrainStatus{Controller: controller, Drains: []peer.DrainView{}, Unreadable: s.unreadable, Budgets: s.budgetUsage()}
+	for _, number := range slices.Sorted(maps.Keys(s.drains)) {
+		status.Drains = append(status.Drains, s.drainView(s.drains[number].Record.(*records.Drain)))
+	}
+	return status
+}
+
+// drainView returns a drain with its progress in each shard.
+func (s *drainSnapshot) drainView(r *records.Drain) peer.DrainView {
+	view := peer.DrainView{
+		Number:       r.Number,
+		State:        r.State,
+		StopReason:   r.StopReason,
+		StartedS:     r.StartedS,
+		Machines:     r.MachineCount,
+		CanaryPassed: r.CanaryPassed,
+	}
+	if !r.State.IsTerminal() {
+		view.Remaining = len(s.inventory.Select(&r.Selection))
+	}
+	for _, zone := range s.inventory.Zones {
+		for _, progress := range s.views[zone].Drains {
+			if progress.Drain == r.Number {
+				view.Shards = append(view.Shards, progress)
+			}
+		}
+	}
+	return view
+}
+
+// budgetUsage returns each budget's usage once: the highest that any owner reports.
+func (s *drainSnapshot) budgetUsage() []disruption.Usage {
+	var budgets []disruption.Usage
+	for _, zone := range s.inventory.Zones {
+		for _, usage := range s.views[zone].BudgetUsage {
+			at := slices.IndexFunc(budgets, func(x disruption.Usage) bool { return x.Budget == usage.Budget })
+			switch {
+			case at < 0:
+				budgets = append(budgets, usage)
+			case usage.Unavailable > budgets[at].Unavailable:
+				budgets[at] = usage
+			}
+		}
+	}
+	return budgets
+}
--- a/controller/extension.go
+++ b/controller/extension.go
@@ -8,96 +8,80 @@
 	"ravenport/records"
 )
 
-// While nobody reaches the state service, controllers promise each other to
-// claim nothing, so that owners may go on answering their workers. The argument
-// is point 12 of docs/safety.md.
+// While nobody reaches the key-value store, controllers promise each other to acquire no
+// term, so that owners may go on answering their workers. The argument is point 12 of
+// docs/safety.md.
 
-// isStoreSilent says that nothing has come from the state service for a moment.
+// isStoreSilent says whether nothing has come from the key-value store for a moment.
 func (c *controlActor) isStoreSilent(now time.Time) bool {
-	return c.synced && now.Sub(c.storeContactAt) > constants.ExtensionStoreSilence
+	return c.feed.synced && now.Sub(c.lastStoreContact) > constants.ExtensionStoreSilence
 }
 
-// termsToExtend lists the terms for which lease extensions are asked now.
+// termsToExtend lists the terms for which lease extensions are requested now.
 func (c *controlActor) termsToExtend(now time.Time) []peer.HeldTerm {
-	if !c.isStoreSilent(now) || c.leaseID == 0 || len(c.set.Peers) == 0 {
+	if !c.isStoreSilent(now) || c.lease.id == 0 || len(c.settings.Peers) == 0 {
 		return nil
 	}
-	var out []peer.HeldTerm
-	for shard, o := range c.owners {
-		out = append(out, peer.HeldTerm{Key: records.KeyShard(shard), Term: o.term, Version: o.version})
+	var held []peer.HeldTerm
+	for shard, owner := range c.roles.owners {
+		held = append(held, peer.HeldTerm{Key: records.KeyShard(shard), Term: owner.term, Version: owner.version})
 	}
-	return out
+	return held
 }
 
-// grantExtension answers whether this controller claims nothing for a while.
+// grantExtension answers whether this controller promises to acquire nothing for a while.
 func (c *controlActor) grantExtension(now time.Time, s peer.Status) peer.StatusReply {
-	r := peer.StatusReply{Controller: c.set.Controller, LatestCancellation: c.cancellations.latest}
+	reply := peer.StatusReply{Controller: c.settings.Controller, LatestCancellation: c.cancellations.latest}
 	if c.cancellations.isCompleteSince(s.Revision) {
-		r.AllCancellationsListed, r.Cancellations = true, c.cancellations.since(s.Revision)
+		reply.AllCancellationsListed = true
+		reply.Cancellations = c.cancellations.since(s.Revision)
 	}
 	if !c.isStoreSilent(now) {
-		return r // it can ask the state service, and so could the other one
+		return reply // this one reaches the key-value store, and so could the other one
 	}
-	for _, h := range s.ExtensionRequest {
-		t, version := c.member.Term(h.Key)
-		holder, alive := c.member.Holder(h.Key)
-		if !alive || c.member.IsRevoked(holder) || holder != s.Controller || t.Number != h.Term || version != h.Version {
-			return r
-		}
-		if c.isAcquiring(now, h.Key) {
-			return r
+	for _, held := range s.ExtensionRequest {
+		if c.isAcquiring(now, held.Key) || !c.isCurrentHolder(s.Controller, held) {
+			return reply
 		}
 	}
-	c.noAcquisitionUntil = now.Add(constants.ExtensionTTL)
-	r.ExtensionGranted = true
-	return r
+	c.extension.noAcquisitionUntil = now.Add(constants.ExtensionTTL)
+	reply.ExtensionGranted = true
+	return reply
+}
+
+// isCurrentHolder says whether a controller holds a term as far as the feed has shown.
+func (c *controlActor) isCurrentHolder(controller string, held peer.HeldTerm) bool {
+	holder, alive := c.member.Holder(held.Key)
+	if !alive || holder != controller || c.member.IsRevoked(holder) {
+		return false
+	}
+	term, version := c.member.Term(held.Key)
+	return term.Number == held.Term && version == held.Version
 }
 
-// acquisitionsBlocked says that no claim may be made: this controller has promised, or
-// its forerunner, ended a moment ago, may have.
+// acquisitionsBlocked says whether no term may be acquired: this process has promised not
+// to, or the one before it, which ended a moment ago, may have.
 func (c *controlActor) acquisitionsBlocked(now time.Time) bool {
-	return now.Before(c.noAcquisitionUntil) || now.Sub(c.startedAt) < constants.ExtensionTTL
+	return now.Before(c.extension.noAcquisitionUntil) || now.Sub(c.startedAt) < constants.ExtensionTTL
 }
 
-// applyExtensionReply takes in what another controller answered. A lease extension counts from
-// before it was asked for, and only if this one knows of every cancellation that
-// the other may have told of: by its feed, or because the other named them. They
-// reach the owners here before the authority that they are a condition of.
-func (c *controlActor) applyExtensionReply(now time.Time, m peerStatusReply) {
+// applyExtensionReply takes over what another controller answered. A lease extension
+// counts from before it was requested, and only if this controller knows of every
+// cancellation that the other one may have confirmed: by its feed, or because the other
+// one listed them. They reach the owners here before the authority that they are a
+// condition of.
+func (c *controlActor) applyExtensionReply(m peerStatusReply) {
 	if !m.extensionRequested {
 		return
 	}
-	for _, x := range m.reply.Cancellations {
-		c.applyCancellation(x)
+	for _, cancellation := range m.reply.Cancellations {
+		c.applyCancellation(cancellation)
 	}
-	if m.err != nil || !m.reply.ExtensionGranted || !m.reply.AllCancellationsListed && m.reply.LatestCancellation > c.revision {
-		delete(c.extensions, m.controller)
+	knowsAll := m.reply.AllCancellationsListed || m.reply.LatestCancellation <= c.feed.revision
+	if m.err != nil || !m.reply.ExtensionGranted || !knowsAll {
+		delete(c.extension.grantedAt, m.controller)
 		return
 	}
-	c.extensions[m.controller] = m.sentAt
-	c.broadcastAuthority(now)
-}
-
-// ownerAuthorityEnd is when the authority of the owners here ends: as drawn out by
-// lease extensions of all other controllers, if there are.
-func (c *controlActor) ownerAuthorityEnd() time.Time {
-	u := c.authorityEnd()
-	if u.IsZero() || len(c.set.Peers) == 0 {
-		return u
-	}
-	var first time.Time
-	for _, p := range c.set.Peers {
-		q, ok := c.extensions[p.Controller]
-		if !ok {
-			return u
-		}
-		if first.IsZero() || q.Before(first) {
-			first = q
-		}
-	}
-	life := time.Duration(float64(min(c.authorityPeriod, constants.ExtensionTTL))*(1-constants.MaxClockDrift)) - constants.AuthorityMargin
-	if x := first.Add(life); x.After(u) {
-		return x
-	}
-	return u
+	c.extension.grantedAt[m.controller] = m.sentAt
+	c.broadcastAuthority()
 }
--- /dev/null
+++ b/controller/leader_actor.go
@@ -0,0 +1,109 @@
+package controller
+
+import (
+	"context"
+	"time"
+
+	"ravenport/actor"
+	"ravenport/constants"
+	"ravenport/leader"
+	"ravenport/records"
+)
+
+// leaderActor runs the leader's decisions in one term and carries them out.
+type leaderActor struct {
+	core        *leader.Core
+	store       Store
+	urgentStore Store // for assignments that users wait for by the second
+	self        *actor.Ref
+	control     *actor.Ref
+	pacer       stepPacer
+	stopped     bool // by a hand-over: nothing is done any more
+
+	revision   uint64
+	forecastAt time.Time
+}
+
+// newLeaderActor returns the leader's actor under the term of the given version.
+func newLeaderActor(c *controlActor, termVersion uint64, now time.Time) *leaderActor {
+	self := actor.NewRef()
+	a := &leaderActor{
+		core:        leader.New(c.settings, termVersion, now, c.feed.jobs, c.feed.jobVersions),
+		store:       c.dependencies.Background,
+		urgentStore: c.dependencies.Urgent,
+		self:        self,
+		control:     c.self,
+		pacer:       stepPacer{self: self},
+		revision:    c.feed.revision,
+	}
+	a.core.SetAuthority(c.authorityEnd())
+	if c.feed.packing {
+		a.core.EnablePacking()
+	}
+	return a
+}
+
+// Receive implements actor.Handler.
+func (a *leaderActor) Receive(ctx context.Context, msg any) {
+	if a.stopped {
+		return
+	}
+	if m, ok := msg.(stopRequest); ok {
+		a.stopped = true
+		m.stopped()
+		return
+	}
+	now := time.Now()
+	a.apply(now, msg)
+	if a.pacer.startStep(now, constants.LeaderRoundGap) {
+		a.step(ctx, now)
+	}
+}
+
+// apply gives a message's content to the core.
+func (a *leaderActor) apply(now time.Time, msg any) {
+	switch m := msg.(type) {
+	case records.Update:
+		for _, change := range m.Changes {
+			if job, ok := change.Record.(*records.Job); ok {
+				a.core.ApplyJob(now, job.ID, job, change.Version)
+			}
+		}
+		a.revision = m.Revision
+	case leader.Aggregate:
+		a.core.ApplyAggregate(now, m)
+	case authorityChanged:
+		a.core.SetAuthority(m.until)
+	case packingEnabled:
+		a.core.EnablePacking()
+	case assignmentDone:
+		if m.result.isInvalid() {
+			a.core.EnablePacking()
+		}
+		a.core.ApplyCommitResult(now, m.jobID, m.urgent, m.result.revision)
+	case wake:
+		a.pacer.noteWake(m)
+	}
+}
+
+// step decides what is to be assigned and starts writing it.
+func (a *leaderActor) step(ctx context.Context, now time.Time) {
+	for _, assignment := range a.core.Step(now) {
+		go a.commit(ctx, assignment)
+	}
+	if now.Sub(a.forecastAt) >= constants.ForecastInterval {
+		a.forecastAt = now
+		a.control.Tell(shardForecasts(a.core.BuildForecasts(now, a.revision)))
+	}
+	a.pacer.scheduleTick(constants.LeaderTick)
+}
+
+// commit writes an assignment. It runs beside the actor.
+func (a *leaderActor) commit(ctx context.Context, assignment leader.Commit) {
+	store := a.store
+	if assignment.Urgent {
+		store = a.urgentStore
+	}
+	result := commit(ctx, store, assignment.Txn, "assignment of "+assignment.JobID, assignment.Urgent)
+	a.self.Tell(assignmentDone{assignment.JobID, assignment.Urgent, result})
+}
--- a/controller/lease.go
+++ b/controller/lease.go
@@ -9,128 +9,145 @@
 
 	"ravenport/constants"
 	"ravenport/kvstore"
+	"ravenport/logkey"
 	"ravenport/records"
 	"ravenport/wire"
 )
 
-// freshen notes up to when the feed is known to hold every change.
-func (c *controlActor) advanceFreshness(now time.Time) {
-	kept := c.revisionReads[:0]
-	for _, r := range c.revisionReads {
-		if r.revision > c.revision {
-			kept = append(kept, r)
-		} else if r.sentAt.After(c.feedFreshAt) {
-			c.feedFreshAt = r.sentAt
-		}
+// receiveLeaseMessage handles the result of a call for the lease or its freshness, and
+// returns whether a message is one.
+func (c *controlActor) receiveLeaseMessage(now time.Time, msg any) bool {
+	switch m := msg.(type) {
+	case leaseGranted:
+		c.handleLeaseGranted(now, m)
+	case leaseRenewed:
+		c.handleLeaseRenewed(now, m)
+	case revisionRead:
+		c.handleRevisionRead(now, m)
+	default:
+		return false
 	}
-	c.revisionReads = kept
-	c.broadcastAuthority(now)
+	return true
 }
 
-// authorityEnd is when this controller's authority ends: its lease, and its
-// knowledge of cancellations, both counted from before they were asked for.
-func (c *controlActor) authorityEnd() time.Time {
-	if c.leaseID == 0 || c.leaseRequestedAt.IsZero() || c.feedFreshAt.IsZero() {
-		return time.Time{}
+// keepLease renews the lease, or requests one and registers this controller under it.
+func (c *controlActor) keepLease(ctx context.Context, now time.Time) {
+	if c.lease.callInFlight || now.Before(c.lease.nextCall) || !c.feed.synced || c.detection.resigned {
+		return
 	}
-	t := c.leaseRequestedAt
-	if c.feedFreshAt.Before(t) {
-		t = c.feedFreshAt
+	ttl := c.settings.Operator.LeaseTTL
+	c.lease.callInFlight = true
+	c.lease.nextCall = now.Add(ttl / constants.RenewalsPerTTL)
+	if c.lease.id == 0 {
+		c.startRegistration(ctx, now, ttl)
+		return
 	}
-	return t.Add(c.authorityPeriod)
+	lease := c.lease.id
+	go c.renewLease(ctx, now, lease)
 }
 
-func (c *controlActor) hasAuthority(now time.Time) bool {
-	return c.synced && now.Before(c.authorityEnd())
+// startRegistration requests a lease and then writes this controller's key under it.
+func (c *controlActor) startRegistration(ctx context.Context, now time.Time, ttl time.Duration) {
+	incarnation := rand.Uint64()>>1 | 1
+	record := records.Controller{Incarnation: incarnation, ReadsPacked: true}
+	if c.detection.monitor != nil {
+		record.LeaseTTLMS = ttl.Milliseconds()
+	}
+	version := c.member.RegistrationVersion(c.settings.Controller)
+	go func() {
+		lease, err := c.register(ctx, record, version, ttl)
+		c.self.Tell(leaseGranted{lease, incarnation, now, err})
+	}()
 }
 
-func (c *controlActor) broadcastAuthority(now time.Time) {
-	for _, o := range c.owners {
-		o.ref.Tell(authorityExtended(c.ownerAuthorityEnd()))
-	}
-	if c.leader != nil {
-		c.leader.ref.Tell(authorityExtended(c.authorityEnd()))
+// register requests a lease and commits this controller's record under it. It runs
+// beside the actor.
+func (c *controlActor) register(ctx context.Context, record records.Controller, version uint64, ttl time.Duration) (uint64, error) {
+	lease, err := c.dependencies.Store.Grant(ctx, ttl)
+	if err != nil {
+		return lease, err
 	}
+	// Conditional, so that a late copy from an earlier process can never replace this
+	// one's.
+	key := records.KeyController(c.settings.Controller)
+	_, err = c.dependencies.Unthrottled.Commit(ctx, wire.Txn{
+		Conditions: []wire.Condition{{Key: key, Version: version}},
+		Changes:    []wire.Change{{Put: key, Value: records.Encode(record), Lease: lease}},
+	})
+	return lease, err
 }
 
-// keepLease renews the lease, or gets one and puts this controller's key.
-func (c *controlActor) keepLease(ctx context.Context, now time.Time) {
-	if c.leaseCallInFlight || now.Before(c.nextLeaseCall) || !c.synced || c.detection.resigned {
+// renewLease renews the lease and then reads the store's revision, by which the feed's
+// freshness is measured. It runs beside the actor.
+func (c *controlActor) renewLease(ctx context.Context, sentAt time.Time, lease uint64) {
+	err := c.dependencies.Store.Renew(ctx, lease)
+	c.self.Tell(leaseRenewed{lease, sentAt, err})
+	if err != nil {
 		return
 	}
-	c.leaseCallInFlight = true
-	life := c.set.Operator.LeaseTTL
-	c.nextLeaseCall = now.Add(life / constants.RenewalsPerTTL)
-	sent := now
-	if c.leaseID == 0 {
-		inc := rand.Uint64()>>1 | 1
-		version := c.member.RegistrationVersion(c.set.Controller)
-		record := records.Controller{Incarnation: inc, ReadsPacked: true}
-		if c.detection.monitor != nil {
-			record.LeaseTTLMS = life.Milliseconds()
-		}
-		go func() {
-			lease, err := c.dependencies.Store.Grant(ctx, life)
-			if err == nil {
-				// Conditional, so that a late copy from an earlier process can
-				// never replace this one's.
-				key := records.KeyController(c.set.Controller)
-				_, err = c.dependencies.Unthrottled.Commit(ctx, wire.Txn{
-					Conditions: []wire.Condition{{Key: key, Version: version}},
-					Changes:    []wire.Change{{Put: key, Value: records.Encode(record), Lease: lease}},
-				})
-			}
-			c.self.Tell(leaseGranted{lease, inc, sent, err})
-		}()
-		return
-	}
-	lease := c.leaseID
-	go func() {
-		err := c.dependencies.Store.Renew(ctx, lease)
-		c.self.Tell(leaseRenewed{lease, sent, err})
-		if err == nil {
-			at := time.Now()
-			rev, err := c.dependencies.Store.Revision(ctx)
-			c.self.Tell(revisionRead{rev, at, err})
-		}
-	}()
+	readAt := time.Now()
+	revision, err := c.dependencies.Store.Revision(ctx)
+	c.self.Tell(revisionRead{revision, readAt, err})
 }
 
+// handleLeaseGranted handles the result of a registration.
 func (c *controlActor) handleLeaseGranted(now time.Time, m leaseGranted) {
-	c.leaseCallInFlight = false
+	c.lease.callInFlight = false
 	if m.err != nil {
-		slog.Info("no lease yet", "err", m.err)
-		c.nextLeaseCall = now.Add(constants.RetryBackoffMin + rand.N(constants.RetryBackoffMin))
+		slog.Info("registration under a lease failed", logkey.Err, m.err)
+		c.retryLeaseCall(now)
 		return
 	}
-	c.storeContactAt = now
-	c.leaseID, c.incarnation, c.leaseRequestedAt = m.lease, m.incarnation, m.sentAt
-	c.nextLeaseCall = now
-	slog.Info("lease obtained", "lease", m.lease)
-	if c.member.IsRevoked(c.set.Controller) && c.detection.monitor != nil {
+	c.lastStoreContact = now
+	c.lease.id = m.lease
+	c.lease.incarnation = m.incarnation
+	c.lease.requestedAt = m.sentAt
+	c.lease.nextCall = now
+	slog.Info("lease granted", logkey.Lease, m.lease)
+	if c.detection.monitor != nil && c.member.IsRevoked(c.settings.Controller) {
 		slog.Warn("this process was revoked before it knew of its lease")
 		c.endLease(c.latestAuthorityEnd().Add(constants.AuthorityMargin))
 		return
 	}
-	c.broadcastAuthority(now)
+	c.broadcastAuthority()
 }
 
+// handleLeaseRenewed handles the result of a renewal.
 func (c *controlActor) handleLeaseRenewed(now time.Time, m leaseRenewed) {
-	c.leaseCallInFlight = false
+	c.lease.callInFlight = false
 	switch {
-	case m.lease != c.leaseID: // given up meanwhile
+	case m.lease != c.lease.id: // given up meanwhile
 	case m.err == nil:
-		c.storeContactAt = now
-		if m.sentAt.After(c.leaseRequestedAt) {
-			c.leaseRequestedAt = m.sentAt
+		c.lastStoreContact = now
+		if m.sentAt.After(c.lease.requestedAt) {
+			c.lease.requestedAt = m.sentAt
 		}
-		c.broadcastAuthority(now)
+		c.broadcastAuthority()
 	case errors.Is(m.err, kvstore.ErrLeaseExpired):
 		// Others may hold this controller's terms by now. It begins anew.
-		slog.Warn("lease ended", "lease", m.lease)
+		slog.Warn("lease expired", logkey.Lease, m.lease)
 		c.endLease(now)
 	default:
-		slog.Info("renewal failed", "err", m.err)
-		c.nextLeaseCall = now.Add(constants.RetryBackoffMin + rand.N(constants.RetryBackoffMin))
+		slog.Info("lease renewal failed", logkey.Err, m.err)
+		c.retryLeaseCall(now)
+	}
+}
+
+// retryLeaseCall puts the next call for the lease off by a short random time.
+func (c *controlActor) retryLeaseCall(now time.Time) {
+	c.lease.nextCall = now.Add(constants.RetryBackoffMin + rand.N(constants.RetryBackoffMin))
+}
+
+// endLease stops everything that is done under the lease. The next one is requested at
+// retryAt at the earliest.
+func (c *controlActor) endLease(retryAt time.Time) {
+	c.lease.id = 0
+	c.lease.incarnation = 0
+	c.lease.requestedAt = time.Time{}
+	c.lease.nextCall = retryAt
+	clear(c.extension.grantedAt)
+	for shard := range c.roles.owners {
+		c.stopOwner(shard)
 	}
+	c.stopLeader()
 }
--- a/controller/monitor.go
+++ b/controller/monitor.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"log/slog"
 	"time"
@@ -11,92 +10,60 @@
 	"ravenport/constants"
 	"ravenport/detector"
 	"ravenport/history"
+	"ravenport/logkey"
 	"ravenport/peer"
 	"ravenport/settings"
 	"ravenport/watchdog"
 )
 
-// MonitorPeer is another controller as failure detection calls it.
-type MonitorPeer interface {
-	Heartbeat(ctx context.Context, m detector.Message) (detector.Message, error)
-	Probe(ctx context.Context, r peer.ProbeRequest) (peer.ProbeReply, error)
-}
-
-// History keeps membership events.
-type History interface {
-	Append(events ...history.Event) error
-}
-
-// ErrStalled ends a controller one of whose actors makes no progress.
-var ErrStalled = errors.New("controller: an actor makes no progress")
-
-// Messages to the monitor.
-type (
-	monitorTick   time.Time
-	peerHeartbeat struct { // another controller's heartbeat
-		message detector.Message
-		answer  chan<- peerHeartbeatAnswer // has room for the answer
-	}
-	peerHeartbeatAnswer struct {
-		message detector.Message
-		err     error
-	}
-	peerHeartbeatResult struct { // what came of a heartbeat of this one
-		controller string
-		message    detector.Message
-		err        error
-	}
-	ownHeartbeatRequest struct{ answer chan<- detector.Heartbeat } // has room for the answer
-	probeDone           struct {
-		probe     detector.Probe
-		heartbeat *detector.Heartbeat // nil: it failed
-	}
-	// clusterView is what the control actor knows and the monitor needs.
-	clusterView struct {
-		process  uint64            // this controller's; 0: it holds no lease
-		leases   map[string]uint64 // processes that hold the others' leases, by controller
-		unserved map[string]bool   // controllers whose workers come back to this one
-		actors   map[string]*actor.Ref
-		feed     watchdog.Sample
-	}
-	revocationSeen history.Event
-)
-
 // monitorActor runs failure detection: it exchanges heartbeats, makes probes, watches the
-// other actors, and hands what the detector proposes to the control actor, which
-// alone may act on it.
+// other actors, and sends what the detector proposes to the control actor, which alone
+// may act on it.
 type monitorActor struct {
-	name         string
-	set          *settings.Detection
-	leaseTTL     time.Duration // of this controller's lease
-	detector     *detector.Detector
-	watchdog     *watchdog.Watchdog
-	peers        map[string]MonitorPeer
-	history      *actor.Ref // nil: events are kept in memory alone
-	recentEvents []history.Event
-	self         *actor.Ref
-	control      *actor.Ref
-	failures     chan<- error // has room for one
+	name     string // of this controller
+	set      *settings.Detection
+	leaseTTL time.Duration // of this controller's lease
+	detector *detector.Detector
+	watchdog *watchdog.Watchdog
+	peers    map[string]MonitorPeer
+	self     *actor.Ref
+	control  *actor.Ref
 
 	view              clusterView
 	nextHeartbeat     time.Time
+	heartbeatInFlight map[string]bool // by controller
 	nextPublish       time.Time
-	heartbeatInFlight map[string]bool // a heartbeat is on its way, by controller
 	dropped           MessageCounts
-	exitAt            time.Time // when this process ends because an actor is stalled
-	stalled           []string
-	failureReported   bool
+	events            eventLog
+	stall             stallState
 }
 
-// newMonitorActor makes the monitor; the settings were checked when they were read.
-func newMonitorActor(set *settings.Settings, out Dependencies, self, control *actor.Ref, failed chan<- error) (*monitorActor, error) {
+// stallState is what follows from a stalled actor: this process ends its lease at once,
+// and itself once the lease has expired.
+type stallState struct {
+	actors   []string
+	exitAt   time.Time // zero: no actor is stalled
+	reported bool
+	failures chan<- error // buffered; ends the process
+}
+
+// newMonitorActor returns the monitor.
+func newMonitorActor(set *settings.Settings, dependencies Dependencies, self, control *actor.Ref, failures chan<- error) (*monitorActor, error) {
 	d, err := detector.New(set.DetectorConfig(), time.Now())
 	if err != nil {
 		return nil, err
 	}
 	return &monitorActor{
-		name: set.Controller, set: set.Detection, leaseTTL: set.Operator.LeaseTTL, detector: d, watchdog: watchdog.New(set.Detection.StallAfter),
-		peers: out.Monitors, self: self, control: control, failures: failed, heartbeatInFlight: map[string]bool{},
+		name:              set.Controller,
+		set:               set.Detection,
+		leaseTTL:          set.Operator.LeaseTTL,
+		detector:          d,
+		watchdog:          watchdog.New(set.Detection.StallAfter),
+		peers:             dependencies.Monitors,
+		self:              self,
+		control:           control,
+		heartbeatInFlight: map[string]bool{},
+		stall:             stallState{failures: failures},
 	}, nil
 }
 
@@ -121,36 +88,38 @@
 	case probeDone:
 		m.detector.HandleProbeResult(now, msg.probe, msg.heartbeat)
 	case revocationSeen:
-		m.recordEvent(history.Event(msg))
+		m.events.add(history.Event(msg))
 	}
 }
 
-// countDropped counts a message that the detector dropped.
+// countDropped counts a heartbeat that the detector dropped, and returns its error.
 func (m *monitorActor) countDropped(err error) error {
 	if err != nil {
 		m.dropped.add(err)
-		slog.Debug("heartbeat dropped", "err", err)
+		slog.Debug("heartbeat dropped", logkey.Err, err)
 	}
 	return err
 }
 
-func (m *monitorActor) setView(now time.Time, v clusterView) {
-	m.view = v
-	m.detector.SetIncarnation(v.process)
-	for node, process := range v.leases {
-		m.detector.SetLease(now, node, process)
-		m.detector.SetUnserved(now, node, v.unserved[node])
+// setView takes over what the control actor knows.
+func (m *monitorActor) setView(now time.Time, view clusterView) {
+	m.view = view
+	m.detector.SetIncarnation(view.incarnation)
+	for controller, incarnation := range view.incarnations {
+		m.detector.SetLease(now, controller, incarnation)
+		m.detector.SetUnserved(now, controller, view.unserved[controller])
 	}
 }
 
+// tick does what is due by time.
 func (m *monitorActor) tick(ctx context.Context, now time.Time) {
 	m.checkActors(now)
 	if !now.Before(m.detector.NextTick()) {
 		for _, p := range m.detector.Tick(now) {
 			go m.probe(ctx, p)
 		}
-		for _, c := range m.detector.TakeStateChanges() {
-			m.recordChange(now, c)
+		for _, change := range m.detector.TakeStateChanges() {
+			m.recordChange(now, change)
 		}
 	}
 	if m.detector.IsRefutationPending() || !now.Before(m.nextHeartbeat) {
@@ -163,166 +132,87 @@
 	}
 }
 
-// checkActors looks for stalled actors. With one, this process gives up its lease and ends
-// once that has run out.
+// checkActors looks for stalled actors. With one, this process gives up its lease, and
+// ends once that has expired.
 func (m *monitorActor) checkActors(now time.Time) {
 	samples := []watchdog.Sample{m.view.feed}
 	for name, ref := range m.view.actors {
-		p := ref.Progress()
-		samples = append(samples, watchdog.Sample{Name: name, Handled: p.Handled, Pending: p.Pending})
+		progress := ref.Progress()
+		samples = append(samples, watchdog.Sample{Name: name, Handled: progress.Handled, Pending: progress.Pending})
 	}
 	stalled := m.watchdog.Observe(now, samples)
 	m.detector.SetStalled(stalled)
-	if len(stalled) > 0 && m.exitAt.IsZero() {
+	if len(stalled) > 0 && m.stall.exitAt.IsZero() {
 		slog.Error("an actor makes no progress: the lease is given up", "actors", stalled)
-		m.stalled, m.exitAt = stalled, now.Add(m.leaseTTL)
+		m.stall.actors = stalled
+		m.stall.exitAt = now.Add(m.leaseTTL)
 		m.control.Tell(resignLease{})
 	}
-	if !m.exitAt.IsZero() && !now.Before(m.exitAt) && !m.failureReported {
-		m.failureReported = true
-		m.failures <- fmt.Errorf("%w: %v", ErrStalled, m.stalled)
+	m.stall.reportIfDue(now)
+}
+
+// reportIfDue ends the process, once, when its lease has expired.
+func (s *stallState) reportIfDue(now time.Time) {
+	if s.reported || s.exitAt.IsZero() || now.Before(s.exitAt) {
+		return
 	}
+	s.reported = true
+	s.failures <- fmt.Errorf("%w: %v", ErrStalled, s.actors)
 }
 
 // sendHeartbeats sends a heartbeat to every controller that has answered the one before.
 func (m *monitorActor) sendHeartbeats(ctx context.Context) {
 	message := m.detector.NextHeartbeat()
-	for node, p := range m.peers {
-		if m.heartbeatInFlight[node] {
+	for controller, p := range m.peers {
+		if m.heartbeatInFlight[controller] {
 			continue
 		}
-		m.heartbeatInFlight[node] = true
+		m.heartbeatInFlight[controller] = true
 		go func() {
 			ctx, cancel := context.WithTimeout(ctx, constants.PeerTimeout)
 			defer cancel()
 			answer, err := p.Heartbeat(ctx, message)
-			m.self.Tell(peerHeartbeatResult{node, answer, err})
+			m.self.Tell(peerHeartbeatResult{controller, answer, err})
 		}()
 	}
 }
 
-// probe carries out one probe. It runs beside the actor.
-func (m *monitorActor) probe(ctx context.Context, made detector.Probe) {
-	asked, request := made.Target, peer.ProbeRequest{Controller: m.name}
-	if made.Via != "" {
-		asked, request.Target = made.Via, made.Target
-	}
+// probe carries out one probe, directly or through another controller. It runs beside the
+// actor.
+func (m *monitorActor) probe(ctx context.Context, p detector.Probe) {
 	ctx, cancel := context.WithTimeout(ctx, m.set.ProbeTimeout)
 	defer cancel()
-	done := probeDone{probe: made}
-	if p := m.peers[asked]; p != nil {
-		if reply, err := p.Probe(ctx, request); err == nil {
+	called := p.Target
+	request := peer.ProbeRequest{Controller: m.name}
+	if p.Via != "" {
+		called = p.Via
+		request.Target = p.Target
+	}
+	done := probeDone{probe: p}
+	if client := m.peers[called]; client != nil {
+		if reply, err := client.Probe(ctx, request); err == nil {
 			done.heartbeat = reply.Heartbeat
 		}
 	}
 	m.self.Tell(done)
 }
 
-// recordChange logs a change of state and keeps it in the history.
-func (m *monitorActor) recordChange(now time.Time, c detector.StateChange) {
-	e := history.Event{At: now, Observer: m.name, Controller: c.Controller, Incarnation: c.Incarnation, From: string(c.From), To: string(c.To),
-		Evidence: evidenceNames(c.Evidence), Accusers: c.Accusers}
-	log := slog.Info
-	if c.To == detector.Suspect || c.To == detector.Failed {
-		log = slog.Warn
-	}
-	log("controller's state changed", "node", e.Controller, "from", e.From, "to", e.To, "evidence", e.Evidence, "accusers", e.Accusers)
-	m.recordEvent(e)
-}
-
-func (m *monitorActor) recordEvent(e history.Event) {
-	m.recentEvents = append(m.recentEvents, e)
-	m.recentEvents = m.recentEvents[max(0, len(m.recentEvents)-constants.StatusEventCount):]
-	if m.history != nil {
-		m.history.Tell(e)
-	}
-}
-
-// historyWriter writes events to a file, where a slow disk keeps nobody waiting.
-type historyWriter struct{ file History }
-
-// Receive implements actor.Handler.
-func (a historyWriter) Receive(_ context.Context, msg any) {
-	e, ok := msg.(history.Event)
-	if !ok {
-		return
-	}
-	if err := a.file.Append(e); err != nil {
-		slog.Warn("membership event not kept", "err", err)
-	}
-}
-
-// publish hands the control actor what is seen and what is proposed.
+// publish sends the control actor what failure detection sees and proposes.
 func (m *monitorActor) publish(now time.Time) {
-	seen := membershipView{dropped: m.dropped}
+	view := membershipView{dropped: m.dropped, events: m.events.lines()}
 	for _, v := range m.detector.PeerViews(now) {
-		seen.members = append(seen.members, MemberStatus{
-			Controller: v.Controller, State: string(v.State), Evidence: evidenceNames(v.Evidence), Accusers: v.Accusers,
-			Refutation: v.Refutation, SilentMS: v.SilentFor.Milliseconds(), SilenceLimitMS: v.SilenceLimit.Milliseconds(),
+		view.members = append(view.members, MemberStatus{
+			Controller:     v.Controller,
+			State:          string(v.State),
+			Evidence:       evidenceNames(v.Evidence),
+			Accusers:       v.Accusers,
+			Refutation:     v.Refutation,
+			SilentMS:       v.SilentFor.Milliseconds(),
+			SilenceLimitMS: v.SilenceLimit.Milliseconds(),
 		})
 	}
-	for _, e := range m.recentEvents {
-		seen.events = append(seen.events, e.String())
-	}
-	m.control.Tell(seen)
+	m.control.Tell(view)
 	if proposals := m.detector.Proposals(now); m.set.Revoke && len(proposals) > 0 {
 		m.control.Tell(proposals)
 	}
 }
-
-func evidenceNames(evidence []detector.Evidence) []string {
-	var out []string
-	for _, e := range evidence {
-		out = append(out, string(e))
-	}
-	return out
-}
-
-// MessageCounts counts heartbeats that were dropped, by reason.
-type MessageCounts struct {
-	Unknown   uint64 `json:"unknown_controller"`
-	Malformed uint64 `json:"malformed"`
-}
-
-func (c *MessageCounts) add(err error) {
-	switch {
-	case errors.Is(err, detector.ErrUnknownController):
-		c.Unknown++
-	case errors.Is(err, detector.ErrMalformedMessage):
-		c.Malformed++
-	}
-}
-
-// HandlePeerHeartbeat takes in another controller's heartbeat and answers with this one's.
-func (n *Controller) HandlePeerHeartbeat(ctx context.Context, m detector.Message) (detector.Message, error) {
-	answer := make(chan peerHeartbeatAnswer, 1)
-	n.monitor.Tell(peerHeartbeat{m, answer})
-	select {
-	case a := <-answer:
-		return a.message, a.err
-	case <-ctx.Done():
-		return detector.Message{}, ctx.Err()
-	}
-}
-
-// HandlePeerProbe answers with this controller's heartbeat, or with that of the controller
-// that it is asked to probe.
-func (n *Controller) HandlePeerProbe(ctx context.Context, r peer.ProbeRequest) (peer.ProbeReply, error) {
-	if target := n.monitorPeers[r.Target]; target != nil {
-		return target.Probe(ctx, peer.ProbeRequest{Controller: n.name})
-	}
-	if r.Target != "" && r.Target != n.name {
-		return peer.ProbeReply{}, fmt.Errorf("%w: %q", detector.ErrUnknownController, r.Target)
-	}
-	answer := make(chan detector.Heartbeat, 1)
-	n.monitor.Tell(ownHeartbeatRequest{answer})
-	select {
-	case h := <-answer:
-		return peer.ProbeReply{Heartbeat: &h}, nil
-	case <-ctx.Done():
-		return peer.ProbeReply{}, ctx.Err()
-	}
-}
-
-// Failed tells when this controller must end because it cannot go on.
-func (n *Controller) Failed() <-chan error { return n.failures }
--- a/controller/push_test.go
+++ b/controller/push_test.go
@@ -38,11 +38,11 @@
 		}
 		c := newControlActor(w.controllers[0].set, out, actor.NewRef(), actor.NewRef(), nil)
 		for range 100 {
-			c.pushPending = true
+			c.push.pending = true
 			c.pushStatus(t.Context(), time.Now())
 			time.Sleep(200 * time.Millisecond)
 			synctest.Wait()
-			clear(c.pushInFlight) // answered
+			clear(c.push.inFlight) // answered
 		}
 		for name, p := range peers {
 			if n := p.told.Load(); n < 15 || n > 25 {
--- a/controller/roles.go
+++ b/controller/roles.go
@@ -2,225 +2,207 @@
 
 import (
 	"context"
-	"errors"
 	"log/slog"
 	"time"
 
 	"ravenport/actor"
 	"ravenport/apiserver"
 	"ravenport/constants"
-	"ravenport/kvstore"
 	"ravenport/leader"
-	"ravenport/member"
+	"ravenport/logkey"
 	"ravenport/records"
 )
 
+// runningActor is the actor of a role that runs here, under one term.
 type runningActor struct {
 	ref    *actor.Ref
 	cancel context.CancelFunc
 	term   uint64
+	// version is the store's version of an owner's term.
+	version uint64
+}
 
+// heldTerm is a term that this process holds, and the store's version of it.
+type heldTerm struct {
+	number  uint64
 	version uint64
 }
 
+// term returns the term under key, and whether this process holds it.
+func (c *controlActor) term(key string) (heldTerm, bool) {
+	term, version := c.member.Term(key)
+	held := version != 0 && c.lease.incarnation != 0 &&
+		term.Controller == c.settings.Controller && term.Incarnation == c.lease.incarnation
+	return heldTerm{number: term.Number, version: version}, held
+}
+
 // reconcileRoles starts and stops the leader and the owners as the terms say.
 func (c *controlActor) reconcileRoles(ctx context.Context, now time.Time) {
-	for _, shard := range c.set.Deployment.Zones {
-		key := records.KeyShard(shard)
-		t, version := c.member.Term(key)
-		mine := version != 0 && t.Controller == c.set.Controller && t.Incarnation == c.incarnation && c.incarnation != 0
-		o := c.owners[shard]
-		if o != nil && !mine {
-			slog.Info("shard lost", "shard", shard, "term", o.term, "to", t.Controller)
-			c.stopOwner(shard)
-		}
-		if t.Number > c.handedOver[key] {
-			delete(c.successors, shard)
-		}
-		if !mine || c.handedOver[key] >= t.Number {
-			continue
-		}
-		if o = c.owners[shard]; o != nil {
-			if o.term == t.Number {
-				continue
-			}
-			c.stopOwner(shard) // a term of its own begins anew, like any other's
+	for _, shard := range c.settings.Deployment.Zones {
+		c.reconcileOwner(ctx, now, shard)
+	}
+	c.reconcileLeader(ctx, now)
+}
+
+func (c *controlActor) reconcileOwner(ctx context.Context, now time.Time, shard string) {
+	key := records.KeyShard(shard)
+	current, held := c.term(key)
+	owner := c.roles.owners[shard]
+	if owner != nil && !held {
+		term, _ := c.member.Term(key)
+		slog.Info("shard lost", logkey.Shard, shard, logkey.Term, owner.term, logkey.Controller, term.Controller)
+		c.stopOwner(shard)
+	}
+	if current.number > c.terms.handedOver[key] {
+		delete(c.terms.successors, shard)
+	}
+	if !held || c.terms.handedOver[key] >= current.number {
+		return
+	}
+	if owner != nil {
+		if owner.term == current.number {
+			return
 		}
-		slog.Info("shard owned", "shard", shard, "term", t.Number)
-		c.startOwner(ctx, now, shard, t.Number, version)
-	}
-	t, version := c.member.Term(records.KeyLeader)
-	mine := version != 0 && t.Controller == c.set.Controller && t.Incarnation == c.incarnation && c.incarnation != 0 &&
-		c.handedOver[records.KeyLeader] < t.Number
-	if c.leader != nil && (!mine || c.leader.term != t.Number) {
-		slog.Info("leadership lost", "term", c.leader.term)
+		c.stopOwner(shard) // a further term of this controller's begins anew, like any other
+	}
+	slog.Info("shard acquired", logkey.Shard, shard, logkey.Term, current.number)
+	c.startOwner(ctx, now, shard, current)
+}
+
+func (c *controlActor) reconcileLeader(ctx context.Context, now time.Time) {
+	current, held := c.term(records.KeyLeader)
+	held = held && c.terms.handedOver[records.KeyLeader] < current.number
+	if c.roles.leader != nil && (!held || c.roles.leader.term != current.number) {
+		slog.Info("leadership lost", logkey.Term, c.roles.leader.term)
 		c.stopLeader()
 	}
-	if mine && c.leader == nil {
-		slog.Info("leading", "term", t.Number)
-		c.leaderSince = now
-		ctx, cancel := context.WithCancel(ctx)
-		a := &leaderActor{core: leader.New(c.set, version, now, c.jobs, c.jobVersions), store: c.dependencies.Background, urgentStore: c.dependencies.Urgent, self: actor.NewRef(), control: c.self, revision: c.revision}
-		a.core.SetAuthority(c.authorityEnd())
-		if c.packing {
-			a.core.EnablePacking()
-		}
-		c.leader = &runningActor{ref: a.self, cancel: cancel, term: t.Number}
-		for _, s := range c.shardStatuses {
-			a.self.Tell(s.aggregate)
-		}
-		go a.self.Run(ctx, a)
+	if held && c.roles.leader == nil {
+		slog.Info("leadership acquired", logkey.Term, current.number)
+		c.startLeader(ctx, now, current)
 	}
 }
 
-func (c *controlActor) startOwner(ctx context.Context, now time.Time, shard string, term, version uint64) {
+// startLeader starts the leader of a term.
+func (c *controlActor) startLeader(ctx context.Context, now time.Time, term heldTerm) {
 	ctx, cancel := context.WithCancel(ctx)
-	inventory, inventoryV := map[string]*records.InventoryPage{}, map[string]uint64{}
-	for k, r := range c.inventory {
-		if r.Shard == shard {
-			inventory[k], inventoryV[k] = r, c.inventoryVersions[k]
-		}
+	a := newLeaderActor(c, term.version, now)
+	c.roles.leaderSince = now
+	c.roles.leader = &runningActor{ref: a.self, cancel: cancel, term: term.number}
+	for _, s := range c.roles.shardStatuses {
+		a.self.Tell(s.aggregate)
 	}
-	a := newShardActor(c, shard, term, version, now, inventory, inventoryV)
-	for _, x := range c.cancellations.since(c.revision) {
-		a.self.Tell(apiserver.JobCancelled{JobID: x.JobID, Revision: x.Revision})
+	go a.self.Run(ctx, a)
+}
+
+// startOwner starts the owner of a shard in a term.
+func (c *controlActor) startOwner(ctx context.Context, now time.Time, shard string, term heldTerm) {
+	ctx, cancel := context.WithCancel(ctx)
+	a := newShardActor(c, shard, term, now)
+	for _, cancellation := range c.cancellations.since(c.feed.revision) {
+		a.self.Tell(apiserver.JobCancelled{JobID: cancellation.JobID, Revision: cancellation.Revision})
 	}
-	c.owners[shard] = &runningActor{ref: a.self, cancel: cancel, term: term, version: version}
-	clear(c.extensions) // they were given for other terms
+	c.roles.owners[shard] = &runningActor{ref: a.self, cancel: cancel, term: term.number, version: term.version}
+	clear(c.extension.grantedAt) // they were granted for other terms
 	go func() {
+		defer a.workers.Close()
 		a.self.Run(ctx, a)
-		a.workers.Close()
 	}()
 }
 
-// stopLeader ends the leader here, if there is one. Its forecast is told no more.
+// stopLeader ends the leader here, if there is one. Its forecasts are sent no more.
 func (c *controlActor) stopLeader() {
-	if c.leader == nil {
+	if c.roles.leader == nil {
 		return
 	}
-	c.forecasts = nil
-	c.leader.cancel()
-	c.leader = nil
+	c.roles.forecasts = nil
+	c.roles.leader.cancel()
+	c.roles.leader = nil
 }
 
 // stopOwner ends the owner of a shard here, if there is one.
 func (c *controlActor) stopOwner(shard string) {
-	if o := c.owners[shard]; o != nil {
-		o.ref.Tell(authorityExtended(time.Time{}))
-		o.cancel()
-		delete(c.owners, shard)
-		delete(c.shardStatuses, shard)
-		delete(c.drainRecords.views, shard)
+	owner := c.roles.owners[shard]
+	if owner == nil {
+		return
 	}
+	owner.ref.Tell(authorityChanged{})
+	owner.cancel()
+	delete(c.roles.owners, shard)
+	delete(c.roles.shardStatuses, shard)
+	delete(c.drains.views, shard)
 }
 
-// allPeersSilent says that no other controller was heard from, though some live.
-func (c *controlActor) allPeersSilent(now time.Time) bool {
-	return c.allPeersSilentBy(now, func(v peerView) time.Time { return v.lastContact })
-}
-
-// noPeerStatus says that no other controller has told its status, though some live and
-// may answer. Guards against a leader that others cannot call: it would know the
-// figures of its own shards alone, and give those all work.
-func (c *controlActor) noPeerStatus(now time.Time) bool {
-	return c.allPeersSilentBy(now, func(v peerView) time.Time { return v.lastStatus })
+// tellOwners sends a message to every owner here.
+func (c *controlActor) tellOwners(msg any) {
+	for _, owner := range c.roles.owners {
+		owner.ref.Tell(msg)
+	}
 }
 
-// allPeersSilentBy says that some other controller lives, and that the last sign of each was
-// too long ago.
-func (c *controlActor) allPeersSilentBy(now time.Time, last func(peerView) time.Time) bool {
-	alive := false
-	for _, p := range c.set.Peers {
-		alive = alive || c.member.IsAlive(p.Controller)
-		if now.Sub(last(c.peerViews[p.Controller])) < constants.PeerSilenceTimeout {
-			return false
-		}
+// tellLeader sends a message to the leader, if it runs here.
+func (c *controlActor) tellLeader(msg any) {
+	if c.roles.leader != nil {
+		c.roles.leader.ref.Tell(msg)
 	}
-	return alive
 }
 
-// handOverUnusable gives up a term that this controller cannot make use of.
-func (c *controlActor) handOverUnusable(ctx context.Context, now time.Time, key string) {
-	cl, ok := c.member.TransferAway(now, key)
-	if !ok || c.isAcquiring(now, key) || !c.hasAuthority(now) {
-		return
+// receiveShardMessage handles a message that comes from an owner here, and returns
+// whether it is one.
+func (c *controlActor) receiveShardMessage(now time.Time, msg any) bool {
+	switch m := msg.(type) {
+	case shardStatus:
+		c.handleShardStatus(now, m)
+	case newTermRequest:
+		c.renewTerm(now, m.shard)
+	case shardUnreachable:
+		c.handOverUnreachableShard(now, m)
+	default:
+		return false
 	}
-	slog.Warn("cut off: handing on", "key", key, "to", cl.NewHolder)
-	c.handOver(now, cl)
+	return true
 }
 
-// renewTerm gives an owner here a new term before the numbers of its own run out. Like
-// any hand-over it begins with the owner's stop.
-func (c *controlActor) renewTerm(now time.Time, shard string) {
-	key := records.KeyShard(shard)
-	if c.owners[shard] == nil || c.isAcquiring(now, key) || !c.hasAuthority(now) || c.acquisitionsBlocked(now) {
-		return // it asks again
-	}
-	slog.Info("the term's numbers are used up: claiming a new one", "shard", shard, "term", c.owners[shard].term)
-	c.handOver(now, c.member.AcquisitionFor(key, c.set.Controller))
-}
-
-// handOver ends what this controller does under a term before another begins.
-// The claim that hands the term on is sent only once the actor has said that
-// it stopped: reports that still wait in its mailbox must not be answered
-// after the next owner has begun to count the workers' leases.
-func (c *controlActor) handOver(now time.Time, cl member.TermAcquisition) {
-	t, _ := c.member.Term(cl.Key)
-	c.handedOver[cl.Key] = t.Number
-	c.acquiring[cl.Key] = now
-	done := func(end context.CancelFunc) func() {
-		return func() { end(); c.self.Tell(actorStopped{cl}) }
-	}
-	for _, shard := range c.set.Deployment.Zones {
-		if o := c.owners[shard]; records.KeyShard(shard) == cl.Key && o != nil {
-			o.ref.Tell(stopRequest{done(o.cancel)})
-			delete(c.owners, shard)
-			delete(c.shardStatuses, shard)
-			return
+// handleShardStatus keeps an owner's figures and passes them on.
+func (c *controlActor) handleShardStatus(now time.Time, m shardStatus) {
+	c.push.pending = true
+	if m.counts != nil {
+		if m.summary.Partitioned || !m.summary.Rebuilt {
+			c.terms.unstableAt[records.KeyShard(m.shard)] = now
 		}
+		c.apiServer.Tell(apiserver.ShardCounts{Shard: m.shard, ByJob: m.counts})
+	} else {
+		previous := c.roles.shardStatuses[m.shard]
+		m.counts = previous.counts
+		m.summary = previous.summary
+		m.drains = previous.drains
 	}
-	if cl.Key == records.KeyLeader && c.leader != nil {
-		c.leader.ref.Tell(stopRequest{done(c.leader.cancel)})
-		c.leader = nil
-		return
-	}
-	c.self.Tell(actorStopped{cl})
+	c.drains.views[m.shard] = m.drains
+	c.roles.shardStatuses[m.shard] = m
+	c.tellLeader(m.aggregate)
+	c.tellOwners([]leader.Aggregate{m.aggregate})
 }
 
-// isAcquiring says that a claim for key is under way, or was made a moment ago. It
-// must end by itself: an owner that once claimed its shard could never hand it on.
-func (c *controlActor) isAcquiring(now time.Time, key string) bool {
-	at, ok := c.acquiring[key]
-	return ok && now.Sub(at) < constants.StoreTimeout+time.Second
-}
-
-func (c *controlActor) startAcquisition(ctx context.Context, now time.Time, cl member.TermAcquisition) {
-	if c.isAcquiring(now, cl.Key) {
-		return
-	}
-	c.acquiring[cl.Key] = now
-	go func() {
-		err := c.acquire(ctx, cl)
-		c.self.Tell(acquisitionDone{cl, err})
-	}()
+// allPeersSilent says whether no other controller made contact lately, though some live.
+func (c *controlActor) allPeersSilent(now time.Time) bool {
+	return c.allPeersSilentBy(now, func(v peerView) time.Time { return v.lastContact })
 }
 
-// acquire writes a claim. One that is refused for rate alone is tried again at
-// once: until it stands nobody owns the shard. It runs beside the actor.
-func (c *controlActor) acquire(ctx context.Context, cl member.TermAcquisition) error {
-	return kvstore.RetryRateLimited(ctx, constants.AcquisitionRetryTime, constants.RetryBackoffMin/4, constants.RetryBackoffMin/4, func() error {
-		_, err := c.dependencies.Unthrottled.Commit(ctx, cl.Txn)
-		return err
-	})
+// noPeerStatus says whether no other controller has sent its status lately, though some
+// live and may answer this one's. Guards against a leader that others cannot call: it
+// would know the figures of its own shards alone, and give those all work.
+func (c *controlActor) noPeerStatus(now time.Time) bool {
+	return c.allPeersSilentBy(now, func(v peerView) time.Time { return v.lastStatus })
 }
 
-func (c *controlActor) handleAcquisitionDone(now time.Time, m acquisitionDone) {
-	if m.err == nil || errors.Is(m.err, kvstore.ErrOutcomeUnknown) {
-		// The feed tells what came of it; until then nothing else is tried,
-		// for a little while.
-		c.acquiring[m.acquisition.Key] = now.Add(-constants.StoreTimeout)
-		return
+// allPeersSilentBy says whether some other controller lives, and the last sign of each
+// other one was too long ago.
+func (c *controlActor) allPeersSilentBy(now time.Time, lastSign func(peerView) time.Time) bool {
+	someAlive := false
+	for _, p := range c.settings.Peers {
+		if now.Sub(lastSign(c.peers[p.Controller])) < constants.PeerSilenceTimeout {
+			return false
+		}
+		someAlive = someAlive || c.member.IsAlive(p.Controller)
 	}
-	delete(c.acquiring, m.acquisition.Key)
-	slog.Info("claim failed", "key", m.acquisition.Key, "to", m.acquisition.NewHolder, "err", m.err)
+	return someAlive
 }
--- /dev/null
+++ b/controller/shard_actor.go
@@ -0,0 +1,256 @@
+package controller
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"ravenport/actor"
+	"ravenport/apiserver"
+	"ravenport/constants"
+	"ravenport/drain"
+	"ravenport/httpwire"
+	"ravenport/leader"
+	"ravenport/logkey"
+	"ravenport/records"
+	"ravenport/settings"
+	"ravenport/shard"
+	"ravenport/wire"
+)
+
+// shardActor runs the decisions of a shard's owner in one term and carries them out.
+type shardActor struct {
+	core    *shard.Core
+	shard   string
+	store   Store
+	cloud   Cloud
+	workers Workers
+	self    *actor.Ref
+	control *actor.Ref
+	pacer   stepPacer
+	stopped bool // by a hand-over: heartbeats are refused, and nothing else is done
+
+	revision       uint64
+	statusAt       time.Time // when the status was last sent,
+	summaryAt      time.Time // and when with counts and summary
+	reachabilityAt time.Time // when it was last checked whether the machines are reachable
+	list           machineListState
+}
+
+// machineListState is when the cloud's list of machines was last read.
+type machineListState struct {
+	readAt  time.Time
+	reading bool
+	size    int // machines on the last list
+}
+
+// newShardActor returns the actor of a shard's owner in a term.
+func newShardActor(c *controlActor, name string, term heldTerm, now time.Time) *shardActor {
+	self := actor.NewRef()
+	a := &shardActor{
+		shard:    name,
+		store:    c.dependencies.Background,
+		cloud:    c.dependencies.Cloud,
+		workers:  c.dependencies.Workers(),
+		self:     self,
+		control:  c.self,
+		pacer:    stepPacer{self: self},
+		revision: c.feed.revision,
+	}
+	inventory, inventoryVersions := c.feed.inventoryOf(name)
+	a.core = shard.New(shardConfig(c.settings, name), term.number, term.version, now,
+		c.machineTypes.known, c.feed.jobs, c.feed.jobVersions, inventory, inventoryVersions)
+	a.core.SetAuthority(c.authorityEnd())
+	if c.feed.packing {
+		a.core.EnablePacking()
+	}
+	if c.settings.Draining != nil {
+		a.core.StartDraining(now, c.drainingConfig(), c.feed.jobs, c.drains.changes())
+	}
+	a.self.Tell(wake{})
+	return a
+}
+
+// shardConfig derives the configuration of a shard's owner from the settings.
+func shardConfig(set *settings.Settings, name string) shard.Config {
+	limits := set.StoreLimits()
+	workers := set.Deployment.Workers
+	return shard.Config{
+		Shard:               name,
+		HeartbeatPeriod:     set.HeartbeatPeriod(),
+		LeaseExpiry:         set.WorkerLeaseExpiry(),
+		LeaseExtension:      set.LeaseExtension(),
+		SpotIdleTimeout:     set.Operator.SpotIdleTimeout,
+		OnDemandIdleTimeout: set.Operator.OnDemandIdleTimeout,
+		UseSpot:             set.Operator.UseSpot,
+		CloseBeforeScaleIn:  set.Duties.CordonBeforeScaleIn,
+		GangStartTimeout:    settings.Seconds(workers.GangWaitTimeoutS),
+		GangPeerTimeout:     settings.Seconds(workers.GangPeerTimeoutS),
+		CloudListLag:        time.Duration(set.Deployment.Cloud.ListLagS * float64(time.Second)),
+		SizeLimits:          set.RecordSizeLimits(),
+		MaxTxnOps:           limits.TxnOps,
+		MaxWritesPerSecond:  max(limits.WriteRPS, 1),
+		CloudCallInterval:   set.CloudCallInterval(),
+		JobOrder:            leader.NewJobOrder(set.Deployment.Objectives),
+		RoundBudget:         set.RoundBudget(),
+		MaxDirectCommands:   set.SocketLimits().DirectCommands,
+	}
+}
+
+// Receive implements actor.Handler.
+func (a *shardActor) Receive(ctx context.Context, msg any) {
+	if a.stopped {
+		if m, ok := msg.(workerHeartbeat); ok {
+			refuseHeartbeat(m)
+		}
+		return
+	}
+	if m, ok := msg.(stopRequest); ok {
+		a.stopped = true
+		m.stopped()
+		return
+	}
+	now := time.Now()
+	if !a.apply(now, msg) {
+		return
+	}
+	if a.pacer.startStep(now, constants.MinOwnerStepInterval) {
+		a.step(ctx, now)
+	}
+}
+
+// apply gives a message's content to the core, and returns whether a step may follow.
+func (a *shardActor) apply(now time.Time, msg any) bool {
+	switch m := msg.(type) {
+	case records.Update:
+		for _, change := range m.Changes {
+			a.core.Apply(now, change)
+		}
+		a.revision = m.Revision
+	case apiserver.JobCancelled:
+		a.core.ApplyCancellation(m.JobID)
+	case workerHeartbeat:
+		a.handleHeartbeat(now, m)
+	case authorityChanged:
+		a.core.SetAuthority(m.until)
+	case packingEnabled:
+		a.core.EnablePacking()
+	case leader.Forecast:
+		a.core.ApplyForecast(now, m)
+	case machineTypesRead:
+		a.core.SetTypes(m.types)
+	case wake:
+		a.pacer.noteWake(m)
+	case misroutedHeartbeats:
+		a.core.ApplyMisroutedHeartbeats(now, m.machines, m.allPeersHeard)
+		return false
+	case []leader.Aggregate:
+		a.core.ApplyOtherShards(now, m)
+		return false
+	case shardPlanRequest:
+		m.answer <- a.core.PlanDrain(now, &m.selection)
+		return false
+	default:
+		a.applyResult(now, msg)
+	}
+	return true
+}
+
+// applyResult gives the result of a call to the core.
+func (a *shardActor) applyResult(now time.Time, msg any) {
+	switch m := msg.(type) {
+	case shardCommitDone:
+		if m.result.isInvalid() {
+			a.core.CommitInvalid(m.id)
+		}
+		a.core.CommitResult(now, m.id, m.result.revision)
+	case commandDone:
+		if m.result.Err != nil {
+			slog.Debug("direct command unanswered", logkey.Machine, m.machine, logkey.Err, m.result.Err)
+		}
+		a.core.CommandResult(now, m.machine, m.result.Heartbeat)
+	case scaleOutDone:
+		a.core.ScaleOutResult(now, m.requestID, m.machines, m.err != nil)
+	case scaleInDone:
+		a.core.ScaleInResult(now, m.machines)
+	case machinesListed:
+		a.list.reading = false
+		if m.err == nil {
+			a.list.size = len(m.machines)
+			a.core.ApplyMachineList(now, m.machines)
+		}
+	}
+}
+
+// handleHeartbeat answers a worker's heartbeat, if the owner may.
+func (a *shardActor) handleHeartbeat(now time.Time, m workerHeartbeat) {
+	reply, ok := a.core.Heartbeat(now, m.heartbeat)
+	if !ok {
+		refuseHeartbeat(m)
+		return
+	}
+	m.req.Respond(&httpwire.Response{Status: 200, Body: records.Encode(reply)})
+}
+
+// step decides what is to be done, and starts it.
+func (a *shardActor) step(ctx context.Context, now time.Time) {
+	for _, action := range a.core.Step(now) {
+		a.perform(ctx, action)
+	}
+	a.sendStatus(now)
+	a.checkReachability(now)
+	a.readMachineList(ctx, now)
+	a.pacer.scheduleTick(constants.MaxOwnerStepInterval)
+}
+
+// sendStatus sends the control actor this shard's figures when they are due.
+func (a *shardActor) sendStatus(now time.Time) {
+	age := now.Sub(a.statusAt)
+	due := age > constants.MaxPushInterval || age > a.core.PushInterval() && a.core.PushDue()
+	if !due {
+		return
+	}
+	a.statusAt = now
+	status := shardStatus{shard: a.shard, aggregate: a.core.Aggregate(now, a.revision)}
+	if now.Sub(a.summaryAt) >= constants.MaxPushInterval {
+		a.summaryAt = now
+		status.counts = a.core.TaskCounts()
+		status.summary = a.core.Summary(now)
+		status.drains = drain.ShardStatus{Shard: a.shard, Drains: a.core.DrainProgress(), BudgetUsage: a.core.Usage(now)}
+	}
+	a.control.Tell(status)
+	if a.core.IsTermNearlyExhausted() {
+		a.control.Tell(newTermRequest{a.shard})
+	}
+}
+
+// checkReachability tells the control actor if all machines are silent. It looks at the
+// whole fleet, so it is not done at each step.
+func (a *shardActor) checkReachability(now time.Time) {
+	if now.Sub(a.reachabilityAt) < constants.ScaleInScanInterval {
+		return
+	}
+	a.reachabilityAt = now
+	if silent, misrouted := a.core.IsIsolated(now); silent {
+		a.control.Tell(shardUnreachable{shard: a.shard, heartbeatsMisrouted: misrouted})
+	}
+}
+
+// readMachineList reads the cloud's list of machines when that is due. A long list is read
+// less often, except while the shard is unreachable: the list tells whether its machines
+// are cut off or gone.
+func (a *shardActor) readMachineList(ctx context.Context, now time.Time) {
+	interval := constants.CloudListInterval
+	if !a.core.IsPartitioned() {
+		interval *= time.Duration(1 + a.list.size/wire.MaxMachinesListed)
+	}
+	if a.list.reading || now.Sub(a.list.readAt) <= interval {
+		return
+	}
+	a.list.reading = true
+	a.list.readAt = now
+	go func() {
+		machines, err := a.cloud.Machines(ctx)
+		a.self.Tell(machinesListed{machines, err})
+	}()
+}
--- /dev/null
+++ b/controller/shard_calls.go
@@ -0,0 +1,79 @@
+package controller
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"math/rand/v2"
+	"time"
+
+	"ravenport/cloud"
+	"ravenport/constants"
+	"ravenport/logkey"
+	"ravenport/shard"
+	"ravenport/wire"
+	"ravenport/worker"
+)
+
+// perform starts what the core decided. Its results come back as messages.
+func (a *shardActor) perform(ctx context.Context, action shard.Action) {
+	switch action := action.(type) {
+	case shard.SendCommands:
+		a.workers.Send(ctx, action.Addr, action.Request, func(r worker.Result) {
+			a.self.Tell(commandDone{action.Machine, r})
+		})
+	case shard.CloseConnection:
+		a.workers.Forget(action.Addr)
+	case shard.Commit:
+		go a.commit(ctx, action)
+	case shard.ScaleOut:
+		go a.scaleOut(ctx, action.Request)
+	case shard.ScaleIn:
+		go a.scaleIn(ctx, action.Names)
+	}
+}
+
+// commit writes a record. It runs beside the actor, as scaleOut and scaleIn do.
+func (a *shardActor) commit(ctx context.Context, write shard.Commit) {
+	result := commit(ctx, a.store, write.Txn, write.ID.String(), false)
+	a.self.Tell(shardCommitDone{write.ID, result})
+}
+
+// scaleOut requests machines from the cloud.
+func (a *shardActor) scaleOut(ctx context.Context, request wire.ScaleOutRequest) {
+	var machines []string
+	err := retryCloudCall(ctx, "scale out", func() error {
+		names, err := a.cloud.ScaleOut(ctx, request)
+		machines = names
+		return err
+	})
+	a.self.Tell(scaleOutDone{request.RequestID, machines, err})
+}
+
+// scaleIn gives machines back to the cloud.
+func (a *shardActor) scaleIn(ctx context.Context, machines []string) {
+	err := retryCloudCall(ctx, "scale in", func() error { return a.cloud.ScaleIn(ctx, machines) })
+	if err == nil {
+		a.self.Tell(scaleInDone{machines})
+	}
+}
+
+// retryCloudCall repeats a call to the cloud until it is answered or ctx ends.
+func retryCloudCall(ctx context.Context, call string, do func() error) error {
+	backoff := constants.RetryBackoffMin
+	for {
+		err := do()
+		if !errors.Is(err, cloud.ErrTransient) {
+			return err
+		}
+		slog.Info("cloud call failed", "call", call, logkey.Err, err)
+		timer := time.NewTimer(backoff/2 + rand.N(backoff))
+		select {
+		case <-ctx.Done():
+			timer.Stop()
+			return ctx.Err()
+		case <-timer.C:
+		}
+		backoff = min(2*backoff, constants.RetryBackoffMax)
+	}
+}
--- a/controller/status.go
+++ b/controller/status.go
@@ -3,11 +3,11 @@
 import (
 	"encoding/json"
 	"log/slog"
-	"time"
-
 	"ravenport/httpwire"
+	"ravenport/logkey"
 	"ravenport/records"
 	"ravenport/shard"
+	"time"
 )
 
 // Status is what /status answers: this controller's view, for operators.
@@ -53,40 +53,59 @@
 	Summary   *shard.Summary `json:"summary,omitempty"`
 }
 
+// role returns who holds the term under key.
 func (c *controlActor) role(key string) Role {
-	t, _ := c.member.Term(key)
+	term, _ := c.member.Term(key)
 	_, alive := c.member.Holder(key)
-	return Role{Controller: t.Controller, Term: t.Number, Alive: alive}
+	return Role{Controller: term.Controller, Term: term.Number, Alive: alive}
 }
 
+// answerStatus answers with this controller's view.
 func (c *controlActor) answerStatus(now time.Time, req httpRequest) {
-	s := Status{Controller: c.set.Controller, Zone: c.set.Zone, StoreReachable: c.storeReachable(now), Revision: c.revision, OpenJobs: len(c.jobs), Leader: c.role(records.KeyLeader)}
-	if u := c.authorityEnd(); now.Before(u) {
-		s.AuthorityMS = u.Sub(now).Milliseconds()
+	body, err := json.MarshalIndent(c.statusView(now), "", "  ")
+	if err != nil {
+		slog.Error("encoding the status failed", logkey.Err, err)
 	}
-	for _, j := range c.jobs {
-		if j.End == "" && len(j.Unassigned()) > 0 {
-			s.Unassigned++
-		}
+	req.Respond(&httpwire.Response{Status: 200, Body: append(body, '\n')})
+}
+
+func (c *controlActor) statusView(now time.Time) Status {
+	view := Status{
+		Controller:     c.settings.Controller,
+		Zone:           c.settings.Zone,
+		StoreReachable: c.storeReachable(now),
+		Revision:       c.feed.revision,
+		OpenJobs:       len(c.feed.jobs),
+		Leader:         c.role(records.KeyLeader),
 	}
-	for _, name := range c.set.Deployment.Zones {
-		p := ShardStatus{Shard: name, Owner: c.role(records.KeyShard(name))}
-		for _, r := range c.inventory {
-			if r.Shard == name {
-				p.Inventory += len(r.Machines())
-			}
-		}
-		if st, ok := c.shardStatuses[name]; ok {
-			p.Summary = &st.summary
+	if end := c.authorityEnd(); now.Before(end) {
+		view.AuthorityMS = end.Sub(now).Milliseconds()
+	}
+	for _, job := range c.feed.jobs {
+		if job.End == "" && len(job.Unassigned()) > 0 {
+			view.Unassigned++
 		}
-		s.Shards = append(s.Shards, p)
+	}
+	for _, name := range c.settings.Deployment.Zones {
+		view.Shards = append(view.Shards, c.shardView(name))
 	}
 	if c.detection.monitor != nil {
-		s.Members, s.Dropped, s.Events = c.detection.membership.members, &c.detection.membership.dropped, c.detection.membership.events
+		view.Members = c.detection.membership.members
+		view.Dropped = &c.detection.membership.dropped
+		view.Events = c.detection.membership.events
 	}
-	body, err := json.MarshalIndent(s, "", "  ")
-	if err != nil {
-		slog.Error("encoding the status", "err", err)
+	return view
+}
+
+func (c *controlActor) shardView(name string) ShardStatus {
+	view := ShardStatus{Shard: name, Owner: c.role(records.KeyShard(name))}
+	for _, page := range c.feed.inventory {
+		if page.Shard == name {
+			view.Inventory += len(page.Machines())
+		}
 	}
-	req.Respond(&httpwire.Response{Status: 200, Body: append(body, '\n')})
+	if status, ok := c.roles.shardStatuses[name]; ok {
+		view.Summary = &status.summary
+	}
+	return view
 }
--- a/controller/term_test.go
+++ b/controller/term_test.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"ravenport/actor"
-	"ravenport/records"
 )
 
 // An owner whose term's numbers run out goes on under a new term of its own, and what
@@ -39,7 +38,7 @@
 			Cloud: &simCloud{w.controllers[0]}, Workers: func() Workers { return &simCommands{w.controllers[0]} }, Peers: map[string]Peer{}}
 		control := actor.NewRef()
 		c := newControlActor(w.controllers[0].set, out, control, actor.NewRef(), nil)
-		a := newShardActor(c, "a", 3, 7, time.Now(), map[string]*records.InventoryPage{}, map[string]uint64{})
+		a := newShardActor(c, "a", heldTerm{number: 3, version: 7}, time.Now())
 		a.core.LimitTermCounters(0, 0)
 		for range 5 {
 			time.Sleep(2 * time.Second)
--- a/controller/unserved.go
+++ b/controller/unserved.go
@@ -1,51 +1,46 @@
 package controller
 
-import "time"
+import (
+	"time"
 
-// redirectedWorker is a worker that reported here and was sent to the owner of its shard.
-type redirectedWorker struct {
-	epoch, seq   uint64 // of its latest report here
-	owner        string // the controller that it was last sent to
-	redirectedAt time.Time
-	returned     bool // it came back with a newer report after it was sent there
-}
+	"ravenport/constants"
+	"ravenport/records"
+)
 
-// redirectTracker notices workers that come back to this controller after they were
-// sent to their owner: they were not served there. A late copy of a report is no
-// newer than the last one, and does not count.
-type redirectTracker struct {
-	window  time.Duration // how long a visit counts
-	workers map[string]redirectedWorker
+// unservedBy says of which controllers too many workers come back here after they were
+// redirected to them as their owner. It is held against nobody while this controller
+// cannot know who the owners are, nor for a while after.
+func (c *controlActor) unservedBy(now time.Time) map[string]bool {
+	if !c.hasAuthority(now) {
+		c.detection.redirects.reset()
+		return nil
+	}
+	unserved := map[string]bool{}
+	for controller, machines := range c.detection.redirects.countReturned(now) {
+		unserved[controller] = machines >= c.unservedThreshold(controller)
+	}
+	return unserved
 }
 
-func newRedirectTracker(window time.Duration) *redirectTracker {
-	return &redirectTracker{window: window, workers: map[string]redirectedWorker{}}
+// unservedThreshold is how many of a controller's machines must come back here to count
+// against it: one in RecentHeartbeatShare, rounded up, and never fewer than MinUnservedMachines.
+func (c *controlActor) unservedThreshold(controller string) int {
+	share := (c.machinesOf(controller) + constants.RecentHeartbeatShare - 1) / constants.RecentHeartbeatShare
+	return max(constants.MinUnservedMachines, share)
 }
 
-// record notes that a worker's report came here and was answered with its owner.
-func (r *redirectTracker) record(now time.Time, worker string, session, sequence uint64, to string) {
-	before, known := r.workers[worker]
-	if known && (session < before.epoch || session == before.epoch && sequence <= before.seq) {
-		return
+// machinesOf counts the machines of the shards that a controller owns.
+func (c *controlActor) machinesOf(controller string) int {
+	owned := map[string]bool{}
+	for _, zone := range c.settings.Deployment.Zones {
+		holder, alive := c.member.Holder(records.KeyShard(zone))
+		owned[zone] = alive && holder == controller
 	}
-	again := known && before.owner == to && now.Sub(before.redirectedAt) <= r.window
-	r.workers[worker] = redirectedWorker{session, sequence, to, now, again}
-}
-
-// reset drops everything: while this controller may not know who the owners are, it
-// holds nothing against them.
-func (r *redirectTracker) reset() { clear(r.workers) }
-
-// countReturned is how many workers came back lately, by the controller they were sent to.
-func (r *redirectTracker) countReturned(now time.Time) map[string]int {
-	back := map[string]int{}
-	for worker, s := range r.workers {
-		switch {
-		case now.Sub(s.redirectedAt) > r.window:
-			delete(r.workers, worker)
-		case s.returned:
-			back[s.owner]++
+	machines := 0
+	for _, zone := range c.feed.shardByMachine {
+		if owned[zone] {
+			machines++
 		}
 	}
-	return back
+	return machines
 }
--- a/internal/loopback/failover_figures_test.go
+++ b/internal/loopback/failover_figures_test.go
@@ -18,7 +18,7 @@
 }
 
 // stateChangeLine is a line of a controller's log about another one's state.
-var stateChangeLine = regexp.MustCompile(`^time=(\S+) .*msg="controller's state changed" node=(\S+) from=\S+ to=(\S+) evidence=(\[.*?\]|"\[.*?\]")`)
+var stateChangeLine = regexp.MustCompile(`^time=(\S+) .*msg="controller's state changed" controller=(\S+) from=\S+ to=(\S+) evidence=(\[.*?\]|"\[.*?\]")`)
 
 // readStateChanges reads from the controllers' logs when others noticed a failure.
 func (f *fleet) readStateChanges(began time.Time, failed string, harmless bool) failover {
