--- a/leader/order.go
+++ b/leader/order.go
@@ -12,6 +12,12 @@
 	"ravenport/wire"
 )
 
+// Kinds of settings.Objective: on the time until a job has finished, and until it starts.
+const (
+	objectiveOnFinish = "finished"
+	objectiveOnStart  = "wait"
+)
+
 // starvationFactor: a job that would finish after so many times its class's last
 // objective is ranked as if it had missed none, since what has waited longest must not
 // starve.
@@ -31,11 +37,11 @@
 	o := JobOrder{finishObjectives: map[string][]time.Duration{}, startObjectives: map[string]time.Duration{}}
 	for _, objective := range objectives {
 		within := settings.Seconds(objective.WithinS)
-		if objective.Kind == "finished" && objective.WithinS > 0 {
+		if objective.Kind == objectiveOnFinish && objective.WithinS > 0 {
 			o.finishObjectives[objective.Class] = append(o.finishObjectives[objective.Class], within)
 		}
 		shortest := o.startObjectives[objective.Class]
-		if objective.Kind == "wait" && within > 0 && (shortest == 0 || within < shortest) {
+		if objective.Kind == objectiveOnStart && within > 0 && (shortest == 0 || within < shortest) {
 			o.startObjectives[objective.Class] = within
 		}
 	}
