--- /dev/null
+++ b/httpwire/body.go
@@ -0,0 +1,101 @@
+package httpwire
+
+import (
+	"bytes"
+	"strconv"
+	"strings"
+)
+
+const (
+	// maxChunkLine bounds the line with a chunk's size and extensions (bytes).
+	maxChunkLine = 256
+	// maxTrailerLine bounds a line of the trailers (bytes).
+	maxTrailerLine = 4096
+)
+
+// parseBody parses a body from the start of buf and returns the number of bytes used.
+// limit is the largest body (bytes); 0: no limit.
+func (f framing) parseBody(buf []byte, limit int) (body []byte, used int, complete bool, err error) {
+	if f.chunked {
+		return parseChunkedBody(buf, limit)
+	}
+	if limit > 0 && f.length > limit {
+		return nil, 0, false, ErrTooLarge
+	}
+	if len(buf) < f.length {
+		return nil, 0, false, nil
+	}
+	if f.length > 0 {
+		body = bytes.Clone(buf[:f.length])
+	}
+	return body, f.length, true, nil
+}
+
+// parseChunkedBody is parseBody for a chunked body.
+func parseChunkedBody(buf []byte, limit int) (body []byte, used int, complete bool, err error) {
+	at := 0
+	for {
+		size, n, err := parseChunkSize(buf[at:])
+		if err != nil || n == 0 {
+			return nil, 0, false, err
+		}
+		at += n
+		if size == 0 {
+			break
+		}
+		if limit > 0 && len(body)+size > limit {
+			return nil, 0, false, ErrTooLarge
+		}
+		end := at + size
+		if len(buf) < end+len(lineEnd) {
+			return nil, 0, false, nil
+		}
+		body = append(body, buf[at:end]...)
+		if !bytes.HasPrefix(buf[end:], lineEnd) {
+			return nil, 0, false, ErrMalformed
+		}
+		at = end + len(lineEnd)
+	}
+	n, err := skipTrailers(buf[at:])
+	if err != nil || n == 0 {
+		return nil, 0, false, err
+	}
+	return body, at + n, true, nil
+}
+
+// parseChunkSize parses the line before a chunk and returns the number of bytes used, 0
+// if the line is not complete yet.
+func parseChunkSize(buf []byte) (size, used int, err error) {
+	end := bytes.Index(buf, lineEnd)
+	if end < 0 {
+		if len(buf) > maxChunkLine {
+			return 0, 0, ErrMalformed
+		}
+		return 0, 0, nil
+	}
+	text, _, _ := strings.Cut(string(buf[:end]), ";")
+	parsed, err := strconv.ParseUint(strings.TrimSpace(text), 16, 31)
+	if err != nil {
+		return 0, 0, ErrMalformed
+	}
+	return int(parsed), end + len(lineEnd), nil
+}
+
+// skipTrailers returns the number of bytes of the trailers and the empty line after them,
+// 0 if they are not complete yet.
+func skipTrailers(buf []byte) (int, error) {
+	at := 0
+	for {
+		length := bytes.Index(buf[at:], lineEnd)
+		if length < 0 {
+			if len(buf)-at > maxTrailerLine {
+				return 0, ErrMalformed
+			}
+			return 0, nil
+		}
+		at += length + len(lineEnd)
+		if length == 0 {
+			return at, nil
+		}
+	}
+}
--- a/httpwire/client.go
+++ b/httpwire/client.go
@@ -5,40 +5,62 @@
 	"errors"
 	"fmt"
 	"net"
+	"slices"
 	"sync/atomic"
 	"time"
 )
 
-// Client calls one server and keeps a few connections to it open. It is safe
-// for concurrent use: idle connections travel through a channel.
+const (
+	// minReadBuffer is the least room for a read of a response (bytes).
+	minReadBuffer = 4 << 10
+	// maxKeptBuffer is the largest buffer that an idle connection keeps (bytes): one
+	// large response must not stay in memory.
+	maxKeptBuffer = 64 << 10
+)
+
+// Client calls one server and keeps idle connections to it. It is safe for concurrent use:
+// idle connections are passed on through a channel.
 type Client struct {
-	addr   string
-	limits Limits
-	dial   time.Duration
-	idle   chan *clientConn
-	closed atomic.Bool
+	addr        string
+	limits      Limits
+	dialTimeout time.Duration
+	idle        chan *clientConn
+	closed      atomic.Bool
 }
 
 type clientConn struct {
 	net.Conn
-	buf []byte
+	buf []byte // of the last request and response, to be used again
 }
 
-// errStale marks a kept connection that the server had closed already.
-var errStale = errors.New("httpwire: idle connection was closed")
+// errIdleClosed says that the server had closed an idle connection before the request.
+var errIdleClosed = errors.New("httpwire: idle connection was closed")
 
-// NewClient makes a client of the server at addr that keeps up to idle
-// connections and spends at most dial on setting one up.
-func NewClient(addr string, idle int, dial time.Duration, limits Limits) *Client {
-	return &Client{addr: addr, limits: limits, dial: dial, idle: make(chan *clientConn, idle)}
+// NewClient makes a client of the server at addr that keeps up to maxIdle idle
+// connections and takes at most dialTimeout to set one up.
+func NewClient(addr string, maxIdle int, dialTimeout time.Duration, limits Limits) *Client {
+	return &Client{addr: addr, limits: limits, dialTimeout: dialTimeout, idle: make(chan *clientConn, maxIdle)}
 }
 
-// Do sends a request and waits for its response until ctx ends. An error
-// leaves open whether the server carried the request out, but for one that
-// never left: see Unsent.
+// UnsentError says that no connection could be set up, so that nothing was sent.
+type UnsentError struct{ Err error }
+
+func (e *UnsentError) Error() string { return "connect: " + e.Err.Error() }
+
+// Unwrap returns the error of the attempt to connect.
+func (e *UnsentError) Unwrap() error { return e.Err }
+
+// IsUnsent says whether err proves that a request was not sent.
+func IsUnsent(err error) bool {
+	var unsent *UnsentError
+	return errors.As(err, &unsent)
+}
+
+// Do sends a request and waits for its response until ctx ends. After an error it is
+// unknown whether the server carried out the request, unless IsUnsent(err).
 func (c *Client) Do(ctx context.Context, method, target string, body []byte) (*Message, error) {
 	for {
-		conn, kept, err := c.take(ctx)
+		conn, reused, err := c.acquire(ctx)
 		if err != nil {
 			return nil, &UnsentError{err}
 		}
@@ -47,111 +69,113 @@
 			return m, nil
 		}
 		conn.Close()
-		// A server may close an idle connection at any time; the next one is
-		// tried. Requests are made so that a repeat does no harm.
-		if kept && errors.Is(err, errStale) && ctx.Err() == nil {
+		// A server may close an idle connection at any time, so the next one is tried.
+		// Requests are idempotent.
+		if reused && errors.Is(err, errIdleClosed) && ctx.Err() == nil {
 			continue
 		}
 		return nil, fmt.Errorf("%s %s%s: %w", method, c.addr, target, err)
 	}
 }
 
-// UnsentError says that no connection could be had, so nothing was sent.
-type UnsentError struct{ Err error }
-
-func (e *UnsentError) Error() string { return "connect: " + e.Err.Error() }
-func (e *UnsentError) Unwrap() error { return e.Err }
-
-// Unsent says whether err proves that a request never left this process.
-func Unsent(err error) bool {
-	var u *UnsentError
-	return errors.As(err, &u)
-}
-
-func (c *Client) take(ctx context.Context) (conn *clientConn, kept bool, err error) {
+// acquire takes an idle connection or sets up a new one.
+func (c *Client) acquire(ctx context.Context) (conn *clientConn, reused bool, err error) {
 	select {
 	case conn = <-c.idle:
 		return conn, true, nil
 	default:
 	}
-	d := net.Dialer{Timeout: c.dial, KeepAlive: -1}
-	nc, err := d.DialContext(ctx, "tcp4", c.addr)
+	dialer := net.Dialer{Timeout: c.dialTimeout, KeepAlive: -1}
+	netConn, err := dialer.DialContext(ctx, "tcp4", c.addr)
 	if err != nil {
 		return nil, false, err
 	}
-	return &clientConn{Conn: nc}, false, nil
+	return &clientConn{Conn: netConn}, false, nil
 }
 
-func (c *Client) exchange(ctx context.Context, conn *clientConn, method, target string, body []byte) (*Message, error) {
-	deadline, ok := ctx.Deadline()
-	if !ok {
-		deadline = time.Time{}
+// release keeps a connection for the next request, or closes it if enough are kept.
+func (c *Client) release(conn *clientConn) {
+	select {
+	case c.idle <- conn:
+		if c.closed.Load() {
+			c.closeIdle() // the client was closed during the call
+		}
+	default:
+		conn.Close()
 	}
+}
+
+// exchange sends a request on conn and reads its response. On success it releases or
+// closes conn; after an error the caller closes it.
+func (c *Client) exchange(ctx context.Context, conn *clientConn, method, target string, body []byte) (*Message, error) {
+	deadline, _ := ctx.Deadline() // zero: none
 	if err := conn.SetDeadline(deadline); err != nil {
 		return nil, err
 	}
-	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
-	defer stop()
-	req := AppendRequest(conn.buf[:0], method, target, c.addr, body)
-	if _, err := conn.Write(req); err != nil {
-		return nil, fmt.Errorf("%w: %w", errStale, err)
+	stopInterrupt := context.AfterFunc(ctx, conn.interrupt)
+	defer stopInterrupt()
+	request := AppendRequest(conn.buf[:0], method, target, c.addr, body)
+	if _, err := conn.Write(request); err != nil {
+		return nil, fmt.Errorf("%w: %w", errIdleClosed, err)
 	}
-	buf := req[:0]
+	m, buf, used, err := conn.readResponse(request[:0], c.limits)
+	if err != nil {
+		return nil, err
+	}
+	surplus := used != len(buf)
+	if cap(buf) > maxKeptBuffer {
+		buf = nil
+		surplus = false
+	}
+	conn.buf = buf
+	if m.Close || surplus || !stopInterrupt() {
+		conn.Close()
+		return m, nil
+	}
+	c.release(conn)
+	return m, nil
+}
+
+// interrupt ends a read or write that is under way.
+func (c *clientConn) interrupt() { c.SetDeadline(time.Unix(1, 0)) }
+
+// readResponse reads into buf until it holds a response. It returns the response, what
+// was read, and how many bytes of it the response used.
+func (c *clientConn) readResponse(buf []byte, limits Limits) (m *Message, read []byte, used int, err error) {
 	for {
 		if len(buf) == cap(buf) {
-			buf = append(buf, make([]byte, max(4096, cap(buf)))...)[:len(buf)]
+			buf = slices.Grow(buf, max(minReadBuffer, cap(buf)))
 		}
-		n, err := conn.Read(buf[len(buf):cap(buf)])
+		n, err := c.Read(buf[len(buf):cap(buf)])
 		if n == 0 && err != nil {
 			if len(buf) == 0 && !isTimeout(err) {
-				return nil, fmt.Errorf("%w: %w", errStale, err)
+				err = fmt.Errorf("%w: %w", errIdleClosed, err)
 			}
-			return nil, err
+			return nil, nil, 0, err
 		}
 		buf = buf[:len(buf)+n]
-		m, used, err := ParseResponse(buf, c.limits)
+		m, used, err := ParseResponse(buf, limits)
 		if err != nil {
-			return nil, err
-		}
-		if used == 0 {
-			continue
+			return nil, nil, 0, err
 		}
-		if cap(buf) > 64<<10 {
-			buf = nil // one large answer must not stay in memory
+		if used > 0 {
+			return m, buf, used, nil
 		}
-		conn.buf = buf
-		if m.Close || used != len(buf) && buf != nil {
-			conn.Close()
-			return m, nil
-		}
-		if !stop() {
-			conn.Close()
-			return m, nil
-		}
-		select {
-		case c.idle <- conn:
-			if c.closed.Load() {
-				c.drain() // closed while the call was under way
-			}
-		default:
-			conn.Close()
-		}
-		return m, nil
 	}
 }
 
 func isTimeout(err error) bool {
-	var ne net.Error
-	return errors.As(err, &ne) && ne.Timeout()
+	var netError net.Error
+	return errors.As(err, &netError) && netError.Timeout()
 }
 
-// Close ends the idle connections; one in use ends with its call.
+// Close closes the idle connections; one in use is closed after its call.
 func (c *Client) Close() {
 	c.closed.Store(true)
-	c.drain()
+	c.closeIdle()
 }
 
-func (c *Client) drain() {
+func (c *Client) closeIdle() {
 	for {
 		select {
 		case conn := <-c.idle:
--- a/httpwire/parser_test.go
+++ b/httpwire/message_test.go
@@ -10,9 +10,9 @@
 	_ "ravenport/internal/testseed"
 )
 
-var lim = Limits{Header: 4 << 10, Body: 64 << 10}
+var limits = Limits{Header: 4 << 10, Body: 64 << 10}
 
-// Whatever way the bytes arrive, a request is read once, whole and alike.
+// However the bytes arrive, a request is parsed once, whole and the same.
 func TestRequestInAnySplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		method := rapid.SampledFrom([]string{"GET", "POST", "DELETE"}).Draw(t, "method")
@@ -22,13 +22,13 @@
 		after := rapid.SliceOfN(rapid.Byte(), 0, 20).Draw(t, "after")
 		at := 0
 		for at < len(raw) {
-			m, n, err := ParseRequest(raw[:at], lim)
+			m, n, err := ParseRequest(raw[:at], limits)
 			if err != nil || n != 0 || m != nil {
 				t.Fatalf("%d of %d bytes: %v, %d, %v", at, len(raw), m, n, err)
 			}
 			at += rapid.IntRange(1, len(raw)-at).Draw(t, "step")
 		}
-		m, n, err := ParseRequest(append(bytes.Clone(raw), after...), lim)
+		m, n, err := ParseRequest(append(bytes.Clone(raw), after...), limits)
 		if err != nil || n != len(raw) {
 			t.Fatalf("used %d of %d: %v", n, len(raw), err)
 		}
@@ -47,7 +47,7 @@
 			Close:       rapid.Bool().Draw(t, "close"),
 		}
 		raw := AppendResponse(nil, r)
-		m, n, err := ParseResponse(raw, lim)
+		m, n, err := ParseResponse(raw, limits)
 		if err != nil || n != len(raw) || m.Status != r.Status || !bytes.Equal(m.Body, r.Body) || m.Close != r.Close {
 			t.Fatalf("%+v became %+v, %d, %v", r, m, n, err)
 		}
@@ -57,7 +57,7 @@
 	})
 }
 
-// A chunked body is put together; it never exceeds the limit.
+// A chunked body is joined; it never exceeds the limit.
 func TestChunkedBody(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var raw, want bytes.Buffer
@@ -68,10 +68,10 @@
 		}
 		raw.WriteString("0\r\n\r\n")
 		cutAt := rapid.IntRange(0, raw.Len()-1).Draw(t, "cut")
-		if _, n, err := ParseResponse(raw.Bytes()[:cutAt], lim); n != 0 || err != nil {
-			t.Fatalf("a part was read: %d, %v", n, err)
+		if _, n, err := ParseResponse(raw.Bytes()[:cutAt], limits); n != 0 || err != nil {
+			t.Fatalf("an incomplete message was parsed: %d, %v", n, err)
 		}
-		m, n, err := ParseResponse(raw.Bytes(), lim)
+		m, n, err := ParseResponse(raw.Bytes(), limits)
 		if err != nil || n != raw.Len() || !bytes.Equal(m.Body, want.Bytes()) {
 			t.Fatalf("%q, %d, %v", m.Body, n, err)
 		}
@@ -91,21 +91,21 @@
 	return hex(n/16) + digits[n%16:n%16+1]
 }
 
-// No bytes make the parser panic, read past its input or hold without bound.
-func TestAnyBytes(t *testing.T) {
+// No bytes make the parser panic or read past its input.
+func TestParserOnAnyBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		junk := rapid.OneOf(
 			rapid.SliceOfN(rapid.Byte(), 0, 200),
 			rapid.Map(rapid.StringMatching(`(GET|POST) /[a-z]* HTTP/1\.[01]\r\n(Content-Length: -?[0-9a]{1,12}\r\n|Transfer-Encoding: [a-z]+\r\n|[A-Z: \n]*\r\n)*\r\n`), func(s string) []byte { return []byte(s) }),
 		).Draw(t, "junk")
-		_, n, _ := ParseRequest(junk, lim)
+		_, n, _ := ParseRequest(junk, limits)
 		if n < 0 || n > len(junk) {
 			t.Fatalf("used %d of %d", n, len(junk))
 		}
 	})
 }
 
-func TestRefusedRequests(t *testing.T) {
+func TestMalformedRequestsAreRefused(t *testing.T) {
 	for name, raw := range map[string]string{
 		"two lengths that differ":  "POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab",
 		"length and chunks":        "POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -116,13 +116,13 @@
 		"body over the limit":      "POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n",
 		"endless headers":          "GET / HTTP/1.1\r\n" + strings.Repeat("a: b\r\n", 2000),
 	} {
-		if _, _, err := ParseRequest([]byte(raw), lim); err == nil {
-			t.Errorf("%s was taken", name)
+		if _, _, err := ParseRequest([]byte(raw), limits); err == nil {
+			t.Errorf("%s was accepted", name)
 		}
 	}
 }
 
-// A report's request is read, and its answer written, with few allocations.
+// A heartbeat's request is parsed, and its response written, with few allocations.
 func TestRequestsTakeFewAllocations(t *testing.T) {
 	body := bytes.Repeat([]byte("x"), 600)
 	buf := AppendRequest(nil, "POST", "/agent/beat", "10.0.0.1:80", body)
--- a/kvstore/client.go
+++ b/kvstore/client.go
@@ -53,7 +53,7 @@
 	defer cancel()
 	response, err := c.httpClient.Do(ctx, method, path, data)
 	switch {
-	case httpwire.Unsent(err):
+	case httpwire.IsUnsent(err):
 		return nil, fmt.Errorf("%w: %w", ErrRefused, err)
 	case err != nil:
 		return nil, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
