--- a/controller/overload_test.go
+++ b/controller/overload_test.go
@@ -101,7 +101,7 @@
 	return c.rev
 }
 
-func (c *overload) show(key string, rec any) {
+func (c *overload) show(key string, rec records.Record) {
 	if j, ok := rec.(*records.Job); ok {
 		c.jobs[j.ID].rec, c.jobs[j.ID].version = j, c.rev
 		c.leader.ApplyJob(c.now, j.ID, j, c.rev)
--- a/disruption/ledger_test.go
+++ b/disruption/ledger_test.go
@@ -91,7 +91,7 @@
 }
 
 // store puts a record into the key-value store.
-func (m *model) store(key string, record any) uint64 {
+func (m *model) store(key string, record records.Record) uint64 {
 	version := uint64(len(m.log) + 1)
 	m.versions[key] = version
 	m.log = append(m.log, records.Change{Key: key, Version: version, Record: record})
--- a/member/core_test.go
+++ b/member/core_test.go
@@ -23,7 +23,7 @@
 	lastIncarnation uint64 // of any controller's process
 }
 
-func (s *storeSim) apply(now time.Time, key string, rec any) {
+func (s *storeSim) apply(now time.Time, key string, rec records.Record) {
 	s.version++
 	ch := records.Change{Key: key, Version: s.version, Record: rec}
 	if rec == nil {
--- a/records/change.go
+++ b/records/change.go
@@ -4,9 +4,8 @@
 type Change struct {
 	Key     string
 	Version uint64
-	// Record is what Decode returns, or *DamagedRecord; nil when the key was deleted.
-	// Records are shared between actors and must not be changed.
-	Record any
+	// Record is nil when the key was deleted or is of no known kind.
+	Record Record
 }
 
 // Update is a run of changes in the order of the key-value store. After it the receiver
--- a/records/codec.go
+++ b/records/codec.go
@@ -19,9 +19,8 @@
 	return data
 }
 
-// Decode reads the record under key: *Controller, *Revocation, *Term, *InventoryPage,
-// *Job, *Drain or *DisruptionClaim. It returns nil for a key of no known kind.
-func Decode(key string, data []byte) (any, error) {
+// Decode reads the record under key. It returns nil for a key of no known kind.
+func Decode(key string, data []byte) (Record, error) {
 	record := newRecord(key)
 	if record == nil {
 		return nil, nil
@@ -40,7 +39,7 @@
 
 // newRecord makes the empty record for a key, with the fields that the key holds; nil
 // for a key of no known kind.
-func newRecord(key string) any {
+func newRecord(key string) Record {
 	if key == KeyLeader {
 		return &Term{}
 	}
@@ -64,7 +63,7 @@
 
 // newInventoryPage makes the empty page for the rest of a key, "shard/number"; nil if
 // that is no number.
-func newInventoryPage(keyRest string) any {
+func newInventoryPage(keyRest string) Record {
 	shard, pageNumber, _ := strings.Cut(keyRest, "/")
 	number, err := strconv.Atoi(pageNumber)
 	if err != nil {
@@ -75,7 +74,7 @@
 
 // newDrainingRecord makes the empty record for the key of a drain or of a disruption
 // claim; nil for a key of another kind.
-func newDrainingRecord(key string) any {
+func newDrainingRecord(key string) Record {
 	if shard, ok := strings.CutPrefix(key, claimPrefix); ok {
 		return &DisruptionClaim{Shard: shard}
 	}
