--- a/shard/directcommands.go
+++ b/shard/directcommands.go
@@ -7,16 +7,17 @@
 	"ravenport/wire"
 )
 
-// outbox is what goes out: which machines wait for a direct command, how many of those
-// are under way, and what the actor is to do.
+// outbox owns what goes out: the actions decided since the last step, the machines that wait
+// for a direct command, and the number of commands in flight. Other states add to it; Step
+// empties it.
 type outbox struct {
-	actions          []Action // gathered since the last step
+	actions          []Action // decided since the last step
 	commandQueue     []*machine
 	commandsInFlight int
 }
 
-// requestCommand has the next step send a machine what it should do, unless an
-// answer to a report carries it before.
+// requestCommand has the next step send a machine its pending commands, unless the reply to
+// a heartbeat carries them before.
 func (q *outbox) requestCommand(m *machine) {
 	m.commandWanted = true
 	if !m.commandQueued {
@@ -25,75 +26,75 @@
 	}
 }
 
-// sendDirectCommands sends waiting commands straight to the machines. Which machines wait for
-// one is kept in a queue; only a slow step looks at all of them, for starts without
-// effect and for machines to be asked what is on them. Guards against a shard whose
-// every step costs as much as it has machines.
-func (q *outbox) sendDirectCommands(v *fleetView, now time.Time, slow bool) {
+// sendDirectCommands sends pending commands straight to the machines in the queue. Only with
+// scanFleet it also checks every machine, for starts without effect and for due probes: the
+// cost of other steps does not grow with the fleet.
+func (q *outbox) sendDirectCommands(v *fleetView, now time.Time, scanFleet bool) {
 	queue := q.commandQueue
 	q.commandQueue = q.commandQueue[:0]
 	for _, m := range queue {
 		if m.commandWanted && m.isCallable(now) && !v.mustProbeFirst(now, m) && q.canSendCommand(v) {
 			q.sendPendingCommands(v, now, m)
 		}
-		if m.commandQueued = m.commandWanted; m.commandWanted {
+		m.commandQueued = m.commandWanted
+		if m.commandWanted {
 			q.commandQueue = append(q.commandQueue, m)
 		}
 	}
-	if slow {
+	if scanFleet {
 		q.scanForCommands(v, now)
 	}
 }
 
-// scanForCommands looks at the whole fleet for commands that were sent without effect and for
-// questions, of which a few go out at a time so that a wave of silent machines
-// holds nobody up.
+// scanForCommands checks every machine for starts without effect, which are sent again, and
+// for due probes, of which only some are sent in a step: many unreachable machines at once
+// must not delay commands to others.
 func (q *outbox) scanForCommands(v *fleetView, now time.Time) {
-	asked := 0
+	probes := 0
 	for _, m := range v.fleet {
 		if !m.isCallable(now) {
 			continue
 		}
-		question := v.mustProbeFirst(now, m)
-		if !question && !v.hasOverdueStart(now, m) {
+		probe := v.mustProbeFirst(now, m)
+		if !probe && !v.hasOverdueStart(now, m) {
 			continue
 		}
 		if !q.canSendCommand(v) {
 			return
 		}
-		if !question {
+		if !probe {
 			q.sendPendingCommands(v, now, m)
-		} else if asked < constants.MaxProbesPerStep {
-			asked++
+		} else if probes < constants.MaxProbesPerStep {
+			probes++
 			q.sendDirectCommand(v, now, m, []wire.Command{})
 		}
 	}
 }
 
-// isCallable says whether a machine may be called now.
+// isCallable reports whether a direct command may be sent to a machine now.
 func (m *machine) isCallable(now time.Time) bool {
 	return !m.commandInFlight && !m.scalingIn && m.addr != "" && !now.Before(m.nextCommandAt)
 }
 
-// canSendCommand says whether one more direct command may be under way.
+// canSendCommand reports whether one more direct command may be in flight.
 func (q *outbox) canSendCommand(v *fleetView) bool {
-	most := v.cfg.MaxDirectCommands
+	limit := v.cfg.MaxDirectCommands
 	if v.partitioned {
-		most = min(most, constants.MaxCommandsWhilePartitioned)
+		limit = min(limit, constants.MaxCommandsWhilePartitioned)
 	}
-	return q.commandsInFlight < most
+	return q.commandsInFlight < limit
 }
 
-// mustProbeFirst says whether a machine must be asked what is on it before it can be told
-// anything: it is questionable, or wanted while its session is not known yet.
+// mustProbeFirst reports whether a machine must be probed before commands can be sent to it:
+// a probe is due, or commands are wanted and its epoch is not known yet.
 func (v *fleetView) mustProbeFirst(now time.Time, m *machine) bool {
 	return m.epoch == 0 && m.commandWanted || v.needsProbe(now, m)
 }
 
-// needsProbe says whether a machine is asked directly: an inherited one for
-// what is on it, once it had the time to report by itself, one that missed its
-// report whether it still is there, one whose lease ended unheard whether it is
-// back, and an unconfirmed one whether it hears.
+// needsProbe reports whether a machine is to be probed: an inherited one for its attempts,
+// once it had the time to send a heartbeat by itself; one whose heartbeat is overdue, whether
+// it still is there; one whose lease expired without a heartbeat, whether it is back; and an
+// unconfirmed one, whether it receives commands.
 func (v *fleetView) needsProbe(now time.Time, m *machine) bool {
 	switch {
 	case m.inherited && !m.hasSeenTerm(v.term):
@@ -108,10 +109,10 @@
 	return v.isHeartbeatOverdue(now, m)
 }
 
-// hasOverdueStart says whether a machine has a decided start without effect.
+// hasOverdueStart reports whether a start that was sent to a machine has had no effect.
 func (k *knownState) hasOverdueStart(now time.Time, m *machine) bool {
 	if k.usageOf(m).unreportedStarts == 0 {
-		return false // as nearly always: this is asked of every machine in every slow step
+		return false // as nearly always: every scan of the fleet checks every machine
 	}
 	for _, a := range m.attempts {
 		if a.state == stateSent && now.Sub(a.startSentAt) > constants.CommandRetryInterval && k.isWanted(a) {
@@ -121,14 +122,14 @@
 	return false
 }
 
-// sendPendingCommands sends a machine what it should do, if there is anything.
+// sendPendingCommands sends a machine its pending commands, if there are any.
 func (q *outbox) sendPendingCommands(v *fleetView, now time.Time, m *machine) {
-	if commands := v.pendingCommands(now, m, false); len(commands) > 0 {
+	if commands := v.pendingCommands(now, m, viaDirectCommand); len(commands) > 0 {
 		q.sendDirectCommand(v, now, m, commands)
 	}
 }
 
-// sendDirectCommand makes a direct command.
+// sendDirectCommand sends a request with commands to a machine; without any it is a probe.
 func (q *outbox) sendDirectCommand(v *fleetView, now time.Time, m *machine, commands []wire.Command) {
 	m.commandInFlight = true
 	q.commandsInFlight++
@@ -137,7 +138,7 @@
 	q.actions = append(q.actions, SendCommands{Machine: m.name, Addr: m.addr, Request: req})
 }
 
-// directCommandDone notes that a direct command to a machine is no longer under way.
+// directCommandDone records that a direct command to a machine is no longer in flight.
 func (q *outbox) directCommandDone(m *machine) {
 	if m.commandInFlight {
 		m.commandInFlight = false
@@ -145,8 +146,8 @@
 	}
 }
 
-// CommandResult takes in what came of a direct command. r is nil without an
-// answer; the commands may then still be carried out.
+// CommandResult handles the reply to a direct command: the machine's status. r is nil without
+// a reply; the commands may then still be carried out, late.
 func (c *Core) CommandResult(now time.Time, name string, r *wire.Heartbeat) {
 	m := c.machines[name]
 	if m == nil {
@@ -154,13 +155,7 @@
 	}
 	c.directCommandDone(m)
 	if r == nil {
-		m.unansweredCommands++
-		m.unansweredUnconfirmed++
-		m.nextCommandAt = now.Add(constants.CommandRetryInterval)
-		if !m.up || c.needsProbe(now, m) {
-			m.nextCommandAt = now // a takeover waits for it, or what was on it
-		}
-		c.requestConfirmation(now, m)
+		c.commandUnanswered(now, m)
 		return
 	}
 	c.observeToken(r)
@@ -168,10 +163,10 @@
 		return
 	}
 	c.updateMachine(now, m, r)
-	c.reconcile(now, m, r, false)
+	c.reconcile(now, m, r, viaDirectCommand)
 	c.needsPlacement = c.needsPlacement || c.attemptEnded
-	// It answered a call: commands do reach it. But only a report of its own
-	// renews its lease, so an answer does not count for one, except at first.
+	// It answered: commands do reach it. But only a heartbeat of its own renews its
+	// lease, so a reply does not count for one, except the first.
 	m.unansweredCommands, m.unansweredUnconfirmed = 0, 0
 	if m.lastHeartbeat.IsZero() {
 		m.lastHeartbeat = now
@@ -183,3 +178,15 @@
 		c.confirm(m)
 	}
 }
+
+// commandUnanswered records that a direct command had no reply. A probe is repeated at once:
+// the rebuild after a failover, or the tasks that were on the machine, wait for it.
+func (c *Core) commandUnanswered(now time.Time, m *machine) {
+	m.unansweredCommands++
+	m.unansweredUnconfirmed++
+	m.nextCommandAt = now.Add(constants.CommandRetryInterval)
+	if !m.up || c.needsProbe(now, m) {
+		m.nextCommandAt = now
+	}
+	c.requestConfirmation(now, m)
+}
--- a/shard/heartbeat.go
+++ b/shard/heartbeat.go
@@ -9,7 +9,8 @@
 	"ravenport/wire"
 )
 
-// Heartbeat answers a worker's report; ok is false when the owner must not.
+// Heartbeat handles a worker's heartbeat. ok is false when the owner must not answer it, or
+// it proves nothing.
 func (c *Core) Heartbeat(now time.Time, r *wire.Heartbeat) (reply wire.HeartbeatReply, ok bool) {
 	if r.Zone != c.cfg.Shard {
 		return reply, false
@@ -18,18 +19,18 @@
 	if !c.mayAct(now) && (!c.mayExtendLeases(now) || r.FencingToken>>constants.TokenCounterBits > c.term) {
 		return reply, false
 	}
-	if _, gone := c.terminated[r.Machine]; gone {
-		return reply, false // held back on its way: the machine is gone for good
+	if _, terminated := c.terminated[r.Machine]; terminated {
+		return reply, false // delayed in the network: the machine is gone for good
 	}
-	// A machine whose return was asked for is answered like any other until
-	// the cloud confirms it: an answer that renews its lease without counting
-	// it would let the owner believe that the lease had ended.
+	// A machine whose termination was requested is answered like any other until
+	// the cloud confirms it: a reply that renews its lease without being counted
+	// would let the owner believe that the lease had expired.
 	m := c.ensureMachine(r.Machine)
 	if !m.isNew(r) {
-		return reply, false // late or repeated: nothing in it counts
+		return reply, false // late or duplicate: nothing in it counts
 	}
 	c.updateMachine(now, m, r)
-	c.reconcile(now, m, r, true)
+	c.reconcile(now, m, r, viaHeartbeat)
 	c.noteHeartbeat(&c.fleetView, now, m)
 	m.leaseExpiresAt = c.leaseExpiry(now, m)
 	if !c.mayAct(now) {
@@ -38,14 +39,15 @@
 	if c.isSchedulable(now, m) && !c.fillFreedMachine(now, m) || m.reservedForGangs && c.attemptEnded {
 		c.needsPlacement = true
 	}
-	if (m.needsHigherToken || c.exitsNeedingHigherToken(m) >= constants.ExitsBeforeTokenRaise) && m.reportedToken == c.fencingToken(m) {
+	manyExits := c.exitsNeedingHigherToken(m) >= constants.ExitsBeforeTokenRaise
+	if (m.needsHigherToken || manyExits) && m.reportedToken == c.fencingToken(m) {
 		c.counters.raiseToken(m) // once the machine shows the new token they can be forgotten
 	}
-	reply = wire.HeartbeatReply{FencingToken: c.fencingToken(m), Commands: c.pendingCommands(now, m, true)}
+	reply = wire.HeartbeatReply{FencingToken: c.fencingToken(m), Commands: c.pendingCommands(now, m, viaHeartbeat)}
 	return reply, true
 }
 
-// updateMachine notes what a report says of the machine itself.
+// updateMachine records what a status says of the machine itself.
 func (c *Core) updateMachine(now time.Time, m *machine, r *wire.Heartbeat) {
 	if !m.up {
 		m.up, m.leaseExpired = true, false
@@ -67,15 +69,15 @@
 	}
 }
 
-// noteHeartbeat takes note that a machine lives. Whether it hears is another matter:
-// a machine whose reports arrive while answers and commands do not reach it
-// loses its lease unnoticed. One that does not show the token it was answered
-// with, that made reports elsewhere though it was answered here, or leaves a
-// direct command unanswered, is unconfirmed until it shows a token that is sent to
-// it from then on. A late copy of a report cannot: it is older than that token.
+// noteHeartbeat records that a machine is alive, and checks whether it receives replies: the
+// lease of a machine whose heartbeats arrive while replies and commands do not reach it
+// expires unnoticed. A machine that does not show the fencing token of the last reply, that
+// sent heartbeats to other controllers though it was answered here, or that leaves a direct
+// command unanswered, is unconfirmed until it shows a token that is sent to it from then on.
+// A late copy of a heartbeat cannot: it is older than that token.
 func (p *placement) noteHeartbeat(v *fleetView, now time.Time, m *machine) {
 	if v.isUnreachable(now, m) {
-		m.unansweredUnconfirmed = 0 // it was out of reach: what was asked meanwhile says nothing of its ears
+		m.unansweredUnconfirmed = 0 // it was unreachable: unanswered commands of that time do not count
 	}
 	m.lastHeartbeat, m.unansweredCommands = now, 0
 	switch {
@@ -90,15 +92,17 @@
 	}
 }
 
-// confirm confirms a machine: the machine has shown that it hears.
+// confirm records that a machine has shown that replies or commands reach it.
 func (p *placement) confirm(m *machine) {
-	m.unconfirmedSince, m.unansweredUnconfirmed = time.Time{}, 0
+	m.unconfirmedSince = time.Time{}
+	m.unansweredUnconfirmed = 0
 	p.needsPlacement = true
 }
 
-// exitsNeedingHigherToken is how many exited attempts the machine's token keeps from being
-// forgotten. Those that it does not, but that wait for their assignment to be closed,
-// would have every answer carry a higher token, which a machine reports at once.
+// exitsNeedingHigherToken is how many exited attempts must not be forgotten because the
+// machine has shown no higher token than the command that may start them again. Exited
+// attempts that only wait for their assignment to be closed do not count: they would have
+// every reply carry a higher token, for which a machine sends a heartbeat at once.
 func (k *knownState) exitsNeedingHigherToken(m *machine) int {
 	if k.usageOf(m).exitedDirect < constants.ExitsBeforeTokenRaise {
 		return 0
--- a/shard/pendingcommands.go
+++ b/shard/pendingcommands.go
@@ -7,34 +7,23 @@
 )
 
 // pendingCommands lists what a machine should do: stops, then forgets, then starts, so
-// that room is free when a start needs it.
-func (v *fleetView) pendingCommands(now time.Time, m *machine, beat bool) []wire.Command {
+// that resources are free when a start needs them. Attempts are forgotten only by the reply to
+// a heartbeat.
+func (v *fleetView) pendingCommands(now time.Time, m *machine, via channel) []wire.Command {
 	out := []wire.Command{}
 	var starts []wire.Command
 	for _, a := range m.attempts {
 		switch {
 		case a.hasExited():
-			if beat && v.canForget(a) {
+			if via == viaHeartbeat && v.canForget(a) {
 				out = append(out, wire.Command{Op: wire.OpForget, Task: a.key.task, Attempt: a.key.number})
 			}
 		case !v.isWanted(a):
-			// A saving task is left to finish unless its time is up.
-			// A gang's tasks save together, and show it only by their exits: until
-			// their time is up they are told the same again, should they have missed it.
-			together := v.gangSaveTime(a)
-			if a.state == wire.TaskSaving && now.Sub(a.stopSentAt) < v.stopGrace(a)+together {
-				continue
+			if graceS, send := v.nextStop(now, a); send {
+				out = append(out, stopCommand(a, graceS))
 			}
-			g := 0.0
-			if a.stopSentAt.IsZero() {
-				a.stopSentAt = now
-				g = v.stopGrace(a).Seconds()
-			} else if together > 0 && now.Sub(a.stopSentAt) < v.stopGrace(a)+together {
-				g = v.stopGrace(a).Seconds()
-			}
-			out = append(out, wire.Command{Op: wire.OpStop, Task: a.key.task, Attempt: a.key.number, GraceS: &g})
 		case a.state == stateSent && m.hasSeenTerm(v.term):
-			if beat {
+			if via == viaHeartbeat {
 				a.startSentSeq = m.seq
 			} else {
 				a.sentDirectly = true
@@ -48,8 +37,32 @@
 	return append(out, starts...)
 }
 
-// stopGrace is the time a stopped attempt gets to save: its saving time, if it
-// can save and something may come of it.
+// nextStop returns the grace period (s) of the next stop command for an unwanted attempt, or
+// send false if none is due. A task that saves its checkpoint is left to finish until its time
+// is up. A gang's tasks save together, and show it only by their exits: until their time is up
+// the same command is repeated, should they have missed it.
+func (v *fleetView) nextStop(now time.Time, a *attempt) (graceS float64, send bool) {
+	together := v.gangSaveTime(a)
+	inTime := now.Sub(a.stopSentAt) < v.stopGrace(a)+together
+	if a.state == wire.TaskSaving && inTime {
+		return 0, false
+	}
+	switch {
+	case a.stopSentAt.IsZero():
+		a.stopSentAt = now
+		return v.stopGrace(a).Seconds(), true
+	case together > 0 && inTime:
+		return v.stopGrace(a).Seconds(), true
+	}
+	return 0, true
+}
+
+func stopCommand(a *attempt, graceS float64) wire.Command {
+	return wire.Command{Op: wire.OpStop, Task: a.key.task, Attempt: a.key.number, GraceS: &graceS}
+}
+
+// stopGrace is the time that a stopped attempt gets to save its checkpoint: none if it cannot
+// save one, or if none will be used.
 func (k *knownState) stopGrace(a *attempt) time.Duration {
 	t := k.taskOf(a)
 	if a.stopsInstantly || t == nil || t.job.rec.End != "" {
@@ -67,10 +80,10 @@
 	return v.cfg.GangPeerTimeout
 }
 
-// canForget says whether an exited attempt may be forgotten by its machine.
-// An attempt started by a direct command must be kept while that command
-// could arrive once more, late: forgotten, it would start again. A done task
-// must be kept until its assignment is closed, or a new owner would run it again.
+// canForget reports whether a machine may forget an exited attempt. An attempt that a direct
+// command started must be kept while a late copy of that command could arrive: it would start
+// again. A done task must be kept until its assignment is closed, or a new owner would run it
+// again.
 func (k *knownState) canForget(a *attempt) bool {
 	if a.sentDirectly && a.maxDirectToken >= a.machine.reportedToken {
 		return false
--- a/shard/reconcile.go
+++ b/shard/reconcile.go
@@ -9,44 +9,94 @@
 	"ravenport/wire"
 )
 
-// reconcile takes in a report's task list. beat tells an own report of the
-// worker from the answer to a direct command.
-func (c *Core) reconcile(now time.Time, m *machine, r *wire.Heartbeat, beat bool) {
+// channel is how a machine's status came to the owner, and how commands go back.
+type channel int
+
+const (
+	viaHeartbeat     channel = iota // the worker's own heartbeat and its reply
+	viaDirectCommand                // a direct command and its reply
+)
+
+// reconcile brings the known state of a machine and its attempts in line with its status,
+// which came by a heartbeat or by the reply to a direct command.
+func (c *Core) reconcile(now time.Time, m *machine, r *wire.Heartbeat, via channel) {
 	if r.Epoch > m.epoch {
-		// The earlier session's end killed and forgot everything.
-		c.releaseAttempts(now, m)
-		m.epoch = r.Epoch
-		m.reportedToken = 0
-		m.repliesSinceToken = 0
-		// A session has a lease of its own from its first moment on, also when
-		// the owner hears of it by a direct command's answer.
-		m.leaseExpiresAt = c.leaseExpiry(now, m)
-	}
-	// Who is answered stays, and its next report is the next in number.
-	m.skippedSeq = beat && m.answeredSeq != 0 && r.Epoch == m.lastHeartbeatEpoch && r.Seq > m.answeredSeq+1
-	if beat {
-		m.lastHeartbeatEpoch, m.lastHeartbeatSeq, m.answeredSeq = r.Epoch, r.Seq, r.Seq
+		c.beginEpoch(now, m, r.Epoch)
+	}
+	m.updateSeq(r, via)
+	c.updateReportedToken(m, r.FencingToken)
+	m.updateSpotNotice(now, r.NoticeS)
+	c.reconcileCount++
+	c.attemptEnded, m.needsHigherToken = false, false
+	for i := range r.Tasks {
+		c.reconcileTask(now, m, &r.Tasks[i])
+	}
+	c.reconcileUnlisted(now, m, r.Seq, via)
+	if c.isBusy(m) {
+		m.idleSince = time.Time{}
+	} else if m.idleSince.IsZero() {
+		m.idleSince = now
+	}
+	if !c.rebuilt {
+		c.finishRebuild(now)
+	}
+}
+
+// beginEpoch records a new epoch of a machine. The end of the earlier epoch killed and
+// removed everything on the machine.
+func (c *Core) beginEpoch(now time.Time, m *machine, epoch uint64) {
+	c.releaseAttempts(now, m)
+	m.epoch = epoch
+	m.reportedToken = 0
+	m.repliesSinceToken = 0
+	// An epoch has a lease of its own from its first moment on, also when the owner
+	// learns of it by the reply to a direct command.
+	m.leaseExpiresAt = c.leaseExpiry(now, m)
+}
+
+// updateSeq records the sequence number of a status, and whether the machine has sent
+// heartbeats elsewhere since the last one: a worker that is answered stays with its
+// controller, and its next heartbeat has the next number.
+func (m *machine) updateSeq(r *wire.Heartbeat, via channel) {
+	m.skippedSeq = via == viaHeartbeat && m.answeredSeq != 0 && r.Epoch == m.lastHeartbeatEpoch && r.Seq > m.answeredSeq+1
+	if via == viaHeartbeat {
+		m.lastHeartbeatEpoch = r.Epoch
+		m.lastHeartbeatSeq = r.Seq
+		m.answeredSeq = r.Seq
 	} else if r.Epoch == m.lastHeartbeatEpoch && r.Seq == m.seq+1 {
-		m.answeredSeq = r.Seq // the answer to a direct command counts as well
+		m.answeredSeq = r.Seq // the reply to a direct command has a number of the same sequence
 	}
 	m.seq = r.Seq
-	if was := m.reportedToken; r.FencingToken > was {
-		m.reportedToken = r.FencingToken
-		if !(m.up && was>>constants.TokenCounterBits == c.term) && m.hasSeenTerm(c.term) {
-			c.needsPlacement = true // it may take tasks now
-		}
+}
+
+// updateReportedToken records the fencing token that a machine has shown.
+func (c *Core) updateReportedToken(m *machine, token uint64) {
+	previous := m.reportedToken
+	if token <= previous {
+		return
+	}
+	m.reportedToken = token
+	hadSeenTerm := m.up && previous>>constants.TokenCounterBits == c.term
+	if !hadSeenTerm && m.hasSeenTerm(c.term) {
+		c.needsPlacement = true // it may take tasks now
 	}
-	if r.NoticeS != nil && m.reclaimAt.IsZero() {
-		m.reclaimAt = now.Add(time.Duration(*r.NoticeS * float64(time.Second)))
-		slog.Info("spot notice: machine will be reclaimed", logkey.Machine, m.name, "in_s", *r.NoticeS)
-	} else if r.NoticeS == nil {
+}
+
+// updateSpotNotice records when the cloud will reclaim the machine; noticeS is nil without a
+// notice.
+func (m *machine) updateSpotNotice(now time.Time, noticeS *float64) {
+	if noticeS == nil {
 		m.reclaimAt = time.Time{}
+		return
 	}
-	c.reconcileCount++
-	c.attemptEnded, m.needsHigherToken = false, false
-	for i := range r.Tasks {
-		c.reconcileTask(now, m, &r.Tasks[i])
+	if m.reclaimAt.IsZero() {
+		m.reclaimAt = now.Add(time.Duration(*noticeS * float64(time.Second)))
+		slog.Info("spot notice: machine will be reclaimed", logkey.Machine, m.name, "in_s", *noticeS)
 	}
+}
+
+// reconcileUnlisted decides about the attempts that a status does not list.
+func (c *Core) reconcileUnlisted(now time.Time, m *machine, seq uint64, via channel) {
 	for i := len(m.attempts) - 1; i >= 0; i-- {
 		a := m.attempts[i]
 		if a.lastReconcile == c.reconcileCount {
@@ -54,78 +104,50 @@
 		}
 		switch {
 		case a.reported:
-			c.releaseAttempt(now, a) // forgotten on our command
-		case beat && r.Seq > a.startSentSeq && (!a.sentDirectly || a.maxDirectToken < m.reportedToken):
-			// The answer that carried the start was dropped or lost, and an
-			// answer is never carried out late; nor is a direct command under a
-			// token lower than the machine's: it is not there. A wanted one is
-			// sent again, to the same machine, under the same attempt.
+			c.releaseAttempt(now, a) // the machine has forgotten it on the owner's command
+		case via != viaHeartbeat:
+			// Only a heartbeat proves that a start had no effect.
+		case seq > a.startSentSeq && (!a.sentDirectly || a.maxDirectToken < m.reportedToken):
+			// The reply that carried the start was dropped or lost, and a reply
+			// is never carried out late; nor is a direct command under a token
+			// lower than the machine's: the attempt is not there. A wanted one is
+			// sent again, to the same machine, under the same attempt number.
 			if !c.isWanted(a) {
 				c.releaseAttempt(now, a)
 			}
-		case beat && !c.isWanted(a):
-			m.needsHigherToken = true // a higher token will settle it
+		case !c.isWanted(a):
+			m.needsHigherToken = true // which fences the start
 		}
 	}
-	if c.isBusy(m) {
-		m.idleSince = time.Time{}
-	} else if m.idleSince.IsZero() {
-		m.idleSince = now
-	}
-	if !c.rebuilt {
-		c.finishRebuild(now)
-	}
 }
 
-// reconcileTask takes in one task of a report.
-func (c *Core) reconcileTask(now time.Time, m *machine, ts *wire.TaskStatus) {
-	a := m.findAttempt(attemptKey{ts.Task, ts.Attempt})
+// reconcileTask brings one attempt in line with its status.
+func (c *Core) reconcileTask(now time.Time, m *machine, status *wire.TaskStatus) {
+	a := m.findAttempt(attemptKey{status.Task, status.Attempt})
 	if a == nil {
-		jobID, index, ok := wire.ParseTaskName(ts.Task)
-		if !ok {
-			if !m.invalidTaskLogged {
-				m.invalidTaskLogged = true
-				slog.Warn("heartbeat with an invalid task name", logkey.Machine, m.name)
-			}
+		if a = c.adoptUnknownAttempt(m, status); a == nil {
 			return
 		}
-		// Left by an earlier owner, or by a command whose answer was lost. The
-		// term in its number bounds the tokens under which it was ever sent.
-		a = &attempt{key: attemptKey{ts.Task, ts.Attempt}, jobID: jobID, taskIndex: index, machine: m, adopted: ts.State == wire.TaskRunning, sentDirectly: true, stopsInstantly: true}
-		a.maxDirectToken = (ts.Attempt>>constants.AttemptBits+1)<<constants.TokenCounterBits - 1
-		if ts.Attempt>>constants.AttemptBits == 0 {
-			a.maxDirectToken = c.term<<constants.TokenCounterBits - 1 // a gang's shared number names no term
-		}
-		if j := c.jobs[jobID]; j != nil {
-			a.applySpec(j)
-		}
-		c.addAttempt(a)
 	}
-	was := a.state
+	previous := a.state
 	a.lastReconcile = c.reconcileCount
-	if a.reported && was == ts.State {
+	if a.reported && previous == status.State {
 		if t := c.taskOf(a); t != nil && t.attempt == nil && !t.done && !a.hasExited() {
-			c.matchAttempt(t, a) // a stray whose task has lost its own attempt
+			c.matchAttempt(t, a) // its task has lost the attempt that it had
 		}
 		return
 	}
 	a.reported = true
-	a.state, a.cause = ts.State, ts.Cause
+	a.state, a.cause = status.State, status.Cause
 	m.usageStale = true
-	if a.state == wire.TaskRunning && was != wire.TaskRunning {
-		a.runningSince = now
-		if j := c.jobs[a.jobID]; j != nil {
-			slog.Debug("task runs", "task", ts.Task, "class", j.rec.Spec.Class, "machine", m.name, "spot", m.spot,
-				"accepted_s", float64(now.UnixMilli()-j.rec.AcceptedMS)/1000, "sent_s", now.Sub(a.startSentAt).Seconds(), "cached", m.cachedImages[a.image])
-		}
+	if a.isRunning() && previous != wire.TaskRunning {
+		c.recordRunning(now, a)
 	}
-	if (a.state == wire.TaskRunning || a.state == wire.TaskWaitingForGang) && a.image != "" {
+	if (a.isRunning() || a.state == wire.TaskWaitingForGang) && a.image != "" {
 		m.cachedImages[a.image] = true
 	}
-	if a.hasExited() && was != wire.TaskExited && !a.runningSince.IsZero() {
-		if j := c.jobs[a.jobID]; j != nil {
-			slog.Debug("task ended", "task", ts.Task, "cause", a.cause, "machine", m.name, "ran_s", now.Sub(a.runningSince).Seconds(), "estimate_s", j.rec.Spec.EstimateS)
-		}
+	if a.hasExited() && previous != wire.TaskExited && !a.runningSince.IsZero() {
+		c.logExit(now, a)
 	}
 	c.aggregateChanged = true
 	c.attemptEnded = c.attemptEnded || a.hasExited()
@@ -136,7 +158,7 @@
 		}
 		return
 	}
-	if a.hasExited() && was != wire.TaskExited && a.cause != wire.CauseDone {
+	if a.hasExited() && previous != wire.TaskExited && a.cause != wire.CauseDone {
 		c.needsPlacement = true
 		if t.attempt == a {
 			c.attemptFailed(now, t, a)
@@ -145,8 +167,58 @@
 	c.matchAttempt(t, a)
 }
 
-// finishRebuild ends the rebuild once every inherited machine has shown all
-// that is on it or has surely lost it.
+// adoptUnknownAttempt adds an attempt that the owner did not know: an earlier owner started
+// it, or a command whose reply was lost. It returns nil if the status names no task.
+func (c *Core) adoptUnknownAttempt(m *machine, status *wire.TaskStatus) *attempt {
+	jobID, index, ok := wire.ParseTaskName(status.Task)
+	if !ok {
+		if !m.invalidTaskLogged {
+			m.invalidTaskLogged = true
+			slog.Warn("heartbeat with an invalid task name", logkey.Machine, m.name)
+		}
+		return nil
+	}
+	a := &attempt{
+		key:            attemptKey{status.Task, status.Attempt},
+		jobID:          jobID,
+		taskIndex:      index,
+		machine:        m,
+		adopted:        status.State == wire.TaskRunning,
+		sentDirectly:   true,
+		stopsInstantly: true,
+	}
+	// The term in the attempt's number bounds the tokens under which it was ever sent.
+	term := status.Attempt >> constants.AttemptBits
+	if term == 0 {
+		a.maxDirectToken = c.term<<constants.TokenCounterBits - 1 // a gang's shared number names no term
+	} else {
+		a.maxDirectToken = (term+1)<<constants.TokenCounterBits - 1
+	}
+	if j := c.jobs[jobID]; j != nil {
+		a.applySpec(j)
+	}
+	c.addAttempt(a)
+	return a
+}
+
+// recordRunning records that an attempt runs from now on.
+func (k *knownState) recordRunning(now time.Time, a *attempt) {
+	a.runningSince = now
+	if j := k.jobs[a.jobID]; j != nil {
+		slog.Debug("task runs", logkey.TaskID, a.key.task, "class", j.rec.Spec.Class, logkey.Machine, a.machine.name, "spot", a.machine.spot,
+			"accepted_s", float64(now.UnixMilli()-j.rec.AcceptedMS)/1000, "sent_s", now.Sub(a.startSentAt).Seconds(), "cached", a.machine.cachedImages[a.image])
+	}
+}
+
+// logExit logs the end of an attempt that has run.
+func (k *knownState) logExit(now time.Time, a *attempt) {
+	if j := k.jobs[a.jobID]; j != nil {
+		slog.Debug("task ended", logkey.TaskID, a.key.task, "cause", a.cause, logkey.Machine, a.machine.name, "ran_s", now.Sub(a.runningSince).Seconds(), "estimate_s", j.rec.Spec.EstimateS)
+	}
+}
+
+// finishRebuild ends the rebuild after a failover once every inherited machine has shown all
+// attempts that are on it, or has surely lost them.
 func (c *Core) finishRebuild(now time.Time) {
 	if c.rebuilt {
 		return
@@ -165,5 +237,5 @@
 		c.queueForClose(j)
 	}
 	c.needsPlacement = true
-	slog.Info("shard rebuilt", "shard", c.cfg.Shard, "term", c.term, "after_ms", now.Sub(c.acquiredAt).Milliseconds(), "machines", len(c.machines))
+	slog.Info("shard rebuilt", logkey.Shard, c.cfg.Shard, logkey.Term, c.term, "after_ms", now.Sub(c.acquiredAt).Milliseconds(), "machines", len(c.machines))
 }
