--- a/apiserver/submissions.go
+++ b/apiserver/submissions.go
@@ -122,7 +122,12 @@
 // alone is retried for a short while. Any other error is returned at once, also when
 // the store is unavailable.
 func (s *Server) commit(ctx context.Context, txn wire.Txn) (revision uint64, err error) {
-	err = kvstore.RetryRateLimited(ctx, constants.RateLimitWait, constants.RetryBackoffMin/2, constants.RetryBackoffMin, func() (err error) {
+	retry := kvstore.RateLimitRetry{
+		MaxElapsed: constants.RateLimitWait,
+		MinDelay:   constants.RetryBackoffMin / 2,
+		Jitter:     constants.RetryBackoffMin,
+	}
+	err = retry.Do(ctx, func() (err error) {
 		revision, err = s.store.Commit(ctx, txn)
 		return err
 	})
--- a/controller/acquisition.go
+++ b/controller/acquisition.go
@@ -89,7 +89,12 @@
 // until it is written nobody owns the shard. It runs beside the actor.
 func (c *controlActor) acquire(ctx context.Context, acquisition member.TermAcquisition) error {
 	const backoff = constants.RetryBackoffMin / 4
-	return kvstore.RetryRateLimited(ctx, constants.AcquisitionRetryTime, backoff, backoff, func() error {
+	retry := kvstore.RateLimitRetry{
+		MaxElapsed: constants.AcquisitionRetryTime,
+		MinDelay:   backoff,
+		Jitter:     backoff,
+	}
+	return retry.Do(ctx, func() error {
 		_, err := c.dependencies.Unthrottled.Commit(ctx, acquisition.Txn)
 		return err
 	})
--- a/controller/commit.go
+++ b/controller/commit.go
@@ -42,7 +42,12 @@
 		if !urgent {
 			return commitOnce()
 		}
-		return kvstore.RetryRateLimited(ctx, commitTimeout, constants.UrgentRetryInterval, constants.UrgentRetryInterval, commitOnce)
+		retry := kvstore.RateLimitRetry{
+			MaxElapsed: commitTimeout,
+			MinDelay:   constants.UrgentRetryInterval,
+			Jitter:     constants.UrgentRetryInterval,
+		}
+		return retry.Do(ctx, commitOnce)
 	})
 	if err != nil {
 		logCommitError(ctx, txn, what, err)
--- a/controller/drain_service.go
+++ b/controller/drain_service.go
@@ -223,7 +223,12 @@
 
 // commit writes what an operator requested.
 func (s *drainService) commit(ctx context.Context, txn wire.Txn) (*drain.FieldError, error) {
-	err := kvstore.RetryRateLimited(ctx, constants.DrainCallTimeout, constants.RetryBackoffMin, constants.RetryBackoffMin, func() error {
+	retry := kvstore.RateLimitRetry{
+		MaxElapsed: constants.DrainCallTimeout,
+		MinDelay:   constants.RetryBackoffMin,
+		Jitter:     constants.RetryBackoffMin,
+	}
+	err := retry.Do(ctx, func() error {
 		_, err := s.store.Commit(ctx, txn)
 		return err
 	})
--- a/kvstore/retry.go
+++ b/kvstore/retry.go
@@ -25,17 +25,26 @@
 	}
 }
 
-// RetryRateLimited repeats call while it returns ErrRateLimited, until ctx ends or
-// maxElapsed has passed since the first call. It waits minDelay and a random part of
-// jitter, which must be positive, between two calls. It returns the last call's error.
-func RetryRateLimited(ctx context.Context, maxElapsed, minDelay, jitter time.Duration, call func() error) error {
+// RateLimitRetry says how a call that was rate limited is retried.
+type RateLimitRetry struct {
+	// MaxElapsed is the time since the first call after which there is no other.
+	MaxElapsed time.Duration
+	// MinDelay is the least delay before a retry.
+	MinDelay time.Duration
+	// Jitter bounds the random delay that is added; it must be positive.
+	Jitter time.Duration
+}
+
+// Do repeats call while it returns ErrRateLimited, until ctx ends or MaxElapsed has
+// passed. It returns the last call's error.
+func (r RateLimitRetry) Do(ctx context.Context, call func() error) error {
 	start := time.Now()
 	for {
 		err := call()
-		if !errors.Is(err, ErrRateLimited) || time.Since(start) > maxElapsed || ctx.Err() != nil {
+		if !errors.Is(err, ErrRateLimited) || time.Since(start) > r.MaxElapsed || ctx.Err() != nil {
 			return err
 		}
-		sleep(ctx, minDelay+rand.N(jitter))
+		sleep(ctx, r.MinDelay+rand.N(r.Jitter))
 	}
 }
 
