--- a/shard/doc.go
+++ b/shard/doc.go
@@ -11,9 +11,9 @@
 //   - placement, with waiting, placementstate, machineselection, bestfit, reservation,
 //     preempt, preemptcheckpoint and offload: which waiting task goes to which machine, what
 //     is preempted, what goes back to the leader
-//   - gang, gangattempt, gangpacking, gangpreempt, gangreserve: the same for gangs
-//   - scaleout, scaleoutgang, pendingcapacity, arrivals, forecast: scale out, and the
-//     capacity that is kept ready
+//   - gang, gangattempt, gangpacking, gangpreempt, gangreserve, gangshapes: the same for gangs
+//   - scaleout, scaleoutgang, machineoffer, pendingcapacity, backlog, arrivals, forecast,
+//     reserve: scale out, and the capacity that is held in reserve
 //   - spotreclaim, consolidation: machines that the cloud takes back, and those to do without
 //   - draining, migration, drainplan, interruptions: drains, and disruption budgets
 //   - liveness, partition, cloudlist, scalein: lease expiry, machines that do not send
--- a/shard/drainplan.go
+++ b/shard/drainplan.go
@@ -53,7 +53,7 @@
 	}
 	if refused := c.draining.ledger.Check(now, keys); refused != nil && refused.Reason == disruption.ReasonNeverAllowed {
 		obstacle(refused.Error(), true)
-	} else if _, _, rentable := c.cheapestMachineKind(&c.fleetView, now, s); !rentable && c.migrationTarget(&c.fleetView, now, s, promised) == nil {
+	} else if !c.cheapestOffer(&c.fleetView, now, s).isAvailable() && c.migrationTarget(&c.fleetView, now, s, promised) == nil {
 		obstacle("no machine has room for it, and none can be rented now", false)
 	}
 }
--- a/shard/forecast.go
+++ b/shard/forecast.go
@@ -1,7 +1,6 @@
 package shard
 
 import (
-	"math"
 	"slices"
 	"time"
 
@@ -10,45 +9,20 @@
 	"ravenport/wire"
 )
 
-// scaleOutForForecast rents for what the leader will assign, beyond the room that is there
-// or coming. Spare ordinary room counts for what may also use spot machines.
-func (c *scaleOutState) scaleOutForForecast(v *fleetView, now time.Time, want map[machineKind]int) {
-	spare := 0.0
-	for _, spot := range []bool{false, true} {
-		s, cpus := c.forecastDemand(now, spot)
-		cpus -= spare
-		for _, b := range c.pendingCapacity {
-			if b.spot == spot {
-				cpus -= b.free.cpus
-			}
-		}
-		for _, m := range v.fleet {
-			if m.spot == spot && v.isSchedulable(now, m) {
-				cpus -= v.freeResources(m).cpus
-			}
-		}
-		spare = max(0, -cpus)
-		if typ, kindSpot, ok := c.cheapestMachineKind(v, now, s); ok && cpus > 0 {
-			if n := int(cpus / max(typ.CPUs, 1)); n > 0 {
-				want[machineKind{typ.Name, kindSpot}] += n
-			}
-		}
-	}
-}
-
-// ApplyForecast takes in what the leader will assign here before long.
+// ApplyForecast takes in the leader's forecast of what it will assign to this shard.
 func (c *Core) ApplyForecast(now time.Time, f leader.Forecast) {
 	if f.Revision < c.forecast.Revision {
 		return
 	}
-	c.forecast, c.forecastReceivedAt = f, now
-	kept := c.assignedSinceForecast[:0]
-	for _, g := range c.assignedSinceForecast {
-		if g.version > f.Revision {
-			kept = append(kept, g)
+	c.forecast = f
+	c.forecastReceivedAt = now
+	newer := c.assignedSinceForecast[:0]
+	for _, assigned := range c.assignedSinceForecast {
+		if assigned.version > f.Revision {
+			newer = append(newer, assigned)
 		}
 	}
-	c.assignedSinceForecast = kept
+	c.assignedSinceForecast = newer
 	if len(f.TeamsAtLimit) > 0 && now.Sub(c.heldAt) >= constants.CloseDelay {
 		c.heldAt = now
 		for _, j := range c.jobs {
@@ -59,68 +33,62 @@
 	}
 }
 
-// blocksTeamAtLimit says whether the done tasks of a job keep others of its team waiting for
-// their limit, as the leader has it.
+// blocksTeamAtLimit says whether a job belongs to a team that is at its quota limit, so
+// that done tasks in open assignments keep others of the team waiting.
 func (c *scaleOutState) blocksTeamAtLimit(now time.Time, j *job) bool {
-	return j.gang == nil && j.rec.End == "" && now.Sub(c.forecastReceivedAt) <= constants.ForecastTTL && slices.Contains(c.forecast.TeamsAtLimit, j.rec.Spec.Team)
+	if j.gang != nil || j.rec.End != "" || now.Sub(c.forecastReceivedAt) > constants.ForecastTTL {
+		return false
+	}
+	return slices.Contains(c.forecast.TeamsAtLimit, j.rec.Spec.Team)
 }
 
-// forecastDemand is how much work (CPUs) is still to come of what the leader forecast,
-// and a task that stands for it. What was forecast before is as good as nothing.
-func (c *scaleOutState) forecastDemand(now time.Time, spot bool) (*wire.Submission, float64) {
-	s := &wire.Submission{Spot: spot, CPUs: 1}
+// scaleOutForForecast adds machines for what the leader will assign beyond the free and the
+// pending capacity. Surplus on-demand capacity counts for tasks that may use spot machines
+// as well.
+func (c *scaleOutState) scaleOutForForecast(v *fleetView, now time.Time, counts machineCounts) {
+	surplus := 0.0 // CPUs
+	for _, spot := range []bool{false, true} {
+		missing := c.forecastCPUs(now, spot) - surplus
+		for _, p := range c.pendingCapacity {
+			if p.spot == spot {
+				missing -= p.free.cpus
+			}
+		}
+		for _, m := range v.fleet {
+			if m.spot == spot && v.isSchedulable(now, m) {
+				missing -= v.freeResources(m).cpus
+			}
+		}
+		surplus = max(0, -missing)
+		if missing <= 0 {
+			continue
+		}
+		// A task of one CPU stands for the forecast work.
+		offer := c.cheapestOffer(v, now, &wire.Submission{Spot: spot, CPUs: 1})
+		if !offer.isAvailable() {
+			continue
+		}
+		if count := int(missing / max(offer.machineType.CPUs, 1)); count > 0 {
+			counts[offer.kind()] += count
+		}
+	}
+}
+
+// forecastCPUs is the work (CPUs) of the leader's forecast that was not assigned yet; none
+// where the forecast is out of date.
+func (c *scaleOutState) forecastCPUs(now time.Time, spot bool) float64 {
 	if now.Sub(c.forecastReceivedAt) > constants.ForecastTTL {
 		c.assignedSinceForecast = nil
-		return s, 0
+		return 0
 	}
 	cpus := c.forecast.OnDemand
 	if spot {
 		cpus = c.forecast.Spot
 	}
-	for _, g := range c.assignedSinceForecast {
-		if g.spot == spot {
-			cpus -= g.cpus
+	for _, assigned := range c.assignedSinceForecast {
+		if assigned.spot == spot {
+			cpus -= assigned.cpus
 		}
 	}
-	return s, cpus
-}
-
-// missingReserve is how many ordinary machines of which type are missing to
-// keep room ready for production work.
-func (c *Core) missingReserve(now time.Time) (string, int) {
-	if c.productionArrivals.largest.cpus == 0 && c.gangReserveCPUs == 0 || !c.canScaleOut(&c.fleetView, now, false) {
-		return "", 0
-	}
-	room := 0.0
-	for _, m := range c.fleet {
-		if !m.spot && !m.scalingIn && m.typ != nil && m.up && m.reclaimAt.IsZero() {
-			room += c.productionCPUs(m)
-		}
-	}
-	for _, b := range c.pendingCapacity {
-		if !b.spot {
-			room += b.free.cpus
-		}
-	}
-	missing := max(c.productionReserve(&c.fleetView, now)-room, c.missingGangReserve())
-	if missing <= 0 {
-		return "", 0
-	}
-	var best *wire.MachineType
-	for _, t := range c.types {
-		if c.productionArrivals.largest.fits(machineResources(t)) && slices.Contains(t.Zones, c.cfg.Shard) &&
-			(best == nil || t.Price < best.Price) {
-			best = t
-		}
-	}
-	if best == nil {
-		return "", 0
-	}
-	return best.Name, int(math.Ceil(missing / max(best.CPUs, 1)))
-}
-
-// productionReserve is the room (CPUs) held ready for production work: what is expected
-// to arrive while a machine would boot, and one of the largest tasks at least.
-func (c *scaleOutState) productionReserve(v *fleetView, now time.Time) float64 {
-	return max(c.productionArrivals.largest.cpus, constants.ReserveFactor*c.productionArrivals.expectedCPUs(now, time.Duration(v.maxBootSeconds()*float64(time.Second))))
+	return cpus
 }
--- a/shard/gangreserve.go
+++ b/shard/gangreserve.go
@@ -6,72 +6,20 @@
 
 	"ravenport/constants"
 	"ravenport/leader"
-	"ravenport/records"
-	"ravenport/wire"
 )
 
-// gangReserves is the room to be held ready for gangs.
+// gangReserves is the capacity that is held in reserve for gangs, and the arrivals that it
+// follows from.
 type gangReserves struct {
-	gangArrivals    arrivalRate // each as a whole
-	gangShapes      map[string]gangShape
-	gangReserveCPUs float64 // CPUs
+	gangArrivals    arrivalRate          // of whole gangs
+	gangShapes      map[string]gangShape // by leader.GangShape
+	gangReserveCPUs float64              // CPUs, beside what waiting gangs need
 }
 
-// recordGangShape remembers what gangs look like, whichever shard has them: the leader
-// wants to know whether one of that shape would start here.
-func (g *gangReserves) recordGangShape(now time.Time, rec *records.Job) {
-	if !rec.Spec.IsGang() || rec.End != "" {
-		return
-	}
-	key := leader.GangShape(&rec.Spec)
-	if _, known := g.gangShapes[key]; !known && len(g.gangShapes) >= constants.MaxGangShapes {
-		oldest := key
-		for k, sh := range g.gangShapes {
-			if oldest == key || sh.lastSeen.Before(g.gangShapes[oldest].lastSeen) || sh.lastSeen.Equal(g.gangShapes[oldest].lastSeen) && k < oldest {
-				oldest = k
-			}
-		}
-		delete(g.gangShapes, oldest)
-	}
-	g.gangShapes[key] = gangShape{rec.Spec, now}
-}
-
-type gangShape struct {
-	spec     wire.Submission
-	lastSeen time.Time
-}
-
-// gangCapacities is how many tasks of each shape of gang seen lately would start
-// now, and how many of them on machines that hold the image.
-func (reserves *gangReserves) gangCapacities(v *fleetView, now time.Time) map[string]leader.GangCapacity {
-	out := map[string]leader.GangCapacity{}
-	for key, sh := range reserves.gangShapes {
-		if now.Sub(sh.lastSeen) > constants.GangShapeRetention {
-			delete(reserves.gangShapes, key)
-			continue
-		}
-		s := &sh.spec
-		n := taskResources(s)
-		var g leader.GangCapacity
-		for _, m := range v.fleet {
-			if m.consolidating || !isEligible(s, m.typeName, m.spot) || !v.isSchedulable(now, m) {
-				continue
-			}
-			k := v.freeResources(m).holdsOf(n)
-			g.Now += k
-			if m.cachedImages[s.Image] {
-				g.Warm += k
-			}
-		}
-		out[key] = g
-	}
-	return out
-}
-
-// reserveMachinesForGangs picks the machines on which no array begins, so that gangs find
-// room at once: enough for those that wait and for what is expected to come. A
-// gang needs all its places at the same moment, and arrays would take each that
-// falls free. It is made anew each time, so none outlives its reason.
+// reserveMachinesForGangs chooses the machines on which no array task starts, so that gangs
+// can start at once: enough for the waiting gangs and for the expected ones. A gang needs
+// all its slots at the same moment, and arrays would take each that becomes free. The
+// choice is made anew each time, so that none outlives its reason.
 func (c *Core) reserveMachinesForGangs(now time.Time) {
 	c.refreshWaiting(&c.fleetView)
 	c.gangReserveCPUs = c.targetGangReserve(&c.fleetView, now)
@@ -82,114 +30,139 @@
 	if c.gangReserveCPUs == 0 && len(waiting) == 0 {
 		return
 	}
-	machines := c.gangReserveCandidates(&c.fleetView, now)
+	candidates := c.gangReserveCandidates(&c.fleetView, now)
 	for _, j := range waiting {
-		reserveForGang(machines, j)
-	}
-	left := c.gangReserveCPUs
-	for _, k := range machines {
-		if left <= roundingSlack {
-			break
-		}
-		if !k.machine.spot && k.available.cpus > roundingSlack {
-			k.machine.reservedForGangs = true
-			left -= k.available.cpus
-		}
+		reserveForGang(candidates, j)
 	}
+	reserveForArrivals(candidates, c.gangReserveCPUs)
 }
 
-// waitingGangs lists the gangs that are to be started, in the order in which they came.
+// waitingGangs lists the gangs that are to be started, in the order of their submission.
 func (p *placement) waitingGangs() []*job {
 	var waiting []*job
 	for j := range p.waiting {
-		if g := j.gang; g != nil && !g.done && (g.attempt == 0 || g.failed) {
+		if j.gang != nil && !j.gang.done && !j.gang.isActive() {
 			waiting = append(waiting, j)
 		}
 	}
-	sort.Slice(waiting, func(a, b int) bool {
-		x, y := waiting[a].rec, waiting[b].rec
-		return x.AcceptedMS < y.AcceptedMS || x.AcceptedMS == y.AcceptedMS && x.ID < y.ID
+	sort.Slice(waiting, func(i, j int) bool {
+		a, b := waiting[i].rec, waiting[j].rec
+		if a.AcceptedMS != b.AcceptedMS {
+			return a.AcceptedMS < b.AcceptedMS
+		}
+		return a.ID < b.ID
 	})
 	return waiting
 }
 
-// gangMachine is a machine whose room may be kept for gangs.
-type gangMachine struct {
+// gangReserveCandidate is a machine that may be reserved for gangs.
+type gangReserveCandidate struct {
 	machine      *machine
 	cachedShapes int       // shapes of gangs whose image it holds
-	available    resources // free, or held by arrays, which end soon
+	available    resources // free, or held by arrays, which end soon, and not yet reserved
 }
 
-// gangReserveCandidates lists the machines whose room may be kept for gangs, those with the
-// most of their images first, then by room.
-func (g *gangReserves) gangReserveCandidates(v *fleetView, now time.Time) []*gangMachine {
-	var list []*gangMachine
+// gangReserveCandidates lists the machines that may be reserved for gangs: those that hold
+// the images of the most shapes first, then those with the most CPUs.
+func (g *gangReserves) gangReserveCandidates(v *fleetView, now time.Time) []*gangReserveCandidate {
+	var candidates []*gangReserveCandidate
 	for _, m := range v.fleet {
 		if m.consolidating || m.reservedFor != nil || !v.isSchedulable(now, m) {
 			continue
 		}
-		k := &gangMachine{machine: m, available: v.freeResources(m)}
-		for _, att := range m.attempts {
-			if t := v.taskOf(att); t != nil && !att.hasExited() && !t.job.rec.Spec.AllOrNothing() {
-				k.available = k.available.plus(att.resources)
-			}
-		}
-		if k.available.cpus < roundingSlack {
+		available := v.capacityBesideArrays(m)
+		if available.cpus < roundingSlack {
 			continue
 		}
-		for _, sh := range g.gangShapes {
-			if m.cachedImages[sh.spec.Image] {
-				k.cachedShapes++
-			}
-		}
-		list = append(list, k)
+		candidates = append(candidates, &gangReserveCandidate{machine: m, cachedShapes: g.countCachedShapes(m), available: available})
 	}
-	sort.Slice(list, func(a, b int) bool {
-		x, y := list[a], list[b]
+	sort.Slice(candidates, func(i, j int) bool {
+		a, b := candidates[i], candidates[j]
 		switch {
-		case x.cachedShapes != y.cachedShapes:
-			return x.cachedShapes > y.cachedShapes
-		case x.available.cpus != y.available.cpus:
-			return x.available.cpus > y.available.cpus
+		case a.cachedShapes != b.cachedShapes:
+			return a.cachedShapes > b.cachedShapes
+		case a.available.cpus != b.available.cpus:
+			return a.available.cpus > b.available.cpus
 		}
-		return x.machine.name < y.machine.name
+		return a.machine.name < b.machine.name
 	})
-	return list
+	return candidates
 }
 
-// reserveForGang keeps room for all tasks of a gang that waits, as far as there is any.
-func reserveForGang(machines []*gangMachine, j *job) {
+// capacityBesideArrays is what of a machine is free or held by arrays.
+func (k *knownState) capacityBesideArrays(m *machine) resources {
+	available := k.freeResources(m)
+	for _, a := range m.attempts {
+		t := k.taskOf(a)
+		if t != nil && !a.hasExited() && !t.job.rec.Spec.AllOrNothing() {
+			available = available.plus(a.resources)
+		}
+	}
+	return available
+}
+
+// countCachedShapes is the number of known gang shapes whose image a machine holds.
+func (g *gangReserves) countCachedShapes(m *machine) int {
+	count := 0
+	for _, shape := range g.gangShapes {
+		if m.cachedImages[shape.spec.Image] {
+			count++
+		}
+	}
+	return count
+}
+
+// reserveForGang reserves machines for all tasks of a waiting gang, as far as they fit.
+func reserveForGang(candidates []*gangReserveCandidate, j *job) {
 	s := &j.rec.Spec
-	n, left := taskResources(s), len(j.tasks)
-	for _, k := range machines {
-		if left == 0 {
+	n := taskResources(s)
+	remaining := len(j.tasks)
+	for _, c := range candidates {
+		if remaining == 0 {
 			return
 		}
-		if !isEligible(s, k.machine.typeName, k.machine.spot) {
+		if !isEligible(s, c.machine.typeName, c.machine.spot) {
 			continue
 		}
-		if t := min(left, k.available.holdsOf(n)); t > 0 {
-			k.machine.reservedForGangs = true
-			k.available = k.available.minus(n.times(t))
-			left -= t
+		count := min(remaining, c.available.holdsOf(n))
+		if count > 0 {
+			c.machine.reservedForGangs = true
+			c.available = c.available.minus(n.times(count))
+			remaining -= count
+		}
+	}
+}
+
+// reserveForArrivals reserves on-demand machines with so many CPUs for gangs that are
+// expected.
+func reserveForArrivals(candidates []*gangReserveCandidate, cpus float64) {
+	for _, c := range candidates {
+		if cpus <= roundingSlack {
+			return
+		}
+		if !c.machine.spot && c.available.cpus > roundingSlack {
+			c.machine.reservedForGangs = true
+			cpus -= c.available.cpus
 		}
 	}
 }
 
-// targetGangReserve is the room (CPUs) held ready for gangs: what is expected to
-// arrive while a machine would boot, and the largest of late at least.
+// targetGangReserve is the capacity (CPUs) to hold in reserve for gangs: that of the
+// arrivals expected while a machine boots, and of the largest recent gang at least; 0 where
+// gangs have stopped arriving.
 func (g *gangReserves) targetGangReserve(v *fleetView, now time.Time) float64 {
-	if g.gangArrivals.largest.cpus == 0 {
+	largest := g.gangArrivals.largest.cpus
+	if largest == 0 {
 		return 0
 	}
-	within := g.gangArrivals.expectedCPUs(now, time.Duration(v.maxBootSeconds()*float64(time.Second)))
-	if within < g.gangArrivals.largest.cpus*constants.MinGangArrivalShare {
-		return 0 // they have stopped coming
+	expected := g.gangArrivals.expectedCPUs(now, time.Duration(v.maxBootSeconds()*float64(time.Second)))
+	if expected < largest*constants.MinGangArrivalShare {
+		return 0
 	}
-	return max(g.gangArrivals.largest.cpus, constants.ReserveFactor*within)
+	return max(largest, constants.ReserveFactor*expected)
 }
 
-// missingGangReserve is how much of that reserve (CPUs) is neither free nor coming.
+// missingGangReserve is how much of the reserve (CPUs) is neither free nor pending.
 func (c *Core) missingGangReserve() float64 {
 	if c.gangReserveCPUs == 0 {
 		return 0
@@ -200,10 +173,24 @@
 			missing -= max(0, c.freeResources(m).cpus)
 		}
 	}
-	for _, b := range c.pendingCapacity {
-		if !b.spot {
-			missing -= b.free.cpus
+	for _, p := range c.pendingCapacity {
+		if !p.spot {
+			missing -= p.free.cpus
 		}
 	}
 	return missing
 }
+
+// gangCapacities is, by gang shape, how many tasks of a recent shape would start now, and
+// how many of them on machines that hold the image. It forgets shapes that are out of date.
+func (g *gangReserves) gangCapacities(v *fleetView, now time.Time) map[string]leader.GangCapacity {
+	out := map[string]leader.GangCapacity{}
+	for key, shape := range g.gangShapes {
+		if now.Sub(shape.lastSeen) > constants.GangShapeRetention {
+			delete(g.gangShapes, key)
+			continue
+		}
+		out[key] = v.gangCapacity(now, &shape.spec)
+	}
+	return out
+}
--- a/shard/migration.go
+++ b/shard/migration.go
@@ -115,9 +115,9 @@
 // migrationTarget is a machine with room for a task, beside what is promised to others: one
 // that stays, unless none can be rented.
 func (c *scaleOutState) migrationTarget(v *fleetView, now time.Time, s *wire.Submission, promised map[*machine]resources) *machine {
-	_, _, rentable := c.cheapestMachineKind(v, now, s)
+	canAdd := c.cheapestOffer(v, now, s).isAvailable()
 	return v.bestFit(now, s, func(m *machine) bool {
-		return !(rentable && m.drainNext) && taskResources(s).fits(v.freeResources(m).minus(promised[m]))
+		return !(canAdd && m.drainNext) && taskResources(s).fits(v.freeResources(m).minus(promised[m]))
 	})
 }
 
@@ -138,8 +138,9 @@
 	d.surgeTasks = append(d.surgeTasks, t)
 }
 
-// scaleOutForDrains rents for tasks that may move and fit on nothing that is coming.
-func (c *Core) scaleOutForDrains(now time.Time, want map[machineKind]int) {
+// scaleOutForDrains adds machines for the tasks of services that may migrate and fit on no
+// machine, pending ones among them.
+func (c *Core) scaleOutForDrains(now time.Time, counts machineCounts) {
 	if c.draining == nil {
 		return
 	}
@@ -148,8 +149,8 @@
 		if c.takePendingCapacity(s, 1) == 1 {
 			continue
 		}
-		if typ, spot, ok := c.cheapestMachineKind(&c.fleetView, now, s); ok {
-			c.planMachine(typ, spot, taskResources(s), want)
+		if offer := c.cheapestOffer(&c.fleetView, now, s); offer.isAvailable() {
+			c.planMachine(offer, taskResources(s), counts)
 		}
 	}
 }
--- a/shard/offload.go
+++ b/shard/offload.go
@@ -8,7 +8,18 @@
 	"ravenport/wire"
 )
 
-// isImageWarmInOtherShard says whether a production task would wait for its image
+// offloadTask marks a waiting task to be sent back to the leader. It is not placed here any
+// more, until a newer record says which shard has it.
+func (c *Core) offloadTask(j *job, t *task) {
+	if j.recordPending() || c.hasLiveAttempt(j.rec.ID, t.index) {
+		return
+	}
+	t.sendingBack = true
+	c.markWaitingStale(j)
+	c.queueForClose(j)
+}
+
+// isImageWarmInOtherShard says whether a production task would have to wait for its image
 // here, and would not in another shard.
 func (f *aggregates) isImageWarmInOtherShard(v *fleetView, now time.Time, s *wire.Submission) bool {
 	if s.Priority != wire.PriorityProduction || s.OneZone || s.Spread && s.Tasks > 1 || s.Zone != "" {
@@ -27,52 +38,42 @@
 	return false
 }
 
-// otherShardsFitOneMore says whether another shard is known to have room for one more of a
-// job's tasks, after so many.
-func (f *aggregates) otherShardsFitOneMore(now time.Time, rec *records.Job, after int) bool {
-	// Others see the same room.
-	return f.taskSlotsInOtherShards(now, rec) > (after+1)*max(1, len(f.otherShards))
+// otherShardsFitOneMore says whether other shards are known to have capacity for one more
+// of a job's tasks, beside so many that were offloaded already. All shards see the same
+// free capacity, so each counts on its part of it only.
+func (f *aggregates) otherShardsFitOneMore(now time.Time, rec *records.Job, offloaded int) bool {
+	return f.taskSlotsInOtherShards(now, rec) > (offloaded+1)*max(1, len(f.otherShards))
 }
 
-// taskSlotsInOtherShards is for how many more of a job's tasks other shards are known to have
-// room.
+// taskSlotsInOtherShards is how many more of a job's tasks other shards are known to have
+// capacity for.
 func (f *aggregates) taskSlotsInOtherShards(now time.Time, rec *records.Job) int {
 	s := &rec.Spec
-	n := 0
+	slots := 0
 	for _, o := range f.otherShards {
 		if now.Sub(o.receivedAt) < constants.AggregateStaleAfter && (s.Zone == "" || s.Zone == o.aggregate.Shard) {
-			n += o.aggregate.EstimateTasks(s)
+			slots += o.aggregate.EstimateTasks(s)
 		}
 	}
-	// spread may leave no place for it outside this shard, whatever the room.
+	// Whatever the capacity, a spread job may have no place outside this shard.
 	if s.Spread && s.Tasks > 1 {
-		n = min(n, f.spreadSlotsInOtherShards(rec))
+		slots = min(slots, f.spreadSlotsInOtherShards(rec))
 	}
-	return n
+	return slots
 }
 
-// spreadSlotsInOtherShards is how many more tasks of a job may be in the other shards,
-// beside those there: at most half of all in each.
+// spreadSlotsInOtherShards is how many more tasks of a spread job may be in other shards
+// beside those there: at most half of all its tasks in each.
 func (f *aggregates) spreadSlotsInOtherShards(rec *records.Job) int {
-	n := 0
+	slots := 0
 	for name := range f.otherShards {
-		left := (rec.Spec.Tasks + 1) / 2
-		for _, ch := range rec.Assignments {
-			if ch.Shard == name && !ch.Closed {
-				left -= ch.Tasks()
+		remaining := (rec.Spec.Tasks + 1) / 2
+		for _, a := range rec.Assignments {
+			if a.Shard == name && !a.Closed {
+				remaining -= a.Tasks()
 			}
 		}
-		n += max(left, 0)
-	}
-	return n
-}
-
-// offloadTask marks a waiting task to be sent back to the leader. From here on
-// it is not placed, until a newer record says what became of it.
-func (c *Core) offloadTask(j *job, t *task) {
-	if !j.recordPending() && !c.hasLiveAttempt(j.rec.ID, t.index) {
-		t.sendingBack = true
-		c.markWaitingStale(j)
-		c.queueForClose(j)
+		slots += max(remaining, 0)
 	}
+	return slots
 }
--- a/shard/pendingcapacity.go
+++ b/shard/pendingcapacity.go
@@ -7,64 +7,75 @@
 	"ravenport/wire"
 )
 
+// pendingScaleOut is a scale-out request without a response.
 type pendingScaleOut struct {
 	request     wire.ScaleOutRequest
 	requestedAt time.Time
 }
 
-// pendingMachine is the room of a machine that is not up yet.
+// pendingMachine is the unused capacity of a machine that does not take tasks yet.
 type pendingMachine struct {
 	free     resources
 	typeName string
 	spot     bool
 }
 
-// bootAge is a machine's age in nominal boot times.
+// bootAge is the time since a machine was requested, in nominal boot times of its type.
 func (m *machine) bootAge(now time.Time) float64 {
-	boot := 60.0
+	bootS := 60.0
 	if m.typ != nil {
-		boot = max(1, m.typ.BootS)
+		bootS = max(1, m.typ.BootS)
 	}
-	return now.Sub(m.requestedAt).Seconds() / boot
+	return now.Sub(m.requestedAt).Seconds() / bootS
 }
 
-// maxBootSeconds is the longest nominal boot time (s).
+// maxBootSeconds is the longest nominal boot time of all machine types (s).
 func (k *knownState) maxBootSeconds() float64 {
-	boot := 0.0
+	bootS := 0.0
 	for _, t := range k.types {
-		boot = max(boot, t.BootS)
+		bootS = max(bootS, t.BootS)
 	}
-	return boot
+	return bootS
 }
 
-// isPendingMachine says whether a machine that has not come up yet is still counted on.
+// isPendingMachine says whether a machine that is not up yet counts as pending capacity.
 func (l *liveness) isPendingMachine(now time.Time, m *machine) bool {
 	return !m.up && !m.inherited && !l.partitioned && !m.scalingIn && m.typ != nil && m.bootAge(now) < constants.PendingBootTimes
 }
 
-// listPendingMachines lists the room of machines that are not up yet or may not take
-// tasks yet.
+// isNotYetSchedulable says whether a machine is up, and waits only for its first heartbeat
+// under this term or for its entry in the durable inventory.
+func (v *fleetView) isNotYetSchedulable(now time.Time, m *machine) bool {
+	isVerified := m.hasSeenTerm(v.term) && m.durable && m.durableAddr == m.addr
+	return m.up && !isVerified && !m.scalingIn && m.typ != nil && !v.isUnreachable(now, m)
+}
+
+// listPendingMachines lists the capacity of machines that are requested, booting, or not
+// yet schedulable. It reuses the last list.
 func (c *scaleOutState) listPendingMachines(v *fleetView, now time.Time) []pendingMachine {
-	out := c.pendingCapacity[:0] // made anew each time, in the same place
+	out := c.pendingCapacity[:0]
 	for _, m := range v.fleet {
-		if v.isPendingMachine(now, m) {
+		switch {
+		case v.isPendingMachine(now, m):
 			out = append(out, pendingMachine{m.capacity, m.typeName, m.spot})
-		} else if m.up && (!m.hasSeenTerm(v.term) || !m.durable || m.durableAddr != m.addr) && !m.scalingIn && m.typ != nil && !v.isUnreachable(now, m) {
+		case v.isNotYetSchedulable(now, m):
 			out = append(out, pendingMachine{v.freeResources(m), m.typeName, m.spot})
 		}
 	}
 	for _, r := range c.pendingScaleOuts {
-		if t := v.types[r.request.Type]; t != nil {
-			for range r.request.Count {
-				out = append(out, pendingMachine{machineResources(t), t.Name, r.request.Spot})
-			}
+		t := v.types[r.request.Type]
+		if t == nil {
+			continue
+		}
+		for range r.request.Count {
+			out = append(out, pendingMachine{machineResources(t), t.Name, r.request.Spot})
 		}
 	}
 	return out
 }
 
-// tasksBeyondPending gives a job's ready tasks the room that is coming and returns those that
-// it does not take.
+// tasksBeyondPending places a job's ready tasks on pending machines, and returns those that
+// do not fit.
 func (c *Core) tasksBeyondPending(now time.Time, j *job) []*task {
 	s := &j.rec.Spec
 	tasks := c.appendReadyTasks(c.taskBuffer[:0], now, j)
@@ -73,31 +84,32 @@
 	return tasks[c.takePendingCapacity(s, len(tasks)):]
 }
 
-// takePendingCapacity gives so many tasks of a job room that is coming, spot room first since
-// ordinary room is all that some may use, and returns how many it takes.
+// takePendingCapacity places tasks of a job on pending machines, and returns how many fit.
+// Spot machines come first: other tasks can use on-demand machines only.
 func (c *scaleOutState) takePendingCapacity(s *wire.Submission, tasks int) int {
 	n := taskResources(s)
-	left := tasks
+	remaining := tasks
 	for _, spot := range []bool{true, false} {
 		for i := range c.pendingCapacity {
-			if left == 0 {
+			if remaining == 0 {
 				return tasks
 			}
-			b := &c.pendingCapacity[i]
-			if b.spot == spot && n.fits(b.free) && isEligible(s, b.typeName, b.spot) {
-				k := min(left, b.free.holdsOf(n))
-				b.free = b.free.minus(n.times(k))
-				left -= k
+			p := &c.pendingCapacity[i]
+			if p.spot == spot && n.fits(p.free) && isEligible(s, p.typeName, p.spot) {
+				count := min(remaining, p.free.holdsOf(n))
+				p.free = p.free.minus(n.times(count))
+				remaining -= count
 			}
 		}
 	}
-	return tasks - left
+	return tasks - remaining
 }
 
-// planMachine has one more machine rented, and counts its room beside what is taken of it as
-// coming, which is returned.
-func (c *scaleOutState) planMachine(typ *wire.MachineType, spot bool, taken resources, want map[machineKind]int) *pendingMachine {
-	want[machineKind{typ.Name, spot}]++
-	c.pendingCapacity = append(c.pendingCapacity, pendingMachine{machineResources(typ).minus(taken), typ.Name, spot})
+// planMachine adds an offered machine to those that are to be requested. What is not taken
+// of it is pending capacity, which is returned; the pointer holds until the next call.
+func (c *scaleOutState) planMachine(offer machineOffer, taken resources, counts machineCounts) *pendingMachine {
+	counts[offer.kind()]++
+	free := machineResources(offer.machineType).minus(taken)
+	c.pendingCapacity = append(c.pendingCapacity, pendingMachine{free, offer.machineType.Name, offer.spot})
 	return &c.pendingCapacity[len(c.pendingCapacity)-1]
 }
--- /dev/null
+++ b/shard/reserve.go
@@ -0,0 +1,68 @@
+package shard
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"ravenport/constants"
+	"ravenport/wire"
+)
+
+// productionReserve is the capacity (CPUs) to hold in reserve for production work: that of
+// the arrivals expected while a machine boots, and of the largest task at least.
+func (c *scaleOutState) productionReserve(v *fleetView, now time.Time) float64 {
+	boot := time.Duration(v.maxBootSeconds() * float64(time.Second))
+	return max(c.productionArrivals.largest.cpus, constants.ReserveFactor*c.productionArrivals.expectedCPUs(now, boot))
+}
+
+// scaleOutForReserve adds on-demand machines where the reserve for production work or for
+// gangs is neither free nor pending.
+func (c *Core) scaleOutForReserve(now time.Time, counts machineCounts) {
+	if c.productionArrivals.largest.cpus == 0 && c.gangReserveCPUs == 0 || !c.canScaleOut(&c.fleetView, now, false) {
+		return
+	}
+	missing := max(c.productionReserve(&c.fleetView, now)-c.availableProductionCPUs(), c.missingGangReserve())
+	if missing <= 0 {
+		return
+	}
+	t := c.cheapestReserveType()
+	if t == nil {
+		return
+	}
+	if count := int(math.Ceil(missing / max(t.CPUs, 1))); count > 0 {
+		counts[machineKind{t.Name, false}] = count
+	}
+}
+
+// availableProductionCPUs is what production work can have of the on-demand machines,
+// pending ones among them (CPUs).
+func (c *Core) availableProductionCPUs() float64 {
+	available := 0.0
+	for _, m := range c.fleet {
+		if !m.spot && !m.scalingIn && m.typ != nil && m.up && m.reclaimAt.IsZero() {
+			available += c.productionCPUs(m)
+		}
+	}
+	for _, p := range c.pendingCapacity {
+		if !p.spot {
+			available += p.free.cpus
+		}
+	}
+	return available
+}
+
+// cheapestReserveType is the machine type with the lowest price of those in the shard's
+// zone that fit the largest production task; nil: there is none.
+func (c *Core) cheapestReserveType() *wire.MachineType {
+	var best *wire.MachineType
+	for _, t := range c.types {
+		if !c.productionArrivals.largest.fits(machineResources(t)) || !slices.Contains(t.Zones, c.cfg.Shard) {
+			continue
+		}
+		if best == nil || t.Price < best.Price {
+			best = t
+		}
+	}
+	return best
+}
--- a/shard/scaleoutgang.go
+++ b/shard/scaleoutgang.go
@@ -6,63 +6,98 @@
 
 	"ravenport/constants"
 	"ravenport/leader"
+	"ravenport/logkey"
 	"ravenport/wire"
 )
 
-// scaleOutForGang rents for all of a waiting gang that finds no place in what is
-// coming, or gives it back where another shard is known to have room.
-func (c *Core) scaleOutForGang(now time.Time, j *job, want map[machineKind]int) {
+// scaleOutForGang adds machines for the tasks of a waiting gang that fit on no pending
+// machine, or offloads the gang where another shard is known to have the capacity.
+func (c *Core) scaleOutForGang(now time.Time, j *job, counts machineCounts) {
 	s := &j.rec.Spec
 	n := taskResources(s)
-	g := j.gang
-	if g.done || g.attempt != 0 && !g.failed {
-		return // under way; a replacement needs no machine of its own
+	if j.gang.done || j.gang.isActive() {
+		return // a replacement of a lost task needs no machine of its own
 	}
-	left := len(j.tasks)
-	c.unplacedDemand = c.unplacedDemand.plus(n.times(left))
+	c.unplacedDemand = c.unplacedDemand.plus(n.times(len(j.tasks)))
+	remaining := c.takePendingForGang(s, len(j.tasks))
+	// Reserved capacity counts as well: the gang will start on it.
+	remaining -= min(remaining, c.reservedGangSlots(now, s))
+	if remaining == 0 {
+		return
+	}
+	offer := c.cheapestOffer(&c.fleetView, now, s)
+	if c.shouldOffloadGang(now, j, offer) {
+		c.offloadGang(now, j)
+		return
+	}
+	for offer.isAvailable() && remaining > 0 {
+		perMachine := max(1, machineResources(offer.machineType).holdsOf(n))
+		count := min(remaining, perMachine)
+		c.planMachine(offer, n.times(count), counts)
+		remaining -= count
+	}
+	c.excessCPUs += n.cpus * float64(remaining)
+}
+
+// takePendingForGang places tasks of a gang on pending machines, in their order, and
+// returns how many do not fit.
+func (c *scaleOutState) takePendingForGang(s *wire.Submission, tasks int) int {
+	n := taskResources(s)
+	remaining := tasks
 	for i := range c.pendingCapacity {
-		b := &c.pendingCapacity[i]
-		if left > 0 && isEligible(s, b.typeName, b.spot) {
-			k := min(left, b.free.holdsOf(n))
-			b.free = b.free.minus(n.times(k))
-			left -= k
+		p := &c.pendingCapacity[i]
+		if remaining > 0 && isEligible(s, p.typeName, p.spot) {
+			count := min(remaining, p.free.holdsOf(n))
+			p.free = p.free.minus(n.times(count))
+			remaining -= count
 		}
 	}
-	// Free room counts as well: it is what the gang's places will be made of.
-	if !c.partitioned {
-		for _, m := range c.fleet {
-			if left > 0 && m.reservedForGangs && isEligible(s, m.typeName, m.spot) && c.isSchedulable(now, m) {
-				left -= min(left, c.freeResources(m).holdsOf(n))
-			}
+	return remaining
+}
+
+// reservedGangSlots is how many tasks of a gang fit on the machines reserved for gangs;
+// none where the shard's machines are partitioned from the owner.
+func (v *fleetView) reservedGangSlots(now time.Time, s *wire.Submission) int {
+	if v.partitioned {
+		return 0
+	}
+	n := taskResources(s)
+	slots := 0
+	for _, m := range v.fleet {
+		if m.reservedForGangs && isEligible(s, m.typeName, m.spot) && v.isSchedulable(now, m) {
+			slots += v.freeResources(m).holdsOf(n)
 		}
 	}
-	if left == 0 {
-		return
+	return slots
+}
+
+// shouldOffloadGang says whether a gang that does not fit here goes back to the leader: for
+// another shard that fits it, or to be spread over shards. It is spread, if it may be,
+// where it has waited for long and the cloud has no more machines: then no shard may be
+// large enough for it.
+func (c *Core) shouldOffloadGang(now time.Time, j *job, offer machineOffer) bool {
+	s := &j.rec.Spec
+	if now.Sub(j.sentBackAt) <= constants.OffloadWait || spansShards(j.rec, c.cfg.Shard) {
+		return false
 	}
-	typ, spot, ok := c.cheapestMachineKind(&c.fleetView, now, s)
 	waited := now.Sub(j.gangArrivedAt)
-	back := now.Sub(j.sentBackAt) > constants.OffloadWait && !spansShards(j.rec, c.cfg.Shard)
-	// Where it has waited for long and the cloud has no more, no shard may hold it
-	// whole: then the leader spreads it, if it may.
-	apart := !ok && !s.OneZone && s.Zone == "" && waited > constants.OffloadWait && leader.IsOverdue(now, j.rec, false)
-	if back && ((!ok || waited > constants.GangOffloadWait) && c.otherShardFitsGang(now, s) || apart) {
-		slog.Info("gang goes back to the leader", "job", s.ID, "spread", apart)
-		c.offloadGang(now, j)
-		return
+	mayLeave := !offer.isAvailable() || waited > constants.GangOffloadWait
+	spread := !offer.isAvailable() && !s.OneZone && s.Zone == "" && waited > constants.OffloadWait && leader.IsOverdue(now, j.rec, false)
+	if !spread && !(mayLeave && c.otherShardFitsGang(now, s)) {
+		return false
 	}
-	for ok && left > 0 {
-		size := machineResources(typ)
-		k := min(left, max(1, size.holdsOf(n)))
-		c.planMachine(typ, spot, n.times(k), want)
-		left -= k
-	}
-	c.excessCPUs += n.cpus * float64(left)
+	slog.Info("offloading gang to the leader", logkey.JobID, s.ID, "spread", spread)
+	return true
 }
 
-// otherShardFitsGang says whether another shard is known to take all of a gang now.
+// otherShardFitsGang says whether another shard is known to fit all of a gang now.
 func (f *aggregates) otherShardFitsGang(now time.Time, s *wire.Submission) bool {
+	shape := leader.GangShape(s)
 	for _, o := range f.otherShards {
-		if now.Sub(o.receivedAt) < constants.AggregateStaleAfter && (s.Zone == "" || s.Zone == o.aggregate.Shard) && o.aggregate.Gangs[leader.GangShape(s)].Now >= s.Tasks {
+		if now.Sub(o.receivedAt) >= constants.AggregateStaleAfter || s.Zone != "" && s.Zone != o.aggregate.Shard {
+			continue
+		}
+		if o.aggregate.Gangs[shape].Now >= s.Tasks {
 			return true
 		}
 	}
