--- a/actor/actor.go
+++ b/actor/actor.go
@@ -1,5 +1,5 @@
-// Package actor runs actors: goroutines that own their state and are spoken
-// to by messages only.
+// Package actor runs actors: goroutines that own their state and communicate by messages
+// only.
 package actor
 
 import (
@@ -8,46 +8,42 @@
 	"sync/atomic"
 )
 
-// Handler is an actor's behaviour. Receive is called for one message at a
-// time, always on the actor's own goroutine.
+// Handler is an actor's behaviour. Receive is called for one message at a time, always on
+// the actor's own goroutine.
 type Handler interface {
 	Receive(ctx context.Context, msg any)
 }
 
-// Ref is an actor's address.
+// Ref is an actor's address and mailbox. It is safe for concurrent use.
 type Ref struct {
-	mu     sync.Mutex // guards the mailbox alone; no actor's state is shared
+	mu     sync.Mutex // guards the queue alone; no actor's state is shared
 	queue  []any
-	signal chan struct{}
+	signal chan struct{} // holds a value when the queue may have messages
 
-	told, handled atomic.Uint64 // messages, over the actor's life
+	// Messages over the actor's life.
+	sent    atomic.Uint64
+	handled atomic.Uint64
 }
 
 // NewRef makes an address whose actor starts with Run.
 func NewRef() *Ref { return &Ref{signal: make(chan struct{}, 1)} }
 
-// Tell puts a message into the mailbox. It never blocks, so actors may speak
-// to each other in circles; whoever lets the outside world in bounds its own
-// requests.
+// Tell sends a message to the actor. It never blocks, since the mailbox has no bound, so
+// actors may send to each other in circles. Whoever accepts requests from outside the
+// process bounds their number.
 func (r *Ref) Tell(msg any) {
 	r.mu.Lock()
 	r.queue = append(r.queue, msg)
 	r.mu.Unlock()
-	r.told.Add(1)
+	r.sent.Add(1)
 	select {
 	case r.signal <- struct{}{}:
 	default:
 	}
 }
 
-// Len is the number of messages that wait.
-func (r *Ref) Len() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return len(r.queue)
-}
-
-// Run handles messages until ctx ends.
+// Run handles messages until ctx ends. A batch of messages that has been taken from the
+// mailbox is handled to its end.
 func (r *Ref) Run(ctx context.Context, h Handler) {
 	for {
 		select {
@@ -55,18 +51,20 @@
 			return
 		case <-r.signal:
 		}
-		for {
-			r.mu.Lock()
-			batch := r.queue
-			r.queue = nil
-			r.mu.Unlock()
-			if len(batch) == 0 {
-				break
-			}
-			for _, m := range batch {
-				h.Receive(ctx, m)
+		for batch := r.takeAll(); len(batch) > 0; batch = r.takeAll() {
+			for _, msg := range batch {
+				h.Receive(ctx, msg)
 				r.handled.Add(1)
 			}
 		}
 	}
 }
+
+// takeAll empties the mailbox.
+func (r *Ref) takeAll() []any {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	batch := r.queue
+	r.queue = nil
+	return batch
+}
--- a/actor/progress.go
+++ b/actor/progress.go
@@ -1,14 +1,13 @@
 package actor
 
-// Progress is how many messages an actor has handled, and how many wait or are being
-// handled.
+// Progress counts an actor's messages.
 type Progress struct {
-	Handled uint64
-	Pending int
+	Handled uint64 // over the actor's life
+	Pending int    // in the mailbox or being handled
 }
 
 // Progress returns the actor's progress so far.
 func (r *Ref) Progress() Progress {
 	handled := r.handled.Load()
-	return Progress{Handled: handled, Pending: int(r.told.Load() - handled)}
+	return Progress{Handled: handled, Pending: int(r.sent.Load() - handled)}
 }
