--- a/shard/assignments.go
+++ b/shard/assignments.go
@@ -5,17 +5,20 @@
 	"time"
 
 	"ravenport/constants"
+	"ravenport/logkey"
 	"ravenport/records"
 	"ravenport/wire"
 )
 
-// closeQueue is which jobs may have something to record.
+// closeQueue owns which jobs may have assignments to close, or tasks to send back to the
+// leader. queueForClose adds to it, closeAssignments empties it.
 type closeQueue struct {
-	closeCandidates map[string]*job
-	heldAt          time.Time // when jobs of teams at their limit were last looked at for done tasks
+	closeCandidates map[string]*job // by id
+	heldAt          time.Time       // when jobs of teams at their limit were last looked at for done tasks
 }
 
-// closeAssignments records what is finished, for the jobs that have changed.
+// closeAssignments closes finished assignments of the jobs that have changed, and sends tasks
+// back to the leader.
 func (c *Core) closeAssignments(now time.Time) {
 	for id, j := range c.closeCandidates {
 		switch {
@@ -31,9 +34,9 @@
 	}
 }
 
-// closeJob writes a job's record if it has assignments that are over or tasks that
-// leave. Assignments that are over wait a little for the job's others here: a change
-// of the record for each would cost more than all else.
+// closeJob writes a job's record if it has finished assignments or tasks to send back.
+// Finished assignments wait a little for the job's others in the shard: a write of the record
+// for each would cost more than all other writes.
 func (c *Core) closeJob(now time.Time, id string, j *job) {
 	f := c.closeStatusOf(&c.fleetView, now, j)
 	if !f.assignmentFinished && !f.tasksSentBack && !f.tasksFinished {
@@ -45,9 +48,9 @@
 	j.closeAt = time.Time{}
 	rec := j.rec.Clone()
 	for i := range rec.Assignments {
-		ch := &rec.Assignments[i]
-		if ch.Shard == c.cfg.Shard && !ch.Closed && c.isAssignmentFinished(j, ch) {
-			ch.Closed = true
+		assignment := &rec.Assignments[i]
+		if assignment.Shard == c.cfg.Shard && !assignment.Closed && c.isAssignmentFinished(j, assignment) {
+			assignment.Closed = true
 		}
 	}
 	if f.tasksFinished && !c.closeFinishedTasks(j, rec) && !f.assignmentFinished && !f.tasksSentBack {
@@ -66,29 +69,29 @@
 	c.writeJob(now, id, j, rec)
 }
 
-// closeStatus is what of a job is to be recorded.
+// closeStatus is what of a job in the shard is to be recorded.
 type closeStatus struct {
-	assignmentFinished bool // an assignment here is over
-	assignmentOpen     bool // another one here is not
-	tasksFinished      bool // tasks of an open one are done, and their team's limit keeps others waiting
-	tasksSentBack      bool // tasks go back to the leader
+	assignmentFinished bool // an assignment is finished
+	assignmentOpen     bool // another one is not
+	tasksFinished      bool // tasks of an open one are finished, and the team's quota limit keeps others waiting
+	tasksSentBack      bool // tasks are to be sent back to the leader
 }
 
-// closeStatusOf looks at a job's assignments here.
+// closeStatusOf checks a job's assignments in the shard.
 func (c *scaleOutState) closeStatusOf(v *fleetView, now time.Time, j *job) closeStatus {
 	var f closeStatus
-	held := c.blocksTeamAtLimit(now, j)
+	atLimit := c.blocksTeamAtLimit(now, j)
 	for i := range j.rec.Assignments {
-		ch := &j.rec.Assignments[i]
-		if ch.Shard != v.cfg.Shard || ch.Closed {
+		assignment := &j.rec.Assignments[i]
+		if assignment.Shard != v.cfg.Shard || assignment.Closed {
 			continue
 		}
-		if v.isAssignmentFinished(j, ch) {
+		if v.isAssignmentFinished(j, assignment) {
 			f.assignmentFinished = true
 			continue
 		}
 		f.assignmentOpen = true
-		for k := ch.From; held && !f.tasksFinished && k < ch.To; k++ {
+		for k := assignment.From; atLimit && !f.tasksFinished && k < assignment.To; k++ {
 			f.tasksFinished = v.isTaskFinished(j, k)
 		}
 	}
@@ -100,10 +103,11 @@
 	return f
 }
 
-// defersClose says whether what is over waits a little longer for the job's other
-// assignments here.
+// defersClose reports whether what is finished waits a little longer for the job's other
+// assignments in the shard.
 func (s *closeQueue) defersClose(now time.Time, id string, j *job, f closeStatus) bool {
-	if !(f.assignmentFinished || f.tasksFinished) || !f.assignmentOpen || f.tasksSentBack || j.rec.End != "" {
+	finished := f.assignmentFinished || f.tasksFinished
+	if !finished || !f.assignmentOpen || f.tasksSentBack || j.rec.End != "" {
 		return false
 	}
 	if j.closeAt.IsZero() {
@@ -116,9 +120,9 @@
 	return true
 }
 
-// removeSentBack takes the tasks that leave out of a record's assignments. Where their
-// gaps would outgrow the state service's values, they stay, and only what closed is
-// returned; nil if nothing did.
+// removeSentBack removes the tasks that are sent back to the leader from a record's
+// assignments. If the record, with gaps for them, would outgrow the key-value store's values,
+// they stay, and only what was closed is returned; nil if nothing was.
 func (p *placement) removeSentBack(v *fleetView, j *job, rec *records.Job, closed bool) *records.Job {
 	staying := rec.Clone()
 	for k, t := range j.tasks {
@@ -142,11 +146,11 @@
 	return staying
 }
 
-// writeJob writes a job's record.
+// writeJob writes a job's record by compare-and-swap on its version.
 func (c *Core) writeJob(now time.Time, id string, j *job, rec *records.Job) {
 	value, ok := c.cfg.SizeLimits.Encode(rec, j.rec)
 	if !ok {
-		slog.Error("job's record does not fit", "job", id, "bytes", len(value))
+		slog.Error("job's record exceeds the size limit", logkey.JobID, id, "bytes", len(value))
 		j.nextWriteAt = now.Add(constants.RetryBackoffMax)
 		c.queueForClose(j)
 		return
@@ -156,9 +160,9 @@
 		wire.Condition{Key: records.KeyJob(id), Version: j.version})
 }
 
-// isAssignmentFinished says whether every task of an assignment is over.
-func (k *knownState) isAssignmentFinished(j *job, ch *records.Assignment) bool {
-	for index := ch.From; index < ch.To; index++ {
+// isAssignmentFinished reports whether every task of an assignment is finished.
+func (k *knownState) isAssignmentFinished(j *job, assignment *records.Assignment) bool {
+	for index := assignment.From; index < assignment.To; index++ {
 		if !k.isTaskFinished(j, index) {
 			return false
 		}
@@ -166,8 +170,8 @@
 	return true
 }
 
-// isTaskFinished says whether a task is done or, for a job that ended, need not be, and is
-// surely on no machine.
+// isTaskFinished reports whether a task is done, or its job has ended, and it is surely on no
+// machine.
 func (k *knownState) isTaskFinished(j *job, index int) bool {
 	t := j.tasks[index]
 	ended := j.rec.End != ""
@@ -182,22 +186,23 @@
 	return !k.hasLiveAttempt(j.rec.ID, index)
 }
 
-// closeFinishedTasks closes the done tasks of open assignments here by themselves, unless the
-// record would take too much room in so many pieces: then it returns false. While an
-// assignment is open, all its tasks count within their team's limit: one that runs on
-// would hold back others.
+// closeFinishedTasks closes the finished tasks of open assignments by themselves, unless the
+// record would be too large with so many assignments: then it returns false. While an
+// assignment is open, all its tasks count against their team's quota limit: one task that runs
+// for long would keep others waiting.
 func (v *fleetView) closeFinishedTasks(j *job, rec *records.Job) bool {
 	whole := rec.Assignments
 	var split []records.Assignment
-	for _, ch := range whole {
-		if ch.Shard != v.cfg.Shard || ch.Closed {
-			split = append(split, ch)
+	for _, assignment := range whole {
+		if assignment.Shard != v.cfg.Shard || assignment.Closed {
+			split = append(split, assignment)
 			continue
 		}
-		for k := ch.From; k < ch.To; k++ {
-			piece := ch
-			piece.From, piece.To, piece.Closed = k, k+1, v.isTaskFinished(j, k)
-			split = append(split, piece)
+		for k := assignment.From; k < assignment.To; k++ {
+			single := assignment
+			single.From, single.To = k, k+1
+			single.Closed = v.isTaskFinished(j, k)
+			split = append(split, single)
 		}
 	}
 	rec.Assignments = split
@@ -209,22 +214,22 @@
 	return true
 }
 
-// removeTask takes one task out of its assignment.
+// removeTask removes one task from its assignment, which it splits in two.
 func removeTask(rec *records.Job, index int) {
 	for i := range rec.Assignments {
-		ch := &rec.Assignments[i]
-		if ch.Closed || index < ch.From || index >= ch.To {
+		assignment := &rec.Assignments[i]
+		if assignment.Closed || index < assignment.From || index >= assignment.To {
 			continue
 		}
-		rest := *ch
+		rest := *assignment
 		rest.From = index + 1
-		ch.To = index
+		assignment.To = index
 		rec.Assignments = append(rec.Assignments, rest)
 		return
 	}
 }
 
-// queueForClose says that a job's assignments may have something to record.
+// queueForClose has a job checked for assignments to close in the next step.
 func (s *closeQueue) queueForClose(j *job) {
 	s.closeCandidates[j.rec.ID] = j
 	j.closeCheckDue = true
--- a/shard/inventory.go
+++ b/shard/inventory.go
@@ -6,11 +6,12 @@
 	"time"
 
 	"ravenport/constants"
+	"ravenport/logkey"
 	"ravenport/records"
 	"ravenport/wire"
 )
 
-// applyPage takes in a page as the state service has it.
+// applyPage applies a page of the inventory as the key-value store has it.
 func (c *Core) applyPage(now time.Time, r *records.InventoryPage, version uint64) {
 	p := c.ensurePage(r.Number)
 	if version <= p.version {
@@ -19,55 +20,66 @@
 	entries := r.Machines()
 	c.applyStoredPage(&c.outbox, p, entries, version)
 	for i := range entries {
-		e := &entries[i]
-		if _, gone := c.terminated[e.Name]; gone && c.machines[e.Name] == nil {
-			p.dirty = true // written before its return was known
-			continue
-		}
-		m := c.ensureMachine(e.Name)
-		if m.pageNumber != r.Number && m.pageNumber != noPage {
-			p.dirty = true // it was moved, and the owner that did it ended
-			continue
-		}
-		m.pageNumber = r.Number
-		p.add(e.Name)
-		m.durable, m.durableAddr = true, e.Addr
-		if e.Terminating {
-			c.markClosed(m)
-		} else if m.closure.decided {
-			p.dirty = true // a version that does not know the mark has dropped it
-		}
-		if m.addr == "" {
-			m.addr = e.Addr
-		}
-		if m.typeName == "" {
-			m.typeName, m.spot = e.Type, e.Spot
-			c.resolveType(m)
-		}
-		if m.requestedAt.IsZero() {
-			m.requestedAt = now
-			if age := now.Unix() - e.RequestedS; e.RequestedS > 0 && age > 0 && age < 3600 {
-				m.requestedAt = now.Add(-time.Duration(age) * time.Second)
-			}
-		}
-		if m.durableAddr != m.addr && m.addr != "" {
-			p.dirty = true
-		}
+		c.applyEntry(now, p, &entries[i])
 	}
 	c.splitOversized(&c.fleetView, p)
 	c.needsPlacement = true
 }
 
-// applyStoredPage notes what a page durably holds: a machine on no durable page gets no
-// task, and one that left its page for good is forgotten.
+// applyEntry applies one machine of a stored page.
+func (c *Core) applyEntry(now time.Time, p *page, e *records.Machine) {
+	if _, terminated := c.terminated[e.Name]; terminated && c.machines[e.Name] == nil {
+		p.dirty = true // written before its termination was known
+		return
+	}
+	m := c.ensureMachine(e.Name)
+	if m.pageNumber != p.number && m.pageNumber != noPage {
+		p.dirty = true // it was moved, and the owner that moved it has ended
+		return
+	}
+	m.pageNumber = p.number
+	p.add(e.Name)
+	m.durable, m.durableAddr = true, e.Addr
+	if e.Terminating {
+		c.markClosed(m)
+	} else if m.closure.decided {
+		p.dirty = true // a version that does not know the mark has dropped it
+	}
+	if m.addr == "" {
+		m.addr = e.Addr
+	}
+	if m.typeName == "" {
+		m.typeName, m.spot = e.Type, e.Spot
+		c.resolveType(m)
+	}
+	if m.requestedAt.IsZero() {
+		m.requestedAt = requestTime(now, e)
+	}
+	if m.durableAddr != m.addr && m.addr != "" {
+		p.dirty = true
+	}
+}
+
+// requestTime is when a machine was requested from the cloud; now if its entry does not say,
+// or says what cannot be of use any more.
+func requestTime(now time.Time, e *records.Machine) time.Time {
+	age := now.Unix() - e.RequestedS
+	if e.RequestedS > 0 && age > 0 && age < 3600 {
+		return now.Add(-time.Duration(age) * time.Second)
+	}
+	return now
+}
+
+// applyStoredPage records what a page durably holds: a machine on no durable page gets no
+// task, and one that has left its page for good is forgotten.
 func (v *fleetView) applyStoredPage(q *outbox, p *page, entries []records.Machine, version uint64) {
 	p.version = version
-	was := p.storedNames
+	previous := p.storedNames
 	p.storedNames = make(map[string]bool, len(entries))
 	for _, e := range entries {
 		p.storedNames[e.Name] = true
 	}
-	for name := range was {
+	for name := range previous {
 		if m := v.machines[name]; m != nil && m.pageNumber == p.number && !p.storedNames[name] {
 			m.durable, m.durableAddr = false, ""
 		}
@@ -80,57 +92,45 @@
 	}
 }
 
-// pageEntries is what a page should hold now.
+// pageEntries lists what a page should hold now, sorted by name.
 func (k *knownState) pageEntries(p *page) []records.Machine {
-	out := []records.Machine{}
+	entries := []records.Machine{}
 	for name := range p.names {
 		m := k.machines[name]
 		if m == nil || m.leavingInventory {
 			continue
 		}
-		out = append(out, records.Machine{Name: name, Type: m.typeName, Spot: m.spot, Addr: m.addr, RequestedS: m.requestedAt.Unix(), Terminating: m.closure.decided})
+		entries = append(entries, records.Machine{
+			Name:        name,
+			Type:        m.typeName,
+			Spot:        m.spot,
+			Addr:        m.addr,
+			RequestedS:  m.requestedAt.Unix(),
+			Terminating: m.closure.decided,
+		})
 	}
-	sort.Slice(out, func(a, b int) bool { return out[a].Name < out[b].Name })
-	return out
+	sort.Slice(entries, func(a, b int) bool { return entries[a].Name < entries[b].Name })
+	return entries
 }
 
-// writeInventory writes the pages that changed: no machine gets a task before it
-// stands there with its address.
+// writeInventory writes the pages that changed: no machine gets a task before a durable page
+// has it with its address.
 func (c *Core) writeInventory(now time.Time) {
 	if c.inventoryInFlight || now.Before(c.nextInventoryWriteAt) {
 		return
 	}
-	var ps []*page
-	for _, p := range c.pages {
-		if p.dirty && c.isWritable(&c.fleetView, p) {
-			ps = append(ps, p)
-		}
-	}
-	if len(ps) == 0 {
+	pages := c.pagesToWrite()
+	if len(pages) == 0 {
 		return
 	}
-	// The one written longest ago first: small pages are many, and those of low
-	// numbers, which change most, must not keep the others waiting.
-	sort.Slice(ps, func(a, b int) bool {
-		if !ps[a].sentAt.Equal(ps[b].sentAt) {
-			return ps[a].sentAt.Before(ps[b].sentAt)
-		}
-		return ps[a].number < ps[b].number
-	})
-	ps = ps[:min(len(ps), constants.MaxPagesPerWrite, max(1, c.cfg.MaxTxnOps))]
 	var changes []wire.Change
-	var conds []wire.Condition
-	for _, p := range ps {
+	var conditions []wire.Condition
+	for _, p := range pages {
 		entries := c.pageEntries(p)
-		key := records.KeyInventory(c.cfg.Shard, p.number)
-		var r records.InventoryPage
-		for _, e := range entries {
-			r.Add(e)
-		}
-		value := records.Encode(r)
+		value := encodePage(entries)
 		if len(value) > c.cfg.SizeLimits.Next && len(entries) > 1 {
-			// Many kinds of machine or long addresses take more than was allowed
-			// for: half of them go to another page, and this one waits for that.
+			// Many machine types or long addresses take more than was estimated:
+			// half of the machines move to another page, and this one waits for that.
 			for _, e := range entries[len(entries)/2:] {
 				c.moveToOtherPage(&c.fleetView, p, e.Name)
 			}
@@ -139,20 +139,54 @@
 		p.dirty = false
 		p.inFlight = entries
 		p.sentAt = now
+		key := records.KeyInventory(c.cfg.Shard, p.number)
 		changes = append(changes, wire.Change{Put: key, Value: value})
-		conds = append(conds, wire.Condition{Key: key, Version: p.version})
+		conditions = append(conditions, wire.Condition{Key: key, Version: p.version})
 	}
 	if len(changes) == 0 {
 		return
 	}
-	// Its share of the state service's changes, so that a wave of boots or
-	// returns becomes one change of a page and not one a machine.
 	c.inventoryInFlight = true
-	c.nextInventoryWriteAt = now.Add(max(constants.MinInventoryWriteInterval, time.Duration(float64(len(ps))/(c.cfg.MaxWritesPerSecond*constants.InventoryWriteShare)*float64(time.Second))))
-	c.commitInTerm(&c.fleetView, CommitID{kind: commitInventory}, changes, conds...)
+	c.nextInventoryWriteAt = now.Add(c.inventoryWriteInterval(len(pages)))
+	c.commitInTerm(&c.fleetView, CommitID{kind: commitInventory}, changes, conditions...)
+}
+
+// pagesToWrite lists the pages of the next write. Those written longest ago come first: small
+// pages are many, and those of low numbers, which change most, must not delay the others.
+func (c *Core) pagesToWrite() []*page {
+	var pages []*page
+	for _, p := range c.pages {
+		if p.dirty && c.isWritable(&c.fleetView, p) {
+			pages = append(pages, p)
+		}
+	}
+	sort.Slice(pages, func(a, b int) bool {
+		if !pages[a].sentAt.Equal(pages[b].sentAt) {
+			return pages[a].sentAt.Before(pages[b].sentAt)
+		}
+		return pages[a].number < pages[b].number
+	})
+	return pages[:min(len(pages), constants.MaxPagesPerWrite, max(1, c.cfg.MaxTxnOps))]
+}
+
+func encodePage(entries []records.Machine) []byte {
+	var r records.InventoryPage
+	for _, e := range entries {
+		r.Add(e)
+	}
+	return records.Encode(r)
+}
+
+// inventoryWriteInterval is the time until the next write after one of so many pages: the
+// inventory uses only its share of the key-value store's writes, so that many boots or
+// terminations become one write of a page and not one for each machine.
+func (o *ownership) inventoryWriteInterval(pages int) time.Duration {
+	writesPerSecond := o.cfg.MaxWritesPerSecond * constants.InventoryWriteShare
+	interval := time.Duration(float64(pages) / writesPerSecond * float64(time.Second))
+	return max(constants.MinInventoryWriteInterval, interval)
 }
 
-// inventoryCommitted takes in what came of a write of pages.
+// inventoryCommitted handles the result of a write of pages.
 func (c *Core) inventoryCommitted(now time.Time, revision uint64) {
 	c.inventoryInFlight = false
 	for _, p := range c.pages {
@@ -162,7 +196,7 @@
 		sent := p.inFlight
 		p.inFlight = nil
 		if revision == 0 {
-			// If it was carried out all the same the feed brings the page, and
+			// If it was carried out all the same, the feed brings the page, and
 			// the next write is based on that.
 			p.dirty = true
 			c.nextInventoryWriteAt = now.Add(constants.RetryBackoffMin)
@@ -184,7 +218,7 @@
 	}
 }
 
-// removeFromInventory takes a returned machine off the inventory.
+// removeFromInventory removes a terminated machine from the inventory.
 func (c *Core) removeFromInventory(m *machine) {
 	if m.pageNumber == noPage {
 		c.removeMachine(&c.outbox, m)
@@ -193,10 +227,10 @@
 	m.leavingInventory = true
 	p := c.pages[m.pageNumber]
 	if !p.storedNames[m.name] && p.inFlight == nil {
-		p.remove(m.name) // it never stood there
+		p.remove(m.name) // it was never durable
 		c.removeMachine(&c.outbox, m)
 		return
 	}
 	p.dirty = true
-	slog.Debug("leaving the inventory", "machine", m.name)
+	slog.Debug("machine leaves the inventory", logkey.Machine, m.name)
 }
--- a/shard/jobrecords.go
+++ b/shard/jobrecords.go
@@ -7,27 +7,17 @@
 	"ravenport/wire"
 )
 
-// applyJob brings the tasks that the shard looks after in line with a record.
+// applyJob brings the tasks that are assigned to the shard in line with a job's record.
 // inherited marks records from before the term: their tasks may be running.
 func (c *Core) applyJob(now time.Time, id string, rec *records.Job, version uint64, inherited bool) {
-	j := c.jobs[id]
-	mine := 0
 	c.recordGangShape(now, rec)
-	for _, ch := range rec.Assignments {
-		if ch.Shard == c.cfg.Shard && !ch.Closed {
-			mine += ch.Tasks()
-		}
-	}
-	if j == nil && mine == 0 {
+	assigned := c.assignedTasks(rec)
+	j := c.jobs[id]
+	if j == nil && assigned == 0 {
 		return
 	}
 	if j == nil {
-		j = &job{rec: rec, tasks: make(map[int]*task, mine)}
-		c.jobs[id] = j
-		if rec.Spec.IsGang() {
-			j.gang, j.gangArrivedAt = &gang{}, now
-			c.gangArrivals.add(now, time.Duration(now.UnixMilli()-rec.AcceptedMS)*time.Millisecond, taskResources(&rec.Spec).times(rec.Spec.Tasks))
-		}
+		j = c.addJob(now, id, rec, assigned)
 	}
 	if version <= j.version {
 		return
@@ -40,25 +30,72 @@
 			t.attempt.machine.usageStale = true
 		}
 	}
-	keep := make(map[int]bool, mine)
-	fresh := 0
-	for _, ch := range rec.Assignments {
-		if ch.Shard != c.cfg.Shard || ch.Closed {
+	added := c.applyAssignments(now, j, assigned, inherited)
+	if added > 0 && !inherited {
+		c.assignedSinceForecast = append(c.assignedSinceForecast, assignedWork{version, rec.Spec.Spot, float64(added) * rec.Spec.CPUs})
+	}
+	if rec.End != "" {
+		c.stopJob(j)
+	}
+	if j.gang != nil {
+		c.reconcileGangRecord(j)
+	}
+	c.markWaitingStale(j)
+	c.queueForClose(j)
+	c.needsPlacement, c.aggregateChanged = true, true
+	if len(j.tasks) == 0 {
+		delete(c.jobs, id)
+	}
+}
+
+// assignedTasks counts the tasks of a job's open assignments to the shard.
+func (o *ownership) assignedTasks(rec *records.Job) int {
+	n := 0
+	for i := range rec.Assignments {
+		if assignment := &rec.Assignments[i]; assignment.Shard == o.cfg.Shard && !assignment.Closed {
+			n += assignment.Tasks()
+		}
+	}
+	return n
+}
+
+// addJob adds a job that was not known.
+func (c *Core) addJob(now time.Time, id string, rec *records.Job, assigned int) *job {
+	j := &job{rec: rec, tasks: make(map[int]*task, assigned)}
+	c.jobs[id] = j
+	if rec.Spec.IsGang() {
+		j.gang, j.gangArrivedAt = &gang{}, now
+		c.gangArrivals.add(now, sinceAccepted(now, rec), taskResources(&rec.Spec).times(rec.Spec.Tasks))
+	}
+	return j
+}
+
+// sinceAccepted is how long ago a job was accepted.
+func sinceAccepted(now time.Time, rec *records.Job) time.Duration {
+	return time.Duration(now.UnixMilli()-rec.AcceptedMS) * time.Millisecond
+}
+
+// applyAssignments adds and removes a job's tasks so that they are those of its open
+// assignments to the shard, and returns how many it added.
+func (c *Core) applyAssignments(now time.Time, j *job, assigned int, inherited bool) (added int) {
+	keep := make(map[int]bool, assigned)
+	for _, assignment := range j.rec.Assignments {
+		if assignment.Shard != c.cfg.Shard || assignment.Closed {
 			continue
 		}
-		for i := ch.From; i < ch.To; i++ {
+		for i := assignment.From; i < assignment.To; i++ {
 			keep[i] = true
 			t := j.tasks[i]
 			if t == nil {
 				t = &task{job: j, index: i, uncertain: inherited && !c.rebuilt, waitingSince: now}
 				j.tasks[i] = t
-				fresh++
+				added++
 				c.adoptAttempts(t)
-				if rec.Spec.Priority == wire.PriorityProduction {
-					c.productionArrivals.add(now, time.Duration(now.UnixMilli()-rec.AcceptedMS)*time.Millisecond, taskResources(&rec.Spec))
+				if j.rec.Spec.Priority == wire.PriorityProduction {
+					c.productionArrivals.add(now, sinceAccepted(now, j.rec), taskResources(&j.rec.Spec))
 				}
 			}
-			t.keepWaiting, t.withinGuarantee = ch.KeepWaiting, ch.Guaranteed
+			t.keepWaiting, t.withinGuarantee = assignment.KeepWaiting, assignment.Guaranteed
 		}
 	}
 	for i, t := range j.tasks {
@@ -70,24 +107,10 @@
 			delete(j.tasks, i)
 		}
 	}
-	if fresh > 0 && !inherited {
-		c.assignedSinceForecast = append(c.assignedSinceForecast, assignedWork{version, rec.Spec.Spot, float64(fresh) * rec.Spec.CPUs})
-	}
-	if rec.End != "" {
-		c.stopJob(j)
-	}
-	if j.gang != nil {
-		c.reconcileGangRecord(j)
-	}
-	c.markWaitingStale(j)
-	c.queueForClose(j)
-	c.needsPlacement, c.aggregateChanged = true, true
-	if len(j.tasks) == 0 {
-		delete(c.jobs, id)
-	}
+	return added
 }
 
-// stopJob has the attempts of a job that ended stopped.
+// stopJob requests that the attempts of a job that has ended are stopped.
 func (q *outbox) stopJob(j *job) {
 	for _, t := range j.tasks {
 		if t.attempt != nil && !t.attempt.hasExited() {
@@ -97,11 +120,11 @@
 	}
 }
 
-// ApplyCancellation takes in another controller's word that a job is stored as cancelled,
-// before the feed brings the record: its tasks are stopped and none is started.
-// Guards against an owner that the state service refuses while others confirm
-// cancellations. The record keeps its version, so nothing written of it before the
-// feed brings the stored one can be carried out.
+// ApplyCancellation applies another controller's message that a job is stored as cancelled,
+// before the feed brings the record: its tasks are stopped and none is started. An owner that
+// the key-value store refuses thus follows cancellations that others confirm. The record keeps
+// its version, so no write that is based on it before the feed brings the stored one can
+// succeed.
 func (c *Core) ApplyCancellation(id string) {
 	j := c.jobs[id]
 	if j == nil || j.rec.End != "" {
@@ -115,7 +138,7 @@
 	c.needsPlacement, c.aggregateChanged = true, true
 }
 
-// assignedWork is work that a record brought.
+// assignedWork is work that a job's record assigned to the shard.
 type assignedWork struct {
 	version uint64
 	spot    bool
--- a/shard/pages.go
+++ b/shard/pages.go
@@ -9,24 +9,24 @@
 	"ravenport/records"
 )
 
-// noPage is the page of a machine that is on none.
+// noPage is the page number of a machine that is on no page.
 const noPage = -1
 
-// page is one page of the shard's inventory. It is written as a whole, one write
-// at a time, so that a rental or a wave of boots costs a change or two and not
-// one for each machine.
+// page is one page of the shard's inventory. It is written as a whole, one write at a time,
+// so that a scale out or many boots at once cost one or two writes and not one for each
+// machine.
 type page struct {
 	number      int
-	version     uint64
-	names       map[string]bool // machines that belong on it
-	bytes       int             // what they take of it, at most
-	storedNames map[string]bool // machines that the durable page names
-	dirty       bool
-	inFlight    []records.Machine // content of the write under way
-
-	sentAt time.Time // when it was last sent
+	version     uint64            // of its record
+	names       map[string]bool   // machines that belong on it
+	bytes       int               // what their entries take of it, at most
+	storedNames map[string]bool   // machines that the durable page names
+	dirty       bool              // it differs from the durable page
+	inFlight    []records.Machine // content of the write in flight; nil: none is
+	sentAt      time.Time         // when it was last written
 }
 
+// add puts a machine on the page.
 func (p *page) add(name string) {
 	if !p.names[name] {
 		p.names[name] = true
@@ -34,6 +34,7 @@
 	}
 }
 
+// remove takes a machine off the page.
 func (p *page) remove(name string) {
 	if p.names[name] {
 		delete(p.names, name)
@@ -41,15 +42,16 @@
 	}
 }
 
-// entryBytes is what a machine takes of a page.
+// entryBytes is the size of a machine's entry on a page, at most.
 func entryBytes(name string) int { return len(name) + constants.InventoryEntryBytes }
 
-// inventoryPages is the inventory's pages and the write of them that is under way.
+// inventoryPages owns the pages of the shard's inventory and the write of them that is in
+// flight. applyPage, writeInventory and inventoryCommitted bring them in line with the store.
 type inventoryPages struct {
-	maxPageBytes         int // bytes that the entries of a page may take
+	maxPageBytes         int // limit on the entries of a page
 	pages                map[int]*page
-	inventoryInFlight    bool      // a write of pages is under way
-	nextInventoryWriteAt time.Time // when the next one may be sent
+	inventoryInFlight    bool      // a write of pages is in flight
+	nextInventoryWriteAt time.Time // when the next write may begin
 }
 
 func newInventoryPages(sizes records.SizeLimits) inventoryPages {
@@ -58,11 +60,12 @@
 	return b
 }
 
-// setSizeLimits has pages written so that they fit what the state service takes.
+// setSizeLimits sizes the pages by what the key-value store accepts as a value.
 func (b *inventoryPages) setSizeLimits(sizes records.SizeLimits) {
 	b.maxPageBytes = sizes.Next * constants.PageFillPercent / 100
 }
 
+// ensurePage returns the page with a number, which it adds if there is none.
 func (b *inventoryPages) ensurePage(n int) *page {
 	p := b.pages[n]
 	if p == nil {
@@ -72,7 +75,7 @@
 	return p
 }
 
-// enroll gives a machine a place in the inventory.
+// enroll puts a machine on the first page with space, or has its page written again.
 func (b *inventoryPages) enroll(m *machine) {
 	if m.pageNumber != noPage {
 		b.pages[m.pageNumber].dirty = true
@@ -89,22 +92,21 @@
 	}
 }
 
-// splitOversized moves machines off a page that is larger than a value may be: the version
-// before, with larger limits, may have left it, at any takeover.
+// splitOversized moves machines off a page that is larger than a value may be: an owner of
+// the previous version, with larger limits, may have written it.
 func (b *inventoryPages) splitOversized(v *fleetView, p *page) {
-	most := b.maxPageBytes
-	if p.bytes <= most {
+	if p.bytes <= b.maxPageBytes {
 		return
 	}
 	names := slices.Sorted(maps.Keys(p.names))
-	for len(names) > 1 && p.bytes > most {
+	for len(names) > 1 && p.bytes > b.maxPageBytes {
 		b.moveToOtherPage(v, p, names[len(names)-1])
 		names = names[:len(names)-1]
 	}
 }
 
-// moveToOtherPage gives a machine a place on another page. Until it stands there durably
-// its old page is not written, so it is never on none.
+// moveToOtherPage moves a machine to another page. Until that page is durable, the old one is
+// not written, so the machine is always on a durable page.
 func (b *inventoryPages) moveToOtherPage(v *fleetView, p *page, name string) {
 	m := v.machines[name]
 	p.remove(name)
@@ -113,8 +115,8 @@
 	b.enroll(m)
 }
 
-// isWritable says whether all machines that a page has lost stand durably on
-// theirs.
+// isWritable reports whether all machines that were moved off a page are durably on their new
+// pages.
 func (b *inventoryPages) isWritable(v *fleetView, p *page) bool {
 	for name := range p.storedNames {
 		if m := v.machines[name]; m != nil && m.pageNumber != p.number && m.pageNumber != noPage && !b.pages[m.pageNumber].storedNames[name] {
