--- a/records/packed_job_test.go
+++ b/records/packed_job_test.go
@@ -18,21 +18,21 @@
 	j := &Job{ID: "run-1", AcceptedMS: rapid.Int64Range(0, 1<<45).Draw(t, "at"), Spec: wire.Submission{
 		ID: "run-1", Class: "formula-sweep", Team: "color-lab", Kind: wire.KindArray, Priority: wire.PriorityNormal,
 		CPUs: 4, MemoryGB: 12, Image: "img-07", ImageGB: 0.7, EstimateS: 20}}
-	at := 0
+	next := 0
 	for range rapid.IntRange(0, 400).Draw(t, "chunks") {
-		at += rapid.IntRange(0, 2).Draw(t, "gap")
+		next += rapid.IntRange(0, 2).Draw(t, "gap")
 		n := rapid.IntRange(1, 40).Draw(t, "tasks")
-		j.Assignments = append(j.Assignments, Assignment{From: at, To: at + n, Shard: rapid.SampledFrom([]string{"back-room", "loading-dock", "mill-annex"}).Draw(t, "part"),
+		j.Assignments = append(j.Assignments, Assignment{From: next, To: next + n, Shard: rapid.SampledFrom([]string{"back-room", "loading-dock", "mill-annex"}).Draw(t, "part"),
 			Closed: rapid.Bool().Draw(t, "closed"), KeepWaiting: rapid.Bool().Draw(t, "keep"), Guaranteed: rapid.Bool().Draw(t, "guaranteed")})
-		at += n
+		next += n
 	}
-	j.Spec.Tasks = at + rapid.IntRange(1, 5).Draw(t, "rest")
+	j.Spec.Tasks = next + rapid.IntRange(1, 5).Draw(t, "rest")
 	j.Normalize()
 	return j
 }
 
-// bare forgets of closed assignments what no longer matters.
-func bare(j *Job) *Job {
+// withoutClosedDetails clears of closed assignments what no longer matters.
+func withoutClosedDetails(j *Job) *Job {
 	c := j.Clone()
 	for i := range c.Assignments {
 		if ch := &c.Assignments[i]; ch.Closed {
@@ -46,29 +46,29 @@
 	return c
 }
 
-// A record that the version before could leave, of any number of pieces that fit
+// A record that the version before could leave, of any number of assignments that fit
 // its limits, can be written under the limits to come, and says the same.
 func TestLargeRecordIsPacked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		j := drawJob(t)
-		old := SizeLimits{Current: 16 << 10, Next: 2 << 10}
-		if len(Encode(j)) > old.Current {
+		limits := SizeLimits{Current: 16 << 10, Next: 2 << 10}
+		if len(Encode(j)) > limits.Current {
 			t.Skip("the version before could not have written it")
 		}
-		if v, ok := old.Encode(j, j); !ok || string(v) != string(Encode(j)) {
+		if v, ok := limits.Encode(j, j); !ok || string(v) != string(Encode(j)) {
 			t.Fatalf("not written plainly (%v) while the version before may read it", ok)
 		}
-		old.PackingEnabled = true
-		value, ok := old.Encode(j, j)
-		if !ok || len(value) > old.Next {
-			t.Fatalf("%d bytes of %d for %d assignments", len(value), old.Next, len(j.Assignments))
+		limits.PackingEnabled = true
+		value, ok := limits.Encode(j, j)
+		if !ok || len(value) > limits.Next {
+			t.Fatalf("%d bytes of %d for %d assignments", len(value), limits.Next, len(j.Assignments))
 		}
 		got, err := Decode(KeyJob(j.ID), value)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !reflect.DeepEqual(bare(got.(*Job)), bare(j)) {
-			t.Fatalf("%+v became %+v", bare(j), bare(got.(*Job)))
+		if !reflect.DeepEqual(withoutClosedDetails(got.(*Job)), withoutClosedDetails(j)) {
+			t.Fatalf("%+v became %+v", withoutClosedDetails(j), withoutClosedDetails(got.(*Job)))
 		}
 	})
 }
@@ -77,11 +77,11 @@
 // packed yet.
 func TestGrownRecordStillEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		was := drawJob(t)
-		j := was.Clone()
+		previous := drawJob(t)
+		j := previous.Clone()
 		j.Assignments = append(j.Assignments, Assignment{From: j.Spec.Tasks - 1, To: j.Spec.Tasks, Shard: "mill-annex", KeepWaiting: true})
-		z := SizeLimits{Current: 16 << 10, Next: rapid.IntRange(300, 8<<10).Draw(t, "next")}
-		if _, ok := z.EncodeWithHeadroom(j, was); !ok {
+		limits := SizeLimits{Current: 16 << 10, Next: rapid.IntRange(300, 8<<10).Draw(t, "next")}
+		if _, ok := limits.EncodeWithHeadroom(j, previous); !ok {
 			return
 		}
 		end := j.Clone()
@@ -89,8 +89,8 @@
 		for i := range end.Assignments {
 			end.Assignments[i].Closed = true // not joined, at worst
 		}
-		if v, ok := z.Encode(end, j); !ok {
-			t.Fatalf("%d bytes at the end, %d before, of %d", len(v), len(Encode(j)), z.Next)
+		if v, ok := limits.Encode(end, j); !ok {
+			t.Fatalf("%d bytes at the end, %d before, of %d", len(v), len(Encode(j)), limits.Next)
 		}
 	})
 }
@@ -102,13 +102,13 @@
 	for i := range 32 {
 		j.Spec.Types = append(j.Spec.Types, fmt.Sprintf("%0100d-kind-%02d", 7, i))
 	}
-	z := SizeLimits{Current: 8 << 10, Next: 2 << 10, PackingEnabled: true}
-	if z.FitsUntilEnd(j, []string{"a", "b"}) {
+	limits := SizeLimits{Current: 8 << 10, Next: 2 << 10, PackingEnabled: true}
+	if limits.FitsUntilEnd(j, []string{"a", "b"}) {
 		t.Error("accepted though it cannot be stored plainly")
 	}
-	was := *j
+	previous := *j
 	j.End = wire.JobCancelled
-	value, ok := z.Encode(j, &was)
+	value, ok := limits.Encode(j, &previous)
 	if !ok {
 		t.Fatalf("%d bytes", len(value))
 	}
@@ -125,9 +125,9 @@
 		j := &Job{ID: "run-1", End: wire.JobCancelled, Spec: wire.Submission{ID: "run-1", Class: name.Draw(t, "class"), Team: name.Draw(t, "team"),
 			Kind: wire.KindArray, Tasks: 9, CPUs: 3, Image: name.Draw(t, "image"), Types: rapid.SliceOfN(name, 32, 32).Draw(t, "types")}}
 		j.Assignments = []Assignment{{From: 0, To: 4, Shard: "a"}, {From: 4, To: 9, Shard: "b", Closed: true}}
-		was := *j
-		was.End = ""
-		value, ok := SizeLimits{Current: 8 << 10, Next: 2 << 10, PackingEnabled: true}.Encode(j, &was)
+		previous := *j
+		previous.End = ""
+		value, ok := SizeLimits{Current: 8 << 10, Next: 2 << 10, PackingEnabled: true}.Encode(j, &previous)
 		if !ok {
 			t.Fatalf("%d bytes", len(value))
 		}
@@ -136,14 +136,14 @@
 			t.Fatal(err)
 		}
 		got := rec.(*Job)
-		if got.End != j.End || got.Spec.Team != j.Spec.Team || got.Spec.CPUs != 3 || got.Spec.Tasks != 9 || !reflect.DeepEqual(bare(got).Assignments, bare(j).Assignments) {
+		if got.End != j.End || got.Spec.Team != j.Spec.Team || got.Spec.CPUs != 3 || got.Spec.Tasks != 9 || !reflect.DeepEqual(withoutClosedDetails(got).Assignments, withoutClosedDetails(j).Assignments) {
 			t.Fatalf("%+v", got)
 		}
 	})
 }
 
 // Whatever stands under a job's key, reading it is an error at worst.
-func TestUnpackOfAnything(t *testing.T) {
+func TestUnpackingAnythingDoesNotPanic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, err := json.Marshal(rapid.SliceOfN(rapid.OneOf(rapid.StringMatching(`[A-Z0-9a-z]{0,12}`).AsAny(), rapid.Int().AsAny()), 0, 4).Draw(t, "value"))
 		if err != nil {
@@ -155,7 +155,7 @@
 
 // The version before reads and rewrites a job's record with types of its own,
 // frozen here. What it loses must be nothing that safety rests on.
-type frozenJob struct {
+type previousVersionJob struct {
 	Spec        json.RawMessage `json:"spec"`
 	AcceptedMS  int64           `json:"at"`
 	End         string          `json:"end,omitempty"`
@@ -172,7 +172,7 @@
 func TestVersionBeforeRewritesRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		j := drawJob(t)
-		var f frozenJob
+		var f previousVersionJob
 		if err := json.Unmarshal(Encode(j), &f); err != nil {
 			t.Fatal(err)
 		}
@@ -180,10 +180,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := Decode(KeyJob(j.ID), b); err != nil || !reflect.DeepEqual(bare(got.(*Job)), bare(j)) {
+		if got, err := Decode(KeyJob(j.ID), b); err != nil || !reflect.DeepEqual(withoutClosedDetails(got.(*Job)), withoutClosedDetails(j)) {
 			t.Fatalf("%+v became %+v, %v", j, got, err)
 		}
-		if err := json.Unmarshal(packJob(j), &frozenJob{}); err == nil {
+		if err := json.Unmarshal(packJob(j), &previousVersionJob{}); err == nil {
 			t.Fatal("the version before would take a packed record for a job without assignments")
 		}
 	})
