--- a/controller/detection_test.go
+++ b/controller/detection_test.go
@@ -14,12 +14,12 @@
 	"ravenport/wire"
 )
 
-// leaseLife is the life of a controller's lease in these tests.
-const leaseLife = 3500 * time.Millisecond
+// leaseTTL is the life of a controller's lease in these tests.
+const leaseTTL = 3500 * time.Millisecond
 
 // takeoverBound is within which time a shard whose owner is gone must have another:
 // its lease, the places in the order, a write and the feeds.
-const takeoverBound = leaseLife + 3*constants.AcquisitionRankDelay + 2*time.Second
+const takeoverBound = leaseTTL + 3*constants.AcquisitionRankDelay + 2*time.Second
 
 // revocationBound is the same for an owner that holds its lease and does no work: the
 // silence of its workers, the declaration, widened once, and then the takeover.
@@ -37,14 +37,14 @@
 // and no rule may have been broken.
 func (s detectionScenario) run(t *testing.T, seed uint64) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorldOf(seed, []string{"a", "b"}, 3, magnoliaTimes)
-		w.late, w.tame = 0, true
-		w.lostAnswers, w.lateWrites, w.repeats = 0, 0, 0
+		w := newWorldWithTimes(seed, []string{"a", "b"}, 3, magnoliaTimes)
+		w.lateCommandShare, w.reliableCloud = 0, true
+		w.lostAnswerShare, w.lateWriteShare, w.repeatedWriteShare = 0, 0, 0
 		for k := range w.capacity {
 			w.capacity[k] = 6
 		}
 		for i, n := range w.controllers {
-			n.detect()
+			n.enableDetection()
 			for _, off := range s.off {
 				if off == i {
 					n.set.Detection = nil
@@ -53,51 +53,51 @@
 			n.start()
 		}
 		go w.expireLeases()
-		defer w.shut()
+		defer w.shutdown()
 		time.Sleep(5 * time.Second)
-		b := w.work(t, 60)
+		b := w.startWork(t, 60)
 		s.play(t, w, b)
 		for _, n := range w.controllers {
-			w.do(func() { n.noCalls = false })
+			w.locked(func() { n.peerCallsLost = false })
 		}
-		w.settle(t, 4*time.Minute, b.finishes)
-		if len(w.broken) > 0 {
-			t.Errorf("rules broken: %s", strings.Join(w.broken, "; "))
+		w.settleAll(t, 4*time.Minute, b.finishes)
+		if len(w.violations) > 0 {
+			t.Errorf("rules broken: %s", strings.Join(w.violations, "; "))
 		}
 	})
 }
 
-// movesWithin waits until a zone's shard is another controller's.
-func (w *world) movesWithin(t *testing.T, zone string, from int, bound time.Duration) {
+// expectNewOwner waits until a zone's shard is another controller's.
+func (w *world) expectNewOwner(t *testing.T, zone string, from int, bound time.Duration) {
 	t.Helper()
 	began := time.Now()
-	w.until(t, "the shard of "+zone+" moves", bound, func() bool { o := w.owner(zone); return o >= 0 && o != from })
+	w.waitUntil(t, "the shard of "+zone+" moves", bound, func() bool { o := w.owner(zone); return o >= 0 && o != from })
 	t.Logf("another owner after %s", time.Since(began))
 }
 
-// staysWith sees that no term changes while something goes on.
-func (w *world) staysWith(t *testing.T, do func()) {
+// expectSameTerms sees that no term changes while something goes on.
+func (w *world) expectSameTerms(t *testing.T, do func()) {
 	t.Helper()
-	a, b, revoked := w.term("a"), w.term("b"), w.count("revocations")
+	a, b, revoked := w.term("a"), w.term("b"), w.eventCount("revocations")
 	do()
-	if w.term("a") != a || w.term("b") != b || w.count("revocations") != revoked {
-		t.Errorf("terms went from %d and %d to %d and %d, with %d revocations", a, b, w.term("a"), w.term("b"), w.count("revocations")-revoked)
+	if w.term("a") != a || w.term("b") != b || w.eventCount("revocations") != revoked {
+		t.Errorf("terms went from %d and %d to %d and %d, with %d revocations", a, b, w.term("a"), w.term("b"), w.eventCount("revocations")-revoked)
 	}
 }
 
-// freezes is a pause of an owner for so many lease lives, after which it goes on in
+// freezeOwner is a pause of an owner for so many lease lives, after which it goes on in
 // the middle of what it did.
-func freezes(leases float64) func(*testing.T, *world, *busy) {
+func freezeOwner(leases float64) func(*testing.T, *world, *busy) {
 	return func(t *testing.T, w *world, _ *busy) {
 		owner := w.owner("a")
-		pause := time.Duration(leases * float64(leaseLife))
+		pause := time.Duration(leases * float64(leaseTTL))
 		if leases <= 0.5 {
-			w.staysWith(t, func() { w.controllers[owner].freeze(pause); time.Sleep(pause + 10*time.Second) })
+			w.expectSameTerms(t, func() { w.controllers[owner].freeze(pause); time.Sleep(pause + 10*time.Second) })
 			return
 		}
 		w.controllers[owner].freeze(pause)
 		if leases > 2 {
-			w.movesWithin(t, "a", owner, takeoverBound)
+			w.expectNewOwner(t, "a", owner, takeoverBound)
 		}
 		time.Sleep(pause)
 	}
@@ -107,25 +107,25 @@
 // its own calls to them and to the state service go through: it hears of no worker
 // that reports elsewhere, and takes its peers for well.
 func grayFailure(w *world, owner int) {
-	w.do(func() { w.controllers[owner].cutWork, w.controllers[owner].noCalls = true, true })
+	w.locked(func() { w.controllers[owner].cutFromWorkers, w.controllers[owner].peerCallsLost = true, true })
 }
 
 var detectionScenarios = []detectionScenario{
-	{name: "owner pauses for half a lease", play: freezes(0.5)},
-	{name: "owner pauses for a lease", play: freezes(1)},
-	{name: "owner pauses for three leases", play: freezes(3)},
-	{name: "owner pauses for ten leases", play: freezes(10)},
+	{name: "owner pauses for half a lease", play: freezeOwner(0.5)},
+	{name: "owner pauses for a lease", play: freezeOwner(1)},
+	{name: "owner pauses for three leases", play: freezeOwner(3)},
+	{name: "owner pauses for ten leases", play: freezeOwner(10)},
 	{name: "owner wakes just as it is replaced", play: func(t *testing.T, w *world, _ *busy) {
 		owner := w.owner("a")
 		w.controllers[owner].freeze(time.Hour)
-		w.movesWithin(t, "a", owner, takeoverBound)
-		w.do(func() { w.controllers[owner].frozenUntil = time.Now() })
+		w.expectNewOwner(t, "a", owner, takeoverBound)
+		w.locked(func() { w.controllers[owner].frozenUntil = time.Now() })
 		time.Sleep(20 * time.Second)
 	}},
 	{name: "owner is killed", play: func(t *testing.T, w *world, _ *busy) {
 		owner := w.owner("a")
 		w.controllers[owner].restart(30 * time.Second)
-		w.movesWithin(t, "a", owner, takeoverBound)
+		w.expectNewOwner(t, "a", owner, takeoverBound)
 		time.Sleep(40 * time.Second)
 	}},
 	{name: "owner is killed and back within a fraction of a second", play: func(t *testing.T, w *world, _ *busy) {
@@ -133,10 +133,10 @@
 			owner := w.owner("a")
 			term := w.term("a")
 			w.controllers[owner].restart(200 * time.Millisecond)
-			w.until(t, "a new term", takeoverBound, func() bool { return w.term("a") > term })
+			w.waitUntil(t, "a new term", takeoverBound, func() bool { return w.term("a") > term })
 			time.Sleep(700 * time.Millisecond)
 		}
-		if n := w.count("revocations"); n != 0 {
+		if n := w.eventCount("revocations"); n != 0 {
 			t.Errorf("%d processes were revoked", n)
 		}
 	}},
@@ -145,16 +145,16 @@
 		w.controllers[first].restart(25 * time.Second)
 		w.controllers[second].restart(25 * time.Second)
 		third := 3 - first - second
-		w.until(t, "the third one owns both", takeoverBound+constants.MaxSecondShardDelay, func() bool { return w.owner("a") == third && w.owner("b") == third })
+		w.waitUntil(t, "the third one owns both", takeoverBound+constants.MaxSecondShardDelay, func() bool { return w.owner("a") == third && w.owner("b") == third })
 		w.controllers[third].restart(45 * time.Second)
-		w.until(t, "both have owners again", time.Minute, func() bool { return w.owner("a") != third && w.owner("b") != third })
+		w.waitUntil(t, "both have owners again", time.Minute, func() bool { return w.owner("a") != third && w.owner("b") != third })
 		time.Sleep(30 * time.Second)
 	}},
 	{name: "owner without workers that other controllers cannot call", play: func(t *testing.T, w *world, _ *busy) {
 		owner := w.owner("a")
 		grayFailure(w, owner)
-		w.movesWithin(t, "a", owner, revocationBound)
-		if w.count("revocations") == 0 {
+		w.expectNewOwner(t, "a", owner, revocationBound)
+		if w.eventCount("revocations") == 0 {
 			t.Error("it moved without a revocation")
 		}
 		time.Sleep(30 * time.Second)
@@ -164,40 +164,40 @@
 	}},
 	{name: "owner's workers cannot reach it", play: func(t *testing.T, w *world, b *busy) {
 		owner := w.owner("a")
-		w.do(func() { w.controllers[owner].cutWork = true })
-		w.movesWithin(t, "a", owner, revocationBound)
+		w.locked(func() { w.controllers[owner].cutFromWorkers = true })
+		w.expectNewOwner(t, "a", owner, revocationBound)
 		j := w.newArray("run-000900", 2, 2, 5)
 		j.spec.Zone = "a"
-		go w.user(j, 0, 0)
+		go w.runUser(j, 0, 0)
 		w.allDone(t, 90*time.Second, []*simJob{j}) // its machines are not kept idle
 	}},
 	{name: "owner cut from all controllers, not from the state service", play: func(t *testing.T, w *world, _ *busy) {
-		w.staysWith(t, func() {
+		w.expectSameTerms(t, func() {
 			owner := w.controllers[w.owner("a")]
-			w.do(func() { owner.cutPeers = true })
+			w.locked(func() { owner.cutFromPeers = true })
 			time.Sleep(40 * time.Second)
 		})
 	}},
 	{name: "owner cut from the state service, not from controllers and workers", play: func(t *testing.T, w *world, _ *busy) {
 		owner := w.owner("a")
-		w.do(func() { w.controllers[owner].cutState = true })
-		w.movesWithin(t, "a", owner, takeoverBound)
+		w.locked(func() { w.controllers[owner].cutFromStore = true })
+		w.expectNewOwner(t, "a", owner, takeoverBound)
 		time.Sleep(20 * time.Second)
 	}},
 	{name: "link flaps within seconds", play: func(t *testing.T, w *world, _ *busy) {
-		w.staysWith(t, func() {
+		w.expectSameTerms(t, func() {
 			owner := w.controllers[w.owner("a")]
 			for range 20 {
-				w.do(func() { owner.cutPeers = !owner.cutPeers })
-				time.Sleep(w.between(500*time.Millisecond, 3*time.Second))
+				w.locked(func() { owner.cutFromPeers = !owner.cutFromPeers })
+				time.Sleep(w.randomDuration(500*time.Millisecond, 3*time.Second))
 			}
-			w.do(func() { owner.cutPeers = false })
+			w.locked(func() { owner.cutFromPeers = false })
 			time.Sleep(5 * time.Second)
 		})
 	}},
 	{name: "a slow controller suspects everybody", play: func(t *testing.T, w *world, _ *busy) {
 		slow := w.controllers[3-w.owner("a")-w.owner("b")]
-		w.staysWith(t, func() {
+		w.expectSameTerms(t, func() {
 			for range 15 {
 				slow.freeze(2500 * time.Millisecond)
 				time.Sleep(3 * time.Second)
@@ -209,12 +209,12 @@
 			n.freeze(8 * time.Second)
 		}
 		time.Sleep(40 * time.Second)
-		if n := w.count("revocations"); n != 0 {
+		if n := w.eventCount("revocations"); n != 0 {
 			t.Errorf("%d processes were revoked", n)
 		}
 	}},
 	{name: "state service away for all", play: func(t *testing.T, w *world, _ *busy) {
-		w.staysWith(t, func() {
+		w.expectSameTerms(t, func() {
 			w.setOutage(true)
 			time.Sleep(40 * time.Second)
 			w.setOutage(false)
@@ -226,7 +226,7 @@
 			owner := w.owner(zone)
 			grayFailure(w, owner)
 			time.Sleep(revocationBound)
-			w.do(func() { w.controllers[owner].cutWork, w.controllers[owner].noCalls = false, false })
+			w.locked(func() { w.controllers[owner].cutFromWorkers, w.controllers[owner].peerCallsLost = false, false })
 			time.Sleep(10 * time.Second)
 		}
 		w.controllers[0].restart(10 * time.Second)
@@ -237,7 +237,7 @@
 // Each failure is brought about on controllers at work with failure detection on; the
 // shards go where they should and no rule is broken.
 func TestDetectionScenarios(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	for _, s := range detectionScenarios {
 		t.Run(s.name, func(t *testing.T) {
 			for seed := range uint64(2) {
@@ -250,11 +250,11 @@
 // A gray failure stays for ever where nothing but the lease is looked at: without
 // detection the scenario that it mends is seen to hang.
 func TestGrayFailureStaysWithoutDetection(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := quietWorld(0)
-		defer w.shut()
-		w.work(t, 300)
+		w := newCalmWorld(0)
+		defer w.shutdown()
+		w.startWork(t, 300)
 		owner := w.owner("a")
 		grayFailure(w, owner)
 		time.Sleep(3 * revocationBound)
@@ -264,12 +264,12 @@
 	})
 }
 
-// detectingWorld is a deployment of three controllers with failure detection, all up.
-func detectingWorld(seed uint64) *world {
-	w := newWorldOf(seed, []string{"a", "b"}, 3, magnoliaTimes)
-	w.late, w.tame = 0, true
+// newDetectionWorld is a deployment of three controllers with failure detection, all up.
+func newDetectionWorld(seed uint64) *world {
+	w := newWorldWithTimes(seed, []string{"a", "b"}, 3, magnoliaTimes)
+	w.lateCommandShare, w.reliableCloud = 0, true
 	for _, n := range w.controllers {
-		n.detect()
+		n.enableDetection()
 		n.start()
 	}
 	go w.expireLeases()
@@ -280,20 +280,20 @@
 // An owner that is stuck in one message is replaced: its process gives up its lease
 // and ends, and what it still does when it goes on is harmless.
 func TestStuckOwnerIsReplaced(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	for seed := range uint64(3) {
 		synctest.Test(t, func(t *testing.T) {
-			w := detectingWorld(seed)
-			defer w.shut()
-			b := w.work(t, 60)
+			w := newDetectionWorld(seed)
+			defer w.shutdown()
+			b := w.startWork(t, 60)
 			owner := w.owner("a")
-			w.controllers[owner].stickOwner("a", 50*time.Second)
-			w.movesWithin(t, "a", owner, w.controllers[owner].set.Detection.StallAfter+time.Second+takeoverBound)
-			w.until(t, "the process ends itself", 15*time.Second, func() bool { return w.count("ended itself: controller") == 1 })
+			w.controllers[owner].stallOwner("a", 50*time.Second)
+			w.expectNewOwner(t, "a", owner, w.controllers[owner].set.Detection.StallAfter+time.Second+takeoverBound)
+			w.waitUntil(t, "the process ends itself", 15*time.Second, func() bool { return w.eventCount("ended itself: controller") == 1 })
 			time.Sleep(50 * time.Second)
-			w.settle(t, 4*time.Minute, b.finishes)
-			if len(w.broken) > 0 {
-				t.Errorf("rules broken: %s", strings.Join(w.broken, "; "))
+			w.settleAll(t, 4*time.Minute, b.finishes)
+			if len(w.violations) > 0 {
+				t.Errorf("rules broken: %s", strings.Join(w.violations, "; "))
 			}
 		})
 	}
@@ -302,42 +302,42 @@
 // Whatever fails, and whoever accuses whom without any reason, no rule is broken with
 // detection on, and everything accepted comes to its end.
 func TestRulesHoldWithDetection(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	revoked, late := 0, 0
-	for seed := *simFrom; seed < *simFrom+*simDays/2; seed++ {
+	for seed := *firstSeed; seed < *firstSeed+*randomDays/2; seed++ {
 		synctest.Test(t, func(t *testing.T) {
-			w := day(t, 1000+seed, []string{"a", "b", "c"}[:2+seed%2], func(w *world) { accusedAtRandom(w, 20*time.Second) })
-			if len(w.broken) > 0 {
-				t.Fatalf("seed %d: %d broken rules, first: %s", seed, len(w.broken), strings.Join(w.broken[:min(4, len(w.broken))], "; "))
+			w := playRandomDay(t, 1000+seed, []string{"a", "b", "c"}[:2+seed%2], func(w *world) { proposeRandomRevocations(w, 20*time.Second) })
+			if len(w.violations) > 0 {
+				t.Fatalf("seed %d: %d broken rules, first: %s", seed, len(w.violations), strings.Join(w.violations[:min(4, len(w.violations))], "; "))
 			}
 			for id, j := range w.jobs {
-				if !j.accepted || j.told == "" {
-					t.Errorf("seed %d: %s: accepted %v, told %q, %d of %d tasks done", seed, id, j.accepted, j.told, len(j.doneTasks), j.spec.Tasks)
+				if !j.accepted || j.reportedState == "" {
+					t.Errorf("seed %d: %s: accepted %v, told %q, %d of %d tasks done", seed, id, j.accepted, j.reportedState, len(j.doneTasks), j.spec.Tasks)
 				}
 			}
-			revoked += w.seen["revocations"]
-			late += w.seen["late heartbeats"]
+			revoked += w.observed["revocations"]
+			late += w.observed["late heartbeats"]
 		})
 	}
-	if revoked < int(*simDays)/2 || late == 0 {
+	if revoked < int(*randomDays)/2 || late == 0 {
 		t.Errorf("only %d revocations and %d late heartbeats came about", revoked, late)
 	}
 }
 
-// accusedAtRandom switches detection on, and has controllers accuse each other, for the
+// proposeRandomRevocations switches detection on, and has controllers accuse each other, for the
 // first minutes, once in a while.
-func accusedAtRandom(w *world, every time.Duration) {
+func proposeRandomRevocations(w *world, every time.Duration) {
 	for _, n := range w.controllers {
-		n.detect()
+		n.enableDetection()
 	}
 	go func() {
 		for end := time.Now().Add(200 * time.Second); time.Now().Before(end); {
-			time.Sleep(w.between(every/2, every))
+			time.Sleep(w.randomDuration(every/2, every))
 			w.mu.Lock()
 			by, of := w.controllers[w.rng.IntN(len(w.controllers))], w.controllers[w.rng.IntN(len(w.controllers))]
 			w.mu.Unlock()
 			if by != of {
-				w.accuse(by, of)
+				w.proposeRevocation(by, of)
 			}
 		}
 	}()
@@ -347,51 +347,51 @@
 // owner that is cut off with its zone as it is revoked still answers its workers for as
 // long as its authority lasts, and whoever claimed at once would believe their leases
 // over too early. The checker sees that.
-func TestRevokedHolderMustBeOutlived(t *testing.T) {
-	quietLogs(t)
+func TestRevokedHoldersAuthorityIsAwaited(t *testing.T) {
+	discardLogs(t)
 	for seed := range uint64(4) {
-		if broken := revokedBehindCut(t, seed, false); len(broken) > 0 {
+		if broken := playRevocationInPartition(t, seed, false); len(broken) > 0 {
 			t.Errorf("seed %d: rules broken: %v", seed, broken)
 		}
 	}
 	// Whether it shows depends on the order in which goroutines run.
 	for seed := range uint64(guardSeeds) {
-		if broken := revokedBehindCut(t, seed, true); len(broken) > 0 {
+		if broken := playRevocationInPartition(t, seed, true); len(broken) > 0 {
 			return
 		}
 	}
 	t.Error("without the wait no rule was seen broken")
 }
 
-// revokedBehindCut cuts an owner off with its zone, revokes it, and returns the rules
+// playRevocationInPartition cuts an owner off with its zone, revokes it, and returns the rules
 // that were broken. A hasty successor does not wait for the end of its authority.
-func revokedBehindCut(t *testing.T, seed uint64, hasty bool) (broken []string) {
+func playRevocationInPartition(t *testing.T, seed uint64, hasty bool) (broken []string) {
 	const longLife = 18 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(seed, []string{"a", "b"}, 3)
-		w.late, w.tame, w.hasty = 0, true, hasty
+		w.lateCommandShare, w.reliableCloud, w.skipAuthorityWait = 0, true, hasty
 		for _, n := range w.controllers {
 			n.set.Operator.LeaseTTL = longLife
-			n.detect()
+			n.enableDetection()
 			n.start()
 		}
 		go w.expireLeases()
-		defer w.shut()
+		defer w.shutdown()
 		time.Sleep(5 * time.Second)
-		w.service("run-000001", 2) // one in each zone: machines with room
+		w.startService("run-000001", 2) // one in each zone: machines with room
 		time.Sleep(30 * time.Second)
 		j := &simJob{spec: wire.Submission{ID: "run-000002", Class: "c", Team: "free", Kind: wire.KindService, Priority: wire.PriorityProduction,
 			Tasks: 1, CPUs: 4, MemoryGB: 1, Image: "i", ImageGB: 1}, doneTasks: map[int]bool{}}
-		w.do(func() { w.jobs[j.spec.ID] = j })
-		go w.user(j, 0, 0)
-		w.until(t, "the task runs", time.Minute, func() bool { return len(w.on(j.spec.ID)) > 0 })
-		zone := w.on(j.spec.ID)[0].zone
+		w.locked(func() { w.jobs[j.spec.ID] = j })
+		go w.runUser(j, 0, 0)
+		w.waitUntil(t, "the task runs", time.Minute, func() bool { return len(w.machinesRunning(j.spec.ID)) > 0 })
+		zone := w.machinesRunning(j.spec.ID)[0].zone
 		owner := w.controllers[w.owner(zone)]
 		outside := w.controllers[w.owner(otherZone(zone))]
-		w.do(func() { w.cloudOut, w.cutZone, owner.cutState = true, zone, true }) // nothing is surely gone but by its lease
-		w.until(t, "the owner is revoked", 10*time.Second, func() bool { w.accuse(outside, owner); return w.count("revocations") > 0 })
+		w.locked(func() { w.cloudUnavailable, w.partitionedZone, owner.cutFromStore = true, zone, true }) // nothing is surely gone but by its lease
+		w.waitUntil(t, "the owner is revoked", 10*time.Second, func() bool { w.proposeRevocation(outside, owner); return w.eventCount("revocations") > 0 })
 		time.Sleep(2 * time.Minute)
-		w.do(func() { broken, owner.cutState = w.broken, false })
+		w.locked(func() { broken, owner.cutFromStore = w.violations, false })
 	})
 	return broken
 }
@@ -403,32 +403,34 @@
 	return "a"
 }
 
-// hasten makes a stored lease life so short that nobody waits for its end.
-func hasten(value []byte) []byte { return storedLife.ReplaceAll(value, []byte(`"life":1`)) }
+// shortenLeaseTTL makes a stored lease life so short that nobody waits for its end.
+func shortenLeaseTTL(value []byte) []byte {
+	return storedLeaseTTL.ReplaceAll(value, []byte(`"life":1`))
+}
 
-var storedLife = regexp.MustCompile(`"life":\d+`)
+var storedLeaseTTL = regexp.MustCompile(`"life":\d+`)
 
 // Without authority of its own a controller proposes nothing, and nobody proposes
 // while a claim is promised not to be made.
 func TestNoProposalWithoutAuthority(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := detectingWorld(4)
-		defer w.shut()
-		w.do(func() { w.lateWrites, w.repeats, w.lostAnswers = 0, 0, 0 }) // each revocation is written once
+		w := newDetectionWorld(4)
+		defer w.shutdown()
+		w.locked(func() { w.lateWriteShare, w.repeatedWriteShare, w.lostAnswerShare = 0, 0, 0 }) // each revocation is written once
 		time.Sleep(5 * time.Second)
-		w.do(func() { w.controllers[0].cutState = true })
-		time.Sleep(2 * leaseLife)
-		w.accuse(w.controllers[0], w.controllers[1])
+		w.locked(func() { w.controllers[0].cutFromStore = true })
+		time.Sleep(2 * leaseTTL)
+		w.proposeRevocation(w.controllers[0], w.controllers[1])
 		time.Sleep(time.Second)
-		w.do(func() { w.controllers[0].cutState = false })
+		w.locked(func() { w.controllers[0].cutFromStore = false })
 		time.Sleep(10 * time.Second)
-		if n := w.count("revocations"); n != 0 {
+		if n := w.eventCount("revocations"); n != 0 {
 			t.Errorf("%d revocations by one without authority", n)
 		}
-		w.accuse(w.controllers[0], w.controllers[1])
+		w.proposeRevocation(w.controllers[0], w.controllers[1])
 		time.Sleep(time.Second)
-		if n := w.count("revocations"); n != 1 {
+		if n := w.eventCount("revocations"); n != 1 {
 			t.Errorf("%d revocations by one with authority", n)
 		}
 	})
@@ -436,19 +438,19 @@
 
 // The status shows what is seen of the others, and strangers' heartbeats are counted.
 func TestStatusShowsMembers(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := detectingWorld(3)
-		defer w.shut()
+		w := newDetectionWorld(3)
+		defer w.shutdown()
 		time.Sleep(5 * time.Second)
-		if _, err := w.controllers[0].up().HandlePeerHeartbeat(t.Context(), detector.Message{Controller: "x", Heartbeat: detector.Heartbeat{Incarnation: 1}}); err == nil {
+		if _, err := w.controllers[0].running().HandlePeerHeartbeat(t.Context(), detector.Message{Controller: "x", Heartbeat: detector.Heartbeat{Incarnation: 1}}); err == nil {
 			t.Error("a stranger's heartbeat was taken")
 		}
 		w.controllers[1].kill()
-		time.Sleep(2 * leaseLife)
+		time.Sleep(2 * leaseTTL)
 		var s Status
 		asked := &simAnswer{got: make(chan *httpwire.Response, 1)}
-		w.controllers[0].up().control.Tell(statusRequest{asked})
+		w.controllers[0].running().control.Tell(statusRequest{asked})
 		if err := json.Unmarshal((<-asked.got).Body, &s); err != nil {
 			t.Fatal(err)
 		}
--- a/controller/draining_test.go
+++ b/controller/draining_test.go
@@ -25,17 +25,17 @@
 	reached func(*testing.T, *world, int) bool
 }{
 	{"before the grant", func(t *testing.T, w *world, number int) bool {
-		return slices.ContainsFunc(w.view(t, number).Shards, func(p drain.ShardProgress) bool { return len(p.Cordoned) > 0 })
+		return slices.ContainsFunc(w.drainView(t, number).Shards, func(p drain.ShardProgress) bool { return len(p.Cordoned) > 0 })
 	}},
-	{"after the grant", func(_ *testing.T, w *world, _ int) bool { return w.claimed() > 0 }},
+	{"after the grant", func(_ *testing.T, w *world, _ int) bool { return w.claimedDisruptions() > 0 }},
 	{"after the stop", func(_ *testing.T, w *world, _ int) bool {
-		return w.moved().Stops > 0
+		return w.disruptionFigures().Stops > 0
 	}},
 	{"after the replacement's start", func(_ *testing.T, w *world, _ int) bool {
-		return w.moved().Replaced > 0
+		return w.disruptionFigures().Replaced > 0
 	}},
-	{"after the close", func(_ *testing.T, w *world, _ int) bool { return w.closedMachines() > 0 }},
-	{"at the return", func(_ *testing.T, w *world, _ int) bool { return w.count("returns asked") > 0 }},
+	{"after the close", func(_ *testing.T, w *world, _ int) bool { return w.terminatingMachines() > 0 }},
+	{"at the return", func(_ *testing.T, w *world, _ int) bool { return w.eventCount("returns asked") > 0 }},
 }
 
 // Ways for the holder of a drain to fail.
@@ -46,22 +46,22 @@
 	{"killed", func(_ *world, n *simController) { n.restart(6 * time.Second) }},
 	{"paused past its lease", func(_ *world, n *simController) { n.freeze(12 * time.Second) }},
 	{"cut from the state service", func(w *world, n *simController) {
-		w.do(func() { n.cutState = true })
-		time.AfterFunc(20*time.Second, func() { w.do(func() { n.cutState = false }) })
+		w.locked(func() { n.cutFromStore = true })
+		time.AfterFunc(20*time.Second, func() { w.locked(func() { n.cutFromStore = false }) })
 	}},
 }
 
 // The owner that drains fails at each point of a step, in each way: under the next one
 // the drain goes on, and no budget is broken.
 func TestDrainHolderFails(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	for _, point := range drainPoints {
 		for _, failure := range holderFailures {
-			s := drainScenario{name: failure.name + " " + point.name, hurt: func(t *testing.T, w *world, number int) {
-				w.until(t, point.name, 4*time.Minute, func() bool { return point.reached(t, w, number) })
+			s := drainScenario{name: failure.name + " " + point.name, fault: func(t *testing.T, w *world, number int) {
+				w.waitUntil(t, point.name, 4*time.Minute, func() bool { return point.reached(t, w, number) })
 				owner, term := w.owner("a"), w.term("a")
 				failure.hurt(w, w.controllers[owner])
-				w.until(t, "another term", 2*time.Minute, func() bool { return w.term("a") > term })
+				w.waitUntil(t, "another term", 2*time.Minute, func() bool { return w.term("a") > term })
 			}}
 			t.Run(s.name, func(t *testing.T) { s.holds(t, 1) })
 		}
@@ -81,202 +81,204 @@
 
 // Failures in the middle of a drain. Each is seen to come about.
 func TestDrainScenarios(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	midway := func(t *testing.T, w *world) {
-		w.until(t, "something was moved", 4*time.Minute, func() bool { return w.moved().Replaced > 1 })
+		w.waitUntil(t, "something was moved", 4*time.Minute, func() bool { return w.disruptionFigures().Replaced > 1 })
 	}
 	for _, s := range []drainScenario{
 		{name: "nothing fails", seeds: 2},
-		{name: "all controllers are restarted", hurt: func(t *testing.T, w *world, _ int) {
+		{name: "all controllers are restarted", fault: func(t *testing.T, w *world, _ int) {
 			midway(t, w)
 			for _, n := range w.controllers {
 				n.restart(2 * time.Second)
 			}
 		}},
-		{name: "machines are lost and use the budget up", hurt: func(t *testing.T, w *world, number int) {
+		{name: "machines are lost and use the budget up", fault: func(t *testing.T, w *world, number int) {
 			midway(t, w)
 			w.loseMachines(4)
-			w.until(t, "the drain waits for the budget", time.Minute, func() bool {
-				return slices.ContainsFunc(w.view(t, number).Shards, func(p drain.ShardProgress) bool { return strings.Contains(p.WaitingFor, "used up") })
+			w.waitUntil(t, "the drain waits for the budget", time.Minute, func() bool {
+				return slices.ContainsFunc(w.drainView(t, number).Shards, func(p drain.ShardProgress) bool { return strings.Contains(p.WaitingFor, "used up") })
 			})
 		}},
-		{name: "a zone is cut off", hurt: func(t *testing.T, w *world, _ int) {
+		{name: "a zone is cut off", fault: func(t *testing.T, w *world, _ int) {
 			midway(t, w)
-			w.do(func() { w.cutZone = "b" })
+			w.locked(func() { w.partitionedZone = "b" })
 			time.Sleep(60 * time.Second)
-			w.do(func() { w.cutZone = "" })
+			w.locked(func() { w.partitionedZone = "" })
 		}},
-		{name: "the state service is away in mid-step", hurt: func(t *testing.T, w *world, _ int) {
+		{name: "the state service is away in mid-step", fault: func(t *testing.T, w *world, _ int) {
 			midway(t, w)
 			w.setOutage(true)
 			time.Sleep(40 * time.Second)
-			stops := w.moved().Stops
+			stops := w.disruptionFigures().Stops
 			time.Sleep(20 * time.Second)
-			if again := w.moved().Stops; again != stops {
+			if again := w.disruptionFigures().Stops; again != stops {
 				t.Errorf("%d tasks were stopped without the state service", again-stops)
 			}
 			w.setOutage(false)
 		}},
-		{name: "the cloud has no more machines, then some", hurt: func(t *testing.T, w *world, _ int) {
-			w.do(func() {
+		{name: "the cloud has no more machines, then some", fault: func(t *testing.T, w *world, _ int) {
+			w.locked(func() {
 				for k := range w.capacity {
-					w.seen[k] = w.capacity[k]
+					w.observed[k] = w.capacity[k]
 					w.capacity[k] = 0
 				}
 			})
 			time.Sleep(90 * time.Second)
-			w.do(func() {
+			w.locked(func() {
 				for k := range w.capacity {
-					w.capacity[k] += w.seen[k]
+					w.capacity[k] += w.observed[k]
 				}
 			})
 		}},
-		{name: "a machine that is drained comes back under a new incarnation", hurt: func(t *testing.T, w *world, number int) {
+		{name: "a machine that is drained comes back under a new incarnation", fault: func(t *testing.T, w *world, number int) {
 			var name string
-			w.until(t, "a machine is cordoned", 4*time.Minute, func() bool {
-				for _, p := range w.view(t, number).Shards {
+			w.waitUntil(t, "a machine is cordoned", 4*time.Minute, func() bool {
+				for _, p := range w.drainView(t, number).Shards {
 					for _, m := range p.Cordoned {
 						name = m
 					}
 				}
 				return name != ""
 			})
-			w.do(func() {
+			w.locked(func() {
 				if m := w.machines[name]; m != nil {
 					m.restart()
 				}
 			})
 		}},
-		{name: "jobs are submitted and cancelled meanwhile", hurt: func(t *testing.T, w *world, _ int) {
+		{name: "jobs are submitted and cancelled meanwhile", fault: func(t *testing.T, w *world, _ int) {
 			for i := range 10 {
 				j := w.newArray(fmt.Sprintf("run-%06d", 100+i), 3, 2, 20)
-				go w.user(j, 0, time.Duration(i%2)*20*time.Second)
+				go w.runUser(j, 0, time.Duration(i%2)*20*time.Second)
 				time.Sleep(5 * time.Second)
 			}
 		}},
-		{name: "long arrays and a gang run on what is drained", hurt: func(t *testing.T, w *world, number int) {
+		{name: "long arrays and a gang run on what is drained", fault: func(t *testing.T, w *world, number int) {
 			go w.playGangs()
 			lot := []*simJob{w.newArray("run-000200", 6, 2, 90)}
 			gang := w.newArray("run-000201", 3, 2, 60)
 			gang.spec.Kind, gang.spec.CheckpointIntervalS, gang.spec.CheckpointSaveS, gang.spec.Spot = wire.KindGang, 4, 1, false
 			for _, j := range append(lot, gang) {
-				go w.user(j, 0, 0)
+				go w.runUser(j, 0, 0)
 			}
 			midway(t, w)
 			second := w.newArray("run-000202", 6, 2, 90)
-			go w.user(second, 0, 0)
-			w.drainEnds(t, number, records.DrainFinished, 12*time.Minute)
+			go w.runUser(second, 0, 0)
+			w.waitDrainState(t, number, records.DrainFinished, 12*time.Minute)
 			w.allDone(t, 6*time.Minute, append(lot, gang, second))
 		}},
-		{name: "arrays and gangs within their budget", settings: "disruption.interruptions.* = 1\n", hurt: func(t *testing.T, w *world, first int) {
-			w.drainEnds(t, first, records.DrainFinished, 12*time.Minute)
-			w.do(func() {
+		{name: "arrays and gangs within their budget", settings: "disruption.interruptions.* = 1\n", fault: func(t *testing.T, w *world, first int) {
+			w.waitDrainState(t, first, records.DrainFinished, 12*time.Minute)
+			w.locked(func() {
 				w.interruptions = disruptioncheck.New(1, w.controllers[0].set.Draining.Policy.StableAfter, w.times.lease()+30*time.Second)
-				w.haveRun = map[string]bool{}
+				w.unitsEverRunning = map[string]bool{}
 			})
 			go w.playGangs()
 			work := []*simJob{w.newArray("run-000200", 6, 2, 240), w.newArray("run-000201", 3, 2, 240)}
 			work[1].spec.Kind, work[1].spec.CheckpointIntervalS, work[1].spec.CheckpointSaveS, work[1].spec.Spot = wire.KindGang, 4, 1, false
 			for _, j := range work { // of the services' team and priority, so that none is preempted for them
 				j.spec.Team, j.spec.Priority = "free", wire.PriorityProduction
-				go w.user(j, 0, 0)
+				go w.runUser(j, 0, 0)
 			}
-			w.until(t, "they run", 2*time.Minute, func() bool { return w.unitsRun() == 7 })
+			w.waitUntil(t, "they run", 2*time.Minute, func() bool { return w.unitsEverRun() == 7 })
 			second := w.startDrain(t, records.Selection{})
-			w.until(t, "one was interrupted", 6*time.Minute, func() bool { return w.interrupted().Stops > 0 })
+			w.waitUntil(t, "one was interrupted", 6*time.Minute, func() bool { return w.interruptionFigures().Stops > 0 })
 			term := w.term("a")
 			w.controllers[w.owner("a")].restart(5 * time.Second)
-			w.until(t, "another owner", time.Minute, func() bool { return w.term("a") > term })
-			w.until(t, "others were interrupted", 8*time.Minute, func() bool { return w.interrupted().Replaced > 2 })
-			w.drainEnds(t, second, records.DrainFinished, 12*time.Minute)
+			w.waitUntil(t, "another owner", time.Minute, func() bool { return w.term("a") > term })
+			w.waitUntil(t, "others were interrupted", 8*time.Minute, func() bool { return w.interruptionFigures().Replaced > 2 })
+			w.waitDrainState(t, second, records.DrainFinished, 12*time.Minute)
 			w.allDone(t, 15*time.Minute, work)
 		}},
-		{name: "outside of its window, then in it", settings: "drain.window.rule = FREQ=DAILY;BYHOUR=0;BYMINUTE=3\ndrain.window.minutes = 60\n", hurt: func(t *testing.T, w *world, number int) {
+		{name: "outside of its window, then in it", settings: "drain.window.rule = FREQ=DAILY;BYHOUR=0;BYMINUTE=3\ndrain.window.minutes = 60\n", fault: func(t *testing.T, w *world, number int) {
 			opens := time.Date(2000, 1, 1, 0, 3, 0, 0, time.UTC)
 			for time.Now().Before(opens) {
-				if v := w.view(t, number); len(v.Shards) > 0 && (len(v.Shards[0].Cordoned) > 0 || time.Until(opens) < time.Minute && !strings.Contains(v.Shards[0].WaitingFor, "window opens")) {
+				if v := w.drainView(t, number); len(v.Shards) > 0 && (len(v.Shards[0].Cordoned) > 0 || time.Until(opens) < time.Minute && !strings.Contains(v.Shards[0].WaitingFor, "window opens")) {
 					t.Fatalf("before its window: %+v", v)
 				}
 				time.Sleep(5 * time.Second)
 			}
 		}},
-		{name: "paused and resumed", hurt: func(t *testing.T, w *world, number int) {
+		{name: "paused and resumed", fault: func(t *testing.T, w *world, number int) {
 			midway(t, w)
-			w.command(t, peer.OpPause, number)
+			w.changeDrain(t, peer.OpPause, number)
 			time.Sleep(10 * time.Second)
-			if v := w.view(t, number); v.State != records.DrainPaused || slices.ContainsFunc(v.Shards, func(p drain.ShardProgress) bool { return len(p.Cordoned) > 0 }) {
+			if v := w.drainView(t, number); v.State != records.DrainPaused || slices.ContainsFunc(v.Shards, func(p drain.ShardProgress) bool { return len(p.Cordoned) > 0 }) {
 				t.Errorf("paused: %+v", v)
 			}
-			w.command(t, peer.OpResume, number)
+			w.changeDrain(t, peer.OpResume, number)
 		}},
-		{name: "cancelled as a step closes", ends: records.DrainCancelled, idle: true, hurt: func(t *testing.T, w *world, number int) {
-			w.until(t, "a machine is closed", 4*time.Minute, func() bool { return w.closedMachines() > 0 })
-			w.command(t, peer.OpCancel, number)
-			w.until(t, "what was closed is returned", time.Minute, func() bool { return w.closedMachines() == 0 })
+		{name: "cancelled as a step closes", endState: records.DrainCancelled, idle: true, fault: func(t *testing.T, w *world, number int) {
+			w.waitUntil(t, "a machine is closed", 4*time.Minute, func() bool { return w.terminatingMachines() > 0 })
+			w.changeDrain(t, peer.OpCancel, number)
+			w.waitUntil(t, "what was closed is returned", time.Minute, func() bool { return w.terminatingMachines() == 0 })
 		}},
-		{name: "cancelled at its very last step", hurt: func(t *testing.T, w *world, first int) {
-			w.drainEnds(t, first, records.DrainFinished, 12*time.Minute)
-			machine := w.machineOfAService()
+		{name: "cancelled at its very last step", fault: func(t *testing.T, w *world, first int) {
+			w.waitDrainState(t, first, records.DrainFinished, 12*time.Minute)
+			machine := w.machineWithService()
 			number := w.startDrain(t, records.Selection{Machines: []string{machine}})
-			w.do(func() { w.noReturn = true }) // so that it is seen closed
+			w.locked(func() { w.ignoreScaleIn = true }) // so that it is seen closed
 			isLast := func(name string) bool { return name == machine }
-			w.until(t, "the last machine is closed", 4*time.Minute, func() bool { return w.closedOf(isLast) == 1 })
-			w.command(t, peer.OpCancel, number)
-			w.do(func() { w.noReturn = false })
-			w.until(t, "what was closed is returned", time.Minute, func() bool { return w.closedOf(isLast) == 0 && w.left(map[string]bool{machine: true}) == 0 })
-			w.until(t, "nothing stays cordoned", time.Minute, func() bool { return w.cordonedMachines(t, number) == 0 })
-			w.drainEnds(t, number, records.DrainCancelled, time.Minute)
+			w.waitUntil(t, "the last machine is closed", 4*time.Minute, func() bool { return w.countTerminating(isLast) == 1 })
+			w.changeDrain(t, peer.OpCancel, number)
+			w.locked(func() { w.ignoreScaleIn = false })
+			w.waitUntil(t, "what was closed is returned", time.Minute, func() bool {
+				return w.countTerminating(isLast) == 0 && w.remaining(map[string]bool{machine: true}) == 0
+			})
+			w.waitUntil(t, "nothing stays cordoned", time.Minute, func() bool { return w.cordonedMachines(t, number) == 0 })
+			w.waitDrainState(t, number, records.DrainCancelled, time.Minute)
 		}},
-		{name: "a replacement turns unhealthy just after its step closed", hurt: func(t *testing.T, w *world, _ int) {
-			old := w.present()
-			w.until(t, "a machine is replaced", 6*time.Minute, func() bool { return w.moved().Replaced > 0 && w.left(old) < len(old) })
-			failed := w.moved().Failed
-			w.do(w.lookAtTasks)
+		{name: "a replacement turns unhealthy just after its step closed", fault: func(t *testing.T, w *world, _ int) {
+			old := w.machineNames()
+			w.waitUntil(t, "a machine is replaced", 6*time.Minute, func() bool { return w.disruptionFigures().Replaced > 0 && w.remaining(old) < len(old) })
+			failed := w.disruptionFigures().Failed
+			w.locked(w.observeTasks)
 			w.failNewest()
-			w.until(t, "the failure is seen", time.Minute, func() bool { return w.moved().Failed > failed })
+			w.waitUntil(t, "the failure is seen", time.Minute, func() bool { return w.disruptionFigures().Failed > failed })
 		}},
-		{name: "a wave of spot machines is taken back", spot: true, hurt: func(t *testing.T, w *world, number int) {
+		{name: "a wave of spot machines is taken back", spot: true, fault: func(t *testing.T, w *world, number int) {
 			midway(t, w)
-			failed := w.moved().Failed
-			if n := w.takeSpotBack(10 * time.Second); n < 3 {
+			failed := w.disruptionFigures().Failed
+			if n := w.reclaimSpot(10 * time.Second); n < 3 {
 				t.Errorf("the wave takes %d machines", n)
 			}
-			w.until(t, "the drain waits for the budget", time.Minute, func() bool {
-				return slices.ContainsFunc(w.view(t, number).Shards, func(p drain.ShardProgress) bool { return strings.Contains(p.WaitingFor, "used up") })
+			w.waitUntil(t, "the drain waits for the budget", time.Minute, func() bool {
+				return slices.ContainsFunc(w.drainView(t, number).Shards, func(p drain.ShardProgress) bool { return strings.Contains(p.WaitingFor, "used up") })
 			})
-			w.until(t, "the wave takes tasks down", time.Minute, func() bool { return w.moved().Failed > failed+2 })
+			w.waitUntil(t, "the wave takes tasks down", time.Minute, func() bool { return w.disruptionFigures().Failed > failed+2 })
 		}},
-		{name: "the budget is raised while it runs", hurt: func(t *testing.T, w *world, _ int) {
+		{name: "the budget is raised while it runs", fault: func(t *testing.T, w *world, _ int) {
 			midway(t, w)
-			if worst := w.moved().MaxVoluntary; worst > 2 {
+			if worst := w.disruptionFigures().MaxVoluntary; worst > 2 {
 				t.Errorf("%d were down by choice before", worst)
 			}
-			w.do(func() { w.disruption.SetLimit(4) })
+			w.locked(func() { w.disruption.SetLimit(4) })
 			for _, n := range w.controllers {
 				n.kill()
 				n.set.Draining = n.parseDraining(strings.Replace(drainSettings, "* = 2", "* = 4", 1))
 				time.Sleep(3 * time.Second)
 				n.start()
 			}
-			w.until(t, "the new budget is used", 6*time.Minute, func() bool { return w.moved().MaxVoluntary > 2 })
+			w.waitUntil(t, "the new budget is used", 6*time.Minute, func() bool { return w.disruptionFigures().MaxVoluntary > 2 })
 		}},
-		{name: "machines that never boot", ends: records.DrainStopped, idle: true, hurt: func(t *testing.T, w *world, number int) {
-			w.do(func() { w.upIn = 1000 * time.Hour })
+		{name: "machines that never boot", endState: records.DrainStopped, idle: true, fault: func(t *testing.T, w *world, number int) {
+			w.locked(func() { w.bootWithin = 1000 * time.Hour })
 		}},
-		{name: "machines on which every task fails", ends: records.DrainStopped, hurt: func(t *testing.T, w *world, number int) {
-			w.do(func() {
-				w.faulty = map[string]bool{}
+		{name: "machines on which every task fails", endState: records.DrainStopped, fault: func(t *testing.T, w *world, number int) {
+			w.locked(func() {
+				w.soundMachines = map[string]bool{}
 				for name := range w.machines {
-					w.faulty[name] = false
+					w.soundMachines[name] = false
 				}
 			})
-			w.until(t, "the drain stops", 10*time.Minute, func() bool { return w.drainRecord(number).State == records.DrainStopped })
+			w.waitUntil(t, "the drain stops", 10*time.Minute, func() bool { return w.drainRecord(number).State == records.DrainStopped })
 			if why := w.drainRecord(number).StopReason; !strings.Contains(why, "failed on") && !strings.Contains(why, "not up in time") {
 				t.Errorf("it stopped because of: %s", why)
 			}
-			w.do(func() { w.faulty = nil })
+			w.locked(func() { w.soundMachines = nil })
 		}},
-		{name: "the budget is lowered while it runs", hurt: func(t *testing.T, w *world, _ int) {
+		{name: "the budget is lowered while it runs", fault: func(t *testing.T, w *world, _ int) {
 			midway(t, w)
 			for _, n := range w.controllers {
 				n.kill()
@@ -285,7 +287,7 @@
 				n.start()
 			}
 			time.Sleep(10 * time.Second)
-			w.do(func() { w.disruption.SetLimit(1) })
+			w.locked(func() { w.disruption.SetLimit(1) })
 		}},
 	} {
 		t.Run(s.name, func(t *testing.T) { s.holds(t, max(1, s.seeds)) })
@@ -294,16 +296,16 @@
 
 // Two drains over one team, in different shards, whose owners are replaced in turns.
 func TestTwoDrainsShareTheAccount(t *testing.T) {
-	quietLogs(t)
-	s := drainScenario{hurt: func(t *testing.T, w *world, first int) {
-		w.command(t, peer.OpCancel, first)
+	discardLogs(t)
+	s := drainScenario{fault: func(t *testing.T, w *world, first int) {
+		w.changeDrain(t, peer.OpCancel, first)
 		time.Sleep(3 * time.Second)
 		var numbers []int
 		for _, zone := range []string{"a", "b"} {
 			numbers = append(numbers, w.startDrain(t, records.Selection{Zones: []string{zone}}))
 		}
 		time.Sleep(time.Second)
-		reply := w.drains(t, peer.DrainRequest{Op: peer.OpStart, Selection: records.Selection{Zones: []string{"b"}}})
+		reply := w.requestDrain(t, peer.DrainRequest{Op: peer.OpStart, Selection: records.Selection{Zones: []string{"b"}}})
 		if reply.Problem == nil || !strings.Contains(reply.Problem.Problem, fmt.Sprintf("drain %d", numbers[1])) {
 			t.Errorf("a drain that overlaps: %+v", reply)
 		}
@@ -312,19 +314,19 @@
 			zone := []string{"a", "b"}[i%2]
 			term := w.term(zone)
 			w.controllers[w.owner(zone)].restart(5 * time.Second)
-			w.until(t, "another owner", time.Minute, func() bool { return w.term(zone) > term })
+			w.waitUntil(t, "another owner", time.Minute, func() bool { return w.term(zone) > term })
 		}
 		for _, n := range numbers {
-			w.drainEnds(t, n, records.DrainFinished, 12*time.Minute)
+			w.waitDrainState(t, n, records.DrainFinished, 12*time.Minute)
 		}
-	}, ends: records.DrainCancelled}
+	}, endState: records.DrainCancelled}
 	s.holds(t, 2)
 }
 
 // Without claims, or with grants that end as the replacement starts, a drain breaks its
 // budget and the check says so.
 func TestDrainCheckNoticesMissingGuards(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	for name, unguard := range map[string]func(*shard.DrainingConfig){
 		"claims":      func(c *shard.DrainingConfig) { c.SkipClaimProof = true },
 		"stable time": func(c *shard.DrainingConfig) { c.SkipStableTime = true },
@@ -345,18 +347,18 @@
 // What cannot be drained is refused at once, with the field that is wrong, and nothing
 // is stored; a damaged record does nothing and is not written over.
 func TestDrainRequestsThatAreRefused(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorldOf(2, []string{"a", "b", "c"}, 3, magnoliaTimes)
-		w.late, w.tame, w.lostAnswers, w.lateWrites, w.repeats = 0, true, 0, 0, 0
-		w.drainTo(strings.Replace(drainSettings, "* = 2", "* = 40%", 1))
+		w := newWorldWithTimes(2, []string{"a", "b", "c"}, 3, magnoliaTimes)
+		w.lateCommandShare, w.reliableCloud, w.lostAnswerShare, w.lateWriteShare, w.repeatedWriteShare = 0, true, 0, 0, 0
+		w.enableDraining(strings.Replace(drainSettings, "* = 2", "* = 40%", 1))
 		for _, n := range w.controllers {
 			n.start()
 		}
 		go w.expireLeases()
-		defer w.shut()
+		defer w.shutdown()
 		time.Sleep(5 * time.Second)
-		w.replicas(t, 1, 2) // 40% of two are none
+		w.startReplicas(t, 1, 2) // 40% of two are none
 		time.Sleep(15 * time.Second)
 		spot := true
 		for field, q := range map[string]peer.DrainRequest{
@@ -369,31 +371,31 @@
 			"rented-before": {Op: peer.OpStart, MinAgeS: 1e9},
 			"op":            {Op: "dance"},
 		} {
-			if r := w.drains(t, q); r.Problem == nil || r.Problem.Field != field {
+			if r := w.requestDrain(t, q); r.Problem == nil || r.Problem.Field != field {
 				t.Errorf("%s: %+v", field, r.Problem)
 			}
 		}
-		if r := w.drains(t, peer.DrainRequest{Op: peer.OpPlan, Selection: records.Selection{Spot: &spot}}); r.Problem == nil || r.Problem.Field != "selection" {
+		if r := w.requestDrain(t, peer.DrainRequest{Op: peer.OpPlan, Selection: records.Selection{Spot: &spot}}); r.Problem == nil || r.Problem.Field != "selection" {
 			t.Errorf("no spot machine: %+v", r)
 		}
 		if n := w.keysUnder(records.KeyDrain(1)); n > 0 {
 			t.Errorf("%d drains are stored", n)
 		}
-		if r := w.drains(t, peer.DrainRequest{Op: peer.OpPlan, MatchAll: true}); r.Plan == nil || r.Plan.FirstPermanentObstacle() == nil {
+		if r := w.requestDrain(t, peer.DrainRequest{Op: peer.OpPlan, MatchAll: true}); r.Plan == nil || r.Plan.FirstPermanentObstacle() == nil {
 			t.Errorf("the plan does not say what can never be done: %+v", r)
 		}
-		w.do(func() {
+		w.locked(func() {
 			w.kv[records.KeyDrain(3)] = &entry{value: []byte(`{"state":7}`), version: w.revision + 1}
 			w.revision++
-			w.events = append(w.events, wire.Event{Put: records.KeyDrain(3), Value: []byte(`{"state":7}`), Version: w.revision})
-			close(w.changed)
-			w.changed = make(chan struct{})
+			w.storeEvents = append(w.storeEvents, wire.Event{Put: records.KeyDrain(3), Value: []byte(`{"state":7}`), Version: w.revision})
+			close(w.storeChanged)
+			w.storeChanged = make(chan struct{})
 		})
 		time.Sleep(2 * time.Second)
-		if s := w.drains(t, peer.DrainRequest{Op: peer.OpStatus}).Status; !slices.Equal(s.Unreadable, []int{3}) {
+		if s := w.requestDrain(t, peer.DrainRequest{Op: peer.OpStatus}).Status; !slices.Equal(s.Unreadable, []int{3}) {
 			t.Errorf("damaged: %v", s.Unreadable)
 		}
-		if r := w.drains(t, peer.DrainRequest{Op: peer.OpResume, Number: 3}); r.Problem == nil || r.Problem.Field != "drain" {
+		if r := w.requestDrain(t, peer.DrainRequest{Op: peer.OpResume, Number: 3}); r.Problem == nil || r.Problem.Field != "drain" {
 			t.Errorf("a damaged drain is resumed: %+v", r)
 		}
 	})
@@ -402,25 +404,25 @@
 // A controller of a version without drains, or without the file, holds back what its
 // shard's owner cannot vouch for, and says that it is off.
 func TestDrainBesideOneWithout(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
 		w := drainWorld(4, "")
-		defer w.shut()
+		defer w.shutdown()
 		w.controllers[1].set.Draining = nil
-		w.beginDrains(t)
+		w.startBeforeDrain(t)
 		if _, err := (simPeer{w.controllers[0], w.controllers[1]}).Drain(context.Background(), peer.DrainRequest{Op: peer.OpStatus}); err != peer.ErrDrainingDisabled {
 			t.Errorf("it answers: %v", err)
 		}
 		number := w.startDrain(t, records.Selection{Zones: []string{"a"}})
 		time.Sleep(40 * time.Second)
-		if v := w.view(t, number); w.moved().Stops > 0 || len(v.Shards) == 0 || !strings.Contains(v.Shards[0].WaitingFor, "not published") {
-			t.Errorf("%d stops; %+v", w.moved().Stops, v)
+		if v := w.drainView(t, number); w.disruptionFigures().Stops > 0 || len(v.Shards) == 0 || !strings.Contains(v.Shards[0].WaitingFor, "not published") {
+			t.Errorf("%d stops; %+v", w.disruptionFigures().Stops, v)
 		}
 		w.controllers[1].kill()
 		w.controllers[1].set.Draining = w.controllers[1].parseDraining(drainSettings)
 		w.controllers[1].start()
-		w.drainEnds(t, number, records.DrainFinished, 10*time.Minute)
-		if broken := w.brokenRules(); len(broken) > 0 {
+		w.waitDrainState(t, number, records.DrainFinished, 10*time.Minute)
+		if broken := w.violationList(); len(broken) > 0 {
 			t.Error(broken)
 		}
 	})
@@ -438,39 +440,39 @@
 // time under it, and with changes of the state service that do not grow with the moves
 // of single tasks alone.
 func TestDrainLargeFleet(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorldOf(2, []string{"a", "b"}, 3, umoyaTimes)
-		w.late, w.tame, w.lossless, w.lostAnswers, w.lateWrites, w.repeats, w.lateCopies = 0, true, true, 0, 0, 0, 0
-		w.pause = 500 * time.Millisecond
+		w := newWorldWithTimes(2, []string{"a", "b"}, 3, umoyaTimes)
+		w.lateCommandShare, w.reliableCloud, w.noAnswerLoss, w.lostAnswerShare, w.lateWriteShare, w.repeatedWriteShare, w.lateCopyShare = 0, true, true, 0, 0, 0, 0
+		w.workerInterval = 500 * time.Millisecond
 		for k := range w.capacity {
 			w.capacity[k] = *drainMachines
 		}
-		w.drainTo("disruption.budget.* = " + *drainPercent + "\ndrain.parallel.percent = 10\n")
+		w.enableDraining("disruption.budget.* = " + *drainPercent + "\ndrain.parallel.percent = 10\n")
 		for _, n := range w.controllers {
 			n.set.Deployment.Limits.CPU = 0
 			n.start()
 		}
 		go w.expireLeases()
-		defer w.shut()
+		defer w.shutdown()
 		time.Sleep(5 * time.Second)
 		tasks := *drainMachines * 2 // of half a machine
-		w.replicas(t, 4, tasks/4)
+		w.startReplicas(t, 4, tasks/4)
 		time.Sleep(30 * time.Second)
-		old := w.present()
-		plan := w.drains(t, peer.DrainRequest{Op: peer.OpPlan, MatchAll: true}).Plan
+		old := w.machineNames()
+		plan := w.requestDrain(t, peer.DrainRequest{Op: peer.OpPlan, MatchAll: true}).Plan
 		began, revision, processor := time.Now(), w.stateRevision(), processorTime()
 		number := w.startDrain(t, records.Selection{})
-		w.drainEnds(t, number, records.DrainFinished, 12*time.Hour)
+		w.waitDrainState(t, number, records.DrainFinished, 12*time.Hour)
 		took := time.Since(began)
 		least := time.Duration(plan.MinimumS * float64(time.Second))
 		t.Logf("%d machines, %d tasks, budget %s: %s, %s at least (%s); %d changes of the state service, %s of the test's processor time",
 			len(old), tasks, *drainPercent, took.Round(time.Second), least, plan.BindingBudget, w.stateRevision()-revision, (processorTime() - processor).Round(100*time.Millisecond))
-		if n := w.left(old); n > 0 || took < least {
+		if n := w.remaining(old); n > 0 || took < least {
 			t.Errorf("%d machines are left after %s, at least %s", n, took, least)
 		}
-		w.until(t, "all replicas run again", 3*time.Minute, func() bool { return w.replicasUp() == tasks })
-		if broken := w.brokenRules(); len(broken) > 0 {
+		w.waitUntil(t, "all replicas run again", 3*time.Minute, func() bool { return w.runningReplicas() == tasks })
+		if broken := w.violationList(); len(broken) > 0 {
 			t.Error(broken[:min(4, len(broken))])
 		}
 	})
--- a/controller/large_fleet_test.go
+++ b/controller/large_fleet_test.go
@@ -26,10 +26,10 @@
 // unanswered, or hear nothing for a lease. Whatever starts again was on one of those, and
 // all others stay.
 func TestLossyFleet(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
 		w := playLargeFleet(t, "", *lossyFleet, *lossyShare)
-		ended, unheard, lapsed := w.count("tasks ended by a return"), w.count("tasks ended by the return of an unheard machine"), w.count("tasks ended by a lease")
+		ended, unheard, lapsed := w.eventCount("tasks ended by a return"), w.eventCount("tasks ended by the return of an unheard machine"), w.eventCount("tasks ended by a lease")
 		t.Logf("%d starts again; %d tasks ended by returns, %d of them on machines that answered nothing, %d by a lease", w.restarts, ended, unheard, lapsed)
 		if ended != unheard {
 			t.Errorf("%d tasks were ended by the return of a machine that had answered", ended-unheard)
@@ -47,7 +47,7 @@
 // starts, loses an owner, and comes through an outage that is longer than the workers'
 // lease: every machine is used, nothing that runs stops, and work goes on.
 func TestLargeFleet(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	for name, zone := range map[string]string{"in one shard": "a", "in two shards": ""} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { playLargeFleet(t, zone, largeFleet, 0) })
@@ -57,61 +57,61 @@
 
 // playLargeFleet plays a fleet of so many machines. Without loss nothing may start again.
 func playLargeFleet(t *testing.T, zone string, machines int, loss float64) *world {
-	w := newWorldOf(1, []string{"a", "b"}, 3, umoyaTimes)
-	w.late, w.tame, w.lostAnswers, w.lateWrites, w.repeats, w.lateCopies = 0, true, 0, 0, 0, 0
-	w.pause = 500 * time.Millisecond
-	w.loss, w.lossless = loss, loss == 0
+	w := newWorldWithTimes(1, []string{"a", "b"}, 3, umoyaTimes)
+	w.lateCommandShare, w.reliableCloud, w.lostAnswerShare, w.lateWriteShare, w.repeatedWriteShare, w.lateCopyShare = 0, true, 0, 0, 0, 0
+	w.workerInterval = 500 * time.Millisecond
+	w.answerLossShare, w.noAnswerLoss = loss, loss == 0
 	for k := range w.capacity {
 		w.capacity[k] = machines
 	}
 	for _, n := range w.controllers {
-		n.detect()
+		n.enableDetection()
 		n.set.Deployment.Limits.CPU = 0
 		n.start()
 	}
 	go w.expireLeases()
-	defer w.shut()
+	defer w.shutdown()
 	time.Sleep(5 * time.Second)
 	// Each task fills a machine.
 	j := &simJob{spec: wire.Submission{ID: "run-000001", Class: "c", Team: "free", Kind: wire.KindService, Priority: wire.PriorityProduction,
 		Tasks: machines, CPUs: 8, MemoryGB: 1, Image: "i", ImageGB: 1, Zone: zone, Spread: zone == ""}, doneTasks: map[int]bool{}}
-	w.do(func() { w.jobs[j.spec.ID] = j })
-	go w.user(j, 0, 0)
+	w.locked(func() { w.jobs[j.spec.ID] = j })
+	go w.runUser(j, 0, 0)
 	began := time.Now()
 	running := func() bool {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		return w.running(j.spec.ID) == machines
+		return w.runningTasks(j.spec.ID) == machines
 	}
-	w.until(t, "all machines are up and used", 10*time.Minute, running)
+	w.waitUntil(t, "all machines are up and used", 10*time.Minute, running)
 	t.Logf("%d tasks run on %d machines after %s", machines, len(w.machines), time.Since(began))
 	starts := w.starts
-	before := maps.Clone(w.seen)
+	before := maps.Clone(w.observed)
 
 	owner, term := w.owner("a"), w.term("a")
 	w.controllers[owner].restart(5 * time.Second)
-	w.until(t, "another owner", takeoverBound, func() bool { return w.term("a") > term })
+	w.waitUntil(t, "another owner", takeoverBound, func() bool { return w.term("a") > term })
 	time.Sleep(30 * time.Second)
 	w.setOutage(true)
 	time.Sleep(w.times.lease() + 20*time.Second)
 	w.setOutage(false)
 	time.Sleep(30 * time.Second)
-	w.do(func() {
+	w.locked(func() {
 		w.restarts = w.starts - starts
-		for what := range w.seen {
-			w.seen[what] -= before[what]
+		for what := range w.observed {
+			w.observed[what] -= before[what]
 		}
 	})
 	if loss == 0 && (!running() || w.restarts != 0) {
-		t.Errorf("%d of %d tasks run, after %d starts more", w.running(j.spec.ID), machines, w.restarts)
+		t.Errorf("%d of %d tasks run, after %d starts more", w.runningTasks(j.spec.ID), machines, w.restarts)
 	}
 	after := w.newArray("run-000002", 50, 8, 5)
 	began = time.Now()
-	go w.user(after, 0, 0)
+	go w.runUser(after, 0, 0)
 	w.allDone(t, 3*time.Minute, []*simJob{after})
 	t.Logf("50 tasks more were done within %s; records take %d keys", time.Since(began), w.keysUnder(records.KeyPrefix))
-	if len(w.broken) > 0 {
-		t.Errorf("rules broken: %s", strings.Join(w.broken[:min(4, len(w.broken))], "; "))
+	if len(w.violations) > 0 {
+		t.Errorf("rules broken: %s", strings.Join(w.violations[:min(4, len(w.violations))], "; "))
 	}
 	return w
 }
--- a/controller/overload_test.go
+++ b/controller/overload_test.go
@@ -44,18 +44,18 @@
 }
 
 type overloadJob struct {
-	rec     *records.Job
-	version uint64
-	came    time.Time
-	began   time.Time
-	cancel  time.Time
-	left    map[int]bool // tasks not done
+	rec         *records.Job
+	version     uint64
+	submittedAt time.Time
+	startedAt   time.Time
+	cancel      time.Time
+	remaining   map[int]bool // tasks not done
 }
 
 type overloadWorker struct {
 	name, zone string
 	seq, token uint64
-	held       map[string]*overloadTask
+	tasks      map[string]*overloadTask
 	changed    bool
 	next       time.Time
 }
@@ -81,7 +81,7 @@
 			CloudListLag: 5 * time.Second, SizeLimits: records.SizeLimits{Current: 8192, Next: 8192}, MaxTxnOps: 12, MaxWritesPerSecond: 100, JobOrder: leader.NewJobOrder(set.Deployment.Objectives)}, 1, 1, c.now, types, nil, nil, nil, nil)
 		c.owners[z].SetRoundClock(c.tick)
 		for i := range 10 {
-			w := &overloadWorker{name: fmt.Sprintf("m-%s-%d", z, i), zone: z, held: map[string]*overloadTask{}}
+			w := &overloadWorker{name: fmt.Sprintf("m-%s-%d", z, i), zone: z, tasks: map[string]*overloadTask{}}
 			c.workers[w.name] = w
 			c.names = append(c.names, w.name)
 		}
@@ -96,12 +96,12 @@
 		if err != nil {
 			panic(err)
 		}
-		c.show(ch.Put, rec)
+		c.applyRecord(ch.Put, rec)
 	}
 	return c.rev
 }
 
-func (c *overload) show(key string, rec records.Record) {
+func (c *overload) applyRecord(key string, rec records.Record) {
 	if j, ok := rec.(*records.Job); ok {
 		c.jobs[j.ID].rec, c.jobs[j.ID].version = j, c.rev
 		c.leader.ApplyJob(c.now, j.ID, j, c.rev)
@@ -112,9 +112,9 @@
 }
 
 func (c *overload) submit(s wire.Submission, life time.Duration) {
-	j := &overloadJob{came: c.now, left: map[int]bool{}}
+	j := &overloadJob{submittedAt: c.now, remaining: map[int]bool{}}
 	for i := range s.Tasks {
-		j.left[i] = true
+		j.remaining[i] = true
 	}
 	if life > 0 {
 		j.cancel = c.now.Add(life)
@@ -122,7 +122,7 @@
 	c.jobs[s.ID] = j
 	c.order = append(c.order, s.ID)
 	c.rev++
-	c.show(records.KeyJob(s.ID), &records.Job{ID: s.ID, Spec: s, AcceptedMS: c.now.UnixMilli()})
+	c.applyRecord(records.KeyJob(s.ID), &records.Job{ID: s.ID, Spec: s, AcceptedMS: c.now.UnixMilli()})
 }
 
 // valid says that a transaction's conditions on jobs hold.
@@ -170,17 +170,17 @@
 				w := c.workers[act.Machine]
 				w.token = max(w.token, act.Request.FencingToken)
 				c.execute(w, act.Request.Commands)
-				o.CommandResult(c.now, w.name, w.report())
+				o.CommandResult(c.now, w.name, w.heartbeat())
 			}
 		}
 	}
 	for _, name := range c.names {
 		w := c.workers[name]
-		for _, x := range w.held {
+		for _, x := range w.tasks {
 			if x.status.State != wire.TaskExited && !x.ends.IsZero() && !c.now.Before(x.ends) {
 				x.status.State, x.status.Cause = wire.TaskExited, wire.CauseDone
 				id, i, _ := wire.ParseTaskName(x.status.Task)
-				delete(c.jobs[id].left, i)
+				delete(c.jobs[id].remaining, i)
 				w.changed = true
 			}
 		}
@@ -188,7 +188,7 @@
 			continue
 		}
 		w.changed, w.next = false, c.now.Add(3*time.Second)
-		if reply, ok := c.owners[w.zone].Heartbeat(c.now, w.report()); ok {
+		if reply, ok := c.owners[w.zone].Heartbeat(c.now, w.heartbeat()); ok {
 			w.changed = reply.FencingToken > w.token
 			w.token = max(w.token, reply.FencingToken)
 			c.execute(w, reply.Commands)
@@ -199,15 +199,15 @@
 			rec := j.rec.Clone()
 			rec.End = wire.JobCancelled
 			c.rev++
-			c.show(records.KeyJob(id), rec)
+			c.applyRecord(records.KeyJob(id), rec)
 		}
 	}
 }
 
-func (w *overloadWorker) report() *wire.Heartbeat {
+func (w *overloadWorker) heartbeat() *wire.Heartbeat {
 	w.seq++
 	r := &wire.Heartbeat{Machine: w.name, Addr: w.name, Type: "box", Zone: w.zone, Epoch: 1, Seq: w.seq, FencingToken: w.token}
-	for _, x := range w.held {
+	for _, x := range w.tasks {
 		r.Tasks = append(r.Tasks, x.status)
 	}
 	return r
@@ -216,23 +216,23 @@
 func (c *overload) execute(w *overloadWorker, cmds []wire.Command) {
 	for _, cmd := range cmds {
 		key := fmt.Sprint(cmd.Task, "#", cmd.Attempt)
-		x := w.held[key]
+		x := w.tasks[key]
 		switch {
 		case cmd.Op == wire.OpStart && x == nil:
 			id, _, _ := wire.ParseTaskName(cmd.Task)
 			j := c.jobs[id]
-			if j.began.IsZero() {
-				j.began = c.now
+			if j.startedAt.IsZero() {
+				j.startedAt = c.now
 			}
 			x = &overloadTask{status: wire.TaskStatus{Task: cmd.Task, Attempt: cmd.Attempt, State: wire.TaskRunning}}
 			if !j.rec.Spec.IsService() {
 				x.ends = c.now.Add(settings.Seconds(j.rec.Spec.EstimateS))
 			}
-			w.held[key] = x
+			w.tasks[key] = x
 		case cmd.Op == wire.OpStop && x != nil && x.status.State != wire.TaskExited:
 			x.status.State, x.status.Cause = wire.TaskExited, wire.CauseStopped
 		case cmd.Op == wire.OpForget:
-			delete(w.held, key)
+			delete(w.tasks, key)
 		default:
 			continue
 		}
@@ -273,7 +273,7 @@
 	}
 	var old []*overloadJob
 	for _, id := range c.order {
-		if j := c.jobs[id]; c.now.Sub(j.came) > 4*time.Minute {
+		if j := c.jobs[id]; c.now.Sub(j.submittedAt) > 4*time.Minute {
 			old = append(old, j)
 		}
 	}
@@ -283,7 +283,7 @@
 // Under lasting overload at least half of every class, of every team and of each
 // class's largest jobs is served, and the largest begin within four minutes.
 func TestNobodyStarvesUnderOverload(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	for seed := range uint64(2) {
 		_, old := overloaded(seed)
 		groups := map[string][]*overloadJob{}
@@ -308,9 +308,9 @@
 		for name, js := range groups {
 			served, intime := 0, 0
 			for _, j := range js {
-				if !j.began.IsZero() {
+				if !j.startedAt.IsZero() {
 					served++
-					if j.began.Sub(j.came) <= 4*time.Minute {
+					if j.startedAt.Sub(j.submittedAt) <= 4*time.Minute {
 						intime++
 					}
 				}
--- a/controller/push_test.go
+++ b/controller/peer_status_test.go
@@ -27,8 +27,8 @@
 
 // A shard whose figures change all the time keeps nobody from being told: an
 // owner that workers cannot reach would not learn that others hear them.
-func TestBusyShardStillTellsEverybody(t *testing.T) {
-	quietLogs(t)
+func TestBusyShardStillPushesStatusToAll(t *testing.T) {
+	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, []string{"a", "b"}, 3)
 		peers := map[string]*countingPeer{"n-1": {}, "n-2": {}}
--- a/controller/sim_test.go
+++ b/controller/random_faults_test.go
@@ -17,23 +17,23 @@
 	"ravenport/wire"
 )
 
-// day plays a generated day of a deployment: jobs of every sort, and troubles
+// playRandomDay plays a generated day of a deployment: jobs of every sort, and troubles
 // of every sort that may overlap. It returns the world after it has calmed.
-func day(t *testing.T, seed uint64, zones []string, sabotage func(*world)) *world {
+func playRandomDay(t *testing.T, seed uint64, zones []string, sabotage func(*world)) *world {
 	t.Helper()
 	w := newWorld(seed, zones, 3)
 	if sabotage != nil {
 		sabotage(w)
 	}
 	if seed%2 == 0 {
-		w.leave()
+		w.addOldRecords()
 	}
 	for _, n := range w.controllers {
 		n.start()
 	}
 	go w.expireLeases()
 	go w.playGangs()
-	time.AfterFunc(w.between(0, 200*time.Second), func() { w.mu.Lock(); w.smaller = true; w.mu.Unlock() })
+	time.AfterFunc(w.randomDuration(0, 200*time.Second), func() { w.mu.Lock(); w.limitsLowered = true; w.mu.Unlock() })
 	for i := range 24 {
 		s := wire.Submission{
 			ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: "free", Kind: wire.KindArray, Priority: wire.PriorityNormal,
@@ -68,28 +68,28 @@
 		if s.IsService() || w.rng.IntN(6) == 0 {
 			cancel = time.Duration(20+w.rng.IntN(150)) * time.Second
 		}
-		go w.user(j, time.Duration(w.rng.IntN(120))*time.Second, cancel)
+		go w.runUser(j, time.Duration(w.rng.IntN(120))*time.Second, cancel)
 	}
-	trouble(w, 200*time.Second)
+	injectFaults(w, 200*time.Second)
 	// Calm: everything is mended, and what was accepted must come to an end.
 	w.setOutage(false)
 	w.mu.Lock()
 	for _, n := range w.controllers {
-		n.cutState, n.cutWork, n.cutPeers, n.cutReports = false, false, false, false
+		n.cutFromStore, n.cutFromWorkers, n.cutFromPeers, n.heartbeatsLost = false, false, false, false
 	}
-	w.cloudOut, w.cutZone = false, ""
+	w.cloudUnavailable, w.partitionedZone = false, ""
 	for _, m := range w.machines {
-		m.cut, m.hung, m.deaf = false, false, false
+		m.disconnected, m.hung, m.receivesNothing = false, false, false
 	}
-	w.calm = time.Now()
+	w.calmSince = time.Now()
 	w.mu.Unlock()
 	for _, n := range w.controllers {
-		if n.up() == nil {
+		if n.running() == nil {
 			n.start()
 		}
 	}
 	time.Sleep(240 * time.Second)
-	close(w.stop)
+	close(w.done)
 	for _, n := range w.controllers {
 		n.kill()
 	}
@@ -97,67 +97,67 @@
 	return w
 }
 
-// trouble makes things fail, one or several at a time, for a while.
-func trouble(w *world, d time.Duration) {
+// injectFaults makes things fail, one or several at a time, for a while.
+func injectFaults(w *world, d time.Duration) {
 	end := time.Now().Add(d)
 	for time.Now().Before(end) {
-		time.Sleep(w.between(2*time.Second, 12*time.Second))
-		n := w.controllers[int(w.between(0, time.Duration(len(w.controllers)-1)))]
-		length := w.between(time.Second, 35*time.Second)
+		time.Sleep(w.randomDuration(2*time.Second, 12*time.Second))
+		n := w.controllers[int(w.randomDuration(0, time.Duration(len(w.controllers)-1)))]
+		length := w.randomDuration(time.Second, 35*time.Second)
 		later := func(f func()) { time.AfterFunc(length, f) }
-		switch w.between(0, 17) {
+		switch w.randomDuration(0, 17) {
 		case 15: // stands still while its clocks run on, for less than its lease
-			n.freeze(w.between(200*time.Millisecond, 3*time.Second))
+			n.freeze(w.randomDuration(200*time.Millisecond, 3*time.Second))
 		case 16: // or for more, some times for more than the workers'
 			n.freeze(length)
 			if w.chance(0.3) { // and ends as it moves on, in the middle of an election
 				time.AfterFunc(length, func() {
 					n.kill()
 					time.Sleep(300 * time.Millisecond)
-					if n.up() == nil {
+					if n.running() == nil {
 						n.start()
 					}
 				})
 			}
 		case 17: // a zone is cut off from everything, with the controllers in it
-			set := func(z string) { w.mu.Lock(); w.cutZone = z; w.mu.Unlock() }
+			set := func(z string) { w.mu.Lock(); w.partitionedZone = z; w.mu.Unlock() }
 			set(n.set.Zone)
 			time.AfterFunc(2*length, func() { set("") })
 		case 14: // reports do not reach it, though it reaches the workers
-			set := func(v bool) { w.mu.Lock(); n.cutReports = v; w.mu.Unlock() }
+			set := func(v bool) { w.mu.Lock(); n.heartbeatsLost = v; w.mu.Unlock() }
 			set(true)
 			later(func() { set(false) })
 		case 10: // away from the state service and the other controllers, not from workers
-			set := func(v bool) { w.mu.Lock(); n.cutState, n.cutPeers = v, v; w.mu.Unlock() }
+			set := func(v bool) { w.mu.Lock(); n.cutFromStore, n.cutFromPeers = v, v; w.mu.Unlock() }
 			set(true)
 			later(func() { set(false) })
 		case 11: // back within a fraction of a second, and again in the middle of the election
 			for range 2 {
 				n.kill()
-				time.Sleep(w.between(10*time.Millisecond, 300*time.Millisecond))
-				if n.up() == nil {
+				time.Sleep(w.randomDuration(10*time.Millisecond, 300*time.Millisecond))
+				if n.running() == nil {
 					n.start()
 				}
-				time.Sleep(w.between(10*time.Millisecond, 1500*time.Millisecond))
+				time.Sleep(w.randomDuration(10*time.Millisecond, 1500*time.Millisecond))
 			}
 		case 12: // the controllers do not reach each other
-			set := func(v bool) { w.mu.Lock(); n.cutPeers = v; w.mu.Unlock() }
+			set := func(v bool) { w.mu.Lock(); n.cutFromPeers = v; w.mu.Unlock() }
 			set(true)
 			later(func() { set(false) })
 		case 13:
-			if ctl := n.up(); ctl != nil {
+			if ctl := n.running(); ctl != nil {
 				for range 5 {
-					w.nonsense(ctl)
+					w.sendInvalidHeartbeat(ctl)
 				}
 			}
 		case 9:
-			set := func(v bool) { w.mu.Lock(); w.cloudOut = v; w.mu.Unlock() }
+			set := func(v bool) { w.mu.Lock(); w.cloudUnavailable = v; w.mu.Unlock() }
 			set(true)
 			later(func() { set(false) })
 		case 0, 1: // a crash; back within a fraction of a second or after seconds
 			n.kill()
-			time.AfterFunc(w.between(200*time.Millisecond, 6*time.Second), func() {
-				if n.up() == nil {
+			time.AfterFunc(w.randomDuration(200*time.Millisecond, 6*time.Second), func() {
+				if n.running() == nil {
 					n.start()
 				}
 			})
@@ -165,18 +165,18 @@
 			for _, n := range w.controllers {
 				n.kill()
 			}
-			time.Sleep(w.between(200*time.Millisecond, 6*time.Second))
+			time.Sleep(w.randomDuration(200*time.Millisecond, 6*time.Second))
 			for _, n := range w.controllers {
-				if n.up() == nil {
+				if n.running() == nil {
 					n.start()
 				}
 			}
 		case 3: // refused by the state service alone
-			set := func(v bool) { w.mu.Lock(); n.cutState = v; w.mu.Unlock() }
+			set := func(v bool) { w.mu.Lock(); n.cutFromStore = v; w.mu.Unlock() }
 			set(true)
 			later(func() { set(false) })
 		case 4: // cut from the workers
-			set := func(v bool) { w.mu.Lock(); n.cutWork = v; w.mu.Unlock() }
+			set := func(v bool) { w.mu.Lock(); n.cutFromWorkers = v; w.mu.Unlock() }
 			set(true)
 			later(func() { set(false) })
 		case 5:
@@ -188,21 +188,21 @@
 			for _, m := range w.machines {
 				switch what {
 				case 3:
-					m.deaf = true
-					later(func() { w.mu.Lock(); m.deaf = false; w.mu.Unlock() })
+					m.receivesNothing = true
+					later(func() { w.mu.Lock(); m.receivesNothing = false; w.mu.Unlock() })
 				case 4:
-					if !time.Now().Before(m.boots) {
+					if !time.Now().Before(m.bootsAt) {
 						m.restart()
 					}
 				case 0:
 					m.hung = true
 					later(func() { w.mu.Lock(); m.hung = false; w.mu.Unlock() })
 				case 1:
-					m.cut = true
-					later(func() { w.mu.Lock(); m.cut = false; w.mu.Unlock() })
+					m.disconnected = true
+					later(func() { w.mu.Lock(); m.disconnected = false; w.mu.Unlock() })
 				case 2:
 					if m.spot {
-						w.remove(m.name)
+						w.removeMachine(m.name)
 					}
 				}
 				break
@@ -212,17 +212,17 @@
 	}
 }
 
-// simDays and simFrom let a developer play many more days than CI does.
+// randomDays and firstSeed let a developer play many more days than CI does.
 var (
-	simDays = flag.Uint64("sim.days", 12, "generated days to play")
-	simLog  = flag.Bool("sim.log", false, "print the controllers' logs")
-	simFrom = flag.Uint64("sim.from", 0, "seed of the first day")
+	randomDays = flag.Uint64("sim.days", 12, "generated days to play")
+	printLogs  = flag.Bool("sim.log", false, "print the controllers' logs")
+	firstSeed  = flag.Uint64("sim.from", 0, "seed of the first day")
 )
 
-func quietLogs(t *testing.T) {
+func discardLogs(t *testing.T) {
 	old := slog.Default()
 	out := io.Writer(io.Discard)
-	if *simLog {
+	if *printLogs {
 		out = os.Stderr
 	}
 	slog.SetDefault(slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: slog.LevelDebug})))
@@ -232,22 +232,22 @@
 // Whatever fails, no rule of the protocol is broken, and once things have
 // calmed down everything accepted comes to its end.
 func TestRulesHoldThroughTroubles(t *testing.T) {
-	quietLogs(t)
-	for seed := *simFrom; seed < *simFrom+*simDays; seed++ {
+	discardLogs(t)
+	for seed := *firstSeed; seed < *firstSeed+*randomDays; seed++ {
 		zones := []string{"a", "b", "c"}[:2+seed%2]
 		synctest.Test(t, func(t *testing.T) {
-			w := day(t, seed, zones, nil)
-			if len(w.broken) > 0 {
-				t.Fatalf("seed %d: %d broken rules, first: %s", seed, len(w.broken), strings.Join(w.broken[:min(4, len(w.broken))], "; "))
+			w := playRandomDay(t, seed, zones, nil)
+			if len(w.violations) > 0 {
+				t.Fatalf("seed %d: %d broken rules, first: %s", seed, len(w.violations), strings.Join(w.violations[:min(4, len(w.violations))], "; "))
 			}
 			if w.gangStarts == 0 {
 				t.Errorf("seed %d: no gang began", seed)
 			}
-			t.Logf("seed %d: %d starts, %d gangs, %d machines, %d revisions", seed, w.starts, w.gangStarts, w.seq, w.revision)
+			t.Logf("seed %d: %d starts, %d gangs, %d machines, %d revisions", seed, w.starts, w.gangStarts, w.machineCount, w.revision)
 			if w.starts < 20 {
 				t.Errorf("seed %d: only %d tasks started", seed, w.starts)
 			}
-			for key, n := range w.invalid {
+			for key, n := range w.oversizedWrites {
 				// Each of a leader and the owners learns it once, if the limits fall
 				// before it is known that all controllers read packed records.
 				if n > 6 {
@@ -257,7 +257,7 @@
 			for id, j := range w.jobs {
 				if !j.accepted {
 					t.Errorf("seed %d: %s was never accepted", seed, id)
-				} else if j.told == "" {
+				} else if j.reportedState == "" {
 					t.Errorf("seed %d: %s never ended: %d of %d tasks done (%+v)", seed, id, len(j.doneTasks), j.spec.Tasks, j.spec)
 				}
 			}
@@ -268,19 +268,22 @@
 // The checker has teeth: without the guards that the protocol gives, it finds
 // the rules broken. A guard that is never missed would prove nothing.
 func TestCheckerNoticesMissingGuards(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	for name, sabotage := range map[string]func(*world){
-		"conditional writes": func(w *world) { w.noConditions = true },
-		"tokens":             func(w *world) { w.noTokens = true; w.late = 0.5 },
+		"conditional writes": func(w *world) { w.ignoreConditions = true },
+		"tokens":             func(w *world) { w.ignoreTokens = true; w.lateCommandShare = 0.5 },
 		// With the cloud away nothing is surely gone but by its lease.
-		"the order of reports":                        func(w *world) { w.freshCopies = true },
-		"answers about each job, however others fare": func(w *world) { w.mute = "run-000003" },
-		"workers' leases":                             func(w *world) { w.noLease = true; time.AfterFunc(60*time.Second, func() { w.cloudOut = true }) },
+		"the order of reports":                        func(w *world) { w.freshenCopies = true },
+		"answers about each job, however others fare": func(w *world) { w.unansweredJob = "run-000003" },
+		"workers' leases": func(w *world) {
+			w.ignoreWorkerLeases = true
+			time.AfterFunc(60*time.Second, func() { w.cloudUnavailable = true })
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(60) {
 				found := false
-				synctest.Test(t, func(t *testing.T) { found = len(day(t, seed, []string{"a", "b"}, sabotage).broken) > 0 })
+				synctest.Test(t, func(t *testing.T) { found = len(playRandomDay(t, seed, []string{"a", "b"}, sabotage).violations) > 0 })
 				if found {
 					t.Logf("noticed on day %d", seed)
 					return
@@ -294,16 +297,16 @@
 // A machine whose reports arrive while nothing reaches it gets nothing more, is
 // told from a slow one, and is given back; its replicas run elsewhere long before
 // its own lease could be believed to have ended, and no rule is broken.
-func TestDeafMachineIsGivenUp(t *testing.T) {
-	quietLogs(t)
+func TestMachineThatReceivesNothingIsTerminated(t *testing.T) {
+	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := quietWorld(5)
-		w.service("run-000001", 4)
+		w := newCalmWorld(5)
+		w.startService("run-000001", 4)
 		time.Sleep(60 * time.Second)
 		w.mu.Lock()
 		var deaf *simWorker
 		for _, m := range w.machines {
-			if len(m.held) > 0 {
+			if len(m.tasks) > 0 {
 				deaf = m
 			}
 		}
@@ -311,27 +314,27 @@
 			w.mu.Unlock()
 			t.Fatal("nothing runs")
 		}
-		deaf.deaf = true
+		deaf.receivesNothing = true
 		w.mu.Unlock()
 		time.Sleep(45 * time.Second)
 		w.mu.Lock()
-		if !deaf.gone {
+		if !deaf.removed {
 			t.Errorf("%s was not given back", deaf.name)
 		}
-		if n := w.running("run-000001"); n != 4 {
+		if n := w.runningTasks("run-000001"); n != 4 {
 			t.Errorf("%d of 4 replicas run", n)
 		}
 		w.mu.Unlock()
-		w.end(t)
+		w.finish(t)
 	})
 }
 
 // An owner that reaches its machines while their reports do not reach it hands
 // its shard on before their leases end: answers to its calls renew none.
-func TestOwnerWithoutReportsHandsOn(t *testing.T) {
-	undisturbed(t, 8, 4, func(w *world) {
+func TestOwnerWithoutHeartbeatsHandsOver(t *testing.T) {
+	expectUndisturbed(t, 8, 4, func(w *world) {
 		w.mu.Lock()
-		w.controllers[0].cutReports = true
+		w.controllers[0].heartbeatsLost = true
 		w.mu.Unlock()
 		time.Sleep(60 * time.Second)
 	})
@@ -340,7 +343,7 @@
 // While the state service is away for all, and the controllers reach each other,
 // what runs goes on, for much longer than the workers' lease.
 func TestOutageLongerThanTheLeaseStopsNothing(t *testing.T) {
-	undisturbed(t, 6, 4, func(w *world) {
+	expectUndisturbed(t, 6, 4, func(w *world) {
 		w.setOutage(true)
 		time.Sleep(90 * time.Second)
 		w.setOutage(false)
@@ -352,8 +355,8 @@
 // on: the owner inside tends its machines, and the next one outside, which hears
 // none of them, returns none.
 func TestCutOffZoneRunsOn(t *testing.T) {
-	undisturbed(t, 8, 12, func(w *world) {
-		set := func(z string) { w.mu.Lock(); w.cutZone = z; w.mu.Unlock() }
+	expectUndisturbed(t, 8, 12, func(w *world) {
+		set := func(z string) { w.mu.Lock(); w.partitionedZone = z; w.mu.Unlock() }
 		set("a")
 		time.Sleep(32 * time.Second)
 		set("")
@@ -364,36 +367,36 @@
 // Lease extension for longer than the next owner counts on would let tasks run twice, and
 // the checker sees it; as long as it is counted it does not.
 func TestLeaseExtensionMustBeCounted(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	for _, counted := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			w := newWorld(9, []string{"a", "b"}, 3)
-			w.late, w.tame = 0, true
+			w.lateCommandShare, w.reliableCloud = 0, true
 			for _, n := range w.controllers {
 				n.set.Deployment.Workers.CancelTimeoutS = 100 // so that much is tended
 				n.start()
 			}
 			go w.expireLeases()
 			time.Sleep(5 * time.Second)
-			w.service("run-000001", 2) // one in each zone: machines with room
+			w.startService("run-000001", 2) // one in each zone: machines with room
 			time.Sleep(30 * time.Second)
 			j := &simJob{spec: wire.Submission{ID: "run-000002", Class: "c", Team: "free", Kind: wire.KindService, Priority: wire.PriorityProduction,
 				Tasks: 1, CPUs: 4, MemoryGB: 1, Image: "i", ImageGB: 1}, doneTasks: map[int]bool{}}
 			w.mu.Lock()
 			w.jobs[j.spec.ID] = j
 			w.mu.Unlock()
-			go w.user(j, 0, 0)
+			go w.runUser(j, 0, 0)
 			time.Sleep(30 * time.Second)
 			w.mu.Lock()
 			zone := ""
 			for _, m := range w.machines {
-				for _, x := range m.held {
+				for _, x := range m.tasks {
 					if id, _, _ := wire.ParseTaskName(x.name); id == j.spec.ID {
 						zone = m.zone
 					}
 				}
 			}
-			w.cloudOut, w.cutZone = true, zone // nothing is surely gone but by its lease
+			w.cloudUnavailable, w.partitionedZone = true, zone // nothing is surely gone but by its lease
 			w.mu.Unlock()
 			if !counted {
 				for _, n := range w.controllers {
@@ -401,36 +404,36 @@
 				}
 			}
 			time.Sleep(120 * time.Second)
-			if broken := len(w.broken) > 0; broken == counted {
-				t.Errorf("counted %v, in %s: %d broken rules %v", counted, zone, len(w.broken), w.broken)
+			if broken := len(w.violations) > 0; broken == counted {
+				t.Errorf("counted %v, in %s: %d broken rules %v", counted, zone, len(w.violations), w.violations)
 			}
 			w.mu.Lock()
-			w.broken, w.cutZone = nil, ""
+			w.violations, w.partitionedZone = nil, ""
 			w.mu.Unlock()
-			w.end(t)
+			w.finish(t)
 		})
 	}
 }
 
-// undisturbed sees to it that a service runs on through a trouble without a
+// expectUndisturbed sees to it that a service runs on through a trouble without a
 // single start.
-func undisturbed(t *testing.T, seed uint64, tasks int, trouble func(*world)) {
+func expectUndisturbed(t *testing.T, seed uint64, tasks int, trouble func(*world)) {
 	t.Helper()
-	quietLogs(t)
+	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := quietWorld(seed)
-		w.service("run-000001", tasks)
+		w := newCalmWorld(seed)
+		w.startService("run-000001", tasks)
 		time.Sleep(60 * time.Second)
 		w.mu.Lock()
 		starts := w.starts
 		w.mu.Unlock()
 		trouble(w)
 		w.mu.Lock()
-		if n := w.running("run-000001"); n != tasks || w.starts != starts {
+		if n := w.runningTasks("run-000001"); n != tasks || w.starts != starts {
 			t.Errorf("%d of %d replicas run, %d starts since", n, tasks, w.starts-starts)
 		}
 		w.mu.Unlock()
-		w.end(t)
+		w.finish(t)
 	})
 }
 
@@ -438,25 +441,25 @@
 // time: at once if a sibling tells it that it has been replaced, and where none
 // can, once it has tended its machines for as long as cancel_s leaves.
 func TestNoExtensionNoAuthority(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	for name, cut := range map[string]func(*world){
-		"refused alone": func(w *world) { w.controllers[0].cutState = true },
+		"refused alone": func(w *world) { w.controllers[0].cutFromStore = true },
 		"a sibling out of reach": func(w *world) {
-			w.outage = true
-			w.controllers[2].cutPeers = true
+			w.storeOutage = true
+			w.controllers[2].cutFromPeers = true
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := quietWorld(7)
-				w.service("run-000001", 4)
+				w := newCalmWorld(7)
+				w.startService("run-000001", 4)
 				time.Sleep(60 * time.Second)
 				w.mu.Lock()
 				cut(w)
 				w.mu.Unlock()
 				ask := func(z string, seq uint64) bool {
 					a := &simAnswer{got: make(chan *httpwire.Response, 1)}
-					w.controllers[0].up().control.Tell(workerHeartbeat{a, &wire.Heartbeat{Machine: "m-x", Addr: "m-x", Type: "box", Zone: z, Epoch: 1, Seq: seq,
+					w.controllers[0].running().control.Tell(workerHeartbeat{a, &wire.Heartbeat{Machine: "m-x", Addr: "m-x", Type: "box", Zone: z, Epoch: 1, Seq: seq,
 						Tasks: []wire.TaskStatus{{Task: "run-000009/0", Attempt: 1, State: wire.TaskRunning}}}})
 					select {
 					case r := <-a.got:
@@ -481,7 +484,7 @@
 						t.Errorf("answers for %s when its lease extension is over", z)
 					}
 				}
-				w.end(t)
+				w.finish(t)
 			})
 		})
 	}
@@ -491,20 +494,20 @@
 func (w *world) expireLeases() {
 	for {
 		select {
-		case <-w.stop:
+		case <-w.done:
 			return
 		case <-time.After(50 * time.Millisecond):
 			w.expire()
-			w.overstayed()
-			w.idle()
+			w.checkCancelledJobsEnd()
+			w.checkNoJobWaits()
 		}
 	}
 }
 
-// quietWorld is a deployment without troubles, all controllers up.
-func quietWorld(seed uint64) *world {
+// newCalmWorld is a deployment without troubles, all controllers up.
+func newCalmWorld(seed uint64) *world {
 	w := newWorld(seed, []string{"a", "b"}, 3)
-	w.late, w.tame = 0, true
+	w.lateCommandShare, w.reliableCloud = 0, true
 	for _, n := range w.controllers {
 		n.start()
 	}
@@ -513,21 +516,21 @@
 	return w
 }
 
-// service submits a service and lets its user poll.
-func (w *world) service(id string, tasks int) {
+// startService submits a service and lets its user poll.
+func (w *world) startService(id string, tasks int) {
 	j := &simJob{spec: wire.Submission{ID: id, Class: "c", Team: "free", Kind: wire.KindService, Priority: wire.PriorityProduction,
 		Tasks: tasks, CPUs: 4, MemoryGB: 1, Image: "i", ImageGB: 1, Spread: true}, doneTasks: map[int]bool{}}
 	w.mu.Lock()
 	w.jobs[id] = j
 	w.mu.Unlock()
-	go w.user(j, 0, 0)
+	go w.runUser(j, 0, 0)
 }
 
-// running counts a job's tasks that run. The caller holds the lock.
-func (w *world) running(id string) int {
+// runningTasks counts a job's tasks that run. The caller holds the lock.
+func (w *world) runningTasks(id string) int {
 	n := 0
 	for _, m := range w.machines {
-		for _, x := range m.held {
+		for _, x := range m.tasks {
 			if job, _, _ := wire.ParseTaskName(x.name); job == id && x.state == wire.TaskRunning {
 				n++
 			}
@@ -536,32 +539,32 @@
 	return n
 }
 
-func (w *world) end(t *testing.T) {
+func (w *world) finish(t *testing.T) {
 	t.Helper()
-	if len(w.broken) > 0 {
-		t.Errorf("rules broken: %s", strings.Join(w.broken, "; "))
+	if len(w.violations) > 0 {
+		t.Errorf("rules broken: %s", strings.Join(w.violations, "; "))
 	}
-	w.shut()
+	w.shutdown()
 }
 
-// shut ends everything that runs in the world.
-func (w *world) shut() {
-	close(w.stop)
-	w.do(func() { w.cutZone = "" }) // lets go of what the cut holds back
+// shutdown ends everything that runs in the world.
+func (w *world) shutdown() {
+	close(w.done)
+	w.locked(func() { w.partitionedZone = "" }) // lets go of what the cut holds back
 	for _, n := range w.controllers {
 		n.kill()
 	}
 	time.Sleep(2 * time.Minute)
 }
 
-// leave fills the state service with what the version before may leave behind, as
+// addOldRecords fills the state service with what the version before may leave behind, as
 // large as its limits were: an inventory page of machines that are gone since, and an
 // array in many pieces.
-func (w *world) leave() {
+func (w *world) addOldRecords() {
 	put := func(key string, v any) {
 		w.revision++
 		w.kv[key] = &entry{value: records.Encode(v), version: w.revision}
-		w.events = append(w.events, wire.Event{Put: key, Value: records.Encode(v), Version: w.revision})
+		w.storeEvents = append(w.storeEvents, wire.Event{Put: key, Value: records.Encode(v), Version: w.revision})
 	}
 	zones := w.controllers[0].set.Deployment.Zones
 	for i, z := range zones {
@@ -581,5 +584,5 @@
 	put(records.KeyJob(s.ID), rec)
 	j := &simJob{spec: s, doneTasks: map[int]bool{}}
 	w.jobs[s.ID] = j
-	go w.user(j, 0, 0) // its user asks again and then polls
+	go w.runUser(j, 0, 0) // its user asks again and then polls
 }
--- a/controller/unserved_test.go
+++ b/controller/redirects_test.go
@@ -7,7 +7,7 @@
 
 // Only a worker that comes back with a newer report, lately, from the same owner,
 // was not served there.
-func TestReturningWorkers(t *testing.T) {
+func TestRedirectTracker(t *testing.T) {
 	const window = 6 * time.Second
 	now := time.Unix(0, 0)
 	for name, c := range map[string]struct {
--- a/controller/relay_test.go
+++ b/controller/relay_test.go
@@ -14,10 +14,10 @@
 
 // Another controller writes what creates one job and nothing else, whoever asks.
 func TestOnlySubmissionsAreRelayed(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := quietWorld(3)
-		ctl := w.controllers[0].up()
+		w := newCalmWorld(3)
+		ctl := w.controllers[0].running()
 		job := wire.Change{Put: "rv/job/run-000001", Value: []byte(`{}`)}
 		for name, txn := range map[string]wire.Txn{
 			"nothing":        {},
@@ -37,18 +37,18 @@
 				t.Errorf("%s was written", name)
 			}
 		}
-		w.end(t)
+		w.finish(t)
 	})
 }
 
 // A controller that the state service refuses, alone, accepts what its users submit:
 // others write it. None of it is forgotten, and all of it runs.
 func TestRefusedControllerStillAccepts(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := quietWorld(4)
-		w.lostAnswers, w.lateWrites, w.repeats = 0, 0, 0 // those are for the generated days
-		w.do(func() { w.controllers[1].cutState = true })
+		w := newCalmWorld(4)
+		w.lostAnswerShare, w.lateWriteShare, w.repeatedWriteShare = 0, 0, 0 // those are for the generated days
+		w.locked(func() { w.controllers[1].cutFromStore = true })
 		time.Sleep(500 * time.Millisecond)
 		var jobs []*simJob
 		for i := range 8 {
@@ -58,25 +58,25 @@
 				t.Fatal(err)
 			}
 			began := time.Now()
-			r := w.askAt(1, func(req apiserver.Request) any { return apiserver.Submit{Request: req, Body: body} })
+			r := w.requestAt(1, func(req apiserver.Request) any { return apiserver.Submit{Request: req, Body: body} })
 			if r == nil || r.Status != 201 {
 				t.Fatalf("submission %d: %+v", i, r)
 			}
 			if took := time.Since(began); took > time.Second {
 				t.Errorf("submission %d was accepted after %s", i, took)
 			}
-			w.do(func() { j.accepted = true })
+			w.locked(func() { j.accepted = true })
 			jobs = append(jobs, j)
 			time.Sleep(300 * time.Millisecond)
 		}
-		if n := w.seen["relayed written"]; n != len(jobs) {
+		if n := w.observed["relayed written"]; n != len(jobs) {
 			t.Errorf("%d of %d were relayed: the scene shows nothing", n, len(jobs))
 		}
 		for _, j := range jobs {
-			go w.user(j, 0, 0) // asks again at any controller, and polls
+			go w.runUser(j, 0, 0) // asks again at any controller, and polls
 		}
 		w.allDone(t, 2*time.Minute, jobs)
-		w.do(func() { w.controllers[1].cutState = false })
-		w.end(t)
+		w.locked(func() { w.controllers[1].cutFromStore = false })
+		w.finish(t)
 	})
 }
--- a/controller/closing_test.go
+++ b/controller/scale_in_test.go
@@ -10,14 +10,14 @@
 	"ravenport/wire"
 )
 
-// lateReturns plays an owner that stands still just as it asks the cloud to take back
+// playLateScaleIns plays an owner that stands still just as it asks the cloud to take back
 // an idle machine; its successor has work for all machines; then the first one goes on.
 // It returns how many tasks that the successor had started were taken by the late
 // return, and how many late returns came about.
-func lateReturns(t *testing.T, seed uint64, closeFirst bool) (taken, late int) {
+func playLateScaleIns(t *testing.T, seed uint64, closeFirst bool) (taken, late int) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorldOf(seed, []string{"a", "b"}, 3, magnoliaTimes)
-		w.late, w.tame, w.lossless, w.lostAnswers, w.lateWrites, w.repeats, w.lateCopies = 0, true, true, 0, 0, 0, 0
+		w := newWorldWithTimes(seed, []string{"a", "b"}, 3, magnoliaTimes)
+		w.lateCommandShare, w.reliableCloud, w.noAnswerLoss, w.lostAnswerShare, w.lateWriteShare, w.repeatedWriteShare, w.lateCopyShare = 0, true, true, 0, 0, 0, 0
 		for k := range w.capacity {
 			w.capacity[k] = 0
 		}
@@ -27,25 +27,25 @@
 			n.start()
 		}
 		go w.expireLeases()
-		defer w.shut()
+		defer w.shutdown()
 		time.Sleep(5 * time.Second)
 		first := w.newArray("run-000001", 2, 8, 10) // fills both machines
 		first.spec.Zone = "a"
 		first.spec.Spot = false
-		go w.user(first, 0, 0)
+		go w.runUser(first, 0, 0)
 		w.allDone(t, 2*time.Minute, []*simJob{first})
 		owner := w.controllers[w.owner("a")]
-		w.do(func() { w.onReturn = func(*simController) { owner.frozenUntil = time.Now().Add(25 * time.Second) } })
-		w.until(t, "a return is on its way", 2*time.Minute, func() bool { return w.count("returns asked") > 0 })
-		w.do(func() { w.onReturn = nil })
+		w.locked(func() { w.onScaleIn = func(*simController) { owner.frozenUntil = time.Now().Add(25 * time.Second) } })
+		w.waitUntil(t, "a return is on its way", 2*time.Minute, func() bool { return w.eventCount("returns asked") > 0 })
+		w.locked(func() { w.onScaleIn = nil })
 		service := &simJob{spec: wire.Submission{ID: "run-000002", Class: "c", Team: "free", Kind: wire.KindService, Priority: wire.PriorityProduction,
 			Tasks: 2, CPUs: 8, MemoryGB: 1, Image: "i", ImageGB: 1, Zone: "a"}, doneTasks: map[int]bool{}}
-		w.do(func() { w.jobs[service.spec.ID] = service })
-		go w.user(service, 0, 0)
+		w.locked(func() { w.jobs[service.spec.ID] = service })
+		go w.runUser(service, 0, 0)
 		time.Sleep(60 * time.Second)
-		taken, late = w.count("running tasks taken by a late return"), w.count("late returns")
-		if len(w.broken) > 0 {
-			t.Errorf("rules broken: %v", w.broken)
+		taken, late = w.eventCount("running tasks taken by a late return"), w.eventCount("late returns")
+		if len(w.violations) > 0 {
+			t.Errorf("rules broken: %v", w.violations)
 		}
 	})
 	return taken, late
@@ -54,16 +54,16 @@
 // A return that an owner decided, and that is carried out after it was replaced, takes
 // nothing that its successor has started, where machines are closed first; without
 // that it does.
-func TestLateReturnHitsNothing(t *testing.T) {
-	quietLogs(t)
+func TestLateScaleInEndsNoTask(t *testing.T) {
+	discardLogs(t)
 	hitWithout, lateWith := 0, 0
 	for seed := range uint64(6) {
-		taken, late := lateReturns(t, seed, true)
+		taken, late := playLateScaleIns(t, seed, true)
 		if taken > 0 {
 			t.Errorf("seed %d: %d tasks of the successor were taken", seed, taken)
 		}
 		lateWith += late
-		taken, _ = lateReturns(t, seed, false)
+		taken, _ = playLateScaleIns(t, seed, false)
 		hitWithout += taken
 	}
 	if lateWith == 0 || hitWithout == 0 {
@@ -71,14 +71,14 @@
 	}
 }
 
-// handovers is how many forced handovers TestReturnsUnderForcedHandovers plays.
+// handovers is how many forced handovers TestScaleInUnderForcedHandovers plays.
 var handovers = flag.Int("returns.handovers", 60, "forced handovers to play")
 
 // Owners stand still as they ask for returns, for about a lease or much longer, again and
 // again, under a load that comes and goes. Over many handovers no return that was
 // decided under an earlier term takes anything that came to a machine since.
-func TestReturnsUnderForcedHandovers(t *testing.T) {
-	quietLogs(t)
+func TestScaleInUnderForcedHandovers(t *testing.T) {
+	discardLogs(t)
 	total := map[string]int{}
 	for seed := uint64(0); total["handovers"] < *handovers; seed++ {
 		synctest.Test(t, func(t *testing.T) { forceHandovers(t, seed, total) })
@@ -94,18 +94,18 @@
 
 // forceHandovers plays ten minutes of them and adds up what was seen.
 func forceHandovers(t *testing.T, seed uint64, total map[string]int) {
-	w := newWorldOf(seed, []string{"a", "b"}, 3, magnoliaTimes)
-	w.late, w.tame, w.lateCopies = 0, true, 0
+	w := newWorldWithTimes(seed, []string{"a", "b"}, 3, magnoliaTimes)
+	w.lateCommandShare, w.reliableCloud, w.lateCopyShare = 0, true, 0
 	for _, n := range w.controllers {
 		n.set.Duties.CordonBeforeScaleIn = true
 		n.set.Operator.SpotIdleTimeout, n.set.Operator.OnDemandIdleTimeout = 3*time.Second, 3*time.Second
 		n.start()
 	}
 	go w.expireLeases()
-	defer w.shut()
+	defer w.shutdown()
 	time.Sleep(5 * time.Second)
-	w.do(func() {
-		w.onReturn = func(by *simController) {
+	w.locked(func() {
+		w.onScaleIn = func(by *simController) {
 			if time.Now().After(by.frozenUntil) && w.rng.IntN(2) == 0 {
 				by.frozenUntil = time.Now().Add(time.Duration(2+w.rng.IntN(14)) * time.Second)
 			}
@@ -115,17 +115,17 @@
 	var jobs []*simJob
 	for i := range 60 {
 		j := w.newArray(fmt.Sprintf("run-%06d", 100+i), 1+int(seed+uint64(i))%4, 4, 8)
-		go w.user(j, 0, 0)
+		go w.runUser(j, 0, 0)
 		jobs = append(jobs, j)
-		time.Sleep(w.between(5*time.Second, 15*time.Second))
+		time.Sleep(w.randomDuration(5*time.Second, 15*time.Second))
 	}
-	w.do(func() { w.onReturn = nil })
+	w.locked(func() { w.onScaleIn = nil })
 	total["handovers"] += int(w.term("a") + w.term("b") - before)
-	w.settle(t, 4*time.Minute, jobs)
-	if len(w.broken) > 0 {
-		t.Errorf("seed %d: rules broken: %v", seed, w.broken)
+	w.settleAll(t, 4*time.Minute, jobs)
+	if len(w.violations) > 0 {
+		t.Errorf("seed %d: rules broken: %v", seed, w.violations)
 	}
-	total["returns asked"] += w.count("returns asked")
-	total["late returns"] += w.count("late returns")
-	total["taken"] += w.count("running tasks taken by a late return")
+	total["returns asked"] += w.eventCount("returns asked")
+	total["late returns"] += w.eventCount("late returns")
+	total["taken"] += w.eventCount("running tasks taken by a late return")
 }
--- a/controller/scenario_test.go
+++ b/controller/scenario_test.go
@@ -36,7 +36,7 @@
 // scenarios plays a list of scenarios, each with its guard and without.
 func scenarios(t *testing.T, list []scenario) {
 	t.Helper()
-	quietLogs(t)
+	discardLogs(t)
 	for _, s := range list {
 		t.Run(s.name, func(t *testing.T) {
 			for _, seed := range s.seeds {
@@ -62,9 +62,9 @@
 // run plays a scenario once and returns the broken rules; without a guard taken away
 // there must be none.
 func (s scenario) run(t *testing.T, seed uint64, unguard func(*world)) []string {
-	w := newWorldOf(seed, s.zones, 3, s.times)
-	w.late, w.tame = 0, true
-	w.lostAnswers, w.lateWrites, w.repeats = 0, 0, 0 // but where a scenario is about them
+	w := newWorldWithTimes(seed, s.zones, 3, s.times)
+	w.lateCommandShare, w.reliableCloud = 0, true
+	w.lostAnswerShare, w.lateWriteShare, w.repeatedWriteShare = 0, 0, 0 // but where a scenario is about them
 	for k := range w.capacity {
 		w.capacity[k] = 6
 	}
@@ -75,7 +75,7 @@
 		n.start()
 	}
 	go w.expireLeases()
-	defer w.shut()
+	defer w.shutdown()
 	time.Sleep(5 * time.Second)
 	func() {
 		defer func() {
@@ -87,10 +87,10 @@
 	}()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if unguard == nil && len(w.broken) > 0 {
-		t.Errorf("seed %d: rules broken: %s", seed, strings.Join(w.broken[:min(4, len(w.broken))], "; "))
+	if unguard == nil && len(w.violations) > 0 {
+		t.Errorf("seed %d: rules broken: %s", seed, strings.Join(w.violations[:min(4, len(w.violations))], "; "))
 	}
-	return slices.Clone(w.broken)
+	return slices.Clone(w.violations)
 }
 
 // errScenarioOver ends a scenario whose guard was taken away: what it would have waited for
@@ -114,8 +114,8 @@
 	t.Fatalf(format, args...)
 }
 
-// do changes the world under its lock.
-func (w *world) do(f func()) {
+// locked changes the world under its lock.
+func (w *world) locked(f func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f()
@@ -125,15 +125,15 @@
 func (w *world) newArray(id string, tasks int, cpus, runS float64) *simJob {
 	j := &simJob{spec: wire.Submission{ID: id, Class: "c", Team: "free", Kind: wire.KindArray, Priority: wire.PriorityNormal,
 		Tasks: tasks, CPUs: cpus, MemoryGB: 1, Image: "i", ImageGB: 1, Spot: true, EstimateS: runS}, doneTasks: map[int]bool{}}
-	w.do(func() { w.jobs[id] = j })
+	w.locked(func() { w.jobs[id] = j })
 	return j
 }
 
 // cancelAt cancels a job through one controller and says whether that confirmed it.
 func (w *world) cancelAt(node int, j *simJob) bool {
-	w.do(func() { j.asked = true })
-	r := w.askAt(node, func(q apiserver.Request) any { return apiserver.Cancel{Request: q, JobID: j.spec.ID} })
-	w.check(j, r, true)
+	w.locked(func() { j.cancelRequested = true })
+	r := w.requestAt(node, func(q apiserver.Request) any { return apiserver.Cancel{Request: q, JobID: j.spec.ID} })
+	w.checkReply(j, r, true)
 	var s wire.JobStatus
 	return r != nil && r.Status == 200 && json.Unmarshal(r.Body, &s) == nil && s.Status == wire.JobCancelled
 }
@@ -162,7 +162,7 @@
 		if zone != "" && m.zone != zone {
 			continue
 		}
-		for _, x := range m.held {
+		for _, x := range m.tasks {
 			if id, _, _ := wire.ParseTaskName(x.name); id == job && onMachine(x.state) {
 				n++
 			}
@@ -171,8 +171,8 @@
 	return n
 }
 
-// until waits for something to come about, and fails the test if it does not.
-func (w *world) until(t *testing.T, what string, limit time.Duration, ok func() bool) {
+// waitUntil waits for something to come about, and fails the test if it does not.
+func (w *world) waitUntil(t *testing.T, what string, limit time.Duration, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(limit); !ok(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -187,7 +187,7 @@
 	for i, z := range w.controllers[0].set.Deployment.Zones {
 		j := w.newArray(fmt.Sprintf("run-%06d", 10*id+i), 2, 2, runS)
 		j.spec.Zone = z
-		go w.user(j, 0, 0)
+		go w.runUser(j, 0, 0)
 		out = append(out, j)
 	}
 	return out
@@ -196,7 +196,7 @@
 // running waits until all tasks of jobs run.
 func (w *world) allRun(t *testing.T, boundArrays ...[]*simJob) {
 	t.Helper()
-	w.until(t, "all tasks run", 90*time.Second, func() bool {
+	w.waitUntil(t, "all tasks run", 90*time.Second, func() bool {
 		for _, lot := range boundArrays {
 			for _, j := range lot {
 				if w.tasksOn("", j.spec.ID) < j.spec.Tasks {
@@ -211,10 +211,10 @@
 // allDone waits until users were told that jobs are done.
 func (w *world) allDone(t *testing.T, limit time.Duration, lot []*simJob) {
 	t.Helper()
-	w.until(t, "what was not cancelled is done", limit, func() bool {
+	w.waitUntil(t, "what was not cancelled is done", limit, func() bool {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		return !slices.ContainsFunc(lot, func(j *simJob) bool { return j.told != wire.JobDone })
+		return !slices.ContainsFunc(lot, func(j *simJob) bool { return j.reportedState != wire.JobDone })
 	})
 }
 
@@ -247,29 +247,29 @@
 			}
 			n, owned := w.controllers[refused], w.shards(refused)
 			starts := 0
-			w.do(func() { starts = w.starts })
+			w.locked(func() { starts = w.starts })
 			if len(owned) == 0 && w.holder(records.KeyLeader) != refused {
 				w.stopScenario(t, "gap %d: %s neither owns nor leads: it is not refused to any purpose", i, n.set.Controller)
 			}
-			w.do(func() { n.cutState = true })
-			time.Sleep(w.between(100*time.Millisecond, 1200*time.Millisecond))
+			w.locked(func() { n.cutFromStore = true })
+			time.Sleep(w.randomDuration(100*time.Millisecond, 1200*time.Millisecond))
 			for _, j := range lot {
 				if !w.cancelAt(other, j) {
 					w.stopScenario(t, "gap %d: %s did not confirm a cancellation", i, w.controllers[other].set.Controller)
 				}
 			}
 			confirmed := time.Now()
-			time.Sleep(w.between(50*time.Millisecond, 400*time.Millisecond))
+			time.Sleep(w.randomDuration(50*time.Millisecond, 400*time.Millisecond))
 			for _, z := range owned {
 				if w.holder(records.KeyShard(z)) != refused {
 					w.stopScenario(t, "gap %d: %s lost its shard before the outage", i, n.set.Controller)
 				}
 			}
 			w.setOutage(true)
-			time.AfterFunc(14*time.Second, func() { w.do(func() { n.cutState = false }) })
+			time.AfterFunc(14*time.Second, func() { w.locked(func() { n.cutFromStore = false }) })
 			time.Sleep(whole + 12*time.Second)
 			w.mu.Lock()
-			if len(owned) > 0 && !n.answered.After(confirmed.Add(2*time.Second)) {
+			if len(owned) > 0 && !n.heartbeatAnsweredAt.After(confirmed.Add(2*time.Second)) {
 				w.fail(t, "gap %d: no machine reported to %s once the cancellation was confirmed", i, n.set.Controller)
 			}
 			// What was not cancelled runs on: whoever confirmed names it, and so may
@@ -299,7 +299,7 @@
 			for _, other := range []int{(refused + 1) % 3, (refused + 2) % 3} {
 				s := scenario{name: fmt.Sprintf("%s, %d refused, %d confirms", d.name, refused, other), times: d.times, zones: d.zones, seeds: []uint64{1, 2}, play: gap(refused, other)}
 				if refused < len(d.zones) {
-					s.rule, s.guard = "ran_cancelled", func(w *world) { w.untold = true }
+					s.rule, s.guard = "ran_cancelled", func(w *world) { w.hideCancellations = true }
 				}
 				list = append(list, s)
 			}
--- a/controller/standin_cloud_test.go
+++ b/controller/sim_cloud_test.go
@@ -23,12 +23,12 @@
 }
 
 func (c *simCloud) ScaleOut(ctx context.Context, r wire.ScaleOutRequest) ([]string, error) {
-	w := c.n.w
+	w := c.n.world
 	c.n.waitWhileFrozen()
 	time.Sleep(100 * time.Millisecond)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.cloudOut || w.cutZone == c.n.set.Zone {
+	if w.cloudUnavailable || w.partitionedZone == c.n.set.Zone {
 		return nil, cloud.ErrTransient
 	}
 	if names, ok := w.requests[r.RequestID]; ok {
@@ -41,14 +41,14 @@
 	var names []string
 	for range min(r.Count, w.capacity[kind]) {
 		w.capacity[kind]--
-		w.seq++
-		m := &simWorker{w: w, name: fmt.Sprintf("m-%06d", w.seq), zone: r.Zone, spot: r.Spot, kind: kind, session: 1, held: map[string]*simTask{}, born: time.Now()}
-		m.boots = time.Now().Add(time.Duration(4+w.rng.IntN(10)) * time.Second)
-		if w.upIn > 0 {
-			m.boots = time.Now().Add(time.Duration(w.rng.Int64N(int64(w.upIn))))
+		w.machineCount++
+		m := &simWorker{world: w, name: fmt.Sprintf("m-%06d", w.machineCount), zone: r.Zone, spot: r.Spot, kind: kind, epoch: 1, tasks: map[string]*simTask{}, createdAt: time.Now()}
+		m.bootsAt = time.Now().Add(time.Duration(4+w.rng.IntN(10)) * time.Second)
+		if w.bootWithin > 0 {
+			m.bootsAt = time.Now().Add(time.Duration(w.rng.Int64N(int64(w.bootWithin))))
 		}
-		if !w.tame && w.rng.Float64() < 0.05 {
-			m.boots = m.boots.Add(time.Hour)
+		if !w.reliableCloud && w.rng.Float64() < 0.05 {
+			m.bootsAt = m.bootsAt.Add(time.Hour)
 		}
 		w.machines[m.name] = m
 		names = append(names, m.name)
@@ -58,7 +58,7 @@
 		return nil, cloud.ErrNoCapacity
 	}
 	w.requests[r.RequestID] = names
-	if !w.tame && w.rng.Float64() < 0.05 {
+	if !w.reliableCloud && w.rng.Float64() < 0.05 {
 		return nil, cloud.ErrTransient // carried out, the answer lost
 	}
 	return names, nil
@@ -66,93 +66,93 @@
 
 func (c *simCloud) ScaleIn(ctx context.Context, names []string) error {
 	asked := time.Now()
-	c.n.w.do(func() { c.n.w.returnAsked(c.n) })
+	c.n.world.locked(func() { c.n.world.recordScaleInRequest(c.n) })
 	c.n.waitWhileFrozen()
 	time.Sleep(100 * time.Millisecond)
-	c.n.w.mu.Lock()
-	defer c.n.w.mu.Unlock()
-	c.n.w.noteLateReturn(asked, names)
-	if c.n.w.cloudOut || c.n.w.noReturn || c.n.w.cutZone == c.n.set.Zone {
+	c.n.world.mu.Lock()
+	defer c.n.world.mu.Unlock()
+	c.n.world.recordLateScaleIn(asked, names)
+	if c.n.world.cloudUnavailable || c.n.world.ignoreScaleIn || c.n.world.partitionedZone == c.n.set.Zone {
 		return cloud.ErrTransient
 	}
 	for _, n := range names {
-		c.n.w.noteReturn(n)
-		c.n.w.remove(n)
+		c.n.world.recordScaleIn(n)
+		c.n.world.removeMachine(n)
 	}
 	return nil
 }
 
-// noteReturn counts the tasks that a return ends, and those of machines that had answered
+// recordScaleIn counts the tasks that a return ends, and those of machines that had answered
 // nothing before it. The caller holds the lock.
-func (w *world) noteReturn(name string) {
+func (w *world) recordScaleIn(name string) {
 	m := w.machines[name]
 	if m == nil {
 		return
 	}
 	lately := 0
-	for _, at := range m.unheard {
+	for _, at := range m.unansweredCommands {
 		if time.Since(at) < w.times.lease() {
 			lately++
 		}
 	}
-	for _, task := range m.held {
+	for _, task := range m.tasks {
 		if !onMachine(task.state) {
 			continue
 		}
-		w.seen["tasks ended by a return"]++
+		w.observed["tasks ended by a return"]++
 		if lately >= constants.MaxUnansweredCommands {
-			w.seen["tasks ended by the return of an unheard machine"]++
+			w.observed["tasks ended by the return of an unheard machine"]++
 		}
 	}
 }
 
-// returnAsked notes that a return was decided. The caller holds the lock.
-func (w *world) returnAsked(by *simController) {
-	w.seen["returns asked"]++
-	if w.onReturn != nil {
-		w.onReturn(by)
+// recordScaleInRequest notes that a return was decided. The caller holds the lock.
+func (w *world) recordScaleInRequest(by *simController) {
+	w.observed["returns asked"]++
+	if w.onScaleIn != nil {
+		w.onScaleIn(by)
 	}
 }
 
-// noteLateReturn counts returns that are carried out long after they were decided, and
+// recordLateScaleIn counts returns that are carried out long after they were decided, and
 // the tasks that came to the machines since. The caller holds the lock.
-func (w *world) noteLateReturn(asked time.Time, names []string) {
+func (w *world) recordLateScaleIn(asked time.Time, names []string) {
 	if time.Since(asked) < 5*time.Second {
 		return
 	}
 	for _, name := range names {
-		w.seen["late returns"]++
+		w.observed["late returns"]++
 		m := w.machines[name]
 		if m == nil {
 			continue
 		}
-		for _, task := range m.held {
-			if onMachine(task.state) && task.since.After(asked) {
-				w.seen["running tasks taken by a late return"]++
+		for _, task := range m.tasks {
+			if onMachine(task.state) && task.fetchedAt.After(asked) {
+				w.observed["running tasks taken by a late return"]++
 			}
 		}
 	}
 }
 
-// remove takes a machine away. The caller holds the lock.
-func (w *world) remove(name string) {
+// removeMachine takes a machine away. The caller holds the lock.
+func (w *world) removeMachine(name string) {
 	if m := w.machines[name]; m != nil {
-		m.gone = true
+		m.removed = true
 		w.capacity[m.kind]++
 		delete(w.machines, name)
 	}
 }
 
 func (c *simCloud) Machines(ctx context.Context) ([]wire.CloudMachine, error) {
-	w := c.n.w
+	w := c.n.world
 	w.mu.Lock()
 	var out []wire.CloudMachine
 	for _, m := range w.machines {
 		s := wire.MachineRunning
-		if time.Now().Before(m.boots) {
+		if time.Now().Before(m.bootsAt) {
 			s = wire.MachineBooting
 		}
-		out = append(out, wire.CloudMachine{Name: m.name, Addr: m.name, Type: "box", Zone: m.zone, Spot: m.spot, State: s, AgeS: time.Since(m.born).Seconds()})
+		out = append(out, wire.CloudMachine{Name: m.name, Addr: m.name, Type: "box", Zone: m.zone, Spot: m.spot, State: s, AgeS: time.Since(m.createdAt).Seconds()})
 	}
 	w.mu.Unlock()
 	time.Sleep(5 * time.Second) // the list lags
--- a/controller/standin_detection_test.go
+++ b/controller/sim_detection_test.go
@@ -16,16 +16,16 @@
 
 // Heartbeat carries a heartbeat over the link to the other controller and back.
 func (p simPeer) Heartbeat(ctx context.Context, m detector.Message) (detector.Message, error) {
-	ctl, err := p.reachForDetection(ctx)
+	ctl, err := p.reachMonitor(ctx)
 	if err != nil {
 		return detector.Message{}, err
 	}
-	if p.from.w.chance(p.from.w.lateCopies) { // a copy of it comes late
+	if p.from.world.chance(p.from.world.lateCopyShare) { // a copy of it comes late
 		go func() {
-			time.Sleep(p.from.w.between(time.Second, 30*time.Second))
-			if ctl := p.to.up(); ctl != nil && ctl.monitor != nil {
+			time.Sleep(p.from.world.randomDuration(time.Second, 30*time.Second))
+			if ctl := p.to.running(); ctl != nil && ctl.monitor != nil {
 				ctl.monitor.Tell(peerHeartbeat{m, make(chan peerHeartbeatAnswer, 1)})
-				p.from.w.do(func() { p.from.w.seen["late heartbeats"]++ })
+				p.from.world.locked(func() { p.from.world.observed["late heartbeats"]++ })
 			}
 		}()
 	}
@@ -36,7 +36,7 @@
 
 // Probe carries a probe over the link to the other controller and back.
 func (p simPeer) Probe(ctx context.Context, r peer.ProbeRequest) (peer.ProbeReply, error) {
-	ctl, err := p.reachForDetection(ctx)
+	ctl, err := p.reachMonitor(ctx)
 	if err != nil {
 		return peer.ProbeReply{}, err
 	}
@@ -45,7 +45,7 @@
 	return answer, err
 }
 
-func (p simPeer) reachForDetection(ctx context.Context) (*Controller, error) {
+func (p simPeer) reachMonitor(ctx context.Context) (*Controller, error) {
 	ctl, err := p.reach(ctx)
 	if err != nil {
 		<-ctx.Done() // a cut link shows only as silence
@@ -64,19 +64,19 @@
 	case <-ctx.Done():
 		return
 	case err := <-ctl.Failed():
-		n.w.do(func() { n.w.seen["ended itself: "+strings.SplitN(err.Error(), ":", 2)[0]]++ })
+		n.world.locked(func() { n.world.observed["ended itself: "+strings.SplitN(err.Error(), ":", 2)[0]]++ })
 	}
 	n.kill()
 	time.Sleep(2 * time.Second)
 	select {
-	case <-n.w.stop:
+	case <-n.world.done:
 	default:
 		n.start()
 	}
 }
 
-// detect switches failure detection on at a controller that is started after this.
-func (n *simController) detect() {
+// enableDetection switches failure detection on at a controller that is started after this.
+func (n *simController) enableDetection() {
 	d, err := load.ParseDetection(nil)
 	if err != nil {
 		panic(err)
@@ -84,16 +84,16 @@
 	n.set.Detection = d
 }
 
-// stickOwner lets the owner of a zone's shard handle one message for so long.
-func (n *simController) stickOwner(zone string, d time.Duration) {
-	n.w.mu.Lock()
+// stallOwner lets the owner of a zone's shard handle one message for so long.
+func (n *simController) stallOwner(zone string, d time.Duration) {
+	n.world.mu.Lock()
 	ctl, name := n.process, ""
-	for _, m := range n.w.machines {
+	for _, m := range n.world.machines {
 		if m.zone == zone {
 			name = m.name
 		}
 	}
-	n.w.mu.Unlock()
+	n.world.mu.Unlock()
 	ctl.control.Tell(workerHeartbeat{sleepingAnswer(d), &wire.Heartbeat{Machine: name, Addr: name, Type: "box", Zone: zone}})
 }
 
@@ -102,9 +102,9 @@
 
 func (d sleepingAnswer) Respond(*httpwire.Response) { time.Sleep(time.Duration(d)) }
 
-// accuse has a controller take another one for failed, whatever there is to that.
-func (w *world) accuse(by, of *simController) {
-	ctl := by.up()
+// proposeRevocation has a controller take another one for failed, whatever there is to that.
+func (w *world) proposeRevocation(by, of *simController) {
+	ctl := by.running()
 	if ctl == nil {
 		return
 	}
@@ -139,11 +139,11 @@
 	return record.(*records.Term).Number
 }
 
-// count is how often something was seen.
-func (w *world) count(what string) int {
+// eventCount is how often something was seen.
+func (w *world) eventCount(what string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.seen[what]
+	return w.observed[what]
 }
 
-func (w *world) String() string { return fmt.Sprintf("%v", w.seen) }
+func (w *world) String() string { return fmt.Sprintf("%v", w.observed) }
--- a/controller/standin_draining_test.go
+++ b/controller/sim_draining_test.go
@@ -19,27 +19,27 @@
 
 // watchDisruption begins to judge stops: all services' tasks share a budget of so many.
 func (w *world) watchDisruption(most int) {
-	w.do(func() {
+	w.locked(func() {
 		w.disruption = disruptioncheck.New(most, w.controllers[0].set.Draining.Policy.StableAfter, w.times.lease()+30*time.Second)
 	})
 	go func() {
 		for {
 			select {
-			case <-w.stop:
+			case <-w.done:
 				return
 			case <-time.After(100 * time.Millisecond):
-				w.do(w.lookAtTasks)
+				w.locked(w.observeTasks)
 			}
 		}
 	}()
 }
 
-// lookAtTasks tells the checks which tasks run. The caller holds the lock.
-func (w *world) lookAtTasks() {
+// observeTasks tells the checks which tasks run. The caller holds the lock.
+func (w *world) observeTasks() {
 	running := map[string]bool{}
 	for _, m := range w.machines {
-		for _, x := range m.held {
-			if x.state == wire.TaskRunning && !m.gone {
+		for _, x := range m.tasks {
+			if x.state == wire.TaskRunning && !m.removed {
 				running[x.name] = true
 			}
 		}
@@ -49,13 +49,13 @@
 			continue
 		}
 		if !j.spec.IsService() {
-			w.lookAtInterruptions(j, running)
+			w.observeInterruptions(j, running)
 			continue
 		}
 		for i := range j.spec.Tasks {
 			name := wire.TaskName(id, i)
 			switch {
-			case j.asked:
+			case j.cancelRequested:
 				w.disruption.Forget(name)
 			case running[name]:
 				w.disruption.TaskUp(name, time.Now())
@@ -66,19 +66,19 @@
 	}
 }
 
-// lookAtInterruptions tells the check which tasks of an array, or whether a gang, runs
+// observeInterruptions tells the check which tasks of an array, or whether a gang, runs
 // that ran before. The caller holds the lock.
-func (w *world) lookAtInterruptions(j *simJob, running map[string]bool) {
+func (w *world) observeInterruptions(j *simJob, running map[string]bool) {
 	if w.interruptions == nil {
 		return
 	}
 	runs, over := map[string]bool{}, map[string]bool{}
 	for i := range j.spec.Tasks {
 		name := wire.TaskName(j.spec.ID, i)
-		unit := w.unitOf(j, name)
+		unit := w.budgetUnit(j, name)
 		was, known := runs[unit]
 		runs[unit] = running[name] && (was || !known)
-		over[unit] = over[unit] || j.doneTasks[i] || j.asked
+		over[unit] = over[unit] || j.doneTasks[i] || j.cancelRequested
 	}
 	for unit := range runs {
 		switch {
@@ -86,64 +86,64 @@
 			w.interruptions.Forget(unit)
 		case runs[unit]:
 			w.interruptions.TaskUp(unit, time.Now())
-			w.haveRun[unit] = true
-		case w.haveRun[unit]:
+			w.unitsEverRunning[unit] = true
+		case w.unitsEverRunning[unit]:
 			w.interruptions.TaskDown(unit, time.Now())
 		}
 	}
 }
 
-// unitOf is what a budget counts as one: a task of an array, or a gang.
-func (w *world) unitOf(j *simJob, task string) string {
+// budgetUnit is what a budget counts as one: a task of an array, or a gang.
+func (w *world) budgetUnit(j *simJob, task string) string {
 	if j.spec.IsGang() {
 		return j.spec.ID
 	}
 	return task
 }
 
-// stopped judges the stop of a running task. The caller holds the lock.
-func (w *world) stopped(task string) {
+// recordTaskStop judges the stop of a running task. The caller holds the lock.
+func (w *world) recordTaskStop(task string) {
 	id, _, _ := wire.ParseTaskName(task)
 	j := w.jobs[id]
-	if w.disruption == nil || j.asked || !j.accepted {
+	if w.disruption == nil || j.cancelRequested || !j.accepted {
 		return
 	}
-	w.lookAtTasks()
+	w.observeTasks()
 	check, unit := w.disruption, task
 	if !j.spec.IsService() {
-		check, unit = w.interruptions, w.unitOf(j, task)
+		check, unit = w.interruptions, w.budgetUnit(j, task)
 	}
 	if check == nil {
 		return
 	}
 	if err := check.TaskStopped(unit, time.Now()); err != nil {
-		w.broke("budget", "%v", err)
+		w.violate("budget", "%v", err)
 	}
 }
 
-// moved is what was seen of voluntary stops.
-func (w *world) moved() disruptioncheck.Figures {
+// disruptionFigures is what was seen of voluntary stops.
+func (w *world) disruptionFigures() disruptioncheck.Figures {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.disruption.Figures()
 }
 
-// interrupted is what was seen of voluntary stops of arrays' tasks and gangs.
-func (w *world) interrupted() disruptioncheck.Figures {
+// interruptionFigures is what was seen of voluntary stops of arrays' tasks and gangs.
+func (w *world) interruptionFigures() disruptioncheck.Figures {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.interruptions.Figures()
 }
 
-// unitsRun counts the arrays' tasks and the gangs that have ever run.
-func (w *world) unitsRun() int {
+// unitsEverRun counts the arrays' tasks and the gangs that have ever run.
+func (w *world) unitsEverRun() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return len(w.haveRun)
+	return len(w.unitsEverRunning)
 }
 
-// drainTo switches draining on at all controllers, under these settings.
-func (w *world) drainTo(text string) {
+// enableDraining switches draining on at all controllers, under these settings.
+func (w *world) enableDraining(text string) {
 	for _, n := range w.controllers {
 		d, err := load.ParseDraining([]byte(text), n.set)
 		if err != nil {
@@ -165,13 +165,13 @@
 	return ctl.drainService.Answer(ctx, r)
 }
 
-// drains asks a controller that is up about drains.
-func (w *world) drains(t *testing.T, r peer.DrainRequest) peer.DrainReply {
+// requestDrain asks a controller that is up about drains.
+func (w *world) requestDrain(t *testing.T, r peer.DrainRequest) peer.DrainReply {
 	t.Helper()
 	for range 60 {
 		for _, n := range w.controllers {
-			ctl := n.up()
-			if ctl == nil || ctl.drainService == nil || n.cutState || time.Now().Before(n.frozenUntil) {
+			ctl := n.running()
+			if ctl == nil || ctl.drainService == nil || n.cutFromStore || time.Now().Before(n.frozenUntil) {
 				continue
 			}
 			if reply, err := ctl.drainService.Answer(context.Background(), r); err == nil {
@@ -188,7 +188,7 @@
 func (w *world) startDrain(t *testing.T, s records.Selection) int {
 	t.Helper()
 	for range 30 { // right after a takeover an owner may not be there to be asked
-		reply := w.drains(t, peer.DrainRequest{Op: peer.OpStart, Selection: s, MatchAll: true})
+		reply := w.requestDrain(t, peer.DrainRequest{Op: peer.OpStart, Selection: s, MatchAll: true})
 		if reply.Problem == nil {
 			return reply.Number
 		}
@@ -205,12 +205,12 @@
 	return 0
 }
 
-// command pauses, resumes or cancels a drain, again if its record changed meanwhile.
-func (w *world) command(t *testing.T, op peer.DrainOp, number int) {
+// changeDrain pauses, resumes or cancels a drain, again if its record changed meanwhile.
+func (w *world) changeDrain(t *testing.T, op peer.DrainOp, number int) {
 	t.Helper()
 	becomes := map[peer.DrainOp]records.DrainState{peer.OpPause: records.DrainPaused, peer.OpResume: records.DrainRunning, peer.OpCancel: records.DrainCancelled}[op]
 	for range 10 {
-		problem := w.drains(t, peer.DrainRequest{Op: op, Number: number}).Problem
+		problem := w.requestDrain(t, peer.DrainRequest{Op: op, Number: number}).Problem
 		if problem == nil || w.drainRecord(number).State == becomes { // the answer may have been lost
 			return
 		}
@@ -234,9 +234,9 @@
 	return record.(*records.Drain)
 }
 
-// view is what the controllers tell of a drain.
-func (w *world) view(t *testing.T, number int) peer.DrainView {
-	for _, v := range w.drains(t, peer.DrainRequest{Op: peer.OpStatus}).Status.Drains {
+// drainView is what the controllers tell of a drain.
+func (w *world) drainView(t *testing.T, number int) peer.DrainView {
+	for _, v := range w.requestDrain(t, peer.DrainRequest{Op: peer.OpStatus}).Status.Drains {
 		if v.Number == number {
 			return v
 		}
@@ -244,8 +244,8 @@
 	return peer.DrainView{}
 }
 
-// drainEnds waits until a drain is in a state.
-func (w *world) drainEnds(t *testing.T, number int, in records.DrainState, limit time.Duration) {
+// waitDrainState waits until a drain is in a state.
+func (w *world) waitDrainState(t *testing.T, number int, in records.DrainState, limit time.Duration) {
 	t.Helper()
 	for end := time.Now().Add(limit); ; time.Sleep(time.Second) {
 		r := w.drainRecord(number)
@@ -253,13 +253,13 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("drain %d is not %s after %s: %+v; %+v", number, in, limit, r, w.view(t, number))
+			t.Fatalf("drain %d is not %s after %s: %+v; %+v", number, in, limit, r, w.drainView(t, number))
 		}
 	}
 }
 
 // old lists the machines that are there now.
-func (w *world) present() map[string]bool {
+func (w *world) machineNames() map[string]bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := map[string]bool{}
@@ -269,10 +269,10 @@
 	return out
 }
 
-// left counts those of some machines that are still there.
-func (w *world) left(old map[string]bool) int {
+// remaining counts those of some machines that are still there.
+func (w *world) remaining(old map[string]bool) int {
 	n := 0
-	for name := range w.present() {
+	for name := range w.machineNames() {
 		if old[name] {
 			n++
 		}
@@ -280,25 +280,25 @@
 	return n
 }
 
-// replicas adds services to fill machines with, and waits until all their tasks run.
-func (w *world) replicas(t *testing.T, jobs, tasks int) {
+// startReplicas adds services to fill machines with, and waits until all their tasks run.
+func (w *world) startReplicas(t *testing.T, jobs, tasks int) {
 	t.Helper()
 	for i := range jobs {
 		j := &simJob{spec: wire.Submission{ID: fmt.Sprintf("run-%06d", 900+i), Class: "s", Team: "free", Kind: wire.KindService, Priority: wire.PriorityProduction,
 			Tasks: tasks, CPUs: 4, MemoryGB: 1, Image: "i", ImageGB: 1, Spread: true, Spot: w.spotReplicas}, doneTasks: map[int]bool{}}
-		w.do(func() { w.jobs[j.spec.ID] = j })
-		go w.user(j, 0, 0)
+		w.locked(func() { w.jobs[j.spec.ID] = j })
+		go w.runUser(j, 0, 0)
 	}
-	w.until(t, "all replicas run", 3*time.Minute, func() bool { return w.replicasUp() == jobs*tasks })
+	w.waitUntil(t, "all replicas run", 3*time.Minute, func() bool { return w.runningReplicas() == jobs*tasks })
 }
 
-// replicasUp counts the tasks of all services that run.
-func (w *world) replicasUp() int {
+// runningReplicas counts the tasks of all services that run.
+func (w *world) runningReplicas() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
 	for _, m := range w.machines {
-		for _, x := range m.held {
+		for _, x := range m.tasks {
 			if id, _, _ := wire.ParseTaskName(x.name); x.state == wire.TaskRunning && w.jobs[id].spec.IsService() {
 				n++
 			}
@@ -315,10 +315,10 @@
 type drainScenario struct {
 	name  string
 	seeds int
-	// hurt brings the failure about once the drain is under way; nil: none.
-	hurt func(*testing.T, *world, int)
-	// ends is the state that the drain comes to; empty: finished.
-	ends records.DrainState
+	// fault brings the failure about once the drain is under way; nil: none.
+	fault func(*testing.T, *world, int)
+	// endState is the state that the drain comes to; empty: finished.
+	endState records.DrainState
 	// settings are added to those of all plays.
 	settings string
 	// spot: services may run on spot machines.
@@ -332,24 +332,24 @@
 // drainWorld is a deployment of three shards that keeps room to drain machines. Its
 // controllers are not started yet.
 func drainWorld(seed uint64, more string) *world {
-	w := newWorldOf(seed, []string{"a", "b", "c"}, 3, magnoliaTimes)
-	w.late, w.tame = 0, true
+	w := newWorldWithTimes(seed, []string{"a", "b", "c"}, 3, magnoliaTimes)
+	w.lateCommandShare, w.reliableCloud = 0, true
 	for k := range w.capacity {
 		w.capacity[k] = 10
 	}
-	w.drainTo(drainSettings + more)
+	w.enableDraining(drainSettings + more)
 	return w
 }
 
-// beginDrains starts the controllers, has 18 replicas run, and judges stops from then on.
-func (w *world) beginDrains(t *testing.T) {
+// startBeforeDrain starts the controllers, has 18 replicas run, and judges stops from then on.
+func (w *world) startBeforeDrain(t *testing.T) {
 	t.Helper()
 	for _, n := range w.controllers {
 		n.start()
 	}
 	go w.expireLeases()
 	time.Sleep(5 * time.Second)
-	w.replicas(t, 6, 3)
+	w.startReplicas(t, 6, 3)
 	w.watchDisruption(2)
 	time.Sleep(15 * time.Second)
 }
@@ -357,44 +357,44 @@
 // play drains a deployment that is at work and returns what rules were broken.
 func (s drainScenario) play(t *testing.T, seed uint64) []string {
 	w := drainWorld(seed, s.settings)
-	defer w.shut()
+	defer w.shutdown()
 	w.spotReplicas = s.spot
 	for _, n := range w.controllers {
 		n.unguardDrains = s.unguard
 	}
-	w.beginDrains(t)
-	old := w.present()
+	w.startBeforeDrain(t)
+	old := w.machineNames()
 	number := w.startDrain(t, records.Selection{})
 	if s.unguard != nil { // what owners tell each other takes longer, as under load
-		w.do(func() { w.slow = 800 * time.Millisecond })
+		w.locked(func() { w.storeLatency = 800 * time.Millisecond })
 	}
-	if s.hurt != nil {
-		s.hurt(t, w, number)
+	if s.fault != nil {
+		s.fault(t, w, number)
 	}
 	if s.unguard != nil {
 		time.Sleep(2 * time.Minute)
-		return w.brokenRules()
+		return w.violationList()
 	}
-	if s.ends == "" {
-		w.drainEnds(t, number, records.DrainFinished, 12*time.Minute)
-		if n := w.left(old); n > 0 {
+	if s.endState == "" {
+		w.waitDrainState(t, number, records.DrainFinished, 12*time.Minute)
+		if n := w.remaining(old); n > 0 {
 			t.Errorf("%d of %d machines are still there", n, len(old))
 		}
 	} else {
-		w.drainEnds(t, number, s.ends, 12*time.Minute)
+		w.waitDrainState(t, number, s.endState, 12*time.Minute)
 	}
-	w.until(t, "all replicas run again", 3*time.Minute, func() bool { return w.replicasUp() == 18 })
-	t.Logf("seed %d: %+v", seed, w.moved())
-	if w.moved().Replaced == 0 && !s.idle {
+	w.waitUntil(t, "all replicas run again", 3*time.Minute, func() bool { return w.runningReplicas() == 18 })
+	t.Logf("seed %d: %+v", seed, w.disruptionFigures())
+	if w.disruptionFigures().Replaced == 0 && !s.idle {
 		t.Errorf("seed %d: nothing was moved", seed)
 	}
-	return w.brokenRules()
+	return w.violationList()
 }
 
-func (w *world) brokenRules() []string {
+func (w *world) violationList() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]string(nil), w.broken...)
+	return append([]string(nil), w.violations...)
 }
 
 // parseDraining reads settings of drains for a controller.
@@ -406,8 +406,8 @@
 	return d
 }
 
-// claimed is the sum of what all shards claim.
-func (w *world) claimed() int {
+// claimedDisruptions is the sum of what all shards claim.
+func (w *world) claimedDisruptions() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
@@ -424,13 +424,13 @@
 	return n
 }
 
-// closedMachines counts machines that are durably closed.
-func (w *world) closedMachines() int {
-	return w.closedOf(func(string) bool { return true })
+// terminatingMachines counts machines that are durably closed.
+func (w *world) terminatingMachines() int {
+	return w.countTerminating(func(string) bool { return true })
 }
 
-// closedOf counts those of some machines that are durably closed.
-func (w *world) closedOf(some func(name string) bool) int {
+// countTerminating counts those of some machines that are durably closed.
+func (w *world) countTerminating(some func(name string) bool) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
@@ -452,26 +452,26 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for name, m := range w.machines {
-		if n > 0 && len(m.held) > 0 {
-			w.remove(name)
+		if n > 0 && len(m.tasks) > 0 {
+			w.removeMachine(name)
 			n--
 		}
 	}
 }
 
-// takeSpotBack tells all spot machines that run something that they are taken back
+// reclaimSpot tells all spot machines that run something that they are taken back
 // after a notice, and returns how many those are.
-func (w *world) takeSpotBack(notice time.Duration) int {
+func (w *world) reclaimSpot(notice time.Duration) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
 	for name, m := range w.machines {
-		if !m.spot || len(m.held) == 0 {
+		if !m.spot || len(m.tasks) == 0 {
 			continue
 		}
 		n++
-		m.takenBack, m.changed = time.Now().Add(notice), true
-		time.AfterFunc(notice, func() { w.do(func() { w.remove(name) }) })
+		m.reclaimAt, m.changed = time.Now().Add(notice), true
+		time.AfterFunc(notice, func() { w.locked(func() { w.removeMachine(name) }) })
 	}
 	return n
 }
@@ -483,23 +483,23 @@
 	var newest *simTask
 	var on *simWorker
 	for _, m := range w.machines {
-		for _, x := range m.held {
-			if x.state == wire.TaskRunning && (newest == nil || x.since.After(newest.since)) {
+		for _, x := range m.tasks {
+			if x.state == wire.TaskRunning && (newest == nil || x.fetchedAt.After(newest.fetchedAt)) {
 				newest, on = x, m
 			}
 		}
 	}
-	newest.state, newest.cause, newest.next = wire.TaskExited, wire.CauseError, time.Time{}
+	newest.state, newest.cause, newest.nextChange = wire.TaskExited, wire.CauseError, time.Time{}
 	on.changed = true
 }
 
-// machineOfAService is a machine on which a service's task runs.
-func (w *world) machineOfAService() string {
+// machineWithService is a machine on which a service's task runs.
+func (w *world) machineWithService() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var names []string
 	for name, m := range w.machines {
-		for _, x := range m.held {
+		for _, x := range m.tasks {
 			if id, _, _ := wire.ParseTaskName(x.name); x.state == wire.TaskRunning && w.jobs[id].spec.IsService() {
 				names = append(names, name)
 			}
@@ -511,7 +511,7 @@
 // cordonedMachines counts the machines that the controllers show as cordoned for a drain.
 func (w *world) cordonedMachines(t *testing.T, number int) int {
 	n := 0
-	for _, p := range w.view(t, number).Shards {
+	for _, p := range w.drainView(t, number).Shards {
 		n += len(p.Cordoned)
 	}
 	return n
--- a/controller/standin_gang_test.go
+++ b/controller/sim_gang_test.go
@@ -18,13 +18,13 @@
 
 // simGang is one attempt of a gang, as its tasks see it.
 type simGang struct {
-	began     time.Time // all tasks were there
-	over      bool
-	done      bool
-	kept      bool
-	failAt    time.Time // when the others notice that one is gone
-	firstStop time.Time
-	told      map[int]time.Time // tasks told to save
+	startedAt     time.Time // all tasks were there
+	ended         bool
+	done          bool
+	checkpointed  bool
+	failAt        time.Time // when the others notice that one is gone
+	firstStop     time.Time
+	stopRequested map[int]time.Time // tasks told to save
 }
 
 // gangTask is one task of an attempt on a machine.
@@ -48,14 +48,14 @@
 func (w *world) playGangs() {
 	for {
 		select {
-		case <-w.stop:
+		case <-w.done:
 			return
 		case <-time.After(100 * time.Millisecond):
 		}
 		w.mu.Lock()
 		groups := map[string][]gangTask{}
 		for _, m := range w.machines {
-			for _, t := range m.held {
+			for _, t := range m.tasks {
 				job, i, _ := wire.ParseTaskName(t.name)
 				if j := w.jobs[job]; j != nil && j.spec.IsGang() {
 					groups[gangKey(t)] = append(groups[gangKey(t)], gangTask{m, t, i})
@@ -68,7 +68,7 @@
 		}
 		for key := range groups {
 			if w.gangs[key] == nil {
-				w.gangs[key] = &simGang{told: map[int]time.Time{}}
+				w.gangs[key] = &simGang{stopRequested: map[int]time.Time{}}
 				keys = append(keys, key)
 			}
 		}
@@ -83,7 +83,7 @@
 // playGang moves one attempt on. The caller holds the lock.
 func (w *world) playGang(g *simGang, all []gangTask) {
 	if len(all) == 0 {
-		g.over = g.over || !g.began.IsZero()
+		g.ended = g.ended || !g.startedAt.IsZero()
 		return
 	}
 	now := time.Now()
@@ -91,13 +91,13 @@
 	j := w.jobs[job]
 	there := map[int]bool{} // on a machine that carries out its tasks
 	for _, x := range all {
-		if onMachine(x.t.state) && !x.m.hung && (w.noLease || time.Since(x.m.renewed) < 20*time.Second) {
+		if onMachine(x.t.state) && !x.m.hung && (w.ignoreWorkerLeases || time.Since(x.m.leaseRenewedAt) < 20*time.Second) {
 			there[x.i] = true
 		}
 	}
 	whole := len(there) == j.spec.Tasks
-	if g.began.IsZero() && !g.over && whole {
-		g.began = now
+	if g.startedAt.IsZero() && !g.ended && whole {
+		g.startedAt = now
 		w.gangStarts++
 		slog.Debug("stand-in: gang begins", "job", job, "attempt", all[0].t.attempt)
 		for _, x := range all {
@@ -107,37 +107,37 @@
 			}
 		}
 	}
-	if !g.began.IsZero() && !g.over {
+	if !g.startedAt.IsZero() && !g.ended {
 		end := now
 		if !g.firstStop.IsZero() {
 			end = g.firstStop
 		}
-		progress := j.saved + end.Sub(g.began).Seconds()
+		progress := j.saved + end.Sub(g.startedAt).Seconds()
 		mark := max(j.saved, math.Floor(progress/max(j.spec.CheckpointIntervalS, 0.1))*j.spec.CheckpointIntervalS)
 		switch {
-		case whole && !g.firstStop.IsZero() && len(g.told) == j.spec.Tasks:
+		case whole && !g.firstStop.IsZero() && len(g.stopRequested) == j.spec.Tasks:
 			last := g.firstStop
-			for _, at := range g.told {
+			for _, at := range g.stopRequested {
 				if at.After(last) {
 					last = at
 				}
 			}
 			if now.Sub(last).Seconds() >= j.spec.CheckpointSaveS {
-				g.over, g.kept, j.saved = true, true, progress
+				g.ended, g.checkpointed, j.saved = true, true, progress
 			}
 		case !g.firstStop.IsZero():
 			if now.Sub(g.firstStop) > simGangPeer || !whole {
-				g.over, j.saved = true, mark
+				g.ended, j.saved = true, mark
 			}
 		case !whole:
 			if g.failAt.IsZero() {
 				g.failAt = now.Add(time.Duration(w.rng.Int64N(int64(simGangPeer))))
 			}
 			if !now.Before(g.failAt) {
-				g.over, j.saved = true, mark
+				g.ended, j.saved = true, mark
 			}
 		case progress >= j.spec.EstimateS:
-			g.over, g.done = true, true
+			g.ended, g.done = true, true
 			for i := range j.spec.Tasks {
 				j.doneTasks[i] = true
 			}
@@ -149,18 +149,18 @@
 		if x.m.hung || x.t.state == wire.TaskExited || x.t.state == wire.TaskFetching {
 			continue
 		}
-		_, told := g.told[x.i]
+		_, told := g.stopRequested[x.i]
 		switch {
 		case x.t.state == wire.TaskWaitingForGang:
-			if now.Sub(x.t.since) > simGangWait {
+			if now.Sub(x.t.fetchedAt) > simGangWait {
 				x.m.exit(x.t, wire.CauseGangIncomplete)
 			}
-		case !g.over:
+		case !g.ended:
 		case g.done:
 			x.m.exit(x.t, wire.CauseDone)
 		case told:
 			x.m.exit(x.t, wire.CauseStopped)
-			x.t.kept = g.kept
+			x.t.checkpointed = g.checkpointed
 		default:
 			x.m.exit(x.t, wire.CauseGangPeerLost)
 		}
@@ -168,20 +168,20 @@
 }
 
 func (m *simWorker) exit(t *simTask, cause string) {
-	t.state, t.cause, t.next = wire.TaskExited, cause, time.Time{}
+	t.state, t.cause, t.nextChange = wire.TaskExited, cause, time.Time{}
 	m.changed = true
 }
 
 // stopGangTask carries out a stop of a gang's task. The caller holds the lock.
 func (m *simWorker) stopGangTask(t *simTask, j *simJob, graceS float64) {
 	_, i, _ := wire.ParseTaskName(t.name)
-	g := m.w.gangs[gangKey(t)]
-	if t.state == wire.TaskRunning && g != nil && !g.over && j.spec.CheckpointIntervalS > 0 && graceS >= j.spec.CheckpointSaveS {
+	g := m.world.gangs[gangKey(t)]
+	if t.state == wire.TaskRunning && g != nil && !g.ended && j.spec.CheckpointIntervalS > 0 && graceS >= j.spec.CheckpointSaveS {
 		if g.firstStop.IsZero() {
 			g.firstStop = time.Now()
 		}
-		if _, told := g.told[i]; !told {
-			g.told[i] = time.Now()
+		if _, told := g.stopRequested[i]; !told {
+			g.stopRequested[i] = time.Now()
 		}
 		return
 	}
--- a/controller/standin_store_test.go
+++ b/controller/sim_store_test.go
@@ -28,14 +28,14 @@
 
 // pass is the way to the state service: it takes time, and may be shut.
 func (s *simStore) pass(ctx context.Context) error {
-	w := s.n.w
+	w := s.n.world
 	s.n.waitWhileFrozen() // what it had decided goes out when it moves on, whatever the time
-	time.Sleep(w.between(time.Millisecond, 12*time.Millisecond) + w.slow)
+	time.Sleep(w.randomDuration(time.Millisecond, 12*time.Millisecond) + w.storeLatency)
 	if ctx.Err() != nil && !w.chance(0.5) {
 		return fmt.Errorf("%w: %w", kvstore.ErrOutcomeUnknown, ctx.Err())
 	}
 	w.mu.Lock()
-	shut := w.outage || s.n.cutState || w.cutZone == s.n.set.Zone
+	shut := w.storeOutage || s.n.cutFromStore || w.partitionedZone == s.n.set.Zone
 	w.mu.Unlock()
 	if shut {
 		return kvstore.ErrRefused
@@ -47,31 +47,31 @@
 	if err := s.pass(ctx); err != nil {
 		return 0, err
 	}
-	w := s.n.w
+	w := s.n.world
 	switch {
-	case w.chance(w.lostAnswers): // carried out, the answer lost
+	case w.chance(w.lostAnswerShare): // carried out, the answer lost
 		w.mu.Lock()
 		if _, err := w.apply(t); err == nil {
-			w.seen["lost answers"]++
+			w.observed["lost answers"]++
 		}
 		w.mu.Unlock()
 		time.Sleep(time.Second)
 		return 0, kvstore.ErrOutcomeUnknown
-	case w.chance(w.lateWrites): // carried out much later
+	case w.chance(w.lateWriteShare): // carried out much later
 		go func() {
-			time.Sleep(w.between(time.Second, 20*time.Second))
+			time.Sleep(w.randomDuration(time.Second, 20*time.Second))
 			w.mu.Lock()
-			w.seen["late writes"]++
+			w.observed["late writes"]++
 			if _, err := w.apply(t); err != nil {
-				w.seen["late writes that failed"]++
+				w.observed["late writes that failed"]++
 			}
 			w.mu.Unlock()
 		}()
 		time.Sleep(time.Second)
 		return 0, kvstore.ErrOutcomeUnknown
-	case w.chance(w.repeats): // repeated later
+	case w.chance(w.repeatedWriteShare): // repeated later
 		go func() {
-			time.Sleep(w.between(time.Second, 20*time.Second))
+			time.Sleep(w.randomDuration(time.Second, 20*time.Second))
 			w.mu.Lock()
 			w.apply(t)
 			w.mu.Unlock()
@@ -86,7 +86,7 @@
 
 // apply carries out a transaction. The caller holds the lock.
 func (w *world) apply(t wire.Txn) (uint64, error) {
-	if !w.noConditions {
+	if !w.ignoreConditions {
 		for _, c := range t.Conditions {
 			v := uint64(0)
 			if e := w.kv[c.Key]; e != nil {
@@ -103,12 +103,12 @@
 		}
 	}
 	kb, ops := 8, 12
-	if w.smaller {
+	if w.limitsLowered {
 		kb, ops = 1, 2
 	}
 	for _, ch := range t.Changes {
 		if len(ch.Value) > kb<<10 || len(t.Changes) > ops || len(t.Conditions) > 4*ops {
-			w.invalid[ch.Put]++
+			w.oversizedWrites[ch.Put]++
 			return 0, kvstore.ErrInvalidRequest
 		}
 	}
@@ -116,20 +116,20 @@
 	for _, ch := range t.Changes {
 		if ch.Delete != "" {
 			delete(w.kv, ch.Delete)
-			w.events = append(w.events, wire.Event{Delete: ch.Delete, Version: w.revision})
+			w.storeEvents = append(w.storeEvents, wire.Event{Delete: ch.Delete, Version: w.revision})
 			continue
 		}
 		if strings.HasPrefix(ch.Put, records.KeyRevocation("")) {
-			w.seen["revocations"]++
+			w.observed["revocations"]++
 		}
-		if w.hasty {
-			ch.Value = hasten(ch.Value)
+		if w.skipAuthorityWait {
+			ch.Value = shortenLeaseTTL(ch.Value)
 		}
 		w.kv[ch.Put] = &entry{ch.Value, w.revision, ch.Lease}
-		w.events = append(w.events, wire.Event{Put: ch.Put, Value: ch.Value, Version: w.revision})
+		w.storeEvents = append(w.storeEvents, wire.Event{Put: ch.Put, Value: ch.Value, Version: w.revision})
 	}
-	close(w.changed)
-	w.changed = make(chan struct{})
+	close(w.storeChanged)
+	w.storeChanged = make(chan struct{})
 	return w.revision, nil
 }
 
@@ -137,9 +137,9 @@
 	if err := s.pass(ctx); err != nil {
 		return wire.KeyValue{}, false, err
 	}
-	s.n.w.mu.Lock()
-	defer s.n.w.mu.Unlock()
-	e := s.n.w.kv[key]
+	s.n.world.mu.Lock()
+	defer s.n.world.mu.Unlock()
+	e := s.n.world.kv[key]
 	if e == nil {
 		return wire.KeyValue{}, false, nil
 	}
@@ -150,16 +150,16 @@
 	if err := s.pass(ctx); err != nil {
 		return 0, err
 	}
-	s.n.w.mu.Lock()
-	defer s.n.w.mu.Unlock()
-	return s.n.w.revision, nil
+	s.n.world.mu.Lock()
+	defer s.n.world.mu.Unlock()
+	return s.n.world.revision, nil
 }
 
 func (s *simStore) List(ctx context.Context, prefix string) ([]wire.KeyValue, uint64, error) {
 	if err := s.pass(ctx); err != nil {
 		return nil, 0, err
 	}
-	w := s.n.w
+	w := s.n.world
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var out []wire.KeyValue
@@ -176,14 +176,14 @@
 	if err := s.pass(ctx); err != nil {
 		return nil, err
 	}
-	w := s.n.w
+	w := s.n.world
 	end := time.After(wait)
 	for {
 		w.mu.Lock()
 		out := &wire.Events{Revision: w.revision}
-		i := sort.Search(len(w.events), func(i int) bool { return w.events[i].Version > from })
-		out.Events = append(out.Events, w.events[i:]...)
-		changed, shut := w.changed, s.n.cutState
+		i := sort.Search(len(w.storeEvents), func(i int) bool { return w.storeEvents[i].Version > from })
+		out.Events = append(out.Events, w.storeEvents[i:]...)
+		changed, shut := w.storeChanged, s.n.cutFromStore
 		w.mu.Unlock()
 		if len(out.Events) > 0 && !shut {
 			return out, nil
@@ -205,7 +205,7 @@
 	if err := s.pass(ctx); err != nil {
 		return 0, err
 	}
-	w := s.n.w
+	w := s.n.world
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.leaseSeq++
@@ -217,7 +217,7 @@
 	if err := s.pass(ctx); err != nil {
 		return err
 	}
-	w := s.n.w
+	w := s.n.world
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	l := w.leases[id]
@@ -232,7 +232,7 @@
 func (w *world) expire() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.outage {
+	if w.storeOutage {
 		return
 	}
 	for id, l := range w.leases {
@@ -257,7 +257,7 @@
 func (w *world) setOutage(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.outage = on
+	w.storeOutage = on
 	for _, l := range w.leases {
 		l.ends = time.Now().Add(l.life)
 	}
--- a/controller/standin_user_test.go
+++ b/controller/sim_user_test.go
@@ -10,38 +10,38 @@
 )
 
 type simJob struct {
-	spec       wire.Submission
-	accepted   bool
-	told       string // last terminal state told
-	cancelled  time.Time
-	overstayed bool // a task of it was seen on a machine past its time
-	asked      bool // cancellation asked for
-	answered   time.Time
-	doneTasks  map[int]bool
-	runs       []float64 // how long each task runs (s), if not as long as estimated
-	starts     int
-	idleSince  time.Time // since when it has waited beside room for it
-	saved      float64   // of a gang: progress at its last checkpoint (s)
+	spec            wire.Submission
+	accepted        bool
+	reportedState   string // last terminal state told
+	cancelled       time.Time
+	overran         bool // a task of it was seen on a machine past its time
+	cancelRequested bool // cancellation asked for
+	lastAnswerAt    time.Time
+	doneTasks       map[int]bool
+	runs            []float64 // how long each task runs (s), if not as long as estimated
+	starts          int
+	idleSince       time.Time // since when it has waited beside room for it
+	saved           float64   // of a gang: progress at its last checkpoint (s)
 }
 
 type simAnswer struct{ got chan *httpwire.Response }
 
 func (a *simAnswer) Respond(r *httpwire.Response) { a.got <- r }
 
-// ask sends one request to any controller and waits as long as users do.
-func (w *world) ask(msg func(apiserver.Request) any) *httpwire.Response {
+// request sends one request to any controller and waits as long as users do.
+func (w *world) request(msg func(apiserver.Request) any) *httpwire.Response {
 	w.mu.Lock()
 	node := w.rng.IntN(len(w.controllers))
 	w.mu.Unlock()
-	return w.askAt(node, msg)
+	return w.requestAt(node, msg)
 }
 
-// askAt sends one request to one controller.
-func (w *world) askAt(node int, msg func(apiserver.Request) any) *httpwire.Response {
+// requestAt sends one request to one controller.
+func (w *world) requestAt(node int, msg func(apiserver.Request) any) *httpwire.Response {
 	w.mu.Lock()
 	ctl := w.controllers[node].process
 	w.mu.Unlock()
-	time.Sleep(w.between(time.Millisecond, 5*time.Millisecond))
+	time.Sleep(w.randomDuration(time.Millisecond, 5*time.Millisecond))
 	if ctl == nil {
 		return nil
 	}
@@ -55,15 +55,15 @@
 	}
 }
 
-// user submits a job, polls it and perhaps cancels it.
-func (w *world) user(j *simJob, after, cancelAfter time.Duration) {
+// runUser submits a job, polls it and perhaps cancels it.
+func (w *world) runUser(j *simJob, after, cancelAfter time.Duration) {
 	time.Sleep(after)
 	body, err := json.Marshal(fields(j.spec))
 	if err != nil {
 		panic(err)
 	}
 	for {
-		r := w.ask(func(q apiserver.Request) any { return apiserver.Submit{Request: q, Body: body} })
+		r := w.request(func(q apiserver.Request) any { return apiserver.Submit{Request: q, Body: body} })
 		if r != nil && (r.Status == 201 || r.Status == 200) {
 			w.mu.Lock()
 			j.accepted = true
@@ -72,12 +72,12 @@
 		}
 		if r != nil && (r.Status == 400 || r.Status == 422) {
 			w.mu.Lock()
-			w.broke("forgotten", "%s refused with %d: %s", j.spec.ID, r.Status, r.Body)
+			w.violate("forgotten", "%s refused with %d: %s", j.spec.ID, r.Status, r.Body)
 			w.mu.Unlock()
 			return
 		}
 		select {
-		case <-w.stop:
+		case <-w.done:
 			return
 		case <-time.After(time.Second):
 		}
@@ -85,32 +85,32 @@
 	accepted := time.Now()
 	for {
 		select {
-		case <-w.stop:
+		case <-w.done:
 			return
-		case <-time.After(w.between(4*time.Second, 6*time.Second)):
+		case <-time.After(w.randomDuration(4*time.Second, 6*time.Second)):
 		}
-		if cancelAfter > 0 && time.Since(accepted) > cancelAfter && j.told == "" {
+		if cancelAfter > 0 && time.Since(accepted) > cancelAfter && j.reportedState == "" {
 			w.mu.Lock()
-			j.asked = true
+			j.cancelRequested = true
 			w.mu.Unlock()
-			r := w.ask(func(q apiserver.Request) any { return apiserver.Cancel{Request: q, JobID: j.spec.ID} })
-			w.check(j, r, true)
+			r := w.request(func(q apiserver.Request) any { return apiserver.Cancel{Request: q, JobID: j.spec.ID} })
+			w.checkReply(j, r, true)
 			continue
 		}
-		r := w.ask(func(q apiserver.Request) any { return apiserver.Poll{Request: q, JobID: j.spec.ID} })
-		if w.mute == j.spec.ID {
+		r := w.request(func(q apiserver.Request) any { return apiserver.Poll{Request: q, JobID: j.spec.ID} })
+		if w.unansweredJob == j.spec.ID {
 			r = nil
 		}
-		w.check(j, r, false)
+		w.checkReply(j, r, false)
 		w.known(j)
 		if w.chance(0.1) { // a late repeat of the submission
-			r = w.ask(func(q apiserver.Request) any { return apiserver.Submit{Request: q, Body: body} })
+			r = w.request(func(q apiserver.Request) any { return apiserver.Submit{Request: q, Body: body} })
 			if r != nil && r.Status == 201 {
 				w.mu.Lock()
-				w.broke("forgotten", "%s accepted twice", j.spec.ID)
+				w.violate("forgotten", "%s accepted twice", j.spec.ID)
 				w.mu.Unlock()
 			}
-			w.check(j, r, false)
+			w.checkReply(j, r, false)
 		}
 	}
 }
@@ -120,49 +120,49 @@
 func (w *world) known(j *simJob) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	since := w.calm
-	if j.answered.After(since) {
-		since = j.answered
+	since := w.calmSince
+	if j.lastAnswerAt.After(since) {
+		since = j.lastAnswerAt
 	}
-	if !w.calm.IsZero() && time.Since(since) > 75*time.Second {
-		w.broke("forgotten", "%s: no answer for %s", j.spec.ID, time.Since(since))
-		j.answered = time.Now()
+	if !w.calmSince.IsZero() && time.Since(since) > 75*time.Second {
+		w.violate("forgotten", "%s: no answer for %s", j.spec.ID, time.Since(since))
+		j.lastAnswerAt = time.Now()
 	}
 }
 
-// check holds an answer against what the user was told before.
-func (w *world) check(j *simJob, r *httpwire.Response, cancel bool) {
+// checkReply holds an answer against what the user was told before.
+func (w *world) checkReply(j *simJob, r *httpwire.Response, cancel bool) {
 	if r == nil || r.Status == 503 || r.Status == 429 {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	j.answered = time.Now()
+	j.lastAnswerAt = time.Now()
 	if r.Status != 200 {
-		w.broke("forgotten", "%s: status %d", j.spec.ID, r.Status)
+		w.violate("forgotten", "%s: status %d", j.spec.ID, r.Status)
 		return
 	}
 	var s wire.JobStatus
 	if err := json.Unmarshal(r.Body, &s); err != nil {
 		panic(err)
 	}
-	if j.told != "" && s.Status != j.told {
-		w.broke("went_back", "%s: %s, then %s", j.spec.ID, j.told, s.Status)
+	if j.reportedState != "" && s.Status != j.reportedState {
+		w.violate("went_back", "%s: %s, then %s", j.spec.ID, j.reportedState, s.Status)
 	}
 	switch s.Status {
 	case wire.JobDone:
 		if len(j.doneTasks) < j.spec.Tasks {
-			w.broke("not_done", "%s: %d of %d", j.spec.ID, len(j.doneTasks), j.spec.Tasks)
+			w.violate("not_done", "%s: %d of %d", j.spec.ID, len(j.doneTasks), j.spec.Tasks)
 		}
-		j.told = s.Status
+		j.reportedState = s.Status
 	case wire.JobCancelled:
-		if !j.asked {
-			w.broke("went_back", "%s was never cancelled", j.spec.ID)
+		if !j.cancelRequested {
+			w.violate("went_back", "%s was never cancelled", j.spec.ID)
 		}
 		if j.cancelled.IsZero() {
 			j.cancelled = time.Now()
 		}
-		j.told = s.Status
+		j.reportedState = s.Status
 	}
 }
 
@@ -179,8 +179,8 @@
 	return m
 }
 
-// nonsense sends reports with impossible fields to a controller.
-func (w *world) nonsense(ctl *Controller) {
+// sendInvalidHeartbeat sends reports with impossible fields to a controller.
+func (w *world) sendInvalidHeartbeat(ctl *Controller) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	r := &wire.Heartbeat{Machine: "m-999999", Addr: "nowhere:1", Type: "box", Zone: "a", Epoch: 1 + w.rng.Uint64N(5), Seq: w.rng.Uint64N(100)}
@@ -189,7 +189,7 @@
 			r.Machine, r.Addr, r.Zone, r.Spot = m.name, m.name, m.zone, m.spot
 			// Backwards: what says that it is newer is a worker's own word, and
 			// nothing protects from a worker that lies.
-			r.Epoch, r.Seq = m.session, w.rng.Uint64N(m.taken+1)
+			r.Epoch, r.Seq = m.epoch, w.rng.Uint64N(m.lastAcceptedSeq+1)
 		}
 		break
 	}
--- a/controller/standin_test.go
+++ b/controller/sim_world_test.go
@@ -28,80 +28,80 @@
 	rng *rand.Rand
 
 	// state service
-	kv       map[string]*entry
-	revision uint64
-	events   []wire.Event
-	leases   map[uint64]*simLease
-	leaseSeq uint64
-	changed  chan struct{}
-	outage   bool
-	cloudOut bool // the cloud answers nothing
-	cutZone  string
+	kv               map[string]*entry
+	revision         uint64
+	storeEvents      []wire.Event
+	leases           map[uint64]*simLease
+	leaseSeq         uint64
+	storeChanged     chan struct{}
+	storeOutage      bool
+	cloudUnavailable bool // the cloud answers nothing
+	partitionedZone  string
 
 	// cloud
-	machines map[string]*simWorker
-	requests map[string][]string
-	seq      int
-	capacity map[string]int // by zone and kind
+	machines     map[string]*simWorker
+	requests     map[string][]string
+	machineCount int
+	capacity     map[string]int // by zone and kind
 
 	controllers []*simController
 	jobs        map[string]*simJob
-	stop        chan struct{}
+	done        chan struct{}
 
 	gangs map[string]*simGang // by job and attempt
 
-	broken     []string
+	violations []string
 	starts     int
 	gangStarts int
 	restarts   int // of tasks that ran already, where a test counts them
 
 	// Guards of the protocol that a test may take away, to see that the
 	// checker notices.
-	noConditions bool    // the state service ignores versions
-	noTokens     bool    // workers take commands under any token
-	late         float64 // share of direct commands that are held back, and of those that come twice
-	noLease      bool    // workers never give up
-	noReturn     bool    // the cloud returns no machine
-	unguarded    bool    // one of these is taken away
-	// deadHangs: what is on a machine that hung past its lease counts as gone. It
+	ignoreConditions   bool    // the state service ignores versions
+	ignoreTokens       bool    // workers take commands under any token
+	lateCommandShare   float64 // share of direct commands that are held back, and of those that come twice
+	ignoreWorkerLeases bool    // workers never give up
+	ignoreScaleIn      bool    // the cloud returns no machine
+	unguarded          bool    // one of these is taken away
+	// hungPastLeaseIsDead: what is on a machine that hung past its lease counts as gone. It
 	// cannot go on, since the worker ends it before anything else, and where no
 	// owner may act nobody can return the machine.
-	deadHangs   bool
-	untold      bool   // controllers do not tell each other of cancellations
-	hasty       bool   // nobody waits for a revoked holder's authority to end
-	freshCopies bool   // late copies of reports pass for new ones
-	mute        string // nobody gets an answer about this job
+	hungPastLeaseIsDead bool
+	hideCancellations   bool   // controllers do not tell each other of cancellations
+	skipAuthorityWait   bool   // nobody waits for a revoked holder's authority to end
+	freshenCopies       bool   // late copies of reports pass for new ones
+	unansweredJob       string // nobody gets an answer about this job
 
-	smaller bool           // the limits that settings announce are in force
-	invalid map[string]int // by key: writes that were over them
+	limitsLowered   bool           // the limits that settings announce are in force
+	oversizedWrites map[string]int // by key: writes that were over them
 
-	calm time.Time // when all troubles were over
-	tame bool      // machines come up, and rentals are answered
+	calmSince     time.Time // when all troubles were over
+	reliableCloud bool      // machines come up, and rentals are answered
 
-	times    times
-	onReturn func(by *simController) // called as a return is decided, with the lock held
-	loss     float64                 // share of answers of workers, and to them, that are lost by chance; 0: as usual
-	lossless bool                    // no answer of a worker, or to one, is lost by chance
-	pause    time.Duration           // between two looks of a worker at itself; 0: 100 ms
-	upIn     time.Duration           // machines are up within this after their rental; 0: after seconds
+	times           times
+	onScaleIn       func(by *simController) // called as a return is decided, with the lock held
+	answerLossShare float64                 // share of answers of workers, and to them, that are lost by chance; 0: as usual
+	noAnswerLoss    bool                    // no answer of a worker, or to one, is lost by chance
+	workerInterval  time.Duration           // between two looks of a worker at itself; 0: 100 ms
+	bootWithin      time.Duration           // machines are up within this after their rental; 0: after seconds
 
 	// What befalls transactions: shares of them.
-	lostAnswers float64       // carried out at once, only the answer is lost
-	lateWrites  float64       // no answer, and carried out seconds later, after newer ones
-	repeats     float64       // carried out once more, later
-	slow        time.Duration // how long the state service takes beside
-
-	lateCopies float64           // share of reports of which a copy comes again, up to well over a lease later
-	keepCopies bool              // all reports are kept, to come again
-	copies     []*wire.Heartbeat // those kept
-
-	disruption    *disruptioncheck.Check // nil: stops are not judged
-	interruptions *disruptioncheck.Check // judges those of arrays and gangs; nil: nothing does
-	haveRun       map[string]bool        // units that interruptions has seen run
-	spotReplicas  bool                   // services may run on spot machines
-	faulty        map[string]bool        // machines that are not in it end every task with an error; nil: none does
-
-	seen map[string]int // what came about, for scenarios to ask after
+	lostAnswerShare    float64       // carried out at once, only the answer is lost
+	lateWriteShare     float64       // no answer, and carried out seconds later, after newer ones
+	repeatedWriteShare float64       // carried out once more, later
+	storeLatency       time.Duration // how long the state service takes beside
+
+	lateCopyShare  float64           // share of reports of which a copy comes again, up to well over a lease later
+	keepHeartbeats bool              // all reports are kept, to come again
+	keptHeartbeats []*wire.Heartbeat // those kept
+
+	disruption       *disruptioncheck.Check // nil: stops are not judged
+	interruptions    *disruptioncheck.Check // judges those of arrays and gangs; nil: nothing does
+	unitsEverRunning map[string]bool        // units that interruptions has seen run
+	spotReplicas     bool                   // services may run on spot machines
+	soundMachines    map[string]bool        // machines that are not in it end every task with an error; nil: none does
+
+	observed map[string]int // what came about, for scenarios to ask after
 }
 
 // times are a deployment's times that the rules depend on, and its limit on a
@@ -122,34 +122,34 @@
 func (t times) cancelWithin() time.Duration { return settings.Seconds(t.cancelS) }
 
 type simController struct {
-	w           *world
-	set         *settings.Settings
-	process     *Controller
-	cancel      context.CancelFunc
-	cutState    bool
-	cutWork     bool      // from workers
-	cutPeers    bool      // from the other controllers
-	cutReports  bool      // reports do not reach it, though it reaches the workers
-	noCalls     bool      // other controllers' calls do not reach it, though its own reach them
-	answered    time.Time // when a report to it was last answered
-	reported    time.Time // and when one last came to it
-	frozenUntil time.Time
+	world               *world
+	set                 *settings.Settings
+	process             *Controller
+	cancel              context.CancelFunc
+	cutFromStore        bool
+	cutFromWorkers      bool      // from workers
+	cutFromPeers        bool      // from the other controllers
+	heartbeatsLost      bool      // reports do not reach it, though it reaches the workers
+	peerCallsLost       bool      // other controllers' calls do not reach it, though its own reach them
+	heartbeatAnsweredAt time.Time // when a report to it was last answered
+	heartbeatReceivedAt time.Time // and when one last came to it
+	frozenUntil         time.Time
 	// unguardDrains takes away what budgets rest on; nil: nothing is.
 	unguardDrains func(*shard.DrainingConfig)
 }
 
-// apart says whether a zone and a controller are on two sides of a cut-off
+// isPartitioned says whether a zone and a controller are on two sides of a cut-off
 // zone's border. The caller holds the lock.
-func (w *world) apart(zone string, n *simController) bool {
-	return (zone == w.cutZone) != (n.set.Zone == w.cutZone)
+func (w *world) isPartitioned(zone string, n *simController) bool {
+	return (zone == w.partitionedZone) != (n.set.Zone == w.partitionedZone)
 }
 
 // waitWhileFrozen is where a controller's calls stand still with it.
 func (n *simController) waitWhileFrozen() {
 	for {
-		n.w.mu.Lock()
+		n.world.mu.Lock()
 		d := time.Until(n.frozenUntil)
-		n.w.mu.Unlock()
+		n.world.mu.Unlock()
 		if d <= 0 {
 			return
 		}
@@ -161,7 +161,7 @@
 // handle nothing, though messages come in, and its calls stand before and after
 // the outside has carried them out.
 func (n *simController) freeze(d time.Duration) {
-	w := n.w
+	w := n.world
 	w.mu.Lock()
 	ctl := n.process
 	n.frozenUntil = time.Now().Add(d)
@@ -192,19 +192,19 @@
 func (s frozenRequest) Respond(*httpwire.Response) { s.n.waitWhileFrozen() }
 
 func newWorld(seed uint64, zones []string, nodes int) *world {
-	return newWorldOf(seed, zones, nodes, dayTimes)
+	return newWorldWithTimes(seed, zones, nodes, dayTimes)
 }
 
-func newWorldOf(seed uint64, zones []string, nodes int, t times) *world {
+func newWorldWithTimes(seed uint64, zones []string, nodes int, t times) *world {
 	w := &world{
 		times: t,
-		rng:   rand.New(rand.NewPCG(seed, 7)), kv: map[string]*entry{}, leases: map[uint64]*simLease{}, changed: make(chan struct{}),
-		machines: map[string]*simWorker{}, requests: map[string][]string{}, capacity: map[string]int{}, gangs: map[string]*simGang{}, invalid: map[string]int{}, jobs: map[string]*simJob{}, stop: make(chan struct{}), late: 0.15,
-		lostAnswers: 0.01, lateWrites: 0.01, repeats: 0.02, lateCopies: 0.03, seen: map[string]int{},
+		rng:   rand.New(rand.NewPCG(seed, 7)), kv: map[string]*entry{}, leases: map[uint64]*simLease{}, storeChanged: make(chan struct{}),
+		machines: map[string]*simWorker{}, requests: map[string][]string{}, capacity: map[string]int{}, gangs: map[string]*simGang{}, oversizedWrites: map[string]int{}, jobs: map[string]*simJob{}, done: make(chan struct{}), lateCommandShare: 0.15,
+		lostAnswerShare: 0.01, lateWriteShare: 0.01, repeatedWriteShare: 0.02, lateCopyShare: 0.03, observed: map[string]int{},
 	}
 	var b strings.Builder
 	for i := range nodes {
-		w.controllers = append(w.controllers, &simController{w: w})
+		w.controllers = append(w.controllers, &simController{world: w})
 		b.Reset()
 		fmt.Fprintf(&b, "node = \"n-%d\"\ndomain = %q\nbind = \"10.0.0.%d:80\"\nback = \"10.0.0.%d:81\"\n", i, zones[i%len(zones)], i+1, i+1)
 		for k := range nodes {
@@ -239,30 +239,30 @@
 	return w.rng.Float64() < p
 }
 
-func (w *world) between(lo, hi time.Duration) time.Duration {
+func (w *world) randomDuration(lo, hi time.Duration) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return lo + time.Duration(w.rng.Int64N(int64(hi-lo)+1))
 }
 
-// broke records a broken rule. The caller holds the lock.
-func (w *world) broke(rule, format string, args ...any) {
-	w.broken = append(w.broken, rule+": "+fmt.Sprintf(format, args...))
+// violate records a broken rule. The caller holds the lock.
+func (w *world) violate(rule, format string, args ...any) {
+	w.violations = append(w.violations, rule+": "+fmt.Sprintf(format, args...))
 	slog.Error("rule broken", "rule", rule, "what", fmt.Sprintf(format, args...))
 }
 
 func (n *simController) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	out := Dependencies{Store: &simStore{n}, Unthrottled: &simStore{n}, Background: &simStore{n}, Urgent: &simStore{n}, Cloud: &simCloud{n}, Workers: func() Workers { return &simCommands{n} }, Peers: map[string]Peer{}, Monitors: map[string]MonitorPeer{}, Drains: map[string]DrainPeer{}}
-	for _, o := range n.w.controllers {
+	for _, o := range n.world.controllers {
 		if o != n {
 			out.Peers[o.set.Controller] = simPeer{n, o}
 			out.Monitors[o.set.Controller] = simPeer{n, o}
 			out.Drains[o.set.Controller] = simPeer{n, o}
 		}
 	}
-	n.w.mu.Lock()
-	defer n.w.mu.Unlock()
+	n.world.mu.Lock()
+	defer n.world.mu.Unlock()
 	if n.process != nil { // never two processes under one name
 		cancel()
 		return
@@ -277,17 +277,17 @@
 }
 
 func (n *simController) kill() {
-	n.w.mu.Lock()
-	defer n.w.mu.Unlock()
+	n.world.mu.Lock()
+	defer n.world.mu.Unlock()
 	if n.process != nil {
 		n.cancel()
 		n.process = nil
 	}
 }
 
-func (n *simController) up() *Controller {
-	n.w.mu.Lock()
-	defer n.w.mu.Unlock()
+func (n *simController) running() *Controller {
+	n.world.mu.Lock()
+	defer n.world.mu.Unlock()
 	return n.process
 }
 
@@ -295,11 +295,11 @@
 
 // reach goes over the link to the other controller, if it is open.
 func (p simPeer) reach(ctx context.Context) (*Controller, error) {
-	time.Sleep(p.from.w.between(time.Millisecond, 4*time.Millisecond))
-	ctl := p.to.up()
-	p.from.w.mu.Lock()
-	cut := p.from.cutPeers || p.to.cutPeers || p.from.w.apart(p.from.set.Zone, p.to) || p.to.noCalls
-	p.from.w.mu.Unlock()
+	time.Sleep(p.from.world.randomDuration(time.Millisecond, 4*time.Millisecond))
+	ctl := p.to.running()
+	p.from.world.mu.Lock()
+	cut := p.from.cutFromPeers || p.to.cutFromPeers || p.from.world.isPartitioned(p.from.set.Zone, p.to) || p.to.peerCallsLost
+	p.from.world.mu.Unlock()
 	if ctl == nil || ctx.Err() != nil || cut {
 		return nil, fmt.Errorf("%w: unreachable", kvstore.ErrOutcomeUnknown)
 	}
@@ -314,7 +314,7 @@
 	}
 	p.to.waitWhileFrozen()
 	r := ctl.HandlePeerStatus(s)
-	if p.from.w.untold {
+	if p.from.world.hideCancellations {
 		r.LatestCancellation, r.Cancellations = 0, nil
 	}
 	p.from.waitWhileFrozen()
@@ -329,6 +329,6 @@
 	}
 	r := ctl.HandlePeerCommit(ctx, t)
 	p.from.waitWhileFrozen()
-	p.from.w.do(func() { p.from.w.seen["relayed "+string(r.Outcome)]++ })
+	p.from.world.locked(func() { p.from.world.observed["relayed "+string(r.Outcome)]++ })
 	return r.Result()
 }
--- a/controller/term_test.go
+++ b/controller/term_renewal_test.go
@@ -12,10 +12,10 @@
 // An owner whose term's numbers run out goes on under a new term of its own, and what
 // runs on its machines runs on.
 func TestOwnerRenewsItsTermInTime(t *testing.T) {
-	undisturbed(t, 3, 6, func(w *world) {
+	expectUndisturbed(t, 3, 6, func(w *world) {
 		for range 3 {
 			owner, term := w.owner("a"), w.term("a")
-			w.controllers[owner].up().control.Tell(newTermRequest{"a"})
+			w.controllers[owner].running().control.Tell(newTermRequest{"a"})
 			time.Sleep(20 * time.Second)
 			if w.owner("a") != owner || w.term("a") != term+1 {
 				t.Errorf("owner %d, term %d became owner %d, term %d", owner, term, w.owner("a"), w.term("a"))
@@ -31,7 +31,7 @@
 
 // An owner's actor asks for the new term, and asks again as long as it has none.
 func TestOwnerAsksForNewTerm(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, []string{"a", "b"}, 3)
 		out := Dependencies{Store: &simStore{w.controllers[0]}, Unthrottled: &simStore{w.controllers[0]}, Background: &simStore{w.controllers[0]}, Urgent: &simStore{w.controllers[0]},
