--- a/constants/peers.go
+++ b/constants/peers.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Controllers among themselves.
+// Calls between controllers.
 const (
-	// PeerMaxMessage bounds a message (bytes); counts of many jobs may be long.
-	PeerMaxMessage = 4 << 20
-	// PeerBuffer is gRPC's buffer per connection and direction (bytes).
-	PeerBuffer = 8 << 10
+	// PeerMaxMessageBytes bounds a message (bytes); the counts of many jobs may be long.
+	PeerMaxMessageBytes = 4 << 20
+	// PeerBufferBytes is the size of gRPC's buffer for each connection and direction (bytes).
+	PeerBufferBytes = 8 << 10
 	// PeerTimeout bounds a call to another controller.
 	PeerTimeout = 1500 * time.Millisecond
-	// MinCancellationsKept is how many of the latest cancellations are remembered at
-	// least, to be named to a controller whose feed is behind (jobs): those of
-	// minutes at several a second, where a feed is behind by a lease's life.
+	// MinCancellationsKept is how many of the latest cancellations are kept at least, to
+	// be listed to a controller whose watch feed is behind (jobs): at several a second,
+	// those of minutes, where a feed is behind by the life of a lease.
 	MinCancellationsKept = 512
-	// StoreSilenceTimeout is when a controller that heard nothing from the state
-	// service counts as cut off from it.
+	// StoreSilenceTimeout is the time without a response of the store after which a
+	// controller counts as cut off from it.
 	StoreSilenceTimeout = 3 * time.Second
 )
--- a/peer/client.go
+++ b/peer/client.go
@@ -32,8 +32,8 @@
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithDefaultCallOptions(grpc.ForceCodec(codec{})),
 		grpc.WithDisableServiceConfig(),
-		grpc.WithReadBufferSize(constants.PeerBuffer),
-		grpc.WithWriteBufferSize(constants.PeerBuffer),
+		grpc.WithReadBufferSize(constants.PeerBufferBytes),
+		grpc.WithWriteBufferSize(constants.PeerBufferBytes),
 		grpc.WithConnectParams(grpc.ConnectParams{
 			Backoff:           reconnectBackoff,
 			MinConnectTimeout: constants.DialTimeout,
--- a/peer/detection.go
+++ b/peer/detection.go
@@ -73,14 +73,14 @@
 // code that gRPC itself replies with where a version does not know the method.
 var errDetectionOff = status.Error(codes.Unimplemented, "failure detection is off")
 
-var heartbeatMethodDesc = unaryMethod(heartbeatMethod, func(h Handlers) (func(context.Context, detector.Message) (detector.Message, error), error) {
+var heartbeatMethodDesc = unaryMethod(heartbeatMethod, func(h Handlers) (methodHandler[detector.Message, detector.Message], error) {
 	if h.Detection.Heartbeat == nil {
 		return nil, errDetectionOff
 	}
 	return h.Detection.Heartbeat, nil
 })
 
-var probeMethodDesc = unaryMethod(probeMethod, func(h Handlers) (func(context.Context, ProbeRequest) (ProbeReply, error), error) {
+var probeMethodDesc = unaryMethod(probeMethod, func(h Handlers) (methodHandler[ProbeRequest, ProbeReply], error) {
 	if h.Detection.Probe == nil {
 		return nil, errDetectionOff
 	}
--- a/peer/drain.go
+++ b/peer/drain.go
@@ -94,7 +94,7 @@
 	return reply, fmt.Errorf("peer: %w", err)
 }
 
-var drainMethodDesc = unaryMethod(drainMethod, func(h Handlers) (func(context.Context, DrainRequest) (DrainReply, error), error) {
+var drainMethodDesc = unaryMethod(drainMethod, func(h Handlers) (methodHandler[DrainRequest, DrainReply], error) {
 	if h.Drain == nil {
 		return nil, status.Error(codes.Unimplemented, "draining is off")
 	}
--- a/peer/relay.go
+++ b/peer/relay.go
@@ -86,6 +86,6 @@
 	return 0, fmt.Errorf("%w: relay: %w", kvstore.ErrOutcomeUnknown, err)
 }
 
-var commitMethodDesc = unaryMethod(commitMethod, func(h Handlers) (func(context.Context, wire.Txn) (CommitReply, error), error) {
+var commitMethodDesc = unaryMethod(commitMethod, func(h Handlers) (methodHandler[wire.Txn, CommitReply], error) {
 	return func(ctx context.Context, t wire.Txn) (CommitReply, error) { return h.Commit(ctx, t), nil }, nil
 })
--- a/peer/server.go
+++ b/peer/server.go
@@ -39,9 +39,12 @@
 	},
 }
 
+// methodHandler answers the requests of one method.
+type methodHandler[Request, Reply any] = func(context.Context, Request) (Reply, error)
+
 // unaryMethod describes a method with one request and one reply. handlerOf returns the
-// function that answers it, or the error that answers all calls where it is off.
-func unaryMethod[Request, Reply any](name string, handlerOf func(Handlers) (func(context.Context, Request) (Reply, error), error)) grpc.MethodDesc {
+// method's handler, or the error that answers all calls where the method is off.
+func unaryMethod[Request, Reply any](name string, handlerOf func(Handlers) (methodHandler[Request, Reply], error)) grpc.MethodDesc {
 	answer := func(srv any, ctx context.Context, decode func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
 		handle, err := handlerOf(srv.(Handlers))
 		if err != nil {
@@ -64,10 +67,10 @@
 		return fmt.Errorf("peer: %w", err)
 	}
 	server := grpc.NewServer(
-		grpc.MaxRecvMsgSize(constants.PeerMaxMessage),
+		grpc.MaxRecvMsgSize(constants.PeerMaxMessageBytes),
 		grpc.NumStreamWorkers(1),
-		grpc.ReadBufferSize(constants.PeerBuffer),
-		grpc.WriteBufferSize(constants.PeerBuffer))
+		grpc.ReadBufferSize(constants.PeerBufferBytes),
+		grpc.WriteBufferSize(constants.PeerBufferBytes))
 	server.RegisterService(&serviceDesc, h)
 	context.AfterFunc(ctx, server.Stop)
 	return server.Serve(listener)
--- a/peer/status.go
+++ b/peer/status.go
@@ -75,6 +75,6 @@
 	return reply, err
 }
 
-var pushMethodDesc = unaryMethod(pushMethod, func(h Handlers) (func(context.Context, Status) (StatusReply, error), error) {
+var pushMethodDesc = unaryMethod(pushMethod, func(h Handlers) (methodHandler[Status, StatusReply], error) {
 	return func(_ context.Context, s Status) (StatusReply, error) { return h.Status(s), nil }, nil
 })
