--- /dev/null
+++ b/shard/cordon.go
@@ -0,0 +1,69 @@
+package shard
+
+import (
+	"log/slog"
+	"time"
+
+	"ravenport/drain"
+	"ravenport/logkey"
+	"ravenport/records"
+)
+
+// cordon says that a machine takes no new tasks because a drain has chosen it.
+type cordon struct {
+	drain int // number of the drain
+	since time.Time
+}
+
+// isCordonedBy says whether a drain has cordoned a machine.
+func (m *machine) isCordonedBy(number int) bool { return m.cordon != nil && m.cordon.drain == number }
+
+// cordonNext cordons the machines that a drain chooses next of those that it selects.
+func (c *Core) cordonNext(now time.Time, number int, s *drain.ShardDrain, selected []*machine) {
+	byName := make(map[string]*machine, len(selected))
+	candidates := make([]drain.Candidate, 0, len(selected))
+	for _, m := range selected {
+		byName[m.name] = m
+		usage := c.usageOf(m)
+		candidates = append(candidates, drain.Candidate{
+			Name:       m.name,
+			IsCordoned: m.cordon != nil || m.scalingIn,
+			Services:   usage.services,
+			UsedCPUs:   usage.used.cpus,
+		})
+	}
+	for _, name := range s.ChooseMachines(now, candidates, len(c.fleet)) {
+		slog.Info("cordoning machine", logkey.Machine, name, "drain", number)
+		byName[name].cordon = &cordon{number, now}
+		c.aggregateChanged = true
+	}
+}
+
+// uncordonMachines lifts the cordons of drains that do not run any more.
+func (c *Core) uncordonMachines() {
+	for _, m := range c.fleet {
+		if m.cordon == nil || c.draining.isRunning(m.cordon.drain) {
+			continue
+		}
+		slog.Info("cordon is lifted", logkey.Machine, m.name, "drain", m.cordon.drain)
+		m.cordon = nil
+		c.needsPlacement = true
+		c.aggregateChanged = true
+	}
+}
+
+// selectableMachine is a machine as a drain's selection sees it.
+func (o *ownership) selectableMachine(m *machine) drain.Machine {
+	return drain.Machine{Name: m.name, Zone: o.cfg.Shard, Type: m.typeName, Spot: m.spot}
+}
+
+// selectedMachines lists the machines that match a drain's selection and are still there.
+func (v *fleetView) selectedMachines(s *records.Selection) []*machine {
+	var out []*machine
+	for _, m := range v.fleet {
+		if !m.leavingInventory && drain.Matches(s, v.selectableMachine(m)) {
+			out = append(out, m)
+		}
+	}
+	return out
+}
--- a/shard/core.go
+++ b/shard/core.go
@@ -149,7 +149,7 @@
 		}
 		if scanFleet {
 			c.releaseReservations(&c.fleetView, now)
-			c.evictFromNoticedMachines(&c.fleetView, now)
+			c.evictFromReclaimedMachines(&c.fleetView, now)
 			c.consolidate(now)
 		}
 		c.advanceDrains(now)
--- a/shard/doc.go
+++ b/shard/doc.go
@@ -15,7 +15,8 @@
 //   - scaleout, scaleoutgang, machineoffer, pendingcapacity, backlog, arrivals, forecast,
 //     reserve: scale out, and the capacity that is held in reserve
 //   - spotreclaim, consolidation: machines that the cloud takes back, and those to do without
-//   - draining, migration, drainplan, interruptions: drains, and disruption budgets
+//   - draining, cordon, eviction, migration, drainplan, availability, interruptions: drains,
+//     and disruption budgets
 //   - liveness, partition, cloudlist, scalein: lease expiry, machines that do not send
 //     heartbeats or do not receive commands, partitions, and scale in
 //   - assignments: closing of finished assignments in the jobs' records
--- a/shard/drainplan.go
+++ b/shard/drainplan.go
@@ -9,10 +9,10 @@
 	"ravenport/records"
 )
 
-// PlanDrain says what a drain would do in this shard.
+// PlanDrain says what a drain with a selection would do in this shard.
 func (c *Core) PlanDrain(now time.Time, s *records.Selection) drain.ShardPlan {
 	p := drain.ShardPlan{Shard: c.cfg.Shard, MovesByBudget: map[string]int{}, BudgetUsage: c.Usage(now)}
-	promised := c.draining.reservedForMigrations()
+	reserved := c.draining.reservedForMigrations()
 	for _, m := range c.selectedMachines(s) {
 		p.Machines++
 		if c.usageOf(m).active == 0 {
@@ -20,8 +20,9 @@
 			continue
 		}
 		for _, a := range m.attempts {
-			if t := c.taskOf(a); t != nil && t.attempt == a && !a.hasExited() {
-				c.planTaskMigration(now, &p, t, promised)
+			t := c.taskOf(a)
+			if t != nil && t.attempt == a && !a.hasExited() {
+				c.planTask(now, &p, t, reserved)
 			}
 		}
 	}
@@ -32,30 +33,42 @@
 	return p
 }
 
-// planTaskMigration adds what is known of one task's move.
-func (c *Core) planTaskMigration(now time.Time, p *drain.ShardPlan, t *task, promised map[*machine]resources) {
-	s := &t.job.rec.Spec
-	if !s.IsService() {
+// planTask adds a task to a plan, with the obstacle to its migration if there is one.
+func (c *Core) planTask(now time.Time, p *drain.ShardPlan, t *task, reserved map[*machine]resources) {
+	if !t.job.rec.Spec.IsService() {
 		p.ArrayTasks++
 		return
 	}
-	keys := c.draining.budgetsOf(t.job)
-	if len(keys) == 0 {
+	budgets := c.draining.budgetsOf(t.job)
+	if len(budgets) == 0 {
 		p.MovesByBudget[""]++
 	}
-	for _, k := range keys {
-		p.MovesByBudget[k.String()]++
+	for _, b := range budgets {
+		p.MovesByBudget[b.String()]++
 	}
-	obstacle := func(why string, permanent bool) {
-		if len(p.Obstacles) < constants.MaxDrainMachineNames {
-			p.Obstacles = append(p.Obstacles, drain.Obstacle{JobID: s.ID, Machine: t.attempt.machine.name, Reason: why, IsPermanent: permanent})
-		}
+	obstacle := c.migrationObstacle(now, t, reserved)
+	if obstacle != nil && len(p.Obstacles) < constants.MaxDrainMachineNames {
+		p.Obstacles = append(p.Obstacles, *obstacle)
 	}
-	if refused := c.draining.ledger.Check(now, keys); refused != nil && refused.Reason == disruption.ReasonNeverAllowed {
-		obstacle(refused.Error(), true)
-	} else if !c.cheapestOffer(&c.fleetView, now, s).isAvailable() && c.migrationTarget(&c.fleetView, now, s, promised) == nil {
-		obstacle("no machine has room for it, and none can be rented now", false)
+}
+
+// migrationObstacle is what stands in the way of a service's task, nil if nothing does: its
+// budgets never let it stop, or there is and will be no capacity for it.
+func (c *Core) migrationObstacle(now time.Time, t *task, reserved map[*machine]resources) *drain.Obstacle {
+	s := &t.job.rec.Spec
+	obstacle := &drain.Obstacle{JobID: s.ID, Machine: t.attempt.machine.name}
+	refusal := c.draining.ledger.Check(now, c.draining.budgetsOf(t.job))
+	if refusal != nil && refusal.Reason == disruption.ReasonNeverAllowed {
+		obstacle.Reason = refusal.Error()
+		obstacle.IsPermanent = true
+		return obstacle
+	}
+	canScaleOut := c.cheapestOffer(&c.fleetView, now, s).isAvailable()
+	if canScaleOut || c.migrationTarget(&c.fleetView, now, s, reserved) != nil {
+		return nil
 	}
+	obstacle.Reason = errNoOfferForDrain.Error()
+	return obstacle
 }
 
 // DrainProgress is how far the drains have come in this shard.
@@ -70,11 +83,12 @@
 	return out
 }
 
+// progress is how far one drain has come in this shard.
 func (d *draining) progress(v *fleetView, number int, s *drain.ShardDrain) drain.ShardProgress {
 	p := drain.ShardProgress{Drain: number, Shard: v.cfg.Shard, WaitingFor: d.waitReasons[number], ConsecutiveFailures: s.ConsecutiveFailures()}
 	for _, m := range v.selectedMachines(&s.Record().Selection) {
 		p.Remaining++
-		if m.cordon != nil && m.cordon.drain == number && len(p.Cordoned) < constants.MaxDrainMachineNames {
+		if m.isCordonedBy(number) && len(p.Cordoned) < constants.MaxDrainMachineNames {
 			p.Cordoned = append(p.Cordoned, m.name)
 		}
 	}
@@ -86,7 +100,7 @@
 	return p
 }
 
-// Usage is how much of the budgets is used, as the owner knows it.
+// Usage is the use of the disruption budgets as far as the owner knows it.
 func (c *Core) Usage(now time.Time) []disruption.Usage {
 	if c.draining == nil {
 		return nil
--- /dev/null
+++ b/shard/eviction.go
@@ -0,0 +1,85 @@
+package shard
+
+import (
+	"errors"
+	"time"
+)
+
+// Reasons why a drain does not get on with a machine. Their texts are part of a drain's
+// status, which docs/operators-draining.md explains, and so have no prefix. A refusal by a
+// budget is a disruption.RefusalError.
+var (
+	errNoReply         = errors.New("the machine does not answer")
+	errArrayGrace      = errors.New("tasks of arrays or gangs get time to end")
+	errSearchesUsedUp  = errors.New("others are looked at first")
+	errNoOfferForDrain = errors.New("no machine has room for it, and none can be rented now")
+)
+
+// notAvailableError says that a task is about to become available, and is left alone until
+// then.
+type notAvailableError struct{ jobID string }
+
+// Error implements error.
+func (e *notAvailableError) Error() string { return "a task of " + e.jobID + " is not up yet" }
+
+// noCapacityError says that no machine has capacity for a task that would migrate.
+type noCapacityError struct{ jobID string }
+
+// Error implements error.
+func (e *noCapacityError) Error() string { return "no machine has room for a task of " + e.jobID }
+
+// evict requests that an attempt stops; its task starts again where there is capacity.
+func (q *outbox) evict(a *attempt) {
+	a.stopRequested = true
+	a.machine.usageStale = true
+	q.requestCommand(a.machine)
+}
+
+// evictFromCordoned evicts what may be evicted from a machine that a drain has cordoned.
+// The first reason for which something stays is what the drain waits for.
+func (c *Core) evictFromCordoned(now time.Time, m *machine, number int) {
+	if m.isUnconfirmed() || c.isUnreachable(now, m) {
+		c.draining.noteWaitReason(number, m, errNoReply)
+		return
+	}
+	for _, a := range m.attempts {
+		t := c.taskOf(a)
+		if !isEvictable(a, t) {
+			continue
+		}
+		var err error
+		if t.job.rec.Spec.IsService() {
+			err = c.migrateService(now, number, t)
+		} else {
+			err = c.evictBatchTask(now, t, a)
+		}
+		if err != nil {
+			c.draining.noteWaitReason(number, m, err)
+		}
+	}
+}
+
+// noteWaitReason records what a drain waits for, unless it is known to wait for something
+// else.
+func (d *draining) noteWaitReason(number int, m *machine, reason error) {
+	if d.waitReasons[number] == "" {
+		d.waitReasons[number] = m.name + ": " + reason.Error()
+	}
+}
+
+// evictBatchTask evicts a task of an array, or the whole gang that a task is part of, if it
+// has had time to end by itself and its budgets allow it. The error says why it stays.
+func (c *Core) evictBatchTask(now time.Time, t *task, a *attempt) error {
+	if now.Sub(a.machine.cordon.since) < c.draining.cfg.Policy.ArrayGracePeriod {
+		return errArrayGrace
+	}
+	if err := c.draining.tryInterrupt(now, t); err != nil {
+		return err
+	}
+	if t.job.gang != nil {
+		c.stopGangWithCheckpoint(t.job, "machine drained")
+		return nil
+	}
+	c.evict(a)
+	return nil
+}
--- a/shard/gangattempt.go
+++ b/shard/gangattempt.go
@@ -113,7 +113,7 @@
 		return
 	}
 	g.failed = true
-	slog.Info("gang attempt failed", logkey.JobID, j.rec.ID, "attempt", g.attempt, "why", reason, "has_run", g.hasRun)
+	slog.Info("gang attempt failed", logkey.JobID, j.rec.ID, "attempt", g.attempt, "reason", reason, "has_run", g.hasRun)
 	for _, t := range j.tasks {
 		a := t.attempt
 		if a == nil || a.hasExited() {
@@ -138,7 +138,7 @@
 // stopGangWithCheckpoint stops all tasks of a gang at once, with time for a checkpoint. The
 // reason is for the log.
 func (q *outbox) stopGangWithCheckpoint(j *job, reason string) {
-	slog.Info("stopping gang with checkpoint", logkey.JobID, j.rec.ID, "why", reason)
+	slog.Info("stopping gang with checkpoint", logkey.JobID, j.rec.ID, "reason", reason)
 	for _, t := range j.tasks {
 		if t.attempt != nil && !t.attempt.hasExited() {
 			q.evict(t.attempt)
--- a/shard/interruptions.go
+++ b/shard/interruptions.go
@@ -6,42 +6,54 @@
 	"ravenport/disruption"
 )
 
-// interruptionUnit is what a budget of interruptions counts as one: a task of an array, or a gang.
+// interruptionUnit is what a disruption budget counts as one interruption: a task of an
+// array, or a gang.
 type interruptionUnit struct {
 	job   *job
-	index int
+	index int // of the task, or wholeGang
 }
 
 // wholeGang is the index of the unit that is a gang.
 const wholeGang = -1
 
-// interruption is what is known of one unit.
+// interruptionUnitOf is the unit that a task is, or is part of.
+func interruptionUnitOf(t *task) interruptionUnit {
+	if t.job.gang != nil {
+		return interruptionUnit{t.job, wholeGang}
+	}
+	return interruptionUnit{t.job, t.index}
+}
+
+// interruption is the state of one unit.
 type interruption struct {
 	keys        []disruption.BudgetKey
-	hasRun      bool // it runs, or did when it was last looked at
-	interrupted bool // it ran, and has not proved itself again since
+	hasRun      bool // it runs, or did when it was last observed
+	interrupted bool // it ran, and has not become available again since
 	observedAt  time.Time
 }
 
-// markInterrupted takes in that the unit is told to stop, at once: it may be sent on to another
-// shard before it is looked at again.
-func (i *interruption) markInterrupted() { i.hasRun, i.interrupted = false, true }
+// markInterrupted notes that a unit is being stopped, or was by an earlier owner. It is
+// noted at once, as the unit may be offloaded to another shard before it is observed again.
+func (i *interruption) markInterrupted() {
+	i.hasRun = false
+	i.interrupted = true
+}
 
-// interruptions is the owner's state of arrays and gangs that budgets count. Those may
-// wait for long before they begin, so a unit counts only from when it ran and does not any
-// more until it runs again and has proved itself, or its job ends. One that is sent on to
-// another shard meanwhile counts for some time more.
+// interruptions is the state of arrays and gangs that disruption budgets count. Those may
+// wait for long before they first run, so a unit counts only once it has run, and no more
+// when it is available again or its job ends. One that is offloaded to another shard
+// meanwhile counts for the retention time.
 type interruptions struct {
 	units     map[interruptionUnit]*interruption
-	retention time.Duration // for how long one that was sent on counts
+	retention time.Duration
 }
 
-func newInterruptions(linger time.Duration) interruptions {
-	return interruptions{units: map[interruptionUnit]*interruption{}, retention: linger}
+func newInterruptions(retention time.Duration) interruptions {
+	return interruptions{units: map[interruptionUnit]*interruption{}, retention: retention}
 }
 
-// observe takes in whether a unit runs now, and whether it has proved itself.
-func (s *interruptions) observe(now time.Time, u interruptionUnit, keys []disruption.BudgetKey, runs, isUp bool) {
+// observe takes in whether a unit runs now, and whether it is available.
+func (s *interruptions) observe(now time.Time, u interruptionUnit, keys []disruption.BudgetKey, isRunning, isAvailable bool) {
 	i := s.units[u]
 	if i == nil {
 		i = &interruption{keys: keys}
@@ -49,21 +61,19 @@
 	}
 	i.observedAt = now
 	switch {
-	case runs:
+	case isRunning:
 		i.hasRun = true
-		i.interrupted = i.interrupted && !isUp
+		i.interrupted = i.interrupted && !isAvailable
 	case i.hasRun:
-		i.hasRun, i.interrupted = false, true
+		i.markInterrupted()
 	}
 }
 
-// markInterrupted takes a unit that waits for one that an earlier owner saw interrupted.
-func (s *interruptions) markInterrupted(u interruptionUnit) { s.units[u].interrupted = true }
-
-// forget forgets a unit that is done.
+// forget removes a unit that is done.
 func (s *interruptions) forget(u interruptionUnit) { delete(s.units, u) }
 
-// count says how many units are interrupted, once all that are here were looked at.
+// count says how many units are interrupted by budget, once all that are in the shard were
+// observed at the given time.
 func (s *interruptions) count(now time.Time) disruption.Counts {
 	out := disruption.Counts{}
 	for u, i := range s.units {
@@ -79,99 +89,88 @@
 	return out
 }
 
-// interruptionUnitOf is the unit that a task is, or is part of.
-func interruptionUnitOf(t *task) interruptionUnit {
-	if t.job.gang != nil {
-		return interruptionUnit{t.job, wholeGang}
-	}
-	return interruptionUnit{t.job, t.index}
-}
-
-// observeInterruptions looks at all arrays and gangs that budgets count.
+// observeInterruptions observes all arrays and gangs that budgets count.
 func (d *draining) observeInterruptions(v *fleetView, now time.Time) disruption.Counts {
-	s := &d.interruptions
 	for _, j := range v.jobs {
 		if j.rec.End != "" || j.rec.Spec.IsService() {
 			continue
 		}
-		keys := d.budgetsOf(j)
-		if len(keys) == 0 {
-			continue
-		}
-		if j.gang != nil {
-			d.observeGang(v, now, j, keys)
-			continue
-		}
-		for _, t := range j.tasks {
-			if t.done {
-				s.forget(interruptionUnitOf(t))
-				continue
-			}
-			s.observe(now, interruptionUnitOf(t), keys, v.isRunningTask(now, t), d.isAvailable(v, now, t))
+		budgets := d.budgetsOf(j)
+		switch {
+		case len(budgets) == 0:
+		case j.gang != nil:
+			d.observeGang(v, now, j, budgets)
+		default:
+			d.observeArray(v, now, j, budgets)
 		}
 	}
 	if v.rebuilt && !d.hasInheritedInterruptions {
 		d.hasInheritedInterruptions = true
 		d.inheritInterruptions()
 	}
-	return s.count(now)
+	return d.interruptions.count(now)
+}
+
+// observeArray observes the tasks of an array.
+func (d *draining) observeArray(v *fleetView, now time.Time, j *job, budgets []disruption.BudgetKey) {
+	for _, t := range j.tasks {
+		unit := interruptionUnitOf(t)
+		if t.done {
+			d.interruptions.forget(unit)
+			continue
+		}
+		d.interruptions.observe(now, unit, budgets, v.isRunningTask(now, t), d.isAvailable(v, now, t))
+	}
 }
 
-// observeGang looks at a gang, which runs if all its tasks here do.
-func (d *draining) observeGang(v *fleetView, now time.Time, j *job, keys []disruption.BudgetKey) {
-	whole := interruptionUnit{j, wholeGang}
+// observeGang observes a gang, which runs if all its tasks in the shard do.
+func (d *draining) observeGang(v *fleetView, now time.Time, j *job, budgets []disruption.BudgetKey) {
+	unit := interruptionUnit{j, wholeGang}
 	if j.gang.done {
-		d.interruptions.forget(whole)
+		d.interruptions.forget(unit)
 		return
 	}
-	runs, isUp := true, true
+	isRunning, isAvailable := true, true
 	for _, t := range j.tasks {
-		runs = runs && v.isRunningTask(now, t)
-		isUp = isUp && d.isAvailable(v, now, t)
+		isRunning = isRunning && v.isRunningTask(now, t)
+		isAvailable = isAvailable && d.isAvailable(v, now, t)
 	}
-	d.interruptions.observe(now, whole, keys, runs, isUp)
+	d.interruptions.observe(now, unit, budgets, isRunning, isAvailable)
 }
 
-// inheritInterruptions takes as many units that wait as earlier owners claimed for those
-// that were interrupted: which ones those are is not stored.
+// inheritInterruptions takes as many waiting units as interrupted as earlier owners claimed:
+// which ones those were is not stored.
 func (d *draining) inheritInterruptions() {
-	s := &d.interruptions
-	taken := disruption.Counts{}
-	for u, i := range s.units {
+	inherited := disruption.Counts{}
+	for _, i := range d.interruptions.units {
 		if i.hasRun {
 			continue
 		}
-		for _, k := range i.keys {
-			if taken[k] < d.ledger.InheritedUnavailable(k) {
-				s.markInterrupted(u)
-				taken.Add(i.keys, 1)
+		for _, b := range i.keys {
+			if inherited[b] < d.ledger.InheritedUnavailable(b) {
+				i.markInterrupted()
+				inherited.Add(i.keys, 1)
 				break
 			}
 		}
 	}
 }
 
-// isRunningTask says whether a task runs, as far as is known, and is not told to stop.
-func (l *liveness) isRunningTask(now time.Time, t *task) bool {
-	a := t.attempt
-	return a != nil && !a.stopRequested && a.isRunning() && !l.isUnreachable(now, a.machine)
-}
-
-// tryInterrupt asks the account whether a task of an array, or the gang that it is in, may be
-// interrupted, and says why not.
-func (d *draining) tryInterrupt(now time.Time, t *task) string {
+// tryInterrupt asks the ledger for the interruption of an array's task, or of the gang that
+// the task is part of. The error says why it is not allowed now.
+func (d *draining) tryInterrupt(now time.Time, t *task) error {
 	i := d.interruptions.units[interruptionUnitOf(t)]
 	switch {
 	case i == nil:
-		return "" // no budget counts it
+		return nil // no budget counts it
 	case i.interrupted && d.mayBecomeAvailable(now, t.attempt):
-		return "a task of " + t.job.rec.ID + " is not up yet"
+		return &notAvailableError{t.job.rec.ID}
 	case !i.hasRun:
-		return "" // nothing that ran is lost
+		return nil // nothing that ran is lost
 	}
-	if refused := d.ledger.RequestStop(now, i.keys); refused != nil {
-		return refused.Error()
+	if refusal := d.ledger.RequestStop(now, i.keys); refusal != nil {
+		return refusal
 	}
 	i.markInterrupted()
-	return ""
+	return nil
 }
--- a/shard/migration.go
+++ b/shard/migration.go
@@ -6,134 +6,99 @@
 
 	"ravenport/constants"
 	"ravenport/disruption"
+	"ravenport/logkey"
 	"ravenport/wire"
 )
 
-// evictFromCordoned moves what it can off a cordoned machine. Whatever keeps it from more is noted
-// as what the drain waits for.
-func (c *Core) evictFromCordoned(now time.Time, m *machine, number int) {
-	wait := func(why string) {
-		if c.draining.waitReasons[number] == "" {
-			c.draining.waitReasons[number] = m.name + ": " + why
-		}
-	}
-	if m.isUnconfirmed() || c.isUnreachable(now, m) {
-		wait("the machine does not answer")
-		return
-	}
-	for _, a := range m.attempts {
-		t := c.taskOf(a)
-		if !isEvictable(a, t) {
-			continue
-		}
-		if !t.job.rec.Spec.IsService() {
-			c.evictBatchTask(now, t, a, wait)
-			continue
-		}
-		if why := c.migrateService(now, number, t); why != "" {
-			wait(why)
-		}
-	}
+// migration is a service's task that a drain has stopped and that is not available again
+// on another machine.
+type migration struct {
+	drain     int      // number of the drain
+	target    *machine // that had capacity for it
+	needs     resources
+	startedAt time.Time
 }
 
-// evictBatchTask lets a task of an array or a gang end by itself for a while, and then has it
-// save or stop if its budgets allow it; a gang does so whole.
-func (c *Core) evictBatchTask(now time.Time, t *task, a *attempt, wait func(string)) {
-	if now.Sub(a.machine.cordon.since) < c.draining.cfg.Policy.ArrayGracePeriod {
-		wait("tasks of arrays or gangs get time to end")
-		return
-	}
-	if why := c.draining.tryInterrupt(now, t); why != "" {
-		wait(why)
-		return
-	}
-	if t.job.gang != nil {
-		c.stopGangWithCheckpoint(t.job, "its machine is drained")
-		return
-	}
-	c.evict(a)
-}
-
-// evict has an attempt stopped; its task starts again where there is room.
-func (q *outbox) evict(a *attempt) {
-	a.stopRequested = true
-	a.machine.usageStale = true
-	q.requestCommand(a.machine)
-}
-
-// migrateService stops a service's task if a machine has room for it and its budgets
-// allow it, or says why not.
-func (c *Core) migrateService(now time.Time, number int, t *task) string {
+// migrateService stops a service's task if another machine has capacity for it and its
+// budgets allow it. The error says why it stays.
+func (c *Core) migrateService(now time.Time, number int, t *task) error {
 	d := c.draining
 	s := &t.job.rec.Spec
-	keys := d.budgetsOf(t.job)
-	isUp := d.isAvailable(&c.fleetView, now, t)
-	if !isUp && d.mayBecomeAvailable(now, t.attempt) {
-		return "a task of " + s.ID + " is not up yet"
-	}
-	if refused := d.ledger.Check(now, keys); refused != nil && isUp {
-		return refused.Error()
-	}
-	if d.targetSearches++; d.targetSearches > constants.MaxMigrationSearches {
-		return "others are looked at first"
-	}
-	to := c.migrationTarget(&c.fleetView, now, s, d.reservedCapacity)
-	if to == nil {
-		d.requestSurge(now, t, keys)
-		return "no machine has room for a task of " + s.ID
-	}
-	if isUp { // what is down already is counted
-		if refused := d.ledger.RequestStop(now, keys); refused != nil {
-			return refused.Error()
+	budgets := d.budgetsOf(t.job)
+	isAvailable := d.isAvailable(&c.fleetView, now, t)
+	if !isAvailable && d.mayBecomeAvailable(now, t.attempt) {
+		return &notAvailableError{s.ID}
+	}
+	if refusal := d.ledger.Check(now, budgets); refusal != nil && isAvailable {
+		return refusal
+	}
+	d.targetSearches++
+	if d.targetSearches > constants.MaxMigrationSearches {
+		return errSearchesUsedUp
+	}
+	target := c.migrationTarget(&c.fleetView, now, s, d.reservedCapacity)
+	if target == nil {
+		d.requestSurge(now, t, budgets)
+		return &noCapacityError{s.ID}
+	}
+	if isAvailable { // what is unavailable already is counted
+		if refusal := d.ledger.RequestStop(now, budgets); refusal != nil {
+			return refusal
 		}
 	}
-	slog.Info("draining: task moves", "task", t.attempt.key.task, "from", t.attempt.machine.name, "room_on", to.name, "drain", number)
+	slog.Info("migrating task", logkey.TaskID, t.attempt.key.task, "from", t.attempt.machine.name, "target", target.name, "drain", number)
 	c.evict(t.attempt)
-	d.migrations[t] = &migration{drain: number, target: to, needs: taskResources(s), startedAt: now}
-	d.reservedCapacity[to] = d.reservedCapacity[to].plus(taskResources(s))
-	return ""
+	d.migrations[t] = &migration{drain: number, target: target, needs: taskResources(s), startedAt: now}
+	d.reservedCapacity[target] = d.reservedCapacity[target].plus(taskResources(s))
+	return nil
 }
 
-// mayBecomeAvailable says whether an attempt that is not up is left alone to become so. To stop it
-// would take nothing more down as the owner counts, but would keep its task down for
-// longer, and after a takeover it may have run for long without the owner's knowledge.
+// mayBecomeAvailable says whether an attempt that is not available is left alone to become
+// so. To stop it would make nothing more unavailable as the owner counts, but would keep
+// its task down for longer, and after a failover it may have run for long without the
+// owner's knowledge.
 func (d *draining) mayBecomeAvailable(now time.Time, a *attempt) bool {
 	return a.isRunning() || now.Sub(a.machine.cordon.since) < d.cfg.Policy.ReplacementTimeout
 }
 
-// reservedForMigrations is the room on machines that tasks on their way there are to get.
+// reservedForMigrations is the capacity on each machine that is reserved for tasks that
+// migrate there.
 func (d *draining) reservedForMigrations() map[*machine]resources {
-	promised := map[*machine]resources{}
+	reserved := map[*machine]resources{}
 	for t, m := range d.migrations {
 		if t.attempt == nil || t.attempt.stopRequested {
-			promised[m.target] = promised[m.target].plus(m.needs)
+			reserved[m.target] = reserved[m.target].plus(m.needs)
 		}
 	}
-	return promised
+	return reserved
 }
 
-// migrationTarget is a machine with room for a task, beside what is promised to others: one
-// that stays, unless none can be rented.
-func (c *scaleOutState) migrationTarget(v *fleetView, now time.Time, s *wire.Submission, promised map[*machine]resources) *machine {
-	canAdd := c.cheapestOffer(v, now, s).isAvailable()
+// migrationTarget is a machine with capacity for a task beside what is reserved; nil: there
+// is none. Machines that a running drain takes in as well are left out, unless the shard
+// cannot scale out.
+func (c *scaleOutState) migrationTarget(v *fleetView, now time.Time, s *wire.Submission, reserved map[*machine]resources) *machine {
+	canScaleOut := c.cheapestOffer(v, now, s).isAvailable()
 	return v.bestFit(now, s, func(m *machine) bool {
-		return !(canAdd && m.drainNext) && taskResources(s).fits(v.freeResources(m).minus(promised[m]))
+		if canScaleOut && m.drainNext {
+			return false
+		}
+		return taskResources(s).fits(v.freeResources(m).minus(reserved[m]))
 	})
 }
 
-// requestSurge has a machine rented for a task that may move and finds no room, for no
-// more tasks than the budgets would let move.
-func (d *draining) requestSurge(now time.Time, t *task, keys []disruption.BudgetKey) {
+// requestSurge notes a task that may migrate and finds no capacity, so that the shard
+// scales out for it: for no more tasks than the budgets would let migrate.
+func (d *draining) requestSurge(now time.Time, t *task, budgets []disruption.BudgetKey) {
 	if len(d.surgeTasks) >= constants.MaxSurgeTasks {
 		return
 	}
-	for _, k := range keys {
-		if d.surgeCounts[k] >= d.ledger.Headroom(now, k) {
+	for _, b := range budgets {
+		if d.surgeCounts[b] >= d.ledger.Headroom(now, b) {
 			return
 		}
 	}
-	for _, k := range keys {
-		d.surgeCounts[k]++
+	for _, b := range budgets {
+		d.surgeCounts[b]++
 	}
 	d.surgeTasks = append(d.surgeTasks, t)
 }
@@ -155,8 +120,53 @@
 	}
 }
 
-// allowsConsolidation asks the account whether a service's task may be moved to do without
-// its machine.
+// allowsConsolidation asks the ledger whether a service's task may be migrated so that its
+// machine becomes empty.
 func (d *draining) allowsConsolidation(now time.Time, t *task) bool {
 	return d == nil || d.ledger.RequestStop(now, d.budgetsOf(t.job)) == nil
 }
+
+// settleMigrations ends the migrations of tasks that are available again, and of those that
+// did not become so in time.
+func (d *draining) settleMigrations(v *fleetView, now time.Time) {
+	for t, m := range d.migrations {
+		j := t.job
+		switch {
+		case v.jobs[j.rec.ID] != j || j.tasks[t.index] != t || j.rec.End != "":
+			delete(d.migrations, t) // the job has ended, or another shard has the task
+		case d.isAvailable(v, now, t):
+			delete(d.migrations, t)
+		case now.Sub(m.startedAt) > d.cfg.Policy.ReplacementTimeout:
+			delete(d.migrations, t)
+			d.recordFailure(m.drain, "a task of "+j.rec.ID+" was not up in time")
+		}
+	}
+}
+
+// migrationFailed notes that the task of a migration ended with an error before it was
+// available.
+func (d *draining) migrationFailed(t *task, machine string) {
+	if d == nil {
+		return
+	}
+	if m := d.migrations[t]; m != nil {
+		d.recordFailure(m.drain, "a task of "+t.job.rec.ID+" failed on "+machine)
+	}
+}
+
+// recordFailure notes a failed replacement with a drain, if that is not over.
+func (d *draining) recordFailure(number int, reason string) {
+	if s := d.drains[number]; s != nil {
+		s.RecordFailure(reason)
+	}
+}
+
+// hasMigrations says whether a task that a drain has stopped is not available again.
+func (d *draining) hasMigrations(number int) bool {
+	for _, m := range d.migrations {
+		if m.drain == number {
+			return true
+		}
+	}
+	return false
+}
--- a/shard/spotreclaim.go
+++ b/shard/spotreclaim.go
@@ -7,45 +7,62 @@
 	"ravenport/settings"
 )
 
-// evictFromNoticedMachines moves work off machines that the cloud is about to take: what
-// can save is told to in time, services and arrays that will not be done start
-// again elsewhere while there is room.
-func (q *outbox) evictFromNoticedMachines(v *fleetView, now time.Time) {
+// evictFromReclaimedMachines evicts tasks from machines that the cloud will take back soon:
+// those that checkpoint in time, and services and arrays that will not end before, while
+// there is capacity for them.
+func (q *outbox) evictFromReclaimedMachines(v *fleetView, now time.Time) {
 	for _, m := range v.fleet {
-		if m.reclaimAt.IsZero() || m.scalingIn || !m.up {
+		if !m.reclaimAt.IsZero() && !m.scalingIn && m.up {
+			q.evictFromReclaimed(v, now, m)
+		}
+	}
+}
+
+// evictFromReclaimed evicts up to constants.MaxReclaimEvictions tasks from a machine, and
+// the gangs on it if it is time for their checkpoint.
+func (q *outbox) evictFromReclaimed(v *fleetView, now time.Time, m *machine) {
+	remaining := m.reclaimAt.Sub(now)
+	evicted := 0
+	for _, a := range m.attempts {
+		t := v.taskOf(a)
+		if !isEvictable(a, t) || evicted >= constants.MaxReclaimEvictions {
 			continue
 		}
-		left := m.reclaimAt.Sub(now)
-		moves := 0
-		for _, a := range m.attempts {
-			t := v.taskOf(a)
-			if !isEvictable(a, t) || moves >= constants.MaxReclaimEvictions {
-				continue
-			}
-			s := &t.job.rec.Spec
-			if t.job.gang != nil {
-				// It saves whole, at the last moment at which all can be told, or
-				// is left to end by itself.
-				if !a.stopsInstantly && left <= v.stopGrace(a)+v.cfg.GangPeerTimeout+constants.ReclaimMargin {
-					q.stopGangWithCheckpoint(t.job, "a machine will be taken back")
-				}
-				continue
-			}
-			ends := settings.Seconds(s.EstimateS)
-			if !a.runningSince.IsZero() {
-				ends -= now.Sub(a.runningSince)
-			}
-			switch {
-			case !a.stopsInstantly && left > v.stopGrace(a)+constants.ReclaimMargin:
-				continue // it saves at the last moment
-			case !a.stopsInstantly:
-			case !s.IsService() && float64(ends) < constants.ReclaimRuntimeFactor*float64(left):
-				continue // it may well be done before
-			case v.bestFit(now, s, nil) == nil:
-				continue
+		if t.job.gang != nil {
+			if v.isGangCheckpointDue(a, remaining) {
+				q.stopGangWithCheckpoint(t.job, "machine will be reclaimed")
 			}
+			continue
+		}
+		if v.mustLeaveReclaimed(now, t, a, remaining) {
 			q.evict(a)
-			moves++
+			evicted++
+		}
+	}
+}
+
+// isGangCheckpointDue says whether a gang with a task on a machine that is taken back after
+// the remaining time must stop now: it checkpoints as a whole, at the last moment at which
+// all its tasks can be told. One that cannot checkpoint is left to end by itself.
+func (v *fleetView) isGangCheckpointDue(a *attempt, remaining time.Duration) bool {
+	return !a.stopsInstantly && remaining <= v.stopGrace(a)+v.cfg.GangPeerTimeout+constants.ReclaimMargin
+}
+
+// mustLeaveReclaimed says whether a task is evicted now from a machine that is taken back
+// after the remaining time.
+func (v *fleetView) mustLeaveReclaimed(now time.Time, t *task, a *attempt, remaining time.Duration) bool {
+	s := &t.job.rec.Spec
+	if !a.stopsInstantly {
+		return remaining <= v.stopGrace(a)+constants.ReclaimMargin // it checkpoints at the last moment
+	}
+	if !s.IsService() {
+		runtime := settings.Seconds(s.EstimateS)
+		if !a.runningSince.IsZero() {
+			runtime -= now.Sub(a.runningSince)
+		}
+		if float64(runtime) < constants.ReclaimRuntimeFactor*float64(remaining) {
+			return false // it may well end before
 		}
 	}
+	return v.bestFit(now, s, nil) != nil
 }
