--- a/shard/core_test.go
+++ b/shard/core_test.go
@@ -18,7 +18,7 @@
 
 const leaseEnd = 21 * time.Second
 
-// rig is an owner under test, fed by hand.
+// rig is an owner under test with its clock; tests pass it messages by hand.
 type rig struct {
 	*Core
 	now     time.Time
@@ -46,13 +46,13 @@
 	return r
 }
 
-func (r *rig) wait(d time.Duration) []Action {
+func (r *rig) advance(d time.Duration) []Action {
 	r.now = r.now.Add(d)
 	return r.Step(r.now)
 }
 
-// write grants every transaction and shows it to the core like the feed.
-func (r *rig) write(acts []Action) {
+// commitAll commits every transaction and applies its changes like the feed.
+func (r *rig) commitAll(acts []Action) {
 	for _, a := range acts {
 		cm, ok := a.(Commit)
 		if !ok {
@@ -70,33 +70,34 @@
 	}
 }
 
-// token is what a worker shows that has seen the n-th token of a term.
+// token is the n-th fencing token of a term.
 func token(term, n uint64) uint64 { return term<<constants.TokenCounterBits | n }
 
-func report(name string, session, seq, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
-	return &wire.Heartbeat{Machine: name, Addr: name + ":1", Type: "box", Zone: "a", Epoch: session, Seq: seq, FencingToken: token, Tasks: tasks}
+func newHeartbeat(name string, epoch, seq, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+	return &wire.Heartbeat{Machine: name, Addr: name + ":1", Type: "box", Zone: "a", Epoch: epoch, Seq: seq, FencingToken: token, Tasks: tasks}
 }
 
-func array(id string, tasks int, shard string) *records.Job {
+func arrayJob(id string, tasks int, shard string) *records.Job {
 	return &records.Job{ID: id, Spec: wire.Submission{ID: id, Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: tasks, CPUs: 2, MemoryGB: 1, Image: "i", EstimateS: 10, Spot: true},
 		Assignments: []records.Assignment{{From: 0, To: tasks, Shard: shard, KeepWaiting: true}}}
 }
 
-// up brings a machine up in the owner's eyes, in the inventory and verified.
-func (r *rig) up(name string) {
-	if _, ok := r.Heartbeat(r.now, report(name, 1, 1, 0)); !ok {
-		panic("report refused")
+// bringUp has a machine send heartbeats until it is in the durable inventory and has shown a
+// token of the term.
+func (r *rig) bringUp(name string) {
+	if _, ok := r.Heartbeat(r.now, newHeartbeat(name, 1, 1, 0)); !ok {
+		panic("heartbeat refused")
 	}
 	r.now = r.now.Add(constants.MinInventoryWriteInterval)
-	r.write(r.Step(r.now))
-	r.Heartbeat(r.now, report(name, 1, 2, r.shown(name)))
+	r.commitAll(r.Step(r.now))
+	r.Heartbeat(r.now, newHeartbeat(name, 1, 2, r.latestToken(name)))
 }
 
-// shown is the token that a worker shows which got the last answer.
-func (r *rig) shown(name string) uint64 { return r.fencingToken(r.machines[name]) }
+// latestToken is the token that a worker shows after the last reply.
+func (r *rig) latestToken(name string) uint64 { return r.fencingToken(r.machines[name]) }
 
-// started lists the starts sent to a machine by a direct command.
-func started(acts []Action, name string) []wire.Command {
+// directStarts lists the starts sent to a machine by direct commands.
+func directStarts(acts []Action, name string) []wire.Command {
 	var out []wire.Command
 	for _, a := range acts {
 		if s, ok := a.(SendCommands); ok && s.Machine == name {
@@ -110,22 +111,22 @@
 	return out
 }
 
-// unheard plays time in which nobody answers a call and the cloud confirms what
-// is returned, and names that.
-func (r *rig) unacknowledged(d time.Duration, each func()) (returned []string) {
+// advanceUnanswered advances the time while no machine answers a direct command and the cloud
+// confirms every scale in, and returns the machines that were terminated.
+func (r *rig) advanceUnanswered(d time.Duration, each func()) (terminated []string) {
 	for end := r.now.Add(d); r.now.Before(end); {
 		each()
-		for _, a := range r.wait(100 * time.Millisecond) {
+		for _, a := range r.advance(100 * time.Millisecond) {
 			switch a := a.(type) {
 			case SendCommands:
 				r.CommandResult(r.now, a.Machine, nil)
 			case ScaleIn:
-				returned = append(returned, a.Names...)
+				terminated = append(terminated, a.Names...)
 				r.ScaleInResult(r.now, a.Names)
 			}
 		}
 	}
-	return returned
+	return terminated
 }
 
 func (r *rig) submit(j *records.Job) {
@@ -134,36 +135,36 @@
 }
 
 // A task that existed before the term is placed only when every inherited
-// machine has shown the owner's token or its lease has surely ended; a task
+// machine has shown the owner's token or its lease has surely expired; a task
 // assigned later starts at once.
-func TestTakeoverWaitsForInheritedMachines(t *testing.T) {
-	old := array("run-1", 1, "a")
+func TestFailoverWaitsForInheritedMachines(t *testing.T) {
+	old := arrayJob("run-1", 1, "a")
 	r := newRig(map[string]*records.Job{"run-1": old}, records.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"})
-	r.up("m-2")
-	acts := r.wait(time.Second)
-	if n := len(started(acts, "m-2")); n != 0 {
+	r.bringUp("m-2")
+	acts := r.advance(time.Second)
+	if n := len(directStarts(acts, "m-2")); n != 0 {
 		t.Fatalf("%d tasks of before the term started while m-1 may run them", n)
 	}
-	r.submit(array("run-2", 1, "a"))
-	acts = r.wait(time.Second)
-	if s := started(acts, "m-2"); len(s) != 1 || s[0].Task != "run-2/0" {
+	r.submit(arrayJob("run-2", 1, "a"))
+	acts = r.advance(time.Second)
+	if s := directStarts(acts, "m-2"); len(s) != 1 || s[0].Task != "run-2/0" {
 		t.Fatalf("started %v, wanted the new task alone", s)
 	}
 	for d := 2 * time.Second; d < leaseEnd; d += time.Second {
-		if s := started(r.wait(time.Second), "m-2"); len(s) > 0 && s[0].Task == "run-1/0" {
+		if s := directStarts(r.advance(time.Second), "m-2"); len(s) > 0 && s[0].Task == "run-1/0" {
 			t.Fatalf("started after %s, within the lease", d)
 		}
-		r.Heartbeat(r.now, report("m-2", 1, uint64(10+d/time.Second), r.shown("m-2")))
+		r.Heartbeat(r.now, newHeartbeat("m-2", 1, uint64(10+d/time.Second), r.latestToken("m-2")))
 	}
 	found := false
 	for range 4 {
 		r.now = r.now.Add(time.Second)
-		if reply, ok := r.Heartbeat(r.now, report("m-2", 1, uint64(100+r.now.Unix()), r.shown("m-2"))); ok {
+		if reply, ok := r.Heartbeat(r.now, newHeartbeat("m-2", 1, uint64(100+r.now.Unix()), r.latestToken("m-2"))); ok {
 			for _, c := range reply.Commands {
 				found = found || c.Op == wire.OpStart && c.Task == "run-1/0"
 			}
 		}
-		for _, c := range started(r.Step(r.now), "m-2") {
+		for _, c := range directStarts(r.Step(r.now), "m-2") {
 			found = found || c.Task == "run-1/0"
 		}
 	}
@@ -172,48 +173,48 @@
 	}
 }
 
-// A start sent by a direct command without an answer may be carried out much
-// later: the task must not be placed elsewhere just because reports of its
+// A start sent by a direct command without a reply may be carried out much
+// later: the task must not be placed elsewhere just because heartbeats of its
 // machine do not show it.
-func TestUnansweredDirectStartStays(t *testing.T) {
+func TestUnansweredDirectStartIsNotPlacedAgain(t *testing.T) {
 	r := newRig(nil)
-	r.up("m-1")
-	r.submit(array("run-1", 1, "a"))
-	if s := started(r.wait(time.Millisecond), "m-1"); len(s) != 1 {
+	r.bringUp("m-1")
+	r.submit(arrayJob("run-1", 1, "a"))
+	if s := directStarts(r.advance(time.Millisecond), "m-1"); len(s) != 1 {
 		t.Fatalf("started %v", s)
 	}
 	r.CommandResult(r.now, "m-1", nil)
-	r.up("m-2")
+	r.bringUp("m-2")
 	for i := range uint64(5) {
-		r.wait(time.Second)
-		r.Heartbeat(r.now, report("m-1", 1, 10+i, token(r.term, 0)))
-		if s := started(r.Step(r.now), "m-2"); len(s) > 0 {
+		r.advance(time.Second)
+		r.Heartbeat(r.now, newHeartbeat("m-1", 1, 10+i, token(r.term, 0)))
+		if s := directStarts(r.Step(r.now), "m-2"); len(s) > 0 {
 			t.Fatalf("placed a second time: %v", s)
 		}
 	}
-	// The session's end settles it.
-	r.Heartbeat(r.now, report("m-1", 2, 20, token(r.term, 0)))
+	// The end of the epoch proves that it has ended.
+	r.Heartbeat(r.now, newHeartbeat("m-1", 2, 20, token(r.term, 0)))
 	if h := len(r.machines["m-1"].attempts); h > 1 {
 		t.Fatalf("%d attempts after the session ended", h)
 	}
 }
 
-// An exited attempt whose start travelled directly is forgotten only under a
+// An exited attempt that a direct command started is forgotten only under a
 // higher token: a late copy of the command would start it again.
-func TestDirectStartIsNotForgotten(t *testing.T) {
+func TestDirectStartIsForgottenOnlyUnderHigherToken(t *testing.T) {
 	r := newRig(nil)
-	r.up("m-1")
-	r.submit(array("run-1", 1, "a"))
-	s := started(r.wait(time.Millisecond), "m-1")
+	r.bringUp("m-1")
+	r.submit(arrayJob("run-1", 1, "a"))
+	s := directStarts(r.advance(time.Millisecond), "m-1")
 	failed := wire.TaskStatus{Task: s[0].Task, Attempt: s[0].Attempt, State: wire.TaskExited, Cause: wire.CauseStopped}
-	reply, _ := r.Heartbeat(r.now, report("m-1", 1, 5, token(r.term, 0), failed))
+	reply, _ := r.Heartbeat(r.now, newHeartbeat("m-1", 1, 5, token(r.term, 0), failed))
 	for _, c := range reply.Commands {
 		if c.Op == wire.OpForget {
 			t.Fatal("forgotten while a late copy could start it again")
 		}
 	}
 	r.machines["m-1"].tokenCount++
-	reply, _ = r.Heartbeat(r.now, report("m-1", 1, 6, r.shown("m-1"), failed))
+	reply, _ = r.Heartbeat(r.now, newHeartbeat("m-1", 1, 6, r.latestToken("m-1"), failed))
 	forgot := false
 	for _, c := range reply.Commands {
 		forgot = forgot || c.Op == wire.OpForget && c.Attempt == s[0].Attempt
@@ -223,41 +224,41 @@
 	}
 }
 
-// Two failures found by the generated days: a machine whose return was asked
-// for, and a session learned from a direct command's answer, renewed a lease
-// that the owner did not count.
-func TestLeaseIsCountedFromEveryAnswer(t *testing.T) {
+// Two failures found by the generated days: a machine whose termination was
+// requested, and an epoch learned from the reply to a direct command, renewed a
+// lease that the owner did not count.
+func TestLeaseIsCountedFromEveryReply(t *testing.T) {
 	t.Run("returning", func(t *testing.T) {
 		r := newRig(nil)
-		r.up("m-1")
+		r.bringUp("m-1")
 		r.machines["m-1"].scalingIn = true
-		r.wait(10 * time.Second)
-		if _, ok := r.Heartbeat(r.now, report("m-1", 1, 9, token(r.term, 0))); ok && r.machines["m-1"].leaseExpiresAt.Before(r.now.Add(leaseEnd)) {
-			t.Fatal("an answer renewed the lease without being counted")
+		r.advance(10 * time.Second)
+		if _, ok := r.Heartbeat(r.now, newHeartbeat("m-1", 1, 9, token(r.term, 0))); ok && r.machines["m-1"].leaseExpiresAt.Before(r.now.Add(leaseEnd)) {
+			t.Fatal("a reply renewed the lease without being counted")
 		}
 	})
 	t.Run("session by command", func(t *testing.T) {
 		r := newRig(nil, records.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"})
-		r.wait(15 * time.Second)
-		r.CommandResult(r.now, "m-1", report("m-1", 2, 1, token(r.term, 0)))
+		r.advance(15 * time.Second)
+		r.CommandResult(r.now, "m-1", newHeartbeat("m-1", 2, 1, token(r.term, 0)))
 		if r.machines["m-1"].leaseExpiresAt.Before(r.now.Add(leaseEnd)) {
-			t.Fatal("the new session is held to the old one's lease")
+			t.Fatal("the new epoch is held to the old one's lease")
 		}
 	})
 }
 
-// Late and repeated reports change nothing, whatever they say; a newer one
+// Late and duplicate heartbeats change nothing, whatever they say; a newer one
 // always does.
-func TestOldReportsAreNotBelieved(t *testing.T) {
+func TestLateHeartbeatsChangeNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRig(nil)
-		r.up("m-1")
+		r.bringUp("m-1")
 		session, seq := uint64(1), uint64(2)
 		for range rapid.IntRange(1, 20).Draw(t, "n") {
 			s := rapid.Uint64Range(1, 4).Draw(t, "session")
 			q := rapid.Uint64Range(1, 30).Draw(t, "seq")
 			newer := s > session || s == session && q > seq
-			_, ok := r.Heartbeat(r.now, report("m-1", s, q, token(r.term, 0)))
+			_, ok := r.Heartbeat(r.now, newHeartbeat("m-1", s, q, token(r.term, 0)))
 			if ok != newer {
 				t.Fatalf("(%d,%d) after (%d,%d): taken %v", s, q, session, seq, ok)
 			}
@@ -268,20 +269,20 @@
 	})
 }
 
-// Whatever order of placements, machines are never given more than they have.
+// In whatever order tasks are placed, they never need more than their machine has.
 func TestBestFitNeverOverfills(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRig(nil)
 		for i := range rapid.IntRange(1, 4).Draw(t, "machines") {
-			r.up(fmt.Sprintf("m-%d", i))
+			r.bringUp(fmt.Sprintf("m-%d", i))
 		}
 		for i := range rapid.IntRange(1, 12).Draw(t, "jobs") {
-			j := array(fmt.Sprintf("run-%d", i), rapid.IntRange(1, 5).Draw(t, "tasks"), "a")
+			j := arrayJob(fmt.Sprintf("run-%d", i), rapid.IntRange(1, 5).Draw(t, "tasks"), "a")
 			j.Spec.CPUs = rapid.Float64Range(0.5, 8).Draw(t, "cpus")
 			j.Spec.MemoryGB = rapid.Float64Range(0.5, 32).Draw(t, "mem")
 			j.Spec.Priority = rapid.SampledFrom([]string{wire.PriorityLow, wire.PriorityNormal, wire.PriorityProduction}).Draw(t, "priority")
 			r.submit(j)
-			r.wait(100 * time.Millisecond)
+			r.advance(100 * time.Millisecond)
 		}
 		for _, m := range r.machines {
 			if u := r.usageOf(m).used; !u.fits(m.capacity) {
@@ -291,27 +292,26 @@
 	})
 }
 
-// What is out of reach is left alone: without authority nothing is started,
-// written or answered.
+// Without authority nothing is started, written or answered.
 func TestNothingWithoutAuthority(t *testing.T) {
 	r := newRig(nil)
-	r.up("m-1")
+	r.bringUp("m-1")
 	r.SetAuthority(r.now)
-	r.submit(array("run-1", 3, "a"))
-	if acts := r.wait(time.Second); len(acts) != 0 {
+	r.submit(arrayJob("run-1", 3, "a"))
+	if acts := r.advance(time.Second); len(acts) != 0 {
 		t.Fatalf("acted without authority: %v", acts)
 	}
-	if _, ok := r.Heartbeat(r.now, report("m-1", 1, 9, token(r.term, 0))); ok {
-		t.Fatal("answered a report without authority")
+	if _, ok := r.Heartbeat(r.now, newHeartbeat("m-1", 1, 9, token(r.term, 0))); ok {
+		t.Fatal("answered a heartbeat without authority")
 	}
 }
 
-// A machine that is silent alone is returned; when most are silent and report
-// to others, it is the owner that is cut off.
-func TestSilenceOfOneAndOfMany(t *testing.T) {
+// A machine that alone is unreachable is terminated; when most are unreachable and send
+// heartbeats to others, the owner is isolated.
+func TestUnreachableMachineOrIsolatedOwner(t *testing.T) {
 	r := newRig(nil)
 	for i := range 4 {
-		r.up(fmt.Sprintf("m-%d", i))
+		r.bringUp(fmt.Sprintf("m-%d", i))
 	}
 	seq := uint64(10)
 	returned := map[string]bool{}
@@ -319,8 +319,8 @@
 		r.now = r.now.Add(time.Second)
 		seq++
 		for i := 1; i < 4; i++ {
-			rep := report(fmt.Sprintf("m-%d", i), 1, seq, r.shown(fmt.Sprintf("m-%d", i)))
-			rep.Spot = true // idle ordinary ones would be given back
+			rep := newHeartbeat(fmt.Sprintf("m-%d", i), 1, seq, r.latestToken(fmt.Sprintf("m-%d", i)))
+			rep.Spot = true // idle on-demand ones would be terminated
 			r.Heartbeat(r.now, rep)
 		}
 		for _, a := range r.Step(r.now) {
@@ -340,11 +340,11 @@
 		t.Fatalf("returned %v, wanted m-0 alone", returned)
 	}
 	for range 80 {
-		r.wait(100 * time.Millisecond)
+		r.advance(100 * time.Millisecond)
 	}
 	r.ApplyMisroutedHeartbeats(r.now, []MisroutedHeartbeat{{"m-1", 1, 3}, {"m-2", 1, 3}, {"m-3", 1, 3}}, true)
 	if _, misroutedReports := r.IsIsolated(r.now); misroutedReports {
-		t.Fatal("late copies of old reports count as evidence")
+		t.Fatal("late copies of old heartbeats count as evidence")
 	}
 	r.ApplyMisroutedHeartbeats(r.now, []MisroutedHeartbeat{{"m-1", 1, 900}, {"m-2", 1, 900}, {"m-3", 1, 900}}, true)
 	if silent, misroutedReports := r.IsIsolated(r.now); !silent || !misroutedReports {
@@ -362,15 +362,15 @@
 	os.Exit(m.Run())
 }
 
-// On a spot notice a task that can save is told to, early enough to finish
+// On a spot notice a task that can save a checkpoint is stopped early enough to finish
 // saving, and no earlier than it must.
-func TestNoticeLeavesTimeToSave(t *testing.T) {
+func TestSpotNoticeLeavesTimeForCheckpoint(t *testing.T) {
 	r := newRig(nil)
-	r.up("m-1")
-	j := array("run-1", 1, "a")
+	r.bringUp("m-1")
+	j := arrayJob("run-1", 1, "a")
 	j.Spec.CheckpointIntervalS, j.Spec.CheckpointSaveS, j.Spec.EstimateS = 30, 5, 500
 	r.submit(j)
-	s := started(r.wait(time.Millisecond), "m-1")
+	s := directStarts(r.advance(time.Millisecond), "m-1")
 	if len(s) != 1 {
 		t.Fatalf("started %v", s)
 	}
@@ -378,7 +378,7 @@
 	noticed := r.now
 	for seq := uint64(10); r.now.Sub(noticed) < 20*time.Second; seq++ {
 		r.now = r.now.Add(time.Second)
-		rep := report("m-1", 1, seq, token(r.term, 0), running)
+		rep := newHeartbeat("m-1", 1, seq, token(r.term, 0), running)
 		left := 20 - r.now.Sub(noticed).Seconds()
 		rep.NoticeS = &left
 		r.Step(r.now)
@@ -396,25 +396,25 @@
 	t.Fatal("never told to save")
 }
 
-// Work that can save makes room, with time to save, and only once; the task it
-// makes room for starts when it is gone.
-func TestSavingWorkMakesRoom(t *testing.T) {
+// Work that can save a checkpoint is preempted with time to save, and only once; the task that
+// preempts it starts when it has ended.
+func TestPreemptedWorkSavesCheckpointFirst(t *testing.T) {
 	r := newRig(nil)
-	r.up("m-1")
-	low := array("run-1", 1, "a")
+	r.bringUp("m-1")
+	low := arrayJob("run-1", 1, "a")
 	low.Spec.CPUs, low.Spec.CheckpointIntervalS, low.Spec.CheckpointSaveS = 8, 30, 5
 	r.submit(low)
-	s := started(r.wait(time.Millisecond), "m-1")
+	s := directStarts(r.advance(time.Millisecond), "m-1")
 	if len(s) != 1 {
 		t.Fatalf("started %v", s)
 	}
 	status := wire.TaskStatus{Task: s[0].Task, Attempt: s[0].Attempt, State: wire.TaskRunning}
-	r.CommandResult(r.now, "m-1", report("m-1", 1, 10, token(r.term, 0), status))
-	high := array("run-2", 1, "a")
+	r.CommandResult(r.now, "m-1", newHeartbeat("m-1", 1, 10, token(r.term, 0), status))
+	high := arrayJob("run-2", 1, "a")
 	high.Spec.Priority = wire.PriorityProduction
 	r.submit(high)
 	stops := 0
-	for _, a := range r.wait(time.Second) {
+	for _, a := range r.advance(time.Second) {
 		if cmd, ok := a.(SendCommands); ok {
 			for _, c := range cmd.Request.Commands {
 				switch c.Op {
@@ -433,62 +433,62 @@
 		t.Fatalf("%d stops", stops)
 	}
 	status.State, status.Cause, status.Checkpointed = wire.TaskExited, wire.CauseStopped, true
-	r.CommandResult(r.now, "m-1", report("m-1", 1, 11, token(r.term, 0), status))
-	if s := started(r.wait(time.Second), "m-1"); len(s) != 1 || s[0].Task != "run-2/0" {
+	r.CommandResult(r.now, "m-1", newHeartbeat("m-1", 1, 11, token(r.term, 0), status))
+	if s := directStarts(r.advance(time.Second), "m-1"); len(s) != 1 || s[0].Task != "run-2/0" {
 		t.Fatalf("started %v, wanted run-2/0", s)
 	}
 }
 
-// A late copy reaches a new owner that has heard nothing newer: it names a
-// machine that the task has left since. When that machine's own report no longer
-// shows it, the task is not free: it runs on another that is still to report.
-func TestLateCopyToNewOwnerFreesNothing(t *testing.T) {
-	old := array("run-1", 1, "a")
+// A late copy of a heartbeat reaches a new owner that knows nothing newer: it names a
+// machine that the task has left since. When that machine's own heartbeat no longer
+// shows it, the task is not free: it runs on another that has sent none yet.
+func TestLateHeartbeatToNewOwnerFreesNothing(t *testing.T) {
+	old := arrayJob("run-1", 1, "a")
 	r := newRig(map[string]*records.Job{"run-1": old},
 		records.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"}, records.Machine{Name: "m-2", Type: "box", Addr: "m-2:1"})
-	r.up("m-3")
+	r.bringUp("m-3")
 	running := func(attempt uint64) wire.TaskStatus {
 		return wire.TaskStatus{Task: "run-1/0", Attempt: attempt, State: wire.TaskRunning}
 	}
 	before := token(r.term-1, 3)
-	r.Heartbeat(r.now, report("m-1", 1, 5, before, running(7))) // the copy
+	r.Heartbeat(r.now, newHeartbeat("m-1", 1, 5, before, running(7))) // the late copy
 	r.Step(r.now)
 	r.now = r.now.Add(100 * time.Millisecond)
-	r.Heartbeat(r.now, report("m-1", 1, 90, before)) // its own word, now
+	r.Heartbeat(r.now, newHeartbeat("m-1", 1, 90, before)) // its own heartbeat, now
 	r.now = r.now.Add(100 * time.Millisecond)
-	r.Heartbeat(r.now, report("m-1", 1, 91, r.shown("m-1")))
-	r.Heartbeat(r.now, report("m-3", 1, 3, r.shown("m-3")))
+	r.Heartbeat(r.now, newHeartbeat("m-1", 1, 91, r.latestToken("m-1")))
+	r.Heartbeat(r.now, newHeartbeat("m-3", 1, 3, r.latestToken("m-3")))
 	for range 20 {
 		for _, m := range []string{"m-1", "m-3"} {
-			if s := started(r.wait(100*time.Millisecond), m); len(s) > 0 {
+			if s := directStarts(r.advance(100*time.Millisecond), m); len(s) > 0 {
 				t.Fatalf("%v started on %s while m-2 has not reported", s, m)
 			}
 		}
 	}
-	r.Heartbeat(r.now, report("m-2", 1, 40, before, running(9)))
+	r.Heartbeat(r.now, newHeartbeat("m-2", 1, 40, before, running(9)))
 	r.now = r.now.Add(100 * time.Millisecond)
-	r.Heartbeat(r.now, report("m-2", 1, 41, r.shown("m-2"), running(9)))
+	r.Heartbeat(r.now, newHeartbeat("m-2", 1, 41, r.latestToken("m-2"), running(9)))
 	if a := r.jobs["run-1"].tasks[0].attempt; a == nil || a.machine.name != "m-2" {
 		t.Fatalf("the running attempt was not adopted: %+v", a)
 	}
 }
 
-// Without authority an owner keeps its machines' leases alive for its lease extension
-// time, and gives no command; its successor counts a machine's lease from the end
-// of that, unless the machine has shown the new token and so drops old answers.
+// Without authority an owner extends its machines' leases for the lease extension, and gives
+// no command; its successor counts a machine's lease from the end of that, unless the
+// machine has shown the new token and so drops old replies.
 func TestLeaseExtensionIsCountedByTheNextOwner(t *testing.T) {
 	const leaseExtension = 15 * time.Second
-	old := newRig(map[string]*records.Job{"run-1": array("run-1", 2, "a")})
+	old := newRig(map[string]*records.Job{"run-1": arrayJob("run-1", 2, "a")})
 	old.cfg.LeaseExtension = leaseExtension
-	old.up("m-0")
-	old.write(old.wait(time.Second))
+	old.bringUp("m-0")
+	old.commitAll(old.advance(time.Second))
 	over := old.now
 	old.SetAuthority(over)
 	seq := uint64(10)
 	last := time.Time{}
 	for ; old.now.Before(over.Add(2 * leaseExtension)); old.now = old.now.Add(time.Second) {
 		seq++
-		reply, ok := old.Heartbeat(old.now, report("m-0", 1, seq, old.shown("m-0")))
+		reply, ok := old.Heartbeat(old.now, newHeartbeat("m-0", 1, seq, old.latestToken("m-0")))
 		if !ok {
 			break
 		}
@@ -498,73 +498,73 @@
 		last = old.now
 	}
 	if d := last.Sub(over); d < leaseExtension-3*time.Second || d > leaseExtension {
-		t.Fatalf("tended for %s, wanted about %s", d, leaseExtension)
+		t.Fatalf("leases extended for %s, wanted about %s", d, leaseExtension)
 	}
 	for name, shows := range map[string]bool{"silent": false, "shows the new token": true} {
 		t.Run(name, func(t *testing.T) {
-			next := newRig(map[string]*records.Job{"run-1": array("run-1", 2, "a")}, records.Machine{Name: "m-0", Type: "box", Addr: "m-0:1"})
+			next := newRig(map[string]*records.Job{"run-1": arrayJob("run-1", 2, "a")}, records.Machine{Name: "m-0", Type: "box", Addr: "m-0:1"})
 			next.Core = New(Config{Shard: "a", HeartbeatPeriod: 3 * time.Second, LeaseExpiry: leaseEnd, LeaseExtension: leaseExtension, SizeLimits: records.SizeLimits{Current: 8192, Next: 8192}, MaxDirectCommands: 200, MaxTxnOps: 12, MaxWritesPerSecond: 100, JobOrder: leader.NewJobOrder(nil)},
 				6, 51, over, nil, nil, nil, nil, nil)
 			next.SetAuthority(over.Add(time.Hour))
-			// It is heard once, but its answer may be lost, and then the old owner
-			// is asked again.
+			// It sends one heartbeat, but the reply may be lost, and then it sends the
+			// next one to the old owner.
 			tok := token(5, 0)
 			if shows {
 				tok = token(6, 0)
 			}
-			next.Heartbeat(over, report("m-0", 1, 50, tok))
+			next.Heartbeat(over, newHeartbeat("m-0", 1, 50, tok))
 			m := next.machines["m-0"]
 			ends := m.leaseExpiresAt.Sub(over)
 			if shows && ends != leaseEnd || !shows && (ends < leaseExtension+leaseEnd || m.leaseExpiresAt.Before(last.Add(leaseEnd))) {
-				t.Fatalf("its lease counts as over %s after the claim", ends)
+				t.Fatalf("its lease counts as expired %s after the term was acquired", ends)
 			}
 		})
 	}
 }
 
-// After an owner stood still, or its machines were out of reach all together,
-// nobody is given up for a silence that nobody could have heard.
-func TestNoSilenceFromAnUnreadMailbox(t *testing.T) {
+// After the owner's process was paused, or the shard was partitioned, no machine is
+// terminated for heartbeats that the owner could not have received.
+func TestPausedProcessTerminatesNoMachine(t *testing.T) {
 	r := newRig(nil)
 	r.fleet(40)
 	for _, m := range r.machines {
-		m.spot = true // ordinary ones would be emptied
+		m.spot = true // on-demand ones would be consolidated
 	}
 	var returned []string
-	look := func(d time.Duration) { returned = append(returned, r.unacknowledged(d, func() {})...) }
+	look := func(d time.Duration) { returned = append(returned, r.advanceUnanswered(d, func() {})...) }
 	look(time.Second)
-	r.now = r.now.Add(7 * time.Second) // stands still; the reports made meanwhile still wait
+	r.now = r.now.Add(7 * time.Second) // the process is paused; heartbeats sent meanwhile are not read yet
 	look(2 * time.Second)
 	if len(returned) > 0 {
-		t.Fatalf("returned %d machines whose reports were not read yet", len(returned))
+		t.Fatalf("terminated %d machines whose heartbeats were not read yet", len(returned))
 	}
-	// Out of reach all together, the shard is unreachable and rents nothing; then they
-	// come back one after the other.
+	// In a partition the shard requests no machines; then they come back one after the
+	// other.
 	look(4 * time.Second)
-	r.submit(array("run-2", 400, "a"))
+	r.submit(arrayJob("run-2", 400, "a"))
 	look(4 * time.Second)
 	if !r.partitioned || len(returned) > 0 || len(r.pendingScaleOuts) > 0 {
-		t.Fatalf("dark %v, returned %d, rentals %d", r.partitioned, len(returned), len(r.pendingScaleOuts))
+		t.Fatalf("partitioned %v, terminated %d, scale-out requests %d", r.partitioned, len(returned), len(r.pendingScaleOuts))
 	}
 	if a := r.Aggregate(r.now, 1); a.CanScaleOutOnDemand || a.CanScaleOutSpot || a.OnDemand.CPUs.Sum > 0 {
-		t.Fatalf("a dark part offers room: %+v", a)
+		t.Fatalf("a partitioned shard offers capacity: %+v", a)
 	}
 	for i := range 20 {
 		name := fmt.Sprintf("m-%05d", i)
-		rep := report(name, 1, 100, r.shown(name))
+		rep := newHeartbeat(name, 1, 100, r.latestToken(name))
 		rep.Spot = true
 		r.Heartbeat(r.now, rep)
 	}
 	look(2 * time.Second)
 	if r.partitioned || len(returned) > 0 {
-		t.Fatalf("dark %v, returned %d machines that were about to report", r.partitioned, len(returned))
+		t.Fatalf("partitioned %v, terminated %d machines that were about to send heartbeats", r.partitioned, len(returned))
 	}
 }
 
-// A shard that falls silent as a whole is taken to be cut off, and nobody is
-// returned, until the cloud stops listing its machines: those are gone, and the
-// shard must not wait for their leases, or rent nothing for ever.
-func TestWholeShardCutOffOrGone(t *testing.T) {
+// A shard that is unreachable as a whole counts as partitioned, and no machine is
+// terminated, until the cloud stops listing them: those have ended, and the
+// shard must not wait for their leases, or request no machines for ever.
+func TestPartitionedShardOrTerminatedMachines(t *testing.T) {
 	r := newRig(nil)
 	r.fleet(5)
 	var list []wire.CloudMachine
@@ -574,32 +574,32 @@
 	}
 	r.ApplyMachineList(r.now, list)
 	returned := 0
-	look := func(d time.Duration) { returned += len(r.unacknowledged(d, func() { r.peersHeardAt = r.now })) }
+	look := func(d time.Duration) { returned += len(r.advanceUnanswered(d, func() { r.peersHeardAt = r.now })) }
 	look(9 * time.Second)
 	r.ApplyMachineList(r.now, list)
 	r.ApplyMachineList(r.now, nil) // one list may be older than the one before
 	look(time.Second)
 	if returned > 0 || !r.partitioned {
-		t.Fatalf("returned %d machines that are listed, dark %v", returned, r.partitioned)
+		t.Fatalf("terminated %d machines that are listed, partitioned %v", returned, r.partitioned)
 	}
 	r.ApplyMachineList(r.now, nil)
 	look(7 * time.Second)
 	if returned != 5 || r.partitioned {
-		t.Fatalf("returned %d of 5 machines that are gone, dark %v", returned, r.partitioned)
+		t.Fatalf("terminated %d of 5 machines that have ended, partitioned %v", returned, r.partitioned)
 	}
 }
 
-// A task that was kept because no shard had room goes back to the leader once it
-// has waited for long and another shard has room for a single one, though machines
-// may still be had here: the cloud may refuse them for ever.
-func TestLongWaitGoesWhereThereIsRoom(t *testing.T) {
+// A task that was kept because no shard had capacity goes back to the leader once it
+// has waited for long and another shard has capacity for a single one, though the shard may
+// still scale out: the cloud may refuse machines for ever.
+func TestLongWaitGoesToShardWithCapacity(t *testing.T) {
 	for _, room := range []float64{0, 4} {
-		j := array("run-1", 2, "a")
+		j := arrayJob("run-1", 2, "a")
 		j.AcceptedMS = time.Unix(1000, 0).UnixMilli()
 		r := newRig(map[string]*records.Job{"run-1": j})
 		left := 0
 		for range 120 {
-			for _, a := range r.wait(500 * time.Millisecond) {
+			for _, a := range r.advance(500 * time.Millisecond) {
 				switch a := a.(type) {
 				case ScaleOut: // refused each time
 					r.ScaleOutResult(r.now, a.Request.RequestID, nil, true)
@@ -619,24 +619,24 @@
 			r.ApplyOtherShards(r.now, []leader.Aggregate{agg, {Shard: "c", Term: 1}})
 		}
 		if (left > 0) != (room > 0) {
-			t.Errorf("%g CPUs elsewhere, and %d ranges were sent back", room, left)
+			t.Errorf("%g CPUs in another shard, and %d ranges were sent back", room, left)
 		}
 	}
 }
 
-// Another controller's word that a job is cancelled stops its tasks and starts none,
+// Another controller's message that a job is cancelled stops its tasks and starts none,
 // before the feed brings the record; nothing is written of it meanwhile.
-func TestWordOfACancellationStops(t *testing.T) {
+func TestCancellationFromPeerStopsTasks(t *testing.T) {
 	r := newRig(nil)
-	r.up("m-1")
-	j := array("run-1", 2, "a")
+	r.bringUp("m-1")
+	j := arrayJob("run-1", 2, "a")
 	j.AcceptedMS = r.now.UnixMilli()
 	r.Apply(r.now, records.Change{Key: records.KeyJob("run-1"), Version: 60, Record: j})
-	if n := len(started(r.wait(time.Second), "m-1")); n != 2 {
+	if n := len(directStarts(r.advance(time.Second), "m-1")); n != 2 {
 		t.Fatalf("%d of 2 tasks started", n)
 	}
 	r.ApplyCancellation("run-1")
-	r.ApplyCancellation("run-2") // not here
+	r.ApplyCancellation("run-2") // not in this shard
 	if j.End != "" {
 		t.Error("the feed's record was changed")
 	}
@@ -644,21 +644,21 @@
 	for _, att := range r.machines["m-1"].attempts {
 		names = append(names, wire.TaskStatus{Task: att.key.task, Attempt: att.key.number, State: wire.TaskRunning})
 	}
-	reply, ok := r.Heartbeat(r.now, report("m-1", 1, 3, r.shown("m-1"), names...))
+	reply, ok := r.Heartbeat(r.now, newHeartbeat("m-1", 1, 3, r.latestToken("m-1"), names...))
 	if !ok || len(reply.Commands) != 2 || reply.Commands[0].Op != wire.OpStop {
 		t.Fatalf("answered %+v, wanted two stops", reply.Commands)
 	}
 	for i := range names {
 		names[i].State, names[i].Cause = wire.TaskExited, wire.CauseStopped
 	}
-	r.Heartbeat(r.now, report("m-1", 1, 4, r.shown("m-1"), names...))
+	r.Heartbeat(r.now, newHeartbeat("m-1", 1, 4, r.latestToken("m-1"), names...))
 	for range 20 {
-		for _, a := range r.wait(time.Second) {
+		for _, a := range r.advance(time.Second) {
 			if cm, ok := a.(Commit); ok && cm.ID == (CommitID{kind: commitJob, jobID: "run-1"}) {
-				t.Fatal("a record is written that the state service does not have yet")
+				t.Fatal("a record is written that the key-value store does not have yet")
 			}
 		}
-		if len(started(r.wait(time.Second), "m-1")) > 0 {
+		if len(directStarts(r.advance(time.Second), "m-1")) > 0 {
 			t.Fatal("a cancelled task was started")
 		}
 	}
@@ -666,7 +666,7 @@
 	stored.End = wire.JobCancelled
 	r.Apply(r.now, records.Change{Key: records.KeyJob("run-1"), Version: 70, Record: stored})
 	closed := false
-	for _, a := range r.wait(time.Second) {
+	for _, a := range r.advance(time.Second) {
 		cm, ok := a.(Commit)
 		closed = closed || ok && cm.ID == (CommitID{kind: commitJob, jobID: "run-1"})
 	}
@@ -675,10 +675,10 @@
 	}
 }
 
-// A late copy of a report, of which a new owner knows nothing newer, is not proof
-// that it hears its machines: the others of a small shard that is out of reach would
-// be taken for silent by themselves and returned.
-func TestLateCopyIsNotHeardAtTakeover(t *testing.T) {
+// A late copy of a heartbeat, of which a new owner knows nothing newer, is not proof
+// that it receives heartbeats: the other machines of a small partitioned shard would count as
+// failed by themselves and be terminated.
+func TestLateHeartbeatIsNoEvidenceAtFailover(t *testing.T) {
 	var inventory []records.Machine
 	for i := range 3 {
 		name := fmt.Sprintf("m-%d", i)
@@ -688,16 +688,16 @@
 		r := newRig(nil, inventory...)
 		seen := token(r.term-1, 3)
 		if !copied {
-			seen = token(r.term, 0) // it does hear one of them: the others are silent by themselves
+			seen = token(r.term, 0) // it does receive heartbeats of one: the others have failed by themselves
 		}
 		seq := uint64(50)
-		r.unacknowledged(time.Second, func() {})
-		r.Heartbeat(r.now, report("m-0", 1, seq, seen))
-		returned := r.unacknowledged(15*time.Second, func() {
+		r.advanceUnanswered(time.Second, func() {})
+		r.Heartbeat(r.now, newHeartbeat("m-0", 1, seq, seen))
+		returned := r.advanceUnanswered(15*time.Second, func() {
 			r.peersHeardAt = r.now
 			if !copied {
 				seq++
-				r.Heartbeat(r.now, report("m-0", 1, seq, r.shown("m-0")))
+				r.Heartbeat(r.now, newHeartbeat("m-0", 1, seq, r.latestToken("m-0")))
 			}
 		})
 		if want := map[bool]int{true: 0, false: 2}[copied]; len(returned) != want {
--- a/shard/directcommands.go
+++ b/shard/directcommands.go
@@ -111,7 +111,7 @@
 
 // hasOverdueStart reports whether a start that was sent to a machine has had no effect.
 func (k *knownState) hasOverdueStart(now time.Time, m *machine) bool {
-	if k.usageOf(m).unreportedStarts == 0 {
+	if k.usageOf(m).pendingStarts == 0 {
 		return false // as nearly always: every scan of the fleet checks every machine
 	}
 	for _, a := range m.attempts {
--- a/shard/directcommands_test.go
+++ b/shard/directcommands_test.go
@@ -12,19 +12,19 @@
 
 // A start that was decided goes out with the very next step, also between two looks
 // at the whole fleet.
-func TestStartGoesOutAtOnce(t *testing.T) {
+func TestStartIsSentAtOnce(t *testing.T) {
 	r := newRig(nil)
 	for i := range 3 {
-		r.up(fmt.Sprintf("m-%d", i))
+		r.bringUp(fmt.Sprintf("m-%d", i))
 	}
-	r.wait(constants.FleetScanInterval) // a look at the fleet; the next one is that far away
-	job := array("run-1", 2, "a")
+	r.advance(constants.FleetScanInterval) // a look at the fleet; the next one is that far away
+	job := arrayJob("run-1", 2, "a")
 	job.AcceptedMS = r.now.UnixMilli()
 	r.submit(job)
-	acts := r.wait(constants.MinOwnerStepInterval)
+	acts := r.advance(constants.MinOwnerStepInterval)
 	n := 0
 	for i := range 3 {
-		n += len(started(acts, fmt.Sprintf("m-%d", i)))
+		n += len(directStarts(acts, fmt.Sprintf("m-%d", i)))
 	}
 	if n != 2 {
 		t.Fatalf("%d of 2 starts went out with the step that decided them", n)
@@ -34,12 +34,12 @@
 // Whatever is answered, lost or returned meanwhile, the direct commands under way
 // are counted right, never exceed what is allowed, and nothing that a machine should
 // be told is forgotten: its place in the queue or the next look brings it.
-func TestCallsUnderWayAreBounded(t *testing.T) {
+func TestDirectCommandsInFlightAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const machines = 12
 		r := newRig(nil)
 		for i := range machines {
-			r.up(fmt.Sprintf("m-%d", i))
+			r.bringUp(fmt.Sprintf("m-%d", i))
 		}
 		r.cfg.MaxDirectCommands = rapid.IntRange(1, 4).Draw(t, "calls")
 		open := map[string]bool{}
@@ -65,7 +65,7 @@
 			name := fmt.Sprintf("m-%d", rapid.IntRange(0, machines-1).Draw(t, "machine"))
 			switch rapid.IntRange(0, 4).Draw(t, "move") {
 			case 0:
-				r.submit(array(fmt.Sprintf("run-%d", i), rapid.IntRange(1, 6).Draw(t, "tasks"), "a"))
+				r.submit(arrayJob(fmt.Sprintf("run-%d", i), rapid.IntRange(1, 6).Draw(t, "tasks"), "a"))
 			case 1:
 				if open[name] {
 					delete(open, name)
@@ -82,14 +82,14 @@
 					r.CommandResult(r.now, name, nil)
 				}
 			}
-			take(r.wait(constants.MinOwnerStepInterval))
+			take(r.advance(constants.MinOwnerStepInterval))
 		}
 		for name := range open {
 			r.CommandResult(r.now, name, nil)
 		}
 		clear(open)
 		for range 4 * machines { // every machine in turn, within the bound
-			take(r.wait(constants.CommandRetryInterval))
+			take(r.advance(constants.CommandRetryInterval))
 			for name := range open {
 				r.CommandResult(r.now, name, nil)
 			}
@@ -106,12 +106,12 @@
 }
 
 // A machine whose session is not known is asked before it is told anything.
-func TestUnknownSessionIsAskedFirst(t *testing.T) {
+func TestUnknownEpochIsProbedFirst(t *testing.T) {
 	r := newRig(nil)
 	m := r.ensureMachine("m-new")
 	m.addr, m.requestedAt = "m-new:1", r.now
 	r.requestCommand(m)
-	for _, a := range r.wait(constants.FleetScanInterval) {
+	for _, a := range r.advance(constants.FleetScanInterval) {
 		if s, ok := a.(SendCommands); ok {
 			if s.Machine != "m-new" || len(s.Request.Commands) != 0 {
 				t.Fatalf("sent %+v", s)
@@ -123,14 +123,14 @@
 }
 
 // Only as many are asked at a time as a wave of silent machines may cost.
-func TestQuestionsGoOutAFewAtATime(t *testing.T) {
+func TestProbesPerStepAreBounded(t *testing.T) {
 	r := newRig(nil)
 	const machines = 3 * constants.MaxProbesPerStep
 	r.fleet(machines)
 	r.Step(r.now)
 	asked := 0
 	for end := r.now.Add(2 * r.cfg.HeartbeatPeriod); asked == 0 && r.now.Before(end); {
-		for _, a := range r.wait(time.Second) {
+		for _, a := range r.advance(time.Second) {
 			if s, ok := a.(SendCommands); ok && len(s.Request.Commands) == 0 {
 				asked++
 			}
--- a/shard/draining_test.go
+++ b/shard/draining_test.go
@@ -16,11 +16,11 @@
 	var budgets disruption.Budgets
 	budgets.SetServicesDefault(disruption.MaxUnavailable{Tasks: 1})
 	r.StartDraining(r.now, DrainingConfig{Shards: []string{"a"}, Budgets: budgets, Policy: drain.Policy{StableAfter: 5 * time.Second, ReplacementTimeout: time.Minute, MaxConsecutiveFailures: 2, ParallelPercent: 100}}, nil, nil)
-	r.up("m-0")
-	r.up("m-1")
+	r.bringUp("m-0")
+	r.bringUp("m-1")
 	spec := wire.Submission{ID: "run-1", Team: "t", Class: "c", Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 3, CPUs: 2, MemoryGB: 1, Image: "i"}
 	r.submit(&records.Job{ID: spec.ID, Spec: spec, Assignments: []records.Assignment{{From: 0, To: 3, Shard: "a", KeepWaiting: true}}})
-	r.write(r.wait(time.Second))
+	r.commitAll(r.advance(time.Second))
 	r.serve(8 * time.Second)
 	return r.jobs["run-1"]
 }
@@ -29,7 +29,7 @@
 // they were told to stop has exited.
 func (r *rig) serve(d time.Duration) {
 	for end := r.now.Add(d); r.now.Before(end); {
-		r.write(r.wait(250 * time.Millisecond))
+		r.commitAll(r.advance(250 * time.Millisecond))
 		for _, m := range r.Core.fleet {
 			var tasks []wire.TaskStatus
 			for _, a := range m.attempts {
@@ -39,7 +39,7 @@
 				}
 				tasks = append(tasks, s)
 			}
-			r.Heartbeat(r.now, report(m.name, 1, m.seq+1, r.fencingToken(m), tasks...))
+			r.Heartbeat(r.now, newHeartbeat(m.name, 1, m.seq+1, r.fencingToken(m), tasks...))
 		}
 	}
 }
@@ -77,7 +77,7 @@
 func TestDrainLeavesAloneWhatMayComeUp(t *testing.T) {
 	r := newRig(nil)
 	j := r.withAccount()
-	r.up("m-2")
+	r.bringUp("m-2")
 	for _, task := range j.tasks { // as if each had just been heard of, while it was fetched
 		task.attempt.runningSince = r.now
 	}
@@ -154,14 +154,14 @@
 		budgets.SetInterruptionsDefault(disruption.MaxUnavailable{Tasks: 1})
 		cfg := DrainingConfig{Shards: []string{"a"}, Budgets: budgets, Policy: drain.Policy{StableAfter: 5 * time.Second, ReplacementTimeout: time.Minute, MaxConsecutiveFailures: 2, ParallelPercent: 100}}
 		r.StartDraining(r.now, cfg, nil, nil)
-		r.up("m-0")
-		r.up("m-1")
+		r.bringUp("m-0")
+		r.bringUp("m-1")
 		for _, id := range []string{"run-1", "run-2"} {
 			spec := wire.Submission{ID: id, Team: "t", Class: "c", Kind: kind, Priority: wire.PriorityNormal, Tasks: 2, CPUs: 2, MemoryGB: 1, Image: "i", EstimateS: 600}
 			r.submit(&records.Job{ID: spec.ID, Spec: spec, Assignments: []records.Assignment{{From: 0, To: 2, Shard: "a", KeepWaiting: true}}})
 		}
 		r.serve(15 * time.Second)
-		r.up("m-2")
+		r.bringUp("m-2")
 		units := map[interruptionUnit]bool{}
 		for _, j := range r.jobs {
 			for _, task := range j.tasks {
@@ -205,11 +205,11 @@
 	last := records.DisruptionClaim{Shard: "a", Term: r.term - 1, Unavailable: map[string]int{key.String(): 2}}
 	cfg := DrainingConfig{Shards: []string{"a"}, Budgets: budgets, Policy: drain.Policy{StableAfter: 5 * time.Second, ReplacementTimeout: time.Minute, MaxConsecutiveFailures: 2}}
 	r.StartDraining(r.now, cfg, map[string]*records.Job{j.ID: j}, []records.Change{{Key: records.KeyDisruptionClaim("a"), Version: 90, Record: &last}})
-	r.write(r.wait(time.Second))
+	r.commitAll(r.advance(time.Second))
 	if n := r.draining.countUnavailable(&r.fleetView, r.now)[key]; n != 2 {
 		t.Errorf("%d of 3 that wait count, 2 were claimed", n)
 	}
-	r.up("m-0")
+	r.bringUp("m-0")
 	r.serve(15 * time.Second)
 	if n := r.draining.countUnavailable(&r.fleetView, r.now)[key]; n != 0 {
 		t.Errorf("%d count though all run", n)
--- a/shard/gang_test.go
+++ b/shard/gang_test.go
@@ -27,7 +27,7 @@
 	h := &hands{rig: r, held: map[string][]wire.TaskStatus{}, seq: map[string]uint64{}, stops: map[string]float64{}}
 	h.cfg.GangStartTimeout, h.cfg.GangPeerTimeout = 30*time.Second, 8*time.Second
 	for _, m := range machines {
-		r.up(m)
+		r.bringUp(m)
 		h.seq[m] = 10
 	}
 	return h
@@ -35,7 +35,7 @@
 
 // carry carries out the direct commands among actions and grants all writes.
 func (h *hands) carry(acts []Action) (starts []wire.Command) {
-	h.write(acts)
+	h.commitAll(acts)
 	for _, a := range acts {
 		s, ok := a.(SendCommands)
 		if !ok {
@@ -72,7 +72,7 @@
 
 // says is what a machine reports.
 func (h *hands) says(m string) *wire.Heartbeat {
-	r := report(m, 1, h.seq[m], h.shown(m), h.held[m]...)
+	r := newHeartbeat(m, 1, h.seq[m], h.latestToken(m), h.held[m]...)
 	r.Spot = m == h.spot
 	return r
 }
@@ -95,7 +95,7 @@
 // run lets time pass in which the machines report.
 func (h *hands) run(d time.Duration) (starts []wire.Command) {
 	for end := h.now.Add(d); h.now.Before(end); {
-		starts = append(starts, h.carry(h.wait(250*time.Millisecond))...)
+		starts = append(starts, h.carry(h.advance(250*time.Millisecond))...)
 		for _, m := range slices.Sorted(func(yield func(string) bool) {
 			for m := range h.seq {
 				if !yield(m) {
@@ -110,7 +110,7 @@
 }
 
 func gangOf(id string, tasks int, shard string) *records.Job {
-	j := array(id, tasks, shard)
+	j := arrayJob(id, tasks, shard)
 	j.Spec.Kind, j.Spec.Spot, j.Spec.CheckpointIntervalS, j.Spec.CheckpointSaveS, j.Spec.OneZone = wire.KindGang, false, 20, 3, true
 	return j
 }
@@ -122,7 +122,7 @@
 	if s := h.run(3 * time.Second); len(s) != 0 {
 		t.Fatalf("%d tasks of a gang started where 8 of 10 find room", len(s))
 	}
-	h.up("m-3")
+	h.bringUp("m-3")
 	h.seq["m-3"] = 10
 	s := h.run(time.Second)
 	if len(s) != 10 {
@@ -139,7 +139,7 @@
 // do not take what falls free before a waiting gang has it.
 func TestGangsDoNotStarve(t *testing.T) {
 	h := newHands(newRig(nil), "m-1", "m-2")
-	h.submit(array("run-1", 6, "a"))
+	h.submit(arrayJob("run-1", 6, "a"))
 	first := h.run(time.Second)
 	if len(first) != 6 {
 		t.Fatalf("%d array tasks started", len(first))
@@ -149,7 +149,7 @@
 	}
 	h.submit(gangOf("run-2", 8, "a"))
 	h.submit(gangOf("run-3", 8, "a"))
-	h.submit(array("run-4", 20, "a"))
+	h.submit(arrayJob("run-4", 20, "a"))
 	began := map[string]int{}
 	count := func(s []wire.Command) {
 		for _, c := range s {
@@ -253,10 +253,10 @@
 	}
 	left := 14.0
 	h.seq["m-1"]++
-	rep := report("m-1", 1, h.seq["m-1"], h.shown("m-1"), h.held["m-1"]...)
+	rep := newHeartbeat("m-1", 1, h.seq["m-1"], h.latestToken("m-1"), h.held["m-1"]...)
 	rep.NoticeS = &left
 	h.Heartbeat(h.now, rep)
-	if h.carry(h.wait(200 * time.Millisecond)); len(h.stops) != 6 {
+	if h.carry(h.advance(200 * time.Millisecond)); len(h.stops) != 6 {
 		t.Fatalf("%d of 6 tasks were told to stop together", len(h.stops))
 	}
 	for task, grace := range h.stops {
@@ -385,7 +385,7 @@
 	h := newHands(newRig(nil), "m-1", "m-2")
 	h.spot = "m-1"
 	h.run(time.Second)
-	h.submit(array("run-1", 8, "a"))
+	h.submit(arrayJob("run-1", 8, "a"))
 	h.run(time.Second)
 	h.submit(gangOf("run-2", 4, "a"))
 	h.run(time.Second)
--- a/shard/gangpreempt.go
+++ b/shard/gangpreempt.go
@@ -52,7 +52,7 @@
 	if !r.preemptionScan.needsCheckpoint {
 		return
 	}
-	isExpectingCapacity := func(t *task) bool { return now.Before(t.roomExpectedUntil) }
+	isExpectingCapacity := func(t *task) bool { return now.Before(t.resourcesExpectedUntil) }
 	if slices.ContainsFunc(tasks, isExpectingCapacity) {
 		return // what was stopped for it still checkpoints
 	}
--- a/shard/heartbeat.go
+++ b/shard/heartbeat.go
@@ -31,7 +31,7 @@
 	}
 	c.updateMachine(now, m, r)
 	c.reconcile(now, m, r, viaHeartbeat)
-	c.noteHeartbeat(&c.fleetView, now, m)
+	c.recordHeartbeat(&c.fleetView, now, m)
 	m.leaseExpiresAt = c.leaseExpiry(now, m)
 	if !c.mayAct(now) {
 		return wire.HeartbeatReply{FencingToken: c.fencingToken(m), Commands: []wire.Command{}}, true
@@ -69,13 +69,13 @@
 	}
 }
 
-// noteHeartbeat records that a machine is alive, and checks whether it receives replies: the
+// recordHeartbeat records that a machine is alive, and checks whether it receives replies: the
 // lease of a machine whose heartbeats arrive while replies and commands do not reach it
 // expires unnoticed. A machine that does not show the fencing token of the last reply, that
 // sent heartbeats to other controllers though it was answered here, or that leaves a direct
 // command unanswered, is unconfirmed until it shows a token that is sent to it from then on.
 // A late copy of a heartbeat cannot: it is older than that token.
-func (p *placement) noteHeartbeat(v *fleetView, now time.Time, m *machine) {
+func (p *placement) recordHeartbeat(v *fleetView, now time.Time, m *machine) {
 	if v.isUnreachable(now, m) {
 		m.unansweredUnconfirmed = 0 // it was unreachable: unanswered commands of that time do not count
 	}
--- a/shard/job.go
+++ b/shard/job.go
@@ -32,18 +32,18 @@
 
 // task is one task of an open assignment.
 type task struct {
-	job               *job
-	index             int
-	attempt           *attempt
-	done              bool
-	uncertain         bool // may run on an inherited machine that has sent no heartbeat yet
-	sendingBack       bool // it is being sent back to the leader, and is not placed
-	notBefore         time.Time
-	waitingSince      time.Time
-	failures          int
-	keepWaiting       bool
-	withinGuarantee   bool
-	roomExpectedUntil time.Time // until then, preempted work is saving its checkpoint to free resources for it
+	job                    *job
+	index                  int
+	attempt                *attempt
+	done                   bool
+	uncertain              bool // may run on an inherited machine that has sent no heartbeat yet
+	sendingBack            bool // it is being sent back to the leader, and is not placed
+	notBefore              time.Time
+	waitingSince           time.Time
+	failures               int
+	keepWaiting            bool
+	withinGuarantee        bool
+	resourcesExpectedUntil time.Time // until then, preempted work is saving its checkpoint to free resources for it
 }
 
 // isWaiting reports whether the task has no attempt and needs one.
--- a/shard/partition_test.go
+++ b/shard/partition_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// reportElsewhere plays time in which an owner's machines report to other controllers
-// alone, and names those that it returns.
-func (r *rig) reportElsewhere(d time.Duration) []string {
+// advanceMisrouted advances the time while the owner's machines send heartbeats only to other
+// controllers, and returns the machines that it terminated.
+func (r *rig) advanceMisrouted(d time.Duration) []string {
 	seq := uint64(100)
-	return r.unacknowledged(d, func() {
+	return r.advanceUnanswered(d, func() {
 		seq++
 		var seen []MisroutedHeartbeat
 		for name := range r.machines {
@@ -20,20 +20,20 @@
 	})
 }
 
-// An owner that its machines cannot reach returns none of them. Guards against two ways
-// in which the machines of a small shard, which ran on and reported to others, were given
-// back: an idle one was returned while the shard was out of reach, which left two, and
-// two that are both unconfirmed were taken for deaf.
-func TestSmallShardThatReportsElsewhereIsKept(t *testing.T) {
+// An owner that its machines cannot reach terminates none of them. Guards against two ways in
+// which the machines of a small shard, which ran on and sent heartbeats to others, were
+// terminated: an idle one during the partition, which left two, and two that are both
+// unconfirmed as not receiving.
+func TestSmallShardWithMisroutedHeartbeatsIsKept(t *testing.T) {
 	for _, machines := range []int{2, 3} {
 		r := newRig(nil)
 		if machines > 2 {
 			r.cfg.SpotIdleTimeout, r.cfg.OnDemandIdleTimeout = 12*time.Second, 12*time.Second
 		}
 		for i := range machines {
-			r.up(fmt.Sprintf("m-%d", i))
+			r.bringUp(fmt.Sprintf("m-%d", i))
 		}
-		if gone := r.reportElsewhere(16 * time.Second); len(gone) > 0 {
+		if gone := r.advanceMisrouted(16 * time.Second); len(gone) > 0 {
 			t.Errorf("of %d machines that report to others %v were returned", machines, gone)
 		}
 		if silent, elsewhere := r.IsIsolated(r.now); !silent || !elsewhere {
@@ -44,11 +44,11 @@
 
 // Two machines that stay unconfirmed are returned once their leases have surely ended:
 // nothing runs there any more, and nobody else takes them.
-func TestTwoDeafMachinesAreReturnedAfterTheirLease(t *testing.T) {
+func TestTwoMachinesNotReceivingAreTerminatedAfterTheirLease(t *testing.T) {
 	r := newRig(nil)
-	r.up("m-0")
-	r.up("m-1")
-	if gone := r.reportElsewhere(2*leaseEnd + 10*time.Second); len(gone) != 2 {
+	r.bringUp("m-0")
+	r.bringUp("m-1")
+	if gone := r.advanceMisrouted(2*leaseEnd + 10*time.Second); len(gone) != 2 {
 		t.Errorf("%v were returned", gone)
 	}
 }
--- a/shard/preemptcheckpoint.go
+++ b/shard/preemptcheckpoint.go
@@ -13,7 +13,7 @@
 // be preempted: that is stopped with time for its checkpoint, and the task starts once it
 // is gone. It returns for how many such tasks there will be capacity.
 func (q *outbox) preemptWithCheckpoint(v *fleetView, now time.Time, preemptor *task, r *placementRound) int {
-	if !r.preemptionScan.needsCheckpoint || now.Before(preemptor.roomExpectedUntil) {
+	if !r.preemptionScan.needsCheckpoint || now.Before(preemptor.resourcesExpectedUntil) {
 		return 0
 	}
 	victims := v.cheapestCheckpointPreemption(now, preemptor)
@@ -26,7 +26,7 @@
 		wait = max(wait, v.stopGrace(victim)+v.gangSaveTime(victim))
 		freed = freed.plus(q.evictForPreemption(v, victim))
 	}
-	preemptor.roomExpectedUntil = now.Add(wait + constants.ReclaimMargin)
+	preemptor.resourcesExpectedUntil = now.Add(wait + constants.ReclaimMargin)
 	return freed.holdsOf(taskResources(&preemptor.job.rec.Spec))
 }
 
--- a/shard/reconnect_test.go
+++ b/shard/reconnect_test.go
@@ -9,10 +9,10 @@
 	"ravenport/wire"
 )
 
-// BenchmarkComeback is a whole shard that comes back with nothing left on its
+// BenchmarkReconnect is a whole shard that comes back with nothing left on its
 // machines: all report new sessions within a period, and all tasks that it had
 // are placed again, services and arrays of many jobs.
-func BenchmarkComeback(b *testing.B) {
+func BenchmarkReconnect(b *testing.B) {
 	const machines, services, arrays = 600, 200, 60
 	for b.Loop() {
 		b.StopTimer()
@@ -24,7 +24,7 @@
 		}
 		for i := range arrays {
 			id := fmt.Sprintf("run-a%04d", i)
-			jobs[id] = array(id, 40, "a")
+			jobs[id] = arrayJob(id, 40, "a")
 		}
 		var inventory []records.Machine
 		for i := range machines {
@@ -38,10 +38,10 @@
 		for step := range 300 { // 6 s
 			for i := range 2 {
 				name := fmt.Sprintf("m-%05d", step*2+i)
-				r.Heartbeat(r.now, report(name, 2, 1, 0))
-				r.Heartbeat(r.now, report(name, 2, 2, r.shown(name)))
+				r.Heartbeat(r.now, newHeartbeat(name, 2, 1, 0))
+				r.Heartbeat(r.now, newHeartbeat(name, 2, 2, r.latestToken(name)))
 			}
-			for _, a := range r.wait(20 * time.Millisecond) {
+			for _, a := range r.advance(20 * time.Millisecond) {
 				if s, ok := a.(SendCommands); ok {
 					r.CommandResult(r.now, s.Machine, nil)
 				}
--- a/shard/scale_test.go
+++ b/shard/scale_test.go
@@ -16,15 +16,15 @@
 // fleet brings many machines up at once, verified and in the inventory.
 func (r *rig) fleet(n int) {
 	for i := range n {
-		r.Heartbeat(r.now, report(fmt.Sprintf("m-%05d", i), 1, 1, 0))
+		r.Heartbeat(r.now, newHeartbeat(fmt.Sprintf("m-%05d", i), 1, 1, 0))
 	}
 	for range 10 {
 		r.now = r.now.Add(300 * time.Millisecond)
-		r.write(r.Step(r.now))
+		r.commitAll(r.Step(r.now))
 	}
 	for i := range n {
 		name := fmt.Sprintf("m-%05d", i)
-		r.Heartbeat(r.now, report(name, 1, 2, r.shown(name)))
+		r.Heartbeat(r.now, newHeartbeat(name, 1, 2, r.latestToken(name)))
 	}
 	for name, m := range r.machines {
 		if !m.durable || !r.isSchedulable(r.now, m) {
@@ -40,7 +40,7 @@
 	const machines = 600
 	writes := 0
 	for i := range machines {
-		r.Heartbeat(r.now, report(fmt.Sprintf("m-%05d", i), 1, 1, 0))
+		r.Heartbeat(r.now, newHeartbeat(fmt.Sprintf("m-%05d", i), 1, 1, 0))
 		r.now = r.now.Add(20 * time.Millisecond)
 		for _, a := range r.Step(r.now) {
 			if cm, ok := a.(Commit); ok {
@@ -50,12 +50,12 @@
 						t.Fatalf("a page of %d bytes", len(ch.Value))
 					}
 				}
-				r.write([]Action{cm})
+				r.commitAll([]Action{cm})
 			}
 		}
 	}
 	for range 20 {
-		r.write(r.wait(time.Second))
+		r.commitAll(r.advance(time.Second))
 	}
 	stored := 0
 	for _, m := range r.machines {
@@ -72,13 +72,13 @@
 }
 
 // What a report that changes nothing costs does not grow with the fleet.
-func TestQuietReportCostsTheSameInAnyFleet(t *testing.T) {
+func TestQuietHeartbeatCostsTheSameInAnyFleet(t *testing.T) {
 	cost := func(machines int) float64 {
 		r := newRig(nil)
 		r.fleet(machines)
-		r.submit(array("run-1", 4*machines-8, "a"))
+		r.submit(arrayJob("run-1", 4*machines-8, "a"))
 		for range 30 {
-			r.wait(20 * time.Millisecond)
+			r.advance(20 * time.Millisecond)
 		}
 		seq := uint64(2)
 		var tasks []wire.TaskStatus
@@ -90,7 +90,7 @@
 		}
 		return testing.AllocsPerRun(50, func() {
 			seq++
-			if _, ok := r.Heartbeat(r.now, report("m-00000", 1, seq, r.shown("m-00000"), tasks...)); !ok {
+			if _, ok := r.Heartbeat(r.now, newHeartbeat("m-00000", 1, seq, r.latestToken("m-00000"), tasks...)); !ok {
 				t.Fatal("refused")
 			}
 		})
@@ -107,7 +107,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRig(nil)
 		for i := range 30 {
-			r.up(fmt.Sprintf("m-%d", i))
+			r.bringUp(fmt.Sprintf("m-%d", i))
 		}
 		r.roundBudget = 0
 		n := rapid.IntRange(2, 40).Draw(t, "jobs")
@@ -115,7 +115,7 @@
 		rounds := 0
 		for ; came < n || len(r.waiting) > stuck || len(r.changedJobs) > 0; rounds++ {
 			if came < n && rapid.Bool().Draw(t, "comes") {
-				j := array(fmt.Sprintf("run-%d", came), 1, "a")
+				j := arrayJob(fmt.Sprintf("run-%d", came), 1, "a")
 				j.Spec.CPUs = 0.5
 				if rapid.IntRange(0, 3).Draw(t, "stuck") == 0 {
 					j.Spec.CPUs = 9 // no machine is that large: it waits for ever, and holds up nobody
@@ -125,7 +125,7 @@
 				r.submit(j)
 				came++
 			}
-			r.wait(20 * time.Millisecond)
+			r.advance(20 * time.Millisecond)
 			if rounds > 8*n+20 {
 				t.Fatalf("%d jobs wait after %d rounds", len(r.waiting), rounds)
 			}
@@ -135,13 +135,13 @@
 
 // After a takeover of many machines, those that are silent hold up nobody: all
 // others are asked, or have reported, within seconds.
-func TestSilentMachinesHoldUpNoTakeover(t *testing.T) {
+func TestUnreachableMachinesDelayNoFailover(t *testing.T) {
 	var inventory []records.Machine
 	for i := range 200 {
 		name := fmt.Sprintf("m-%05d", i)
 		inventory = append(inventory, records.Machine{Name: name, Type: "box", Addr: name + ":1"})
 	}
-	r := newRig(map[string]*records.Job{"run-1": array("run-1", 3, "a")}, inventory...)
+	r := newRig(map[string]*records.Job{"run-1": arrayJob("run-1", 3, "a")}, inventory...)
 	silent := func(name string) bool { return name < "m-00070" }
 	type call struct {
 		name string
@@ -150,7 +150,7 @@
 	var flying []call
 	returned := 0
 	for step := range 500 {
-		for _, a := range r.wait(20 * time.Millisecond) {
+		for _, a := range r.advance(20 * time.Millisecond) {
 			switch a := a.(type) {
 			case SendCommands:
 				flying = append(flying, call{a.Machine, r.now})
@@ -163,7 +163,7 @@
 		for _, f := range flying {
 			switch {
 			case !silent(f.name):
-				r.CommandResult(r.now, f.name, report(f.name, 1, uint64(100+step), r.shown(f.name)))
+				r.CommandResult(r.now, f.name, newHeartbeat(f.name, 1, uint64(100+step), r.latestToken(f.name)))
 			case r.now.Sub(f.at) >= constants.ProbeTimeout:
 				r.CommandResult(r.now, f.name, nil)
 			default:
@@ -174,7 +174,7 @@
 		// The others also report, each in its turn of the 3 s.
 		for i := 70 + step%150; i < 200 && step > 75; i += 150 {
 			name := fmt.Sprintf("m-%05d", i)
-			r.Heartbeat(r.now, report(name, 1, uint64(100+step), r.shown(name)))
+			r.Heartbeat(r.now, newHeartbeat(name, 1, uint64(100+step), r.latestToken(name)))
 		}
 		back := 0
 		for name, m := range r.machines {
@@ -196,23 +196,23 @@
 func TestConfirmationNeedsANewToken(t *testing.T) {
 	r := newRig(nil)
 	for i := range 4 {
-		r.up(fmt.Sprintf("m-%d", i))
+		r.bringUp(fmt.Sprintf("m-%d", i))
 	}
 	r.now = r.now.Add(time.Second)
 	for i := range 4 {
-		r.Heartbeat(r.now, report(fmt.Sprintf("m-%d", i), 1, 3, r.shown(fmt.Sprintf("m-%d", i))))
+		r.Heartbeat(r.now, newHeartbeat(fmt.Sprintf("m-%d", i), 1, 3, r.latestToken(fmt.Sprintf("m-%d", i))))
 	}
 	m := r.machines["m-0"]
-	stale := r.shown("m-0")
-	r.Heartbeat(r.now, report("m-0", 1, 6, stale)) // it has reported elsewhere since
+	stale := r.latestToken("m-0")
+	r.Heartbeat(r.now, newHeartbeat("m-0", 1, 6, stale)) // it has reported elsewhere since
 	if !m.isUnconfirmed() || r.isSchedulable(r.now, m) {
 		t.Fatal("it stays trusted though it did not stay")
 	}
-	r.Heartbeat(r.now, report("m-0", 1, 7, stale))
+	r.Heartbeat(r.now, newHeartbeat("m-0", 1, 7, stale))
 	if !m.isUnconfirmed() {
 		t.Fatal("an old token ended the doubt")
 	}
-	r.Heartbeat(r.now, report("m-0", 1, 8, r.shown("m-0")))
+	r.Heartbeat(r.now, newHeartbeat("m-0", 1, 8, r.latestToken("m-0")))
 	if m.isUnconfirmed() || !r.isSchedulable(r.now, m) {
 		t.Fatal("the new token did not end the doubt")
 	}
@@ -220,24 +220,24 @@
 
 // A machine that answers calls but makes no reports loses its lease all the same:
 // it is given up, while the others report.
-func TestMuteMachineIsGivenUp(t *testing.T) {
+func TestMachineWithoutHeartbeatsIsTerminated(t *testing.T) {
 	r := newRig(nil)
 	for i := range 4 {
-		r.up(fmt.Sprintf("m-%d", i))
+		r.bringUp(fmt.Sprintf("m-%d", i))
 	}
 	returned := map[string]bool{}
 	for seq := uint64(10); seq < 30; seq++ {
 		r.now = r.now.Add(time.Second)
 		for i := 1; i < 4; i++ {
 			name := fmt.Sprintf("m-%d", i)
-			rep := report(name, 1, seq, r.shown(name))
+			rep := newHeartbeat(name, 1, seq, r.latestToken(name))
 			rep.Spot = true // idle ordinary ones would be given back
 			r.Heartbeat(r.now, rep)
 		}
 		for _, a := range r.Step(r.now) {
 			switch a := a.(type) {
 			case SendCommands:
-				rep := report(a.Machine, 1, seq, r.shown(a.Machine))
+				rep := newHeartbeat(a.Machine, 1, seq, r.latestToken(a.Machine))
 				rep.Spot = true
 				r.CommandResult(r.now, a.Machine, rep)
 			case ScaleIn:
@@ -255,14 +255,14 @@
 	}
 }
 
-func BenchmarkQuietReport(b *testing.B) {
+func BenchmarkQuietHeartbeat(b *testing.B) {
 	r := newRig(nil)
 	r.fleet(2000)
-	r.submit(array("run-1", 7000, "a"))
+	r.submit(arrayJob("run-1", 7000, "a"))
 	for range 50 {
-		r.wait(20 * time.Millisecond)
+		r.advance(20 * time.Millisecond)
 	}
-	rep := report("m-00000", 1, 3, r.shown("m-00000"))
+	rep := newHeartbeat("m-00000", 1, 3, r.latestToken("m-00000"))
 	for _, a := range r.machines["m-00000"].attempts {
 		rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskRunning})
 	}
@@ -279,12 +279,12 @@
 	r.roundBudget = time.Hour
 	r.fleet(machines)
 	for i := range 200 {
-		j := array(fmt.Sprintf("run-%d", i), 50, "a")
+		j := arrayJob(fmt.Sprintf("run-%d", i), 50, "a")
 		j.Spec.CPUs = 2 + float64(i%7)/8
 		r.submit(j)
 	}
 	for range 50 {
-		r.wait(20 * time.Millisecond)
+		r.advance(20 * time.Millisecond)
 	}
 	return r
 }
@@ -296,7 +296,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		r.needsPlacement = true
-		r.wait(20 * time.Millisecond)
+		r.advance(20 * time.Millisecond)
 	}
 }
 
@@ -304,7 +304,7 @@
 // first most were heard not long ago and nobody answers: it is the owner that
 // is cut off. Once a fair share was heard elsewhere it says so, long before
 // their leases end.
-func TestOwnerCutFromManyReturnsNone(t *testing.T) {
+func TestIsolatedOwnerTerminatesNone(t *testing.T) {
 	r := newRig(nil)
 	const n = 100
 	r.fleet(n)
@@ -314,13 +314,13 @@
 	seq := make([]uint64, n)
 	turn := 0
 	play := func(d time.Duration, reporting func(i int) bool) []string {
-		return r.unacknowledged(d, func() {
+		return r.advanceUnanswered(d, func() {
 			turn++
 			for i := range n {
 				if i%30 == turn%30 && reporting(i) {
 					name := fmt.Sprintf("m-%05d", i)
 					seq[i]++
-					rep := report(name, 1, 2+seq[i], r.shown(name))
+					rep := newHeartbeat(name, 1, 2+seq[i], r.latestToken(name))
 					rep.Spot = true
 					r.Heartbeat(r.now, rep)
 				}
@@ -354,14 +354,14 @@
 func settled(machines int) *rig {
 	r := newRig(nil)
 	r.fleet(machines)
-	r.submit(array("run-1", 2*machines, "a"))
-	svc := array("run-2", 2*machines, "a")
+	r.submit(arrayJob("run-1", 2*machines, "a"))
+	svc := arrayJob("run-2", 2*machines, "a")
 	svc.Spec.Kind, svc.Spec.Priority, svc.Spec.Spot = wire.KindService, wire.PriorityProduction, false
 	r.submit(svc)
 	seq := uint64(2)
 	for range 10 {
 		for range 25 {
-			r.wait(20 * time.Millisecond)
+			r.advance(20 * time.Millisecond)
 		}
 		seq++
 		r.report(seq)
@@ -372,7 +372,7 @@
 // report has every machine report what it was sent as running.
 func (r *rig) report(seq uint64) {
 	for name, m := range r.machines {
-		rep := report(name, 1, seq, r.shown(name))
+		rep := newHeartbeat(name, 1, seq, r.latestToken(name))
 		for _, a := range m.attempts {
 			rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskRunning})
 		}
@@ -414,18 +414,18 @@
 
 // What the owner keeps of a machine is what its attempts add up to, whatever came
 // and went: rounds look at the kept sums alone.
-func TestKeptSumsAreTrue(t *testing.T) {
+func TestCachedUsageIsCorrect(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRig(nil)
 		const machines = 6
 		for i := range machines {
-			r.up(fmt.Sprintf("m-%d", i))
+			r.bringUp(fmt.Sprintf("m-%d", i))
 		}
 		jobs, seq := 0, uint64(2)
 		for range rapid.IntRange(10, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
-				j := array(fmt.Sprintf("run-%d", jobs), rapid.IntRange(1, 6).Draw(t, "tasks"), "a")
+				j := arrayJob(fmt.Sprintf("run-%d", jobs), rapid.IntRange(1, 6).Draw(t, "tasks"), "a")
 				j.Spec.Team = rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "team")
 				j.Assignments[0].Guaranteed = rapid.Bool().Draw(t, "guaranteed")
 				j.Spec.Priority = rapid.SampledFrom([]string{wire.PriorityLow, wire.PriorityNormal, wire.PriorityProduction}).Draw(t, "priority")
@@ -465,7 +465,7 @@
 				if rapid.IntRange(0, 9).Draw(t, "ended") == 0 {
 					session = m.epoch + 1
 				}
-				rep := report(name, max(session, m.epoch), seq, r.shown(name))
+				rep := newHeartbeat(name, max(session, m.epoch), seq, r.latestToken(name))
 				for _, a := range m.attempts {
 					s := wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: rapid.SampledFrom([]string{wire.TaskFetching, wire.TaskRunning, wire.TaskExited}).Draw(t, "state")}
 					if a.hasExited() || s.State == wire.TaskExited {
@@ -475,7 +475,7 @@
 				}
 				r.Heartbeat(r.now, rep)
 			default:
-				r.write(r.wait(time.Duration(rapid.IntRange(20, 900).Draw(t, "ms")) * time.Millisecond))
+				r.commitAll(r.advance(time.Duration(rapid.IntRange(20, 900).Draw(t, "ms")) * time.Millisecond))
 			}
 			for _, m := range r.Core.fleet {
 				if m.usageStale {
@@ -520,7 +520,7 @@
 	r := crowded(400)
 	n := testing.AllocsPerRun(50, func() {
 		r.needsPlacement = true
-		r.wait(20 * time.Millisecond)
+		r.advance(20 * time.Millisecond)
 	})
 	t.Logf("%g allocations", n)
 	if n > 150 {
@@ -532,15 +532,15 @@
 // token once, not with every answer: each new one makes it report at once.
 func TestDoneTasksRaiseTheTokenOnce(t *testing.T) {
 	r := newRig(nil)
-	r.up("m-0")
-	r.submit(array("run-1", 40, "a"))
-	r.wait(20 * time.Millisecond) // four are started, by a direct command
+	r.bringUp("m-0")
+	r.submit(arrayJob("run-1", 40, "a"))
+	r.advance(20 * time.Millisecond) // four are started, by a direct command
 	m := r.machines["m-0"]
 	seq, was, raised := uint64(2), m.tokenCount, uint64(0)
 	for range 10 {
 		r.now = r.now.Add(500 * time.Millisecond)
 		seq++
-		rep := report("m-0", 1, seq, r.shown("m-0"))
+		rep := newHeartbeat("m-0", 1, seq, r.latestToken("m-0"))
 		for _, a := range m.attempts {
 			if a.sentDirectly {
 				rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskExited, Cause: wire.CauseDone})
@@ -561,9 +561,9 @@
 
 // A report that changes nothing allocates nothing: an owner of a lean deployment
 // takes in a hundred of them a second.
-func TestQuietReportAllocatesNothing(t *testing.T) {
+func TestQuietHeartbeatAllocatesNothing(t *testing.T) {
 	r := settled(50)
-	rep := report("m-00000", 1, 1000, r.shown("m-00000"))
+	rep := newHeartbeat("m-00000", 1, 1000, r.latestToken("m-00000"))
 	for _, a := range r.machines["m-00000"].attempts {
 		rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskRunning})
 	}
--- a/shard/scalein_test.go
+++ b/shard/scalein_test.go
@@ -48,7 +48,7 @@
 
 // An idle machine is returned only after the write that closes it was surely carried
 // out, however often that fails, and takes nothing from the decision on.
-func TestMachineIsClosedBeforeItsReturn(t *testing.T) {
+func TestMachineIsClosedBeforeScaleIn(t *testing.T) {
 	r := newRig(nil)
 	r.cfg.CloseBeforeScaleIn, r.cfg.SpotIdleTimeout, r.cfg.OnDemandIdleTimeout = true, 10*time.Second, 10*time.Second
 	r.fleet(3)
@@ -56,7 +56,7 @@
 	for range 200 {
 		r.now = r.now.Add(300 * time.Millisecond)
 		for name := range r.machines {
-			r.Heartbeat(r.now, report(name, 1, uint64(10+r.now.UnixMilli()), r.shown(name)))
+			r.Heartbeat(r.now, newHeartbeat(name, 1, uint64(10+r.now.UnixMilli()), r.latestToken(name)))
 		}
 		acts := r.Step(r.now)
 		if names := returns(acts); len(names) > 0 && closed == 0 {
@@ -69,8 +69,8 @@
 				continue
 			}
 			closed = len(names)
-			r.write(acts)
-			r.submit(array("run-1", 8, "a")) // comes now, and finds no machine that may take it
+			r.commitAll(acts)
+			r.submit(arrayJob("run-1", 8, "a")) // comes now, and finds no machine that may take it
 		}
 		for _, m := range r.machines {
 			if m.closure.decided && len(m.attempts) > 0 {
@@ -90,18 +90,18 @@
 	for _, closeFirst := range []bool{true, false} {
 		r := newRig(nil, records.Machine{Name: "m-1", Type: "box", Addr: "m-1", Terminating: true}, records.Machine{Name: "m-2", Type: "box", Addr: "m-2"})
 		r.cfg.CloseBeforeScaleIn = closeFirst
-		r.submit(array("run-1", 16, "a"))
+		r.submit(arrayJob("run-1", 16, "a"))
 		var asked []string
 		for i := range 40 {
 			r.now = r.now.Add(300 * time.Millisecond)
 			for _, name := range []string{"m-1", "m-2"} {
 				if r.machines[name] != nil {
-					r.Heartbeat(r.now, report(name, 1, uint64(1+i), r.term<<constants.TokenCounterBits))
+					r.Heartbeat(r.now, newHeartbeat(name, 1, uint64(1+i), r.term<<constants.TokenCounterBits))
 				}
 			}
 			acts := r.Step(r.now)
 			asked = append(asked, returns(acts)...)
-			r.write(acts)
+			r.commitAll(acts)
 		}
 		if !slices.Contains(asked, "m-1") || slices.Contains(asked, "m-2") {
 			t.Errorf("by its settings %v it returned %v", closeFirst, asked)
--- a/shard/state_test.go
+++ b/shard/state_test.go
@@ -9,9 +9,8 @@
 	"ravenport/wire"
 )
 
-// Room that is coming is given away once, spot room before ordinary room, and only to
-// tasks that may use it.
-func TestComingRoomIsGivenAwayOnce(t *testing.T) {
+// Pending capacity is taken once, spot before on-demand, and only by tasks that may use it.
+func TestPendingCapacityIsTakenOnce(t *testing.T) {
 	anywhere := &wire.Submission{CPUs: 2, Spot: true}
 	ordinary := &wire.Submission{CPUs: 2}
 	c := scaleOutState{pendingCapacity: []pendingMachine{{free: resources{cpus: 4}, typeName: "box"}, {free: resources{cpus: 5}, typeName: "box", spot: true}}}
@@ -25,29 +24,29 @@
 	}
 }
 
-// A silence is counted from the machine's last report, or from when silences began anew;
-// late and silent are so many report periods.
-func TestSilenceBeginsAnew(t *testing.T) {
+// Missing heartbeats are counted from the machine's last one, or from the last reset of
+// liveness; overdue and unreachable are a number of heartbeat periods.
+func TestLivenessReset(t *testing.T) {
 	start := time.Unix(1000, 0)
 	hear := liveness{heartbeatPeriod: 3 * time.Second}
 	m := &machine{lastHeartbeat: start}
 	late := start.Add(hear.periods(constants.UnreachablePeriods) + time.Millisecond)
 	if !hear.isUnreachable(late, m) || !hear.isHeartbeatOverdue(late, m) || hear.isUnreachable(late.Add(-time.Millisecond), m) {
-		t.Error("the bound of silence is not where it should be")
+		t.Error("the bound of an unreachable machine is not where it should be")
 	}
 	hear.livenessResetAt = late
 	if hear.isUnreachable(late, m) || hear.sinceHeartbeat(late.Add(time.Second), m) != time.Second {
-		t.Error("a silence goes on through the time in which nobody could be heard")
+		t.Error("time in which no heartbeat could be received counts")
 	}
 	m.lastHeartbeat = late.Add(2 * time.Second)
 	if hear.sinceHeartbeat(late.Add(3*time.Second), m) != time.Second {
-		t.Error("a report since then does not count")
+		t.Error("a heartbeat since then does not count")
 	}
 }
 
-// Of one or two machines that all are unconfirmed none is deaf while it may be the owner
-// that they do not hear.
-func TestFewMachinesAreNotTakenForDeaf(t *testing.T) {
+// Of one or two machines that all are unconfirmed none counts as not receiving while the owner
+// may be the one that is isolated.
+func TestFewUnconfirmedMachinesAreKept(t *testing.T) {
 	now := time.Unix(1000, 0)
 	hear := liveness{heartbeatPeriod: 3 * time.Second, leaseDuration: 20 * time.Second, peersHeardAt: now}
 	doubted := &machine{unconfirmedSince: now.Add(-10 * time.Second)}
@@ -58,16 +57,16 @@
 		want      bool
 	}{{doubted, 1, 0, true}, {doubted, 2, 1, true}, {doubted, 2, 0, false}, {forLong, 2, 0, true}, {forLong, 3, 0, false}} {
 		if got := hear.isNotReceivingOfFew(now, c.m, c.up, c.heard); got != c.want {
-			t.Errorf("of %d up, %d heard: deaf %v, not %v", c.up, c.heard, got, c.want)
+			t.Errorf("of %d up, %d confirmed: not receiving %v, not %v", c.up, c.heard, got, c.want)
 		}
 	}
 	if hear.peersHeardAt = now.Add(-time.Hour); hear.isNotReceivingOfFew(now, forLong, 2, 1) {
-		t.Error("deaf though the other controllers were not heard from")
+		t.Error("not receiving though the other controllers were not heard from")
 	}
 }
 
-// Tokens rise with the term, and within it with each count; who saw a later term, or has
-// lost its authority, may not act.
+// Tokens rise with the term, and within it with each count; an owner that saw a later term, or
+// has lost its authority, may not act.
 func TestOwnershipEnds(t *testing.T) {
 	now := time.Unix(1000, 0)
 	o := ownership{term: 5, counters: newTermCounters(5), cfg: Config{Shard: "a", LeaseExtension: 4 * time.Second}}
@@ -112,7 +111,7 @@
 // Pages get smaller once the state service has found one too large.
 func TestRefusedPagesGetSmaller(t *testing.T) {
 	r := newRig(nil)
-	r.up("m-1")
+	r.bringUp("m-1")
 	for _, p := range r.pages {
 		p.inFlight = []records.Machine{{Name: "m-1"}}
 	}
@@ -123,7 +122,7 @@
 }
 
 // An attempt's needs are its job's, and an attempt of another job's task is not wanted.
-func TestKnowledgeOfAttempts(t *testing.T) {
+func TestKnownStateOfAttempts(t *testing.T) {
 	k := newKnownState()
 	j := &job{rec: &records.Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", CPUs: 3, MemoryGB: 2, Image: "i"}}, tasks: map[int]*task{}}
 	k.jobs["run-1"] = j
--- a/shard/termcounters_test.go
+++ b/shard/termcounters_test.go
@@ -12,15 +12,15 @@
 // A term's attempt numbers and tokens never reach those of the next term: the owner
 // asks for a new term in time, and where none comes it starts nothing more. Guards
 // against an owner of a large fleet that starts sixteen million tasks in one term.
-func TestNumbersNeverReachTheNextTerm(t *testing.T) {
+func TestAttemptNumbersNeverReachTheNextTerm(t *testing.T) {
 	const attempts = 2048
 	r := newRig(nil)
 	r.fleet(4)
 	r.LimitTermCounters(attempts, 1<<constants.TokenCounterBits)
 	asked, started := 0, 0
 	for i := range 2 * attempts / 8 {
-		r.submit(array(fmt.Sprintf("run-%06d", i), 8, "a"))
-		r.wait(300 * time.Millisecond)
+		r.submit(arrayJob(fmt.Sprintf("run-%06d", i), 8, "a"))
+		r.advance(300 * time.Millisecond)
 		for name, m := range r.machines {
 			var tasks []wire.TaskStatus
 			for _, a := range m.attempts {
@@ -30,7 +30,7 @@
 					t.Fatalf("attempt %d of term %d with %d numbers", a.key.number, r.term, attempts)
 				}
 			}
-			r.Heartbeat(r.now, report(name, 1, uint64(10+i), r.shown(name), tasks...))
+			r.Heartbeat(r.now, newHeartbeat(name, 1, uint64(10+i), r.latestToken(name), tasks...))
 		}
 		if r.IsTermNearlyExhausted() && asked == 0 {
 			asked = started
--- a/shard/usage.go
+++ b/shard/usage.go
@@ -9,13 +9,13 @@
 
 // machineUsage is the sum of what a machine's attempts use.
 type machineUsage struct {
-	used             resources // without attempts that are stopping instantly: a stop and a start in one list of commands are carried out in order
-	active           int       // attempts that have not exited
-	services         int
-	preemptibleCPUs  float64 // CPUs that production work may preempt at once
-	exitedDirect     int     // exited attempts that a direct command may have started
-	unreportedStarts int     // attempts that no heartbeat has shown yet
-	batchCPUs        float64 // CPUs used by arrays and gangs
+	used            resources // without attempts that are stopping instantly: a stop and a start in one list of commands are carried out in order
+	active          int       // attempts that have not exited
+	services        int
+	preemptibleCPUs float64 // CPUs that production work may preempt at once
+	exitedDirect    int     // exited attempts that a direct command may have started
+	pendingStarts   int     // attempts that no heartbeat has shown yet
+	batchCPUs       float64 // CPUs used by arrays and gangs
 	// Of the attempts that may be evicted: whether one needs a checkpoint, their lowest
 	// priority, and the teams that run arrays beyond their guaranteed quota.
 	needsCheckpoint      bool
@@ -39,7 +39,7 @@
 		}
 		m.usage.active++
 		if a.state == stateSent {
-			m.usage.unreportedStarts++
+			m.usage.pendingStarts++
 		}
 		if !(a.stopRequested && a.stopsInstantly) {
 			m.usage.used = m.usage.used.plus(a.resources)
