--- a/shard/core_test.go
+++ b/shard/core_test.go
@@ -195,7 +195,7 @@
 	// The end of the epoch proves that it has ended.
 	r.Heartbeat(r.now, newHeartbeat("m-1", 2, 20, token(r.term, 0)))
 	if h := len(r.machines["m-1"].attempts); h > 1 {
-		t.Fatalf("%d attempts after the session ended", h)
+		t.Fatalf("%d attempts after the epoch ended", h)
 	}
 }
 
@@ -237,7 +237,7 @@
 			t.Fatal("a reply renewed the lease without being counted")
 		}
 	})
-	t.Run("session by command", func(t *testing.T) {
+	t.Run("epoch by command", func(t *testing.T) {
 		r := newRig(nil, records.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"})
 		r.advance(15 * time.Second)
 		r.CommandResult(r.now, "m-1", newHeartbeat("m-1", 2, 1, token(r.term, 0)))
@@ -253,17 +253,17 @@
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRig(nil)
 		r.bringUp("m-1")
-		session, seq := uint64(1), uint64(2)
+		epoch, seq := uint64(1), uint64(2)
 		for range rapid.IntRange(1, 20).Draw(t, "n") {
-			s := rapid.Uint64Range(1, 4).Draw(t, "session")
+			s := rapid.Uint64Range(1, 4).Draw(t, "epoch")
 			q := rapid.Uint64Range(1, 30).Draw(t, "seq")
-			newer := s > session || s == session && q > seq
+			newer := s > epoch || s == epoch && q > seq
 			_, ok := r.Heartbeat(r.now, newHeartbeat("m-1", s, q, token(r.term, 0)))
 			if ok != newer {
-				t.Fatalf("(%d,%d) after (%d,%d): taken %v", s, q, session, seq, ok)
+				t.Fatalf("(%d,%d) after (%d,%d): taken %v", s, q, epoch, seq, ok)
 			}
 			if newer {
-				session, seq = s, q
+				epoch, seq = s, q
 			}
 		}
 	})
@@ -314,7 +314,7 @@
 		r.bringUp(fmt.Sprintf("m-%d", i))
 	}
 	seq := uint64(10)
-	returned := map[string]bool{}
+	terminated := map[string]bool{}
 	for range 12 {
 		r.now = r.now.Add(time.Second)
 		seq++
@@ -331,28 +331,28 @@
 				}
 			case ScaleIn:
 				for _, n := range a.Names {
-					returned[n] = true
+					terminated[n] = true
 				}
 			}
 		}
 	}
-	if !returned["m-0"] || len(returned) != 1 {
-		t.Fatalf("returned %v, wanted m-0 alone", returned)
+	if !terminated["m-0"] || len(terminated) != 1 {
+		t.Fatalf("terminated %v, wanted m-0 alone", terminated)
 	}
 	for range 80 {
 		r.advance(100 * time.Millisecond)
 	}
 	r.ApplyMisroutedHeartbeats(r.now, []MisroutedHeartbeat{{"m-1", 1, 3}, {"m-2", 1, 3}, {"m-3", 1, 3}}, true)
-	if _, misroutedReports := r.IsIsolated(r.now); misroutedReports {
+	if _, misrouted := r.IsIsolated(r.now); misrouted {
 		t.Fatal("late copies of old heartbeats count as evidence")
 	}
 	r.ApplyMisroutedHeartbeats(r.now, []MisroutedHeartbeat{{"m-1", 1, 900}, {"m-2", 1, 900}, {"m-3", 1, 900}}, true)
-	if silent, misroutedReports := r.IsIsolated(r.now); !silent || !misroutedReports {
-		t.Fatalf("silent %v, misrouted reports %v: the owner does not see that it is cut off", silent, misroutedReports)
+	if isolated, misrouted := r.IsIsolated(r.now); !isolated || !misrouted {
+		t.Fatalf("isolated %v, misrouted %v: the owner does not see that it is isolated", isolated, misrouted)
 	}
 	for _, a := range r.Step(r.now) {
 		if ret, ok := a.(ScaleIn); ok {
-			t.Fatalf("returned %v although they report to others", ret.Names)
+			t.Fatalf("terminated %v although they send heartbeats to others", ret.Names)
 		}
 	}
 }
@@ -419,7 +419,7 @@
 			for _, c := range cmd.Request.Commands {
 				switch c.Op {
 				case wire.OpStart:
-					t.Fatalf("%s started before the room was there", c.Task)
+					t.Fatalf("%s started before the resources were free", c.Task)
 				case wire.OpStop:
 					stops++
 					if *c.GraceS < low.Spec.CheckpointSaveS {
@@ -461,7 +461,7 @@
 	for range 20 {
 		for _, m := range []string{"m-1", "m-3"} {
 			if s := directStarts(r.advance(100*time.Millisecond), m); len(s) > 0 {
-				t.Fatalf("%v started on %s while m-2 has not reported", s, m)
+				t.Fatalf("%v started on %s while m-2 has sent no heartbeat", s, m)
 			}
 		}
 	}
@@ -500,7 +500,7 @@
 	if d := last.Sub(over); d < leaseExtension-3*time.Second || d > leaseExtension {
 		t.Fatalf("leases extended for %s, wanted about %s", d, leaseExtension)
 	}
-	for name, shows := range map[string]bool{"silent": false, "shows the new token": true} {
+	for name, shows := range map[string]bool{"unreachable": false, "shows the new token": true} {
 		t.Run(name, func(t *testing.T) {
 			next := newRig(map[string]*records.Job{"run-1": arrayJob("run-1", 2, "a")}, records.Machine{Name: "m-0", Type: "box", Addr: "m-0:1"})
 			next.Core = New(Config{Shard: "a", HeartbeatPeriod: 3 * time.Second, LeaseExpiry: leaseEnd, LeaseExtension: leaseExtension, SizeLimits: records.SizeLimits{Current: 8192, Next: 8192}, MaxDirectCommands: 200, MaxTxnOps: 12, MaxWritesPerSecond: 100, JobOrder: leader.NewJobOrder(nil)},
@@ -530,21 +530,21 @@
 	for _, m := range r.machines {
 		m.spot = true // on-demand ones would be consolidated
 	}
-	var returned []string
-	look := func(d time.Duration) { returned = append(returned, r.advanceUnanswered(d, func() {})...) }
+	var terminated []string
+	look := func(d time.Duration) { terminated = append(terminated, r.advanceUnanswered(d, func() {})...) }
 	look(time.Second)
 	r.now = r.now.Add(7 * time.Second) // the process is paused; heartbeats sent meanwhile are not read yet
 	look(2 * time.Second)
-	if len(returned) > 0 {
-		t.Fatalf("terminated %d machines whose heartbeats were not read yet", len(returned))
+	if len(terminated) > 0 {
+		t.Fatalf("terminated %d machines whose heartbeats were not read yet", len(terminated))
 	}
 	// In a partition the shard requests no machines; then they come back one after the
 	// other.
 	look(4 * time.Second)
 	r.submit(arrayJob("run-2", 400, "a"))
 	look(4 * time.Second)
-	if !r.partitioned || len(returned) > 0 || len(r.pendingScaleOuts) > 0 {
-		t.Fatalf("partitioned %v, terminated %d, scale-out requests %d", r.partitioned, len(returned), len(r.pendingScaleOuts))
+	if !r.partitioned || len(terminated) > 0 || len(r.pendingScaleOuts) > 0 {
+		t.Fatalf("partitioned %v, terminated %d, scale-out requests %d", r.partitioned, len(terminated), len(r.pendingScaleOuts))
 	}
 	if a := r.Aggregate(r.now, 1); a.CanScaleOutOnDemand || a.CanScaleOutSpot || a.OnDemand.CPUs.Sum > 0 {
 		t.Fatalf("a partitioned shard offers capacity: %+v", a)
@@ -556,8 +556,8 @@
 		r.Heartbeat(r.now, rep)
 	}
 	look(2 * time.Second)
-	if r.partitioned || len(returned) > 0 {
-		t.Fatalf("partitioned %v, terminated %d machines that were about to send heartbeats", r.partitioned, len(returned))
+	if r.partitioned || len(terminated) > 0 {
+		t.Fatalf("partitioned %v, terminated %d machines that were about to send heartbeats", r.partitioned, len(terminated))
 	}
 }
 
@@ -573,19 +573,19 @@
 		list = append(list, wire.CloudMachine{Name: m.name, Zone: "a", Type: "box", Spot: true, State: wire.MachineRunning, AgeS: 100})
 	}
 	r.ApplyMachineList(r.now, list)
-	returned := 0
-	look := func(d time.Duration) { returned += len(r.advanceUnanswered(d, func() { r.peersHeardAt = r.now })) }
+	terminated := 0
+	look := func(d time.Duration) { terminated += len(r.advanceUnanswered(d, func() { r.peersHeardAt = r.now })) }
 	look(9 * time.Second)
 	r.ApplyMachineList(r.now, list)
 	r.ApplyMachineList(r.now, nil) // one list may be older than the one before
 	look(time.Second)
-	if returned > 0 || !r.partitioned {
-		t.Fatalf("terminated %d machines that are listed, partitioned %v", returned, r.partitioned)
+	if terminated > 0 || !r.partitioned {
+		t.Fatalf("terminated %d machines that are listed, partitioned %v", terminated, r.partitioned)
 	}
 	r.ApplyMachineList(r.now, nil)
 	look(7 * time.Second)
-	if returned != 5 || r.partitioned {
-		t.Fatalf("terminated %d of 5 machines that have ended, partitioned %v", returned, r.partitioned)
+	if terminated != 5 || r.partitioned {
+		t.Fatalf("terminated %d of 5 machines that have ended, partitioned %v", terminated, r.partitioned)
 	}
 }
 
@@ -693,15 +693,15 @@
 		seq := uint64(50)
 		r.advanceUnanswered(time.Second, func() {})
 		r.Heartbeat(r.now, newHeartbeat("m-0", 1, seq, seen))
-		returned := r.advanceUnanswered(15*time.Second, func() {
+		terminated := r.advanceUnanswered(15*time.Second, func() {
 			r.peersHeardAt = r.now
 			if !copied {
 				seq++
 				r.Heartbeat(r.now, newHeartbeat("m-0", 1, seq, r.latestToken("m-0")))
 			}
 		})
-		if want := map[bool]int{true: 0, false: 2}[copied]; len(returned) != want {
-			t.Errorf("copied %v: returned %v, wanted %d", copied, returned, want)
+		if want := map[bool]int{true: 0, false: 2}[copied]; len(terminated) != want {
+			t.Errorf("copied %v: terminated %v, wanted %d", copied, terminated, want)
 		}
 	}
 }
--- a/shard/directcommands_test.go
+++ b/shard/directcommands_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// Whatever is answered, lost or returned meanwhile, the direct commands under way
+// Whatever is answered, lost or terminated meanwhile, the direct commands in flight
 // are counted right, never exceed what is allowed, and nothing that a machine should
 // be told is forgotten: its place in the queue or the next look brings it.
 func TestDirectCommandsInFlightAreBounded(t *testing.T) {
@@ -77,7 +77,7 @@
 					r.removeMachine(&r.outbox, r.machines[name])
 					delete(open, name)
 				}
-			case 3: // what a returned machine was sent is answered late
+			case 3: // a terminated machine answers late
 				if r.machines[name] == nil {
 					r.CommandResult(r.now, name, nil)
 				}
@@ -105,7 +105,7 @@
 	})
 }
 
-// A machine whose session is not known is asked before it is told anything.
+// A machine whose epoch is not known is probed before commands are sent to it.
 func TestUnknownEpochIsProbedFirst(t *testing.T) {
 	r := newRig(nil)
 	m := r.ensureMachine("m-new")
@@ -122,7 +122,7 @@
 	t.Fatal("it was not asked")
 }
 
-// Only as many are asked at a time as a wave of silent machines may cost.
+// The probes of one step are bounded, however many machines are unreachable.
 func TestProbesPerStepAreBounded(t *testing.T) {
 	r := newRig(nil)
 	const machines = 3 * constants.MaxProbesPerStep
@@ -137,6 +137,6 @@
 		}
 	}
 	if asked != constants.MaxProbesPerStep {
-		t.Fatalf("%d machines asked in one step of %d silent ones", asked, machines)
+		t.Fatalf("%d machines probed in one step of %d unreachable ones", asked, machines)
 	}
 }
--- a/shard/partition_test.go
+++ b/shard/partition_test.go
@@ -34,21 +34,21 @@
 			r.bringUp(fmt.Sprintf("m-%d", i))
 		}
 		if gone := r.advanceMisrouted(16 * time.Second); len(gone) > 0 {
-			t.Errorf("of %d machines that report to others %v were returned", machines, gone)
+			t.Errorf("of %d machines that send heartbeats to others %v were terminated", machines, gone)
 		}
-		if silent, elsewhere := r.IsIsolated(r.now); !silent || !elsewhere {
-			t.Errorf("with %d machines the owner does not see that it is cut off", machines)
+		if isolated, elsewhere := r.IsIsolated(r.now); !isolated || !elsewhere {
+			t.Errorf("with %d machines the owner does not see that it is isolated", machines)
 		}
 	}
 }
 
-// Two machines that stay unconfirmed are returned once their leases have surely ended:
+// Two machines that stay unconfirmed are terminated once their leases have surely ended:
 // nothing runs there any more, and nobody else takes them.
 func TestTwoMachinesNotReceivingAreTerminatedAfterTheirLease(t *testing.T) {
 	r := newRig(nil)
 	r.bringUp("m-0")
 	r.bringUp("m-1")
 	if gone := r.advanceMisrouted(2*leaseEnd + 10*time.Second); len(gone) != 2 {
-		t.Errorf("%v were returned", gone)
+		t.Errorf("%v were terminated", gone)
 	}
 }
--- a/shard/reconnect_test.go
+++ b/shard/reconnect_test.go
@@ -10,7 +10,7 @@
 )
 
 // BenchmarkReconnect is a whole shard that comes back with nothing left on its
-// machines: all report new sessions within a period, and all tasks that it had
+// machines: all send heartbeats of new epochs within a period, and all tasks that it had
 // are placed again, services and arrays of many jobs.
 func BenchmarkReconnect(b *testing.B) {
 	const machines, services, arrays = 600, 200, 60
--- a/shard/scale_test.go
+++ b/shard/scale_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// What a report that changes nothing costs does not grow with the fleet.
+// What a heartbeat that changes nothing costs does not grow with the fleet.
 func TestQuietHeartbeatCostsTheSameInAnyFleet(t *testing.T) {
 	cost := func(machines int) float64 {
 		r := newRig(nil)
@@ -97,7 +97,7 @@
 	}
 	small, large := cost(20), cost(2000)
 	if large > small+1 {
-		t.Fatalf("%g allocations a report in a fleet of 2000, %g in one of 20", large, small)
+		t.Fatalf("%g allocations a heartbeat in a fleet of 2000, %g in one of 20", large, small)
 	}
 }
 
@@ -133,8 +133,8 @@
 	})
 }
 
-// After a takeover of many machines, those that are silent hold up nobody: all
-// others are asked, or have reported, within seconds.
+// After a failover with many machines, those that are unreachable delay no other: all
+// others are probed, or have sent heartbeats, within seconds.
 func TestUnreachableMachinesDelayNoFailover(t *testing.T) {
 	var inventory []records.Machine
 	for i := range 200 {
@@ -148,14 +148,14 @@
 		at   time.Time
 	}
 	var flying []call
-	returned := 0
+	terminated := 0
 	for step := range 500 {
 		for _, a := range r.advance(20 * time.Millisecond) {
 			switch a := a.(type) {
 			case SendCommands:
 				flying = append(flying, call{a.Machine, r.now})
 			case ScaleIn:
-				returned += len(a.Names)
+				terminated += len(a.Names)
 				r.ScaleInResult(r.now, a.Names)
 			}
 		}
@@ -171,7 +171,7 @@
 			}
 		}
 		flying = kept
-		// The others also report, each in its turn of the 3 s.
+		// The others also send heartbeats, each in its turn of the 3 s.
 		for i := 70 + step%150; i < 200 && step > 75; i += 150 {
 			name := fmt.Sprintf("m-%05d", i)
 			r.Heartbeat(r.now, newHeartbeat(name, 1, uint64(100+step), r.latestToken(name)))
@@ -182,12 +182,12 @@
 				back++
 			}
 		}
-		if back == 130 && r.now.Sub(r.acquiredAt) > constants.FailoverProbeDelay+2*time.Second && step < 300 && returned == 0 && r.rebuilt {
-			t.Fatal("rebuilt while silent machines may run its tasks")
+		if back == 130 && r.now.Sub(r.acquiredAt) > constants.FailoverProbeDelay+2*time.Second && step < 300 && terminated == 0 && r.rebuilt {
+			t.Fatal("rebuilt while unreachable machines may run its tasks")
 		}
 	}
-	if !r.rebuilt || returned != 70 {
-		t.Fatalf("rebuilt %v, %d of 70 silent machines returned after 10 s", r.rebuilt, returned)
+	if !r.rebuilt || terminated != 70 {
+		t.Fatalf("rebuilt %v, %d of 70 unreachable machines terminated after 10 s", r.rebuilt, terminated)
 	}
 }
 
@@ -204,7 +204,7 @@
 	}
 	m := r.machines["m-0"]
 	stale := r.latestToken("m-0")
-	r.Heartbeat(r.now, newHeartbeat("m-0", 1, 6, stale)) // it has reported elsewhere since
+	r.Heartbeat(r.now, newHeartbeat("m-0", 1, 6, stale)) // it has sent heartbeats to others since
 	if !m.isUnconfirmed() || r.isSchedulable(r.now, m) {
 		t.Fatal("it stays trusted though it did not stay")
 	}
@@ -218,20 +218,20 @@
 	}
 }
 
-// A machine that answers calls but makes no reports loses its lease all the same:
-// it is given up, while the others report.
+// The lease of a machine that answers commands but sends no heartbeats expires all the same:
+// it is terminated, while the others send heartbeats.
 func TestMachineWithoutHeartbeatsIsTerminated(t *testing.T) {
 	r := newRig(nil)
 	for i := range 4 {
 		r.bringUp(fmt.Sprintf("m-%d", i))
 	}
-	returned := map[string]bool{}
+	terminated := map[string]bool{}
 	for seq := uint64(10); seq < 30; seq++ {
 		r.now = r.now.Add(time.Second)
 		for i := 1; i < 4; i++ {
 			name := fmt.Sprintf("m-%d", i)
 			rep := newHeartbeat(name, 1, seq, r.latestToken(name))
-			rep.Spot = true // idle ordinary ones would be given back
+			rep.Spot = true // idle on-demand ones would be terminated
 			r.Heartbeat(r.now, rep)
 		}
 		for _, a := range r.Step(r.now) {
@@ -242,16 +242,16 @@
 				r.CommandResult(r.now, a.Machine, rep)
 			case ScaleIn:
 				for _, n := range a.Names {
-					returned[n] = true
+					terminated[n] = true
 				}
 			}
 		}
-		if r.now.Sub(r.acquiredAt) < 8*time.Second && returned["m-0"] {
+		if r.now.Sub(r.acquiredAt) < 8*time.Second && terminated["m-0"] {
 			t.Fatal("given up at once")
 		}
 	}
-	if !returned["m-0"] || len(returned) != 1 {
-		t.Fatalf("returned %v, wanted m-0 alone", returned)
+	if !terminated["m-0"] || len(terminated) != 1 {
+		t.Fatalf("terminated %v, wanted m-0 alone", terminated)
 	}
 }
 
@@ -328,24 +328,24 @@
 		})
 	}
 	if got := play(6*time.Second, func(int) bool { return true }); len(got) != 0 {
-		t.Fatalf("returned %d healthy machines", len(got))
+		t.Fatalf("terminated %d healthy machines", len(got))
 	}
 	if got := play(9*time.Second, func(i int) bool { return i >= 60 }); len(got) != 60 {
-		t.Fatalf("returned %d of 60 machines that died together", len(got))
+		t.Fatalf("terminated %d of 60 machines that failed together", len(got))
 	}
 	if got := play(8*time.Second, func(int) bool { return false }); len(got) != 0 {
-		t.Fatalf("returned %d machines to an owner that hears nobody", len(got))
+		t.Fatalf("an owner that receives no heartbeats terminated %d machines", len(got))
 	}
-	if silent, misroutedReports := r.IsIsolated(r.now); !silent || misroutedReports {
-		t.Fatalf("silent %v, misrouted reports %v", silent, misroutedReports)
+	if isolated, misrouted := r.IsIsolated(r.now); !isolated || misrouted {
+		t.Fatalf("isolated %v, misrouted %v", isolated, misrouted)
 	}
 	var seen []MisroutedHeartbeat
 	for i := range 30 {
 		seen = append(seen, MisroutedHeartbeat{fmt.Sprintf("m-%05d", 60+i), 1, 900})
 	}
 	r.ApplyMisroutedHeartbeats(r.now, seen, true)
-	if silent, misroutedReports := r.IsIsolated(r.now); !silent || !misroutedReports {
-		t.Fatalf("silent %v, misrouted reports %v: the owner does not see that it is cut off", silent, misroutedReports)
+	if isolated, misrouted := r.IsIsolated(r.now); !isolated || !misrouted {
+		t.Fatalf("isolated %v, misrouted %v: the owner does not see that it is isolated", isolated, misrouted)
 	}
 }
 
@@ -364,13 +364,13 @@
 			r.advance(20 * time.Millisecond)
 		}
 		seq++
-		r.report(seq)
+		r.heartbeatAll(seq)
 	}
 	return r
 }
 
-// report has every machine report what it was sent as running.
-func (r *rig) report(seq uint64) {
+// heartbeatAll has every machine send a heartbeat with what it was sent as running.
+func (r *rig) heartbeatAll(seq uint64) {
 	for name, m := range r.machines {
 		rep := newHeartbeat(name, 1, seq, r.latestToken(name))
 		for _, a := range m.attempts {
@@ -387,14 +387,14 @@
 		actions += len(r.Step(r.now))
 		r.IsIsolated(r.now)
 	}
-	for _, m := range r.machines { // heard meanwhile
+	for _, m := range r.machines { // they sent heartbeats meanwhile
 		m.lastHeartbeat, m.leaseExpiresAt = r.now, r.now.Add(leaseEnd)
 	}
 	return actions
 }
 
 // BenchmarkSettledSteps is a second's steps at the pace of an owner whose machines
-// report all the time, with nothing else to do.
+// send heartbeats all the time, with nothing else to do.
 func BenchmarkSettledSteps(b *testing.B) {
 	r := settled(400)
 	b.ReportAllocs()
@@ -454,18 +454,18 @@
 				}
 				r.version++
 				r.Apply(r.now, records.Change{Key: records.KeyJob(id), Version: r.version, Record: rec})
-			case 2: // a machine reports some progress
+			case 2: // a machine shows some progress
 				name := fmt.Sprintf("m-%d", rapid.IntRange(0, machines-1).Draw(t, "machine"))
 				m := r.machines[name]
 				if m == nil {
 					continue
 				}
 				seq++
-				session := uint64(1)
+				lastEpoch := uint64(1)
 				if rapid.IntRange(0, 9).Draw(t, "ended") == 0 {
-					session = m.epoch + 1
+					lastEpoch = m.epoch + 1
 				}
-				rep := newHeartbeat(name, max(session, m.epoch), seq, r.latestToken(name))
+				rep := newHeartbeat(name, max(lastEpoch, m.epoch), seq, r.latestToken(name))
 				for _, a := range m.attempts {
 					s := wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: rapid.SampledFrom([]string{wire.TaskFetching, wire.TaskRunning, wire.TaskExited}).Draw(t, "state")}
 					if a.hasExited() || s.State == wire.TaskExited {
@@ -529,7 +529,7 @@
 }
 
 // A machine whose done tasks wait for their assignment to be closed is sent a higher
-// token once, not with every answer: each new one makes it report at once.
+// token once, not with every answer: each new one makes it send a heartbeat at once.
 func TestDoneTasksRaiseTheTokenOnce(t *testing.T) {
 	r := newRig(nil)
 	r.bringUp("m-0")
@@ -559,7 +559,7 @@
 	}
 }
 
-// A report that changes nothing allocates nothing: an owner of a lean deployment
+// A heartbeat that changes nothing allocates nothing: an owner of a lean deployment
 // takes in a hundred of them a second.
 func TestQuietHeartbeatAllocatesNothing(t *testing.T) {
 	r := settled(50)
--- a/shard/scalein_test.go
+++ b/shard/scalein_test.go
@@ -46,7 +46,7 @@
 	return names
 }
 
-// An idle machine is returned only after the write that closes it was surely carried
+// An idle machine is terminated only after the write that closes it was surely carried
 // out, however often that fails, and takes nothing from the decision on.
 func TestMachineIsClosedBeforeScaleIn(t *testing.T) {
 	r := newRig(nil)
@@ -60,10 +60,10 @@
 		}
 		acts := r.Step(r.now)
 		if names := returns(acts); len(names) > 0 && closed == 0 {
-			t.Fatalf("%v returned before any write that closes them", names)
+			t.Fatalf("%v terminated before any write that closes them", names)
 		}
 		if names := closes(t, acts); len(names) > 0 {
-			if refused < 3 { // the write fails; nobody may be returned for it
+			if refused < 3 { // the write fails; no machine may be terminated for it
 				refused++
 				r.CommitResult(r.now, CommitID{kind: commitInventory}, 0)
 				continue
@@ -104,7 +104,7 @@
 			r.commitAll(acts)
 		}
 		if !slices.Contains(asked, "m-1") || slices.Contains(asked, "m-2") {
-			t.Errorf("by its settings %v it returned %v", closeFirst, asked)
+			t.Errorf("by its settings %v it terminated %v", closeFirst, asked)
 		}
 		if n := len(r.machines["m-1"].attempts); n > 0 {
 			t.Errorf("%d tasks on a closed machine", n)
--- a/shard/state_test.go
+++ b/shard/state_test.go
@@ -19,7 +19,7 @@
 		tasks, want int
 	}{{anywhere, 1, 1}, {ordinary, 3, 2}, {anywhere, 3, 1}, {anywhere, 1, 0}} {
 		if got := c.takePendingCapacity(step.what, step.tasks); got != step.want {
-			t.Errorf("%d of %d tasks take room, %d should (spot %v)", got, step.tasks, step.want, step.what.Spot)
+			t.Errorf("%d of %d tasks take capacity, %d should (spot %v)", got, step.tasks, step.want, step.what.Spot)
 		}
 	}
 }
@@ -28,18 +28,18 @@
 // liveness; overdue and unreachable are a number of heartbeat periods.
 func TestLivenessReset(t *testing.T) {
 	start := time.Unix(1000, 0)
-	hear := liveness{heartbeatPeriod: 3 * time.Second}
+	l := liveness{heartbeatPeriod: 3 * time.Second}
 	m := &machine{lastHeartbeat: start}
-	late := start.Add(hear.periods(constants.UnreachablePeriods) + time.Millisecond)
-	if !hear.isUnreachable(late, m) || !hear.isHeartbeatOverdue(late, m) || hear.isUnreachable(late.Add(-time.Millisecond), m) {
+	late := start.Add(l.periods(constants.UnreachablePeriods) + time.Millisecond)
+	if !l.isUnreachable(late, m) || !l.isHeartbeatOverdue(late, m) || l.isUnreachable(late.Add(-time.Millisecond), m) {
 		t.Error("the bound of an unreachable machine is not where it should be")
 	}
-	hear.livenessResetAt = late
-	if hear.isUnreachable(late, m) || hear.sinceHeartbeat(late.Add(time.Second), m) != time.Second {
+	l.livenessResetAt = late
+	if l.isUnreachable(late, m) || l.sinceHeartbeat(late.Add(time.Second), m) != time.Second {
 		t.Error("time in which no heartbeat could be received counts")
 	}
 	m.lastHeartbeat = late.Add(2 * time.Second)
-	if hear.sinceHeartbeat(late.Add(3*time.Second), m) != time.Second {
+	if l.sinceHeartbeat(late.Add(3*time.Second), m) != time.Second {
 		t.Error("a heartbeat since then does not count")
 	}
 }
@@ -48,7 +48,7 @@
 // may be the one that is isolated.
 func TestFewUnconfirmedMachinesAreKept(t *testing.T) {
 	now := time.Unix(1000, 0)
-	hear := liveness{heartbeatPeriod: 3 * time.Second, leaseDuration: 20 * time.Second, peersHeardAt: now}
+	l := liveness{heartbeatPeriod: 3 * time.Second, leaseDuration: 20 * time.Second, peersHeardAt: now}
 	doubted := &machine{unconfirmedSince: now.Add(-10 * time.Second)}
 	forLong := &machine{unconfirmedSince: now.Add(-21 * time.Second)}
 	for _, c := range []struct {
@@ -56,11 +56,11 @@
 		up, heard int
 		want      bool
 	}{{doubted, 1, 0, true}, {doubted, 2, 1, true}, {doubted, 2, 0, false}, {forLong, 2, 0, true}, {forLong, 3, 0, false}} {
-		if got := hear.isNotReceivingOfFew(now, c.m, c.up, c.heard); got != c.want {
+		if got := l.isNotReceivingOfFew(now, c.m, c.up, c.heard); got != c.want {
 			t.Errorf("of %d up, %d confirmed: not receiving %v, not %v", c.up, c.heard, got, c.want)
 		}
 	}
-	if hear.peersHeardAt = now.Add(-time.Hour); hear.isNotReceivingOfFew(now, forLong, 2, 1) {
+	if l.peersHeardAt = now.Add(-time.Hour); l.isNotReceivingOfFew(now, forLong, 2, 1) {
 		t.Error("not receiving though the other controllers were not heard from")
 	}
 }
