--- a/shard/assignments.go
+++ b/shard/assignments.go
@@ -14,7 +14,7 @@
 // leader. queueForClose adds to it, closeAssignments empties it.
 type closeQueue struct {
 	closeCandidates map[string]*job // by id
-	heldAt          time.Time       // when jobs of teams at their limit were last looked at for done tasks
+	limitsCheckedAt time.Time       // when jobs of teams at their limit were last looked at for done tasks
 }
 
 // closeAssignments closes finished assignments of the jobs that have changed, and sends tasks
@@ -39,7 +39,7 @@
 // for each would cost more than all other writes.
 func (c *Core) closeJob(now time.Time, id string, j *job) {
 	f := c.closeStatusOf(&c.fleetView, now, j)
-	if !f.assignmentFinished && !f.tasksSentBack && !f.tasksFinished {
+	if !f.assignmentFinished && !f.tasksOffloaded && !f.tasksFinished {
 		return
 	}
 	if c.defersClose(now, id, j, f) {
@@ -53,11 +53,11 @@
 			assignment.Closed = true
 		}
 	}
-	if f.tasksFinished && !c.closeFinishedTasks(j, rec) && !f.assignmentFinished && !f.tasksSentBack {
+	if f.tasksFinished && !c.closeFinishedTasks(j, rec) && !f.assignmentFinished && !f.tasksOffloaded {
 		return
 	}
-	if f.tasksSentBack {
-		if rec = c.removeSentBack(&c.fleetView, j, rec, f.assignmentFinished); rec == nil {
+	if f.tasksOffloaded {
+		if rec = c.removeOffloaded(&c.fleetView, j, rec, f.assignmentFinished); rec == nil {
 			return
 		}
 	} else {
@@ -74,7 +74,7 @@
 	assignmentFinished bool // an assignment is finished
 	assignmentOpen     bool // another one is not
 	tasksFinished      bool // tasks of an open one are finished, and the team's quota limit keeps others waiting
-	tasksSentBack      bool // tasks are to be sent back to the leader
+	tasksOffloaded     bool // tasks are to be sent back to the leader
 }
 
 // closeStatusOf checks a job's assignments in the shard.
@@ -97,7 +97,7 @@
 	}
 	if j.rec.End == "" {
 		for _, t := range j.tasks {
-			f.tasksSentBack = f.tasksSentBack || t.sendingBack
+			f.tasksOffloaded = f.tasksOffloaded || t.offloading
 		}
 	}
 	return f
@@ -107,7 +107,7 @@
 // assignments in the shard.
 func (s *closeQueue) defersClose(now time.Time, id string, j *job, f closeStatus) bool {
 	finished := f.assignmentFinished || f.tasksFinished
-	if !finished || !f.assignmentOpen || f.tasksSentBack || j.rec.End != "" {
+	if !finished || !f.assignmentOpen || f.tasksOffloaded || j.rec.End != "" {
 		return false
 	}
 	if j.closeAt.IsZero() {
@@ -120,13 +120,13 @@
 	return true
 }
 
-// removeSentBack removes the tasks that are sent back to the leader from a record's
+// removeOffloaded removes the tasks that are sent back to the leader from a record's
 // assignments. If the record, with gaps for them, would outgrow the key-value store's values,
 // they stay, and only what was closed is returned; nil if nothing was.
-func (p *placement) removeSentBack(v *fleetView, j *job, rec *records.Job, closed bool) *records.Job {
+func (p *placement) removeOffloaded(v *fleetView, j *job, rec *records.Job, closed bool) *records.Job {
 	staying := rec.Clone()
 	for k, t := range j.tasks {
-		if t.sendingBack {
+		if t.offloading {
 			removeTask(rec, k)
 		}
 	}
@@ -136,7 +136,7 @@
 		return rec
 	}
 	for _, t := range j.tasks {
-		t.sendingBack = false
+		t.offloading = false
 	}
 	p.markWaitingStale(j)
 	if !closed {
--- a/shard/consolidation.go
+++ b/shard/consolidation.go
@@ -60,7 +60,7 @@
 	r := &consolidationRound{}
 	for _, m := range c.fleet {
 		if m.spot || !c.isSchedulable(now, m) {
-			m.spareSince = time.Time{}
+			m.redundantSince = time.Time{}
 			continue
 		}
 		r.machines = append(r.machines, m)
@@ -84,7 +84,7 @@
 		m.consolidating = false
 		r.consolidating--
 	}
-	m.spareSince = time.Time{}
+	m.redundantSince = time.Time{}
 }
 
 // consolidateMachine migrates a service off a redundant machine, or begins to consolidate
@@ -95,9 +95,9 @@
 		if r.migrating < r.limit && c.migrateOneService(now, m) {
 			r.migrating++
 		}
-	case m.spareSince.IsZero():
-		m.spareSince = now
-	case now.Sub(m.spareSince) > constants.RedundantFor && r.consolidating < r.limit:
+	case m.redundantSince.IsZero():
+		m.redundantSince = now
+	case now.Sub(m.redundantSince) > constants.RedundantFor && r.consolidating < r.limit:
 		slog.Info("consolidating machine", logkey.Machine, m.name, "cpus", c.usageOf(m).used.cpus)
 		m.consolidating = true
 		r.consolidating++
@@ -125,7 +125,7 @@
 		if a.hasExited() || t == nil {
 			continue
 		}
-		target := k.tightestOther(m, a, t, others, taken)
+		target := k.tightestFit(m, a, t, others, taken)
 		if target == nil {
 			return false
 		}
@@ -134,9 +134,9 @@
 	return true
 }
 
-// tightestOther is the machine with the fewest free CPUs, beside what is taken, on which an
+// tightestFit is the machine with the fewest free CPUs, beside what is taken, on which an
 // attempt would fit if it left its machine; nil: there is none.
-func (k *knownState) tightestOther(m *machine, a *attempt, t *task, others []*machine, taken map[*machine]resources) *machine {
+func (k *knownState) tightestFit(m *machine, a *attempt, t *task, others []*machine, taken map[*machine]resources) *machine {
 	s := &t.job.rec.Spec
 	var best *machine
 	var least float64
--- a/shard/draining.go
+++ b/shard/draining.go
@@ -177,7 +177,7 @@
 	for i := range selected {
 		m := selected[(i+d.rotation)%len(selected)]
 		if m.isCordonedBy(number) && !m.scalingIn {
-			c.evictFromCordoned(now, m, number)
+			c.evictFromCordonedMachine(now, m, number)
 		}
 	}
 	record, version := s.NextRecord(!d.hasMigrations(number))
--- a/shard/eviction.go
+++ b/shard/eviction.go
@@ -35,9 +35,9 @@
 	q.requestCommand(a.machine)
 }
 
-// evictFromCordoned evicts what may be evicted from a machine that a drain has cordoned.
-// The first reason for which something stays is what the drain waits for.
-func (c *Core) evictFromCordoned(now time.Time, m *machine, number int) {
+// evictFromCordonedMachine evicts what may be evicted from a machine that a drain has
+// cordoned. The first reason for which something stays is what the drain waits for.
+func (c *Core) evictFromCordonedMachine(now time.Time, m *machine, number int) {
 	if m.isUnconfirmed() || c.isUnreachable(now, m) {
 		c.draining.noteWaitReason(number, m, errNoReply)
 		return
--- a/shard/forecast.go
+++ b/shard/forecast.go
@@ -23,8 +23,8 @@
 		}
 	}
 	c.assignedSinceForecast = newer
-	if len(f.TeamsAtLimit) > 0 && now.Sub(c.heldAt) >= constants.CloseDelay {
-		c.heldAt = now
+	if len(f.TeamsAtLimit) > 0 && now.Sub(c.limitsCheckedAt) >= constants.CloseDelay {
+		c.limitsCheckedAt = now
 		for _, j := range c.jobs {
 			if c.blocksTeamAtLimit(now, j) {
 				c.queueForClose(j)
--- a/shard/gang.go
+++ b/shard/gang.go
@@ -123,9 +123,9 @@
 		return
 	}
 	for _, t := range j.tasks {
-		t.sendingBack = true
+		t.offloading = true
 	}
-	j.sentBackAt = now
+	j.offloadedAt = now
 	c.markWaitingStale(j)
 	c.queueForClose(j)
 }
--- a/shard/gangpacking.go
+++ b/shard/gangpacking.go
@@ -61,7 +61,7 @@
 		if m.reservedFor != nil && m.reservedFor.rec.ID != s.ID {
 			continue
 		}
-		count := v.freeResources(m).holdsOf(n)
+		count := v.freeResources(m).countFitting(n)
 		if count == 0 || slices.ContainsFunc(m.attempts, isOfAttempt) {
 			continue
 		}
--- a/shard/gangpreempt.go
+++ b/shard/gangpreempt.go
@@ -21,7 +21,7 @@
 			continue
 		}
 		_, available := v.preemptionVictims(m, tasks[0], nil)
-		slots += available.holdsOf(n)
+		slots += available.countFitting(n)
 		if slots >= len(tasks) {
 			return true
 		}
@@ -72,7 +72,7 @@
 	slots := 0
 	for _, m := range v.fleet {
 		if isEligible(s, m.typeName, m.spot) && v.isSchedulable(now, m) {
-			slots += v.freeResources(m).holdsOf(n)
+			slots += v.freeResources(m).countFitting(n)
 		}
 	}
 	return slots
--- a/shard/gangreserve.go
+++ b/shard/gangreserve.go
@@ -124,7 +124,7 @@
 		if !isEligible(s, c.machine.typeName, c.machine.spot) {
 			continue
 		}
-		count := min(remaining, c.available.holdsOf(n))
+		count := min(remaining, c.available.countFitting(n))
 		if count > 0 {
 			c.machine.reservedForGangs = true
 			c.available = c.available.minus(n.times(count))
--- a/shard/gangshapes.go
+++ b/shard/gangshapes.go
@@ -54,7 +54,7 @@
 		if m.consolidating || !isEligible(s, m.typeName, m.spot) || !v.isSchedulable(now, m) {
 			continue
 		}
-		count := v.freeResources(m).holdsOf(n)
+		count := v.freeResources(m).countFitting(n)
 		capacity.Now += count
 		if m.cachedImages[s.Image] {
 			capacity.Warm += count
--- a/shard/heartbeat.go
+++ b/shard/heartbeat.go
@@ -60,7 +60,7 @@
 	}
 	if m.typeName != r.Type {
 		m.typeName = r.Type
-		m.typ, m.capacity = nil, resources{}
+		m.machineType, m.capacity = nil, resources{}
 		c.resolveType(m)
 	}
 	m.spot, m.addr = r.Spot, r.Addr
--- a/shard/job.go
+++ b/shard/job.go
@@ -15,7 +15,7 @@
 	writeInFlight  bool // a write of its record is in flight
 	awaitsRecord   bool // a newer record is known to be stored, and the feed will bring it
 	nextWriteAt    time.Time
-	sentBackAt     time.Time       // when tasks of it were last sent back
+	offloadedAt    time.Time       // when tasks of it were last sent back
 	closeCheckDue  bool            // it changed since its assignments were last checked
 	closeAt        time.Time       // when finished assignments are closed though others here are not finished; zero: none is
 	failedMachines map[string]bool // machines on which its tasks failed
@@ -23,7 +23,7 @@
 	gang          *gang     // nil: the job is no gang
 	gangArrivedAt time.Time // when the gang was assigned to the shard
 
-	begun        bool    // a task of it runs or is done, in this shard or another
+	hasStarted   bool    // a task of it runs or is done, in this shard or another
 	waitingStale bool    // waiting and begun are to be computed again
 	waiting      []*task // sorted: those within the guaranteed quota first, then by index
 
@@ -37,7 +37,7 @@
 	attempt                *attempt
 	done                   bool
 	uncertain              bool // may run on an inherited machine that has sent no heartbeat yet
-	sendingBack            bool // it is being sent back to the leader, and is not placed
+	offloading             bool // it is being sent back to the leader, and is not placed
 	notBefore              time.Time
 	waitingSince           time.Time
 	failures               int
@@ -47,7 +47,7 @@
 }
 
 // isWaiting reports whether the task has no attempt and needs one.
-func (t *task) isWaiting() bool { return t.attempt == nil && !t.done && !t.uncertain && !t.sendingBack }
+func (t *task) isWaiting() bool { return t.attempt == nil && !t.done && !t.uncertain && !t.offloading }
 
 // recordPending reports whether a newer record will replace the one known here: no write
 // may be based on this one.
--- a/shard/jobrecords.go
+++ b/shard/jobrecords.go
@@ -25,7 +25,7 @@
 	j.rec, j.version = rec, version
 	j.writeInFlight, j.awaitsRecord = false, false
 	for _, t := range j.tasks {
-		t.sendingBack = false // a write that was based on an older record can only fail now
+		t.offloading = false // a write that was based on an older record can only fail now
 		if t.attempt != nil {
 			t.attempt.machine.usageStale = true
 		}
--- a/shard/machine.go
+++ b/shard/machine.go
@@ -9,11 +9,11 @@
 
 // machine is what the owner knows of one machine.
 type machine struct {
-	name, addr string
-	typ        *wire.MachineType // nil: the cloud's types do not name it
-	typeName   string
-	spot       bool
-	capacity   resources
+	name, addr  string
+	machineType *wire.MachineType // nil: the cloud's types do not name it
+	typeName    string
+	spot        bool
+	capacity    resources
 
 	// The durable inventory.
 	pageNumber       int    // page of the inventory; noPage: on none
@@ -47,7 +47,7 @@
 	cordon           *cordon // it takes no new task; nil: it may
 	drainNext        bool    // a running drain selects it: a task placed here would move once more
 	consolidating    bool    // its tasks move elsewhere; it takes new ones last
-	spareSince       time.Time
+	redundantSince   time.Time
 	avoidUntil       time.Time
 	reservedForGangs bool // no array starts here: its capacity is reserved for gangs
 	reservedFor      *job // its capacity is reserved for a task of this job
--- a/shard/machineselection.go
+++ b/shard/machineselection.go
@@ -11,7 +11,7 @@
 // durable inventory and to have seen this term's token, it is reachable, and nothing is
 // about to end it or keeps tasks off it.
 func (v *fleetView) isSchedulable(now time.Time, m *machine) bool {
-	return m.hasSeenTerm(v.term) && m.durable && m.durableAddr == m.addr && m.typ != nil && !m.isUnconfirmed() &&
+	return m.hasSeenTerm(v.term) && m.durable && m.durableAddr == m.addr && m.machineType != nil && !m.isUnconfirmed() &&
 		!m.scalingIn && m.cordon == nil && m.reclaimAt.IsZero() && !v.isUnreachable(now, m) && !now.Before(m.avoidUntil)
 }
 
--- a/shard/migration.go
+++ b/shard/migration.go
@@ -15,7 +15,7 @@
 type migration struct {
 	drain     int      // number of the drain
 	target    *machine // that had capacity for it
-	needs     resources
+	demand    resources
 	startedAt time.Time
 }
 
@@ -48,7 +48,7 @@
 	}
 	slog.Info("migrating task", logkey.TaskID, t.attempt.key.task, "from", t.attempt.machine.name, "target", target.name, "drain", number)
 	c.evict(t.attempt)
-	d.migrations[t] = &migration{drain: number, target: target, needs: taskResources(s), startedAt: now}
+	d.migrations[t] = &migration{drain: number, target: target, demand: taskResources(s), startedAt: now}
 	d.reservedCapacity[target] = d.reservedCapacity[target].plus(taskResources(s))
 	return nil
 }
@@ -67,7 +67,7 @@
 	reserved := map[*machine]resources{}
 	for t, m := range d.migrations {
 		if t.attempt == nil || t.attempt.stopRequested {
-			reserved[m.target] = reserved[m.target].plus(m.needs)
+			reserved[m.target] = reserved[m.target].plus(m.demand)
 		}
 	}
 	return reserved
--- a/shard/offload.go
+++ b/shard/offload.go
@@ -14,7 +14,7 @@
 	if j.recordPending() || c.hasLiveAttempt(j.rec.ID, t.index) {
 		return
 	}
-	t.sendingBack = true
+	t.offloading = true
 	c.markWaitingStale(j)
 	c.queueForClose(j)
 }
--- a/shard/pendingcapacity.go
+++ b/shard/pendingcapacity.go
@@ -23,8 +23,8 @@
 // bootAge is the time since a machine was requested, in nominal boot times of its type.
 func (m *machine) bootAge(now time.Time) float64 {
 	bootS := 60.0
-	if m.typ != nil {
-		bootS = max(1, m.typ.BootS)
+	if m.machineType != nil {
+		bootS = max(1, m.machineType.BootS)
 	}
 	return now.Sub(m.requestedAt).Seconds() / bootS
 }
@@ -40,14 +40,14 @@
 
 // isPendingMachine says whether a machine that is not up yet counts as pending capacity.
 func (l *liveness) isPendingMachine(now time.Time, m *machine) bool {
-	return !m.up && !m.inherited && !l.partitioned && !m.scalingIn && m.typ != nil && m.bootAge(now) < constants.PendingBootTimes
+	return !m.up && !m.inherited && !l.partitioned && !m.scalingIn && m.machineType != nil && m.bootAge(now) < constants.PendingBootTimes
 }
 
 // isNotYetSchedulable says whether a machine is up, and waits only for its first heartbeat
 // under this term or for its entry in the durable inventory.
 func (v *fleetView) isNotYetSchedulable(now time.Time, m *machine) bool {
 	isVerified := m.hasSeenTerm(v.term) && m.durable && m.durableAddr == m.addr
-	return m.up && !isVerified && !m.scalingIn && m.typ != nil && !v.isUnreachable(now, m)
+	return m.up && !isVerified && !m.scalingIn && m.machineType != nil && !v.isUnreachable(now, m)
 }
 
 // listPendingMachines lists the capacity of machines that are requested, booting, or not
@@ -96,7 +96,7 @@
 			}
 			p := &c.pendingCapacity[i]
 			if p.spot == spot && n.fits(p.free) && isEligible(s, p.typeName, p.spot) {
-				count := min(remaining, p.free.holdsOf(n))
+				count := min(remaining, p.free.countFitting(n))
 				p.free = p.free.minus(n.times(count))
 				remaining -= count
 			}
--- a/shard/placement.go
+++ b/shard/placement.go
@@ -16,7 +16,7 @@
 	queue := make([]*job, 0, len(p.waiting))
 	for j := range p.waiting {
 		queue = append(queue, j)
-		j.rank = v.cfg.JobOrder.Rank(now, j.rec, leader.JobProgress{WithinGuarantee: j.waiting[0].withinGuarantee, Started: j.begun})
+		j.rank = v.cfg.JobOrder.Rank(now, j.rec, leader.JobProgress{WithinGuarantee: j.waiting[0].withinGuarantee, Started: j.hasStarted})
 	}
 	slices.SortFunc(queue, func(a, b *job) int { return a.rank.Compare(b.rank) })
 	return queue
@@ -73,7 +73,7 @@
 		return
 	}
 	s := &j.rec.Spec
-	p := jobPlacement{job: j, spec: s, demand: taskResources(s), class: demandClassOf(s), isOverdue: leader.IsOverdue(now, j.rec, j.begun)}
+	p := jobPlacement{job: j, spec: s, demand: taskResources(s), class: demandClassOf(s), isOverdue: leader.IsOverdue(now, j.rec, j.hasStarted)}
 	isUnplaceable := r.unplaceable.covers(p.class, p.demand)
 	if isUnplaceable && r.isHopeless(&p) {
 		return
--- a/shard/preemptcheckpoint.go
+++ b/shard/preemptcheckpoint.go
@@ -27,7 +27,7 @@
 		freed = freed.plus(q.evictForPreemption(v, victim))
 	}
 	preemptor.resourcesExpectedUntil = now.Add(wait + constants.ReclaimMargin)
-	return freed.holdsOf(taskResources(&preemptor.job.rec.Spec))
+	return freed.countFitting(taskResources(&preemptor.job.rec.Spec))
 }
 
 // evictForPreemption stops an attempt, or the whole gang that it is part of, with time for
--- a/shard/reservation.go
+++ b/shard/reservation.go
@@ -70,7 +70,7 @@
 		if j == nil {
 			continue
 		}
-		if now.After(m.reservedUntil) || j.begun || len(j.waiting) == 0 || v.jobs[j.rec.ID] != j {
+		if now.After(m.reservedUntil) || j.hasStarted || len(j.waiting) == 0 || v.jobs[j.rec.ID] != j {
 			m.reservedFor = nil
 			p.needsPlacement = true
 		}
--- a/shard/reserve.go
+++ b/shard/reserve.go
@@ -40,7 +40,7 @@
 func (c *Core) availableProductionCPUs() float64 {
 	available := 0.0
 	for _, m := range c.fleet {
-		if !m.spot && !m.scalingIn && m.typ != nil && m.up && m.reclaimAt.IsZero() {
+		if !m.spot && !m.scalingIn && m.machineType != nil && m.up && m.reclaimAt.IsZero() {
 			available += c.productionCPUs(m)
 		}
 	}
--- a/shard/resources.go
+++ b/shard/resources.go
@@ -36,8 +36,8 @@
 // taskResources is what each task of a submission needs.
 func taskResources(s *wire.Submission) resources { return resources{s.CPUs, s.GPUs, s.MemoryGB} }
 
-// holdsOf is how many tasks of a size a room takes.
-func (r resources) holdsOf(n resources) int {
+// countFitting is how many tasks that need n each fit.
+func (r resources) countFitting(n resources) int {
 	k := math.MaxInt32
 	for _, x := range [][2]float64{{n.cpus, r.cpus}, {n.gpus, r.gpus}, {n.memory, r.memory}} {
 		if x[0] > 0 {
--- a/shard/scaleout.go
+++ b/shard/scaleout.go
@@ -93,7 +93,7 @@
 		job:        j,
 		demand:     taskResources(&j.rec.Spec),
 		offer:      c.cheapestOffer(&c.fleetView, now, &j.rec.Spec),
-		mayOffload: now.Sub(j.sentBackAt) > constants.OffloadWait,
+		mayOffload: now.Sub(j.offloadedAt) > constants.OffloadWait,
 	}
 	for _, t := range tasks {
 		c.excessCPUs += p.demand.cpus
@@ -102,7 +102,7 @@
 		}
 	}
 	if p.offloaded > 0 {
-		j.sentBackAt = now
+		j.offloadedAt = now
 	}
 }
 
--- a/shard/scaleoutgang.go
+++ b/shard/scaleoutgang.go
@@ -31,7 +31,7 @@
 		return
 	}
 	for offer.isAvailable() && remaining > 0 {
-		perMachine := max(1, machineResources(offer.machineType).holdsOf(n))
+		perMachine := max(1, machineResources(offer.machineType).countFitting(n))
 		count := min(remaining, perMachine)
 		c.planMachine(offer, n.times(count), counts)
 		remaining -= count
@@ -47,7 +47,7 @@
 	for i := range c.pendingCapacity {
 		p := &c.pendingCapacity[i]
 		if remaining > 0 && isEligible(s, p.typeName, p.spot) {
-			count := min(remaining, p.free.holdsOf(n))
+			count := min(remaining, p.free.countFitting(n))
 			p.free = p.free.minus(n.times(count))
 			remaining -= count
 		}
@@ -65,7 +65,7 @@
 	slots := 0
 	for _, m := range v.fleet {
 		if m.reservedForGangs && isEligible(s, m.typeName, m.spot) && v.isSchedulable(now, m) {
-			slots += v.freeResources(m).holdsOf(n)
+			slots += v.freeResources(m).countFitting(n)
 		}
 	}
 	return slots
@@ -77,7 +77,7 @@
 // large enough for it.
 func (c *Core) shouldOffloadGang(now time.Time, j *job, offer machineOffer) bool {
 	s := &j.rec.Spec
-	if now.Sub(j.sentBackAt) <= constants.OffloadWait || spansShards(j.rec, c.cfg.Shard) {
+	if now.Sub(j.offloadedAt) <= constants.OffloadWait || spansShards(j.rec, c.cfg.Shard) {
 		return false
 	}
 	waited := now.Sub(j.gangArrivedAt)
--- a/shard/spotreclaim.go
+++ b/shard/spotreclaim.go
@@ -13,14 +13,14 @@
 func (q *outbox) evictFromReclaimedMachines(v *fleetView, now time.Time) {
 	for _, m := range v.fleet {
 		if !m.reclaimAt.IsZero() && !m.scalingIn && m.up {
-			q.evictFromReclaimed(v, now, m)
+			q.evictFromReclaimedMachine(v, now, m)
 		}
 	}
 }
 
-// evictFromReclaimed evicts up to constants.MaxReclaimEvictions tasks from a machine, and
-// the gangs on it if it is time for their checkpoint.
-func (q *outbox) evictFromReclaimed(v *fleetView, now time.Time, m *machine) {
+// evictFromReclaimedMachine evicts up to constants.MaxReclaimEvictions tasks from a
+// machine, and the gangs on it if it is time for their checkpoint.
+func (q *outbox) evictFromReclaimedMachine(v *fleetView, now time.Time, m *machine) {
 	remaining := m.reclaimAt.Sub(now)
 	evicted := 0
 	for _, a := range m.attempts {
--- a/shard/state.go
+++ b/shard/state.go
@@ -49,7 +49,7 @@
 // resolveType looks up the machine's type and sets its capacity.
 func (k *knownState) resolveType(m *machine) {
 	if t := k.types[m.typeName]; t != nil {
-		m.typ = t
+		m.machineType = t
 		m.capacity = machineResources(t)
 	}
 }
--- a/shard/waiting.go
+++ b/shard/waiting.go
@@ -18,13 +18,13 @@
 func (p *placement) refreshWaiting(v *fleetView) {
 	for _, j := range p.changedJobs {
 		j.waitingStale = false
-		j.waiting, j.begun = j.waiting[:0], false
+		j.waiting, j.hasStarted = j.waiting[:0], false
 		for i := range j.rec.Assignments {
-			j.begun = j.begun || j.rec.Assignments[i].Closed
+			j.hasStarted = j.hasStarted || j.rec.Assignments[i].Closed
 		}
 		if v.jobs[j.rec.ID] == j && j.rec.End == "" {
 			for _, t := range j.tasks {
-				j.begun = j.begun || t.done || t.attempt != nil
+				j.hasStarted = j.hasStarted || t.done || t.attempt != nil
 				if t.isWaiting() {
 					j.waiting = append(j.waiting, t)
 				}
