--- a/controller/overload_test.go
+++ b/controller/overload_test.go
@@ -77,8 +77,8 @@
 	c.leader.SetRoundClock(c.tick)
 	types := []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: set.Deployment.Zones}}
 	for _, z := range set.Deployment.Zones {
-		c.owners[z] = shard.New(shard.Config{Shard: z, HeartbeatPeriod: 3 * time.Second, LeaseExpiry: 21 * time.Second, SpotIdleTimeout: time.Hour, OnDemandIdleTimeout: time.Hour,
-			CloudListLag: 5 * time.Second, SizeLimits: records.SizeLimits{Current: 8192, Next: 8192}, MaxTxnOps: 12, MaxWritesPerSecond: 100, JobOrder: leader.NewJobOrder(set.Deployment.Objectives)}, 1, 1, c.now, types, nil, nil, nil, nil)
+		c.owners[z] = shard.New(shard.Config{Shard: z, HeartbeatPeriod: 3 * time.Second, LeaseTimeout: 21 * time.Second, SpotIdleTimeout: time.Hour, OnDemandIdleTimeout: time.Hour,
+			CloudListLag: 5 * time.Second, SizeLimits: records.SizeLimits{Current: 8192, Next: 8192}, MaxTxnOps: 12, MaxWritesPerSecond: 100, JobOrder: leader.NewJobOrder(set.Deployment.Objectives)}, c.now, shard.Snapshot{Term: 1, TermVersion: 1, MachineTypes: types})
 		c.owners[z].SetRoundClock(c.tick)
 		for i := range 10 {
 			w := &overloadWorker{name: fmt.Sprintf("m-%s-%d", z, i), zone: z, tasks: map[string]*overloadTask{}}
--- a/controller/shard_actor.go
+++ b/controller/shard_actor.go
@@ -58,8 +58,15 @@
 		revision: c.feed.revision,
 	}
 	inventory, inventoryVersions := c.feed.inventoryOf(name)
-	a.core = shard.New(shardConfig(c.settings, name), term.number, term.version, now,
-		c.machineTypes.known, c.feed.jobs, c.feed.jobVersions, inventory, inventoryVersions)
+	a.core = shard.New(shardConfig(c.settings, name), now, shard.Snapshot{
+		Term:              term.number,
+		TermVersion:       term.version,
+		MachineTypes:      c.machineTypes.known,
+		Jobs:              c.feed.jobs,
+		JobVersions:       c.feed.jobVersions,
+		Inventory:         inventory,
+		InventoryVersions: inventoryVersions,
+	})
 	a.core.SetAuthority(c.authorityEnd())
 	if c.feed.packing {
 		a.core.EnablePacking()
@@ -78,7 +85,7 @@
 	return shard.Config{
 		Shard:               name,
 		HeartbeatPeriod:     set.HeartbeatPeriod(),
-		LeaseExpiry:         set.WorkerLeaseExpiry(),
+		LeaseTimeout:        set.WorkerLeaseExpiry(),
 		LeaseExtension:      set.LeaseExtension(),
 		SpotIdleTimeout:     set.Operator.SpotIdleTimeout,
 		OnDemandIdleTimeout: set.Operator.OnDemandIdleTimeout,
--- a/shard/core.go
+++ b/shard/core.go
@@ -17,7 +17,7 @@
 type Config struct {
 	Shard               string
 	HeartbeatPeriod     time.Duration // of the workers
-	LeaseExpiry         time.Duration // so long after the last reply that could count, a worker's lease has surely expired
+	LeaseTimeout        time.Duration // so long after the last reply that could count, a worker's lease has surely expired
 	LeaseExtension      time.Duration // how long an owner answers heartbeats after the end of its authority
 	SpotIdleTimeout     time.Duration // after which an idle spot machine is terminated
 	OnDemandIdleTimeout time.Duration // the same for an on-demand machine
@@ -62,15 +62,29 @@
 	liveness
 }
 
-// New makes the owner of a shard at the moment when the feed showed that its term was
-// acquired: jobs and inventory are as of that revision. termVersion is the version of the
-// shard's record; versions and inventoryVersions are those of the records of the same key.
-func New(cfg Config, term, termVersion uint64, now time.Time, types []wire.MachineType,
-	jobs map[string]*records.Job, versions map[string]uint64,
-	inventory map[string]*records.InventoryPage, inventoryVersions map[string]uint64) *Core {
+// Snapshot is what a new owner starts from: its term, and what is stored at the revision at
+// which the feed showed that the term was acquired.
+type Snapshot struct {
+	Term              uint64
+	TermVersion       uint64 // version of the shard's record
+	MachineTypes      []wire.MachineType
+	Jobs              map[string]*records.Job // by id
+	JobVersions       map[string]uint64
+	Inventory         map[string]*records.InventoryPage // by key of the page's record
+	InventoryVersions map[string]uint64
+}
+
+// New makes the owner of a shard in a term that it has just acquired.
+func New(cfg Config, now time.Time, snapshot Snapshot) *Core {
 	c := &Core{
 		fleetView: fleetView{
-			ownership:  ownership{cfg: cfg, term: term, counters: newTermCounters(term), termVersion: termVersion, acquiredAt: now},
+			ownership: ownership{
+				cfg:         cfg,
+				term:        snapshot.Term,
+				termVersion: snapshot.TermVersion,
+				acquiredAt:  now,
+				counters:    newTermCounters(snapshot.Term),
+			},
 			knownState: newKnownState(),
 			liveness:   newLiveness(cfg, now),
 		},
@@ -81,10 +95,10 @@
 		gangReserves:   gangReserves{gangShapes: map[string]gangShape{}},
 		aggregates:     aggregates{otherShards: map[string]otherShard{}, aggregateChanged: true},
 	}
-	c.SetTypes(types)
-	c.loadInventory(now, inventory, inventoryVersions)
-	for id, rec := range jobs {
-		c.applyJob(now, id, rec, versions[id], true)
+	c.SetTypes(snapshot.MachineTypes)
+	c.loadInventory(now, snapshot.Inventory, snapshot.InventoryVersions)
+	for id, rec := range snapshot.Jobs {
+		c.applyJob(now, id, rec, snapshot.JobVersions[id], true)
 	}
 	c.finishRebuild(now)
 	return c
--- a/shard/core_test.go
+++ b/shard/core_test.go
@@ -39,9 +39,9 @@
 			pages[k].Add(m)
 		}
 	}
-	cfg := Config{Shard: "a", HeartbeatPeriod: 3 * time.Second, LeaseExpiry: leaseEnd, SpotIdleTimeout: time.Hour, OnDemandIdleTimeout: time.Hour, UseSpot: true, CloudListLag: 5 * time.Second, SizeLimits: records.SizeLimits{Current: 8192, Next: 8192}, MaxDirectCommands: 200, MaxTxnOps: 12, MaxWritesPerSecond: 100, JobOrder: leader.NewJobOrder(nil)}
+	cfg := Config{Shard: "a", HeartbeatPeriod: 3 * time.Second, LeaseTimeout: leaseEnd, SpotIdleTimeout: time.Hour, OnDemandIdleTimeout: time.Hour, UseSpot: true, CloudListLag: 5 * time.Second, SizeLimits: records.SizeLimits{Current: 8192, Next: 8192}, MaxDirectCommands: 200, MaxTxnOps: 12, MaxWritesPerSecond: 100, JobOrder: leader.NewJobOrder(nil)}
 	types := []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.4, BootS: 10, Zones: []string{"a"}}}
-	r.Core = New(cfg, r.term, 50, r.now, types, jobs, versions, pages, pageV)
+	r.Core = New(cfg, r.now, Snapshot{Term: r.term, TermVersion: 50, MachineTypes: types, Jobs: jobs, JobVersions: versions, Inventory: pages, InventoryVersions: pageV})
 	r.SetAuthority(r.now.Add(time.Hour))
 	return r
 }
@@ -503,8 +503,8 @@
 	for name, shows := range map[string]bool{"unreachable": false, "shows the new token": true} {
 		t.Run(name, func(t *testing.T) {
 			next := newRig(map[string]*records.Job{"run-1": arrayJob("run-1", 2, "a")}, records.Machine{Name: "m-0", Type: "box", Addr: "m-0:1"})
-			next.Core = New(Config{Shard: "a", HeartbeatPeriod: 3 * time.Second, LeaseExpiry: leaseEnd, LeaseExtension: leaseExtension, SizeLimits: records.SizeLimits{Current: 8192, Next: 8192}, MaxDirectCommands: 200, MaxTxnOps: 12, MaxWritesPerSecond: 100, JobOrder: leader.NewJobOrder(nil)},
-				6, 51, over, nil, nil, nil, nil, nil)
+			next.Core = New(Config{Shard: "a", HeartbeatPeriod: 3 * time.Second, LeaseTimeout: leaseEnd, LeaseExtension: leaseExtension, SizeLimits: records.SizeLimits{Current: 8192, Next: 8192}, MaxDirectCommands: 200, MaxTxnOps: 12, MaxWritesPerSecond: 100, JobOrder: leader.NewJobOrder(nil)},
+				over, Snapshot{Term: 6, TermVersion: 51})
 			next.SetAuthority(over.Add(time.Hour))
 			// It sends one heartbeat, but the reply may be lost, and then it sends the
 			// next one to the old owner.
--- a/shard/gang_test.go
+++ b/shard/gang_test.go
@@ -290,7 +290,7 @@
 			cfg := r.cfg
 			cfg.SizeLimits, cfg.MaxTxnOps = records.SizeLimits{Current: 8192, Next: limit}, rapid.IntRange(1, 4).Draw(t, "ops")
 			now := r.now
-			c := New(cfg, term, 50, now, []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 32, Zones: []string{"a"}}}, nil, nil, pages, versions)
+			c := New(cfg, now, Snapshot{Term: term, TermVersion: 50, MachineTypes: []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 32, Zones: []string{"a"}}}, Inventory: pages, InventoryVersions: versions})
 			c.SetAuthority(now.Add(time.Hour))
 			steps := 400
 			if term < 8 {
--- a/shard/liveness.go
+++ b/shard/liveness.go
@@ -14,7 +14,7 @@
 // ApplyMisroutedHeartbeats.
 type liveness struct {
 	heartbeatPeriod time.Duration        // between two heartbeats of a machine
-	leaseDuration   time.Duration        // after the last reply that could count
+	leaseTimeout    time.Duration        // after the last reply that could count
 	startedAt       time.Time            // when the owner could first have received a heartbeat
 	livenessResetAt time.Time            // missing heartbeats are counted from here at the earliest
 	partitioned     bool                 // the shard's machines as a whole are unreachable
@@ -27,7 +27,7 @@
 func newLiveness(cfg Config, now time.Time) liveness {
 	return liveness{
 		heartbeatPeriod: cfg.HeartbeatPeriod,
-		leaseDuration:   cfg.LeaseExpiry,
+		leaseTimeout:    cfg.LeaseTimeout,
 		startedAt:       now,
 		terminated:      map[string]time.Time{},
 	}
--- a/shard/ownership.go
+++ b/shard/ownership.go
@@ -46,7 +46,7 @@
 	if !m.hasSeenTerm(o.term) && extendedUntil.After(now) {
 		now = extendedUntil
 	}
-	return now.Add(o.cfg.LeaseExpiry)
+	return now.Add(o.cfg.LeaseTimeout)
 }
 
 // fencingToken is the token of the owner's replies and commands to a machine: the term, and
--- a/shard/scalein.go
+++ b/shard/scalein.go
@@ -191,7 +191,7 @@
 	if up > 2 || !l.hasHeardPeers(now) {
 		return false
 	}
-	return up == 1 || confirmed > 0 || now.Sub(m.unconfirmedSince) > l.leaseDuration
+	return up == 1 || confirmed > 0 || now.Sub(m.unconfirmedSince) > l.leaseTimeout
 }
 
 // machineClosure is the progress of a machine's termination where machines are durably closed
--- a/shard/state_test.go
+++ b/shard/state_test.go
@@ -48,7 +48,7 @@
 // may be the one that is isolated.
 func TestFewUnconfirmedMachinesAreKept(t *testing.T) {
 	now := time.Unix(1000, 0)
-	l := liveness{heartbeatPeriod: 3 * time.Second, leaseDuration: 20 * time.Second, peersHeardAt: now}
+	l := liveness{heartbeatPeriod: 3 * time.Second, leaseTimeout: 20 * time.Second, peersHeardAt: now}
 	doubted := &machine{unconfirmedSince: now.Add(-10 * time.Second)}
 	forLong := &machine{unconfirmedSince: now.Add(-21 * time.Second)}
 	for _, c := range []struct {
