--- a/controller/commit.go
+++ b/controller/commit.go
@@ -25,21 +25,27 @@
 // is of no use.
 func (r commitResult) isInvalid() bool { return errors.Is(r.err, kvstore.ErrInvalidRequest) }
 
-// commit carries out a transaction. One without an answer is retried: its conditions make
-// that safe. One that the store found invalid is not. Urgent ones are retried at once
-// where a rate limit alone was in the way. What is written, in a few words, is for the log.
-func commit(ctx context.Context, store Store, txn wire.Txn, what string, urgent bool) commitResult {
+// write is a transaction to be committed.
+type write struct {
+	txn         wire.Txn
+	description string // for the log
+	urgent      bool   // retried at once where a rate limit alone was in the way
+}
+
+// commit commits a write. One without an answer is retried: its conditions make that safe.
+// One that the store found invalid is not.
+func commit(ctx context.Context, store Store, w write) commitResult {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	began := time.Now()
 	var revision uint64
 	commitOnce := func() error {
-		written, err := store.Commit(ctx, txn)
+		written, err := store.Commit(ctx, w.txn)
 		revision = written
 		return err
 	}
 	err := kvstore.Retry(ctx, func() error {
-		if !urgent {
+		if !w.urgent {
 			return commitOnce()
 		}
 		retry := kvstore.RateLimitRetry{
@@ -50,25 +56,25 @@
 		return retry.Do(ctx, commitOnce)
 	})
 	if err != nil {
-		logCommitError(ctx, txn, what, err)
+		w.logFailure(ctx, err)
 		return commitResult{err: err}
 	}
-	slog.Debug("write committed", "what", what, "took_ms", time.Since(began).Milliseconds())
+	slog.Debug("write committed", "what", w.description, "took_ms", time.Since(began).Milliseconds())
 	return commitResult{revision: revision}
 }
 
-// logCommitError logs why a transaction failed; a failure of a context that
-// has ended is expected, and is not logged.
-func logCommitError(ctx context.Context, txn wire.Txn, what string, err error) {
+// logFailure logs why a write failed; a failure of a context that has ended is expected,
+// and is not logged.
+func (w write) logFailure(ctx context.Context, err error) {
 	var conflict *kvstore.ConflictError
 	switch {
 	case errors.As(err, &conflict):
-		slog.Debug("compare-and-swap conflict", "what", what, logkey.Err, err)
+		slog.Debug("compare-and-swap conflict", "what", w.description, logkey.Err, err)
 	case errors.Is(err, kvstore.ErrInvalidRequest):
-		for _, change := range txn.Changes {
-			slog.Error("write refused as invalid", "key", change.Put, "bytes", len(change.Value), "changes", len(txn.Changes), logkey.Err, err)
+		for _, change := range w.txn.Changes {
+			slog.Error("write refused as invalid", "key", change.Put, "bytes", len(change.Value), "changes", len(w.txn.Changes), logkey.Err, err)
 		}
 	case ctx.Err() == nil:
-		slog.Info("write failed", "what", what, logkey.Err, err)
+		slog.Info("write failed", "what", w.description, logkey.Err, err)
 	}
 }
--- a/controller/detection_test.go
+++ b/controller/detection_test.go
@@ -104,8 +104,8 @@
 }
 
 // grayFailure cuts an owner from its workers and from other controllers' calls, while
-// its own calls to them and to the state service go through: it hears of no worker
-// that reports elsewhere, and takes its peers for well.
+// its own calls to them and to the key-value store go through: it learns of no worker
+// that sends heartbeats elsewhere, and its peers look healthy to it.
 func grayFailure(w *world, owner int) {
 	w.locked(func() { w.controllers[owner].cutFromWorkers, w.controllers[owner].peerCallsLost = true, true })
 }
@@ -343,9 +343,9 @@
 	}()
 }
 
-// The wait before a revoked holder's terms are claimed is what keeps the rules: an
+// The wait before a revoked holder's terms are acquired is what keeps the rules: an
 // owner that is cut off with its zone as it is revoked still answers its workers for as
-// long as its authority lasts, and whoever claimed at once would believe their leases
+// long as its authority lasts, and whoever acquired them at once would believe their leases
 // over too early. The checker sees that.
 func TestRevokedHoldersAuthorityIsAwaited(t *testing.T) {
 	discardLogs(t)
@@ -411,7 +411,7 @@
 var storedLeaseTTL = regexp.MustCompile(`"life":\d+`)
 
 // Without authority of its own a controller proposes nothing, and nobody proposes
-// while a claim is promised not to be made.
+// while it is promised that no term is acquired.
 func TestNoProposalWithoutAuthority(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
--- a/controller/draining_test.go
+++ b/controller/draining_test.go
@@ -35,7 +35,7 @@
 		return w.disruptionFigures().Replaced > 0
 	}},
 	{"after the close", func(_ *testing.T, w *world, _ int) bool { return w.terminatingMachines() > 0 }},
-	{"at the return", func(_ *testing.T, w *world, _ int) bool { return w.eventCount("returns asked") > 0 }},
+	{"at the return", func(_ *testing.T, w *world, _ int) bool { return w.eventCount("scale-in requests") > 0 }},
 }
 
 // Ways for the holder of a drain to fail.
@@ -437,7 +437,7 @@
 )
 
 // A large fleet is replaced under a share as its budget, in little more than the least
-// time under it, and with changes of the state service that do not grow with the moves
+// time under it, and with changes of the key-value store that do not grow with the moves
 // of single tasks alone.
 func TestDrainLargeFleet(t *testing.T) {
 	discardLogs(t)
@@ -478,7 +478,7 @@
 	})
 }
 
-// stateRevision counts the changes of the state service.
+// stateRevision counts the changes of the key-value store.
 func (w *world) stateRevision() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/controller/faults_test.go
+++ b/controller/faults_test.go
@@ -241,7 +241,7 @@
 	return j.reportedState != ""
 }
 
-// expectEvent sees that something came about in a scenario.
+// expectEvent checks that something was observed in a scenario.
 func (w *world) expectEvent(t *testing.T, what string, least int) {
 	t.Helper()
 	w.mu.Lock()
@@ -264,7 +264,7 @@
 	w.waitUntil(t, "a new term under "+key, 60*time.Second, func() bool { return version() != was })
 }
 
-// replayHeartbeats lets every report that was kept come once more, to every controller.
+// replayHeartbeats lets every heartbeat that was kept come once more, to every controller.
 func (w *world) replayHeartbeats() {
 	w.mu.Lock()
 	old := w.keptHeartbeats
@@ -289,7 +289,7 @@
 }
 
 // hangs is a scenario in which machines hang and, at that moment, jobs on them are
-// cancelled; something more befalls the deployment then.
+// cancelled; something more happens to the deployment then.
 func hangs(more func(*testing.T, *world, []*simWorker)) func(*testing.T, *world) {
 	return func(t *testing.T, w *world) {
 		b := w.startWork(t, 300)
@@ -322,7 +322,7 @@
 				time.Sleep(3 * time.Second)
 				w.replayHeartbeats()
 				time.Sleep(w.times.lease())
-				w.replayHeartbeats() // of earlier sessions and attempts, after newer ones
+				w.replayHeartbeats() // of earlier epochs and attempts, after newer ones
 				w.expectEvent(t, "copies", 100)
 				w.settleAll(t, 6*time.Minute, b.finishes)
 			}},
@@ -572,7 +572,7 @@
 		{name: "machines with cancelled tasks hang while all controllers are away",
 			play: hangs(func(t *testing.T, w *world, hung []*simWorker) {
 				time.Sleep(time.Second)
-				w.locked(func() { w.hungPastLeaseIsDead = true }) // the new owners hear of the hang by silence alone, and late
+				w.locked(func() { w.hungPastLeaseIsDead = true }) // the new owners notice the hang by missing heartbeats alone, and late
 				for _, n := range w.controllers {
 					n.kill()
 				}
@@ -622,7 +622,7 @@
 				w.expectNewTerm(t, records.KeyLeader, func() { leader(w).restart(time.Second) })
 				w.settleAll(t, 15*time.Minute, lot)
 			}},
-		// No guard is taken away: what it leans on, that owners wait for the reports of
+		// No guard is taken away: what it leans on, that owners wait for the heartbeats of
 		// all machines or their leases' ends, is no one's but the owners'.
 		{name: "all controllers are away for longer than the lease",
 			play: func(t *testing.T, w *world) {
@@ -724,7 +724,7 @@
 // Jobs that lack a field are refused as malformed and jobs that can never run as
 // such, by every controller, every time, also while controllers end and the state
 // service answers slowly; repeats of jobs that were accepted and cancellations of
-// done ones get what was told before.
+// done ones get the same answer as before.
 func TestUnusualRequests(t *testing.T) {
 	required := []string{"uid", "lane", "crew", "shape", "rank", "pieces", "cpus", "cards", "mem_gb", "kit", "pull_gb", "one_zone", "scatter", "loaners", "guess_s", "mark_every_s", "stow_s"}
 	never := map[string]func(map[string]any){
--- a/controller/large_fleet_test.go
+++ b/controller/large_fleet_test.go
@@ -22,14 +22,14 @@
 	lossyShare = flag.Float64("lossy.share", 0.45, "share of their answers that is lost")
 )
 
-// Where answers are lost by chance, machines now and then leave all questions of a return
-// unanswered, or hear nothing for a lease. Whatever starts again was on one of those, and
+// Where answers are lost by chance, machines now and then leave all commands of a scale-in
+// unanswered, or receive nothing for a lease. Whatever starts again was on one of those, and
 // all others stay.
 func TestLossyFleet(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
 		w := playLargeFleet(t, "", *lossyFleet, *lossyShare)
-		ended, unheard, lapsed := w.eventCount("tasks ended by a return"), w.eventCount("tasks ended by the return of an unheard machine"), w.eventCount("tasks ended by a lease")
+		ended, unheard, lapsed := w.eventCount("tasks ended by a scale-in"), w.eventCount("tasks ended by the scale-in of an unresponsive machine"), w.eventCount("tasks ended by a lease")
 		t.Logf("%d starts again; %d tasks ended by returns, %d of them on machines that answered nothing, %d by a lease", w.restarts, ended, unheard, lapsed)
 		if ended != unheard {
 			t.Errorf("%d tasks were ended by the return of a machine that had answered", ended-unheard)
@@ -116,7 +116,7 @@
 	return w
 }
 
-// keysUnder counts the state service's keys under a prefix.
+// keysUnder counts the key-value store's keys under a prefix.
 func (w *world) keysUnder(prefix string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/controller/leader_actor.go
+++ b/controller/leader_actor.go
@@ -104,6 +104,10 @@
 	if assignment.Urgent {
 		store = a.urgentStore
 	}
-	result := commit(ctx, store, assignment.Txn, "assignment of "+assignment.JobID, assignment.Urgent)
+	result := commit(ctx, store, write{
+		txn:         assignment.Txn,
+		description: "assignment of " + assignment.JobID,
+		urgent:      assignment.Urgent,
+	})
 	a.self.Tell(assignmentDone{assignment.JobID, assignment.Urgent, result})
 }
--- a/controller/overload_test.go
+++ b/controller/overload_test.go
@@ -147,6 +147,13 @@
 			p.ApplyOtherShards(c.now, []leader.Aggregate{o.Aggregate(c.now, c.rev)})
 		}
 	}
+	c.stepLeader()
+	c.stepOwners()
+	c.stepWorkers()
+	c.cancelDue()
+}
+
+func (c *overload) stepLeader() {
 	for _, cm := range c.leader.Step(c.now) {
 		if c.valid(cm.Txn) {
 			c.leader.ApplyCommitResult(c.now, cm.JobID, cm.Urgent, c.write(cm.Txn))
@@ -154,6 +161,9 @@
 			c.leader.ApplyCommitResult(c.now, cm.JobID, cm.Urgent, 0)
 		}
 	}
+}
+
+func (c *overload) stepOwners() {
 	for _, z := range []string{"a", "b"} {
 		o := c.owners[z]
 		for _, act := range o.Step(c.now) {
@@ -174,6 +184,9 @@
 			}
 		}
 	}
+}
+
+func (c *overload) stepWorkers() {
 	for _, name := range c.names {
 		w := c.workers[name]
 		for _, x := range w.tasks {
@@ -194,6 +207,10 @@
 			c.execute(w, reply.Commands)
 		}
 	}
+}
+
+// cancelDue cancels the jobs whose time has come.
+func (c *overload) cancelDue() {
 	for _, id := range c.order {
 		if j := c.jobs[id]; !j.cancel.IsZero() && c.now.After(j.cancel) && j.rec.End == "" {
 			rec := j.rec.Clone()
--- a/controller/peer_status_test.go
+++ b/controller/peer_status_test.go
@@ -13,7 +13,7 @@
 	"ravenport/wire"
 )
 
-// countingPeer counts what it is told.
+// countingPeer counts the statuses that it receives.
 type countingPeer struct{ told atomic.Int32 }
 
 func (p *countingPeer) PushStatus(context.Context, peer.Status) (peer.StatusReply, error) {
@@ -25,8 +25,8 @@
 	return 0, kvstore.ErrRefused
 }
 
-// A shard whose figures change all the time keeps nobody from being told: an
-// owner that workers cannot reach would not learn that others hear them.
+// A shard whose figures change all the time does not keep its status from anybody: an
+// owner that workers cannot reach would not learn that others receive their heartbeats.
 func TestBusyShardStillPushesStatusToAll(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
--- a/controller/random_faults_test.go
+++ b/controller/random_faults_test.go
@@ -35,33 +35,7 @@
 	go w.playGangs()
 	time.AfterFunc(w.randomDuration(0, 200*time.Second), func() { w.mu.Lock(); w.limitsLowered = true; w.mu.Unlock() })
 	for i := range 24 {
-		s := wire.Submission{
-			ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: "free", Kind: wire.KindArray, Priority: wire.PriorityNormal,
-			Tasks: 1 + w.rng.IntN(6), CPUs: float64(1 + w.rng.IntN(4)), MemoryGB: 1, Image: fmt.Sprintf("i-%d", w.rng.IntN(3)), ImageGB: 1,
-			Spot: w.rng.IntN(2) == 0, EstimateS: float64(2 + w.rng.IntN(20)),
-		}
-		if i%3 == 0 {
-			s.Kind, s.Priority, s.Spot, s.CPUs, s.EstimateS = wire.KindService, wire.PriorityProduction, false, 2, 0
-			s.Tasks = 1 + w.rng.IntN(2)
-			s.Spread = true
-		}
-		if i%4 == 1 {
-			s.Team, s.CPUs = "tight", 3
-		}
-		if i%8 == 5 {
-			s.OneZone, s.Spread = true, false
-		}
-		if i%6 == 2 {
-			s.Kind, s.Tasks, s.CPUs = wire.KindGang, 2+w.rng.IntN(3), float64(1+w.rng.IntN(2))
-			s.CheckpointIntervalS, s.CheckpointSaveS, s.Priority = 4, 1, []string{wire.PriorityNormal, wire.PriorityHigh}[w.rng.IntN(2)]
-			s.OneZone, s.Spread = w.rng.IntN(2) == 0, false
-			if i%12 == 8 {
-				s.OneZone, s.Spread = false, true
-			}
-		}
-		if i%8 == 7 {
-			s.Zone, s.Spread = zones[w.rng.IntN(len(zones))], false
-		}
+		s := w.randomSubmission(i, zones)
 		j := &simJob{spec: s, doneTasks: map[int]bool{}}
 		w.jobs[s.ID] = j
 		var cancel time.Duration
@@ -71,7 +45,50 @@
 		go w.runUser(j, time.Duration(w.rng.IntN(120))*time.Second, cancel)
 	}
 	injectFaults(w, 200*time.Second)
-	// Calm: everything is mended, and what was accepted must come to an end.
+	w.endFaults()
+	time.Sleep(240 * time.Second)
+	close(w.done)
+	for _, n := range w.controllers {
+		n.kill()
+	}
+	time.Sleep(2 * time.Minute) // late messages and retries run out
+	return w
+}
+
+// randomSubmission makes the i-th job of a generated day.
+func (w *world) randomSubmission(i int, zones []string) wire.Submission {
+	s := wire.Submission{
+		ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: "free", Kind: wire.KindArray, Priority: wire.PriorityNormal,
+		Tasks: 1 + w.rng.IntN(6), CPUs: float64(1 + w.rng.IntN(4)), MemoryGB: 1, Image: fmt.Sprintf("i-%d", w.rng.IntN(3)), ImageGB: 1,
+		Spot: w.rng.IntN(2) == 0, EstimateS: float64(2 + w.rng.IntN(20)),
+	}
+	if i%3 == 0 {
+		s.Kind, s.Priority, s.Spot, s.CPUs, s.EstimateS = wire.KindService, wire.PriorityProduction, false, 2, 0
+		s.Tasks = 1 + w.rng.IntN(2)
+		s.Spread = true
+	}
+	if i%4 == 1 {
+		s.Team, s.CPUs = "tight", 3
+	}
+	if i%8 == 5 {
+		s.OneZone, s.Spread = true, false
+	}
+	if i%6 == 2 {
+		s.Kind, s.Tasks, s.CPUs = wire.KindGang, 2+w.rng.IntN(3), float64(1+w.rng.IntN(2))
+		s.CheckpointIntervalS, s.CheckpointSaveS, s.Priority = 4, 1, []string{wire.PriorityNormal, wire.PriorityHigh}[w.rng.IntN(2)]
+		s.OneZone, s.Spread = w.rng.IntN(2) == 0, false
+		if i%12 == 8 {
+			s.OneZone, s.Spread = false, true
+		}
+	}
+	if i%8 == 7 {
+		s.Zone, s.Spread = zones[w.rng.IntN(len(zones))], false
+	}
+	return s
+}
+
+// endFaults mends everything, so that what was accepted must come to an end.
+func (w *world) endFaults() {
 	w.setOutage(false)
 	w.mu.Lock()
 	for _, n := range w.controllers {
@@ -84,17 +101,8 @@
 	w.calmSince = time.Now()
 	w.mu.Unlock()
 	for _, n := range w.controllers {
-		if n.running() == nil {
-			n.start()
-		}
-	}
-	time.Sleep(240 * time.Second)
-	close(w.done)
-	for _, n := range w.controllers {
-		n.kill()
+		n.startIfDown()
 	}
-	time.Sleep(2 * time.Minute) // late messages and retries run out
-	return w
 }
 
 // injectFaults makes things fail, one or several at a time, for a while.
@@ -104,111 +112,112 @@
 		time.Sleep(w.randomDuration(2*time.Second, 12*time.Second))
 		n := w.controllers[int(w.randomDuration(0, time.Duration(len(w.controllers)-1)))]
 		length := w.randomDuration(time.Second, 35*time.Second)
-		later := func(f func()) { time.AfterFunc(length, f) }
 		switch w.randomDuration(0, 17) {
-		case 15: // stands still while its clocks run on, for less than its lease
-			n.freeze(w.randomDuration(200*time.Millisecond, 3*time.Second))
-		case 16: // or for more, some times for more than the workers'
-			n.freeze(length)
-			if w.chance(0.3) { // and ends as it moves on, in the middle of an election
-				time.AfterFunc(length, func() {
-					n.kill()
-					time.Sleep(300 * time.Millisecond)
-					if n.running() == nil {
-						n.start()
-					}
-				})
+		case 0, 1: // a crash; back within a fraction of a second or after seconds
+			n.kill()
+			time.AfterFunc(w.randomDuration(200*time.Millisecond, 6*time.Second), n.startIfDown)
+		case 2: // all crash
+			for _, n := range w.controllers {
+				n.kill()
 			}
-		case 17: // a zone is cut off from everything, with the controllers in it
-			set := func(z string) { w.mu.Lock(); w.partitionedZone = z; w.mu.Unlock() }
-			set(n.set.Zone)
-			time.AfterFunc(2*length, func() { set("") })
-		case 14: // reports do not reach it, though it reaches the workers
-			set := func(v bool) { w.mu.Lock(); n.heartbeatsLost = v; w.mu.Unlock() }
-			set(true)
-			later(func() { set(false) })
-		case 10: // away from the state service and the other controllers, not from workers
-			set := func(v bool) { w.mu.Lock(); n.cutFromStore, n.cutFromPeers = v, v; w.mu.Unlock() }
-			set(true)
-			later(func() { set(false) })
+			time.Sleep(w.randomDuration(200*time.Millisecond, 6*time.Second))
+			for _, n := range w.controllers {
+				n.startIfDown()
+			}
+		case 3: // refused by the key-value store alone
+			w.lasting(length, func(on bool) { n.cutFromStore = on })
+		case 4: // cut from the workers
+			w.lasting(length, func(on bool) { n.cutFromWorkers = on })
+		case 5:
+			w.setOutage(true)
+			time.AfterFunc(length, func() { w.setOutage(false) })
+		case 6, 7, 8: // a machine hangs, is cut off or is taken
+			w.injectMachineFault(length)
+		case 9:
+			w.lasting(length, func(on bool) { w.cloudUnavailable = on })
+		case 10: // away from the key-value store and the other controllers, not from workers
+			w.lasting(length, func(on bool) { n.cutFromStore, n.cutFromPeers = on, on })
 		case 11: // back within a fraction of a second, and again in the middle of the election
 			for range 2 {
 				n.kill()
 				time.Sleep(w.randomDuration(10*time.Millisecond, 300*time.Millisecond))
-				if n.running() == nil {
-					n.start()
-				}
+				n.startIfDown()
 				time.Sleep(w.randomDuration(10*time.Millisecond, 1500*time.Millisecond))
 			}
 		case 12: // the controllers do not reach each other
-			set := func(v bool) { w.mu.Lock(); n.cutFromPeers = v; w.mu.Unlock() }
-			set(true)
-			later(func() { set(false) })
+			w.lasting(length, func(on bool) { n.cutFromPeers = on })
 		case 13:
-			if ctl := n.running(); ctl != nil {
+			if process := n.running(); process != nil {
 				for range 5 {
-					w.sendInvalidHeartbeat(ctl)
+					w.sendInvalidHeartbeat(process)
 				}
 			}
-		case 9:
-			set := func(v bool) { w.mu.Lock(); w.cloudUnavailable = v; w.mu.Unlock() }
-			set(true)
-			later(func() { set(false) })
-		case 0, 1: // a crash; back within a fraction of a second or after seconds
-			n.kill()
-			time.AfterFunc(w.randomDuration(200*time.Millisecond, 6*time.Second), func() {
-				if n.running() == nil {
-					n.start()
-				}
-			})
-		case 2: // all crash
-			for _, n := range w.controllers {
-				n.kill()
+		case 14: // heartbeats do not reach it, though it reaches the workers
+			w.lasting(length, func(on bool) { n.heartbeatsLost = on })
+		case 15: // it is frozen while its clocks run on, for less than its lease
+			n.freeze(w.randomDuration(200*time.Millisecond, 3*time.Second))
+		case 16: // or for more, some times for more than the workers'
+			n.freeze(length)
+			if w.chance(0.3) { // and ends as it moves on, in the middle of an election
+				time.AfterFunc(length, n.killAndStart)
 			}
-			time.Sleep(w.randomDuration(200*time.Millisecond, 6*time.Second))
-			for _, n := range w.controllers {
-				if n.running() == nil {
-					n.start()
+		case 17: // a zone is cut off from everything, with the controllers in it
+			w.lasting(2*length, func(on bool) {
+				w.partitionedZone = ""
+				if on {
+					w.partitionedZone = n.set.Zone
 				}
+			})
+		}
+	}
+}
+
+// lasting switches a fault on, and off again after a time; set is called under the lock.
+func (w *world) lasting(d time.Duration, set func(on bool)) {
+	w.locked(func() { set(true) })
+	time.AfterFunc(d, func() { w.locked(func() { set(false) }) })
+}
+
+// startIfDown starts a controller that does not run.
+func (n *simController) startIfDown() {
+	if n.running() == nil {
+		n.start()
+	}
+}
+
+// killAndStart ends a controller and starts it again soon after.
+func (n *simController) killAndStart() {
+	n.kill()
+	time.Sleep(300 * time.Millisecond)
+	n.startIfDown()
+}
+
+// injectMachineFault makes any one machine fail.
+func (w *world) injectMachineFault(length time.Duration) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	what := w.rng.IntN(5)
+	for _, m := range w.machines {
+		switch what {
+		case 0:
+			m.hung = true
+			time.AfterFunc(length, func() { w.locked(func() { m.hung = false }) })
+		case 1:
+			m.disconnected = true
+			time.AfterFunc(length, func() { w.locked(func() { m.disconnected = false }) })
+		case 2:
+			if m.spot {
+				w.removeMachine(m.name)
 			}
-		case 3: // refused by the state service alone
-			set := func(v bool) { w.mu.Lock(); n.cutFromStore = v; w.mu.Unlock() }
-			set(true)
-			later(func() { set(false) })
-		case 4: // cut from the workers
-			set := func(v bool) { w.mu.Lock(); n.cutFromWorkers = v; w.mu.Unlock() }
-			set(true)
-			later(func() { set(false) })
-		case 5:
-			w.setOutage(true)
-			later(func() { w.setOutage(false) })
-		case 6, 7, 8: // a machine hangs, is cut off or is taken
-			w.mu.Lock()
-			what := w.rng.IntN(5)
-			for _, m := range w.machines {
-				switch what {
-				case 3:
-					m.receivesNothing = true
-					later(func() { w.mu.Lock(); m.receivesNothing = false; w.mu.Unlock() })
-				case 4:
-					if !time.Now().Before(m.bootsAt) {
-						m.restart()
-					}
-				case 0:
-					m.hung = true
-					later(func() { w.mu.Lock(); m.hung = false; w.mu.Unlock() })
-				case 1:
-					m.disconnected = true
-					later(func() { w.mu.Lock(); m.disconnected = false; w.mu.Unlock() })
-				case 2:
-					if m.spot {
-						w.removeMachine(m.name)
-					}
-				}
-				break
+		case 3:
+			m.receivesNothing = true
+			time.AfterFunc(length, func() { w.locked(func() { m.receivesNothing = false }) })
+		case 4:
+			if !time.Now().Before(m.bootsAt) {
+				m.restart()
 			}
-			w.mu.Unlock()
 		}
+		return
 	}
 }
 
@@ -294,8 +303,8 @@
 	}
 }
 
-// A machine whose reports arrive while nothing reaches it gets nothing more, is
-// told from a slow one, and is given back; its replicas run elsewhere long before
+// A machine whose heartbeats arrive while nothing reaches it gets nothing more, is
+// told apart from a slow one, and is terminated; its replicas run elsewhere long before
 // its own lease could be believed to have ended, and no rule is broken.
 func TestMachineThatReceivesNothingIsTerminated(t *testing.T) {
 	discardLogs(t)
@@ -329,7 +338,7 @@
 	})
 }
 
-// An owner that reaches its machines while their reports do not reach it hands
+// An owner that reaches its machines while their heartbeats do not reach it hands
 // its shard on before their leases end: answers to its calls renew none.
 func TestOwnerWithoutHeartbeatsHandsOver(t *testing.T) {
 	expectUndisturbed(t, 8, 4, func(w *world) {
@@ -340,7 +349,7 @@
 	})
 }
 
-// While the state service is away for all, and the controllers reach each other,
+// While the key-value store is away for all, and the controllers reach each other,
 // what runs goes on, for much longer than the workers' lease.
 func TestOutageLongerThanTheLeaseStopsNothing(t *testing.T) {
 	expectUndisturbed(t, 6, 4, func(w *world) {
@@ -352,8 +361,8 @@
 }
 
 // A zone that is cut off with its owner, for longer than the workers' lease, runs
-// on: the owner inside tends its machines, and the next one outside, which hears
-// none of them, returns none.
+// on: the owner inside tends its machines, and the next one outside, which receives
+// no heartbeat, terminates none.
 func TestCutOffZoneRunsOn(t *testing.T) {
 	expectUndisturbed(t, 8, 12, func(w *world) {
 		set := func(z string) { w.mu.Lock(); w.partitionedZone = z; w.mu.Unlock() }
@@ -400,7 +409,7 @@
 			w.mu.Unlock()
 			if !counted {
 				for _, n := range w.controllers {
-					n.set.Deployment.Workers.CancelTimeoutS = 45 // as whoever claims from here on counts
+					n.set.Deployment.Workers.CancelTimeoutS = 45 // as whoever acquires a term from here on counts
 				}
 			}
 			time.Sleep(120 * time.Second)
@@ -415,7 +424,7 @@
 	}
 }
 
-// expectUndisturbed sees to it that a service runs on through a trouble without a
+// expectUndisturbed checks that a service runs on through a trouble without a
 // single start.
 func expectUndisturbed(t *testing.T, seed uint64, tasks int, trouble func(*world)) {
 	t.Helper()
@@ -438,7 +447,7 @@
 }
 
 // Without the promise of all others an owner gives no command and falls silent in
-// time: at once if a sibling tells it that it has been replaced, and where none
+// time: at once if another controller tells it that it has been replaced, and where none
 // can, once it has tended its machines for as long as cancel_s leaves.
 func TestNoExtensionNoAuthority(t *testing.T) {
 	discardLogs(t)
@@ -490,7 +499,7 @@
 	}
 }
 
-// expireLeases ends the state service's leases in time.
+// expireLeases ends the key-value store's leases in time.
 func (w *world) expireLeases() {
 	for {
 		select {
@@ -550,14 +559,14 @@
 // shutdown ends everything that runs in the world.
 func (w *world) shutdown() {
 	close(w.done)
-	w.locked(func() { w.partitionedZone = "" }) // lets go of what the cut holds back
+	w.locked(func() { w.partitionedZone = "" }) // releases what the partition holds back
 	for _, n := range w.controllers {
 		n.kill()
 	}
 	time.Sleep(2 * time.Minute)
 }
 
-// addOldRecords fills the state service with what the version before may leave behind, as
+// addOldRecords fills the key-value store with what the version before may leave behind, as
 // large as its limits were: an inventory page of machines that are gone since, and an
 // array in many pieces.
 func (w *world) addOldRecords() {
--- a/controller/redirects_test.go
+++ b/controller/redirects_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Only a worker that comes back with a newer report, lately, from the same owner,
+// Only a worker that comes back with a newer heartbeat, lately, from the same owner,
 // was not served there.
 func TestRedirectTracker(t *testing.T) {
 	const window = 6 * time.Second
--- a/controller/relay_test.go
+++ b/controller/relay_test.go
@@ -41,7 +41,7 @@
 	})
 }
 
-// A controller that the state service refuses, alone, accepts what its users submit:
+// A controller that the key-value store refuses, alone, accepts what its users submit:
 // others write it. None of it is forgotten, and all of it runs.
 func TestRefusedControllerStillAccepts(t *testing.T) {
 	discardLogs(t)
--- a/controller/scale_in_test.go
+++ b/controller/scale_in_test.go
@@ -10,10 +10,10 @@
 	"ravenport/wire"
 )
 
-// playLateScaleIns plays an owner that stands still just as it asks the cloud to take back
+// playLateScaleIns plays an owner that freezes just as it asks the cloud to scale in
 // an idle machine; its successor has work for all machines; then the first one goes on.
-// It returns how many tasks that the successor had started were taken by the late
-// return, and how many late returns came about.
+// It returns how many tasks that the successor had started were ended by the late
+// scale-in, and how many late scale-ins there were.
 func playLateScaleIns(t *testing.T, seed uint64, closeFirst bool) (taken, late int) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorldWithTimes(seed, []string{"a", "b"}, 3, magnoliaTimes)
@@ -21,7 +21,7 @@
 		for k := range w.capacity {
 			w.capacity[k] = 0
 		}
-		w.capacity["a/ordinary"] = 2
+		w.capacity["a/on-demand"] = 2
 		for _, n := range w.controllers {
 			n.set.Duties.CordonBeforeScaleIn = closeFirst
 			n.start()
@@ -36,14 +36,14 @@
 		w.allDone(t, 2*time.Minute, []*simJob{first})
 		owner := w.controllers[w.owner("a")]
 		w.locked(func() { w.onScaleIn = func(*simController) { owner.frozenUntil = time.Now().Add(25 * time.Second) } })
-		w.waitUntil(t, "a return is on its way", 2*time.Minute, func() bool { return w.eventCount("returns asked") > 0 })
+		w.waitUntil(t, "a return is on its way", 2*time.Minute, func() bool { return w.eventCount("scale-in requests") > 0 })
 		w.locked(func() { w.onScaleIn = nil })
 		service := &simJob{spec: wire.Submission{ID: "run-000002", Class: "c", Team: "free", Kind: wire.KindService, Priority: wire.PriorityProduction,
 			Tasks: 2, CPUs: 8, MemoryGB: 1, Image: "i", ImageGB: 1, Zone: "a"}, doneTasks: map[int]bool{}}
 		w.locked(func() { w.jobs[service.spec.ID] = service })
 		go w.runUser(service, 0, 0)
 		time.Sleep(60 * time.Second)
-		taken, late = w.eventCount("running tasks taken by a late return"), w.eventCount("late returns")
+		taken, late = w.eventCount("running tasks ended by a late scale-in"), w.eventCount("late scale-ins")
 		if len(w.violations) > 0 {
 			t.Errorf("rules broken: %v", w.violations)
 		}
@@ -51,7 +51,7 @@
 	return taken, late
 }
 
-// A return that an owner decided, and that is carried out after it was replaced, takes
+// A scale-in that an owner decided, and that is carried out after it was replaced, takes
 // nothing that its successor has started, where machines are closed first; without
 // that it does.
 func TestLateScaleInEndsNoTask(t *testing.T) {
@@ -67,15 +67,15 @@
 		hitWithout += taken
 	}
 	if lateWith == 0 || hitWithout == 0 {
-		t.Errorf("it hardly came about: %d late returns of closed machines, %d tasks taken without closing", lateWith, hitWithout)
+		t.Errorf("it hardly came about: %d late scale-ins of closed machines, %d tasks ended without closing", lateWith, hitWithout)
 	}
 }
 
 // handovers is how many forced handovers TestScaleInUnderForcedHandovers plays.
 var handovers = flag.Int("returns.handovers", 60, "forced handovers to play")
 
-// Owners stand still as they ask for returns, for about a lease or much longer, again and
-// again, under a load that comes and goes. Over many handovers no return that was
+// Owners freeze as they request a scale-in, for about a lease or much longer, again and
+// again, under a load that comes and goes. Over many handovers no scale-in that was
 // decided under an earlier term takes anything that came to a machine since.
 func TestScaleInUnderForcedHandovers(t *testing.T) {
 	discardLogs(t)
@@ -83,12 +83,12 @@
 	for seed := uint64(0); total["handovers"] < *handovers; seed++ {
 		synctest.Test(t, func(t *testing.T) { forceHandovers(t, seed, total) })
 	}
-	t.Logf("%d handovers, %d returns asked, %d of them late, %d tasks taken", total["handovers"], total["returns asked"], total["late returns"], total["taken"])
+	t.Logf("%d handovers, %d scale-in requests, %d of them late, %d tasks ended", total["handovers"], total["scale-in requests"], total["late scale-ins"], total["taken"])
 	if total["taken"] > 0 {
-		t.Errorf("%d tasks that came to a machine after its return was decided were taken by it", total["taken"])
+		t.Errorf("%d tasks that came to a machine after its scale-in was decided were ended by it", total["taken"])
 	}
-	if total["late returns"] < *handovers/10 {
-		t.Errorf("only %d late returns in %d handovers", total["late returns"], total["handovers"])
+	if total["late scale-ins"] < *handovers/10 {
+		t.Errorf("only %d late scale-ins in %d handovers", total["late scale-ins"], total["handovers"])
 	}
 }
 
@@ -125,7 +125,7 @@
 	if len(w.violations) > 0 {
 		t.Errorf("seed %d: rules broken: %v", seed, w.violations)
 	}
-	total["returns asked"] += w.eventCount("returns asked")
-	total["late returns"] += w.eventCount("late returns")
-	total["taken"] += w.eventCount("running tasks taken by a late return")
+	total["scale-in requests"] += w.eventCount("scale-in requests")
+	total["late scale-ins"] += w.eventCount("late scale-ins")
+	total["taken"] += w.eventCount("running tasks ended by a late scale-in")
 }
--- a/controller/scenario_test.go
+++ b/controller/scenario_test.go
@@ -208,7 +208,7 @@
 	})
 }
 
-// allDone waits until users were told that jobs are done.
+// allDone waits until users saw that jobs are done.
 func (w *world) allDone(t *testing.T, limit time.Duration, lot []*simJob) {
 	t.Helper()
 	w.waitUntil(t, "what was not cancelled is done", limit, func() bool {
@@ -229,9 +229,9 @@
 	return out
 }
 
-// The state service refuses one controller alone; another one confirms
+// The key-value store refuses one controller alone; another one confirms
 // cancellations; then it is away for all for longer than cancel_s, while the
-// machines report to the first one. And once more, straight after, whoever then
+// machines send heartbeats to the first one. And once more, straight after, whoever then
 // owns what the first one did.
 func gap(refused, other int) func(*testing.T, *world) {
 	return func(t *testing.T, w *world) {
@@ -286,7 +286,7 @@
 }
 
 // TestGap: the tasks of a cancelled job are gone in time though the controller that
-// the machines report to can hear of it neither from the state service nor by a
+// the machines send heartbeats to can learn of it neither from the key-value store nor by a
 // promise refused. The guard taken away: what the others know of cancellations.
 func TestGap(t *testing.T) {
 	var list []scenario
--- a/controller/sim_cloud_test.go
+++ b/controller/sim_cloud_test.go
@@ -34,7 +34,7 @@
 	if names, ok := w.requests[r.RequestID]; ok {
 		return names, nil
 	}
-	kind := r.Zone + "/ordinary"
+	kind := r.Zone + "/on-demand"
 	if r.Spot {
 		kind = r.Zone + "/spot"
 	}
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// recordScaleIn counts the tasks that a return ends, and those of machines that had answered
+// recordScaleIn counts the tasks that a scale-in ends, and those of machines that had answered
 // nothing before it. The caller holds the lock.
 func (w *world) recordScaleIn(name string) {
 	m := w.machines[name]
@@ -99,36 +99,36 @@
 		if !onMachine(task.state) {
 			continue
 		}
-		w.observed["tasks ended by a return"]++
+		w.observed["tasks ended by a scale-in"]++
 		if lately >= constants.MaxUnansweredCommands {
-			w.observed["tasks ended by the return of an unheard machine"]++
+			w.observed["tasks ended by the scale-in of an unresponsive machine"]++
 		}
 	}
 }
 
-// recordScaleInRequest notes that a return was decided. The caller holds the lock.
+// recordScaleInRequest notes that a scale-in was decided. The caller holds the lock.
 func (w *world) recordScaleInRequest(by *simController) {
-	w.observed["returns asked"]++
+	w.observed["scale-in requests"]++
 	if w.onScaleIn != nil {
 		w.onScaleIn(by)
 	}
 }
 
-// recordLateScaleIn counts returns that are carried out long after they were decided, and
+// recordLateScaleIn counts scale-ins that are carried out long after they were decided, and
 // the tasks that came to the machines since. The caller holds the lock.
 func (w *world) recordLateScaleIn(asked time.Time, names []string) {
 	if time.Since(asked) < 5*time.Second {
 		return
 	}
 	for _, name := range names {
-		w.observed["late returns"]++
+		w.observed["late scale-ins"]++
 		m := w.machines[name]
 		if m == nil {
 			continue
 		}
 		for _, task := range m.tasks {
 			if onMachine(task.state) && task.fetchedAt.After(asked) {
-				w.observed["running tasks taken by a late return"]++
+				w.observed["running tasks ended by a late scale-in"]++
 			}
 		}
 	}
--- a/controller/sim_detection_test.go
+++ b/controller/sim_detection_test.go
@@ -102,7 +102,7 @@
 
 func (d sleepingAnswer) Respond(*httpwire.Response) { time.Sleep(time.Duration(d)) }
 
-// proposeRevocation has a controller take another one for failed, whatever there is to that.
+// proposeRevocation has a controller take another one for failed, without any reason.
 func (w *world) proposeRevocation(by, of *simController) {
 	ctl := by.running()
 	if ctl == nil {
--- a/controller/sim_draining_test.go
+++ b/controller/sim_draining_test.go
@@ -406,7 +406,7 @@
 	return d
 }
 
-// claimedDisruptions is the sum of what all shards claim.
+// claimedDisruptions is the sum of what all shards have claimed of the budgets.
 func (w *world) claimedDisruptions() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/controller/sim_gang_test.go
+++ b/controller/sim_gang_test.go
@@ -10,7 +10,7 @@
 	"ravenport/wire"
 )
 
-// How the stand-in's gangs wait and notice, as in the settings of newWorld.
+// How simulated gangs wait and notice, as in the settings of newWorld.
 const (
 	simGangWait = 15 * time.Second
 	simGangPeer = 4 * time.Second
@@ -24,7 +24,7 @@
 	checkpointed  bool
 	failAt        time.Time // when the others notice that one is gone
 	firstStop     time.Time
-	stopRequested map[int]time.Time // tasks told to save
+	stopRequested map[int]time.Time // tasks that were requested to checkpoint
 }
 
 // gangTask is one task of an attempt on a machine.
@@ -99,7 +99,7 @@
 	if g.startedAt.IsZero() && !g.ended && whole {
 		g.startedAt = now
 		w.gangStarts++
-		slog.Debug("stand-in: gang begins", "job", job, "attempt", all[0].t.attempt)
+		slog.Debug("sim: gang begins", "job", job, "attempt", all[0].t.attempt)
 		for _, x := range all {
 			x.m.changed = true
 			if x.t.state == wire.TaskWaitingForGang {
@@ -108,48 +108,60 @@
 		}
 	}
 	if !g.startedAt.IsZero() && !g.ended {
-		end := now
-		if !g.firstStop.IsZero() {
-			end = g.firstStop
-		}
-		progress := j.saved + end.Sub(g.startedAt).Seconds()
-		mark := max(j.saved, math.Floor(progress/max(j.spec.CheckpointIntervalS, 0.1))*j.spec.CheckpointIntervalS)
-		switch {
-		case whole && !g.firstStop.IsZero() && len(g.stopRequested) == j.spec.Tasks:
-			last := g.firstStop
-			for _, at := range g.stopRequested {
-				if at.After(last) {
-					last = at
-				}
-			}
-			if now.Sub(last).Seconds() >= j.spec.CheckpointSaveS {
-				g.ended, g.checkpointed, j.saved = true, true, progress
-			}
-		case !g.firstStop.IsZero():
-			if now.Sub(g.firstStop) > simGangPeer || !whole {
-				g.ended, j.saved = true, mark
-			}
-		case !whole:
-			if g.failAt.IsZero() {
-				g.failAt = now.Add(time.Duration(w.rng.Int64N(int64(simGangPeer))))
-			}
-			if !now.Before(g.failAt) {
-				g.ended, j.saved = true, mark
-			}
-		case progress >= j.spec.EstimateS:
-			g.ended, g.done = true, true
-			for i := range j.spec.Tasks {
-				j.doneTasks[i] = true
+		w.advanceGang(g, j, now, whole)
+	}
+	g.exitTasks(all, now)
+}
+
+// advanceGang decides whether a running attempt goes on, and how it ends. The caller holds
+// the lock.
+func (w *world) advanceGang(g *simGang, j *simJob, now time.Time, whole bool) {
+	end := now
+	if !g.firstStop.IsZero() {
+		end = g.firstStop
+	}
+	progress := j.saved + end.Sub(g.startedAt).Seconds()
+	mark := max(j.saved, math.Floor(progress/max(j.spec.CheckpointIntervalS, 0.1))*j.spec.CheckpointIntervalS)
+	switch {
+	case whole && !g.firstStop.IsZero() && len(g.stopRequested) == j.spec.Tasks:
+		last := g.firstStop
+		for _, at := range g.stopRequested {
+			if at.After(last) {
+				last = at
 			}
-		default:
-			g.failAt = time.Time{}
 		}
+		if now.Sub(last).Seconds() >= j.spec.CheckpointSaveS {
+			g.ended, g.checkpointed, j.saved = true, true, progress
+		}
+	case !g.firstStop.IsZero():
+		if now.Sub(g.firstStop) > simGangPeer || !whole {
+			g.ended, j.saved = true, mark
+		}
+	case !whole:
+		if g.failAt.IsZero() {
+			g.failAt = now.Add(time.Duration(w.rng.Int64N(int64(simGangPeer))))
+		}
+		if !now.Before(g.failAt) {
+			g.ended, j.saved = true, mark
+		}
+	case progress >= j.spec.EstimateS:
+		g.ended, g.done = true, true
+		for i := range j.spec.Tasks {
+			j.doneTasks[i] = true
+		}
+	default:
+		g.failAt = time.Time{}
 	}
+}
+
+// exitTasks lets the tasks of an attempt that has ended exit, and those that waited too
+// long for the others. The caller holds the lock.
+func (g *simGang) exitTasks(all []gangTask, now time.Time) {
 	for _, x := range all {
 		if x.m.hung || x.t.state == wire.TaskExited || x.t.state == wire.TaskFetching {
 			continue
 		}
-		_, told := g.stopRequested[x.i]
+		_, stopped := g.stopRequested[x.i]
 		switch {
 		case x.t.state == wire.TaskWaitingForGang:
 			if now.Sub(x.t.fetchedAt) > simGangWait {
@@ -158,7 +170,7 @@
 		case !g.ended:
 		case g.done:
 			x.m.exit(x.t, wire.CauseDone)
-		case told:
+		case stopped:
 			x.m.exit(x.t, wire.CauseStopped)
 			x.t.checkpointed = g.checkpointed
 		default:
--- a/controller/sim_store_test.go
+++ b/controller/sim_store_test.go
@@ -26,7 +26,7 @@
 
 type simStore struct{ n *simController }
 
-// pass is the way to the state service: it takes time, and may be shut.
+// pass is the way to the key-value store: it takes time, and may be shut.
 func (s *simStore) pass(ctx context.Context) error {
 	w := s.n.world
 	s.n.waitWhileFrozen() // what it had decided goes out when it moves on, whatever the time
--- a/controller/sim_user_test.go
+++ b/controller/sim_user_test.go
@@ -12,7 +12,7 @@
 type simJob struct {
 	spec            wire.Submission
 	accepted        bool
-	reportedState   string // last terminal state told
+	reportedState   string // last terminal state that the user saw
 	cancelled       time.Time
 	overran         bool // a task of it was seen on a machine past its time
 	cancelRequested bool // cancellation asked for
@@ -115,7 +115,7 @@
 	}
 }
 
-// known sees to it that questions about a job are answered once all troubles
+// known checks that questions about a job are answered once all troubles
 // are over, however others fare.
 func (w *world) known(j *simJob) {
 	w.mu.Lock()
@@ -130,7 +130,7 @@
 	}
 }
 
-// checkReply holds an answer against what the user was told before.
+// checkReply holds an answer against what the user saw before.
 func (w *world) checkReply(j *simJob, r *httpwire.Response, cancel bool) {
 	if r == nil || r.Status == 503 || r.Status == 429 {
 		return
@@ -179,7 +179,7 @@
 	return m
 }
 
-// sendInvalidHeartbeat sends reports with impossible fields to a controller.
+// sendInvalidHeartbeat sends heartbeats with impossible fields to a controller.
 func (w *world) sendInvalidHeartbeat(ctl *Controller) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -202,7 +202,7 @@
 		r.Tasks = append(r.Tasks, s)
 	}
 	if r.Machine == "m-999999" {
-		return // a machine that the cloud never rented sends nothing
+		return // a machine that the cloud never started sends nothing
 	}
 	ctl.control.Tell(workerHeartbeat{&simAnswer{got: make(chan *httpwire.Response, 1)}, r})
 }
--- a/controller/sim_worker_test.go
+++ b/controller/sim_worker_test.go
@@ -25,11 +25,11 @@
 	hung               bool
 	cutFromControllers bool // it reaches no controller, while direct commands reach it
 	disconnected       bool // nothing reaches it or comes from it
-	receivesNothing    bool // its reports arrive, answers and commands do not reach it
+	receivesNothing    bool // its heartbeats arrive, answers and commands do not reach it
 	epoch              uint64
 	seq, token         uint64
-	lastAcceptedSeq    uint64    // the last report of this session that was answered 200
-	leaseRenewedAt     time.Time // when the last answered report was sent
+	lastAcceptedSeq    uint64    // the last heartbeat of this epoch that was answered 200
+	leaseRenewedAt     time.Time // when the last answered heartbeat was sent
 	tasks              map[string]*simTask
 	changed            bool
 	unansweredCommands []time.Time // when a direct command to it had no answer
@@ -59,6 +59,14 @@
 	return r
 }
 
+// workerLoop is what a worker's loop keeps between two heartbeats.
+type workerLoop struct {
+	worker *simWorker
+	target int       // the number of the controller that it sends heartbeats to
+	next   time.Time // when the next heartbeat is due
+	sent   time.Time // when the last one was sent
+}
+
 // run is a worker's life.
 func (m *simWorker) run() {
 	w := m.world
@@ -71,102 +79,131 @@
 	}
 	w.mu.Lock()
 	m.leaseRenewedAt = time.Now()
-	node := w.rng.IntN(len(w.controllers))
+	loop := &workerLoop{worker: m, target: w.rng.IntN(len(w.controllers))}
 	w.mu.Unlock()
-	next, sent := time.Now(), time.Time{}
+	loop.next = time.Now()
 	for {
 		time.Sleep(cmp.Or(w.workerInterval, 100*time.Millisecond))
-		w.mu.Lock()
-		select {
-		case <-w.done:
-			m.removed = true
-		default:
-		}
-		if m.removed {
-			w.mu.Unlock()
+		if !loop.step() {
 			return
 		}
-		if m.hung {
-			w.mu.Unlock()
-			continue
-		}
-		m.advance()
-		now := time.Now()
-		if m.disconnected || m.cutFromControllers || now.Before(next) && !(m.changed && now.Sub(sent) >= 500*time.Millisecond) {
-			w.mu.Unlock()
-			continue
-		}
-		m.changed = false
-		r := m.heartbeat()
-		n := w.controllers[node]
-		ctl, shut := n.process, n.cutFromWorkers || n.heartbeatsLost || w.isPartitioned(m.zone, n)
-		next = now.Add(settings.Seconds(w.times.reportS * (0.75 + 0.5*w.rng.Float64())))
-		sent = now
+	}
+}
+
+// step lets time pass and sends a heartbeat if one is due. It returns whether the worker
+// goes on.
+func (l *workerLoop) step() bool {
+	m, w := l.worker, l.worker.world
+	w.mu.Lock()
+	select {
+	case <-w.done:
+		m.removed = true
+	default:
+	}
+	if m.removed || m.hung {
+		defer w.mu.Unlock()
+		return !m.removed
+	}
+	m.advance()
+	now := time.Now()
+	if m.disconnected || m.cutFromControllers || now.Before(l.next) && !(m.changed && now.Sub(l.sent) >= 500*time.Millisecond) {
 		w.mu.Unlock()
-		if ctl == nil || shut {
-			node = (node + 1) % len(w.controllers)
-			next = now.Add(time.Second)
-			continue
-		}
-		a := &simAnswer{got: make(chan *httpwire.Response, 1)}
+		return true
+	}
+	m.changed = false
+	heartbeat := m.heartbeat()
+	n := w.controllers[l.target]
+	process := n.process
+	reachable := process != nil && !n.cutFromWorkers && !n.heartbeatsLost && !w.isPartitioned(m.zone, n)
+	l.next = now.Add(settings.Seconds(w.times.reportS * (0.75 + 0.5*w.rng.Float64())))
+	l.sent = now
+	w.mu.Unlock()
+	if !reachable {
+		l.tryNext(now)
+		return true
+	}
+	response := m.send(n, process, heartbeat)
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	l.handleResponse(n, heartbeat, response)
+	return true
+}
+
+// tryNext turns to the next controller, a second after a time.
+func (l *workerLoop) tryNext(now time.Time) {
+	l.target = (l.target + 1) % len(l.worker.world.controllers)
+	l.next = now.Add(time.Second)
+}
+
+// send sends a heartbeat to a controller and waits for the response; nil if there is none.
+// A copy may come later.
+func (m *simWorker) send(n *simController, process *Controller, heartbeat *wire.Heartbeat) *httpwire.Response {
+	w := m.world
+	answer := &simAnswer{got: make(chan *httpwire.Response, 1)}
+	time.Sleep(w.randomDuration(time.Millisecond, 5*time.Millisecond))
+	w.locked(func() { n.heartbeatReceivedAt = time.Now() })
+	process.control.Tell(workerHeartbeat{answer, heartbeat})
+	if w.keepHeartbeats {
+		w.locked(func() { w.keptHeartbeats = append(w.keptHeartbeats, heartbeat) })
+	}
+	if w.chance(w.lateCopyShare) {
+		go w.deliverLateCopy(heartbeat)
+	}
+	select {
+	case response := <-answer.got:
 		time.Sleep(w.randomDuration(time.Millisecond, 5*time.Millisecond))
-		w.locked(func() { n.heartbeatReceivedAt = time.Now() })
-		ctl.control.Tell(workerHeartbeat{a, r})
-		if w.keepHeartbeats {
-			w.locked(func() { w.keptHeartbeats = append(w.keptHeartbeats, r) })
+		return response
+	case <-time.After(4 * time.Second):
+		return nil
+	}
+}
+
+// deliverLateCopy delivers a copy of a heartbeat to any controller, up to three leases
+// later.
+func (w *world) deliverLateCopy(heartbeat *wire.Heartbeat) {
+	time.Sleep(w.randomDuration(time.Second, 3*w.times.lease()))
+	w.mu.Lock()
+	to := w.controllers[w.rng.IntN(len(w.controllers))].process
+	w.mu.Unlock()
+	if to != nil {
+		w.deliverCopy(to, heartbeat)
+	}
+}
+
+// handleResponse carries out what a controller answered, or turns to another one. The
+// caller holds the lock.
+func (l *workerLoop) handleResponse(n *simController, heartbeat *wire.Heartbeat, response *httpwire.Response) {
+	m, w := l.worker, l.worker.world
+	switch {
+	case response != nil && response.Status == 200 && !w.dropAnswer(m) && !w.isPartitioned(m.zone, n):
+		var reply wire.HeartbeatReply
+		if err := json.Unmarshal(response.Body, &reply); err != nil {
+			panic(err)
 		}
-		if w.chance(w.lateCopyShare) { // a late copy of the report, to any controller
-			go func() {
-				time.Sleep(w.randomDuration(time.Second, 3*w.times.lease()))
-				w.mu.Lock()
-				to := w.controllers[w.rng.IntN(len(w.controllers))].process
-				w.mu.Unlock()
-				if to != nil {
-					w.deliverCopy(to, r)
-				}
-			}()
+		if reply.FencingToken >= m.token && m.epoch == heartbeat.Epoch && !m.hung {
+			if reply.FencingToken > m.token {
+				m.changed = true
+			}
+			m.token = reply.FencingToken
+			m.leaseRenewedAt = l.sent
+			n.heartbeatAnsweredAt = l.sent
+			m.lastAcceptedSeq = heartbeat.Seq
+			m.execute(reply.Commands, true)
 		}
-		var resp *httpwire.Response
-		select {
-		case resp = <-a.got:
-			time.Sleep(w.randomDuration(time.Millisecond, 5*time.Millisecond))
-		case <-time.After(4 * time.Second):
+	case response != nil && response.Status == 421 && !m.receivesNothing:
+		var redirect wire.Redirect
+		if err := json.Unmarshal(response.Body, &redirect); err != nil {
+			panic(err)
 		}
-		w.mu.Lock()
-		switch {
-		case resp != nil && resp.Status == 200 && !w.dropAnswer(m) && !w.isPartitioned(m.zone, n):
-			var rep wire.HeartbeatReply
-			if err := json.Unmarshal(resp.Body, &rep); err != nil {
-				panic(err)
-			}
-			if rep.FencingToken >= m.token && m.epoch == r.Epoch && !m.hung {
-				if rep.FencingToken > m.token {
-					m.changed = true
-				}
-				m.token = rep.FencingToken
-				m.leaseRenewedAt = now
-				n.heartbeatAnsweredAt = now
-				m.lastAcceptedSeq = r.Seq
-				m.execute(rep.Commands, true)
-			}
-		case resp != nil && resp.Status == 421 && !m.receivesNothing:
-			var red wire.Redirect
-			if err := json.Unmarshal(resp.Body, &red); err != nil {
-				panic(err)
-			}
-			to := slices.IndexFunc(w.controllers, func(n *simController) bool { return n.set.Controller == red.Controller })
-			if to >= 0 && to != node {
-				node = to
-				next = time.Now()
-			} else {
-				node = (node + 1) % len(w.controllers)
-				next = time.Now().Add(time.Second)
-			}
-		default:
-			node = (node + 1) % len(w.controllers)
-			next = time.Now().Add(time.Second)
+		to := slices.IndexFunc(w.controllers, func(n *simController) bool { return n.set.Controller == redirect.Controller })
+		if to < 0 || to == l.target {
+			l.tryNext(time.Now())
+			return
 		}
-		w.mu.Unlock()
+		l.target = to
+		l.next = time.Now()
+	default:
+		l.tryNext(time.Now())
 	}
 }
 
@@ -179,7 +216,7 @@
 func (m *simWorker) advance() {
 	now := time.Now()
 	if !m.world.ignoreWorkerLeases && now.Sub(m.leaseRenewedAt) > m.world.times.lease() {
-		slog.Debug("stand-in: lease ends", "machine", m.name, "session", m.epoch)
+		slog.Debug("sim: lease expires", "machine", m.name, "epoch", m.epoch)
 		m.world.observed["tasks ended by a lease"] += len(m.tasks)
 		m.tasks = map[string]*simTask{}
 		m.epoch++
@@ -224,7 +261,7 @@
 	}
 }
 
-// checkNoJobWaits sees to it that, once all troubles are over, no job waits for 90 s while a
+// checkNoJobWaits checks that, once all troubles are over, no job waits for 90 s while a
 // machine that fits has room and its team is under its limit.
 func (w *world) checkNoJobWaits() {
 	w.mu.Lock()
@@ -269,7 +306,7 @@
 	}
 }
 
-// checkCancelledJobsEnd sees to it that no task of a cancelled job is on any machine past its
+// checkCancelledJobsEnd checks that no task of a cancelled job is on any machine past its
 // time, whether the machine runs, hangs or cannot be reached: a task is there until
 // it exits, is killed or the machine is gone.
 func (w *world) checkCancelledJobsEnd() {
@@ -300,7 +337,7 @@
 	if !j.cancelled.IsZero() {
 		w.observed["starts after a confirmed cancellation"]++
 	}
-	slog.Debug("stand-in: task starts", "task", t.name, "attempt", t.attempt, "machine", m.name, "session", m.epoch, "token", m.token)
+	slog.Debug("sim: task starts", "task", t.name, "attempt", t.attempt, "machine", m.name, "epoch", m.epoch, "token", m.token)
 	used, inZone := 0.0, 0
 	zones := map[string]bool{}
 	for _, o := range w.machines {
@@ -346,56 +383,12 @@
 		t := m.tasks[key]
 		switch c.Op {
 		case wire.OpStart:
-			if t != nil {
-				continue
-			}
-			if id, _, _ := wire.ParseTaskName(c.Task); inAnswer {
-				// An answer is never carried out late, so whoever gave it decided the
-				// start within its authority and without knowing of the cancellation.
-				if j := m.world.jobs[id]; !j.cancelled.IsZero() && time.Since(j.cancelled) > 4*time.Second {
-					m.world.violate("started_cancelled", "%s on %s", c.Task, m.name)
-				}
-			}
-			t = &simTask{name: c.Task, attempt: c.Attempt, state: wire.TaskFetching}
-			m.tasks[key] = t
-			m.changed = true
-			used := 0.0
-			for _, o := range m.tasks {
-				job, _, _ := wire.ParseTaskName(o.name)
-				if o != t && o.state != wire.TaskExited {
-					used += m.world.jobs[job].spec.CPUs
-					if o.name == t.name {
-						t.state, t.cause = wire.TaskExited, wire.CauseOtherAttempt
-					}
-				}
-			}
-			job, _, _ := wire.ParseTaskName(c.Task)
-			if t.state != wire.TaskExited && used+m.world.jobs[job].spec.CPUs > 8+1e-6 {
-				t.state, t.cause = wire.TaskExited, wire.CauseNoCapacity
-			}
-			if _, sound := m.world.soundMachines[m.name]; m.world.soundMachines != nil && !sound && t.state != wire.TaskExited {
-				t.state, t.cause = wire.TaskExited, wire.CauseError
-			}
-			if t.state == wire.TaskFetching {
-				t.nextChange = time.Now().Add(time.Duration(m.world.rng.IntN(3000)) * time.Millisecond)
+			if t == nil {
+				m.start(key, c, inAnswer)
 			}
 		case wire.OpStop:
-			if t == nil || t.state == wire.TaskExited {
-				continue
-			}
-			job, _, _ := wire.ParseTaskName(c.Task)
-			if t.state == wire.TaskRunning && m.reclaimAt.IsZero() {
-				m.world.recordTaskStop(t.name)
-			}
-			if j := m.world.jobs[job]; j.spec.IsGang() {
-				graceS := 0.0
-				if c.GraceS != nil {
-					graceS = *c.GraceS
-				}
-				m.stopGangTask(t, j, graceS)
-			} else {
-				t.state, t.cause, t.nextChange = wire.TaskExited, wire.CauseStopped, time.Time{}
-				m.changed = true
+			if t != nil && t.state != wire.TaskExited {
+				m.stopTask(t, c)
 			}
 		case wire.OpForget:
 			if t != nil && t.state == wire.TaskExited {
@@ -405,6 +398,60 @@
 	}
 }
 
+// start carries out a start. The caller holds the lock.
+func (m *simWorker) start(key string, c wire.Command, inAnswer bool) {
+	job, _, _ := wire.ParseTaskName(c.Task)
+	if inAnswer {
+		// An answer is never carried out late, so whoever gave it decided the
+		// start within its authority and without knowing of the cancellation.
+		if j := m.world.jobs[job]; !j.cancelled.IsZero() && time.Since(j.cancelled) > 4*time.Second {
+			m.world.violate("started_cancelled", "%s on %s", c.Task, m.name)
+		}
+	}
+	t := &simTask{name: c.Task, attempt: c.Attempt, state: wire.TaskFetching}
+	m.tasks[key] = t
+	m.changed = true
+	used := 0.0
+	for _, o := range m.tasks {
+		if o == t || o.state == wire.TaskExited {
+			continue
+		}
+		other, _, _ := wire.ParseTaskName(o.name)
+		used += m.world.jobs[other].spec.CPUs
+		if o.name == t.name {
+			t.state, t.cause = wire.TaskExited, wire.CauseOtherAttempt
+		}
+	}
+	if t.state != wire.TaskExited && used+m.world.jobs[job].spec.CPUs > 8+1e-6 {
+		t.state, t.cause = wire.TaskExited, wire.CauseNoCapacity
+	}
+	if _, sound := m.world.soundMachines[m.name]; m.world.soundMachines != nil && !sound && t.state != wire.TaskExited {
+		t.state, t.cause = wire.TaskExited, wire.CauseError
+	}
+	if t.state == wire.TaskFetching {
+		t.nextChange = time.Now().Add(time.Duration(m.world.rng.IntN(3000)) * time.Millisecond)
+	}
+}
+
+// stopTask carries out the stop of a task that has not exited. The caller holds the lock.
+func (m *simWorker) stopTask(t *simTask, c wire.Command) {
+	job, _, _ := wire.ParseTaskName(c.Task)
+	if t.state == wire.TaskRunning && m.reclaimAt.IsZero() {
+		m.world.recordTaskStop(t.name)
+	}
+	j := m.world.jobs[job]
+	if !j.spec.IsGang() {
+		t.state, t.cause, t.nextChange = wire.TaskExited, wire.CauseStopped, time.Time{}
+		m.changed = true
+		return
+	}
+	graceS := 0.0
+	if c.GraceS != nil {
+		graceS = *c.GraceS
+	}
+	m.stopGangTask(t, j, graceS)
+}
+
 // simCommands delivers direct commands, some of them late or twice.
 type simCommands struct{ n *simController }
 
@@ -465,7 +512,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	m := w.machines[addr]
-	for m != nil && w.isPartitioned(m.zone, c.n) { // a cut holds it back
+	for m != nil && w.isPartitioned(m.zone, c.n) { // a partition holds it back
 		w.mu.Unlock()
 		time.Sleep(time.Second)
 		w.mu.Lock()
@@ -484,7 +531,7 @@
 	return worker.Result{Executed: true, Heartbeat: m.heartbeat()}
 }
 
-// deliverCopy lets a copy of a report come to a controller.
+// deliverCopy lets a copy of a heartbeat come to a controller.
 func (w *world) deliverCopy(to *Controller, r *wire.Heartbeat) {
 	w.locked(func() {
 		w.observed["copies"]++
@@ -498,7 +545,7 @@
 }
 
 // restart is a worker's process that is back at once: it holds nothing of what
-// it held, under a new session. The caller holds the lock.
+// it held, under a new epoch. The caller holds the lock.
 func (m *simWorker) restart() {
 	m.tasks = map[string]*simTask{}
 	m.epoch++
--- a/controller/sim_world_test.go
+++ b/controller/sim_world_test.go
@@ -20,88 +20,83 @@
 	"ravenport/wire"
 )
 
-// world holds the stand-ins for state service, cloud, workers and users, and
-// a checker of the protocol's rules. Everything in it runs on the virtual
-// clock of a synctest bubble.
+// world simulates the key-value store, the cloud, workers and users of a deployment, and
+// checks the protocol's rules. Everything in it runs on the virtual clock of a synctest
+// bubble.
 type world struct {
-	mu  sync.Mutex
-	rng *rand.Rand
-
-	// state service
-	kv               map[string]*entry
-	revision         uint64
-	storeEvents      []wire.Event
-	leases           map[uint64]*simLease
-	leaseSeq         uint64
-	storeChanged     chan struct{}
-	storeOutage      bool
-	cloudUnavailable bool // the cloud answers nothing
-	partitionedZone  string
-
-	// cloud
-	machines     map[string]*simWorker
-	requests     map[string][]string
-	machineCount int
-	capacity     map[string]int // by zone and kind
+	mu   sync.Mutex // guards everything in it
+	rng  *rand.Rand
+	done chan struct{} // closed when the simulation ends
 
 	controllers []*simController
 	jobs        map[string]*simJob
-	done        chan struct{}
+	gangs       map[string]*simGang // by job and attempt
+
+	// The key-value store.
+	kv           map[string]*entry
+	revision     uint64
+	storeEvents  []wire.Event
+	leases       map[uint64]*simLease
+	leaseSeq     uint64
+	storeChanged chan struct{} // closed and replaced at each change
 
-	gangs map[string]*simGang // by job and attempt
+	// The cloud.
+	machines     map[string]*simWorker
+	requests     map[string][]string // machines by the id of their scale-out request
+	machineCount int
+	capacity     map[string]int // by zone and kind
 
+	// What goes on in the deployment.
+	times           times
+	workerInterval  time.Duration           // between two steps of a worker; 0: 100 ms
+	bootWithin      time.Duration           // machines are up within this after their scale-out request; 0: after seconds
+	reliableCloud   bool                    // machines come up, and scale-out requests are answered
+	onScaleIn       func(by *simController) // called as a scale-in is decided, with the lock held
+	spotReplicas    bool                    // services may run on spot machines
+	soundMachines   map[string]bool         // all others end every task with an error; nil: all are sound
+	limitsLowered   bool                    // the limits that settings announce are in force
+	oversizedWrites map[string]int          // by key: writes that were over them
+
+	// Faults.
+	storeOutage        bool
+	storeLatency       time.Duration // added to each call
+	cloudUnavailable   bool
+	partitionedZone    string  // cut off from all others; empty: none is
+	answerLossShare    float64 // share of answers of workers, and to them, that are lost by chance; 0: as usual
+	noAnswerLoss       bool    // no answer of a worker, or to one, is lost by chance
+	lateCommandShare   float64 // share of direct commands that are held back, and of those that come twice
+	lostAnswerShare    float64 // share of transactions carried out at once whose answer is lost
+	lateWriteShare     float64 // share of transactions without answer, carried out seconds later, after newer ones
+	repeatedWriteShare float64 // share of transactions carried out once more, later
+	lateCopyShare      float64 // share of heartbeats of which a copy comes again, up to three leases later
+	keepHeartbeats     bool    // all heartbeats are kept, to come again
+	keptHeartbeats     []*wire.Heartbeat
+	calmSince          time.Time // when all faults were over
+
+	// Guards of the protocol that a test may take away, to see that the checks notice.
+	unguarded          bool   // one of these is taken away
+	ignoreConditions   bool   // the key-value store ignores versions
+	ignoreTokens       bool   // workers take commands under any token
+	ignoreWorkerLeases bool   // workers never end their tasks at the end of a lease
+	ignoreScaleIn      bool   // the cloud terminates no machine
+	hideCancellations  bool   // controllers do not tell each other of cancellations
+	skipAuthorityWait  bool   // nobody waits for a revoked holder's authority to end
+	freshenCopies      bool   // late copies of heartbeats count as new ones
+	unansweredJob      string // nobody gets an answer about this job
+
+	// What is checked, and what was observed.
 	violations []string
 	starts     int
 	gangStarts int
 	restarts   int // of tasks that ran already, where a test counts them
-
-	// Guards of the protocol that a test may take away, to see that the
-	// checker notices.
-	ignoreConditions   bool    // the state service ignores versions
-	ignoreTokens       bool    // workers take commands under any token
-	lateCommandShare   float64 // share of direct commands that are held back, and of those that come twice
-	ignoreWorkerLeases bool    // workers never give up
-	ignoreScaleIn      bool    // the cloud returns no machine
-	unguarded          bool    // one of these is taken away
 	// hungPastLeaseIsDead: what is on a machine that hung past its lease counts as gone. It
 	// cannot go on, since the worker ends it before anything else, and where no
-	// owner may act nobody can return the machine.
+	// owner may act nobody can terminate the machine.
 	hungPastLeaseIsDead bool
-	hideCancellations   bool   // controllers do not tell each other of cancellations
-	skipAuthorityWait   bool   // nobody waits for a revoked holder's authority to end
-	freshenCopies       bool   // late copies of reports pass for new ones
-	unansweredJob       string // nobody gets an answer about this job
-
-	limitsLowered   bool           // the limits that settings announce are in force
-	oversizedWrites map[string]int // by key: writes that were over them
-
-	calmSince     time.Time // when all troubles were over
-	reliableCloud bool      // machines come up, and rentals are answered
-
-	times           times
-	onScaleIn       func(by *simController) // called as a return is decided, with the lock held
-	answerLossShare float64                 // share of answers of workers, and to them, that are lost by chance; 0: as usual
-	noAnswerLoss    bool                    // no answer of a worker, or to one, is lost by chance
-	workerInterval  time.Duration           // between two looks of a worker at itself; 0: 100 ms
-	bootWithin      time.Duration           // machines are up within this after their rental; 0: after seconds
-
-	// What befalls transactions: shares of them.
-	lostAnswerShare    float64       // carried out at once, only the answer is lost
-	lateWriteShare     float64       // no answer, and carried out seconds later, after newer ones
-	repeatedWriteShare float64       // carried out once more, later
-	storeLatency       time.Duration // how long the state service takes beside
-
-	lateCopyShare  float64           // share of reports of which a copy comes again, up to well over a lease later
-	keepHeartbeats bool              // all reports are kept, to come again
-	keptHeartbeats []*wire.Heartbeat // those kept
-
-	disruption       *disruptioncheck.Check // nil: stops are not judged
-	interruptions    *disruptioncheck.Check // judges those of arrays and gangs; nil: nothing does
-	unitsEverRunning map[string]bool        // units that interruptions has seen run
-	spotReplicas     bool                   // services may run on spot machines
-	soundMachines    map[string]bool        // machines that are not in it end every task with an error; nil: none does
-
-	observed map[string]int // what came about, for scenarios to ask after
+	disruption          *disruptioncheck.Check // nil: stops are not checked
+	interruptions       *disruptioncheck.Check // checks the stops of arrays and gangs; nil: nothing does
+	unitsEverRunning    map[string]bool        // units that interruptions has seen run
+	observed            map[string]int         // events by name, for scenarios to check
 }
 
 // times are a deployment's times that the rules depend on, and its limit on a
@@ -129,9 +124,9 @@
 	cutFromStore        bool
 	cutFromWorkers      bool      // from workers
 	cutFromPeers        bool      // from the other controllers
-	heartbeatsLost      bool      // reports do not reach it, though it reaches the workers
+	heartbeatsLost      bool      // heartbeats do not reach it, though it reaches the workers
 	peerCallsLost       bool      // other controllers' calls do not reach it, though its own reach them
-	heartbeatAnsweredAt time.Time // when a report to it was last answered
+	heartbeatAnsweredAt time.Time // when a heartbeat to it was last answered
 	heartbeatReceivedAt time.Time // and when one last came to it
 	frozenUntil         time.Time
 	// unguardDrains takes away what budgets rest on; nil: nothing is.
@@ -144,7 +139,7 @@
 	return (zone == w.partitionedZone) != (n.set.Zone == w.partitionedZone)
 }
 
-// waitWhileFrozen is where a controller's calls stand still with it.
+// waitWhileFrozen is where a controller's calls wait while it is frozen.
 func (n *simController) waitWhileFrozen() {
 	for {
 		n.world.mu.Lock()
@@ -157,8 +152,8 @@
 	}
 }
 
-// freeze lets a controller stand still while its clocks run on: its actors
-// handle nothing, though messages come in, and its calls stand before and after
+// freeze freezes a controller while its clocks run on: its actors
+// handle nothing, though messages come in, and its calls wait before and after
 // the outside has carried them out.
 func (n *simController) freeze(d time.Duration) {
 	w := n.world
@@ -186,7 +181,7 @@
 }
 
 // frozenRequest is a request whose answer takes an actor as long as its controller
-// stands still.
+// is frozen.
 type frozenRequest struct{ n *simController }
 
 func (s frozenRequest) Respond(*httpwire.Response) { s.n.waitWhileFrozen() }
@@ -228,7 +223,7 @@
 		w.controllers[i].set = set
 	}
 	for _, z := range zones {
-		w.capacity[z+"/spot"], w.capacity[z+"/ordinary"] = 3, 3
+		w.capacity[z+"/spot"], w.capacity[z+"/on-demand"] = 3, 3
 	}
 	return w
 }
