--- a/shard/aggregate.go
+++ b/shard/aggregate.go
@@ -91,7 +91,7 @@
 }
 
 // ApplyOtherShards stores the aggregates that other shards push. Tasks that wait for
-// machines that the cloud does not have are sent back to the leader only when another shard
+// machines that the cloud does not have are offloaded to the leader only when another shard
 // has capacity for them.
 func (c *Core) ApplyOtherShards(now time.Time, list []leader.Aggregate) {
 	for _, a := range list {
--- a/shard/assignments.go
+++ b/shard/assignments.go
@@ -10,15 +10,15 @@
 	"ravenport/wire"
 )
 
-// closeQueue owns which jobs may have assignments to close, or tasks to send back to the
-// leader. queueForClose adds to it, closeAssignments empties it.
+// closeQueue owns which jobs may have assignments to close, or tasks to offload to
+// the leader. queueForClose adds to it, closeAssignments empties it.
 type closeQueue struct {
 	closeCandidates map[string]*job // by id
 	limitsCheckedAt time.Time       // when jobs of teams at their limit were last looked at for done tasks
 }
 
-// closeAssignments closes finished assignments of the jobs that have changed, and sends tasks
-// back to the leader.
+// closeAssignments closes finished assignments of the jobs that have changed, and offloads
+// tasks to the leader.
 func (c *Core) closeAssignments(now time.Time) {
 	for id, j := range c.closeCandidates {
 		switch {
@@ -34,7 +34,7 @@
 	}
 }
 
-// closeJob writes a job's record if it has finished assignments or tasks to send back.
+// closeJob writes a job's record if it has finished assignments or tasks to offload.
 // Finished assignments wait a little for the job's others in the shard: a write of the record
 // for each would cost more than all other writes.
 func (c *Core) closeJob(now time.Time, id string, j *job) {
@@ -74,7 +74,7 @@
 	assignmentFinished bool // an assignment is finished
 	assignmentOpen     bool // another one is not
 	tasksFinished      bool // tasks of an open one are finished, and the team's quota limit keeps others waiting
-	tasksOffloaded     bool // tasks are to be sent back to the leader
+	tasksOffloaded     bool // tasks are to be offloaded to the leader
 }
 
 // closeStatusOf checks a job's assignments in the shard.
@@ -120,7 +120,7 @@
 	return true
 }
 
-// removeOffloaded removes the tasks that are sent back to the leader from a record's
+// removeOffloaded removes the tasks that are offloaded to the leader from a record's
 // assignments. If the record, with gaps for them, would outgrow the key-value store's values,
 // they stay, and only what was closed is returned; nil if nothing was.
 func (p *placement) removeOffloaded(v *fleetView, j *job, rec *records.Job, closed bool) *records.Job {
--- a/shard/attempt.go
+++ b/shard/attempt.go
@@ -101,7 +101,7 @@
 		if t := j.tasks[a.taskIndex]; t != nil && t.attempt == a {
 			t.attempt = nil
 			t.waitingSince = now
-			t.keepWaiting = false // lost its machine: what does not fit here goes back to the leader at once
+			t.keepWaiting = false // lost its machine: what does not fit here is offloaded to the leader at once
 			if j.gang != nil {
 				c.handleLostGangTask(j, a)
 			}
--- a/shard/directcommands.go
+++ b/shard/directcommands.go
@@ -148,22 +148,22 @@
 
 // CommandResult handles the reply to a direct command: the machine's status. r is nil without
 // a reply; the commands may then still be carried out, late.
-func (c *Core) CommandResult(now time.Time, name string, r *wire.Heartbeat) {
+func (c *Core) CommandResult(now time.Time, name string, status *wire.Heartbeat) {
 	m := c.machines[name]
 	if m == nil {
 		return
 	}
 	c.directCommandDone(m)
-	if r == nil {
+	if status == nil {
 		c.commandUnanswered(now, m)
 		return
 	}
-	c.observeToken(r)
-	if r.Machine != name || c.fenced || !m.isNew(r) {
+	c.observeToken(status)
+	if status.Machine != name || c.fenced || !m.isNew(status) {
 		return
 	}
-	c.updateMachine(now, m, r)
-	c.reconcile(now, m, r, viaDirectCommand)
+	c.updateMachine(now, m, status)
+	c.reconcile(now, m, status, viaDirectCommand)
 	c.needsPlacement = c.needsPlacement || c.attemptEnded
 	// It answered: commands do reach it. But only a heartbeat of its own renews its
 	// lease, so a reply does not count for one, except the first.
--- a/shard/heartbeat.go
+++ b/shard/heartbeat.go
@@ -11,26 +11,28 @@
 
 // Heartbeat handles a worker's heartbeat. ok is false when the owner must not answer it, or
 // it proves nothing.
-func (c *Core) Heartbeat(now time.Time, r *wire.Heartbeat) (reply wire.HeartbeatReply, ok bool) {
-	if r.Zone != c.cfg.Shard {
+func (c *Core) Heartbeat(now time.Time, heartbeat *wire.Heartbeat) (reply wire.HeartbeatReply, ok bool) {
+	if heartbeat.Zone != c.cfg.Shard {
 		return reply, false
 	}
-	c.observeToken(r)
-	if !c.mayAct(now) && (!c.mayExtendLeases(now) || r.FencingToken>>constants.TokenCounterBits > c.term) {
-		return reply, false
+	c.observeToken(heartbeat)
+	if !c.mayAct(now) {
+		if !c.mayExtendLeases(now) || tokenTerm(heartbeat.FencingToken) > c.term {
+			return reply, false
+		}
 	}
-	if _, terminated := c.terminated[r.Machine]; terminated {
+	if _, terminated := c.terminated[heartbeat.Machine]; terminated {
 		return reply, false // delayed in the network: the machine is gone for good
 	}
 	// A machine whose termination was requested is answered like any other until
 	// the cloud confirms it: a reply that renews its lease without being counted
 	// would let the owner believe that the lease had expired.
-	m := c.ensureMachine(r.Machine)
-	if !m.isNew(r) {
+	m := c.ensureMachine(heartbeat.Machine)
+	if !m.isNew(heartbeat) {
 		return reply, false // late or duplicate: nothing in it counts
 	}
-	c.updateMachine(now, m, r)
-	c.reconcile(now, m, r, viaHeartbeat)
+	c.updateMachine(now, m, heartbeat)
+	c.reconcile(now, m, heartbeat, viaHeartbeat)
 	c.recordHeartbeat(&c.fleetView, now, m)
 	m.leaseExpiresAt = c.leaseExpiry(now, m)
 	if !c.mayAct(now) {
@@ -48,7 +50,7 @@
 }
 
 // updateMachine records what a status says of the machine itself.
-func (c *Core) updateMachine(now time.Time, m *machine, r *wire.Heartbeat) {
+func (c *Core) updateMachine(now time.Time, m *machine, status *wire.Heartbeat) {
 	if !m.up {
 		m.up, m.leaseExpired = true, false
 		m.idleSince = now
@@ -58,12 +60,12 @@
 			m.requestedAt = now
 		}
 	}
-	if m.typeName != r.Type {
-		m.typeName = r.Type
+	if m.typeName != status.Type {
+		m.typeName = status.Type
 		m.machineType, m.capacity = nil, resources{}
 		c.resolveType(m)
 	}
-	m.spot, m.addr = r.Spot, r.Addr
+	m.spot, m.addr = status.Spot, status.Addr
 	if !m.scalingIn && (!m.durable || m.durableAddr != m.addr) {
 		c.enroll(m)
 	}
--- a/shard/inventory.go
+++ b/shard/inventory.go
@@ -12,12 +12,12 @@
 )
 
 // applyPage applies a page of the inventory as the key-value store has it.
-func (c *Core) applyPage(now time.Time, r *records.InventoryPage, version uint64) {
-	p := c.ensurePage(r.Number)
+func (c *Core) applyPage(now time.Time, record *records.InventoryPage, version uint64) {
+	p := c.ensurePage(record.Number)
 	if version <= p.version {
 		return
 	}
-	entries := r.Machines()
+	entries := record.Machines()
 	c.applyStoredPage(&c.outbox, p, entries, version)
 	for i := range entries {
 		c.applyEntry(now, p, &entries[i])
--- a/shard/job.go
+++ b/shard/job.go
@@ -15,7 +15,7 @@
 	writeInFlight  bool // a write of its record is in flight
 	awaitsRecord   bool // a newer record is known to be stored, and the feed will bring it
 	nextWriteAt    time.Time
-	offloadedAt    time.Time       // when tasks of it were last sent back
+	offloadedAt    time.Time       // when tasks of it were last offloaded to the leader
 	closeCheckDue  bool            // it changed since its assignments were last checked
 	closeAt        time.Time       // when finished assignments are closed though others here are not finished; zero: none is
 	failedMachines map[string]bool // machines on which its tasks failed
@@ -24,7 +24,7 @@
 	gangArrivedAt time.Time // when the gang was assigned to the shard
 
 	hasStarted   bool    // a task of it runs or is done, in this shard or another
-	waitingStale bool    // waiting and begun are to be computed again
+	waitingStale bool    // waiting and hasStarted are to be computed again
 	waiting      []*task // sorted: those within the guaranteed quota first, then by index
 
 	rank leader.Rank // in the order of the last placement round
@@ -37,7 +37,7 @@
 	attempt                *attempt
 	done                   bool
 	uncertain              bool // may run on an inherited machine that has sent no heartbeat yet
-	offloading             bool // it is being sent back to the leader, and is not placed
+	offloading             bool // it is being offloaded to the leader, and is not placed
 	notBefore              time.Time
 	waitingSince           time.Time
 	failures               int
--- a/shard/machine.go
+++ b/shard/machine.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"ravenport/constants"
 	"ravenport/wire"
 )
 
@@ -76,7 +75,7 @@
 // nothing that earlier owners sent can be carried out any more, and its heartbeat shows
 // every attempt that is on it.
 func (m *machine) hasSeenTerm(term uint64) bool {
-	return m.up && m.reportedToken>>constants.TokenCounterBits == term
+	return m.up && tokenTerm(m.reportedToken) == term
 }
 
 // isUnconfirmed reports whether replies and commands may not reach the machine.
@@ -93,9 +92,9 @@
 }
 
 // isNew reports whether r was made after every known message of the machine.
-func (m *machine) isNew(r *wire.Heartbeat) bool {
-	if r.Epoch < m.minEpoch {
+func (m *machine) isNew(status *wire.Heartbeat) bool {
+	if status.Epoch < m.minEpoch {
 		return false
 	}
-	return r.Epoch > m.epoch || r.Epoch == m.epoch && r.Seq > m.seq
+	return status.Epoch > m.epoch || status.Epoch == m.epoch && status.Seq > m.seq
 }
--- a/shard/ownership.go
+++ b/shard/ownership.go
@@ -57,12 +57,12 @@
 }
 
 // observeToken fences the owner for good if a machine has seen a later term.
-func (o *ownership) observeToken(r *wire.Heartbeat) {
-	if r.FencingToken>>constants.TokenCounterBits <= o.term {
+func (o *ownership) observeToken(status *wire.Heartbeat) {
+	if tokenTerm(status.FencingToken) <= o.term {
 		return
 	}
 	if !o.fenced {
-		slog.Warn("machine has seen a later term", logkey.Machine, r.Machine, logkey.FencingToken, r.FencingToken, logkey.Term, o.term)
+		slog.Warn("machine has seen a later term", logkey.Machine, status.Machine, logkey.FencingToken, status.FencingToken, logkey.Term, o.term)
 	}
 	o.fenced = true
 }
--- a/shard/partition.go
+++ b/shard/partition.go
@@ -133,12 +133,12 @@
 // allPeersHeard says that every live controller was heard from. A heartbeat that is no newer
 // than the machine's last one to this owner may be a late copy and proves nothing.
 func (v *fleetView) ApplyMisroutedHeartbeats(now time.Time, list []MisroutedHeartbeat, allPeersHeard bool) {
-	for _, r := range list {
-		m := v.machines[r.Machine]
+	for _, heartbeat := range list {
+		m := v.machines[heartbeat.Machine]
 		if m == nil {
 			continue
 		}
-		if r.Epoch > m.lastHeartbeatEpoch || r.Epoch == m.lastHeartbeatEpoch && r.Seq > m.lastHeartbeatSeq {
+		if heartbeat.Epoch > m.lastHeartbeatEpoch || heartbeat.Epoch == m.lastHeartbeatEpoch && heartbeat.Seq > m.lastHeartbeatSeq {
 			m.misroutedAt = now
 		}
 	}
--- a/shard/reconcile.go
+++ b/shard/reconcile.go
@@ -4,7 +4,6 @@
 	"log/slog"
 	"time"
 
-	"ravenport/constants"
 	"ravenport/logkey"
 	"ravenport/wire"
 )
@@ -19,19 +18,19 @@
 
 // reconcile brings the known state of a machine and its attempts in line with its status,
 // which came by a heartbeat or by the reply to a direct command.
-func (c *Core) reconcile(now time.Time, m *machine, r *wire.Heartbeat, via channel) {
-	if r.Epoch > m.epoch {
-		c.beginEpoch(now, m, r.Epoch)
+func (c *Core) reconcile(now time.Time, m *machine, status *wire.Heartbeat, via channel) {
+	if status.Epoch > m.epoch {
+		c.beginEpoch(now, m, status.Epoch)
 	}
-	m.updateSeq(r, via)
-	c.updateReportedToken(m, r.FencingToken)
-	m.updateSpotNotice(now, r.NoticeS)
+	m.updateSeq(status, via)
+	c.updateReportedToken(m, status.FencingToken)
+	m.updateSpotNotice(now, status.NoticeS)
 	c.reconcileCount++
 	c.attemptEnded, m.needsHigherToken = false, false
-	for i := range r.Tasks {
-		c.reconcileTask(now, m, &r.Tasks[i])
+	for i := range status.Tasks {
+		c.reconcileTask(now, m, &status.Tasks[i])
 	}
-	c.reconcileUnlisted(now, m, r.Seq, via)
+	c.reconcileUnlisted(now, m, status.Seq, via)
 	if c.isBusy(m) {
 		m.idleSince = time.Time{}
 	} else if m.idleSince.IsZero() {
@@ -57,16 +56,16 @@
 // updateSeq records the sequence number of a status, and whether the machine has sent
 // heartbeats elsewhere since the last one: a worker that is answered stays with its
 // controller, and its next heartbeat has the next number.
-func (m *machine) updateSeq(r *wire.Heartbeat, via channel) {
-	m.skippedSeq = via == viaHeartbeat && m.answeredSeq != 0 && r.Epoch == m.lastHeartbeatEpoch && r.Seq > m.answeredSeq+1
+func (m *machine) updateSeq(status *wire.Heartbeat, via channel) {
+	m.skippedSeq = via == viaHeartbeat && m.answeredSeq != 0 && status.Epoch == m.lastHeartbeatEpoch && status.Seq > m.answeredSeq+1
 	if via == viaHeartbeat {
-		m.lastHeartbeatEpoch = r.Epoch
-		m.lastHeartbeatSeq = r.Seq
-		m.answeredSeq = r.Seq
-	} else if r.Epoch == m.lastHeartbeatEpoch && r.Seq == m.seq+1 {
-		m.answeredSeq = r.Seq // the reply to a direct command has a number of the same sequence
+		m.lastHeartbeatEpoch = status.Epoch
+		m.lastHeartbeatSeq = status.Seq
+		m.answeredSeq = status.Seq
+	} else if status.Epoch == m.lastHeartbeatEpoch && status.Seq == m.seq+1 {
+		m.answeredSeq = status.Seq // the reply to a direct command has a number of the same sequence
 	}
-	m.seq = r.Seq
+	m.seq = status.Seq
 }
 
 // updateReportedToken records the fencing token that a machine has shown.
@@ -76,7 +75,7 @@
 		return
 	}
 	m.reportedToken = token
-	hadSeenTerm := m.up && previous>>constants.TokenCounterBits == c.term
+	hadSeenTerm := m.up && tokenTerm(previous) == c.term
 	if !hadSeenTerm && m.hasSeenTerm(c.term) {
 		c.needsPlacement = true // it may take tasks now
 	}
@@ -188,11 +187,10 @@
 		stopsInstantly: true,
 	}
 	// The term in the attempt's number bounds the tokens under which it was ever sent.
-	term := status.Attempt >> constants.AttemptBits
-	if term == 0 {
-		a.maxDirectToken = c.term<<constants.TokenCounterBits - 1 // a gang's shared number names no term
+	if term := attemptTerm(status.Attempt); term != 0 {
+		a.maxDirectToken = lastToken(term)
 	} else {
-		a.maxDirectToken = (term+1)<<constants.TokenCounterBits - 1
+		a.maxDirectToken = lastToken(c.term - 1) // a gang's shared number has no term
 	}
 	if j := c.jobs[jobID]; j != nil {
 		a.applySpec(j)
--- a/shard/termcounters.go
+++ b/shard/termcounters.go
@@ -44,6 +44,15 @@
 		n.maxTokenCount >= n.tokenLimit-n.tokenLimit/reserve
 }
 
+// tokenTerm is the term of a fencing token.
+func tokenTerm(token uint64) uint64 { return token >> constants.TokenCounterBits }
+
+// lastToken is the highest fencing token of a term.
+func lastToken(term uint64) uint64 { return (term+1)<<constants.TokenCounterBits - 1 }
+
+// attemptTerm is the term in which an attempt number was used; 0 for a gang's shared number.
+func attemptTerm(number uint64) uint64 { return number >> constants.AttemptBits }
+
 // IsTermNearlyExhausted reports whether the owner should acquire a new term, before this
 // one's attempt numbers or fencing tokens run out.
 func (o *ownership) IsTermNearlyExhausted() bool { return o.counters.isNearlyExhausted() }
