--- a/internal/loopback/benchmark_test.go
+++ b/internal/loopback/benchmark_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// BenchmarkManyHeartbeats has machines that report often and tasks that end soon.
+// BenchmarkManyHeartbeats has workers that send heartbeats often and tasks that end soon.
 func BenchmarkManyHeartbeats(b *testing.B) {
 	for range b.N {
 		measureFleet(b, manyHeartbeats)
@@ -19,16 +19,16 @@
 	}
 }
 
-// measureFleet plays a cold start, steady hours, the end of all controllers but one, and
-// their return.
+// measureFleet measures a cold start, steady operation, the failover of all shards to one
+// controller, and the return of the others.
 func measureFleet(b *testing.B, d deployment) {
 	f := newFleet(b, d)
 	time.Sleep(3 * time.Second)
 	for range d.services {
-		f.submit(true)
+		f.submitAndPoll(f.nextService())
 	}
 	for range d.initialArrays {
-		f.submit(false)
+		f.submitAndPoll(f.nextArray())
 	}
 	stop := make(chan struct{})
 	defer close(stop)
@@ -38,7 +38,7 @@
 			case <-stop:
 				return
 			case <-time.After(d.arrayInterval):
-				f.submit(false)
+				f.submitAndPoll(f.nextArray())
 			}
 		}
 	}()
@@ -56,21 +56,26 @@
 	f.measurePhase(b, "back", 10*time.Second)
 }
 
-// measurePhase lets time pass and reports the processor time of all controllers in it,
-// in all and for each report.
+// measurePhase lets time pass and reports the processor time that all controllers took in
+// it, as a whole and for each heartbeat.
 func (f *fleet) measurePhase(b *testing.B, name string, d time.Duration) {
-	before := f.processorTime()
-	reports, commands, starts := f.heartbeats.Load(), f.directCommands.Load(), f.taskStarts.Load()
+	processorTimeBefore := f.processorTime()
+	heartbeatsBefore := f.heartbeats.Load()
+	commandsBefore := f.directCommands.Load()
+	startsBefore := f.taskStarts.Load()
 	time.Sleep(d)
-	spent := f.processorTime() - before
-	n := f.heartbeats.Load() - reports
-	b.ReportMetric(float64(spent.Microseconds())/float64(max(n, 1)), name+"-us/report")
-	b.ReportMetric(spent.Seconds()/d.Seconds()/float64(len(f.controllers)), name+"-cores")
-	memory := 0.0
+	processorTime := f.processorTime() - processorTimeBefore
+	heartbeats := f.heartbeats.Load() - heartbeatsBefore
+	commands := f.directCommands.Load() - commandsBefore
+	starts := f.taskStarts.Load() - startsBefore
+
+	b.ReportMetric(float64(processorTime.Microseconds())/float64(max(heartbeats, 1)), name+"-us/report")
+	b.ReportMetric(processorTime.Seconds()/d.Seconds()/float64(len(f.controllers)), name+"-cores")
+	maxMemoryMB := 0.0
 	for _, c := range f.controllers {
-		_, mb := c.usage()
-		memory = max(memory, mb)
+		maxMemoryMB = max(maxMemoryMB, c.usage().memoryMB)
 	}
-	b.Logf("%-8s %6.0f ms a second in all, %5.0f reports, %4.0f commands, %4.0f starts a second; %d machines; %.0f MB at most", name, 1000*spent.Seconds()/d.Seconds(),
-		float64(n)/d.Seconds(), float64(f.directCommands.Load()-commands)/d.Seconds(), float64(f.taskStarts.Load()-starts)/d.Seconds(), f.cloud.machineCount(), memory)
+	perSecond := func(count int64) float64 { return float64(count) / d.Seconds() }
+	b.Logf("%-8s %6.0f ms a second in all, %5.0f reports, %4.0f commands, %4.0f starts a second; %d machines; %.0f MB at most",
+		name, 1000*processorTime.Seconds()/d.Seconds(), perSecond(heartbeats), perSecond(commands), perSecond(starts), f.cloud.machineCount(), maxMemoryMB)
 }
--- a/internal/loopback/cloud_test.go
+++ b/internal/loopback/cloud_test.go
@@ -14,34 +14,52 @@
 	"ravenport/wire"
 )
 
-// machineType is the one type that the stand-in cloud has.
-var machineType = wire.MachineType{Name: "box", CPUs: 16, MemoryGB: 64, CacheGB: 70, FetchGBPerS: 0.2, Price: 0.87, SpotPrice: 0.4, BootS: 5}
+// machineType is the only machine type of the stand-in cloud.
+var machineType = wire.MachineType{
+	Name:        "box",
+	CPUs:        16,
+	MemoryGB:    64,
+	CacheGB:     70,
+	FetchGBPerS: 0.2,
+	Price:       0.87,
+	SpotPrice:   0.4,
+	BootS:       5,
+}
 
-// cloud stands in for the cloud: machines come up after their boot time, and
-// none is refused before the fleet has its size.
+// cloud stands in for the cloud: machines come up after their boot time, and none is
+// refused before the fleet has its size.
 type cloud struct {
+	zones    []string
+	start    func(*machine) // called when a machine has booted
+	lease    time.Duration  // of the workers
+	observer *observer
+
 	mu                sync.Mutex
-	zones             []string
-	capacity          map[string]int // machines that may still be rented, by zone
-	machinesByRequest map[string][]string
-	machines          map[string]*machine
-	names             []string // in their order of creation
-	start             func(*machine)
-	lease             time.Duration
-	observer          *observer
-
-	neverBootNext, failTasksNext int    // of the next machines: so many never boot, or fail all their tasks
-	lastScaleInZone              string // zone of the last machine that a controller returned
+	capacity          map[string]int      // machines that can still be created, by zone
+	machinesByRequest map[string][]string // names by the idempotency key of their request
+	machines          map[string]*machine // by name
+	names             []string            // of all machines that ever were, in the order of their creation
+
+	neverBootNext   int    // this many of the next machines never boot
+	failTasksNext   int    // this many of those after them fail all their tasks
+	lastScaleInZone string // zone of the last machine that a controller returned; empty: none
 }
 
 func newCloud(zones []string, machines int, start func(*machine)) *cloud {
-	c := &cloud{zones: zones, capacity: map[string]int{}, machinesByRequest: map[string][]string{}, machines: map[string]*machine{}, start: start}
+	c := &cloud{
+		zones:             zones,
+		start:             start,
+		capacity:          map[string]int{},
+		machinesByRequest: map[string][]string{},
+		machines:          map[string]*machine{},
+	}
 	for _, z := range zones {
 		c.capacity[z] = machines / len(zones)
 	}
 	return c
 }
 
+// handle responds to one request.
 func (c *cloud) handle(r *server.Request) {
 	path, query, _ := strings.Cut(r.Target, "?")
 	switch path {
@@ -74,6 +92,7 @@
 	}
 }
 
+// scaleOut creates machines. A repeated request gets the machines of the first one.
 func (c *cloud) scaleOut(r *server.Request, req wire.ScaleOutRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,11 +112,12 @@
 	respond(r, 200, wire.MachineNames{Machines: names})
 }
 
-// addMachine rents one machine. The caller holds the lock.
+// addMachine creates one machine and returns its name. The caller holds the lock.
 func (c *cloud) addMachine(req wire.ScaleOutRequest) string {
 	n := len(c.names) + 1
 	m := newMachine(fmt.Sprintf("m-%06d", n), workerAddress(n), req.Zone, req.Spot)
-	m.lease, m.observer = c.lease, c.observer
+	m.lease = c.lease
+	m.observer = c.observer
 	c.names = append(c.names, m.name)
 	c.machines[m.name] = m
 	switch {
@@ -113,7 +133,7 @@
 	return m.name
 }
 
-// noteScaleIn notes where a controller returns machines.
+// noteScaleIn remembers the zone of machines that a controller returns.
 func (c *cloud) noteScaleIn(names []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -124,6 +144,7 @@
 	}
 }
 
+// remove terminates machines; a name that is unknown, or removed already, is ignored.
 func (c *cloud) remove(names []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -136,6 +157,7 @@
 	}
 }
 
+// list responds with a page of the machines, in the order of their names.
 func (c *cloud) list(r *server.Request, query string) {
 	q, err := url.ParseQuery(query)
 	if err != nil {
@@ -159,24 +181,31 @@
 			page.HasMore = true
 			break
 		}
-		shows := wire.MachineRunning
+		state := wire.MachineRunning
 		if m.neverBoots {
-			shows = wire.MachineBooting
+			state = wire.MachineBooting
 		}
-		page.Machines = append(page.Machines, wire.CloudMachine{Name: m.name, Addr: m.addr, Type: machineType.Name, Zone: m.zone,
-			Spot: m.spot, State: shows, AgeS: time.Since(m.createdAt).Seconds()})
+		page.Machines = append(page.Machines, wire.CloudMachine{
+			Name:  m.name,
+			Addr:  m.addr,
+			Type:  machineType.Name,
+			Zone:  m.zone,
+			Spot:  m.spot,
+			State: state,
+			AgeS:  time.Since(m.createdAt).Seconds(),
+		})
 	}
 	respond(r, 200, page)
 }
 
-// machineCount is how many machines there are.
+// machineCount returns the number of machines that there are now.
 func (c *cloud) machineCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.machines)
 }
 
-// allMachines lists the machines that are rented.
+// allMachines returns the machines that there are now, in no order.
 func (c *cloud) allMachines() []*machine {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -187,14 +216,14 @@
 	return out
 }
 
-// lastScaleIn is the zone of the last machine that a controller returned.
+// lastScaleIn returns the zone of the last machine that a controller returned; empty: none.
 func (c *cloud) lastScaleIn() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lastScaleInZone
 }
 
-// forgetScaleIn has lastScaleIn wait for another return.
+// forgetScaleIn empties lastScaleIn until a controller returns another machine.
 func (c *cloud) forgetScaleIn() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/loopback/configuration_test.go
+++ b/internal/loopback/configuration_test.go
@@ -8,18 +8,20 @@
 	"testing"
 )
 
-// configureController writes a controller's settings files. Each has its own: the one before may be
-// reading its files at this moment.
-func (f *fleet) configureController(b testing.TB, dir string, i int) *controller {
+// configureController writes a controller's settings files and returns the controller, which
+// is not started yet. Each controller has files of its own: an earlier one may be reading
+// its files at this moment.
+func (f *fleet) configureController(tb testing.TB, i int) *controller {
+	tb.Helper()
 	write := func(name, text string) string {
-		path := filepath.Join(dir, name)
+		path := filepath.Join(f.dir, name)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			b.Fatal(err)
+			tb.Fatal(err)
 		}
 		return path
 	}
-	c := &controller{name: fmt.Sprintf("n-%d", i), serverAddr: serverAddress(i), program: f.program}
-	c.settingsPath = write(c.name+".toml", f.settingsText(i, f.deployment.numControllers()))
+	c := &controller{name: controllerName(i), serverAddr: serverAddress(i), program: f.program}
+	c.settingsPath = write(c.name+".toml", f.settingsText(i))
 	c.arguments = []string{"--config", c.settingsPath}
 	if f.operatorProperties != "" {
 		c.arguments = append(c.arguments, "--properties", write(c.name+".properties", f.operatorProperties))
@@ -27,39 +29,80 @@
 	if i == 0 && f.earlierProgram != "" {
 		c.program = f.earlierProgram
 	} else if f.detectionProperties != "" {
-		history := filepath.Join(dir, c.name+".history")
-		c.arguments = append(c.arguments, "--failure-detection", write(c.name+".detection", f.detectionProperties+"\ndetection.history.path = "+history+"\n"))
+		text := f.detectionProperties + "\ndetection.history.path = " + f.historyPath(c) + "\n"
+		c.arguments = append(c.arguments, "--failure-detection", write(c.name+".detection", text))
 	}
 	if f.drainingProperties != "" {
 		c.arguments = append(c.arguments, "--draining", write(c.name+".draining", f.drainingProperties))
 	}
 	if f.canPartition {
-		log, err := os.Create(filepath.Join(dir, c.name+".log"))
+		log, err := os.Create(filepath.Join(f.dir, c.name+".log"))
 		if err != nil {
-			b.Fatal(err)
+			tb.Fatal(err)
 		}
 		c.log = log
 	}
 	return c
 }
 
-func (f *fleet) settingsText(node, nodes int) string {
-	var s strings.Builder
+// controllerName returns the name of a controller by its index.
+func controllerName(i int) string { return fmt.Sprintf("n-%d", i) }
+
+// historyPath returns the path of the membership events that a controller keeps.
+func (f *fleet) historyPath(c *controller) string { return filepath.Join(f.dir, c.name+".history") }
+
+// settingsText returns the text of a controller's settings file.
+func (f *fleet) settingsText(i int) string {
+	var text strings.Builder
 	zone := func(i int) string { return f.zones[i%len(f.zones)] }
-	fmt.Fprintf(&s, "node = \"n-%d\"\ndomain = %q\nbind = %q\nback = %q\n", node, zone(node), serverAddress(node), peerAddress(node))
-	for i := range nodes {
-		if i != node {
-			fmt.Fprintf(&s, "[[siblings]]\nnode = \"n-%d\"\ndomain = %q\npeer_addr = %q\n", i, zone(i), f.peerAddressFrom(node, i))
+	fmt.Fprintf(&text, `node = %q
+domain = %q
+bind = %q
+back = %q
+`, controllerName(i), zone(i), serverAddress(i), peerAddress(i))
+	for other := range f.numControllers() {
+		if other == i {
+			continue
 		}
+		fmt.Fprintf(&text, `[[siblings]]
+node = %q
+domain = %q
+peer_addr = %q
+`, controllerName(other), zone(other), f.peerAddressFrom(i, other))
 	}
-	fmt.Fprintf(&s, "[outside]\ncloud = %q\nstate = %q\n[facts]\nsize = %d\nzones = [\"%s\"]\nclock_off_ms = 25.0\n", cloudAddr(), f.storeAddressFrom(node), nodes, strings.Join(f.zones, "\", \""))
-	fmt.Fprintf(&s, "[[facts.teams]]\nname = \"team\"\n[facts.workers]\nreport_s = %.1f\nlease_s = %.1f\ncancel_s = %.1f\n", f.heartbeatPeriod.Seconds(), f.workerLeaseS, f.cancelTimeoutS)
-	fmt.Fprintf(&s, "gang_wait_s = 30.0\ngang_peer_s = 8.0\n[facts.state]\nrps = 200.0\nwrite_rps = %.1f\nvalue_kb = 8.0\ntxn_ops = 12\n", f.writeRPS)
-	fmt.Fprintf(&s, "[facts.cloud]\nrps = 10.0\nlist_lag_s = 5.0\n[facts.machine_limits]\ncpu = %g\nmemory_mb = %g\nmax_connections = 3000\n", f.cpu, f.memoryMB)
-	return s.String()
+	fmt.Fprintf(&text, `[outside]
+cloud = %q
+state = %q
+[facts]
+size = %d
+zones = ["%s"]
+clock_off_ms = 25.0
+[[facts.teams]]
+name = "team"
+`, cloudAddr(), f.storeAddressFrom(i), f.numControllers(), strings.Join(f.zones, `", "`))
+	fmt.Fprintf(&text, `[facts.workers]
+report_s = %.1f
+lease_s = %.1f
+cancel_s = %.1f
+gang_wait_s = 30.0
+gang_peer_s = 8.0
+[facts.state]
+rps = 200.0
+write_rps = %.1f
+value_kb = 8.0
+txn_ops = 12
+[facts.cloud]
+rps = 10.0
+list_lag_s = 5.0
+[facts.machine_limits]
+cpu = %g
+memory_mb = %g
+max_connections = 3000
+`, f.heartbeatPeriod.Seconds(), f.workerLeaseS, f.cancelTimeoutS, f.writeRPS, f.cpu, f.memoryMB)
+	return text.String()
 }
 
-// peerAddressFrom is where a controller reaches another one.
+// peerAddressFrom returns the address at which a controller reaches another one.
 func (f *fleet) peerAddressFrom(from, to int) string {
 	if f.links == nil {
 		return peerAddress(to)
@@ -67,7 +110,7 @@
 	return f.links.peers[from][to].addr()
 }
 
-// storeAddressFrom is where a controller reaches the state service.
+// storeAddressFrom returns the address at which a controller reaches the store.
 func (f *fleet) storeAddressFrom(from int) string {
 	if f.links == nil {
 		return storeAddr()
--- a/internal/loopback/controller_test.go
+++ b/internal/loopback/controller_test.go
@@ -1,6 +1,7 @@
 package loopback
 
 import (
+	"bytes"
 	"fmt"
 	"os"
 	"os/exec"
@@ -12,25 +13,29 @@
 	"time"
 )
 
-// controller is one real process.
+// controller is one controller, which runs as a process of its own.
 type controller struct {
-	name, serverAddr, settingsPath string
-	program                        string
-	arguments                      []string
-	log                            *os.File // nil: the test's own standard error
-	process                        *exec.Cmd
-	paused                         atomic.Bool   // by a signal, so that it answers nothing
-	pastProcessorTime              time.Duration // by its earlier processes
+	name              string
+	serverAddr        string // for users and workers
+	settingsPath      string
+	program           string
+	arguments         []string
+	log               *os.File      // nil: the test's own standard error
+	process           *exec.Cmd     // nil: it does not run
+	paused            atomic.Bool   // by a signal, so that it does not respond
+	pastProcessorTime time.Duration // of its earlier processes
 }
 
-func (c *controller) start(b testing.TB) {
+// start starts the process, and fails the test if it cannot be started.
+func (c *controller) start(tb testing.TB) {
+	tb.Helper()
 	if err := c.launch(); err != nil {
-		b.Fatal(err)
+		tb.Fatal(err)
 	}
-	b.Logf("%s is process %d", c.name, c.process.Process.Pid)
+	tb.Logf("%s is process %d", c.name, c.process.Process.Pid)
 }
 
-// launch starts the process.
+// launch starts the process. It logs everything where the test reads its log.
 func (c *controller) launch() error {
 	c.process = exec.Command(c.program, c.arguments...)
 	c.process.Env = append(os.Environ(), "LOG_LEVEL=error")
@@ -54,22 +59,23 @@
 	c.process = nil
 }
 
-// restartController starts a controller that was killed.
-func (f *fleet) restartController(node int) {
-	c := f.controllers[node]
+// restartController kills a controller, if it runs, and starts it again.
+func (f *fleet) restartController(i int) {
+	c := f.controllers[i]
 	c.kill()
 	if err := c.launch(); err != nil {
 		panic(err)
 	}
 }
 
-func (f *fleet) signalController(node int, s syscall.Signal) {
-	if p := f.controllers[node].process; p != nil {
-		_ = p.Process.Signal(s)
+// signalController sends a signal to a controller that runs.
+func (f *fleet) signalController(i int, s syscall.Signal) {
+	if p := f.controllers[i].process; p != nil {
+		_ = p.Process.Signal(s) // it may have ended by itself
 	}
 }
 
-// ownerIndex is the controller that owns a shard.
+// ownerIndex returns the index of the controller that owns a shard; 0 if there is none.
 func (f *fleet) ownerIndex(zone string) int {
 	name, _ := f.store.shardOwner(zone)
 	return max(0, f.controllerIndex(name))
@@ -78,27 +84,43 @@
 // clockTick is the unit of processor time in /proc.
 const clockTick = 10 * time.Millisecond
 
-// usage is the processor time taken so far and the memory resident now.
-func (c *controller) usage() (time.Duration, float64) {
+// Fields of /proc/PID/stat, counted from 0 after the name of the program.
+const (
+	statUserTime      = 11
+	statSystemTime    = 12
+	statResidentPages = 21
+)
+
+// usage is what a controller takes of its machine.
+type usage struct {
+	processorTime time.Duration // so far, of all its processes
+	memoryMB      float64       // resident now
+}
+
+func (c *controller) usage() usage {
 	if c.process == nil {
-		return c.pastProcessorTime, 0
+		return usage{processorTime: c.pastProcessorTime}
 	}
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", c.process.Process.Pid))
 	if err != nil {
-		return c.pastProcessorTime, 0
+		return usage{processorTime: c.pastProcessorTime}
+	}
+	nameEnd := bytes.LastIndexByte(stat, ')') // the name itself may have any character
+	fields := strings.Fields(string(stat[nameEnd+1:]))
+	user, _ := strconv.ParseInt(fields[statUserTime], 10, 64)
+	system, _ := strconv.ParseInt(fields[statSystemTime], 10, 64)
+	pages, _ := strconv.ParseFloat(fields[statResidentPages], 64)
+	return usage{
+		processorTime: c.pastProcessorTime + time.Duration(user+system)*clockTick,
+		memoryMB:      pages * float64(os.Getpagesize()) / (1 << 20),
 	}
-	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
-	user, _ := strconv.ParseInt(fields[11], 10, 64)
-	system, _ := strconv.ParseInt(fields[12], 10, 64)
-	pages, _ := strconv.ParseFloat(fields[21], 64)
-	return c.pastProcessorTime + time.Duration(user+system)*clockTick, pages * float64(os.Getpagesize()) / (1 << 20)
 }
 
+// processorTime returns the processor time of all controllers so far.
 func (f *fleet) processorTime() time.Duration {
 	sum := time.Duration(0)
 	for _, c := range f.controllers {
-		used, _ := c.usage()
-		sum += used
+		sum += c.usage().processorTime
 	}
 	return sum
 }
--- a/internal/loopback/deployment_test.go
+++ b/internal/loopback/deployment_test.go
@@ -2,41 +2,53 @@
 
 import "time"
 
-// deployment is what is measured.
+// defaultControllers is the number of controllers of a deployment that names none.
+const defaultControllers = 3
+
+// deployment describes the controllers, the machines and the jobs of a test or benchmark.
 type deployment struct {
 	zones           []string
-	machines        int
-	cpu             float64 // share of a core, as the settings say; it is not enforced here
+	machines        int     // that the cloud has at most
+	cpu             float64 // share of a core in the settings; it is not enforced here
 	memoryMB        float64
-	heartbeatPeriod time.Duration // between two reports of a machine
+	heartbeatPeriod time.Duration // between two heartbeats of a worker
 	workerLeaseS    float64
 	cancelTimeoutS  float64
-	writeRPS        float64
-	initialArrays   int           // jobs at the start
-	tasksPerArray   int           // of each
-	arrayInterval   time.Duration // between two more of them
-	taskDuration    time.Duration // how long each task runs
-	services        int           // jobs at the start
-	replicas        int           // of each
+	writeRPS        float64       // the store's limit on writes
+	initialArrays   int           // job arrays that are submitted at the start
+	tasksPerArray   int           // of each job array
+	arrayInterval   time.Duration // between two further job arrays
+	taskDuration    time.Duration // mean time that a task of a job array runs
+	services        int           // services that are submitted at the start
+	replicas        int           // of each service
 
-	controllerCount     int           // controllers; 0: three
-	operatorProperties  string        // operators' own settings
-	detectionProperties string        // settings of failure detection; empty: none
-	drainingProperties  string        // settings of drains and budgets; empty: none
-	controllerLeaseTTL  time.Duration // of the controllers; 0: as they come
-	canPartition        bool          // what passes between controllers, and to the state service, can be cut
+	controllerCount     int           // 0: defaultControllers
+	operatorProperties  string        // operators' own settings; empty: none
+	detectionProperties string        // settings of failure detection; empty: off
+	drainingProperties  string        // settings of drains and disruption budgets; empty: off
+	controllerLeaseTTL  time.Duration // life of a controller's lease; 0: the test does not need it
+	canPartition        bool          // links between controllers and to the store can be cut
 	earlierProgram      string        // program that the first controller runs instead; empty: none
 }
 
-// numControllers is how many there are.
+// numControllers returns the number of controllers.
 func (d deployment) numControllers() int {
 	if d.controllerCount == 0 {
-		return 3
+		return defaultControllers
 	}
 	return d.controllerCount
 }
 
-// The fleets that are measured: many reports of short tasks, and more machines.
+// useDefaultTimes replaces the short times of a test by those of the shipped settings.
+func (d *deployment) useDefaultTimes() {
+	d.heartbeatPeriod = 3 * time.Second
+	d.workerLeaseS = 26
+	d.cancelTimeoutS = 56
+	d.controllerLeaseTTL = 3500 * time.Millisecond
+	d.operatorProperties = ""
+}
+
+// The deployments that are measured: many heartbeats and short tasks, and more machines.
 var (
 	manyHeartbeats = deployment{
 		zones: []string{"a", "b", "c"}, machines: 1200, cpu: 0.1, memoryMB: 150,
--- a/internal/loopback/disruption_test.go
+++ b/internal/loopback/disruption_test.go
@@ -8,35 +8,37 @@
 	"ravenport/internal/disruptioncheck"
 )
 
-// checkStops has stops of some tasks judged.
-func (r *observer) checkStops(c *disruptioncheck.Check, isService func(string) bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.disruptions, r.isService = c, isService
-}
-
-// checksDisruptionOf says whether stops of a task are judged. The caller holds the lock.
-func (r *observer) checksDisruptionOf(task string) bool {
-	return r.disruptions != nil && r.isService(task)
-}
+// noLimit is a disruption budget that nothing exceeds.
+const noLimit = 1 << 30
 
-// checkDisruptions has stops judged from now on, and returns for how long a task must have run.
+// checkDisruptions checks voluntary stops of services against the disruption budget from
+// now on, and returns for how long a task must have run to be up.
 func (f *fleet) checkDisruptions(t *testing.T) time.Duration {
 	t.Helper()
-	most, stable := 1<<30, 2*time.Second
+	limit := noLimit
 	if !*drainUnlimited {
-		if _, err := fmt.Sscan(*drainBudget, &most); err != nil {
+		if _, err := fmt.Sscan(*drainBudget, &limit); err != nil {
 			t.Fatal(err)
 		}
 	}
+	stableAfter := 2 * time.Second
 	if *drainShippedTimes {
-		stable = 10 * time.Second
+		stableAfter = 10 * time.Second
 	}
-	known := time.Duration(f.workerLeaseS)*time.Second + 20*time.Second
-	f.observer.checkStops(disruptioncheck.New(most, stable, known), func(task string) bool { return !f.isArrayTask(task) })
-	return stable
+	reactionTime := time.Duration(f.workerLeaseS)*time.Second + 20*time.Second
+	f.observer.mu.Lock()
+	defer f.observer.mu.Unlock()
+	f.observer.disruptions = disruptioncheck.New(limit, stableAfter, reactionTime)
+	f.observer.isService = func(task string) bool { return !f.isArrayTask(task) }
+	return stableAfter
 }
 
+// checksDisruptionOf reports whether stops of a task are checked. The caller holds the lock.
+func (o *observer) checksDisruptionOf(task string) bool {
+	return o.disruptions != nil && o.isService(task)
+}
+
+// disruptionFigures returns the figures of the check so far.
 func (f *fleet) disruptionFigures() disruptioncheck.Figures {
 	f.observer.mu.Lock()
 	defer f.observer.mu.Unlock()
@@ -48,15 +50,28 @@
 	f.observer.mu.Lock()
 	defer f.observer.mu.Unlock()
 	n := 0
-	for task, stays := range f.observer.executions {
-		if stays[len(stays)-1].ended.IsZero() && f.observer.checksDisruptionOf(task) {
+	for task := range f.observer.executions {
+		if f.observer.isRunning(task) && f.observer.checksDisruptionOf(task) {
 			n++
 		}
 	}
 	return n
 }
 
-// awaitServiceTasks waits until so many tasks of services run.
+// serviceMachine returns a machine on which a task of a service runs; empty if there is
+// none.
+func (f *fleet) serviceMachine() string {
+	f.observer.mu.Lock()
+	defer f.observer.mu.Unlock()
+	for task := range f.observer.executions {
+		if f.observer.isRunning(task) && f.observer.checksDisruptionOf(task) {
+			return f.observer.lastExecution(task).machine
+		}
+	}
+	return ""
+}
+
+// awaitServiceTasks waits until a number of tasks of services run.
 func (f *fleet) awaitServiceTasks(t *testing.T, replicas int, limit time.Duration) {
 	t.Helper()
 	for end := time.Now().Add(limit); f.runningServiceTasks() < replicas; time.Sleep(100 * time.Millisecond) {
@@ -66,9 +81,24 @@
 	}
 }
 
-// readMachine reads the machine that a record's field names.
-func (r *observer) readMachine(field *string) string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return *field
+// lastStop returns the machine on which a task of a service was stopped last.
+func (o *observer) lastStop() string {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.lastStopMachine
+}
+
+// lastStart returns the machine on which a task of a service started last.
+func (o *observer) lastStart() string {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.lastStartMachine
+}
+
+// checkNoViolations fails the test for each violation of a rule that was seen.
+func (f *fleet) checkNoViolations(t *testing.T) {
+	t.Helper()
+	for _, violation := range f.observer.violations() {
+		t.Error(violation)
+	}
 }
--- a/internal/loopback/drain_command_test.go
+++ b/internal/loopback/drain_command_test.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"fmt"
 	"os/exec"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
@@ -13,90 +12,97 @@
 	"ravenport/peer"
 )
 
-// runDrainCommand carries out the program's drain command at a controller and returns what it
-// printed.
-func (f *fleet) runDrainCommand(node int, args ...string) (string, error) {
-	line := append([]string{"drain"}, args...)
-	line = append(line, "--controller", peerAddress(node))
-	var out, problem bytes.Buffer
-	c := exec.Command(f.program, line...)
-	c.Stdout, c.Stderr = &out, &problem
-	if err := c.Run(); err != nil {
-		return out.String(), fmt.Errorf("%w: %s", err, problem.String())
+// runDrainCommand runs the program's drain command against a controller and returns what it
+// prints. The error has what it prints to standard error.
+func (f *fleet) runDrainCommand(controller int, args ...string) (string, error) {
+	command := exec.Command(f.program, "drain")
+	command.Args = append(command.Args, args...)
+	command.Args = append(command.Args, "--controller", peerAddress(controller))
+	var stdout, stderr bytes.Buffer
+	command.Stdout = &stdout
+	command.Stderr = &stderr
+	if err := command.Run(); err != nil {
+		return stdout.String(), fmt.Errorf("%w: %s", err, stderr.String())
 	}
-	return out.String(), nil
+	return stdout.String(), nil
 }
 
-// drainStatus asks whichever controller answers for the status of all drains.
+// drainCommandReply runs the drain command and decodes the reply that it prints as JSON.
+func (f *fleet) drainCommandReply(controller int, args ...string) (*peer.DrainReply, error) {
+	output, err := f.runDrainCommand(controller, append(args, "--json")...)
+	if err != nil {
+		return nil, err
+	}
+	var reply peer.DrainReply
+	if err := json.Unmarshal([]byte(output), &reply); err != nil {
+		return nil, err
+	}
+	return &reply, nil
+}
+
+// drainStatus returns the status of all drains from the first controller that responds.
 func (f *fleet) drainStatus(t *testing.T) *peer.DrainStatus {
 	t.Helper()
-	var last error
+	var lastErr error
 	for range 20 {
-		for node, c := range f.controllers {
+		for i, c := range f.controllers {
 			if c.process == nil || c.paused.Load() {
 				continue
 			}
-			out, err := f.runDrainCommand(node, "status", "--json")
-			var reply peer.DrainReply
-			if err == nil {
-				err = json.Unmarshal([]byte(out), &reply)
-			}
+			reply, err := f.drainCommandReply(i, "status")
 			if err == nil && reply.Status != nil {
 				return reply.Status
 			}
-			last = err
+			lastErr = err
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	t.Fatalf("nobody tells the status of drains: %v", last)
+	t.Fatalf("no controller returns the status of drains: %v", lastErr)
 	return nil
 }
 
-// drainView is a drain as the controllers tell of it.
+// drainView returns the status of one drain; zero if the controllers do not know it yet.
 func (f *fleet) drainView(t *testing.T, number int) peer.DrainView {
 	t.Helper()
-	for _, v := range f.drainStatus(t).Drains {
-		if v.Number == number {
-			return v
+	for _, view := range f.drainStatus(t).Drains {
+		if view.Number == number {
+			return view
 		}
 	}
 	return peer.DrainView{}
 }
 
-// startDrain starts a drain of all machines by the command line and returns its number.
+// startDrain starts a drain of all machines through the command line and returns its number.
 func (f *fleet) startDrain(t *testing.T) int {
 	t.Helper()
-	var last error
-	for range 40 { // right after a takeover an owner may not be there to be asked
-		out, err := f.runDrainCommand(0, "start", "--all", "--json")
-		var reply peer.DrainReply
+	var lastErr error
+	for range 40 { // right after a failover a shard may have no owner that responds
+		reply, err := f.drainCommandReply(0, "start", "--all")
 		if err == nil {
-			if err = json.Unmarshal([]byte(out), &reply); err == nil {
-				return reply.Number
-			}
+			return reply.Number
 		}
-		last = err
+		lastErr = err
 		time.Sleep(500 * time.Millisecond)
 	}
-	t.Fatalf("the drain was not started: %v", last)
+	t.Fatalf("the drain was not started: %v", lastErr)
 	return 0
 }
 
-// checkRefusals sees that what cannot be served is refused with the field's name and an exit
-// code.
+// checkRefusals checks that invalid requests are refused with the field's name and an exit
+// code, and that a valid one is not.
 func (f *fleet) checkRefusals(t *testing.T) {
 	t.Helper()
 	for field, args := range map[string][]string{
 		"zone":       {"start", "--zone", "x"},
 		"selection":  {"start"},
 		"drain":      {"cancel", "7"},
-		"controller": {"status", "--config", filepath.Join(f.dir, "n-0.toml")},
+		"controller": {"status", "--config", f.controllers[0].settingsPath},
 	} {
 		if _, err := f.runDrainCommand(0, args...); err == nil || !strings.Contains(err.Error(), field+": ") {
 			t.Errorf("%v: %v", args, err)
 		}
 	}
-	if out, err := f.runDrainCommand(0, "status"); err != nil || !strings.Contains(out, "BUDGET") {
-		t.Errorf("%q, %v", out, err)
+	if output, err := f.runDrainCommand(0, "status"); err != nil || !strings.Contains(output, "BUDGET") {
+		t.Errorf("%q, %v", output, err)
 	}
 }
--- a/internal/loopback/drain_failures_test.go
+++ b/internal/loopback/drain_failures_test.go
@@ -11,51 +11,41 @@
 	"ravenport/internal/disruptioncheck"
 )
 
-// drainFailure is something that fails in the middle of a drain.
+// drainFailure is a failure that is injected in the middle of a drain.
 type drainFailure struct {
-	name string
-	// isDue says whether it is time for it, so long after the drain's start, and since the
-	// figures were taken.
-	isDue  func(number int, since time.Duration, before disruptioncheck.Figures) bool
+	name   string
+	isDue  drainCondition
 	inject func()
 }
 
-// afterDrainStart is due so long after a drain's start.
-func afterDrainStart(d time.Duration) func(int, time.Duration, disruptioncheck.Figures) bool {
+// drainCondition reports whether it is time for a failure: by the drain's number, the time
+// since the drain was started, and the figures at that time.
+type drainCondition func(number int, since time.Duration, before disruptioncheck.Figures) bool
+
+// afterDrainStart is true a time after the drain was started.
+func afterDrainStart(d time.Duration) drainCondition {
 	return func(_ int, since time.Duration, _ disruptioncheck.Figures) bool { return since > d }
 }
 
-// usualDrainFailures are the failures of each replacement of the fleet.
+// usualDrainFailures returns the failures of each replacement in TestDrainOfRealProcesses.
 func (f *fleet) usualDrainFailures() []drainFailure {
-	life := f.controllerLeaseTTL
+	ttl := f.controllerLeaseTTL
 	return []drainFailure{
-		{"an owner is killed", afterDrainStart(life), func() { f.killForLeaseTTL(f.ownerIndex("a")) }},
-		{"a machine is lost with what runs on it", afterDrainStart(4 * life), func() { f.cloud.remove([]string{f.serviceMachine()}) }},
-		{"an owner is paused past its lease", afterDrainStart(5 * life), func() { f.pausePastLease(f.ownerIndex("b")) }},
-		{"an owner is cut from the state service", afterDrainStart(9 * life), func() { f.partitionPastLease(f.ownerIndex("c")) }},
+		{"an owner is killed", afterDrainStart(ttl), func() { f.killForLeaseTTL(f.ownerIndex("a")) }},
+		{"a machine is lost with what runs on it", afterDrainStart(4 * ttl), func() { f.cloud.remove([]string{f.serviceMachine()}) }},
+		{"an owner is paused past its lease", afterDrainStart(5 * ttl), func() { f.pausePastLease(f.ownerIndex("b")) }},
+		{"an owner is cut from the state service", afterDrainStart(9 * ttl), func() { f.partitionPastLease(f.ownerIndex("c")) }},
 	}
 }
 
-// serviceMachine is a machine on which a task of a service runs.
-func (f *fleet) serviceMachine() string {
-	f.observer.mu.Lock()
-	defer f.observer.mu.Unlock()
-	for task, stays := range f.observer.executions {
-		if last := stays[len(stays)-1]; last.ended.IsZero() && f.observer.checksDisruptionOf(task) {
-			return last.machine
-		}
-	}
-	return ""
-}
-
-// drainFailurePattern chooses which failures TestDrainFailuresOfRealProcesses plays: those whose
-// name matches, one in each replacement of the fleet. All take half an hour:
+// drainFailurePattern chooses the failures of TestDrainFailuresOfRealProcesses: those whose
+// names match, one in each replacement of the fleet. All of them take half an hour:
 //
 //	go test ./internal/loopback -run TestDrainFailuresOfRealProcesses -v -timeout 0 -drain.failing killed
 var drainFailurePattern = flag.String("drain.failing", "", "failures to play: an expression that their names match; empty: none")
 
-// TestDrainFailuresOfRealProcesses replaces the fleet once for each failure that is chosen,
-// which comes at a point of a step. Judged as in TestDrainOfRealProcesses.
+// TestDrainFailuresOfRealProcesses replaces the fleet once for each failure that is chosen.
+// It checks the same as TestDrainOfRealProcesses.
 func TestDrainFailuresOfRealProcesses(t *testing.T) {
 	if *drainFailurePattern == "" {
 		t.Skip("a long run: no failure is chosen by -drain.failing")
@@ -66,71 +56,88 @@
 	replicas := f.services * f.replicas
 	f.awaitServiceTasks(t, replicas, time.Minute)
 	for _, failure := range f.chosenDrainFailures(t) {
-		time.Sleep(4 * time.Second) // all are stable
+		time.Sleep(4 * time.Second) // until all tasks are stable
 		f.cloud.forgetScaleIn()
-		r := f.replaceFleet(t, []drainFailure{failure})
+		replacement := f.replaceFleet(t, []drainFailure{failure})
 		f.awaitServiceTasks(t, replicas, time.Minute)
-		t.Logf("%s: %+v, %+v", failure.name, r, f.disruptionFigures())
+		t.Logf("%s: %+v, %+v", failure.name, replacement, f.disruptionFigures())
 		if n := f.cloud.breaksLeft(); n > 0 {
 			t.Errorf("%s: %d machines that were to be hurt were never rented", failure.name, n)
 		}
 	}
 	jobs.awaitArrays(t, f)
-	for _, broken := range f.observer.violations() {
-		t.Error(broken)
-	}
+	f.checkNoViolations(t)
 	f.saveEvidence(t, nil)
 }
 
-// chosenDrainFailures lists the failures that were chosen.
+// chosenDrainFailures returns the failures that the flag chooses, by name.
 func (f *fleet) chosenDrainFailures(t *testing.T) []drainFailure {
-	var all []drainFailure
-	for how, hurt := range f.ownerFailures() {
+	t.Helper()
+	chosen := regexp.MustCompile(*drainFailurePattern)
+	all := append(f.ownerFailures(t), f.midwayFailures(t)...)
+	slices.SortFunc(all, func(a, b drainFailure) int { return strings.Compare(a.name, b.name) })
+	return slices.DeleteFunc(all, func(failure drainFailure) bool { return !chosen.MatchString(failure.name) })
+}
+
+// ownerFailures returns a failure for each way in which a shard's owner can fail, and each
+// point of a step at which it can.
+func (f *fleet) ownerFailures(t *testing.T) []drainFailure {
+	var failures []drainFailure
+	for how, inject := range map[string]func(controller int){
+		"killed": f.killForLeaseTTL,
+		"paused": f.pausePastLease,
+		"cut":    f.partitionPastLease,
+	} {
 		for _, point := range drainPoints {
-			failure := drainFailure{name: "the holder is " + how + " " + point.name}
 			zone := ""
-			failure.isDue = func(number int, _ time.Duration, before disruptioncheck.Figures) bool {
-				zone = point.zoneAt(t, f, number, before)
-				return zone != ""
-			}
-			failure.inject = func() { hurt(f.ownerIndex(zone)) }
-			all = append(all, failure)
+			failures = append(failures, drainFailure{
+				name: "the holder is " + how + " " + point.name,
+				isDue: func(number int, _ time.Duration, before disruptioncheck.Figures) bool {
+					zone = point.zoneAt(t, f, number, before)
+					return zone != ""
+				},
+				inject: func() { inject(f.ownerIndex(zone)) },
+			})
 		}
 	}
+	return failures
+}
+
+// midwayFailures returns the failures that are injected once some tasks are replaced.
+func (f *fleet) midwayFailures(t *testing.T) []drainFailure {
 	midway := func(_ int, _ time.Duration, before disruptioncheck.Figures) bool {
 		return f.disruptionFigures().Replaced > before.Replaced+1
 	}
-	all = append(all,
-		drainFailure{"all controllers are restarted", midway, func() {
-			for node := range f.controllers {
-				f.controllers[node].kill()
-				time.AfterFunc(f.controllerLeaseTTL, func() { f.restartController(node) })
-			}
-		}},
-		drainFailure{"a zone is lost with what runs on it", midway, func() {
-			for _, m := range f.cloud.allMachines() {
-				if m.zone == "b" {
-					f.cloud.remove([]string{m.name})
-				}
-			}
-		}},
-		drainFailure{"a wave of spot machines is taken back", midway, func() {
+	afterReturn := func(_ int, _ time.Duration, before disruptioncheck.Figures) bool {
+		return f.disruptionFigures().Replaced > before.Replaced && f.cloud.lastScaleIn() != ""
+	}
+	return []drainFailure{
+		{"all controllers are restarted", midway, f.restartAllControllers},
+		{"a zone is lost with what runs on it", midway, func() { f.loseZone("b") }},
+		{"a wave of spot machines is taken back", midway, func() {
 			if n := f.cloud.reclaimSpot(5 * time.Second); n == 0 {
 				t.Error("there was no spot machine")
 			}
 		}},
-		drainFailure{"two replacements never boot", midway, func() { f.cloud.breakNext(2, 0) }},
-		drainFailure{"two replacements never become healthy", midway, func() { f.cloud.breakNext(0, 2) }},
-		drainFailure{"a replacement turns unhealthy just after its step closed", func(_ int, _ time.Duration, before disruptioncheck.Figures) bool {
-			return f.disruptionFigures().Replaced > before.Replaced && f.cloud.lastScaleIn() != ""
-		}, func() { f.failServiceTask(f.observer.readMachine(&f.observer.lastStartMachine)) }},
-	)
-	chosen := regexp.MustCompile(*drainFailurePattern)
-	slices.SortFunc(all, func(a, b drainFailure) int { return strings.Compare(a.name, b.name) })
-	return slices.DeleteFunc(all, func(x drainFailure) bool { return !chosen.MatchString(x.name) })
+		{"two replacements never boot", midway, func() { f.cloud.breakNext(2, 0) }},
+		{"two replacements never become healthy", midway, func() { f.cloud.breakNext(0, 2) }},
+		{"a replacement turns unhealthy just after its step closed", afterReturn, func() { f.failServiceTask(f.observer.lastStart()) }},
+	}
+}
+
+// restartAllControllers kills all controllers at once, and starts them again after the life
+// of a lease.
+func (f *fleet) restartAllControllers() {
+	for i := range f.controllers {
+		f.killForLeaseTTL(i)
+	}
 }
 
-// ownerFailures are the ways in which the owner of a shard fails.
-func (f *fleet) ownerFailures() map[string]func(node int) {
-	return map[string]func(int){"killed": f.killForLeaseTTL, "paused": f.pausePastLease, "cut": f.partitionPastLease}
+// loseZone ends all machines of a zone.
+func (f *fleet) loseZone(zone string) {
+	for _, m := range f.cloud.allMachines() {
+		if m.zone == zone {
+			f.cloud.remove([]string{m.name})
+		}
+	}
 }
--- a/internal/loopback/drain_points_test.go
+++ b/internal/loopback/drain_points_test.go
@@ -7,22 +7,23 @@
 	"ravenport/internal/disruptioncheck"
 )
 
-// pointPollInterval is how often it is looked whether a point of a step is reached.
+// pointPollInterval is the time between two checks whether a point of a step is reached.
 const pointPollInterval = 5 * time.Millisecond
 
-// drainPoint is a point of a drain's step, as it is seen from outside.
+// drainPoint is a point of a drain's step, as it is seen from outside the controllers.
 type drainPoint struct {
 	name string
-	// zoneAt returns the zone in which a drain has come to the point since the figures
-	// were taken; empty: none has.
+	// zoneAt returns a zone in which a drain has come to the point since the figures were
+	// taken; empty: there is none.
 	zoneAt func(t *testing.T, f *fleet, number int, before disruptioncheck.Figures) string
 }
 
+// drainPoints are the points of a step in their order.
 var drainPoints = []drainPoint{
 	{"before the grant", func(t *testing.T, f *fleet, number int, _ disruptioncheck.Figures) string {
-		for _, p := range f.drainView(t, number).Shards {
-			if len(p.Cordoned) > 0 {
-				return p.Shard
+		for _, progress := range f.drainView(t, number).Shards {
+			if len(progress.Cordoned) > 0 {
+				return progress.Shard
 			}
 		}
 		return ""
@@ -32,13 +33,13 @@
 		if f.disruptionFigures().Stops == before.Stops {
 			return ""
 		}
-		return f.machineZone(f.observer.readMachine(&f.observer.lastStopMachine))
+		return f.machineZone(f.observer.lastStop())
 	}},
 	{"after the replacement's start", func(_ *testing.T, f *fleet, _ int, before disruptioncheck.Figures) string {
 		if f.disruptionFigures().Replaced == before.Replaced {
 			return ""
 		}
-		return f.machineZone(f.observer.readMachine(&f.observer.lastStartMachine))
+		return f.machineZone(f.observer.lastStart())
 	}},
 	{"after the close", func(_ *testing.T, f *fleet, _ int, _ disruptioncheck.Figures) string {
 		return f.store.zoneWithClosedMachine()
--- a/internal/loopback/drain_test.go
+++ b/internal/loopback/drain_test.go
@@ -11,8 +11,8 @@
 	"ravenport/records"
 )
 
-// What the drain test plays. The defaults are the short form that the tests run; the
-// long one replaces the fleet again and again, with the times that are shipped:
+// Flags of the drain tests. The defaults are the short form that CI runs; the long one
+// replaces the fleet again and again, with the default times:
 //
 //	go test ./internal/loopback -run TestDrainOfRealProcesses -v -timeout 0 -drain.rounds 5 -drain.slow
 var (
@@ -24,17 +24,38 @@
 	drainServices        = flag.Int("drain.services", 8, "services of three replicas")
 )
 
-// drainDeployment is a deployment that keeps room for a third of its machines.
+// shortDraining are settings of drains under which steps take seconds.
+const shortDraining = `disruption.stable.ms = 2000
+drain.parallel.percent = 34
+drain.array.wait.ms = 5000
+drain.replace.within.ms = 30000
+`
+
+// drainDeployment returns a deployment that can spare a third of its machines.
 func drainDeployment() deployment {
 	d := deployment{
-		zones: []string{"a", "b", "c"}, machines: 36, cpu: 0.5, memoryMB: 300,
-		heartbeatPeriod: time.Second, workerLeaseS: 10, cancelTimeoutS: 40, writeRPS: 80,
-		tasksPerArray: 2, taskDuration: 3 * time.Second, arrayInterval: time.Second, services: *drainServices, replicas: 3,
-		controllerCount: 3, canPartition: true, controllerLeaseTTL: 2 * time.Second, operatorProperties: "membership.lease.ms = 2000",
-		drainingProperties: "disruption.stable.ms = 2000\ndrain.parallel.percent = 34\ndrain.array.wait.ms = 5000\ndrain.replace.within.ms = 30000\n",
+		zones:           []string{"a", "b", "c"},
+		machines:        36,
+		cpu:             0.5,
+		memoryMB:        300,
+		heartbeatPeriod: time.Second,
+		workerLeaseS:    10,
+		cancelTimeoutS:  40,
+		writeRPS:        80,
+		tasksPerArray:   2,
+		arrayInterval:   time.Second,
+		taskDuration:    3 * time.Second,
+		services:        *drainServices,
+		replicas:        3,
+
+		controllerCount:    3,
+		operatorProperties: "membership.lease.ms = 2000",
+		drainingProperties: shortDraining,
+		controllerLeaseTTL: 2 * time.Second,
+		canPartition:       true,
 	}
 	if *drainShippedTimes {
-		d.heartbeatPeriod, d.workerLeaseS, d.cancelTimeoutS, d.controllerLeaseTTL, d.operatorProperties = 3*time.Second, 26, 56, 3500*time.Millisecond, ""
+		d.useDefaultTimes()
 		d.drainingProperties = "drain.parallel.percent = 34\n"
 	}
 	budget := *drainBudget
@@ -46,15 +67,15 @@
 }
 
 // TestDrainOfRealProcesses replaces the whole fleet of a deployment at work through the
-// command line, while controllers and machines fail. Judged by what the workers see, no
-// voluntary stop takes more than the budget, no task runs twice and none is lost.
+// command line, while controllers and machines fail. By what the workers see, no voluntary
+// stop exceeds the disruption budget, no task runs twice and none is lost.
 func TestDrainOfRealProcesses(t *testing.T) {
 	f := newFleet(t, drainDeployment())
-	stable := f.checkDisruptions(t)
+	stableAfter := f.checkDisruptions(t)
 	jobs := f.startWorkload(t)
 	replicas := f.services * f.replicas
 	f.awaitServiceTasks(t, replicas, time.Minute)
-	time.Sleep(2 * stable)
+	time.Sleep(2 * stableAfter)
 	f.checkRefusals(t)
 	before := f.disruptionFigures()
 	for round := range *drainRounds {
@@ -62,81 +83,98 @@
 		if !*drainWithoutFailures {
 			failures = f.usualDrainFailures()
 		}
-		r := f.replaceFleet(t, failures)
-		t.Logf("round %d: %+v", round, r)
+		replacement := f.replaceFleet(t, failures)
+		t.Logf("round %d: %+v", round, replacement)
 		f.awaitServiceTasks(t, replicas, time.Minute)
-		if !r.waitedForBudget && !*drainUnlimited {
+		if !replacement.waitedForBudget && !*drainUnlimited {
 			t.Errorf("round %d never waited for its budget", round)
 		}
 	}
-	seen := f.disruptionFigures()
-	t.Logf("%d stops by choice, %d replaced, %d tasks failed, at most %d down by choice", seen.Stops-before.Stops, seen.Replaced-before.Replaced, seen.Failed-before.Failed, seen.MaxVoluntary)
-	if seen.Replaced == before.Replaced || !*drainWithoutFailures && seen.Failed == before.Failed {
+	after := f.disruptionFigures()
+	t.Logf("%d stops by choice, %d replaced, %d tasks failed, at most %d down by choice",
+		after.Stops-before.Stops, after.Replaced-before.Replaced, after.Failed-before.Failed, after.MaxVoluntary)
+	if after.Replaced == before.Replaced || !*drainWithoutFailures && after.Failed == before.Failed {
 		t.Error("nothing was moved, or nothing failed")
 	}
 	jobs.awaitArrays(t, f)
-	for _, broken := range f.observer.violations() {
-		t.Error(broken)
-	}
+	f.checkNoViolations(t)
 	f.saveEvidence(t, nil)
 }
 
-// fleetReplacement is what was seen of one replacement of the whole fleet.
+// fleetReplacement holds the figures of one replacement of the whole fleet.
 type fleetReplacement struct {
 	machines        int
 	duration        time.Duration
-	waitedForBudget bool          // for its budget
-	maxDown         int           // tasks of services that did not run, in any second
-	downTaskSeconds int           // task-seconds of that
-	storeChanges    int           // of the state service, also for the arrays that come and go
-	processorTime   time.Duration // processor time of all controllers
+	waitedForBudget bool          // a step waited because a disruption budget was used up
+	maxDown         int           // most tasks of services that did not run, in any second
+	downTaskSeconds int           // sum of those tasks over all seconds
+	storeChanges    int           // revisions of the store, also for the job arrays
+	processorTime   time.Duration // of all controllers
 }
 
-// replaceFleet drains all machines that there are, while things fail.
+// replacementTimeout bounds one replacement of the whole fleet.
+const replacementTimeout = 10 * time.Minute
+
+// replaceFleet drains all machines that there are, while failures are injected.
 func (f *fleet) replaceFleet(t *testing.T, failures []drainFailure) fleetReplacement {
 	t.Helper()
-	old := map[string]bool{}
+	isOld := map[string]bool{}
 	for _, m := range f.cloud.allMachines() {
-		old[m.name] = true
+		isOld[m.name] = true
 	}
-	r := fleetReplacement{machines: len(old)}
-	_, revision := f.store.unassignedTasks()
-	spent := f.processorTime()
-	before := f.disruptionFigures()
-	number, began := f.startDrain(t), time.Now()
-	for sample, look := time.Now(), time.Now(); ; time.Sleep(pointPollInterval) {
-		if len(failures) > 0 && failures[0].isDue(number, time.Since(began), before) {
+	replacement := fleetReplacement{machines: len(isOld)}
+	_, revisionBefore := f.store.unassignedTasks()
+	processorTimeBefore := f.processorTime()
+	figuresBefore := f.disruptionFigures()
+	number := f.startDrain(t)
+	began := time.Now()
+	nextSample, nextStatus := began, began
+	for ; ; time.Sleep(pointPollInterval) {
+		if len(failures) > 0 && failures[0].isDue(number, time.Since(began), figuresBefore) {
 			t.Logf("%s", failures[0].name)
 			failures[0].inject()
 			failures = failures[1:]
 		}
-		for now := time.Now(); !sample.After(now); sample = sample.Add(time.Second) {
-			down := f.services*f.replicas - f.runningServiceTasks()
-			r.maxDown, r.downTaskSeconds = max(r.maxDown, down), r.downTaskSeconds+down
+		for now := time.Now(); !nextSample.After(now); nextSample = nextSample.Add(sampleInterval) {
+			replacement.addDown(f.services*f.replicas - f.runningServiceTasks())
 		}
-		if time.Now().Before(look) {
+		if time.Now().Before(nextStatus) {
 			continue
 		}
-		look = time.Now().Add(100 * time.Millisecond)
-		v := f.drainView(t, number)
-		r.waitedForBudget = r.waitedForBudget || slices.ContainsFunc(v.Shards, func(p drain.ShardProgress) bool { return strings.Contains(p.WaitingFor, "used up") })
-		if v.State == records.DrainFinished {
+		nextStatus = time.Now().Add(100 * time.Millisecond)
+		view := f.drainView(t, number)
+		if slices.ContainsFunc(view.Shards, waitsForBudget) {
+			replacement.waitedForBudget = true
+		}
+		if view.State == records.DrainFinished {
 			break
 		}
-		if time.Since(began) > 10*time.Minute || v.State == records.DrainStopped {
-			t.Fatalf("the drain does not come to its end: %+v", v)
+		if time.Since(began) > replacementTimeout || view.State == records.DrainStopped {
+			t.Fatalf("the drain does not come to its end: %+v", view)
 		}
 	}
-	r.duration = time.Since(began)
-	_, now := f.store.unassignedTasks()
-	r.storeChanges, r.processorTime = int(now-revision), f.processorTime()-spent
+	replacement.duration = time.Since(began)
+	_, revision := f.store.unassignedTasks()
+	replacement.storeChanges = int(revision - revisionBefore)
+	replacement.processorTime = f.processorTime() - processorTimeBefore
 	for _, m := range f.cloud.allMachines() {
-		if old[m.name] {
+		if isOld[m.name] {
 			t.Errorf("%s is still there", m.name)
 		}
 	}
 	if len(failures) > 0 {
 		t.Errorf("it ended before %s", failures[0].name)
 	}
-	return r
+	return replacement
+}
+
+// addDown adds the number of tasks of services that do not run in one second.
+func (r *fleetReplacement) addDown(down int) {
+	r.maxDown = max(r.maxDown, down)
+	r.downTaskSeconds += down
+}
+
+// waitsForBudget reports whether a drain waits in a shard for a disruption budget.
+func waitsForBudget(progress drain.ShardProgress) bool {
+	return strings.Contains(progress.WaitingFor, "used up")
 }
--- a/internal/loopback/evidence_test.go
+++ b/internal/loopback/evidence_test.go
@@ -8,34 +8,41 @@
 	"testing"
 )
 
-// saveEvidence keeps the table and the controllers' logs if the test has failed, or a
-// directory for them was asked for, and says where they are.
-func (f *fleet) saveEvidence(t *testing.T, rows []sample) {
+// saveEvidence saves the samples and the controllers' logs if the test has failed or the
+// flag names a directory for them, and logs where they are.
+func (f *fleet) saveEvidence(t *testing.T, samples []sample) {
 	t.Helper()
 	if !t.Failed() && *evidenceDir == "" {
 		return
 	}
-	to, err := os.MkdirTemp(*evidenceDir, "ravenport-takeover-")
+	dir, err := os.MkdirTemp(*evidenceDir, "ravenport-takeover-")
 	if err != nil {
 		t.Error(err)
 		return
 	}
-	t.Logf("logs and second-by-second table are in %s", to)
+	t.Logf("logs and second-by-second table are in %s", dir)
 	for _, c := range f.controllers {
 		text, err := os.ReadFile(c.log.Name())
 		if err == nil {
-			err = os.WriteFile(filepath.Join(to, filepath.Base(c.log.Name())), text, 0o600)
+			err = os.WriteFile(filepath.Join(dir, filepath.Base(c.log.Name())), text, 0o600)
 		}
 		if err != nil {
 			t.Error(err)
 		}
 	}
-	var text strings.Builder
-	fmt.Fprintln(&text, "second waiting unassigned changes cpus machines with_room longest_s machine owners leader")
-	for _, r := range rows {
-		fmt.Fprintf(&text, "%6.0f %7d %10d %7d %4.0f %8d %9d %9.0f %s %v %s\n", r.elapsed.Seconds(), r.waitingTasks, r.unassignedTasks, r.revision, r.usedCPUs, r.machinesUp, r.freeMachines, r.longestFree.Seconds(), r.longestFreeMachine, r.owners, r.leader)
-	}
-	if err := os.WriteFile(filepath.Join(to, "census.txt"), []byte(text.String()), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, "samples.txt"), []byte(sampleTable(samples)), 0o600); err != nil {
 		t.Error(err)
 	}
 }
+
+// sampleTable returns samples as a table, one a line.
+func sampleTable(samples []sample) string {
+	var text strings.Builder
+	fmt.Fprintln(&text, "second waiting unassigned changes cpus machines free longest_s machine owners leader")
+	for _, s := range samples {
+		fmt.Fprintf(&text, "%6.0f %7d %10d %7d %4.0f %8d %4d %9.0f %s %v %s\n",
+			s.elapsed.Seconds(), s.waitingTasks, s.unassignedTasks, s.revision, s.usedCPUs, s.machinesUp,
+			s.freeMachines, s.longestFree.Seconds(), s.longestFreeMachine, s.owners, s.leader)
+	}
+	return text.String()
+}
--- a/internal/loopback/failover_figures_test.go
+++ b/internal/loopback/failover_figures_test.go
@@ -10,83 +10,97 @@
 	"time"
 )
 
-// failover is what was measured of one.
+// failover holds the figures of one failover. Durations count from the start of the
+// failure; 0: it was not seen.
 type failover struct {
-	moved                                       bool
-	suspected, declared, acquired, firstCommand time.Duration // since the failure began; 0: it was not seen
-	falseSuspicions, falseDeclarations          int           // of controllers that did not fail
+	moved        bool          // the shard has another term
+	suspected    time.Duration // until another controller suspected the failed one
+	declared     time.Duration // until another controller declared it failed
+	acquired     time.Duration // until another controller acquired the shard's term
+	firstCommand time.Duration // until a worker executed the new owner's first command
+	// Of controllers that did not fail.
+	falseSuspicions   int
+	falseDeclarations int
 }
 
-// stateChangeLine is a line of a controller's log about another one's state.
+// stateChangeLine matches a line of a controller's log about another controller's state.
 var stateChangeLine = regexp.MustCompile(`^time=(\S+) .*msg="controller's state changed" controller=(\S+) from=\S+ to=(\S+) evidence=(\[.*?\]|"\[.*?\]")`)
 
-// readStateChanges reads from the controllers' logs when others noticed a failure.
+// readStateChanges reads from the controllers' logs when they suspected a failed controller
+// and declared it failed.
 func (f *fleet) readStateChanges(began time.Time, failed string, harmless bool) failover {
-	var x failover
+	var seen failover
 	for _, c := range f.controllers {
 		text, err := os.ReadFile(c.log.Name())
 		if err != nil || c.name == failed {
-			continue // a failed one's own view says nothing of others
+			continue // a failed controller's own view of the others does not count
 		}
 		for line := range strings.Lines(string(text)) {
-			m := stateChangeLine.FindStringSubmatch(line)
-			if m == nil {
+			fields := stateChangeLine.FindStringSubmatch(line)
+			if fields == nil {
 				continue
 			}
-			at, err := time.Parse(time.RFC3339Nano, m[1])
+			at, err := time.Parse(time.RFC3339Nano, fields[1])
 			if err != nil || at.Before(began) {
 				continue
 			}
-			x.addStateChange(m[2] == failed && !harmless, m[3], at.Sub(began))
+			hasFailed := fields[2] == failed && !harmless
+			seen.addStateChange(hasFailed, fields[3], at.Sub(began))
 		}
 	}
-	return x
+	return seen
 }
 
-func (x *failover) addStateChange(hasFailed bool, to string, after time.Duration) {
-	first := func(d *time.Duration) {
-		if *d == 0 || after < *d {
-			*d = after
-		}
-	}
+// addStateChange adds a change of a controller's state to the figures.
+func (x *failover) addStateChange(hasFailed bool, state string, after time.Duration) {
 	switch {
-	case to == "suspect" && hasFailed:
-		first(&x.suspected)
-	case to == "failed" && hasFailed:
-		first(&x.declared)
-	case to == "suspect":
+	case state == "suspect" && hasFailed:
+		setEarliest(&x.suspected, after)
+	case state == "failed" && hasFailed:
+		setEarliest(&x.declared, after)
+	case state == "suspect":
 		x.falseSuspicions++
-	case to == "failed":
+	case state == "failed":
 		x.falseDeclarations++
 	}
 }
 
-// logSummary prints a kind's figures: median, 95th percentile and maximum.
-func logSummary(t *testing.T, kind failure, seen []failover) {
-	t.Helper()
-	column := func(of func(failover) time.Duration) string {
-		var all []time.Duration
-		for _, x := range seen {
-			if d := of(x); d > 0 {
-				all = append(all, d)
-			}
-		}
-		if len(all) == 0 {
-			return "-"
-		}
-		slices.Sort(all)
-		at := func(share float64) float64 { return all[min(len(all)-1, int(share*float64(len(all))))].Seconds() }
-		return fmt.Sprintf("%.1f / %.1f / %.1f (%d)", at(0.5), at(0.95), all[len(all)-1].Seconds(), len(all))
+// setEarliest sets a duration that is 0, or lowers it to an earlier one.
+func setEarliest(earliest *time.Duration, d time.Duration) {
+	if *earliest == 0 || d < *earliest {
+		*earliest = d
 	}
-	moved, suspicions, declared := 0, 0, 0
-	for _, x := range seen {
+}
+
+// logSummary logs the figures of a kind of failure as a row of a table.
+func logSummary(t *testing.T, failure failure, failovers []failover) {
+	t.Helper()
+	var suspected, declared, acquired, firstCommand []time.Duration
+	moved, falseSuspicions, falseDeclarations := 0, 0, 0
+	for _, x := range failovers {
+		suspected = append(suspected, x.suspected)
+		declared = append(declared, x.declared)
+		acquired = append(acquired, x.acquired)
+		firstCommand = append(firstCommand, x.firstCommand)
 		if x.moved {
 			moved++
 		}
-		suspicions += x.falseSuspicions
-		declared += x.falseDeclarations
+		falseSuspicions += x.falseSuspicions
+		falseDeclarations += x.falseDeclarations
+	}
+	t.Logf("| %s | %d of %d | %s | %s | %s | %s | %d | %d |", failure.name, moved, len(failovers),
+		summarize(suspected), summarize(declared), summarize(acquired), summarize(firstCommand), falseSuspicions, falseDeclarations)
+}
+
+// summarize returns the median, 95th percentile and maximum (s) of the durations that are
+// not 0, and their number.
+func summarize(durations []time.Duration) string {
+	seen := slices.DeleteFunc(durations, func(d time.Duration) bool { return d <= 0 })
+	if len(seen) == 0 {
+		return "-"
 	}
-	t.Logf("| %s | %d of %d | %s | %s | %s | %s | %d | %d |", kind.name, moved, len(seen),
-		column(func(x failover) time.Duration { return x.suspected }), column(func(x failover) time.Duration { return x.declared }),
-		column(func(x failover) time.Duration { return x.acquired }), column(func(x failover) time.Duration { return x.firstCommand }), suspicions, declared)
+	slices.Sort(seen)
+	last := len(seen) - 1
+	percentile := func(share float64) float64 { return seen[min(last, int(share*float64(len(seen))))].Seconds() }
+	return fmt.Sprintf("%.1f / %.1f / %.1f (%d)", percentile(0.5), percentile(0.95), seen[last].Seconds(), len(seen))
 }
--- a/internal/loopback/failover_test.go
+++ b/internal/loopback/failover_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"flag"
-	"path/filepath"
 	"regexp"
 	"testing"
 	"time"
@@ -12,8 +11,8 @@
 	"ravenport/history"
 )
 
-// What a takeover test plays. The defaults are the short form that the tests run; the
-// long one is, for one size of deployment:
+// Flags of the failover tests. The defaults are the short form that CI runs; the long one
+// is, for one size of deployment:
 //
 //	go test ./internal/loopback -run TestTakeoverOfRealProcesses -v -timeout 0 -takeover.rounds 30 -takeover.slow -takeover.controllers 5
 var (
@@ -27,30 +26,52 @@
 	failoverDetection      = flag.Bool("takeover.detection", true, "failure detection is on")
 )
 
-// A fleet of more machines than largeFleet is filled with services of so many replicas.
 const (
+	// largeFleet is a number of machines; a fleet of more is filled with services of
+	// largeServiceReplicas each.
 	largeFleet           = 100
 	largeServiceReplicas = 400
 )
 
-// failoverDeployment is a deployment with short times, so that a takeover takes
-// seconds, or with those that are shipped.
+// shortDetection are settings of failure detection under which it takes seconds.
+const shortDetection = `detection.heartbeat.ms = 250
+detection.suspect.min.ms = 700
+detection.suspect.max.ms = 2000
+detection.declare.ms = 1500
+detection.probe.timeout.ms = 250
+detection.stall.ms = 2000`
+
+// failoverDeployment returns a deployment with short times, so that a failover takes
+// seconds, or with the default ones.
 func failoverDeployment() deployment {
 	d := deployment{
-		zones: []string{"a", "b", "c"}, machines: *failoverMachines, cpu: 0.5, memoryMB: 300,
-		heartbeatPeriod: time.Second, workerLeaseS: 10, cancelTimeoutS: 40, writeRPS: 80,
-		tasksPerArray: 6, taskDuration: 3 * time.Second, arrayInterval: 300 * time.Millisecond, services: 6, replicas: 3,
-		controllerCount: *failoverControllers, canPartition: true, controllerLeaseTTL: 2 * time.Second,
-		operatorProperties: "membership.lease.ms = 2000",
-		detectionProperties: "detection.heartbeat.ms = 250\ndetection.suspect.min.ms = 700\ndetection.suspect.max.ms = 2000\n" +
-			"detection.declare.ms = 1500\ndetection.probe.timeout.ms = 250\ndetection.stall.ms = 2000",
+		zones:           []string{"a", "b", "c"},
+		machines:        *failoverMachines,
+		cpu:             0.5,
+		memoryMB:        300,
+		heartbeatPeriod: time.Second,
+		workerLeaseS:    10,
+		cancelTimeoutS:  40,
+		writeRPS:        80,
+		tasksPerArray:   6,
+		arrayInterval:   300 * time.Millisecond,
+		taskDuration:    3 * time.Second,
+		services:        6,
+		replicas:        3,
+
+		controllerCount:     *failoverControllers,
+		operatorProperties:  "membership.lease.ms = 2000",
+		detectionProperties: shortDetection,
+		controllerLeaseTTL:  2 * time.Second,
+		canPartition:        true,
 	}
-	if *failoverMachines > largeFleet { // a replica takes an eighth of a machine; the rest is for arrays
-		d.services, d.replicas = *failoverMachines*7/largeServiceReplicas, largeServiceReplicas
+	if *failoverMachines > largeFleet { // a replica takes an eighth of a machine; the rest is for job arrays
+		d.services = *failoverMachines * 7 / largeServiceReplicas
+		d.replicas = largeServiceReplicas
 	}
 	if *failoverShippedTimes {
-		d.heartbeatPeriod, d.workerLeaseS, d.cancelTimeoutS, d.controllerLeaseTTL = 3*time.Second, 26, 56, 3500*time.Millisecond
-		d.operatorProperties, d.detectionProperties = "", "detection.revoke = true"
+		d.useDefaultTimes()
+		d.detectionProperties = "detection.revoke = true"
 	}
 	if !*failoverDetection {
 		d.detectionProperties = ""
@@ -58,9 +79,10 @@
 	return d
 }
 
-// TestTakeoverOfRealProcesses lets real controllers on loopback fail while jobs come and
-// run. Whoever fails is replaced without a person, whoever does not fail is not; no task
-// runs twice, none is lost, and claims and obeyed commands have one order.
+// TestTakeoverOfRealProcesses lets real controllers on loopback fail while jobs are
+// submitted and run. A controller that fails is replaced automatically, one that does not
+// fail is not; no task runs twice, none is lost, and term acquisitions and executed commands
+// are linearizable.
 func TestTakeoverOfRealProcesses(t *testing.T) {
 	d := failoverDeployment()
 	d.earlierProgram = *failoverEarlierProgram
@@ -68,28 +90,31 @@
 	jobs := f.startWorkload(t)
 	time.Sleep(8 * time.Second) // machines boot, shards are rebuilt
 	f.awaitLargeServices(t)
-	count := f.startSampling(jobs)
-	only := regexp.MustCompile(*failoverPattern)
-	for _, kind := range controllerFailures(d) {
-		if !only.MatchString(kind.name) {
+	sampler := f.startSampling(jobs)
+	pattern := regexp.MustCompile(*failoverPattern)
+	for _, failure := range controllerFailures(d) {
+		if !pattern.MatchString(failure.name) {
 			continue
 		}
-		var seen []failover
+		var failovers []failover
 		for round := range *failoverRounds {
-			seen = append(seen, f.failOwner(t, kind, d.zones[round%len(d.zones)]))
+			zone := d.zones[round%len(d.zones)]
+			failovers = append(failovers, f.failOwner(t, failure, zone))
 			time.Sleep(d.controllerLeaseTTL + time.Second)
 		}
-		logSummary(t, kind, seen)
+		logSummary(t, failure, failovers)
 	}
 	jobs.awaitArrays(t, f)
 	f.checkRules(t)
-	f.saveEvidence(t, count.finish())
+	f.saveEvidence(t, sampler.finish())
 }
 
-// failOwner brings one failure about and measures what comes of it.
-func (f *fleet) failOwner(t *testing.T, kind failure, zone string) failover {
+// failOwner injects a failure into the owner of a zone's shard, waits for the failover and
+// returns its figures.
+func (f *fleet) failOwner(t *testing.T, failure failure, zone string) failover {
 	t.Helper()
-	if kind.harmless || kind.needsDetection { // of a shard that is not at home it would not be known why it moves
+	if failure.harmless || failure.needsDetection {
+		// A shard whose owner is in another zone may move for that reason alone.
 		zone = f.awaitLocalOwner(t)
 	}
 	name, term := f.store.shardOwner(zone)
@@ -98,46 +123,53 @@
 		t.Fatalf("nobody owns the shard of %s", zone)
 	}
 	limit := 8*f.controllerLeaseTTL + 10*time.Second
-	if kind.harmless {
-		limit = kind.duration
+	if failure.harmless {
+		limit = failure.duration
 	}
 	began := time.Now()
-	kind.inject(f, owner)
-	now, after := name, term
-	for time.Since(began) < limit && (now == name || kind.harmless) {
+	failure.inject(f, owner)
+	newName, newTerm := name, term
+	for time.Since(began) < limit && (newName == name || failure.harmless) {
 		time.Sleep(20 * time.Millisecond)
-		now, after = f.store.shardOwner(zone)
-	}
-	if now != name { // until the new owner's first command
-		for end := time.Now().Add(f.controllerLeaseTTL + 3*time.Second); time.Now().Before(end) && f.observer.firstCommand(zone, after).IsZero(); {
-			time.Sleep(20 * time.Millisecond)
+		newName, newTerm = f.store.shardOwner(zone)
+	}
+	if newName != name {
+		f.awaitFirstCommand(zone, newTerm)
+	}
+	failure.repair(f, owner)
+	seen := f.readStateChanges(began, name, failure.harmless)
+	seen.moved = newTerm != term
+	if seen.moved {
+		seen.acquired = f.observer.acquisition(zone, newTerm).Sub(began)
+		if at := f.observer.firstCommand(zone, newTerm); !at.IsZero() {
+			seen.firstCommand = at.Sub(began)
 		}
 	}
-	kind.repair(f, owner)
-	x := f.readStateChanges(began, name, kind.harmless)
-	x.moved = after != term
-	if x.moved {
-		x.acquired = f.observer.acquisition(zone, after).Sub(began)
-		if at := f.observer.firstCommand(zone, after); !at.IsZero() {
-			x.firstCommand = at.Sub(began)
-		}
+	if failure.harmless && seen.moved {
+		t.Errorf("%s: the shard of %s went from %s, term %d, to %s, term %d", failure.name, zone, name, term, newName, newTerm)
+	}
+	if !failure.harmless && !seen.moved && (*failoverDetection || !failure.needsDetection) {
+		t.Errorf("%s: nobody took the shard of %s over within %s", failure.name, zone, limit)
 	}
-	switch {
-	case kind.harmless && x.moved:
-		t.Errorf("%s: the shard of %s went from %s, term %d, to %s, term %d", kind.name, zone, name, term, now, after)
-	case !kind.harmless && !x.moved && (*failoverDetection || !kind.needsDetection):
-		t.Errorf("%s: nobody took the shard of %s over within %s", kind.name, zone, limit)
+	if failure.needsDetection && seen.moved && seen.declared == 0 {
+		t.Errorf("%s: it moved, and nobody declared it failed", failure.name)
 	}
-	if kind.needsDetection && x.moved && x.declared == 0 {
-		t.Errorf("%s: it moved, and nobody declared it failed", kind.name)
+	if seen.falseDeclarations > 0 {
+		t.Errorf("%s: %d controllers that had not failed were declared failed", failure.name, seen.falseDeclarations)
 	}
-	if x.falseDeclarations > 0 {
-		t.Errorf("%s: %d controllers that had not failed were declared failed", kind.name, x.falseDeclarations)
+	return seen
+}
+
+// awaitFirstCommand waits until a worker executes a command of a new term, or for too long.
+func (f *fleet) awaitFirstCommand(zone string, term uint64) {
+	end := time.Now().Add(f.controllerLeaseTTL + 3*time.Second)
+	for time.Now().Before(end) && f.observer.firstCommand(zone, term).IsZero() {
+		time.Sleep(20 * time.Millisecond)
 	}
-	return x
 }
 
-// awaitLocalOwner is a zone whose shard is owned by a controller in it.
+// awaitLocalOwner waits for a zone whose shard is owned by a controller in it, and returns
+// the zone.
 func (f *fleet) awaitLocalOwner(t *testing.T) string {
 	t.Helper()
 	for end := time.Now().Add(2 * time.Minute); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
@@ -151,12 +183,11 @@
 	return ""
 }
 
-// checkRules judges what workers and state service recorded over the whole test.
+// checkRules checks what workers and store saw over the whole test: no rule is violated,
+// ownership is linearizable, and membership events were kept.
 func (f *fleet) checkRules(t *testing.T) {
 	t.Helper()
-	for _, broken := range f.observer.violations() {
-		t.Error(broken)
-	}
+	f.checkNoViolations(t)
 	for zone, result := range f.observer.checkOwnership() {
 		t.Logf("ownership of %s: %d claims and obeyed commands: %s", zone, len(f.observer.ownershipHistory[zone]), result)
 		if result != porcupine.Ok {
@@ -169,9 +200,9 @@
 	kept := 0
 	for _, c := range f.controllers {
 		if c.program != f.program {
-			continue
+			continue // an earlier version keeps none
 		}
-		events, err := history.Read(filepath.Join(filepath.Dir(c.settingsPath), c.name+".history"))
+		events, err := history.Read(f.historyPath(c))
 		if err != nil {
 			t.Errorf("%s: %v", c.name, err)
 		}
@@ -184,8 +215,8 @@
 
 var restDuration = flag.Duration("takeover.rest", 0, "how long controllers at rest are measured")
 
-// TestRestingControllers measures what failure detection costs while nothing fails; it
-// is a measurement, for one size, with and without it:
+// TestRestingControllers measures the processor time that controllers take while nothing
+// happens, with and without failure detection:
 //
 //	go test ./internal/loopback -run TestRestingControllers -v -takeover.rest 60s
 func TestRestingControllers(t *testing.T) {
@@ -196,7 +227,7 @@
 	time.Sleep(10 * time.Second)
 	before := f.processorTime()
 	time.Sleep(*restDuration)
-	spent := f.processorTime() - before
+	processorTime := f.processorTime() - before
 	t.Logf("%d controllers, detection %v: %.2f ms of processor time a second each", len(f.controllers), *failoverDetection,
-		1000*spent.Seconds()/restDuration.Seconds()/float64(len(f.controllers)))
+		1000*processorTime.Seconds()/restDuration.Seconds()/float64(len(f.controllers)))
 }
--- a/internal/loopback/failures_test.go
+++ b/internal/loopback/failures_test.go
@@ -6,81 +6,94 @@
 	"time"
 )
 
-// failure is a way for a controller to fail.
+// failure is a kind of failure of a shard's owner.
 type failure struct {
 	name string
-	// inject brings it about, and mend ends it once the shard has moved.
-	inject, repair func(f *fleet, owner int)
-	// harmless: the shard must stay, for as long as moves or hold says.
+	// inject makes the owner fail, and repair ends the failure once the shard has moved.
+	inject func(f *fleet, owner int)
+	repair func(f *fleet, owner int)
+	// harmless: the shard must keep its owner, for as long as duration.
 	harmless bool
-	// needsDetection: nothing but failure detection notices it.
+	duration time.Duration
+	// needsDetection: nothing but failure detection notices the failure.
 	needsDetection bool
-	duration       time.Duration
 }
 
+// controllerFailures returns all kinds of failures. Their names are those of the figures in
+// docs/failure-detection.md.
 func controllerFailures(d deployment) []failure {
-	nothing := func(*fleet, int) {}
-	gray := func(is bool) func(f *fleet, owner int) {
-		return func(f *fleet, owner int) { f.cutFromWorkers[owner].Store(is); f.links.setInboundCut(owner, is) }
+	kill := func(f *fleet, owner int) { f.controllers[owner].kill() }
+	pause := func(f *fleet, owner int) { f.signalController(owner, syscall.SIGSTOP) }
+	resume := func(f *fleet, owner int) { f.signalController(owner, syscall.SIGCONT) }
+	cutStore := func(f *fleet, owner int) { f.links.store[owner].setCut(true) }
+	repairStore := func(f *fleet, owner int) { f.links.store[owner].setCut(false) }
+	setUnreachable := func(isCut bool) func(f *fleet, owner int) {
+		return func(f *fleet, owner int) {
+			f.cutFromWorkers[owner].Store(isCut)
+			f.links.setInboundCut(owner, isCut)
+		}
 	}
+	isolate := func(f *fleet, owner int) { f.links.setIsolated(owner, true) }
+	rejoin := func(f *fleet, owner int) { f.links.setIsolated(owner, false) }
+	long := 3 * d.controllerLeaseTTL
+	flap := func(f *fleet, owner int) { go f.flapLinks(owner, long) }
+	pauseAll := func(f *fleet, _ int) { go f.pauseAtRandom(long) }
+	endsByItself := func(*fleet, int) {}
 	return []failure{
-		{name: "killed", inject: func(f *fleet, owner int) { f.controllers[owner].kill() },
-			repair: func(f *fleet, owner int) { f.restartController(owner) }},
-		{name: "frozen", inject: func(f *fleet, owner int) { f.signalController(owner, syscall.SIGSTOP) },
-			repair: func(f *fleet, owner int) { f.signalController(owner, syscall.SIGCONT) }},
-		{name: "cut from the state service", inject: func(f *fleet, owner int) { f.links.store[owner].setCut(true) },
-			repair: func(f *fleet, owner int) { f.links.store[owner].setCut(false) }},
-		{name: "gray: unreachable for workers and controllers", needsDetection: true, inject: gray(true), repair: gray(false)},
-		{name: "pause of half a lease", harmless: true, duration: d.controllerLeaseTTL / 2, inject: func(f *fleet, owner int) { f.signalController(owner, syscall.SIGSTOP) },
-			repair: func(f *fleet, owner int) { f.signalController(owner, syscall.SIGCONT) }},
-		{name: "cut from all controllers", harmless: true, duration: 3 * d.controllerLeaseTTL,
-			inject: func(f *fleet, owner int) { f.links.setInboundCut(owner, true); f.links.setOutboundCut(owner, true) },
-			repair: func(f *fleet, owner int) { f.links.setInboundCut(owner, false); f.links.setOutboundCut(owner, false) }},
-		{name: "links flap", harmless: true, duration: 3 * d.controllerLeaseTTL, repair: nothing, inject: func(f *fleet, owner int) { go f.flapLinks(owner, 3*d.controllerLeaseTTL) }},
-		{name: "pauses of everybody", harmless: true, duration: 3 * d.controllerLeaseTTL, repair: nothing, inject: func(f *fleet, _ int) { go f.pauseAtRandom(3 * d.controllerLeaseTTL) }},
+		{name: "killed", inject: kill, repair: (*fleet).restartController},
+		{name: "frozen", inject: pause, repair: resume},
+		{name: "cut from the state service", inject: cutStore, repair: repairStore},
+		{name: "gray: unreachable for workers and controllers", needsDetection: true, inject: setUnreachable(true), repair: setUnreachable(false)},
+		{name: "pause of half a lease", harmless: true, duration: d.controllerLeaseTTL / 2, inject: pause, repair: resume},
+		{name: "cut from all controllers", harmless: true, duration: long, inject: isolate, repair: rejoin},
+		{name: "links flap", harmless: true, duration: long, inject: flap, repair: endsByItself},
+		{name: "pauses of everybody", harmless: true, duration: long, inject: pauseAll, repair: endsByItself},
 	}
 }
 
-// flapLinks cuts and mends a controller's links to the others again and again.
-func (f *fleet) flapLinks(node int, d time.Duration) {
-	for end, cut := time.Now().Add(d), true; time.Now().Before(end); cut = !cut {
-		f.links.setInboundCut(node, cut)
-		f.links.setOutboundCut(node, cut)
+// flapLinks cuts and repairs a controller's links to the others again and again.
+func (f *fleet) flapLinks(controller int, d time.Duration) {
+	isCut := true
+	for end := time.Now().Add(d); time.Now().Before(end); {
+		f.links.setIsolated(controller, isCut)
 		time.Sleep(time.Duration(100+rand.IntN(int(d.Milliseconds())/10)) * time.Millisecond)
+		isCut = !isCut
 	}
-	f.links.setInboundCut(node, false)
-	f.links.setOutboundCut(node, false)
+	f.links.setIsolated(controller, false)
 }
 
-// pauseAtRandom stops every process for a part of the time, as on a machine with too little
-// processor time.
+// pauseAtRandom pauses every process for a part of the time, as on a machine with too
+// little processor time.
 func (f *fleet) pauseAtRandom(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); {
-		node := rand.IntN(len(f.controllers))
-		f.signalController(node, syscall.SIGSTOP)
+		controller := rand.IntN(len(f.controllers))
+		f.signalController(controller, syscall.SIGSTOP)
 		time.Sleep(time.Duration(20+rand.IntN(200)) * time.Millisecond)
-		f.signalController(node, syscall.SIGCONT)
+		f.signalController(controller, syscall.SIGCONT)
 		time.Sleep(time.Duration(rand.IntN(100)) * time.Millisecond)
 	}
 }
 
-// killForLeaseTTL ends a controller, which is back after its lease's life.
-func (f *fleet) killForLeaseTTL(node int) {
-	f.controllers[node].kill()
-	time.AfterFunc(f.controllerLeaseTTL, func() { f.restartController(node) })
+// killForLeaseTTL kills a controller, and starts it again after the life of its lease.
+func (f *fleet) killForLeaseTTL(controller int) {
+	f.controllers[controller].kill()
+	time.AfterFunc(f.controllerLeaseTTL, func() { f.restartController(controller) })
 }
 
-// pausePastLease has a controller stand still past its lease.
-func (f *fleet) pausePastLease(node int) {
-	c := f.controllers[node]
+// pausePastLease pauses a controller for twice the life of its lease.
+func (f *fleet) pausePastLease(controller int) {
+	c := f.controllers[controller]
 	c.paused.Store(true)
-	_ = c.process.Process.Signal(syscall.SIGSTOP)
-	time.AfterFunc(2*f.controllerLeaseTTL, func() { _ = c.process.Process.Signal(syscall.SIGCONT); c.paused.Store(false) })
+	_ = c.process.Process.Signal(syscall.SIGSTOP) // it may have ended by itself
+	time.AfterFunc(2*f.controllerLeaseTTL, func() {
+		_ = c.process.Process.Signal(syscall.SIGCONT)
+		c.paused.Store(false)
+	})
 }
 
-// partitionPastLease cuts a controller from the state service past its lease.
-func (f *fleet) partitionPastLease(node int) {
-	link := f.links.store[node]
+// partitionPastLease cuts a controller from the store for twice the life of its lease.
+func (f *fleet) partitionPastLease(controller int) {
+	link := f.links.store[controller]
 	link.setCut(true)
 	time.AfterFunc(2*f.controllerLeaseTTL, func() { link.setCut(false) })
 }
--- a/internal/loopback/fleet_test.go
+++ b/internal/loopback/fleet_test.go
@@ -16,48 +16,73 @@
 	"ravenport/server"
 )
 
-// fleet is the world around the controllers.
+// requestTimeout is how long a user waits for a reply.
+const requestTimeout = 5 * time.Second
+
+// leaseCheckInterval is how often the stand-in store looks for expired leases.
+const leaseCheckInterval = 50 * time.Millisecond
+
+// maxStandInConnections bounds the connections of one stand-in.
+const maxStandInConnections = 10_000
+
+// clientLimits bound the replies that the stand-ins of workers and users read.
+var clientLimits = httpwire.Limits{Header: 8 << 10, Body: 1 << 20}
+
+// fleet is a running deployment: the controllers' processes and the stand-ins.
 type fleet struct {
 	deployment
 	dir            string // settings, logs and histories of the controllers
-	program        string // the built controller
+	program        string // path of the built controller
 	controllers    []*controller
 	store          *store
 	cloud          *cloud
 	observer       *observer
-	cutFromWorkers []atomic.Bool // by controller: workers' reports do not reach it
-	links          *links        // nil: nothing can be cut
+	cutFromWorkers []atomic.Bool // by controller: workers' heartbeats do not reach it
+	links          *links        // nil: no link can be cut
 
-	heartbeats, directCommands, taskStarts atomic.Int64
+	// Counters of what workers sent and received.
+	heartbeats     atomic.Int64
+	directCommands atomic.Int64
+	taskStarts     atomic.Int64
 
 	mu            sync.Mutex
-	taskDurations map[string]time.Duration // by job; absent: it runs until stopped
-	clients       map[string]*httpwire.Client
-	jobSeq        int
+	taskDurations map[string]time.Duration    // by job; absent: its tasks run until stopped
+	clients       map[string]*httpwire.Client // by worker and controller
+	jobSeq        int                         // number of the latest job
 }
 
-// newFleet builds the program and starts everything.
-func newFleet(b testing.TB, d deployment) *fleet {
+// newFleet builds the program, and starts the stand-ins and the controllers. The
+// controllers and workers end with the test.
+func newFleet(tb testing.TB, d deployment) *fleet {
+	tb.Helper()
 	fleetCount++
-	r := newObserver()
-	f := &fleet{deployment: d, store: newStore(r), observer: r, taskDurations: map[string]time.Duration{}, clients: map[string]*httpwire.Client{}, cutFromWorkers: make([]atomic.Bool, d.numControllers())}
+	observer := newObserver()
+	f := &fleet{
+		deployment:     d,
+		dir:            tb.TempDir(),
+		store:          newStore(observer),
+		observer:       observer,
+		cutFromWorkers: make([]atomic.Bool, d.numControllers()),
+		taskDurations:  map[string]time.Duration{},
+		clients:        map[string]*httpwire.Client{},
+	}
 	f.cloud = newCloud(d.zones, d.machines, func(m *machine) { go m.run(f) })
-	f.cloud.lease, f.cloud.observer = time.Duration(d.workerLeaseS*float64(time.Second)), r
-	serveStandIns(b, f)
-	dir := b.TempDir()
-	f.dir, f.program = dir, filepath.Join(dir, "ravenport")
-	if out, err := exec.Command("go", "build", "-o", f.program, "ravenport/cmd/ravenport").CombinedOutput(); err != nil {
-		b.Fatalf("building: %v\n%s", err, out)
+	f.cloud.lease = time.Duration(d.workerLeaseS * float64(time.Second))
+	f.cloud.observer = observer
+	serveStandIns(tb, f)
+	f.program = filepath.Join(f.dir, "ravenport")
+	if output, err := exec.Command("go", "build", "-o", f.program, "ravenport/cmd/ravenport").CombinedOutput(); err != nil {
+		tb.Fatalf("building: %v\n%s", err, output)
 	}
 	if d.canPartition {
-		f.links = newLinks(b, d.numControllers())
+		f.links = newLinks(tb, d.numControllers())
 	}
 	for i := range d.numControllers() {
-		c := f.configureController(b, dir, i)
+		c := f.configureController(tb, i)
 		f.controllers = append(f.controllers, c)
-		c.start(b)
+		c.start(tb)
 	}
-	b.Cleanup(func() {
+	tb.Cleanup(func() {
 		for _, c := range f.controllers {
 			c.kill()
 		}
@@ -66,25 +91,28 @@
 	return f
 }
 
-// serveStandIns serves the state service and the cloud until the test ends.
-func serveStandIns(b testing.TB, f *fleet) {
-	for addr, handle := range map[string]server.Handler{storeAddr(): f.store.handle, cloudAddr(): f.cloud.handle} {
-		s := server.New(addr, 10000, handle)
+// serveStandIns serves the store and the cloud until the process ends.
+func serveStandIns(tb testing.TB, f *fleet) {
+	tb.Helper()
+	handlers := map[string]server.Handler{storeAddr(): f.store.handle, cloudAddr(): f.cloud.handle}
+	for addr, handle := range handlers {
+		s := server.New(addr, maxStandInConnections, handle)
 		ended := make(chan error, 1)
 		go func() { ended <- s.Run() }()
 		select {
 		case <-s.Ready():
 		case err := <-ended:
-			b.Fatalf("a stand-in at %s: %v", addr, err)
+			tb.Fatalf("a stand-in at %s: %v", addr, err)
 		}
 	}
 	go func() {
-		for range time.Tick(50 * time.Millisecond) {
+		for range time.Tick(leaseCheckInterval) {
 			f.store.expireLeases()
 		}
 	}()
 }
 
+// controllerIndex returns the index of a controller by its name, or -1.
 func (f *fleet) controllerIndex(name string) int {
 	for i, c := range f.controllers {
 		if c.name == name {
@@ -94,32 +122,32 @@
 	return -1
 }
 
-// workerClient is a machine's connection to a controller.
-func (f *fleet) workerClient(m *machine, node int) *httpwire.Client {
+// workerClient returns a worker's connection to a controller.
+func (f *fleet) workerClient(m *machine, controller int) *httpwire.Client {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	key := m.name + "/" + strconv.Itoa(node)
+	key := m.name + "/" + strconv.Itoa(controller)
 	if f.clients[key] == nil {
-		f.clients[key] = httpwire.NewClient(f.controllers[node].serverAddr, 1, time.Second, httpwire.Limits{Header: 8 << 10, Body: 1 << 20})
+		f.clients[key] = httpwire.NewClient(f.controllers[controller].serverAddr, 1, time.Second, clientLimits)
 	}
 	return f.clients[key]
 }
 
-// request makes a user's request at any controller until one answers with 2xx, and returns
-// the answer's body.
+// request sends a user's request to random controllers until one responds with a status
+// of 2xx, and returns the body of the response.
 func (f *fleet) request(method, path string, body []byte) []byte {
 	for {
 		c := f.controllers[rand.IntN(len(f.controllers))]
-		cl := httpwire.NewClient(c.serverAddr, 1, time.Second, httpwire.Limits{Header: 8 << 10, Body: 1 << 20})
-		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
-		msg, err := cl.Do(ctx, method, path, body)
+		client := httpwire.NewClient(c.serverAddr, 1, time.Second, clientLimits)
+		ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
+		response, err := client.Do(ctx, method, path, body)
 		cancel()
-		cl.Close()
-		if err == nil && msg.Status < 300 {
-			return msg.Body
+		client.Close()
+		if err == nil && response.Status < 300 {
+			return response.Body
 		}
-		if err == nil && msg.Status < 500 {
-			panic(fmt.Sprintf("%s %s: status %d: %s", method, path, msg.Status, msg.Body))
+		if err == nil && response.Status < 500 {
+			panic(fmt.Sprintf("%s %s: status %d: %s", method, path, response.Status, response.Body))
 		}
 		time.Sleep(time.Second)
 	}
--- a/internal/loopback/jobs_test.go
+++ b/internal/loopback/jobs_test.go
@@ -10,29 +10,60 @@
 	"ravenport/wire"
 )
 
-// What a task takes, by the kind of its job.
+// CPUs that a task takes, by the kind of its job.
 const (
 	arrayTaskCPUs   = 4.0
 	serviceTaskCPUs = 2.0
 )
 
-// nextJob is the next job to be submitted.
-func (f *fleet) nextJob(service bool) wire.Submission {
+// imageCount is the number of images that the jobs use in turn.
+const imageCount = 12
+
+// nextService returns the next service to be submitted.
+func (f *fleet) nextService() wire.Submission {
+	s := f.nextJob()
+	s.Class = "services"
+	s.Kind = wire.KindService
+	s.Priority = wire.PriorityProduction
+	s.Tasks = f.replicas
+	s.CPUs = serviceTaskCPUs
+	s.MemoryGB = 4.6
+	s.Spread = true
+	return s
+}
+
+// nextArray returns the next job array to be submitted.
+func (f *fleet) nextArray() wire.Submission {
+	s := f.nextJob()
+	s.Class = "arrays"
+	s.Kind = wire.KindArray
+	s.Priority = wire.PriorityNormal
+	s.Tasks = f.tasksPerArray
+	s.CPUs = arrayTaskCPUs
+	s.MemoryGB = 12
+	s.Spot = true
+	s.EstimateS = f.taskDuration.Seconds()
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.taskDurations[s.ID] = f.taskDuration
+	return s
+}
+
+// nextJob returns what all jobs have in common.
+func (f *fleet) nextJob() wire.Submission {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.jobSeq++
-	s := wire.Submission{ID: fmt.Sprintf("run-%06d", f.jobSeq), Class: "arrays", Team: "team", Kind: wire.KindArray, Priority: wire.PriorityNormal,
-		Tasks: f.tasksPerArray, CPUs: arrayTaskCPUs, MemoryGB: 12, Image: fmt.Sprintf("img-%d", f.jobSeq%12), ImageGB: 0.7, Spot: true, EstimateS: f.taskDuration.Seconds()}
-	if service {
-		s.Class, s.Kind, s.Priority, s.Spot, s.EstimateS = "services", wire.KindService, wire.PriorityProduction, false, 0
-		s.Tasks, s.CPUs, s.MemoryGB, s.Spread = f.replicas, serviceTaskCPUs, 4.6, true
-	} else {
-		f.taskDurations[s.ID] = f.taskDuration
+	return wire.Submission{
+		ID:      fmt.Sprintf("run-%06d", f.jobSeq),
+		Team:    "team",
+		Image:   fmt.Sprintf("img-%d", f.jobSeq%imageCount),
+		ImageGB: 0.7,
 	}
-	return s
 }
 
-// submissionBody is the body of a submission, in which no flag may be missing.
+// submissionBody encodes a submission. The flags are always written: the protocol requires
+// them, and wire omits those that are false.
 func submissionBody(s wire.Submission) []byte {
 	body, err := json.Marshal(struct {
 		wire.Submission
@@ -46,20 +77,26 @@
 	return body
 }
 
-// submit submits a job and polls it every five seconds from then on.
-func (f *fleet) submit(service bool) {
-	s := f.nextJob(service)
+// pollInterval is the time between two polls of a job, and pollDuration how long it is
+// polled.
+const (
+	pollInterval = 5 * time.Second
+	pollDuration = time.Minute
+)
+
+// submitAndPoll submits a job in the background and polls it from then on.
+func (f *fleet) submitAndPoll(s wire.Submission) {
 	body := submissionBody(s)
 	go func() {
 		f.request("POST", wire.PathJobs, body)
-		for end := time.Now().Add(time.Minute); time.Now().Before(end); {
-			time.Sleep(5 * time.Second)
+		for end := time.Now().Add(pollDuration); time.Now().Before(end); {
+			time.Sleep(pollInterval)
 			f.request("GET", wire.PathJobs+"/"+s.ID, nil)
 		}
 	}()
 }
 
-// isJobDone asks whether an array is done.
+// isJobDone polls a job and reports whether it is done.
 func (f *fleet) isJobDone(t *testing.T, id string) bool {
 	t.Helper()
 	var s wire.JobStatus
@@ -69,7 +106,7 @@
 	return s.Status == wire.JobDone
 }
 
-// isArrayTask says whether a task is an array's: only those end by themselves.
+// isArrayTask reports whether a task belongs to a job array: only those end by themselves.
 func (f *fleet) isArrayTask(task string) bool {
 	job, _, _ := wire.ParseTaskName(task)
 	f.mu.Lock()
@@ -77,7 +114,7 @@
 	return f.taskDurations[job] > 0
 }
 
-// taskCPUs is what a task takes.
+// taskCPUs returns the CPUs that a task takes.
 func (f *fleet) taskCPUs(task string) float64 {
 	if f.isArrayTask(task) {
 		return arrayTaskCPUs
@@ -85,6 +122,8 @@
 	return serviceTaskCPUs
 }
 
+// randomTaskDuration returns how long a task runs: half to one and a half times its job's
+// duration; 0 for a task that runs until it is stopped.
 func (f *fleet) randomTaskDuration(task string) time.Duration {
 	job, _, _ := wire.ParseTaskName(task)
 	f.mu.Lock()
--- a/internal/loopback/links_test.go
+++ b/internal/loopback/links_test.go
@@ -3,35 +3,39 @@
 import (
 	"errors"
 	"io"
+	"maps"
 	"net"
+	"slices"
 	"sync"
 	"testing"
 )
 
-// link is a connection-level proxy that stands for the network between two parties.
-// While it is cut, connections hang: nothing passes, and nothing is refused.
+// link is a TCP proxy that stands in for the network between two processes. While it is
+// cut, connections hang: nothing is forwarded, and nothing is refused.
 type link struct {
 	listener net.Listener
-	target   string
+	target   string // address
 
 	mu    sync.Mutex
 	isCut bool
 	conns map[net.Conn]struct{}
 }
 
-// newLink opens a link to an address on a free port.
-func newLink(to string) (*link, error) {
+// newLink opens a link to a target on a free port.
+func newLink(target string) (*link, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	l := &link{listener: listener, target: to, conns: map[net.Conn]struct{}{}}
+	l := &link{listener: listener, target: target, conns: map[net.Conn]struct{}{}}
 	go l.accept()
 	return l, nil
 }
 
+// addr returns the address at which the link accepts connections.
 func (l *link) addr() string { return l.listener.Addr().String() }
 
+// accept accepts connections until the link is closed.
 func (l *link) accept() {
 	for {
 		conn, err := l.listener.Accept()
@@ -44,7 +48,7 @@
 	}
 }
 
-// proxy connects one accepted connection and copies both ways.
+// proxy connects an accepted connection to the target and copies both ways.
 func (l *link) proxy(near net.Conn) {
 	if !l.register(near) {
 		return
@@ -67,7 +71,8 @@
 	copyOneWay(near, far)
 }
 
-// register notes an open connection. On a cut link it stays open and carries nothing.
+// register remembers an open connection, and reports whether it may be used: on a cut link
+// it stays open and hangs.
 func (l *link) register(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -75,6 +80,7 @@
 	return !l.isCut
 }
 
+// closeConn closes a connection and forgets it.
 func (l *link) closeConn(c net.Conn) {
 	l.mu.Lock()
 	delete(l.conns, c)
@@ -82,61 +88,62 @@
 	c.Close()
 }
 
-// setCut cuts the link, or mends it. What hung on it is reset then.
-func (l *link) setCut(is bool) {
+// setCut cuts the link, or repairs it. Repairing it closes the connections that hang.
+func (l *link) setCut(isCut bool) {
 	l.mu.Lock()
-	was := l.isCut
-	l.isCut = is
-	var open []net.Conn
-	if was && !is {
-		for c := range l.conns {
-			open = append(open, c)
-		}
+	wasCut := l.isCut
+	l.isCut = isCut
+	var hanging []net.Conn
+	if wasCut && !isCut {
+		hanging = slices.Collect(maps.Keys(l.conns))
 	}
 	l.mu.Unlock()
-	for _, c := range open {
+	for _, c := range hanging {
 		l.closeConn(c)
 	}
 }
 
+// close closes the link and all its connections.
 func (l *link) close() {
 	l.listener.Close()
 	l.setCut(true)
 	l.setCut(false)
 }
 
-// linkWriter writes to a connection as long as the link is not cut, and swallows what is
-// written after.
+// linkWriter writes to a connection as long as the link is not cut, and discards what is
+// written while it is.
 type linkWriter struct {
 	link *link
 	conn net.Conn
 }
 
-func (p linkWriter) Write(b []byte) (int, error) {
-	p.link.mu.Lock()
-	isCut := p.link.isCut
-	p.link.mu.Unlock()
+func (w linkWriter) Write(b []byte) (int, error) {
+	w.link.mu.Lock()
+	isCut := w.link.isCut
+	w.link.mu.Unlock()
 	if isCut {
 		return len(b), nil
 	}
-	return p.conn.Write(b)
+	return w.conn.Write(b)
 }
 
 // links are the links of a deployment's controllers.
 type links struct {
-	peers [][]*link // from one controller to another; nil to itself
-	store []*link   // from a controller to the state service
+	peers [][]*link // from one controller to another, by index; nil to itself
+	store []*link   // from a controller to the store, by index
 }
 
-func newLinks(b testing.TB, controllers int) *links {
+// newLinks opens the links of a number of controllers until the test ends.
+func newLinks(tb testing.TB, controllers int) *links {
+	tb.Helper()
 	l := &links{}
-	open := func(to string) *link {
-		x, err := newLink(to)
+	open := func(target string) *link {
+		opened, err := newLink(target)
 		if err != nil {
-			b.Fatal(err)
+			tb.Fatal(err)
 		}
-		b.Cleanup(x.close)
-		return x
+		tb.Cleanup(opened.close)
+		return opened
 	}
 	for from := range controllers {
 		l.store = append(l.store, open(storeAddr()))
@@ -150,20 +157,26 @@
 	return l
 }
 
-// setInboundCut cuts other controllers' calls to one, or mends them.
-func (l *links) setInboundCut(to int, is bool) {
+// setInboundCut cuts the calls of other controllers to one, or repairs them.
+func (l *links) setInboundCut(to int, isCut bool) {
 	for from := range l.peers {
 		if from != to {
-			l.peers[from][to].setCut(is)
+			l.peers[from][to].setCut(isCut)
 		}
 	}
 }
 
-// setOutboundCut cuts a controller's calls to the others, or mends them.
-func (l *links) setOutboundCut(from int, is bool) {
-	for to, x := range l.peers[from] {
+// setOutboundCut cuts the calls of a controller to the others, or repairs them.
+func (l *links) setOutboundCut(from int, isCut bool) {
+	for to, link := range l.peers[from] {
 		if to != from {
-			x.setCut(is)
+			link.setCut(isCut)
 		}
 	}
 }
+
+// setIsolated cuts the calls between a controller and the others, or repairs them.
+func (l *links) setIsolated(controller int, isCut bool) {
+	l.setInboundCut(controller, isCut)
+	l.setOutboundCut(controller, isCut)
+}
--- a/internal/loopback/machine_commands_test.go
+++ b/internal/loopback/machine_commands_test.go
@@ -3,25 +3,32 @@
 import (
 	"encoding/json"
 	"net"
+	"slices"
 	"time"
 
 	"ravenport/httpwire"
 	"ravenport/wire"
 )
 
-// listen answers direct commands until the machine ends.
+// commandLimits bound the requests that a worker reads.
+var commandLimits = httpwire.Limits{Header: 8 << 10, Body: 64 << 10}
+
+// readBufferSize is what a worker reads of a connection at once (bytes).
+const readBufferSize = 8 << 10
+
+// listen serves direct commands until the machine ends.
 func (m *machine) listen(f *fleet) error {
-	l, err := net.Listen("tcp4", m.addr)
+	listener, err := net.Listen("tcp4", m.addr)
 	if err != nil {
 		return err
 	}
 	go func() {
 		<-m.stopped
-		l.Close()
+		listener.Close()
 	}()
 	go func() {
 		for {
-			conn, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -31,84 +38,100 @@
 	return nil
 }
 
+// serveConnection responds to the requests of one connection, one after another.
 func (m *machine) serveConnection(f *fleet, conn net.Conn) {
 	defer conn.Close()
-	limits := httpwire.Limits{Header: 8 << 10, Body: 64 << 10}
-	var buf []byte
-	chunk := make([]byte, 8<<10)
+	var received []byte
+	buffer := make([]byte, readBufferSize)
 	for {
-		n, err := conn.Read(chunk)
+		n, err := conn.Read(buffer)
 		if err != nil || m.ended.Load() {
 			return
 		}
-		buf = append(buf, chunk[:n]...)
-		msg, used, err := httpwire.ParseRequest(buf, limits)
+		received = append(received, buffer[:n]...)
+		request, used, err := httpwire.ParseRequest(received, commandLimits)
 		if err != nil {
 			return
 		}
 		if used == 0 {
 			continue
 		}
-		buf = buf[used:]
-		if _, err := conn.Write(httpwire.AppendResponse(nil, m.handleCommands(f, msg.Body))); err != nil {
+		received = received[used:]
+		response := httpwire.AppendResponse(nil, m.handleCommands(f, request.Body))
+		if _, err := conn.Write(response); err != nil {
 			return
 		}
 	}
 }
 
-// handleCommands carries out a direct command.
+// handleCommands executes the direct commands of a request, unless they are fenced or of
+// another epoch.
 func (m *machine) handleCommands(f *fleet, body []byte) *httpwire.Response {
-	var req wire.CommandRequest
-	if err := json.Unmarshal(body, &req); err != nil {
+	var request wire.CommandRequest
+	if err := json.Unmarshal(body, &request); err != nil {
 		return &httpwire.Response{Status: 400}
 	}
 	f.directCommands.Add(1)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	status := 409
-	if req.FencingToken >= m.fencingToken && req.Epoch == m.epoch && !m.ended.Load() {
+	if request.FencingToken >= m.fencingToken && request.Epoch == m.epoch && !m.ended.Load() {
 		status = 200
-		m.executeUnderToken(f, req.FencingToken, req.Commands, time.Now())
+		m.executeUnderToken(f, request.FencingToken, request.Commands, time.Now())
 	}
 	return &httpwire.Response{Status: status, Body: m.nextHeartbeat()}
 }
 
-// executeUnderToken carries out commands under a token that came in answer to something that began
-// at a time. The caller holds the lock.
+// executeUnderToken executes commands under a fencing token, in a request or an exchange
+// that began at a time. The caller holds the lock.
 func (m *machine) executeUnderToken(f *fleet, token uint64, commands []wire.Command, began time.Time) {
-	higher := token > m.fencingToken
+	isHigher := token > m.fencingToken
 	m.fencingToken = token
-	if higher || len(commands) > 0 {
+	if isHigher || len(commands) > 0 {
 		m.observer.commandsExecuted(m.zone, m.name, token, began, time.Now())
 	}
 	m.execute(f, commands)
 }
 
-// execute carries out commands in order. The caller holds the lock.
+// execute executes commands in order. A command that was executed before changes nothing.
+// The caller holds the lock.
 func (m *machine) execute(f *fleet, commands []wire.Command) {
 	for _, c := range commands {
-		at := -1
-		for i, t := range m.tasks {
-			if t.Task == c.Task && t.Attempt == c.Attempt {
-				at = i
-			}
-		}
+		at := slices.IndexFunc(m.tasks, func(t *task) bool { return t.Task == c.Task && t.Attempt == c.Attempt })
+		exists := at >= 0
 		switch {
-		case c.Op == wire.OpStart && at < 0:
+		case c.Op == wire.OpStart && !exists:
 			f.taskStarts.Add(1)
-			t := &task{changesAt: time.Now().Add(imageFetchTime), duration: f.randomTaskDuration(c.Task)}
-			t.Task, t.Attempt, t.State = c.Task, c.Attempt, wire.TaskFetching
-			if m.failsTasks {
-				t.State, t.Cause, t.changesAt = wire.TaskExited, wire.CauseError, time.Time{}
-			}
-			m.tasks = append(m.tasks, t)
-			m.requestHeartbeat()
-		case c.Op == wire.OpStop && at >= 0 && m.tasks[at].State != wire.TaskExited:
-			m.observer.taskStopped(c.Task, m.name, m.tasks[at].State == wire.TaskRunning && m.reclaimedAt.IsZero())
-			m.tasks[at].State, m.tasks[at].Cause, m.tasks[at].changesAt = wire.TaskExited, wire.CauseStopped, time.Time{}
-			m.requestHeartbeat()
-		case c.Op == wire.OpForget && at >= 0:
-			m.tasks = append(m.tasks[:at], m.tasks[at+1:]...)
+			m.start(c, f.randomTaskDuration(c.Task))
+		case c.Op == wire.OpStop && exists:
+			m.stop(m.tasks[at])
+		case c.Op == wire.OpForget && exists:
+			m.tasks = slices.Delete(m.tasks, at, at+1)
 		}
 	}
 }
+
+// start starts an attempt. The caller holds the lock.
+func (m *machine) start(c wire.Command, duration time.Duration) {
+	t := &task{changesAt: time.Now().Add(imageFetchTime), duration: duration}
+	t.Task = c.Task
+	t.Attempt = c.Attempt
+	t.State = wire.TaskFetching
+	if m.failsTasks {
+		t.exit(wire.CauseError)
+	}
+	m.tasks = append(m.tasks, t)
+	m.requestHeartbeat()
+}
+
+// stop stops an attempt that has not ended. It is a voluntary stop of a running task only
+// if the machine is not being reclaimed. The caller holds the lock.
+func (m *machine) stop(t *task) {
+	if t.State == wire.TaskExited {
+		return
+	}
+	isVoluntary := t.State == wire.TaskRunning && m.reclaimedAt.IsZero()
+	m.observer.taskStopped(t.Task, m.name, isVoluntary)
+	t.exit(wire.CauseStopped)
+	m.requestHeartbeat()
+}
--- a/internal/loopback/machine_failures_test.go
+++ b/internal/loopback/machine_failures_test.go
@@ -6,22 +6,23 @@
 	"ravenport/wire"
 )
 
-// breakNext has the next machines that are rented never boot, or fail all their tasks.
-func (c *cloud) breakNext(bootless, sick int) {
+// breakNext makes some of the next machines never boot, and some after them fail all their
+// tasks.
+func (c *cloud) breakNext(neverBoot, failTasks int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.neverBootNext, c.failTasksNext = bootless, sick
+	c.neverBootNext = neverBoot
+	c.failTasksNext = failTasks
 }
 
-// breaksLeft is how many machines breakNext still waits for.
+// breaksLeft returns the number of machines of breakNext that were not created yet.
 func (c *cloud) breaksLeft() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.neverBootNext + c.failTasksNext
 }
 
-// reclaimSpot tells all spot machines that they are taken back after a notice, and
-// returns how many those are.
+// reclaimSpot reclaims all spot instances after a notice, and returns their number.
 func (c *cloud) reclaimSpot(notice time.Duration) int {
 	n := 0
 	for _, m := range c.allMachines() {
@@ -38,7 +39,7 @@
 	return n
 }
 
-// machineZone is the zone of a machine that is there; empty if it is gone.
+// machineZone returns the zone of a machine; empty if it is gone.
 func (f *fleet) machineZone(machine string) string {
 	f.cloud.mu.Lock()
 	defer f.cloud.mu.Unlock()
@@ -48,7 +49,7 @@
 	return ""
 }
 
-// failServiceTask has a task of a service on a machine end with an error.
+// failServiceTask makes one running task of a service on a machine end with an error.
 func (f *fleet) failServiceTask(machine string) {
 	f.cloud.mu.Lock()
 	m := f.cloud.machines[machine]
@@ -58,10 +59,10 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, x := range m.tasks {
-		if x.State == wire.TaskRunning && !f.isArrayTask(x.Task) {
-			x.State, x.Cause, x.changesAt = wire.TaskExited, wire.CauseError, time.Time{}
-			m.observer.taskEnded(x.Task, m.name)
+	for _, t := range m.tasks {
+		if t.State == wire.TaskRunning && !f.isArrayTask(t.Task) {
+			t.exit(wire.CauseError)
+			m.observer.taskEnded(t.Task, m.name)
 			m.requestHeartbeat()
 			return
 		}
--- a/internal/loopback/machine_heartbeats_test.go
+++ b/internal/loopback/machine_heartbeats_test.go
@@ -10,14 +10,17 @@
 	"ravenport/wire"
 )
 
-// replyTimeout is after which time without an answer a worker turns to the next
-// controller, and minHeartbeatGap the least time between two of its reports.
 const (
-	replyTimeout    = 4 * time.Second
+	// replyTimeout is after which time without a reply a worker turns to the next
+	// controller.
+	replyTimeout = 4 * time.Second
+	// minHeartbeatGap is the least time between two heartbeats of a worker.
 	minHeartbeatGap = 500 * time.Millisecond
+	// errorPause is how long a worker waits after a failed heartbeat.
+	errorPause = time.Second
 )
 
-// run is a worker's life: it reports to one controller at a time.
+// run sends heartbeats, to one controller at a time, until the machine ends.
 func (m *machine) run(f *fleet) {
 	if err := m.listen(f); err != nil {
 		panic(fmt.Sprintf("listening on %s: %v", m.addr, err))
@@ -26,10 +29,10 @@
 	m.leaseRenewedAt = time.Now()
 	m.mu.Unlock()
 	go m.advanceUntilStopped()
-	node := rand.IntN(len(f.controllers))
-	look := time.NewTicker(50 * time.Millisecond)
-	defer look.Stop()
-	var next, sent time.Time
+	target := rand.IntN(len(f.controllers))
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	var nextAt, sentAt time.Time
 	changed := true
 	for {
 		select {
@@ -37,87 +40,107 @@
 			return
 		case <-m.heartbeatDue:
 			changed = true
-		case <-look.C:
+		case <-ticker.C:
 		}
-		if now := time.Now(); now.Before(next) && !(changed && now.Sub(sent) >= minHeartbeatGap) {
+		now := time.Now()
+		early := changed && now.Sub(sentAt) >= minHeartbeatGap
+		if now.Before(nextAt) && !early {
 			continue
 		}
 		changed = false
-		sent = time.Now()
-		next = sent.Add(time.Duration(float64(f.heartbeatPeriod) * (0.75 + rand.Float64()/2)))
-		var soon bool
-		if node, soon = m.sendHeartbeat(f, node); soon {
-			next = time.Now()
-		} else if node < 0 {
-			return
+		sentAt = time.Now()
+		nextAt = sentAt.Add(time.Duration(float64(f.heartbeatPeriod) * (0.75 + rand.Float64()/2)))
+		var atOnce bool
+		target, atOnce = m.sendHeartbeat(f, target)
+		if atOnce {
+			nextAt = time.Now()
 		}
 	}
 }
 
-// sendHeartbeat makes one report. It returns the controller for the next one, and whether
-// that is due at once.
-func (m *machine) sendHeartbeat(f *fleet, node int) (int, bool) {
-	if f.cutFromWorkers[node].Load() {
+// sendHeartbeat sends one heartbeat to a controller. It returns the controller for the
+// next one, and whether that one is due at once.
+func (m *machine) sendHeartbeat(f *fleet, target int) (next int, atOnce bool) {
+	if f.cutFromWorkers[target].Load() {
 		time.Sleep(replyTimeout)
-		return (node + 1) % len(f.controllers), true
+		return f.nextController(target), true
 	}
 	m.mu.Lock()
-	sent, session := time.Now(), m.epoch
+	sentAt, epoch := time.Now(), m.epoch
 	body := m.nextHeartbeat()
 	m.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), replyTimeout)
 	defer cancel()
-	msg, err := f.workerClient(m, node).Do(ctx, "POST", wire.PathHeartbeat, body)
+	response, err := f.workerClient(m, target).Do(ctx, "POST", wire.PathHeartbeat, body)
 	f.heartbeats.Add(1)
 	switch {
-	case err == nil && msg.Status == 200:
-		var reply wire.HeartbeatReply
-		if err := json.Unmarshal(msg.Body, &reply); err != nil {
-			panic(fmt.Sprintf("unreadable answer to a report: %v", err))
-		}
-		m.mu.Lock()
-		defer m.mu.Unlock()
-		if reply.FencingToken < m.fencingToken || session != m.epoch || m.ended.Load() {
-			return node, false
-		}
-		if reply.FencingToken > m.fencingToken {
-			m.requestHeartbeat()
-		}
-		m.leaseRenewedAt = sent
-		m.executeUnderToken(f, reply.FencingToken, reply.Commands, sent)
-		return node, false
-	case err == nil && msg.Status == 421:
+	case err == nil && response.Status == 200:
+		m.handleReply(f, response.Body, sentAt, epoch)
+		return target, false
+	case err == nil && response.Status == 421:
 		var redirect wire.Redirect
-		if err := json.Unmarshal(msg.Body, &redirect); err == nil {
-			if to := f.controllerIndex(redirect.Controller); to >= 0 && to != node {
+		if err := json.Unmarshal(response.Body, &redirect); err == nil {
+			if to := f.controllerIndex(redirect.Controller); to >= 0 && to != target {
 				return to, true
 			}
 		}
 	}
-	time.Sleep(time.Second)
-	return (node + 1) % len(f.controllers), true
+	time.Sleep(errorPause)
+	return f.nextController(target), true
+}
+
+// nextController returns the index of the controller that a worker turns to after one.
+func (f *fleet) nextController(i int) int { return (i + 1) % len(f.controllers) }
+
+// handleReply renews the lease and executes the commands of a reply, unless it is out of
+// date.
+func (m *machine) handleReply(f *fleet, body []byte, sentAt time.Time, epoch uint64) {
+	var reply wire.HeartbeatReply
+	if err := json.Unmarshal(body, &reply); err != nil {
+		panic(fmt.Sprintf("unreadable answer to a report: %v", err))
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if reply.FencingToken < m.fencingToken || epoch != m.epoch || m.ended.Load() {
+		return
+	}
+	if reply.FencingToken > m.fencingToken {
+		m.requestHeartbeat()
+	}
+	m.leaseRenewedAt = sentAt
+	m.executeUnderToken(f, reply.FencingToken, reply.Commands, sentAt)
 }
 
-// nextHeartbeat writes the next report. The caller holds the lock.
+// nextHeartbeat encodes the next heartbeat. The caller holds the lock.
 func (m *machine) nextHeartbeat() []byte {
 	m.advance()
 	m.seq++
-	r := wire.Heartbeat{Machine: m.name, Addr: m.addr, Type: machineType.Name, Zone: m.zone, Spot: m.spot, Epoch: m.epoch, Seq: m.seq, FencingToken: m.fencingToken, Tasks: []wire.TaskStatus{}}
+	heartbeat := wire.Heartbeat{
+		Machine:      m.name,
+		Addr:         m.addr,
+		Type:         machineType.Name,
+		Zone:         m.zone,
+		Spot:         m.spot,
+		Epoch:        m.epoch,
+		Seq:          m.seq,
+		FencingToken: m.fencingToken,
+		Tasks:        []wire.TaskStatus{},
+	}
 	if !m.reclaimedAt.IsZero() {
 		left := max(0, time.Until(m.reclaimedAt).Seconds())
-		r.NoticeS = &left
+		heartbeat.NoticeS = &left
 	}
 	for _, t := range m.tasks {
-		r.Tasks = append(r.Tasks, t.TaskStatus)
+		heartbeat.Tasks = append(heartbeat.Tasks, t.TaskStatus)
 	}
-	body, err := json.Marshal(r)
+	body, err := json.Marshal(heartbeat)
 	if err != nil {
 		panic(err) // a type of wire
 	}
 	return body
 }
 
-// requestHeartbeat has the next report made soon.
+// requestHeartbeat has the next heartbeat sent soon. It does not block.
 func (m *machine) requestHeartbeat() {
 	select {
 	case m.heartbeatDue <- struct{}{}:
--- a/internal/loopback/machine_test.go
+++ b/internal/loopback/machine_test.go
@@ -8,32 +8,45 @@
 	"ravenport/wire"
 )
 
-// machine stands in for a worker with its machine.
+// machine stands in for a machine with its worker.
 type machine struct {
-	name, addr, zone       string
-	spot                   bool
-	createdAt              time.Time
-	neverBoots, failsTasks bool      // it never comes up; every task that starts on it fails
-	reclaimedAt            time.Time // when its provider takes it back, of which it tells; zero: never
-	stopped                chan struct{}
-	ended                  atomic.Bool
+	name       string
+	addr       string
+	zone       string
+	spot       bool
+	createdAt  time.Time
+	neverBoots bool
+	failsTasks bool // every task that starts on it fails
+	lease      time.Duration
+	observer   *observer
+	stopped    chan struct{} // closed when the machine is terminated
+	ended      atomic.Bool
+	// heartbeatDue has the next heartbeat sent before its time.
+	heartbeatDue chan struct{}
 
 	mu             sync.Mutex
 	epoch          uint64
-	leaseRenewedAt time.Time // when the last answered report was sent
-	lease          time.Duration
-	seq            uint64
-	fencingToken   uint64
-	observer       *observer
-	tasks          []*task // in the order of their starts
-	heartbeatDue   chan struct{}
+	leaseRenewedAt time.Time // when the last heartbeat with a reply was sent; zero: not up yet
+	seq            uint64    // of the latest heartbeat
+	fencingToken   uint64    // highest one so far
+	tasks          []*task   // in the order of their starts
+	reclaimedAt    time.Time // when the cloud reclaims it, which its heartbeats say; zero: never
 }
 
 func newMachine(name, addr, zone string, spot bool) *machine {
-	return &machine{name: name, addr: addr, zone: zone, spot: spot, createdAt: time.Now(), epoch: 1, stopped: make(chan struct{}), heartbeatDue: make(chan struct{}, 1)}
+	return &machine{
+		name:         name,
+		addr:         addr,
+		zone:         zone,
+		spot:         spot,
+		createdAt:    time.Now(),
+		epoch:        1,
+		stopped:      make(chan struct{}),
+		heartbeatDue: make(chan struct{}, 1),
+	}
 }
 
-// terminate takes the machine away, with all that is on it.
+// terminate ends the machine and all its tasks.
 func (m *machine) terminate() {
 	if m.ended.Swap(true) {
 		return
@@ -52,8 +65,8 @@
 	m.tasks = nil
 }
 
-// usedCPUs is how many CPUs the machine's tasks hold, and whether the machine is up and
-// has been answered.
+// usedCPUs returns the CPUs that the machine's tasks hold, and whether the machine is up
+// and has received a reply to a heartbeat.
 func (m *machine) usedCPUs(f *fleet) (float64, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -66,25 +79,36 @@
 	return cpus, m.fencingToken > 0 && !m.ended.Load()
 }
 
-// task is one attempt on a machine.
+// task is one attempt of a task on a machine.
 type task struct {
 	wire.TaskStatus
-	changesAt time.Time // when its state changes by itself; zero: it does not
-	duration  time.Duration
+	changesAt time.Time     // when its state changes by itself; zero: it does not
+	duration  time.Duration // how long it runs; 0: until it is stopped
+}
+
+// exit ends the attempt for a cause.
+func (t *task) exit(cause string) {
+	t.State = wire.TaskExited
+	t.Cause = cause
+	t.changesAt = time.Time{}
 }
 
+// tickInterval is how often a machine looks at its clock.
+const tickInterval = 50 * time.Millisecond
+
 // imageFetchTime is how long a task waits for its image.
 const imageFetchTime = 200 * time.Millisecond
 
-// advanceUntilStopped lets time pass on the machine until it ends, whatever its reports wait for.
+// advanceUntilStopped changes the states of tasks until the machine ends, also while a
+// heartbeat waits for its reply.
 func (m *machine) advanceUntilStopped() {
-	look := time.NewTicker(50 * time.Millisecond)
-	defer look.Stop()
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-m.stopped:
 			return
-		case <-look.C:
+		case <-ticker.C:
 		}
 		m.mu.Lock()
 		changed := m.advance()
@@ -95,7 +119,8 @@
 	}
 }
 
-// advance lets time pass, and says whether it changed anything.
+// advance does what is due by now: it ends all tasks if the lease has expired, and changes
+// the states of tasks. It reports whether anything changed. The caller holds the lock.
 func (m *machine) advance() bool {
 	changed := false
 	if !m.leaseRenewedAt.IsZero() && time.Since(m.leaseRenewedAt) > m.lease {
@@ -109,16 +134,16 @@
 			continue
 		}
 		changed = true
-		switch {
-		case t.State == wire.TaskFetching:
-			m.observer.taskStarted(t.Task, m.name)
-			t.State, t.changesAt = wire.TaskRunning, time.Time{}
-			if t.duration > 0 {
-				t.changesAt = time.Now().Add(t.duration)
-			}
-		default:
+		if t.State != wire.TaskFetching {
 			m.observer.taskCompleted(t.Task, m.name)
-			t.State, t.Cause, t.changesAt = wire.TaskExited, wire.CauseDone, time.Time{}
+			t.exit(wire.CauseDone)
+			continue
+		}
+		m.observer.taskStarted(t.Task, m.name)
+		t.State = wire.TaskRunning
+		t.changesAt = time.Time{}
+		if t.duration > 0 {
+			t.changesAt = time.Now().Add(t.duration)
 		}
 	}
 	return changed
--- a/internal/loopback/observer_test.go
+++ b/internal/loopback/observer_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"sync"
 	"time"
 
@@ -12,113 +13,138 @@
 
 // execution is the time that a task was on a machine.
 type execution struct {
-	machine        string
-	started, ended time.Time // to is zero while it is there
+	machine string
+	started time.Time
+	ended   time.Time // zero while it is there
 }
 
-// observer keeps what the workers and the state service saw, as they saw it: where each
-// task was and when, which terms were claimed, and under which terms workers obeyed.
+// observer keeps what the workers and the store saw, as they saw it: where each task was
+// and when, which terms were acquired, and under which terms workers executed commands.
 type observer struct {
-	mu               sync.Mutex
-	executions       map[string][]*execution // by task
-	completed        map[string]bool         // tasks that completed
-	violationTexts   []string
+	began time.Time
+
+	mu             sync.Mutex
+	executions     map[string][]*execution // by task
+	completed      map[string]bool         // tasks that completed
+	violationTexts []string
+
 	ownershipHistory map[string][]porcupine.Operation // by zone
-	firstCommandAt   map[string]map[uint64]time.Time  // by zone and term: when the first start under it was obeyed
-	acquiredAt       map[string]map[uint64]time.Time
-	began            time.Time
-	// disruptions judges stops of the tasks that isService is true for; nil: nothing does.
+	acquiredAt       map[string]map[uint64]time.Time  // by zone and term
+	firstCommandAt   map[string]map[uint64]time.Time  // by zone and term
+
+	// disruptions checks the stops of tasks for which isService is true; nil: no stop is
+	// checked.
 	disruptions      *disruptioncheck.Check
 	isService        func(task string) bool
-	lastStopMachine  string // machine on which a judged task was told to stop last
-	lastStartMachine string // machine on which one began to run last
+	lastStopMachine  string // machine on which such a task was stopped last
+	lastStartMachine string // machine on which such a task started last
 }
 
 func newObserver() *observer {
-	return &observer{executions: map[string][]*execution{}, completed: map[string]bool{}, ownershipHistory: map[string][]porcupine.Operation{}, firstCommandAt: map[string]map[uint64]time.Time{},
-		acquiredAt: map[string]map[uint64]time.Time{}, began: time.Now()}
+	return &observer{
+		began:            time.Now(),
+		executions:       map[string][]*execution{},
+		completed:        map[string]bool{},
+		ownershipHistory: map[string][]porcupine.Operation{},
+		acquiredAt:       map[string]map[uint64]time.Time{},
+		firstCommandAt:   map[string]map[uint64]time.Time{},
+	}
 }
 
-// taskStarted notes that a task is on a machine; it must be on no other one.
-func (r *observer) taskStarted(task, machine string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// taskStarted records that a task runs on a machine. It is a violation if the task is on
+// another machine.
+func (o *observer) taskStarted(task, machine string) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	now := time.Now()
-	for _, s := range r.executions[task] {
-		if s.ended.IsZero() && s.machine != machine {
-			r.violationTexts = append(r.violationTexts, fmt.Sprintf("ran_twice: %s starts on %s while it is on %s", task, machine, s.machine))
+	for _, e := range o.executions[task] {
+		if e.ended.IsZero() && e.machine != machine {
+			o.violationTexts = append(o.violationTexts, fmt.Sprintf("ran_twice: %s starts on %s while it is on %s", task, machine, e.machine))
 		}
 	}
-	r.executions[task] = append(r.executions[task], &execution{machine: machine, started: now})
-	if r.checksDisruptionOf(task) {
-		r.lastStartMachine = machine
-		r.disruptions.TaskUp(task, now)
+	o.executions[task] = append(o.executions[task], &execution{machine: machine, started: now})
+	if o.checksDisruptionOf(task) {
+		o.lastStartMachine = machine
+		o.disruptions.TaskUp(task, now)
 	}
 }
 
-// taskStopped notes that a task was told to stop, and leaves its machine for that.
-func (r *observer) taskStopped(task, machine string, running bool) {
-	r.mu.Lock()
-	if r.checksDisruptionOf(task) && running {
-		r.lastStopMachine = machine
-		if err := r.disruptions.TaskStopped(task, time.Now()); err != nil {
-			r.violationTexts = append(r.violationTexts, "budget: "+err.Error())
+// taskStopped records that a task was stopped by a command. Voluntary stops of services are
+// checked against the disruption budget.
+func (o *observer) taskStopped(task, machine string, isVoluntary bool) {
+	o.mu.Lock()
+	if isVoluntary && o.checksDisruptionOf(task) {
+		o.lastStopMachine = machine
+		if err := o.disruptions.TaskStopped(task, time.Now()); err != nil {
+			o.violationTexts = append(o.violationTexts, "budget: "+err.Error())
 		}
 	}
-	r.mu.Unlock()
-	r.taskEnded(task, machine)
+	o.mu.Unlock()
+	o.taskEnded(task, machine)
 }
 
-// taskEnded notes that a task is not on a machine any more.
-func (r *observer) taskEnded(task, machine string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, s := range r.executions[task] {
-		if s.ended.IsZero() && s.machine == machine {
-			s.ended = time.Now()
-			if r.checksDisruptionOf(task) {
-				r.disruptions.TaskDown(task, s.ended)
-			}
+// taskEnded records that a task is not on a machine any more.
+func (o *observer) taskEnded(task, machine string) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	for _, e := range o.executions[task] {
+		if !e.ended.IsZero() || e.machine != machine {
+			continue
+		}
+		e.ended = time.Now()
+		if o.checksDisruptionOf(task) {
+			o.disruptions.TaskDown(task, e.ended)
 		}
 	}
 }
 
-// taskCompleted notes that a task leaves its machine because it is done.
-func (r *observer) taskCompleted(task, machine string) {
-	r.taskEnded(task, machine)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.completed[task] = true
+// taskCompleted records that a task has ended because it is done.
+func (o *observer) taskCompleted(task, machine string) {
+	o.taskEnded(task, machine)
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.completed[task] = true
 }
 
-// startedArrayTasks counts the tasks that are done, or on a machine and not a service's:
-// services are submitted first, and theirs never complete.
-func (r *observer) startedArrayTasks(isArray func(task string) bool) int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	n := len(r.completed)
-	for task, stays := range r.executions {
-		if stays[len(stays)-1].ended.IsZero() && !r.completed[task] && isArray(task) {
+// startedArrayTasks counts the tasks of job arrays that are done or on a machine. Tasks of
+// services never complete.
+func (o *observer) startedArrayTasks(isArray func(task string) bool) int {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	n := len(o.completed)
+	for task := range o.executions {
+		if o.isRunning(task) && !o.completed[task] && isArray(task) {
 			n++
 		}
 	}
 	return n
 }
 
-// violations returns what was seen to break a rule.
-func (r *observer) violations() []string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return append([]string(nil), r.violationTexts...)
+// lastExecution returns the latest execution of a task that was on a machine before. The
+// caller holds the lock.
+func (o *observer) lastExecution(task string) *execution {
+	executions := o.executions[task]
+	return executions[len(executions)-1]
+}
+
+// isRunning reports whether a task that was on a machine before is on one now. The caller
+// holds the lock.
+func (o *observer) isRunning(task string) bool { return o.lastExecution(task).ended.IsZero() }
+
+// violations returns a text for each violation of a rule that was seen.
+func (o *observer) violations() []string {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return slices.Clone(o.violationTexts)
 }
 
 // runningTasks counts the tasks that are on a machine now.
-func (r *observer) runningTasks() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (o *observer) runningTasks() int {
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	n := 0
-	for _, stays := range r.executions {
-		if last := stays[len(stays)-1]; last.ended.IsZero() {
+	for task := range o.executions {
+		if o.isRunning(task) {
 			n++
 		}
 	}
@@ -126,8 +152,8 @@
 }
 
 // startedTasks counts the tasks that were on any machine.
-func (r *observer) startedTasks() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return len(r.executions)
+func (o *observer) startedTasks() int {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return len(o.executions)
 }
--- a/internal/loopback/ownership_test.go
+++ b/internal/loopback/ownership_test.go
@@ -1,6 +1,7 @@
 package loopback
 
 import (
+	"maps"
 	"time"
 
 	"github.com/anishathalye/porcupine"
@@ -8,120 +9,117 @@
 	"ravenport/constants"
 )
 
-// Operations of a zone's ownership.
+// Operations on the ownership of a zone's shard.
 type (
-	// acquireOp raises the zone's term by one.
+	// acquireOp acquires a term, the next one after the latest.
 	acquireOp struct{ term uint64 }
-	// executeOp is a worker that carries out commands under a term.
+	// executeOp executes commands under a term on a worker.
 	executeOp struct {
 		machine string
 		term    uint64
 	}
 )
 
-// termAcquired notes a claim that the state service carried out between two moments.
-func (r *observer) termAcquired(zone string, term uint64, from, to time.Time) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	noteFirst(r.acquiredAt, zone, term, to)
-	r.addOperation(zone, acquireOp{term}, from, to)
+// termAcquired records that the store wrote the acquisition of a term between two times.
+func (o *observer) termAcquired(zone string, term uint64, from, to time.Time) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	noteFirst(o.acquiredAt, zone, term, to)
+	o.addOperation(zone, acquireOp{term}, from, to)
 }
 
-// commandsExecuted notes commands that a worker carried out under a term.
-func (r *observer) commandsExecuted(zone, machine string, token uint64, from, to time.Time) {
+// commandsExecuted records that a worker executed commands under a fencing token between
+// two times.
+func (o *observer) commandsExecuted(zone, machine string, token uint64, from, to time.Time) {
 	term := token >> constants.TokenCounterBits
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	noteFirst(r.firstCommandAt, zone, term, to)
-	r.addOperation(zone, executeOp{machine, term}, from, to)
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	noteFirst(o.firstCommandAt, zone, term, to)
+	o.addOperation(zone, executeOp{machine, term}, from, to)
 }
 
-func noteFirst(of map[string]map[uint64]time.Time, zone string, term uint64, at time.Time) {
-	if of[zone] == nil {
-		of[zone] = map[uint64]time.Time{}
+// noteFirst sets the time of a zone's term, unless it is set.
+func noteFirst(times map[string]map[uint64]time.Time, zone string, term uint64, at time.Time) {
+	if times[zone] == nil {
+		times[zone] = map[uint64]time.Time{}
 	}
-	if _, known := of[zone][term]; !known {
-		of[zone][term] = at
+	if _, known := times[zone][term]; !known {
+		times[zone][term] = at
 	}
 }
 
-// addOperation appends an operation. The caller holds the lock.
-func (r *observer) addOperation(zone string, input any, from, to time.Time) {
-	r.ownershipHistory[zone] = append(r.ownershipHistory[zone], porcupine.Operation{ClientId: len(r.ownershipHistory[zone]), Input: input,
-		Call: from.Sub(r.began).Nanoseconds(), Return: to.Sub(r.began).Nanoseconds()})
+// addOperation adds an operation to a zone's history, as one of a client of its own: any
+// two operations may overlap. The caller holds the lock.
+func (o *observer) addOperation(zone string, input any, from, to time.Time) {
+	history := o.ownershipHistory[zone]
+	o.ownershipHistory[zone] = append(history, porcupine.Operation{
+		ClientId: len(history),
+		Input:    input,
+		Call:     from.Sub(o.began).Nanoseconds(),
+		Return:   to.Sub(o.began).Nanoseconds(),
+	})
 }
 
-func (r *observer) firstCommand(zone string, term uint64) time.Time {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.firstCommandAt[zone][term]
+// firstCommand returns when a worker first executed commands under a term; zero: not yet.
+func (o *observer) firstCommand(zone string, term uint64) time.Time {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.firstCommandAt[zone][term]
 }
 
-func (r *observer) acquisition(zone string, term uint64) time.Time {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.acquiredAt[zone][term]
+// acquisition returns when a term was acquired; zero: not yet.
+func (o *observer) acquisition(zone string, term uint64) time.Time {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.acquiredAt[zone][term]
 }
 
-// ownership is a zone's state: the claimed term, and per machine the highest one that
-// it obeyed.
+// ownership is the state of a zone's shard.
 type ownership struct {
-	term     uint64
-	executed map[string]uint64
+	term     uint64            // that was acquired last
+	executed map[string]uint64 // by machine: the highest term that it executed commands under
 }
 
-// ownershipModel is what a linearizable history of claims and obeyed commands keeps to:
-// terms rise one by one, no worker obeys a term that was not claimed yet, and none
-// obeys an earlier term after a later one.
+// ownershipModel is the sequential specification of a shard's ownership: terms rise one by
+// one, no worker executes commands under a term that is not acquired yet, and none does
+// under an earlier term after a later one.
 var ownershipModel = porcupine.Model{
 	Init: func() any { return ownership{executed: map[string]uint64{}} },
 	Step: func(before, input, _ any) (bool, any) {
-		s := before.(ownership)
+		state := before.(ownership)
 		switch op := input.(type) {
 		case acquireOp:
-			return op.term == s.term+1, ownership{op.term, s.executed}
+			return op.term == state.term+1, ownership{op.term, state.executed}
 		case executeOp:
-			if op.term > s.term || op.term < s.executed[op.machine] {
-				return false, s
+			if op.term > state.term || op.term < state.executed[op.machine] {
+				return false, state
 			}
-			if op.term == s.executed[op.machine] {
-				return true, s
+			if op.term == state.executed[op.machine] {
+				return true, state
 			}
-			seen := map[string]uint64{op.machine: op.term}
-			for machine, term := range s.executed {
-				if machine != op.machine {
-					seen[machine] = term
-				}
-			}
-			return true, ownership{s.term, seen}
+			executed := maps.Clone(state.executed) // the state before must not change
+			executed[op.machine] = op.term
+			return true, ownership{state.term, executed}
 		}
-		return false, s
+		return false, state
 	},
 	Equal: func(a, b any) bool {
 		x, y := a.(ownership), b.(ownership)
-		if x.term != y.term || len(x.executed) != len(y.executed) {
-			return false
-		}
-		for machine, term := range x.executed {
-			if y.executed[machine] != term {
-				return false
-			}
-		}
-		return true
+		return x.term == y.term && maps.Equal(x.executed, y.executed)
 	},
 }
 
-// ownershipCheckTimeout bounds how long a history is judged.
+// ownershipCheckTimeout bounds the time that the check of one history takes.
 const ownershipCheckTimeout = 60 * time.Second
 
-// checkOwnership says of each zone whether its history of claims and obeyed commands can be put
-// in one order, and how many operations it has.
-func (r *observer) checkOwnership() map[string]porcupine.CheckResult {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	out := map[string]porcupine.CheckResult{}
-	for zone, history := range r.ownershipHistory {
-		out[zone] = porcupine.CheckOperationsTimeout(ownershipModel, history, ownershipCheckTimeout)
+// checkOwnership reports, by zone, whether the history of acquisitions and executed commands
+// is linearizable.
+func (o *observer) checkOwnership() map[string]porcupine.CheckResult {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	results := map[string]porcupine.CheckResult{}
+	for zone, history := range o.ownershipHistory {
+		results[zone] = porcupine.CheckOperationsTimeout(ownershipModel, history, ownershipCheckTimeout)
 	}
-	return out
+	return results
 }
--- a/internal/loopback/sampler_test.go
+++ b/internal/loopback/sampler_test.go
@@ -5,110 +5,120 @@
 	"time"
 )
 
-// sampleInterval is the time between two rows of a census.
+// sampleInterval is the time between two samples.
 const sampleInterval = time.Second
 
-// sample is what the workers' side shows at one moment.
+// sample is what the workers and the store show at one moment.
 type sample struct {
-	elapsed            time.Duration // since the census began
-	waitingTasks       int           // tasks of accepted arrays that are neither on a machine nor done
-	usedCPUs           float64       // held by tasks
-	machinesUp         int           // that are up
-	freeMachines       int           // of those, machines that an array's task would fit
-	longestFree        time.Duration // for how long one of those has had room while tasks waited
-	longestFreeMachine string        // which one that is
-	owners             map[string]string
-	leader             string
+	elapsed      time.Duration // since the first sample was started
+	waitingTasks int           // tasks of accepted job arrays that are neither on a machine nor done
+	usedCPUs     float64       // held by tasks
+	machinesUp   int
+	freeMachines int // of those, machines that a task of a job array would fit
+	// longestFree is for how long one of those has been free while tasks waited, and
+	// longestFreeMachine its name.
+	longestFree        time.Duration
+	longestFreeMachine string
 
-	unassignedTasks int    // tasks of arrays in no assignment
-	revision        uint64 // changes of the state service so far
+	owners          map[string]string // controllers by zone
+	leader          string
+	unassignedTasks int    // tasks of job arrays in no assignment
+	revision        uint64 // of the store
 }
 
-// sampler counts, second by second and from the workers' side alone, what runs, what
-// waits and which machines have room.
+// sampler takes samples until it is finished.
 type sampler struct {
 	stop chan struct{}
 	done sync.WaitGroup
 
-	mu        sync.Mutex
+	// Used by the sampling goroutine alone until it has ended.
 	samples   []sample
-	freeSince map[string]time.Time // by machine: since when it has room while tasks wait
+	freeSince map[string]time.Time // by machine: since when it has been free while tasks waited
 }
 
-// startSampling counts until the census is ended.
-func (f *fleet) startSampling(l *workload) *sampler {
-	c := &sampler{stop: make(chan struct{}), freeSince: map[string]time.Time{}}
+// startSampling starts to take samples.
+func (f *fleet) startSampling(w *workload) *sampler {
+	s := &sampler{stop: make(chan struct{}), freeSince: map[string]time.Time{}}
+	s.done.Add(1)
+	go s.run(f, w)
+	return s
+}
+
+// run takes samples until the sampler is stopped.
+func (s *sampler) run(f *fleet, w *workload) {
+	defer s.done.Done()
 	began := time.Now()
-	c.done.Add(1)
-	go func() {
-		defer c.done.Done()
-		tick := time.NewTicker(sampleInterval)
-		defer tick.Stop()
-		for {
-			select {
-			case <-c.stop:
-				return
-			case now := <-tick.C:
-				row := f.takeSample(c, l, now)
-				row.elapsed = now.Sub(began)
-				c.mu.Lock()
-				c.samples = append(c.samples, row)
-				c.mu.Unlock()
-			}
+	ticker := time.NewTicker(sampleInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-s.stop:
+			return
+		case now := <-ticker.C:
+			taken := s.take(f, w, now)
+			taken.elapsed = now.Sub(began)
+			s.samples = append(s.samples, taken)
 		}
-	}()
-	return c
+	}
 }
 
-// finish ends the census and returns its rows.
-func (c *sampler) finish() []sample {
-	close(c.stop)
-	c.done.Wait()
-	return c.samples
+// finish stops the sampler and returns its samples.
+func (s *sampler) finish() []sample {
+	close(s.stop)
+	s.done.Wait()
+	return s.samples
 }
 
-// takeSample makes one row. The machines of a shard whose owner is cut off from its workers
-// have nobody to give them anything, and are not counted as having room.
-func (f *fleet) takeSample(c *sampler, l *workload, now time.Time) sample {
-	row := sample{owners: map[string]string{}, waitingTasks: l.acceptedArrays()*f.tasksPerArray - f.observer.startedArrayTasks(f.isArrayTask)}
-	row.leader = f.store.leader()
-	row.unassignedTasks, row.revision = f.store.unassignedTasks()
-	unserved := map[string]bool{}
+// take takes one sample. The machines of a shard whose owner is cut from its workers cannot
+// be given tasks, and do not count as free.
+func (s *sampler) take(f *fleet, w *workload, now time.Time) sample {
+	taken := sample{
+		waitingTasks: w.acceptedArrays()*f.tasksPerArray - f.observer.startedArrayTasks(f.isArrayTask),
+		owners:       map[string]string{},
+		leader:       f.store.leader(),
+	}
+	taken.unassignedTasks, taken.revision = f.store.unassignedTasks()
+	isUnserved := map[string]bool{}
 	for _, zone := range f.zones {
 		name, _ := f.store.shardOwner(zone)
 		owner := f.controllerIndex(name)
-		row.owners[zone] = name
-		unserved[zone] = owner < 0 || f.cutFromWorkers[owner].Load()
+		taken.owners[zone] = name
+		isUnserved[zone] = owner < 0 || f.cutFromWorkers[owner].Load()
 	}
-	room := map[string]bool{}
+	var free []string
 	for _, m := range f.cloud.allMachines() {
-		cpus, up := m.usedCPUs(f)
-		if !up {
+		cpus, isUp := m.usedCPUs(f)
+		if !isUp {
 			continue
 		}
-		row.machinesUp++
-		row.usedCPUs += cpus
-		if machineType.CPUs-cpus < arrayTaskCPUs || unserved[m.zone] {
-			continue
+		taken.machinesUp++
+		taken.usedCPUs += cpus
+		if machineType.CPUs-cpus >= arrayTaskCPUs && !isUnserved[m.zone] {
+			free = append(free, m.name)
 		}
-		row.freeMachines++
-		room[m.name] = row.waitingTasks > 0
 	}
-	for name := range c.freeSince {
-		if !room[name] {
-			delete(c.freeSince, name)
-		}
+	taken.freeMachines = len(free)
+	if taken.waitingTasks <= 0 {
+		free = nil
 	}
-	for name, waits := range room {
-		if !waits {
-			continue
-		}
-		if _, known := c.freeSince[name]; !known {
-			c.freeSince[name] = now
+	s.noteFree(free, now)
+	for name, since := range s.freeSince {
+		if d := now.Sub(since); d >= taken.longestFree {
+			taken.longestFree = d
+			taken.longestFreeMachine = name
 		}
-		if d := now.Sub(c.freeSince[name]); d >= row.longestFree {
-			row.longestFree, row.longestFreeMachine = d, name
+	}
+	return taken
+}
+
+// noteFree remembers since when machines have been free while tasks waited.
+func (s *sampler) noteFree(free []string, now time.Time) {
+	freeSince := map[string]time.Time{}
+	for _, name := range free {
+		freeSince[name] = now
+		if since, wasFree := s.freeSince[name]; wasFree {
+			freeSince[name] = since
 		}
 	}
-	return row
+	s.freeSince = freeSince
 }
--- a/internal/loopback/store_leases_test.go
+++ b/internal/loopback/store_leases_test.go
@@ -10,12 +10,13 @@
 	"ravenport/wire"
 )
 
-// storeLease is one lease of it.
+// storeLease is one lease of the stand-in store.
 type storeLease struct {
 	ttl       time.Duration
 	expiresAt time.Time
 }
 
+// grantLease grants a lease.
 func (s *store) grantLease(r *server.Request) {
 	var req wire.LeaseRequest
 	if err := json.Unmarshal(r.Body, &req); err != nil {
@@ -25,40 +26,41 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaseSeq++
-	life := time.Duration(req.TTLMS) * time.Millisecond
-	s.leases[s.leaseSeq] = &storeLease{life, time.Now().Add(life)}
+	ttl := time.Duration(req.TTLMS) * time.Millisecond
+	s.leases[s.leaseSeq] = &storeLease{ttl: ttl, expiresAt: time.Now().Add(ttl)}
 	respond(r, 200, wire.LeaseReply{Lease: s.leaseSeq})
 }
 
+// renewLease renews the lease that the path names.
 func (s *store) renewLease(r *server.Request, path string) {
 	id, _, _ := strings.Cut(strings.TrimPrefix(path, wire.PathLeases+"/"), "/")
 	n, _ := strconv.ParseUint(id, 10, 64)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.leases[n]
-	if l == nil {
+	lease := s.leases[n]
+	if lease == nil {
 		respond(r, 404, wire.Problem{Error: "no such lease"})
 		return
 	}
-	l.expiresAt = time.Now().Add(l.ttl)
+	lease.expiresAt = time.Now().Add(lease.ttl)
 	respond(r, 200, struct{}{})
 }
 
-// expireLeases ends the leases whose time is up, with the keys attached to them.
+// expireLeases deletes the leases that have expired, with the keys attached to them.
 func (s *store) expireLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id, l := range s.leases {
-		if time.Now().Before(l.expiresAt) {
+	for id, lease := range s.leases {
+		if time.Now().Before(lease.expiresAt) {
 			continue
 		}
 		delete(s.leases, id)
-		var gone []wire.Change
+		var deletions []wire.Change
 		for key, e := range s.keys {
 			if e.lease == id {
-				gone = append(gone, wire.Change{Delete: key})
+				deletions = append(deletions, wire.Change{Delete: key})
 			}
 		}
-		s.apply(gone)
+		s.apply(deletions)
 	}
 }
--- a/internal/loopback/store_records_test.go
+++ b/internal/loopback/store_records_test.go
@@ -8,18 +8,19 @@
 	"ravenport/records"
 )
 
-// shardOwner is the controller that holds a shard's term.
-func (s *store) shardOwner(zone string) (node string, term uint64) {
+// shardOwner returns the controller that holds a shard's term, and the term.
+func (s *store) shardOwner(zone string) (controller string, term uint64) {
 	return s.termHolder(records.KeyShard(zone))
 }
 
-// leader is who leads.
+// leader returns the controller that holds the leader's term.
 func (s *store) leader() string {
-	node, _ := s.termHolder(records.KeyLeader)
-	return node
+	controller, _ := s.termHolder(records.KeyLeader)
+	return controller
 }
 
-func (s *store) termHolder(key string) (node string, term uint64) {
+// termHolder returns what the record of a term says; empty and 0 without a record.
+func (s *store) termHolder(key string) (controller string, term uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e, ok := s.keys[key]
@@ -34,8 +35,7 @@
 	return t.Controller, t.Number
 }
 
-// unassignedTasks counts the tasks of arrays that are in no assignment, and tells the
-// revision.
+// unassignedTasks counts the tasks of job arrays that are in no assignment, at a revision.
 func (s *store) unassignedTasks() (tasks int, revision uint64) {
 	s.mu.Lock()
 	values := map[string]json.RawMessage{}
@@ -58,7 +58,7 @@
 	return tasks, revision
 }
 
-// recordsUnder decodes what is stored under keys with a prefix.
+// recordsUnder decodes the records whose keys have a prefix; others there are skipped.
 func (s *store) recordsUnder(prefix string) []any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,7 +74,8 @@
 	return out
 }
 
-// zoneWithClaim is a zone whose owner claims something of a budget; empty if none does.
+// zoneWithClaim returns a zone whose owner claims part of a disruption budget; empty if
+// none does.
 func (s *store) zoneWithClaim() string {
 	for _, record := range s.recordsUnder(records.KeyDisruptionClaim("")) {
 		c := record.(*records.DisruptionClaim)
@@ -87,7 +88,8 @@
 	return ""
 }
 
-// zoneWithClosedMachine is a zone with a machine that is durably closed; empty if there is none.
+// zoneWithClosedMachine returns a zone with a machine that is durably marked for its
+// return; empty if there is none.
 func (s *store) zoneWithClosedMachine() string {
 	for _, record := range s.recordsUnder(records.KeyPrefix) {
 		page, ok := record.(*records.InventoryPage)
--- a/internal/loopback/store_test.go
+++ b/internal/loopback/store_test.go
@@ -16,33 +16,40 @@
 	"ravenport/wire"
 )
 
-// storeEntry is one key of the stand-in state service.
+// storeEntry is one key of the stand-in store.
 type storeEntry struct {
 	value   json.RawMessage
 	version uint64
 	lease   uint64
 }
 
-// store stands in for the state service. It answers within a millisecond and
-// refuses nothing for rate.
+// store stands in for the consensus-backed key-value store. It responds within a
+// millisecond and has no rate limit.
 type store struct {
+	observer *observer
+
 	mu       sync.Mutex
 	keys     map[string]storeEntry
-	revision uint64
-	events   []wire.Event
+	revision uint64       // of the latest change
+	events   []wire.Event // all changes so far
 	leases   map[uint64]*storeLease
-	leaseSeq uint64
-	changed  chan struct{}
-	observer *observer
+	leaseSeq uint64        // id of the latest lease
+	changed  chan struct{} // closed and replaced at each change
 }
 
-func newStore(r *observer) *store {
-	return &store{observer: r, keys: map[string]storeEntry{}, leases: map[uint64]*storeLease{}, changed: make(chan struct{})}
+func newStore(observer *observer) *store {
+	return &store{
+		observer: observer,
+		keys:     map[string]storeEntry{},
+		leases:   map[uint64]*storeLease{},
+		changed:  make(chan struct{}),
+	}
 }
 
-// handle answers one request on a goroutine of its own, since a watch waits.
+// handle responds to one request on a goroutine of its own, since a watch waits.
 func (s *store) handle(r *server.Request) { go s.serve(r) }
 
+// serve responds to one request.
 func (s *store) serve(r *server.Request) {
 	path, query, _ := strings.Cut(r.Target, "?")
 	values, err := url.ParseQuery(query)
@@ -71,56 +78,61 @@
 	}
 }
 
+// commit applies the changes of a transaction if all its conditions hold.
 func (s *store) commit(r *server.Request, txn wire.Txn) {
-	came := time.Now()
+	receivedAt := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, c := range txn.Conditions {
-		if s.keys[c.Key].version != c.Version {
-			respond(r, 409, wire.TxnReply{Failed: []string{c.Key}, Revision: s.revision})
+	for _, condition := range txn.Conditions {
+		if s.keys[condition.Key].version != condition.Version {
+			respond(r, 409, wire.TxnReply{Failed: []string{condition.Key}, Revision: s.revision})
 			return
 		}
 	}
-	for _, ch := range txn.Changes {
-		if ch.Lease != 0 && s.leases[ch.Lease] == nil {
+	for _, change := range txn.Changes {
+		if change.Lease != 0 && s.leases[change.Lease] == nil {
 			respond(r, 400, wire.Problem{Error: "no such lease"})
 			return
 		}
 	}
 	s.apply(txn.Changes)
-	for _, ch := range txn.Changes {
-		s.noteTermAcquisition(ch, came)
+	for _, change := range txn.Changes {
+		s.noteTermAcquisition(change, receivedAt)
 	}
 	respond(r, 200, wire.TxnReply{Revision: s.revision})
 }
 
-// noteTermAcquisition records a write that raised a shard's term.
-func (s *store) noteTermAcquisition(ch wire.Change, came time.Time) {
-	record, err := records.Decode(ch.Put, ch.Value)
-	if term, ok := record.(*records.Term); err == nil && ok && term.Shard != "" {
-		s.observer.termAcquired(term.Shard, term.Number, came, time.Now())
+// noteTermAcquisition reports a change to the observer if it acquired a shard's term.
+func (s *store) noteTermAcquisition(change wire.Change, receivedAt time.Time) {
+	record, err := records.Decode(change.Put, change.Value)
+	if err != nil {
+		return
+	}
+	if term, ok := record.(*records.Term); ok && term.Shard != "" {
+		s.observer.termAcquired(term.Shard, term.Number, receivedAt, time.Now())
 	}
 }
 
-// apply carries out changes under one revision. The caller holds the lock.
+// apply applies changes under one revision. The caller holds the lock.
 func (s *store) apply(changes []wire.Change) {
 	if len(changes) == 0 {
 		return
 	}
 	s.revision++
-	for _, ch := range changes {
-		if ch.Delete != "" {
-			delete(s.keys, ch.Delete)
-			s.events = append(s.events, wire.Event{Delete: ch.Delete, Version: s.revision})
+	for _, change := range changes {
+		if change.Delete != "" {
+			delete(s.keys, change.Delete)
+			s.events = append(s.events, wire.Event{Delete: change.Delete, Version: s.revision})
 			continue
 		}
-		s.keys[ch.Put] = storeEntry{ch.Value, s.revision, ch.Lease}
-		s.events = append(s.events, wire.Event{Put: ch.Put, Value: ch.Value, Version: s.revision})
+		s.keys[change.Put] = storeEntry{change.Value, s.revision, change.Lease}
+		s.events = append(s.events, wire.Event{Put: change.Put, Value: change.Value, Version: s.revision})
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
+// get responds with the value of a key.
 func (s *store) get(r *server.Request, key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -132,6 +144,7 @@
 	respond(r, 200, wire.KeyValue{Key: key, Value: e.value, Version: e.version, Lease: e.lease})
 }
 
+// list responds with a page of the keys under a prefix.
 func (s *store) list(r *server.Request, q url.Values) {
 	limit, _ := strconv.Atoi(q.Get("limit"))
 	s.mu.Lock()
@@ -149,6 +162,7 @@
 	respond(r, 200, page)
 }
 
+// watch responds with the changes after a revision; it waits for one until a timeout.
 func (s *store) watch(r *server.Request, q url.Values) {
 	from, _ := strconv.ParseUint(q.Get("from"), 10, 64)
 	wait, _ := strconv.Atoi(q.Get("block_ms"))
@@ -173,7 +187,7 @@
 	}
 }
 
-// respond sends v as the JSON body of a response.
+// respond responds to a request with v as JSON.
 func respond(r *server.Request, status int, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
--- a/internal/loopback/workload_test.go
+++ b/internal/loopback/workload_test.go
@@ -9,78 +9,81 @@
 	"ravenport/wire"
 )
 
-// workload is the jobs that come while controllers fail.
+// workload submits jobs while controllers fail, and remembers those that were accepted.
 type workload struct {
 	stop chan struct{}
 	done sync.WaitGroup
 
 	mu     sync.Mutex
-	arrays []string
-	all    []string
+	arrays []string // ids of job arrays
+	all    []string // ids of all jobs
 }
 
-// startWorkload submits services at once and arrays from then on.
+// startWorkload submits the services at once, and job arrays from then on.
 func (f *fleet) startWorkload(t *testing.T) *workload {
 	t.Helper()
-	l := &workload{stop: make(chan struct{})}
-	time.Sleep(2 * time.Second) // the first terms are claimed
+	w := &workload{stop: make(chan struct{})}
+	time.Sleep(2 * time.Second) // until the first terms are acquired
 	for range f.services {
-		l.submit(f, true)
+		w.submit(f, f.nextService())
 	}
-	l.done.Add(1)
-	go func() {
-		defer l.done.Done()
-		for {
-			select {
-			case <-l.stop:
-				return
-			case <-time.After(f.arrayInterval):
-				l.done.Add(1)
-				go func() {
-					defer l.done.Done()
-					l.submit(f, false)
-				}()
-			}
+	w.done.Add(1)
+	go w.submitArrays(f)
+	return w
+}
+
+// submitArrays submits job arrays until the workload is stopped. One that no controller
+// accepts yet does not hold up the next.
+func (w *workload) submitArrays(f *fleet) {
+	defer w.done.Done()
+	for {
+		select {
+		case <-w.stop:
+			return
+		case <-time.After(f.arrayInterval):
 		}
-	}()
-	return l
+		w.done.Add(1)
+		go func() {
+			defer w.done.Done()
+			w.submit(f, f.nextArray())
+		}()
+	}
 }
 
-// submit submits a job until it is accepted, and notes it then.
-func (l *workload) submit(f *fleet, service bool) {
-	s := f.nextJob(service)
+// submit submits a job until it is accepted, and remembers it then.
+func (w *workload) submit(f *fleet, s wire.Submission) {
 	f.request("POST", wire.PathJobs, submissionBody(s))
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.all = append(l.all, s.ID)
-	if !service {
-		l.arrays = append(l.arrays, s.ID)
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.all = append(w.all, s.ID)
+	if s.Kind == wire.KindArray {
+		w.arrays = append(w.arrays, s.ID)
 	}
 }
 
-// acceptedArrays is how many arrays were accepted.
-func (l *workload) acceptedArrays() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return len(l.arrays)
+// acceptedArrays returns the number of job arrays that were accepted.
+func (w *workload) acceptedArrays() int {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return len(w.arrays)
 }
 
-// What a backlog may take beyond its least time: a share of it, since machines are never
-// all full, and the time in which the last failure's shard comes back.
+// A backlog may take backlogFactor times its least time, since machines are never all
+// full, and backlogMargin longer, in which the shard of the last failure is rebuilt.
 const (
 	backlogFactor = 1.25
 	backlogMargin = 30 * time.Second
 )
 
-// awaitArrays ends the load and sees that every accepted array is done, within the least
-// time in which the fleet can work off what waits then, and a margin.
-func (l *workload) awaitArrays(t *testing.T, f *fleet) {
+// awaitArrays stops the workload and checks that every accepted job array is done within
+// the least time that the fleet needs for what waits then, and a margin.
+func (w *workload) awaitArrays(t *testing.T, f *fleet) {
 	t.Helper()
-	close(l.stop)
-	l.done.Wait()
-	l.mu.Lock()
-	arrays, all := slices.Clone(l.arrays), len(l.all)
-	l.mu.Unlock()
+	close(w.stop)
+	w.done.Wait()
+	w.mu.Lock()
+	arrays, all := slices.Clone(w.arrays), len(w.all)
+	w.mu.Unlock()
 	waiting := len(arrays)*f.tasksPerArray - f.observer.startedArrayTasks(f.isArrayTask)
 	least := f.minBacklogTime(waiting)
 	limit := time.Now().Add(time.Duration(backlogFactor*float64(least)) + backlogMargin)
@@ -101,13 +104,14 @@
 	t.Logf("%d jobs accepted, %d arrays done, %d tasks started", all, len(arrays)-len(late), f.observer.startedTasks())
 }
 
-// minBacklogTime is how long the whole fleet takes for so many tasks of arrays at least.
+// minBacklogTime returns how long the whole fleet takes at least for a number of tasks of
+// job arrays.
 func (f *fleet) minBacklogTime(tasks int) time.Duration {
 	slots := (float64(f.machines)*machineType.CPUs - serviceTaskCPUs*float64(f.services*f.replicas)) / arrayTaskCPUs
 	return time.Duration(float64(tasks) / slots * float64(f.taskDuration+imageFetchTime))
 }
 
-// awaitLargeServices waits until a large fleet's services run.
+// awaitLargeServices waits until the services of a large fleet run.
 func (f *fleet) awaitLargeServices(t *testing.T) {
 	t.Helper()
 	if f.machines <= largeFleet {
