--- a/shard/reconcile.go
+++ b/shard/reconcile.go
@@ -203,15 +203,18 @@
 func (k *knownState) recordRunning(now time.Time, a *attempt) {
 	a.runningSince = now
 	if j := k.jobs[a.jobID]; j != nil {
-		slog.Debug("task runs", logkey.TaskID, a.key.task, "class", j.rec.Spec.Class, logkey.Machine, a.machine.name, "spot", a.machine.spot,
-			"accepted_s", float64(now.UnixMilli()-j.rec.AcceptedMS)/1000, "sent_s", now.Sub(a.startSentAt).Seconds(), "cached", a.machine.cachedImages[a.image])
+		slog.Debug("task runs", logkey.TaskID, a.key.task, "class", j.rec.Spec.Class,
+			logkey.Machine, a.machine.name, "spot", a.machine.spot,
+			"accepted_s", float64(now.UnixMilli()-j.rec.AcceptedMS)/1000,
+			"sent_s", now.Sub(a.startSentAt).Seconds(), "cached", a.machine.cachedImages[a.image])
 	}
 }
 
 // logExit logs the end of an attempt that has run.
 func (k *knownState) logExit(now time.Time, a *attempt) {
 	if j := k.jobs[a.jobID]; j != nil {
-		slog.Debug("task ended", logkey.TaskID, a.key.task, "cause", a.cause, logkey.Machine, a.machine.name, "ran_s", now.Sub(a.runningSince).Seconds(), "estimate_s", j.rec.Spec.EstimateS)
+		slog.Debug("task ended", logkey.TaskID, a.key.task, "cause", a.cause,
+			logkey.Machine, a.machine.name, "ran_s", now.Sub(a.runningSince).Seconds(), "estimate_s", j.rec.Spec.EstimateS)
 	}
 }
 
@@ -235,5 +238,6 @@
 		c.queueForClose(j)
 	}
 	c.needsPlacement = true
-	slog.Info("shard rebuilt", logkey.Shard, c.cfg.Shard, logkey.Term, c.term, "after_ms", now.Sub(c.acquiredAt).Milliseconds(), "machines", len(c.machines))
+	slog.Info("shard rebuilt", logkey.Shard, c.cfg.Shard, logkey.Term, c.term,
+		"after_ms", now.Sub(c.acquiredAt).Milliseconds(), "machines", len(c.machines))
 }
