--- a/controller/acquisition.go
+++ b/controller/acquisition.go
@@ -27,10 +27,10 @@
 	return true
 }
 
-// acquireDueTerms acquires the vacant terms that are this controller's to take, and hands
-// over those that another one is better placed for.
+// acquireDueTerms acquires the vacant terms that are this controller's to take, and transfers
+// those that another one is better placed for.
 func (c *controlActor) acquireDueTerms(ctx context.Context, now time.Time) {
-	authorized := c.hasAuthority(now) && !c.acquisitionsBlocked(now)
+	authorized := c.hasAuthority(now) && !c.isAcquisitionBlocked(now)
 	for _, acquisition := range c.member.DueAcquisitions(now, c.lease.incarnation, authorized) {
 		if c.isAcquiring(now, acquisition.Key) {
 			continue
@@ -42,21 +42,21 @@
 		if now.Sub(c.terms.unstableAt[acquisition.Key]) < constants.FailbackSettleTime {
 			continue // a second rebuild right after the first would keep more work waiting
 		}
-		slog.Info("handing over term", "key", acquisition.Key, logkey.Controller, acquisition.NewHolder)
-		c.handOver(now, acquisition)
+		slog.Info("transferring term", "key", acquisition.Key, logkey.Controller, acquisition.NewHolder)
+		c.transferTerm(now, acquisition)
 	}
 }
 
-// reacquireHandedOver takes a new term where a hand-over failed, since the term that was
+// reacquireRelinquished takes a new term where a transfer failed, since the term that was
 // given up has no owner.
-func (c *controlActor) reacquireHandedOver(ctx context.Context, now time.Time) {
-	for key, number := range c.terms.handedOver {
-		if c.acquisitionsBlocked(now) {
+func (c *controlActor) reacquireRelinquished(ctx context.Context, now time.Time) {
+	for key, number := range c.terms.relinquished {
+		if c.isAcquisitionBlocked(now) {
 			return
 		}
 		term, _ := c.member.Term(key)
 		if term.Number != number {
-			delete(c.terms.handedOver, key)
+			delete(c.terms.relinquished, key)
 			continue
 		}
 		if !c.isAcquiring(now, key) && c.hasAuthority(now) {
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -11,7 +11,7 @@
 
 // recentCancellations holds the latest cancellations, by revision, that this process
 // knows of: from its feed, from what its API server confirmed or read, and from other
-// controllers. A controller whose feed is behind is told of them.
+// controllers. They are listed for a controller whose feed is behind.
 type recentCancellations struct {
 	revisions   map[string]uint64 // by job
 	latest      uint64
--- a/controller/commit.go
+++ b/controller/commit.go
@@ -21,9 +21,9 @@
 	err      error
 }
 
-// isInvalid says whether the store refused the transaction itself, so that repeating it
+// isInvalidRequest says whether the store refused the transaction itself, so that repeating it
 // is of no use.
-func (r commitResult) isInvalid() bool { return errors.Is(r.err, kvstore.ErrInvalidRequest) }
+func (r commitResult) isInvalidRequest() bool { return errors.Is(r.err, kvstore.ErrInvalidRequest) }
 
 // write is a transaction to be committed.
 type write struct {
--- a/controller/control.go
+++ b/controller/control.go
@@ -14,7 +14,7 @@
 	"ravenport/settings"
 )
 
-// controlActor holds the controller's lease, acquires and hands over terms, starts and
+// controlActor holds the controller's lease, acquires and transfers terms, starts and
 // stops the leader and the shard owners that run here, and routes heartbeats to them.
 //
 // All of its state belongs to its own goroutine and is changed in Receive alone. Calls
@@ -86,10 +86,10 @@
 
 // termState is what this controller is doing about terms beyond what the feed shows.
 type termState struct {
-	acquiring  map[string]time.Time // by key: when the acquisition was started
-	handedOver map[string]uint64    // by key: the term given up here, or known from another controller to be over
-	successors map[string]string    // by shard: the owner that another controller reported
-	unstableAt map[string]time.Time // by key: when a shard here was last not rebuilt, or unreachable
+	acquiring    map[string]time.Time // by key: when the acquisition was started
+	relinquished map[string]uint64    // by key: the term given up here, or known from another controller to be over
+	successors   map[string]string    // by shard: the owner that another controller reported
+	unstableAt   map[string]time.Time // by key: when a shard here was last not rebuilt, or unreachable
 }
 
 // roleState is the leader and the shard owners that run here, and their latest figures.
@@ -101,11 +101,15 @@
 	forecasts     shardForecasts // of the leader here
 }
 
+// newControlActor returns the control actor; without a monitor failure detection is off.
 func newControlActor(set *settings.Settings, dependencies Dependencies, self, apiServer, monitor *actor.Ref) *controlActor {
 	c := &controlActor{
-		settings: set, dependencies: dependencies, self: self, apiServer: apiServer,
-		member:    newMember(set, monitor != nil),
-		startedAt: time.Now(),
+		settings:     set,
+		dependencies: dependencies,
+		self:         self,
+		apiServer:    apiServer,
+		member:       newMember(set, monitor != nil),
+		startedAt:    time.Now(),
 		feed: feedState{
 			jobs:              map[string]*records.Job{},
 			jobVersions:       map[string]uint64{},
@@ -115,16 +119,22 @@
 		},
 		extension: extensionState{grantedAt: map[string]time.Time{}},
 		terms: termState{
-			acquiring:  map[string]time.Time{},
-			handedOver: map[string]uint64{},
-			successors: map[string]string{},
-			unstableAt: map[string]time.Time{},
+			acquiring:    map[string]time.Time{},
+			relinquished: map[string]uint64{},
+			successors:   map[string]string{},
+			unstableAt:   map[string]time.Time{},
 		},
-		roles:      roleState{owners: map[string]*runningActor{}, shardStatuses: map[string]shardStatus{}},
-		heartbeats: heartbeatState{misrouted: map[string]misroutedHeartbeat{}, zoneMismatchLogged: map[string]bool{}},
-		push:       pushState{inFlight: map[string]bool{}},
-		peers:      map[string]peerView{},
-		drains:     newDrainRecords(),
+		roles: roleState{
+			owners:        map[string]*runningActor{},
+			shardStatuses: map[string]shardStatus{},
+		},
+		heartbeats: heartbeatState{
+			misrouted:          map[string]misroutedHeartbeat{},
+			zoneMismatchLogged: map[string]bool{},
+		},
+		push:   pushState{inFlight: map[string]bool{}},
+		peers:  map[string]peerView{},
+		drains: newDrainRecords(),
 	}
 	period, shortened := set.Authority()
 	c.authority.period = period
@@ -197,8 +207,8 @@
 	c.readMachineTypes(ctx, now)
 	c.reconcileRoles(ctx, now)
 	c.acquireDueTerms(ctx, now)
-	c.reacquireHandedOver(ctx, now)
-	c.handOverCutOffLeader(now)
+	c.reacquireRelinquished(ctx, now)
+	c.transferCutOffLeadership(now)
 	c.pushStatus(ctx, now)
 	c.updateMonitor(now)
 }
--- a/controller/control_messages.go
+++ b/controller/control_messages.go
@@ -97,7 +97,7 @@
 		shard               string
 		heartbeatsMisrouted bool // other controllers receive their heartbeats
 	}
-	// actorStopped says that an actor has stopped for a hand-over, so that the acquisition
+	// actorStopped says that an actor has stopped for a transfer of its term, so that the acquisition
 	// may be written.
 	actorStopped struct{ acquisition member.TermAcquisition }
 )
--- a/controller/draining_test.go
+++ b/controller/draining_test.go
@@ -430,7 +430,7 @@
 
 // What TestDrainLargeFleet plays. For the figures of docs/draining.md:
 //
-//	go test ./node -run TestDrainLargeFleet -v -timeout 0 -drain.machines 4000
+//	go test ./controller -run TestDrainLargeFleet -v -timeout 0 -drain.machines 4000
 var (
 	drainMachines = flag.Int("drain.machines", 100, "machines of the fleet that is replaced")
 	drainPercent  = flag.String("drain.budget", "5%", "what may be unavailable of the team")
--- a/controller/extension.go
+++ b/controller/extension.go
@@ -59,9 +59,9 @@
 	return term.Number == held.Term && version == held.Version
 }
 
-// acquisitionsBlocked says whether no term may be acquired: this process has promised not
+// isAcquisitionBlocked says whether no term may be acquired: this process has promised not
 // to, or the one before it, which ended a moment ago, may have.
-func (c *controlActor) acquisitionsBlocked(now time.Time) bool {
+func (c *controlActor) isAcquisitionBlocked(now time.Time) bool {
 	return now.Before(c.extension.noAcquisitionUntil) || now.Sub(c.startedAt) < constants.ExtensionTTL
 }
 
--- a/controller/health.go
+++ b/controller/health.go
@@ -7,8 +7,8 @@
 	"ravenport/httpwire"
 )
 
-// storeReachable says whether the key-value store answered a short while ago.
-func (c *controlActor) storeReachable(now time.Time) bool {
+// isStoreReachable says whether the key-value store answered a short while ago.
+func (c *controlActor) isStoreReachable(now time.Time) bool {
 	return now.Sub(c.lastStoreContact) < constants.StoreSilenceTimeout
 }
 
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -95,8 +95,9 @@
 // recentMisrouted lists the misrouted heartbeats that still count, and drops the others.
 func (c *controlActor) recentMisrouted(now time.Time) []shard.MisroutedHeartbeat {
 	var recent []shard.MisroutedHeartbeat
+	window := c.misroutedWindow()
 	for machine, h := range c.heartbeats.misrouted {
-		if now.Sub(h.receivedAt) > c.misroutedWindow() {
+		if now.Sub(h.receivedAt) > window {
 			delete(c.heartbeats.misrouted, machine)
 			continue
 		}
--- a/controller/leader_actor.go
+++ b/controller/leader_actor.go
@@ -18,7 +18,7 @@
 	self        *actor.Ref
 	control     *actor.Ref
 	pacer       stepPacer
-	stopped     bool // by a hand-over: nothing is done any more
+	stopped     bool // by a transfer of its term: nothing is done any more
 
 	revision   uint64
 	forecastAt time.Time
@@ -77,7 +77,7 @@
 	case packingEnabled:
 		a.core.EnablePacking()
 	case assignmentDone:
-		if m.result.isInvalid() {
+		if m.result.isInvalidRequest() {
 			a.core.EnablePacking()
 		}
 		a.core.ApplyCommitResult(now, m.jobID, m.urgent, m.result.revision)
--- a/controller/peer_status.go
+++ b/controller/peer_status.go
@@ -87,7 +87,7 @@
 func (c *controlActor) buildStatus(now time.Time, full bool) peer.Status {
 	status := peer.Status{
 		Controller:          c.settings.Controller,
-		StoreReachable:      c.storeReachable(now),
+		StoreReachable:      c.isStoreReachable(now),
 		Revision:            c.feed.revision,
 		Counts:              map[string]records.CountsByJob{},
 		MisroutedHeartbeats: c.recentMisrouted(now),
@@ -130,7 +130,7 @@
 		c.stopReplacedOwner(aggregate, s.Controller)
 		c.tellLeader(aggregate)
 	}
-	misrouted := misroutedHeartbeats{s.MisroutedHeartbeats, c.allLivePeersHeard(now)}
+	misrouted := misroutedHeartbeats{s.MisroutedHeartbeats, c.hasHeardAllLivePeers(now)}
 	for _, owner := range c.roles.owners {
 		owner.ref.Tell(s.Aggregates)
 		owner.ref.Tell(misrouted)
@@ -156,14 +156,14 @@
 		return
 	}
 	slog.Info("another controller owns the shard under a later term", logkey.Shard, aggregate.Shard, logkey.Term, owner.term, logkey.Controller, by)
-	c.terms.handedOver[records.KeyShard(aggregate.Shard)] = owner.term
+	c.terms.relinquished[records.KeyShard(aggregate.Shard)] = owner.term
 	c.terms.successors[aggregate.Shard] = by
 	c.stopOwner(aggregate.Shard)
 }
 
-// allLivePeersHeard says whether every other live controller made contact lately. If so,
+// hasHeardAllLivePeers says whether every other live controller made contact lately. If so,
 // a machine that none of them has seen does not just miss its owner.
-func (c *controlActor) allLivePeersHeard(now time.Time) bool {
+func (c *controlActor) hasHeardAllLivePeers(now time.Time) bool {
 	for _, p := range c.settings.Peers {
 		silence := now.Sub(c.peers[p.Controller].lastContact)
 		if c.member.IsAlive(p.Controller) && silence > constants.MaxPushInterval*2 {
--- a/controller/random_faults_test.go
+++ b/controller/random_faults_test.go
@@ -338,9 +338,9 @@
 	})
 }
 
-// An owner that reaches its machines while their heartbeats do not reach it hands
-// its shard on before their leases end: answers to its calls renew none.
-func TestOwnerWithoutHeartbeatsHandsOver(t *testing.T) {
+// An owner that reaches its machines while their heartbeats do not reach it transfers
+// its shard before their leases end: answers to its calls renew none.
+func TestOwnerWithoutHeartbeatsTransfersTerm(t *testing.T) {
 	expectUndisturbed(t, 8, 4, func(w *world) {
 		w.mu.Lock()
 		w.controllers[0].heartbeatsLost = true
--- a/controller/relay_test.go
+++ b/controller/relay_test.go
@@ -17,7 +17,7 @@
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
 		w := newCalmWorld(3)
-		ctl := w.controllers[0].running()
+		process := w.controllers[0].running()
 		job := wire.Change{Put: "rv/job/run-000001", Value: []byte(`{}`)}
 		for name, txn := range map[string]wire.Txn{
 			"nothing":        {},
@@ -30,7 +30,7 @@
 			"a deletion too": {Conditions: []wire.Condition{{Key: job.Put}}, Changes: []wire.Change{{Put: job.Put, Value: job.Value, Delete: "rv/part/a"}}},
 		} {
 			before := w.revision
-			if r := ctl.HandlePeerCommit(t.Context(), txn); r.Outcome != peer.OutcomeInvalid {
+			if r := process.HandlePeerCommit(t.Context(), txn); r.Outcome != peer.OutcomeInvalid {
 				t.Errorf("%s: %s", name, r.Outcome)
 			}
 			if w.revision != before {
--- a/controller/revocation.go
+++ b/controller/revocation.go
@@ -15,7 +15,7 @@
 // revokeFailed revokes the first of the controllers that were declared failed. Without
 // authority of its own a controller revokes nobody.
 func (c *controlActor) revokeFailed(ctx context.Context, now time.Time, proposals []detector.RevocationProposal) {
-	if c.detection.revoking || c.detection.resigned || !c.hasAuthority(now) || c.acquisitionsBlocked(now) {
+	if c.detection.revoking || c.detection.resigned || !c.hasAuthority(now) || c.isAcquisitionBlocked(now) {
 		return
 	}
 	for _, p := range proposals {
--- a/controller/roles.go
+++ b/controller/roles.go
@@ -53,10 +53,10 @@
 		slog.Info("shard lost", logkey.Shard, shard, logkey.Term, owner.term, logkey.Controller, term.Controller)
 		c.stopOwner(shard)
 	}
-	if current.number > c.terms.handedOver[key] {
+	if current.number > c.terms.relinquished[key] {
 		delete(c.terms.successors, shard)
 	}
-	if !held || c.terms.handedOver[key] >= current.number {
+	if !held || c.terms.relinquished[key] >= current.number {
 		return
 	}
 	if owner != nil {
@@ -71,7 +71,7 @@
 
 func (c *controlActor) reconcileLeader(ctx context.Context, now time.Time) {
 	current, held := c.term(records.KeyLeader)
-	held = held && c.terms.handedOver[records.KeyLeader] < current.number
+	held = held && c.terms.relinquished[records.KeyLeader] < current.number
 	if c.roles.leader != nil && (!held || c.roles.leader.term != current.number) {
 		slog.Info("leadership lost", logkey.Term, c.roles.leader.term)
 		c.stopLeader()
@@ -155,7 +155,7 @@
 	case newTermRequest:
 		c.renewTerm(now, m.shard)
 	case shardUnreachable:
-		c.handOverUnreachableShard(now, m)
+		c.transferUnreachableShard(now, m)
 	default:
 		return false
 	}
@@ -182,21 +182,21 @@
 	c.tellOwners([]leader.Aggregate{m.aggregate})
 }
 
-// allPeersSilent says whether no other controller made contact lately, though some live.
-func (c *controlActor) allPeersSilent(now time.Time) bool {
-	return c.allPeersSilentBy(now, func(v peerView) time.Time { return v.lastContact })
+// areAllPeersSilent says whether no other controller made contact lately, though some live.
+func (c *controlActor) areAllPeersSilent(now time.Time) bool {
+	return c.isEveryPeerSilent(now, func(v peerView) time.Time { return v.lastContact })
 }
 
-// noPeerStatus says whether no other controller has sent its status lately, though some
+// lacksPeerStatus says whether no other controller has sent its status lately, though some
 // live and may answer this one's. Guards against a leader that others cannot call: it
 // would know the figures of its own shards alone, and give those all work.
-func (c *controlActor) noPeerStatus(now time.Time) bool {
-	return c.allPeersSilentBy(now, func(v peerView) time.Time { return v.lastStatus })
+func (c *controlActor) lacksPeerStatus(now time.Time) bool {
+	return c.isEveryPeerSilent(now, func(v peerView) time.Time { return v.lastStatus })
 }
 
-// allPeersSilentBy says whether some other controller lives, and the last sign of each
+// isEveryPeerSilent says whether some other controller lives, and the last sign of each
 // other one was too long ago.
-func (c *controlActor) allPeersSilentBy(now time.Time, lastSign func(peerView) time.Time) bool {
+func (c *controlActor) isEveryPeerSilent(now time.Time, lastSign func(peerView) time.Time) bool {
 	someAlive := false
 	for _, p := range c.settings.Peers {
 		if now.Sub(lastSign(c.peers[p.Controller])) < constants.PeerSilenceTimeout {
--- a/controller/scale_in_test.go
+++ b/controller/scale_in_test.go
@@ -71,29 +71,29 @@
 	}
 }
 
-// handovers is how many forced handovers TestScaleInUnderForcedHandovers plays.
-var handovers = flag.Int("returns.handovers", 60, "forced handovers to play")
+// failovers is how many forced failovers TestScaleInUnderForcedFailovers plays.
+var failovers = flag.Int("returns.handovers", 60, "forced failovers to play")
 
 // Owners freeze as they request a scale-in, for about a lease or much longer, again and
-// again, under a load that comes and goes. Over many handovers no scale-in that was
+// again, under a load that comes and goes. Over many failovers no scale-in that was
 // decided under an earlier term takes anything that came to a machine since.
-func TestScaleInUnderForcedHandovers(t *testing.T) {
+func TestScaleInUnderForcedFailovers(t *testing.T) {
 	discardLogs(t)
 	total := map[string]int{}
-	for seed := uint64(0); total["handovers"] < *handovers; seed++ {
-		synctest.Test(t, func(t *testing.T) { forceHandovers(t, seed, total) })
+	for seed := uint64(0); total["failovers"] < *failovers; seed++ {
+		synctest.Test(t, func(t *testing.T) { forceFailovers(t, seed, total) })
 	}
-	t.Logf("%d handovers, %d scale-in requests, %d of them late, %d tasks ended", total["handovers"], total["scale-in requests"], total["late scale-ins"], total["taken"])
+	t.Logf("%d failovers, %d scale-in requests, %d of them late, %d tasks ended", total["failovers"], total["scale-in requests"], total["late scale-ins"], total["taken"])
 	if total["taken"] > 0 {
 		t.Errorf("%d tasks that came to a machine after its scale-in was decided were ended by it", total["taken"])
 	}
-	if total["late scale-ins"] < *handovers/10 {
-		t.Errorf("only %d late scale-ins in %d handovers", total["late scale-ins"], total["handovers"])
+	if total["late scale-ins"] < *failovers/10 {
+		t.Errorf("only %d late scale-ins in %d failovers", total["late scale-ins"], total["failovers"])
 	}
 }
 
-// forceHandovers plays ten minutes of them and adds up what was seen.
-func forceHandovers(t *testing.T, seed uint64, total map[string]int) {
+// forceFailovers plays ten minutes of them and adds up what was seen.
+func forceFailovers(t *testing.T, seed uint64, total map[string]int) {
 	w := newWorldWithTimes(seed, []string{"a", "b"}, 3, magnoliaTimes)
 	w.lateCommandShare, w.reliableCloud, w.lateCopyShare = 0, true, 0
 	for _, n := range w.controllers {
@@ -120,7 +120,7 @@
 		time.Sleep(w.randomDuration(5*time.Second, 15*time.Second))
 	}
 	w.locked(func() { w.onScaleIn = nil })
-	total["handovers"] += int(w.term("a") + w.term("b") - before)
+	total["failovers"] += int(w.term("a") + w.term("b") - before)
 	w.settleAll(t, 4*time.Minute, jobs)
 	if len(w.violations) > 0 {
 		t.Errorf("seed %d: rules broken: %v", seed, w.violations)
--- a/controller/scenario_test.go
+++ b/controller/scenario_test.go
@@ -130,9 +130,9 @@
 }
 
 // cancelAt cancels a job through one controller and says whether that confirmed it.
-func (w *world) cancelAt(node int, j *simJob) bool {
+func (w *world) cancelAt(index int, j *simJob) bool {
 	w.locked(func() { j.cancelRequested = true })
-	r := w.requestAt(node, func(q apiserver.Request) any { return apiserver.Cancel{Request: q, JobID: j.spec.ID} })
+	r := w.requestAt(index, func(q apiserver.Request) any { return apiserver.Cancel{Request: q, JobID: j.spec.ID} })
 	w.checkReply(j, r, true)
 	var s wire.JobStatus
 	return r != nil && r.Status == 200 && json.Unmarshal(r.Body, &s) == nil && s.Status == wire.JobCancelled
@@ -219,10 +219,10 @@
 }
 
 // shards lists the zones whose shard a controller owns.
-func (w *world) shards(node int) []string {
+func (w *world) shards(index int) []string {
 	var out []string
 	for _, z := range w.controllers[0].set.Deployment.Zones {
-		if w.holder(records.KeyShard(z)) == node {
+		if w.holder(records.KeyShard(z)) == index {
 			out = append(out, z)
 		}
 	}
--- a/controller/shard_actor.go
+++ b/controller/shard_actor.go
@@ -28,7 +28,7 @@
 	self    *actor.Ref
 	control *actor.Ref
 	pacer   stepPacer
-	stopped bool // by a hand-over: heartbeats are refused, and nothing else is done
+	stopped bool // by a transfer of its term: heartbeats are refused, and nothing else is done
 
 	revision       uint64
 	statusAt       time.Time // when the status was last sent,
@@ -167,7 +167,7 @@
 func (a *shardActor) applyResult(now time.Time, msg any) {
 	switch m := msg.(type) {
 	case shardCommitDone:
-		if m.result.isInvalid() {
+		if m.result.isInvalidRequest() {
 			a.core.CommitInvalid(m.id)
 		}
 		a.core.CommitResult(now, m.id, m.result.revision)
--- a/controller/sim_detection_test.go
+++ b/controller/sim_detection_test.go
@@ -16,54 +16,54 @@
 
 // Heartbeat carries a heartbeat over the link to the other controller and back.
 func (p simPeer) Heartbeat(ctx context.Context, m detector.Message) (detector.Message, error) {
-	ctl, err := p.reachMonitor(ctx)
+	process, err := p.reachMonitor(ctx)
 	if err != nil {
 		return detector.Message{}, err
 	}
 	if p.from.world.chance(p.from.world.lateCopyShare) { // a copy of it comes late
 		go func() {
 			time.Sleep(p.from.world.randomDuration(time.Second, 30*time.Second))
-			if ctl := p.to.running(); ctl != nil && ctl.monitor != nil {
-				ctl.monitor.Tell(peerHeartbeat{m, make(chan peerHeartbeatAnswer, 1)})
+			if process := p.to.running(); process != nil && process.monitor != nil {
+				process.monitor.Tell(peerHeartbeat{m, make(chan peerHeartbeatAnswer, 1)})
 				p.from.world.locked(func() { p.from.world.observed["late heartbeats"]++ })
 			}
 		}()
 	}
-	answer, err := ctl.HandlePeerHeartbeat(ctx, m)
+	answer, err := process.HandlePeerHeartbeat(ctx, m)
 	p.from.waitWhileFrozen()
 	return answer, err
 }
 
 // Probe carries a probe over the link to the other controller and back.
 func (p simPeer) Probe(ctx context.Context, r peer.ProbeRequest) (peer.ProbeReply, error) {
-	ctl, err := p.reachMonitor(ctx)
+	process, err := p.reachMonitor(ctx)
 	if err != nil {
 		return peer.ProbeReply{}, err
 	}
-	answer, err := ctl.HandlePeerProbe(ctx, r)
+	answer, err := process.HandlePeerProbe(ctx, r)
 	p.from.waitWhileFrozen()
 	return answer, err
 }
 
 func (p simPeer) reachMonitor(ctx context.Context) (*Controller, error) {
-	ctl, err := p.reach(ctx)
+	process, err := p.reach(ctx)
 	if err != nil {
 		<-ctx.Done() // a cut link shows only as silence
 		return nil, err
 	}
-	if ctl.monitor == nil {
+	if process.monitor == nil {
 		return nil, peer.ErrDetectionDisabled
 	}
 	p.to.waitWhileFrozen()
-	return ctl, nil
+	return process, nil
 }
 
 // supervise restarts a controller that ends itself, as a machine's supervisor does.
-func (n *simController) supervise(ctx context.Context, ctl *Controller) {
+func (n *simController) supervise(ctx context.Context, process *Controller) {
 	select {
 	case <-ctx.Done():
 		return
-	case err := <-ctl.Failed():
+	case err := <-process.Failed():
 		n.world.locked(func() { n.world.observed["ended itself: "+strings.SplitN(err.Error(), ":", 2)[0]]++ })
 	}
 	n.kill()
@@ -87,14 +87,14 @@
 // stallOwner lets the owner of a zone's shard handle one message for so long.
 func (n *simController) stallOwner(zone string, d time.Duration) {
 	n.world.mu.Lock()
-	ctl, name := n.process, ""
+	process, name := n.process, ""
 	for _, m := range n.world.machines {
 		if m.zone == zone {
 			name = m.name
 		}
 	}
 	n.world.mu.Unlock()
-	ctl.control.Tell(workerHeartbeat{sleepingAnswer(d), &wire.Heartbeat{Machine: name, Addr: name, Type: "box", Zone: zone}})
+	process.control.Tell(workerHeartbeat{sleepingAnswer(d), &wire.Heartbeat{Machine: name, Addr: name, Type: "box", Zone: zone}})
 }
 
 // sleepingAnswer is a request that takes as long to answer.
@@ -104,8 +104,8 @@
 
 // proposeRevocation has a controller take another one for failed, without any reason.
 func (w *world) proposeRevocation(by, of *simController) {
-	ctl := by.running()
-	if ctl == nil {
+	process := by.running()
+	if process == nil {
 		return
 	}
 	w.mu.Lock()
@@ -118,7 +118,7 @@
 	if err != nil {
 		panic(err)
 	}
-	ctl.control.Tell([]detector.RevocationProposal{{Controller: of.set.Controller, Incarnation: record.(*records.Controller).Incarnation, Evidence: []detector.Evidence{"accused at random"}, Accusers: []string{by.set.Controller}}})
+	process.control.Tell([]detector.RevocationProposal{{Controller: of.set.Controller, Incarnation: record.(*records.Controller).Incarnation, Evidence: []detector.Evidence{"accused at random"}, Accusers: []string{by.set.Controller}}})
 }
 
 // owner is the number of the controller that owns a zone's shard.
--- a/controller/sim_draining_test.go
+++ b/controller/sim_draining_test.go
@@ -155,14 +155,14 @@
 
 // Drain carries a request about drains to the other controller.
 func (p simPeer) Drain(ctx context.Context, r peer.DrainRequest) (peer.DrainReply, error) {
-	ctl, err := p.reach(ctx)
+	process, err := p.reach(ctx)
 	if err != nil {
 		return peer.DrainReply{}, err
 	}
-	if ctl.drainService == nil {
+	if process.drainService == nil {
 		return peer.DrainReply{}, peer.ErrDrainingDisabled
 	}
-	return ctl.drainService.Answer(ctx, r)
+	return process.drainService.Answer(ctx, r)
 }
 
 // requestDrain asks a controller that is up about drains.
@@ -170,11 +170,11 @@
 	t.Helper()
 	for range 60 {
 		for _, n := range w.controllers {
-			ctl := n.running()
-			if ctl == nil || ctl.drainService == nil || n.cutFromStore || time.Now().Before(n.frozenUntil) {
+			process := n.running()
+			if process == nil || process.drainService == nil || n.cutFromStore || time.Now().Before(n.frozenUntil) {
 				continue
 			}
-			if reply, err := ctl.drainService.Answer(context.Background(), r); err == nil {
+			if reply, err := process.drainService.Answer(context.Background(), r); err == nil {
 				return reply
 			}
 		}
--- a/controller/sim_user_test.go
+++ b/controller/sim_user_test.go
@@ -31,22 +31,22 @@
 // request sends one request to any controller and waits as long as users do.
 func (w *world) request(msg func(apiserver.Request) any) *httpwire.Response {
 	w.mu.Lock()
-	node := w.rng.IntN(len(w.controllers))
+	index := w.rng.IntN(len(w.controllers))
 	w.mu.Unlock()
-	return w.requestAt(node, msg)
+	return w.requestAt(index, msg)
 }
 
 // requestAt sends one request to one controller.
-func (w *world) requestAt(node int, msg func(apiserver.Request) any) *httpwire.Response {
+func (w *world) requestAt(index int, msg func(apiserver.Request) any) *httpwire.Response {
 	w.mu.Lock()
-	ctl := w.controllers[node].process
+	process := w.controllers[index].process
 	w.mu.Unlock()
 	time.Sleep(w.randomDuration(time.Millisecond, 5*time.Millisecond))
-	if ctl == nil {
+	if process == nil {
 		return nil
 	}
 	a := &simAnswer{got: make(chan *httpwire.Response, 1)}
-	ctl.apiServer.Tell(msg(a))
+	process.apiServer.Tell(msg(a))
 	select {
 	case r := <-a.got:
 		return r
@@ -180,7 +180,7 @@
 }
 
 // sendInvalidHeartbeat sends heartbeats with impossible fields to a controller.
-func (w *world) sendInvalidHeartbeat(ctl *Controller) {
+func (w *world) sendInvalidHeartbeat(process *Controller) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	r := &wire.Heartbeat{Machine: "m-999999", Addr: "nowhere:1", Type: "box", Zone: "a", Epoch: 1 + w.rng.Uint64N(5), Seq: w.rng.Uint64N(100)}
@@ -204,5 +204,5 @@
 	if r.Machine == "m-999999" {
 		return // a machine that the cloud never started sends nothing
 	}
-	ctl.control.Tell(workerHeartbeat{&simAnswer{got: make(chan *httpwire.Response, 1)}, r})
+	process.control.Tell(workerHeartbeat{&simAnswer{got: make(chan *httpwire.Response, 1)}, r})
 }
--- a/controller/sim_world_test.go
+++ b/controller/sim_world_test.go
@@ -158,7 +158,7 @@
 func (n *simController) freeze(d time.Duration) {
 	w := n.world
 	w.mu.Lock()
-	ctl := n.process
+	process := n.process
 	n.frozenUntil = time.Now().Add(d)
 	var known []*simWorker
 	for _, z := range n.set.Deployment.Zones {
@@ -170,14 +170,14 @@
 		}
 	}
 	w.mu.Unlock()
-	if ctl == nil {
+	if process == nil {
 		return
 	}
 	for _, m := range known { // through control to the owner, if it is here
-		ctl.control.Tell(workerHeartbeat{frozenRequest{n}, &wire.Heartbeat{Machine: m.name, Addr: m.name, Type: "box", Zone: m.zone}})
+		process.control.Tell(workerHeartbeat{frozenRequest{n}, &wire.Heartbeat{Machine: m.name, Addr: m.name, Type: "box", Zone: m.zone}})
 	}
-	ctl.control.Tell(healthRequest{frozenRequest{n}})
-	ctl.apiServer.Tell(apiserver.GetMetrics{Request: frozenRequest{n}})
+	process.control.Tell(healthRequest{frozenRequest{n}})
+	process.apiServer.Tell(apiserver.GetMetrics{Request: frozenRequest{n}})
 }
 
 // frozenRequest is a request whose answer takes an actor as long as its controller
@@ -186,11 +186,11 @@
 
 func (s frozenRequest) Respond(*httpwire.Response) { s.n.waitWhileFrozen() }
 
-func newWorld(seed uint64, zones []string, nodes int) *world {
-	return newWorldWithTimes(seed, zones, nodes, dayTimes)
+func newWorld(seed uint64, zones []string, controllers int) *world {
+	return newWorldWithTimes(seed, zones, controllers, dayTimes)
 }
 
-func newWorldWithTimes(seed uint64, zones []string, nodes int, t times) *world {
+func newWorldWithTimes(seed uint64, zones []string, controllers int, t times) *world {
 	w := &world{
 		times: t,
 		rng:   rand.New(rand.NewPCG(seed, 7)), kv: map[string]*entry{}, leases: map[uint64]*simLease{}, storeChanged: make(chan struct{}),
@@ -198,17 +198,17 @@
 		lostAnswerShare: 0.01, lateWriteShare: 0.01, repeatedWriteShare: 0.02, lateCopyShare: 0.03, observed: map[string]int{},
 	}
 	var b strings.Builder
-	for i := range nodes {
+	for i := range controllers {
 		w.controllers = append(w.controllers, &simController{world: w})
 		b.Reset()
 		fmt.Fprintf(&b, "node = \"n-%d\"\ndomain = %q\nbind = \"10.0.0.%d:80\"\nback = \"10.0.0.%d:81\"\n", i, zones[i%len(zones)], i+1, i+1)
-		for k := range nodes {
+		for k := range controllers {
 			if k != i {
 				fmt.Fprintf(&b, "[[siblings]]\nnode = \"n-%d\"\ndomain = %q\npeer_addr = \"10.0.0.%d:81\"\n", k, zones[k%len(zones)], k+1)
 			}
 		}
 		b.WriteString("[outside]\ncloud = \"10.1.0.1:1\"\nstate = \"10.1.0.2:1\"\n[facts]\n")
-		fmt.Fprintf(&b, "size = %d\nzones = [\"%s\"]\n", nodes, strings.Join(zones, "\", \""))
+		fmt.Fprintf(&b, "size = %d\nzones = [\"%s\"]\n", controllers, strings.Join(zones, "\", \""))
 		b.WriteString("[[facts.teams]]\nname = \"free\"\n[[facts.teams]]\nname = \"tight\"\ncpus = 4.0\ncpus_max = 10.0\n")
 		fmt.Fprintf(&b, "[facts.workers]\nreport_s = %.1f\nlease_s = %.1f\ncancel_s = %.1f\n", t.reportS, t.leaseS, t.cancelS)
 		b.WriteString("gang_wait_s = 15.0\ngang_peer_s = 4.0\n[facts.state]\nrps = 200.0\nwrite_rps = 100.0\nvalue_kb = 8.0\ntxn_ops = 12\n[facts.state.next]\nvalue_kb = 1.0\ntxn_ops = 2\n[facts.cloud]\nrps = 10.0\nlist_lag_s = 5.0\n")
@@ -263,12 +263,12 @@
 		return
 	}
 	out.drainingGuards = n.unguardDrains
-	ctl, err := Start(ctx, n.set, out)
+	process, err := Start(ctx, n.set, out)
 	if err != nil {
 		panic(err)
 	}
-	n.process, n.cancel = ctl, cancel
-	go n.supervise(ctx, ctl)
+	n.process, n.cancel = process, cancel
+	go n.supervise(ctx, process)
 }
 
 func (n *simController) kill() {
@@ -291,24 +291,24 @@
 // reach goes over the link to the other controller, if it is open.
 func (p simPeer) reach(ctx context.Context) (*Controller, error) {
 	time.Sleep(p.from.world.randomDuration(time.Millisecond, 4*time.Millisecond))
-	ctl := p.to.running()
+	process := p.to.running()
 	p.from.world.mu.Lock()
 	cut := p.from.cutFromPeers || p.to.cutFromPeers || p.from.world.isPartitioned(p.from.set.Zone, p.to) || p.to.peerCallsLost
 	p.from.world.mu.Unlock()
-	if ctl == nil || ctx.Err() != nil || cut {
+	if process == nil || ctx.Err() != nil || cut {
 		return nil, fmt.Errorf("%w: unreachable", kvstore.ErrOutcomeUnknown)
 	}
 	p.from.waitWhileFrozen()
-	return ctl, nil
+	return process, nil
 }
 
 func (p simPeer) PushStatus(ctx context.Context, s peer.Status) (peer.StatusReply, error) {
-	ctl, err := p.reach(ctx)
+	process, err := p.reach(ctx)
 	if err != nil {
 		return peer.StatusReply{}, err
 	}
 	p.to.waitWhileFrozen()
-	r := ctl.HandlePeerStatus(s)
+	r := process.HandlePeerStatus(s)
 	if p.from.world.hideCancellations {
 		r.LatestCancellation, r.Cancellations = 0, nil
 	}
@@ -318,11 +318,11 @@
 
 // Commit has the other controller write.
 func (p simPeer) Commit(ctx context.Context, t wire.Txn) (uint64, error) {
-	ctl, err := p.reach(ctx)
+	process, err := p.reach(ctx)
 	if err != nil {
 		return 0, err
 	}
-	r := ctl.HandlePeerCommit(ctx, t)
+	r := process.HandlePeerCommit(ctx, t)
 	p.from.waitWhileFrozen()
 	p.from.world.locked(func() { p.from.world.observed["relayed "+string(r.Outcome)]++ })
 	return r.Result()
--- a/controller/status.go
+++ b/controller/status.go
@@ -3,11 +3,12 @@
 import (
 	"encoding/json"
 	"log/slog"
+	"time"
+
 	"ravenport/httpwire"
 	"ravenport/logkey"
 	"ravenport/records"
 	"ravenport/shard"
-	"time"
 )
 
 // Status is what /status answers: this controller's view, for operators.
@@ -15,7 +16,7 @@
 	Controller     string        `json:"node"`
 	Zone           string        `json:"zone"`
 	StoreReachable bool          `json:"state_ok"`
-	AuthorityMS    int64         `json:"authority_ms"` // how long it may still act without hearing from the state service
+	AuthorityMS    int64         `json:"authority_ms"` // how long it may still act without an answer of the key-value store (ms)
 	Revision       uint64        `json:"revision"`
 	OpenJobs       int           `json:"open_jobs"`
 	Unassigned     int           `json:"unassigned_jobs"` // with tasks that wait for the leader
@@ -34,18 +35,18 @@
 	Evidence       []string `json:"evidence,omitempty"`
 	Accusers       []string `json:"accusers,omitempty"` // controllers with evidence of their own
 	Refutation     uint64   `json:"refutation,omitempty"`
-	SilentMS       int64    `json:"silent_ms"`
-	SilenceLimitMS int64    `json:"bound_ms"` // silence beyond which it is suspected
+	SilentMS       int64    `json:"silent_ms"` // since its last heartbeat (ms)
+	SilenceLimitMS int64    `json:"bound_ms"`  // silence beyond which it is suspected (ms)
 }
 
-// Role says who holds a term.
+// Role is who holds the term of the leader or of a shard's owner.
 type Role struct {
 	Controller string `json:"node"`
 	Term       uint64 `json:"term"`
 	Alive      bool   `json:"alive"`
 }
 
-// ShardStatus is one shard; the summary is there on its owner alone.
+// ShardStatus is one shard; only its owner has the summary.
 type ShardStatus struct {
 	Shard     string         `json:"part"`
 	Owner     Role           `json:"owner"`
@@ -73,7 +74,7 @@
 	view := Status{
 		Controller:     c.settings.Controller,
 		Zone:           c.settings.Zone,
-		StoreReachable: c.storeReachable(now),
+		StoreReachable: c.isStoreReachable(now),
 		Revision:       c.feed.revision,
 		OpenJobs:       len(c.feed.jobs),
 		Leader:         c.role(records.KeyLeader),
--- a/controller/handover.go
+++ b/controller/transfer.go
@@ -10,56 +10,56 @@
 	"ravenport/records"
 )
 
-// handOverCutOffLeader hands the leadership over if no other controller's status arrives
-// here.
-func (c *controlActor) handOverCutOffLeader(now time.Time) {
+// transferCutOffLeadership transfers the leadership if no other controller's status
+// arrives here.
+func (c *controlActor) transferCutOffLeadership(now time.Time) {
 	settled := now.Sub(c.roles.leaderSince) > 2*constants.PeerSilenceTimeout
-	if c.roles.leader != nil && settled && c.noPeerStatus(now) {
-		c.handOverUnusable(now, records.KeyLeader)
+	if c.roles.leader != nil && settled && c.lacksPeerStatus(now) {
+		c.transferUnusableTerm(now, records.KeyLeader)
 	}
 }
 
-// handOverUnreachableShard hands a shard over whose machines fell silent together, unless
+// transferUnreachableShard transfers a shard whose machines fell silent together, unless
 // it may be the machines that are cut off.
-func (c *controlActor) handOverUnreachableShard(now time.Time, m shardUnreachable) {
+func (c *controlActor) transferUnreachableShard(now time.Time, m shardUnreachable) {
 	if c.roles.owners[m.shard] == nil {
 		return
 	}
-	if m.heartbeatsMisrouted || c.allPeersSilent(now) {
-		c.handOverUnusable(now, records.KeyShard(m.shard))
+	if m.heartbeatsMisrouted || c.areAllPeersSilent(now) {
+		c.transferUnusableTerm(now, records.KeyShard(m.shard))
 	}
 }
 
-// handOverUnusable gives up a term that this controller cannot make use of, because it is
-// cut off from what that takes.
-func (c *controlActor) handOverUnusable(now time.Time, key string) {
+// transferUnusableTerm transfers a term that this controller cannot make use of, because
+// it is cut off from what that takes.
+func (c *controlActor) transferUnusableTerm(now time.Time, key string) {
 	acquisition, ok := c.member.TransferAway(now, key)
 	if !ok || c.isAcquiring(now, key) || !c.hasAuthority(now) {
 		return
 	}
-	slog.Warn("controller is cut off, handing over term", "key", key, logkey.Controller, acquisition.NewHolder)
-	c.handOver(now, acquisition)
+	slog.Warn("controller is cut off, transferring term", "key", key, logkey.Controller, acquisition.NewHolder)
+	c.transferTerm(now, acquisition)
 }
 
 // renewTerm gives an owner here a new term before the numbers of its own run out. Like
-// any hand-over it begins with the owner's stop.
+// any transfer it begins with the owner's stop.
 func (c *controlActor) renewTerm(now time.Time, shard string) {
 	key := records.KeyShard(shard)
 	owner := c.roles.owners[shard]
-	if owner == nil || c.isAcquiring(now, key) || !c.hasAuthority(now) || c.acquisitionsBlocked(now) {
+	if owner == nil || c.isAcquiring(now, key) || !c.hasAuthority(now) || c.isAcquisitionBlocked(now) {
 		return // the owner asks again
 	}
 	slog.Info("numbers of the term are used up, acquiring a new term", logkey.Shard, shard, logkey.Term, owner.term)
-	c.handOver(now, c.member.AcquisitionFor(key, c.settings.Controller))
+	c.transferTerm(now, c.member.AcquisitionFor(key, c.settings.Controller))
 }
 
-// handOver ends what this controller does under a term before another begins. The
+// transferTerm ends what this controller does under a term before another begins. The
 // acquisition that transfers the term is written only once the actor has stopped:
 // heartbeats that still wait in its mailbox must not be answered after the next owner has
 // begun to count the workers' leases.
-func (c *controlActor) handOver(now time.Time, acquisition member.TermAcquisition) {
+func (c *controlActor) transferTerm(now time.Time, acquisition member.TermAcquisition) {
 	term, _ := c.member.Term(acquisition.Key)
-	c.terms.handedOver[acquisition.Key] = term.Number
+	c.terms.relinquished[acquisition.Key] = term.Number
 	c.terms.acquiring[acquisition.Key] = now
 	running := c.detachRole(acquisition.Key)
 	if running == nil {
--- a/controller/handover_test.go
+++ b/controller/transfer_test.go
@@ -10,9 +10,9 @@
 )
 
 // A leader that the others' calls do not reach, though its own reach them, knows the
-// figures of its own shard alone. It hands the leadership on, and work goes on coming
+// figures of its own shard alone. It transfers the leadership, and work goes on coming
 // to the machines of the others; see docs/incidents/deaf-leader.md.
-func TestLeaderWithoutPeerStatusHandsOver(t *testing.T) {
+func TestLeaderWithoutPeerStatusTransfersTerm(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorldWithTimes(2, []string{"a", "b", "c"}, 3, magnoliaTimes)
--- /dev/null
+++ b/controller/unusual_requests_test.go
@@ -0,0 +1,99 @@
+package controller
+
+import (
+	"testing"
+	"time"
+
+	"ravenport/apiserver"
+	"ravenport/httpwire"
+	"ravenport/records"
+	"ravenport/wire"
+)
+
+// Jobs that lack a field are refused as malformed and jobs that can never run as
+// such, by every controller, every time, also while controllers end and the state
+// service answers slowly; repeats of jobs that were accepted and cancellations of
+// done ones get the same answer as before.
+func TestUnusualRequests(t *testing.T) {
+	required := []string{"uid", "lane", "crew", "shape", "rank", "pieces", "cpus", "cards", "mem_gb", "kit", "pull_gb", "one_zone", "scatter", "loaners", "guess_s", "mark_every_s", "stow_s"}
+	never := map[string]func(map[string]any){
+		"unknown team":           func(f map[string]any) { f["crew"] = "nobody" },
+		"too many CPUs":          func(f map[string]any) { f["cpus"] = 9.0 },
+		"too much memory":        func(f map[string]any) { f["mem_gb"] = 33.0 },
+		"cards that no type has": func(f map[string]any) { f["cards"] = 1.0 },
+		"unknown type":           func(f map[string]any) { f["builds"] = []string{"crate"} },
+		"unknown zone":           func(f map[string]any) { f["yard"] = "z" },
+		"more than the team's": func(f map[string]any) {
+			f["crew"] = "tight"
+			f["cpus"] = 8.0
+			f["pieces"] = 2
+			f["shape"] = wire.KindService
+		},
+		"a service bound and apart": func(f map[string]any) {
+			f["yard"] = "a"
+			f["scatter"] = true
+			f["pieces"] = 2
+			f["shape"] = wire.KindService
+		},
+	}
+	scenarios(t, []scenario{{name: "while controllers end", times: magnoliaTimes, zones: []string{"a", "b", "c"}, seeds: []uint64{1, 2}, play: func(t *testing.T, w *world) {
+		done := w.newArray("run-000000", 2, 1, 3)
+		go w.runUser(done, 0, 0)
+		w.waitUntil(t, "a job is done", 2*time.Minute, func() bool { return w.hasEnded(done) })
+		sample := w.newArray("run-odd", 2, 1, 5).spec
+		answered := 0
+		ask := func(what string, f map[string]any, want int) {
+			for index := range w.controllers {
+				r := w.requestAt(index, func(q apiserver.Request) any { return apiserver.Submit{Request: q, Body: records.Encode(f)} })
+				if r == nil || r.Status == 503 {
+					continue
+				}
+				if answered++; r.Status != want {
+					w.fail(t, "%s, at %d: status %d, wanted %d: %s", what, index, r.Status, want, r.Body)
+				}
+			}
+		}
+		for round := range 4 {
+			switch round {
+			case 1:
+				w.locked(func() { w.storeLatency = 300 * time.Millisecond })
+			case 2:
+				w.expectNewTerm(t, records.KeyLeader, func() { w.controllers[w.holder(records.KeyLeader)].restart(3 * time.Second) })
+			case 3:
+				w.setOutage(true)
+				time.AfterFunc(10*time.Second, func() { w.setOutage(false) })
+			}
+			for _, field := range required {
+				f := fields(sample)
+				delete(f, field)
+				ask("without "+field, f, 400)
+				f = fields(sample)
+				f[field] = nil
+				ask("null as "+field, f, 400)
+			}
+			for what, change := range never {
+				f := fields(sample)
+				change(f)
+				ask(what, f, 422)
+			}
+			for index := range w.controllers { // of a job that is done
+				f := fields(done.spec)
+				delete(f, "cpus")
+				for _, r := range []*httpwire.Response{
+					w.requestAt(index, func(q apiserver.Request) any { return apiserver.Submit{Request: q, Body: records.Encode(f)} }),
+					w.requestAt(index, func(q apiserver.Request) any { return apiserver.Cancel{Request: q, JobID: done.spec.ID} }),
+				} {
+					w.checkReply(done, r, true)
+				}
+				r := w.requestAt(index, func(q apiserver.Request) any { return apiserver.Poll{Request: q, JobID: "run-odd"} })
+				if r != nil && r.Status != 404 && r.Status != 503 {
+					w.fail(t, "a job that nobody could submit: status %d", r.Status)
+				}
+			}
+		}
+		if answered < 300 {
+			w.fail(t, "only %d odd requests were answered", answered)
+		}
+		w.settleAll(t, time.Minute, []*simJob{done})
+	}}})
+}
