--- a/controller/control_messages.go
+++ b/controller/control_messages.go
@@ -109,7 +109,7 @@
 	// membershipView is what failure detection sees, for the status.
 	membershipView struct {
 		members []MemberStatus
-		dropped MessageCounts
+		dropped DroppedHeartbeats
 		events  []string
 	}
 )
--- a/controller/detection_test.go
+++ b/controller/detection_test.go
@@ -454,7 +454,7 @@
 		if err := json.Unmarshal((<-asked.got).Body, &s); err != nil {
 			t.Fatal(err)
 		}
-		if len(s.Members) != 2 || s.Members[0].State != "failed" || s.Members[1].State != "alive" || s.Dropped.Unknown != 1 {
+		if len(s.Members) != 2 || s.Members[0].State != "failed" || s.Members[1].State != "alive" || s.Dropped.UnknownController != 1 {
 			t.Errorf("%+v, dropped %+v", s.Members, s.Dropped)
 		}
 		if len(s.Events) == 0 || !strings.Contains(strings.Join(s.Events, "\n"), "n-1 alive -> failed") {
--- a/controller/membership_events.go
+++ b/controller/membership_events.go
@@ -82,16 +82,16 @@
 	return names
 }
 
-// MessageCounts counts heartbeats of other controllers that were dropped, by reason.
-type MessageCounts struct {
-	Unknown   uint64 `json:"unknown_controller"`
-	Malformed uint64 `json:"malformed"`
+// DroppedHeartbeats counts heartbeats of other controllers that were dropped, by reason.
+type DroppedHeartbeats struct {
+	UnknownController uint64 `json:"unknown_controller"`
+	Malformed         uint64 `json:"malformed"`
 }
 
-func (c *MessageCounts) add(err error) {
+func (c *DroppedHeartbeats) add(err error) {
 	switch {
 	case errors.Is(err, detector.ErrUnknownController):
-		c.Unknown++
+		c.UnknownController++
 	case errors.Is(err, detector.ErrMalformedMessage):
 		c.Malformed++
 	}
--- a/controller/monitor.go
+++ b/controller/monitor.go
@@ -33,7 +33,7 @@
 	nextHeartbeat     time.Time
 	heartbeatInFlight map[string]bool // by controller
 	nextPublish       time.Time
-	dropped           MessageCounts
+	dropped           DroppedHeartbeats
 	events            eventLog
 	stall             stallState
 }
--- a/controller/peer_status.go
+++ b/controller/peer_status.go
@@ -130,7 +130,7 @@
 		c.stopReplacedOwner(aggregate, s.Controller)
 		c.tellLeader(aggregate)
 	}
-	misrouted := misroutedHeartbeats{s.MisroutedHeartbeats, c.hasHeardAllLivePeers(now)}
+	misrouted := misroutedHeartbeats{s.MisroutedHeartbeats, c.isInContactWithAllPeers(now)}
 	for _, owner := range c.roles.owners {
 		owner.ref.Tell(s.Aggregates)
 		owner.ref.Tell(misrouted)
@@ -161,9 +161,9 @@
 	c.stopOwner(aggregate.Shard)
 }
 
-// hasHeardAllLivePeers says whether every other live controller made contact lately. If so,
+// isInContactWithAllPeers says whether every other live controller made contact lately. If so,
 // a machine that none of them has seen does not just miss its owner.
-func (c *controlActor) hasHeardAllLivePeers(now time.Time) bool {
+func (c *controlActor) isInContactWithAllPeers(now time.Time) bool {
 	for _, p := range c.settings.Peers {
 		silence := now.Sub(c.peers[p.Controller].lastContact)
 		if c.member.IsAlive(p.Controller) && silence > constants.MaxPushInterval*2 {
--- a/controller/role_messages.go
+++ b/controller/role_messages.go
@@ -54,7 +54,7 @@
 	}
 	// misroutedHeartbeats are machines whose heartbeats reached another controller.
 	misroutedHeartbeats struct {
-		machines      []shard.MisroutedHeartbeat
-		allPeersHeard bool // every live controller made contact lately
+		machines          []shard.MisroutedHeartbeat
+		allPeersInContact bool // every live controller made contact lately
 	}
 )
--- a/controller/shard_actor.go
+++ b/controller/shard_actor.go
@@ -149,7 +149,7 @@
 	case wake:
 		a.pacer.noteWake(m)
 	case misroutedHeartbeats:
-		a.core.ApplyMisroutedHeartbeats(now, m.machines, m.allPeersHeard)
+		a.core.ApplyMisroutedHeartbeats(now, m.machines, m.allPeersInContact)
 		return false
 	case []leader.Aggregate:
 		a.core.ApplyOtherShards(now, m)
--- a/controller/sim_draining_test.go
+++ b/controller/sim_draining_test.go
@@ -17,7 +17,7 @@
 	"ravenport/wire"
 )
 
-// watchDisruption begins to judge stops: all services' tasks share a budget of so many.
+// watchDisruption starts checking stops; all services' tasks share one disruption budget.
 func (w *world) watchDisruption(most int) {
 	w.locked(func() {
 		w.disruption = disruptioncheck.New(most, w.controllers[0].set.Draining.Policy.StableAfter, w.times.lease()+30*time.Second)
@@ -258,7 +258,7 @@
 	}
 }
 
-// old lists the machines that are there now.
+// machineNames returns the names of the machines that are there now.
 func (w *world) machineNames() map[string]bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/controller/status.go
+++ b/controller/status.go
@@ -20,12 +20,12 @@
 	Revision       uint64        `json:"revision"`
 	OpenJobs       int           `json:"open_jobs"`
 	Unassigned     int           `json:"unassigned_jobs"` // with tasks that wait for the leader
-	Leader         Role          `json:"leader"`
+	Leader         TermHolder    `json:"leader"`
 	Shards         []ShardStatus `json:"parts"`
 	// What failure detection sees, where it is on.
-	Members []MemberStatus `json:"members,omitempty"`
-	Dropped *MessageCounts `json:"heartbeats_dropped,omitempty"`
-	Events  []string       `json:"membership_events,omitempty"` // the latest
+	Members []MemberStatus     `json:"members,omitempty"`
+	Dropped *DroppedHeartbeats `json:"heartbeats_dropped,omitempty"`
+	Events  []string           `json:"membership_events,omitempty"` // the latest
 }
 
 // MemberStatus is another controller as failure detection sees it.
@@ -39,8 +39,8 @@
 	SilenceLimitMS int64    `json:"bound_ms"`  // silence beyond which it is suspected (ms)
 }
 
-// Role is who holds the term of the leader or of a shard's owner.
-type Role struct {
+// TermHolder is who holds the term of the leader or of a shard's owner.
+type TermHolder struct {
 	Controller string `json:"node"`
 	Term       uint64 `json:"term"`
 	Alive      bool   `json:"alive"`
@@ -49,16 +49,16 @@
 // ShardStatus is one shard; only its owner has the summary.
 type ShardStatus struct {
 	Shard     string         `json:"part"`
-	Owner     Role           `json:"owner"`
+	Owner     TermHolder     `json:"owner"`
 	Inventory int            `json:"roster"` // machines in the durable inventory
 	Summary   *shard.Summary `json:"summary,omitempty"`
 }
 
-// role returns who holds the term under key.
-func (c *controlActor) role(key string) Role {
+// termHolder returns who holds the term under key.
+func (c *controlActor) termHolder(key string) TermHolder {
 	term, _ := c.member.Term(key)
 	_, alive := c.member.Holder(key)
-	return Role{Controller: term.Controller, Term: term.Number, Alive: alive}
+	return TermHolder{Controller: term.Controller, Term: term.Number, Alive: alive}
 }
 
 // answerStatus answers with this controller's view.
@@ -77,7 +77,7 @@
 		StoreReachable: c.isStoreReachable(now),
 		Revision:       c.feed.revision,
 		OpenJobs:       len(c.feed.jobs),
-		Leader:         c.role(records.KeyLeader),
+		Leader:         c.termHolder(records.KeyLeader),
 	}
 	if end := c.authorityEnd(); now.Before(end) {
 		view.AuthorityMS = end.Sub(now).Milliseconds()
@@ -99,7 +99,7 @@
 }
 
 func (c *controlActor) shardView(name string) ShardStatus {
-	view := ShardStatus{Shard: name, Owner: c.role(records.KeyShard(name))}
+	view := ShardStatus{Shard: name, Owner: c.termHolder(records.KeyShard(name))}
 	for _, page := range c.feed.inventory {
 		if page.Shard == name {
 			view.Inventory += len(page.Machines())
