--- a/shard/draining_test.go
+++ b/shard/draining_test.go
@@ -10,9 +10,9 @@
 	"ravenport/wire"
 )
 
-// withAccount has the rig's owner keep an account in which one task of a team may be down,
-// with a service of three tasks that run on two machines.
-func (r *rig) withAccount() *job {
+// startDrainingWithService starts draining with disruption budgets of one unavailable task a
+// team, and a service of three tasks that run on two machines.
+func (r *rig) startDrainingWithService() *job {
 	var budgets disruption.Budgets
 	budgets.SetServicesDefault(disruption.MaxUnavailable{Tasks: 1})
 	r.StartDraining(r.now, DrainingConfig{Shards: []string{"a"}, Budgets: budgets, Policy: drain.Policy{StableAfter: 5 * time.Second, ReplacementTimeout: time.Minute, MaxConsecutiveFailures: 2, ParallelPercent: 100}}, nil, nil)
@@ -21,13 +21,13 @@
 	spec := wire.Submission{ID: "run-1", Team: "t", Class: "c", Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 3, CPUs: 2, MemoryGB: 1, Image: "i"}
 	r.submit(&records.Job{ID: spec.ID, Spec: spec, Assignments: []records.Assignment{{From: 0, To: 3, Shard: "a", KeepWaiting: true}}})
 	r.commitAll(r.advance(time.Second))
-	r.serve(8 * time.Second)
+	r.advanceWithRunningTasks(8 * time.Second)
 	return r.jobs["run-1"]
 }
 
-// serve lets the machines report for a while: what they were started runs, and what
-// they were told to stop has exited.
-func (r *rig) serve(d time.Duration) {
+// advanceWithRunningTasks advances the time while all machines send heartbeats, in which the
+// tasks that were started run, and those that were stopped have exited.
+func (r *rig) advanceWithRunningTasks(d time.Duration) {
 	for end := r.now.Add(d); r.now.Before(end); {
 		r.commitAll(r.advance(250 * time.Millisecond))
 		for _, m := range r.Core.fleet {
@@ -44,98 +44,99 @@
 	}
 }
 
-// Consolidation moves a task only within a claim that is written, and no second one
-// before the first has proved itself.
-func TestConsolidationAsksTheAccount(t *testing.T) {
+// Consolidation migrates a task only within a claim that is written, and no second one
+// before the first is available again.
+func TestConsolidationKeepsToBudgets(t *testing.T) {
 	r := newRig(nil)
-	j := r.withAccount()
+	j := r.startDrainingWithService()
 	first, second := j.tasks[0], j.tasks[1]
 	if r.draining.allowsConsolidation(r.now, first) {
-		t.Fatal("moved without a claim")
+		t.Fatal("migrated without a claim")
 	}
 	moved := false
 	for i := 0; i < 40 && !moved; i++ {
-		r.serve(250 * time.Millisecond) // the wish is written, if there is room for it
+		r.advanceWithRunningTasks(250 * time.Millisecond) // the claim is written, if the budget allows it
 		moved = r.draining.allowsConsolidation(r.now, first)
 	}
 	if !moved {
-		t.Fatal("never moved, though no other task is down")
+		t.Fatal("never migrated, though no other task is unavailable")
 	}
 	if r.draining.allowsConsolidation(r.now, second) {
-		t.Error("a second one is moved beside the first")
+		t.Error("a second one migrates beside the first")
 	}
 	r.evict(first.attempt)
-	r.serve(2 * time.Second)
+	r.advanceWithRunningTasks(2 * time.Second)
 	if r.draining.allowsConsolidation(r.now, second) {
-		t.Error("a second one is moved before the first has proved itself")
+		t.Error("a second one migrates before the first is available again")
 	}
 }
 
-// A drain leaves tasks alone that are about to come up, and moves them within the budget
-// once they have: what an owner has just heard of counts as unavailable, but may have run
-// for long. Guards against a takeover after which a machine's tasks were stopped all at once.
-func TestDrainLeavesAloneWhatMayComeUp(t *testing.T) {
+// A drain leaves tasks alone that are about to become available, and migrates them within
+// the budget once they have: a task that an owner has just learned of counts as unavailable,
+// but may have run for long. Guards against a failover after which all tasks of a machine
+// were stopped at once.
+func TestDrainLeavesTasksThatMayBecomeAvailable(t *testing.T) {
 	r := newRig(nil)
-	j := r.withAccount()
+	j := r.startDrainingWithService()
 	r.bringUp("m-2")
-	for _, task := range j.tasks { // as if each had just been heard of, while it was fetched
+	for _, task := range j.tasks { // as if the owner had just learned of each
 		task.attempt.runningSince = r.now
 	}
 	spread := records.Drain{Number: 1, State: records.DrainRunning, CanaryPassed: true, Selection: records.Selection{Machines: []string{"m-0", "m-1"}}}
 	r.Apply(r.now, records.Change{Key: records.KeyDrain(1), Version: r.version, Record: &spread})
 	moved := map[*task]bool{}
 	for range 240 {
-		r.serve(250 * time.Millisecond)
-		notUp := 0
+		r.advanceWithRunningTasks(250 * time.Millisecond)
+		unavailable := 0
 		for _, task := range j.tasks {
 			if !r.draining.isAvailable(&r.fleetView, r.now, task) {
-				notUp++
+				unavailable++
 			}
 		}
 		for task := range r.draining.migrations {
-			if !moved[task] && notUp > 1 {
-				t.Fatalf("a task is stopped while %d are not up, of which one may be", notUp)
+			if !moved[task] && unavailable > 1 {
+				t.Fatalf("a task is stopped while %d are unavailable, of which one may be", unavailable)
 			}
 			moved[task] = true
 		}
 	}
 	if len(moved) != len(j.tasks) {
-		t.Errorf("%d of %d tasks were moved", len(moved), len(j.tasks))
+		t.Errorf("%d of %d tasks were migrated", len(moved), len(j.tasks))
 	}
 }
 
-// What a budget of interruptions counts: nothing that only waits, what ran and does not
-// any more until it has proved itself again, what was sent on meanwhile for some time, and
-// of what an earlier owner claimed as many as wait.
-func TestInterruptionsThatCount(t *testing.T) {
+// A budget of interruptions counts no unit that has not run yet; one that has run and does
+// not any more, until it is available again; and for some time one that is offloaded
+// meanwhile.
+func TestInterruptionsCounted(t *testing.T) {
 	now := time.Unix(1000, 0)
 	keys := []disruption.BudgetKey{{Team: "t", Interruptions: true}}
 	j := &job{rec: &records.Job{ID: "run-1"}}
 	s := newInterruptions(time.Minute)
 	for _, step := range []struct {
-		name       string
-		here       bool
-		runs, isUp bool
-		stopped    bool // it is told to stop after it was looked at
-		after      time.Duration
-		want       int
+		name                   string
+		here                   bool
+		isRunning, isAvailable bool
+		stopped                bool // it is stopped after it was observed
+		after                  time.Duration
+		want                   int
 	}{
 		{name: "waits", here: true},
-		{name: "begins", here: true, runs: true},
-		{name: "is up", here: true, runs: true, isUp: true},
+		{name: "begins", here: true, isRunning: true},
+		{name: "is available", here: true, isRunning: true, isAvailable: true},
 		{name: "is interrupted", here: true, want: 1},
 		{name: "waits again", here: true, want: 1},
-		{name: "runs again", here: true, runs: true, want: 1},
-		{name: "is up again", here: true, runs: true, isUp: true},
+		{name: "runs again", here: true, isRunning: true, want: 1},
+		{name: "is available again", here: true, isRunning: true, isAvailable: true},
 		{name: "is interrupted again", here: true, want: 1},
-		{name: "was sent on", after: 59 * time.Second, want: 1},
-		{name: "was sent on for long", after: 2 * time.Second},
-		{name: "another one begins", here: true, runs: true, isUp: true, stopped: true, want: 1},
-		{name: "was sent on before it was seen to end", want: 1},
+		{name: "was offloaded", after: 59 * time.Second, want: 1},
+		{name: "was offloaded for long", after: 2 * time.Second},
+		{name: "another one begins", here: true, isRunning: true, isAvailable: true, stopped: true, want: 1},
+		{name: "was offloaded before it was seen to end", want: 1},
 	} {
 		now = now.Add(time.Second + step.after)
 		if step.here {
-			s.observe(now, interruptionUnit{j, 0}, keys, step.runs, step.isUp)
+			s.observe(now, interruptionUnit{j, 0}, keys, step.isRunning, step.isAvailable)
 		}
 		if step.stopped {
 			s.units[interruptionUnit{j, 0}].markInterrupted()
@@ -146,8 +147,8 @@
 	}
 }
 
-// A drain interrupts one task of an array, or one gang, at a time where the budget says so.
-func TestDrainKeepsToInterruptions(t *testing.T) {
+// A drain interrupts one task of an array, or one gang, at a time where that is the budget.
+func TestDrainKeepsToInterruptionBudgets(t *testing.T) {
 	for _, kind := range []string{wire.KindArray, wire.KindGang} {
 		r := newRig(nil)
 		var budgets disruption.Budgets
@@ -160,7 +161,7 @@
 			spec := wire.Submission{ID: id, Team: "t", Class: "c", Kind: kind, Priority: wire.PriorityNormal, Tasks: 2, CPUs: 2, MemoryGB: 1, Image: "i", EstimateS: 600}
 			r.submit(&records.Job{ID: spec.ID, Spec: spec, Assignments: []records.Assignment{{From: 0, To: 2, Shard: "a", KeepWaiting: true}}})
 		}
-		r.serve(15 * time.Second)
+		r.advanceWithRunningTasks(15 * time.Second)
 		r.bringUp("m-2")
 		units := map[interruptionUnit]bool{}
 		for _, j := range r.jobs {
@@ -175,7 +176,7 @@
 		r.Apply(r.now, records.Change{Key: records.KeyDrain(1), Version: r.version, Record: &record})
 		interrupted := map[interruptionUnit]bool{}
 		for range 300 {
-			r.serve(250 * time.Millisecond)
+			r.advanceWithRunningTasks(250 * time.Millisecond)
 			n := 0
 			for u, i := range r.draining.interruptions.units {
 				if i.interrupted {
@@ -188,14 +189,14 @@
 			}
 		}
 		if len(interrupted) != len(units) {
-			t.Errorf("%s: %d of %d were interrupted, each must be to move", kind, len(interrupted), len(units))
+			t.Errorf("%s: %d of %d were interrupted, each must be for the drain to finish", kind, len(interrupted), len(units))
 		}
 	}
 }
 
-// Which tasks were interrupted is not stored: a new owner takes as many of those that wait
-// as the claim of the last one says, until they run again.
-func TestNextOwnerCountsInterruptions(t *testing.T) {
+// Which tasks were interrupted is not stored: a new owner takes as many of the waiting ones
+// as interrupted as the claim of the last owner says, until they run again.
+func TestNextOwnerInheritsInterruptions(t *testing.T) {
 	spec := wire.Submission{ID: "run-1", Team: "t", Class: "c", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 3, CPUs: 2, MemoryGB: 1, Image: "i", EstimateS: 600}
 	j := &records.Job{ID: spec.ID, Spec: spec, Assignments: []records.Assignment{{From: 0, To: 3, Shard: "a", KeepWaiting: true}}}
 	r := newRig(map[string]*records.Job{j.ID: j})
@@ -207,10 +208,10 @@
 	r.StartDraining(r.now, cfg, map[string]*records.Job{j.ID: j}, []records.Change{{Key: records.KeyDisruptionClaim("a"), Version: 90, Record: &last}})
 	r.commitAll(r.advance(time.Second))
 	if n := r.draining.countUnavailable(&r.fleetView, r.now)[key]; n != 2 {
-		t.Errorf("%d of 3 that wait count, 2 were claimed", n)
+		t.Errorf("%d of 3 waiting tasks count, 2 were claimed", n)
 	}
 	r.bringUp("m-0")
-	r.serve(15 * time.Second)
+	r.advanceWithRunningTasks(15 * time.Second)
 	if n := r.draining.countUnavailable(&r.fleetView, r.now)[key]; n != 0 {
 		t.Errorf("%d count though all run", n)
 	}
