--- a/shard/partition.go
+++ b/shard/partition.go
@@ -130,7 +130,7 @@
 }
 
 // ApplyMisroutedHeartbeats records which machines sent heartbeats to another controller;
-// allPeersInContact says that every live controller was heard from. A heartbeat that is no newer
+// allPeersHeard says that every live controller was heard from. A heartbeat that is no newer
 // than the machine's last one to this owner may be a late copy and proves nothing.
 func (v *fleetView) ApplyMisroutedHeartbeats(now time.Time, list []MisroutedHeartbeat, allPeersHeard bool) {
 	for _, heartbeat := range list {
