--- /dev/null
+++ b/internal/disruptioncheck/check_test.go
@@ -0,0 +1,78 @@
+package disruptioncheck
+
+import (
+	"testing"
+	"time"
+)
+
+const (
+	stableAfter  = 10 * time.Second
+	reactionTime = time.Minute
+)
+
+// newCheck returns a check with a budget of one task, and tasks a and b that have been up
+// for long.
+func newCheck(start time.Time) *Check {
+	c := New(1, stableAfter, reactionTime)
+	c.TaskUp("a", start.Add(-time.Hour))
+	c.TaskUp("b", start.Add(-time.Hour))
+	return c
+}
+
+// A stop exceeds the budget while another stopped task is not up again, or has not run for
+// long enough, and while a failure is known that was not repaired.
+func TestStopsAgainstBudget(t *testing.T) {
+	start := time.Unix(1000, 0)
+	after := func(d time.Duration) time.Time { return start.Add(d) }
+	for name, c := range map[string]struct {
+		before  func(c *Check)
+		wantErr bool
+	}{
+		"the first stop": {func(*Check) {}, false},
+		"another task is stopped": {func(c *Check) {
+			_ = c.TaskStopped("b", start)
+		}, true},
+		"another task was stopped and is not stable": {func(c *Check) {
+			_ = c.TaskStopped("b", start)
+			c.TaskUp("b", after(2*time.Minute-stableAfter+time.Second))
+		}, true},
+		"another task was stopped and is stable": {func(c *Check) {
+			_ = c.TaskStopped("b", start)
+			c.TaskUp("b", after(2*time.Minute-stableAfter))
+		}, false},
+		"another task failed long ago": {func(c *Check) {
+			c.TaskDown("b", after(2*time.Minute-reactionTime-time.Second))
+		}, true},
+		"another task failed just now": {func(c *Check) {
+			c.TaskDown("b", after(2*time.Minute-reactionTime))
+		}, false},
+		"another task was stopped and need not be up any more": {func(c *Check) {
+			_ = c.TaskStopped("b", start)
+			c.Forget("b")
+		}, false},
+	} {
+		check := newCheck(start)
+		c.before(check)
+		if err := check.TaskStopped("a", after(2*time.Minute)); (err != nil) != c.wantErr {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+}
+
+// Stops, replacements and failures are counted apart.
+func TestFigures(t *testing.T) {
+	start := time.Unix(1000, 0)
+	c := newCheck(start)
+	if err := c.TaskStopped("a", start); err != nil {
+		t.Fatal(err)
+	}
+	c.TaskDown("a", start) // the worker's view of the same stop
+	c.TaskUp("a", start.Add(time.Second))
+	c.TaskDown("b", start.Add(2*time.Second))
+	if want := (Figures{Stops: 1, Replaced: 1, Failed: 1, MaxVoluntary: 1}); c.Figures() != want {
+		t.Errorf("%+v, wanted %+v", c.Figures(), want)
+	}
+	if c.DownCount() != 1 {
+		t.Errorf("%d tasks are down, wanted 1", c.DownCount())
+	}
+}
--- a/internal/loopback/cloud_test.go
+++ b/internal/loopback/cloud_test.go
@@ -73,7 +73,7 @@
 			respond(r, 400, wire.Problem{Error: err.Error()})
 			return
 		}
-		c.noteScaleIn(names.Machines)
+		c.recordScaleIn(names.Machines)
 		c.remove(names.Machines)
 		respond(r, 200, struct{}{})
 	case wire.PathMachines:
@@ -133,8 +133,8 @@
 	return m.name
 }
 
-// noteScaleIn remembers the zone of machines that a controller returns.
-func (c *cloud) noteScaleIn(names []string) {
+// recordScaleIn remembers the zone of machines that a controller returns.
+func (c *cloud) recordScaleIn(names []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, name := range names {
--- a/internal/loopback/controller_test.go
+++ b/internal/loopback/controller_test.go
@@ -53,7 +53,7 @@
 		return
 	}
 	if err := c.process.Process.Kill(); err == nil {
-		_ = c.process.Wait() // it reports the kill
+		_ = c.process.Wait() // it returns the kill as an error
 		c.pastProcessorTime += c.process.ProcessState.UserTime() + c.process.ProcessState.SystemTime()
 	}
 	c.process = nil
--- a/internal/loopback/drain_failures_test.go
+++ b/internal/loopback/drain_failures_test.go
@@ -42,7 +42,7 @@
 // names match, one in each replacement of the fleet. All of them take half an hour:
 //
 //	go test ./internal/loopback -run TestDrainFailuresOfRealProcesses -v -timeout 0 -drain.failing killed
-var drainFailurePattern = flag.String("drain.failing", "", "failures to play: an expression that their names match; empty: none")
+var drainFailurePattern = flag.String("drain.failing", "", "failures to inject: an expression that their names match; empty: none")
 
 // TestDrainFailuresOfRealProcesses replaces the fleet once for each failure that is chosen.
 // It checks the same as TestDrainOfRealProcesses.
@@ -62,7 +62,7 @@
 		f.awaitServiceTasks(t, replicas, time.Minute)
 		t.Logf("%s: %+v, %+v", failure.name, replacement, f.disruptionFigures())
 		if n := f.cloud.breaksLeft(); n > 0 {
-			t.Errorf("%s: %d machines that were to be hurt were never rented", failure.name, n)
+			t.Errorf("%s: %d machines that were to break were never created", failure.name, n)
 		}
 	}
 	jobs.awaitArrays(t, f)
--- a/internal/loopback/drain_test.go
+++ b/internal/loopback/drain_test.go
@@ -17,7 +17,7 @@
 //	go test ./internal/loopback -run TestDrainOfRealProcesses -v -timeout 0 -drain.rounds 5 -drain.slow
 var (
 	drainRounds          = flag.Int("drain.rounds", 1, "how often the whole fleet is replaced")
-	drainShippedTimes    = flag.Bool("drain.slow", false, "the times that are shipped instead of short ones")
+	drainShippedTimes    = flag.Bool("drain.slow", false, "the default times instead of short ones")
 	drainBudget          = flag.String("drain.budget", "2", "tasks of the team that may be unavailable")
 	drainWithoutFailures = flag.Bool("drain.quiet", false, "nothing fails: measure the time that a drain takes")
 	drainUnlimited       = flag.Bool("drain.naive", false, "no budget: machines are emptied as fast as they can be")
--- a/internal/loopback/failover_test.go
+++ b/internal/loopback/failover_test.go
@@ -16,11 +16,11 @@
 //
 //	go test ./internal/loopback -run TestTakeoverOfRealProcesses -v -timeout 0 -takeover.rounds 30 -takeover.slow -takeover.controllers 5
 var (
-	failoverRounds         = flag.Int("takeover.rounds", 1, "takeovers of each kind")
+	failoverRounds         = flag.Int("takeover.rounds", 1, "failures of each kind")
 	failoverControllers    = flag.Int("takeover.controllers", 3, "controllers")
-	failoverMachines       = flag.Int("takeover.machines", 24, "machines that may be rented")
-	failoverShippedTimes   = flag.Bool("takeover.slow", false, "the times that are shipped instead of short ones")
-	failoverPattern        = flag.String("takeover.only", "", "play only kinds whose names match this expression")
+	failoverMachines       = flag.Int("takeover.machines", 24, "machines that the cloud has at most")
+	failoverShippedTimes   = flag.Bool("takeover.slow", false, "the default times instead of short ones")
+	failoverPattern        = flag.String("takeover.only", "", "inject only failures whose names match this expression")
 	failoverEarlierProgram = flag.String("takeover.earlier", "", "a program of an earlier version, without failure detection, that the first controller runs")
 	evidenceDir            = flag.String("takeover.keep", "", "directory in which logs and the second-by-second table are kept also if nothing fails")
 	failoverDetection      = flag.Bool("takeover.detection", true, "failure detection is on")
@@ -189,9 +189,9 @@
 	t.Helper()
 	f.checkNoViolations(t)
 	for zone, result := range f.observer.checkOwnership() {
-		t.Logf("ownership of %s: %d claims and obeyed commands: %s", zone, len(f.observer.ownershipHistory[zone]), result)
+		t.Logf("ownership of %s: %d acquisitions and executed commands: %s", zone, len(f.observer.ownershipHistory[zone]), result)
 		if result != porcupine.Ok {
-			t.Errorf("claims and obeyed commands of %s have no order: %s", zone, result)
+			t.Errorf("acquisitions and executed commands of %s are not linearizable: %s", zone, result)
 		}
 	}
 	if !*failoverDetection {
--- a/internal/loopback/machine_heartbeats_test.go
+++ b/internal/loopback/machine_heartbeats_test.go
@@ -97,7 +97,7 @@
 func (m *machine) handleReply(f *fleet, body []byte, sentAt time.Time, epoch uint64) {
 	var reply wire.HeartbeatReply
 	if err := json.Unmarshal(body, &reply); err != nil {
-		panic(fmt.Sprintf("unreadable answer to a report: %v", err))
+		panic(fmt.Sprintf("unreadable reply to a heartbeat: %v", err))
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/loopback/ownership_test.go
+++ b/internal/loopback/ownership_test.go
@@ -24,7 +24,7 @@
 func (o *observer) termAcquired(zone string, term uint64, from, to time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	noteFirst(o.acquiredAt, zone, term, to)
+	setIfUnset(o.acquiredAt, zone, term, to)
 	o.addOperation(zone, acquireOp{term}, from, to)
 }
 
@@ -34,12 +34,12 @@
 	term := token >> constants.TokenCounterBits
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	noteFirst(o.firstCommandAt, zone, term, to)
+	setIfUnset(o.firstCommandAt, zone, term, to)
 	o.addOperation(zone, executeOp{machine, term}, from, to)
 }
 
-// noteFirst sets the time of a zone's term, unless it is set.
-func noteFirst(times map[string]map[uint64]time.Time, zone string, term uint64, at time.Time) {
+// setIfUnset sets the time of a zone's term, unless it is set.
+func setIfUnset(times map[string]map[uint64]time.Time, zone string, term uint64, at time.Time) {
 	if times[zone] == nil {
 		times[zone] = map[uint64]time.Time{}
 	}
--- a/internal/loopback/sampler_test.go
+++ b/internal/loopback/sampler_test.go
@@ -101,7 +101,7 @@
 	if taken.waitingTasks <= 0 {
 		free = nil
 	}
-	s.noteFree(free, now)
+	s.trackFree(free, now)
 	for name, since := range s.freeSince {
 		if d := now.Sub(since); d >= taken.longestFree {
 			taken.longestFree = d
@@ -111,8 +111,8 @@
 	return taken
 }
 
-// noteFree remembers since when machines have been free while tasks waited.
-func (s *sampler) noteFree(free []string, now time.Time) {
+// trackFree remembers since when machines have been free while tasks waited.
+func (s *sampler) trackFree(free []string, now time.Time) {
 	freeSince := map[string]time.Time{}
 	for _, name := range free {
 		freeSince[name] = now
--- a/internal/loopback/store_test.go
+++ b/internal/loopback/store_test.go
@@ -97,13 +97,13 @@
 	}
 	s.apply(txn.Changes)
 	for _, change := range txn.Changes {
-		s.noteTermAcquisition(change, receivedAt)
+		s.observeTermAcquisition(change, receivedAt)
 	}
 	respond(r, 200, wire.TxnReply{Revision: s.revision})
 }
 
-// noteTermAcquisition reports a change to the observer if it acquired a shard's term.
-func (s *store) noteTermAcquisition(change wire.Change, receivedAt time.Time) {
+// observeTermAcquisition reports a change to the observer if it acquired a shard's term.
+func (s *store) observeTermAcquisition(change wire.Change, receivedAt time.Time) {
 	record, err := records.Decode(change.Put, change.Value)
 	if err != nil {
 		return
