--- a/shard/scalein.go
+++ b/shard/scalein.go
@@ -216,7 +216,7 @@
 	p.needsPlacement = true
 }
 
-// terminatingMachines lists up to limit machines that are durably closed, and whose termination
+// closedMachines lists up to limit machines that are durably closed, and whose termination
 // was not requested from the cloud yet.
 func (k *knownState) closedMachines(limit int) []string {
 	var names []string
