--- a/controller/sim_gang_test.go
+++ b/controller/sim_gang_test.go
@@ -40,7 +40,7 @@
 }
 
 // onMachine says whether a task counts as on its machine.
-func onMachine(state string) bool {
+func onMachine(state wire.TaskState) bool {
 	return state == wire.TaskRunning || state == wire.TaskWaitingForGang || state == wire.TaskSaving
 }
 
--- a/controller/sim_user_test.go
+++ b/controller/sim_user_test.go
@@ -195,7 +195,7 @@
 	}
 	for range w.rng.IntN(4) {
 		s := wire.TaskStatus{Task: []string{"run-nobody/3", "nonsense", "run-000001/99999", "run-000002/0"}[w.rng.IntN(4)],
-			Attempt: w.rng.Uint64N(1 << 30), State: []string{"running", "exited", "flying"}[w.rng.IntN(3)], Cause: "done"}
+			Attempt: w.rng.Uint64N(1 << 30), State: []wire.TaskState{"running", "exited", "flying"}[w.rng.IntN(3)], Cause: "done"}
 		if s.Task == "run-000002/0" {
 			s.State = "flying" // that a real task is done is for its worker to say, and would be believed
 		}
--- a/controller/sim_worker_test.go
+++ b/controller/sim_worker_test.go
@@ -39,7 +39,7 @@
 type simTask struct {
 	name         string
 	attempt      uint64
-	state        string
+	state        wire.TaskState
 	cause        string
 	checkpointed bool
 	nextChange   time.Time // when its state changes by itself
--- a/shard/attempt.go
+++ b/shard/attempt.go
@@ -15,7 +15,7 @@
 	jobID          string
 	taskIndex      int
 	machine        *machine
-	state          string // a task state of package wire, or stateSent
+	state          wire.TaskState // one that a heartbeat has shown, or stateSent
 	cause          string
 	resources      resources
 	image          string
@@ -40,7 +40,7 @@
 
 // stateSent is the state of an attempt whose start was decided and may have been sent, and
 // which no heartbeat has shown yet.
-const stateSent = "sent"
+const stateSent wire.TaskState = "sent"
 
 func (a *attempt) hasExited() bool { return a.state == wire.TaskExited }
 
--- a/shard/scale_test.go
+++ b/shard/scale_test.go
@@ -467,7 +467,7 @@
 				}
 				rep := newHeartbeat(name, max(lastEpoch, m.epoch), seq, r.latestToken(name))
 				for _, a := range m.attempts {
-					s := wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: rapid.SampledFrom([]string{wire.TaskFetching, wire.TaskRunning, wire.TaskExited}).Draw(t, "state")}
+					s := wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: rapid.SampledFrom([]wire.TaskState{wire.TaskFetching, wire.TaskRunning, wire.TaskExited}).Draw(t, "state")}
 					if a.hasExited() || s.State == wire.TaskExited {
 						s.State, s.Cause = wire.TaskExited, rapid.SampledFrom([]string{wire.CauseDone, wire.CauseError, wire.CauseStopped}).Draw(t, "cause")
 					}
--- a/wire/decode.go
+++ b/wire/decode.go
@@ -2,6 +2,8 @@
 
 import (
 	"bytes"
+	"errors"
+	"reflect"
 
 	"github.com/go-json-experiment/json"
 	jsonv1 "github.com/go-json-experiment/json/v1"
@@ -14,7 +16,22 @@
 // mirror of the standard library's coming version, with the rules of the present one:
 // heartbeats are most of what a controller reads, and it takes about half the processor
 // and a fifth of the allocations for them.
-func Decode(data []byte, v any) error { return json.Unmarshal(data, v, stdlibRules) }
+func Decode(data []byte, v any) error {
+	if err := json.Unmarshal(data, v, stdlibRules); err != nil {
+		return withPlainStringType(err)
+	}
+	return nil
+}
+
+// withPlainStringType makes the error of a field with a named string type say that the
+// field is a string: whoever sent the message knows the protocol, not the types of Go.
+func withPlainStringType(err error) error {
+	var typeError *jsonv1.UnmarshalTypeError
+	if errors.As(err, &typeError) && typeError.Type != nil && typeError.Type.Kind() == reflect.String {
+		typeError.Type = reflect.TypeFor[string]()
+	}
+	return err
+}
 
 // isObject says whether a message begins like a JSON object. Without that check null
 // would be taken for an object without fields.
--- a/wire/decode_test.go
+++ b/wire/decode_test.go
@@ -14,7 +14,7 @@
 		Spot: rapid.Bool().Draw(t, "spot"), Epoch: rapid.Uint64Min(1).Draw(t, "session"), Seq: rapid.Uint64().Draw(t, "seq"), FencingToken: rapid.Uint64().Draw(t, "token")}
 	for range rapid.IntRange(0, 6).Draw(t, "tasks") {
 		r.Tasks = append(r.Tasks, TaskStatus{Task: "run-" + name.Draw(t, "job") + "/3", Attempt: rapid.Uint64().Draw(t, "attempt"),
-			State: rapid.SampledFrom([]string{TaskFetching, TaskRunning, TaskExited}).Draw(t, "state"), Cause: rapid.SampledFrom([]string{"", CauseDone, CauseError}).Draw(t, "cause")})
+			State: rapid.SampledFrom([]TaskState{TaskFetching, TaskRunning, TaskExited}).Draw(t, "state"), Cause: rapid.SampledFrom([]string{"", CauseDone, CauseError}).Draw(t, "cause")})
 	}
 	if rapid.Bool().Draw(t, "notice") {
 		n := rapid.Float64Range(-1, 100).Draw(t, "notice_s")
@@ -56,6 +56,31 @@
 	})
 }
 
+// The error of a value that is no string names no type of Go but string, also where the
+// field has a named type.
+func TestDecodeErrorsNamePlainStrings(t *testing.T) {
+	for _, c := range []struct {
+		body    string
+		message any
+		want    string
+	}{
+		{`{"host":7}`, &Heartbeat{}, "number into Go struct field Heartbeat.host of type string"},
+		{`{"pieces":[{"status":7}]}`, &Heartbeat{}, "number into Go struct field Heartbeat.pieces.0.status of type string"},
+		{`{"pieces":[{"cause":[]}]}`, &Heartbeat{}, "array into Go struct field Heartbeat.pieces.0.cause of type string"},
+		{`{"shift":"x"}`, &Heartbeat{}, "string into Go struct field Heartbeat.shift of type uint64"},
+		{`{"orders":[{"verb":7}]}`, &CommandRequest{}, "number into Go struct field CommandRequest.orders.0.verb of type string"},
+		{`{"hosts":[{"status":{}}]}`, &MachineList{}, "object into Go struct field MachineList.hosts.0.status of type string"},
+		{`{"status":7}`, &JobReply{}, "number into Go struct field JobReply.status of type string"},
+		{`{"shape":true}`, &Submission{}, "bool into Go struct field Submission.shape of type string"},
+		{`{"rank":7}`, &Submission{}, "number into Go struct field Submission.rank of type string"},
+	} {
+		err := Decode([]byte(c.body), c.message)
+		if want := "json: cannot unmarshal " + c.want; err == nil || err.Error() != want {
+			t.Errorf("%s: error %v, wanted %s", c.body, err, want)
+		}
+	}
+}
+
 func heartbeatOfFourTasks() []byte {
 	body := []byte(`{"host":"pine-box-0012","addr":"10.9.3.12:7000","build":"pine-box","yard":"mill-annex","loaners":true,"shift":3,"tally":1234,"baton":12582912,"warning_s":null,"pieces":[`)
 	for i := range 4 {
--- a/wire/heartbeat.go
+++ b/wire/heartbeat.go
@@ -8,13 +8,16 @@
 	PathCommands  = "/commands"   // of workers
 )
 
-// States of a task in a heartbeat.
+// TaskState is the state of a task in a heartbeat.
+type TaskState string
+
+// States of a task.
 const (
-	TaskFetching       = "pulling" // waits for its image
-	TaskWaitingForGang = "waiting" // a gang's, for the other tasks of its attempt
-	TaskRunning        = "running"
-	TaskSaving         = "saving" // was stopped and saves a checkpoint
-	TaskExited         = "exited" // for one of the causes below
+	TaskFetching       TaskState = "pulling" // waits for its image
+	TaskWaitingForGang TaskState = "waiting" // a gang's, for the other tasks of its attempt
+	TaskRunning        TaskState = "running"
+	TaskSaving         TaskState = "saving" // was stopped and saves a checkpoint
+	TaskExited         TaskState = "exited" // for one of the causes below
 )
 
 // Causes of a task's exit.
@@ -51,10 +54,10 @@
 
 // TaskStatus is one task in a heartbeat.
 type TaskStatus struct {
-	Task    string `json:"piece"` // its name; see ParseTaskName
-	Attempt uint64 `json:"try"`
-	State   string `json:"status"`
-	Cause   string `json:"cause,omitempty"` // of TaskExited
+	Task    string    `json:"piece"` // its name; see ParseTaskName
+	Attempt uint64    `json:"try"`
+	State   TaskState `json:"status"`
+	Cause   string    `json:"cause,omitempty"` // of TaskExited
 	// Checkpointed: the progress of a stopped task was saved.
 	Checkpointed bool `json:"kept,omitempty"`
 }
