--- a/controller/sim_gang_test.go
+++ b/controller/sim_gang_test.go
@@ -179,7 +179,7 @@
 	}
 }
 
-func (m *simWorker) exit(t *simTask, cause string) {
+func (m *simWorker) exit(t *simTask, cause wire.ExitCause) {
 	t.state, t.cause, t.nextChange = wire.TaskExited, cause, time.Time{}
 	m.changed = true
 }
--- a/controller/sim_worker_test.go
+++ b/controller/sim_worker_test.go
@@ -40,7 +40,7 @@
 	name         string
 	attempt      uint64
 	state        wire.TaskState
-	cause        string
+	cause        wire.ExitCause
 	checkpointed bool
 	nextChange   time.Time // when its state changes by itself
 	fetchedAt    time.Time // when its image was there
--- a/internal/loopback/machine_test.go
+++ b/internal/loopback/machine_test.go
@@ -87,7 +87,7 @@
 }
 
 // exit ends the attempt for a cause.
-func (t *task) exit(cause string) {
+func (t *task) exit(cause wire.ExitCause) {
 	t.State = wire.TaskExited
 	t.Cause = cause
 	t.changesAt = time.Time{}
--- a/shard/attempt.go
+++ b/shard/attempt.go
@@ -16,7 +16,7 @@
 	taskIndex      int
 	machine        *machine
 	state          wire.TaskState // one that a heartbeat has shown, or stateSent
-	cause          string
+	cause          wire.ExitCause
 	resources      resources
 	image          string
 	reported       bool   // a heartbeat of this epoch has shown it
--- a/shard/gang_test.go
+++ b/shard/gang_test.go
@@ -84,7 +84,7 @@
 }
 
 // setStates sets the state of all tasks of a machine and sends its heartbeat.
-func (h *fakeWorkers) setStates(m string, state wire.TaskState, cause string) []wire.Command {
+func (h *fakeWorkers) setStates(m string, state wire.TaskState, cause wire.ExitCause) []wire.Command {
 	for i := range h.taskStatuses[m] {
 		h.taskStatuses[m][i].State, h.taskStatuses[m][i].Cause = state, cause
 	}
--- a/shard/gangattempt.go
+++ b/shard/gangattempt.go
@@ -73,7 +73,7 @@
 		c.markGangDone(j)
 	case isRefusal(a.cause) && !g.hasRun:
 	case a.key.number == g.attempt:
-		c.failGangAttempt(j, a.cause)
+		c.failGangAttempt(j, string(a.cause))
 	case a.key.number == j.rec.Attempt && g.attempt == 0:
 		// Left by an earlier owner: the leader's number is used up.
 		*g = gang{attempt: a.key.number, failed: true}
@@ -100,7 +100,7 @@
 
 // isRefusal says whether a cause of exit is that the machine refused the start, so that
 // nothing was lost.
-func isRefusal(cause string) bool {
+func isRefusal(cause wire.ExitCause) bool {
 	return cause == wire.CauseNoCapacity || cause == wire.CauseOtherAttempt || cause == wire.CauseUnknownTask
 }
 
@@ -119,7 +119,7 @@
 		if a == nil || a.hasExited() {
 			continue
 		}
-		if reason == wire.CauseGangIncomplete && (a.state == stateSent || a.state == wire.TaskFetching) {
+		if reason == string(wire.CauseGangIncomplete) && (a.state == stateSent || a.state == wire.TaskFetching) {
 			a.machine.avoidUntil = c.lastStepAt.Add(constants.FaultyMachinePause) // the others waited for it in vain
 		}
 		c.stopWithoutCheckpoint(a)
--- a/shard/scale_test.go
+++ b/shard/scale_test.go
@@ -469,7 +469,7 @@
 				for _, a := range m.attempts {
 					s := wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: rapid.SampledFrom([]wire.TaskState{wire.TaskFetching, wire.TaskRunning, wire.TaskExited}).Draw(t, "state")}
 					if a.hasExited() || s.State == wire.TaskExited {
-						s.State, s.Cause = wire.TaskExited, rapid.SampledFrom([]string{wire.CauseDone, wire.CauseError, wire.CauseStopped}).Draw(t, "cause")
+						s.State, s.Cause = wire.TaskExited, rapid.SampledFrom([]wire.ExitCause{wire.CauseDone, wire.CauseError, wire.CauseStopped}).Draw(t, "cause")
 					}
 					rep.Tasks = append(rep.Tasks, s)
 				}
--- a/wire/decode_test.go
+++ b/wire/decode_test.go
@@ -14,7 +14,7 @@
 		Spot: rapid.Bool().Draw(t, "spot"), Epoch: rapid.Uint64Min(1).Draw(t, "session"), Seq: rapid.Uint64().Draw(t, "seq"), FencingToken: rapid.Uint64().Draw(t, "token")}
 	for range rapid.IntRange(0, 6).Draw(t, "tasks") {
 		r.Tasks = append(r.Tasks, TaskStatus{Task: "run-" + name.Draw(t, "job") + "/3", Attempt: rapid.Uint64().Draw(t, "attempt"),
-			State: rapid.SampledFrom([]TaskState{TaskFetching, TaskRunning, TaskExited}).Draw(t, "state"), Cause: rapid.SampledFrom([]string{"", CauseDone, CauseError}).Draw(t, "cause")})
+			State: rapid.SampledFrom([]TaskState{TaskFetching, TaskRunning, TaskExited}).Draw(t, "state"), Cause: rapid.SampledFrom([]ExitCause{"", CauseDone, CauseError}).Draw(t, "cause")})
 	}
 	if rapid.Bool().Draw(t, "notice") {
 		n := rapid.Float64Range(-1, 100).Draw(t, "notice_s")
--- a/wire/heartbeat.go
+++ b/wire/heartbeat.go
@@ -20,16 +20,19 @@
 	TaskExited         TaskState = "exited" // for one of the causes below
 )
 
+// ExitCause is the cause of a task's exit in a heartbeat.
+type ExitCause string
+
 // Causes of a task's exit.
 const (
-	CauseDone           = "done"
-	CauseStopped        = "halted" // by a command
-	CauseError          = "error"
-	CauseNoCapacity     = "full"    // start refused: not enough free resources
-	CauseOtherAttempt   = "busy"    // start refused: the machine has another attempt of the task
-	CauseUnknownTask    = "unknown" // start refused: no such job or task
-	CauseGangPeerLost   = "peers"   // a gang's: another task of its attempt is gone
-	CauseGangIncomplete = "alone"   // a gang's: it was not complete in time
+	CauseDone           ExitCause = "done"
+	CauseStopped        ExitCause = "halted" // by a command
+	CauseError          ExitCause = "error"
+	CauseNoCapacity     ExitCause = "full"    // start refused: not enough free resources
+	CauseOtherAttempt   ExitCause = "busy"    // start refused: the machine has another attempt of the task
+	CauseUnknownTask    ExitCause = "unknown" // start refused: no such job or task
+	CauseGangPeerLost   ExitCause = "peers"   // a gang's: another task of its attempt is gone
+	CauseGangIncomplete ExitCause = "alone"   // a gang's: it was not complete in time
 )
 
 // Heartbeat is the state of a worker and of all its tasks. Of two heartbeats of a machine
@@ -57,7 +60,7 @@
 	Task    string    `json:"piece"` // its name; see ParseTaskName
 	Attempt uint64    `json:"try"`
 	State   TaskState `json:"status"`
-	Cause   string    `json:"cause,omitempty"` // of TaskExited
+	Cause   ExitCause `json:"cause,omitempty"` // of TaskExited
 	// Checkpointed: the progress of a stopped task was saved.
 	Checkpointed bool `json:"kept,omitempty"`
 }
