--- a/wire/command.go
+++ b/wire/command.go
@@ -1,22 +1,25 @@
 package wire
 
-// Operations of a command. Each may be repeated, but for OpStart after OpForget, which
-// starts the attempt once more.
+// CommandOp is the operation of a command. Each may be repeated, but for OpStart after
+// OpForget, which starts the attempt once more.
+type CommandOp string
+
+// Operations of a command.
 const (
 	// OpStart starts an attempt of a task unless the worker has it already, in any state.
-	OpStart = "run"
+	OpStart CommandOp = "run"
 	// OpStop stops a task, which saves a checkpoint first if it can within GraceS.
-	OpStop = "stop"
+	OpStop CommandOp = "stop"
 	// OpForget removes an exited task from the worker's heartbeats.
-	OpForget = "clear"
+	OpForget CommandOp = "clear"
 )
 
 // Command is one command to a worker.
 type Command struct {
-	Op      string   `json:"verb"`
-	Task    string   `json:"piece"` // its name; see TaskName
-	Attempt uint64   `json:"try"`
-	GraceS  *float64 `json:"wind_down_s,omitempty"` // of OpStop (s)
+	Op      CommandOp `json:"verb"`
+	Task    string    `json:"piece"` // its name; see TaskName
+	Attempt uint64    `json:"try"`
+	GraceS  *float64  `json:"wind_down_s,omitempty"` // of OpStop (s)
 }
 
 // CommandRequest is the body of direct commands to a worker. The worker executes none of
