--- a/shard/draining_test.go
+++ b/shard/draining_test.go
@@ -149,7 +149,7 @@
 
 // A drain interrupts one task of an array, or one gang, at a time where that is the budget.
 func TestDrainKeepsToInterruptionBudgets(t *testing.T) {
-	for _, kind := range []string{wire.KindArray, wire.KindGang} {
+	for _, kind := range []wire.JobKind{wire.KindArray, wire.KindGang} {
 		r := newRig(nil)
 		var budgets disruption.Budgets
 		budgets.SetInterruptionsDefault(disruption.MaxUnavailable{Tasks: 1})
--- a/wire/field_checker.go
+++ b/wire/field_checker.go
@@ -49,21 +49,6 @@
 	return *value
 }
 
-// oneOf checks a string that must be one of those allowed; it returns "" if it is none.
-func (c *fieldChecker) oneOf(field string, value *string, allowed ...string) string {
-	if value == nil {
-		c.fail(field, "is missing")
-		return ""
-	}
-	for _, a := range allowed {
-		if *value == a {
-			return a
-		}
-	}
-	c.fail(field, "must be one of "+strings.Join(allowed, ", "))
-	return ""
-}
-
 // count checks a whole number from least to most.
 func (c *fieldChecker) count(field string, value *int, least, most int) int {
 	if value == nil {
@@ -96,3 +81,23 @@
 	}
 	return *value
 }
+
+// oneOf checks a value that must be one of those allowed; it returns "" if it is none. It
+// is a function because methods take no type parameters.
+func oneOf[T ~string](c *fieldChecker, field string, value *T, allowed ...T) T {
+	if value == nil {
+		c.fail(field, "is missing")
+		return ""
+	}
+	for _, a := range allowed {
+		if *value == a {
+			return a
+		}
+	}
+	texts := make([]string, len(allowed))
+	for i, a := range allowed {
+		texts[i] = string(a)
+	}
+	c.fail(field, "must be one of "+strings.Join(texts, ", "))
+	return ""
+}
--- a/wire/submission.go
+++ b/wire/submission.go
@@ -1,13 +1,16 @@
 package wire
 
+// JobKind is the kind of a job: how its tasks belong together.
+type JobKind string
+
 // Kinds of job.
 const (
 	// KindArray is a job array: independent tasks, each of which runs to completion.
-	KindArray = "sweep"
+	KindArray JobKind = "sweep"
 	// KindService is a service: its tasks are replicas, which run until it is cancelled.
-	KindService = "standing"
+	KindService JobKind = "standing"
 	// KindGang is a gang: its tasks run at the same time or not at all.
-	KindGang = "ensemble"
+	KindGang JobKind = "ensemble"
 )
 
 // Priorities of jobs, highest first.
@@ -50,11 +53,11 @@
 // GPUs and memory are those of each task; names that end in S are in seconds, in GB in
 // gigabytes.
 type Submission struct {
-	ID       string `json:"uid"` // chosen by the user; a retry uses the same
-	Class    string `json:"lane"`
-	Team     string `json:"crew"`
-	Kind     string `json:"shape"` // KindArray, KindService or KindGang
-	Priority string `json:"rank"`
+	ID       string  `json:"uid"` // chosen by the user; a retry uses the same
+	Class    string  `json:"lane"`
+	Team     string  `json:"crew"`
+	Kind     JobKind `json:"shape"`
+	Priority string  `json:"rank"`
 	// Tasks is the number of tasks, which are numbered from 0.
 	Tasks    int     `json:"pieces"`
 	CPUs     float64 `json:"cpus"`
--- a/wire/submission_check.go
+++ b/wire/submission_check.go
@@ -11,7 +11,7 @@
 	ID                  *string   `json:"uid"`
 	Class               *string   `json:"lane"`
 	Team                *string   `json:"crew"`
-	Kind                *string   `json:"shape"`
+	Kind                *JobKind  `json:"shape"`
 	Priority            *string   `json:"rank"`
 	Tasks               *int      `json:"pieces"`
 	CPUs                *float64  `json:"cpus"`
@@ -52,8 +52,8 @@
 		ID:                  c.jobID("uid", raw.ID),
 		Class:               c.name("lane", raw.Class),
 		Team:                c.name("crew", raw.Team),
-		Kind:                c.oneOf("shape", raw.Kind, KindArray, KindService, KindGang),
-		Priority:            c.oneOf("rank", raw.Priority, PriorityProduction, PriorityHigh, PriorityNormal, PriorityLow),
+		Kind:                oneOf(&c, "shape", raw.Kind, KindArray, KindService, KindGang),
+		Priority:            oneOf(&c, "rank", raw.Priority, PriorityProduction, PriorityHigh, PriorityNormal, PriorityLow),
 		Tasks:               c.count("pieces", raw.Tasks, 1, MaxTasks),
 		CPUs:                c.amount("cpus", raw.CPUs),
 		GPUs:                c.amount("cards", raw.GPUs),
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -18,7 +18,7 @@
 		ID:                  "run-" + rapid.StringMatching(`[0-9]{1,9}`).Draw(t, "id"),
 		Class:               name.Draw(t, "class"),
 		Team:                name.Draw(t, "team"),
-		Kind:                rapid.SampledFrom([]string{KindArray, KindService, KindGang}).Draw(t, "kind"),
+		Kind:                rapid.SampledFrom([]JobKind{KindArray, KindService, KindGang}).Draw(t, "kind"),
 		Priority:            rapid.SampledFrom([]string{PriorityProduction, PriorityHigh, PriorityNormal, PriorityLow}).Draw(t, "priority"),
 		Tasks:               rapid.IntRange(1, MaxTasks).Draw(t, "tasks"),
 		CPUs:                amount.Draw(t, "cpus"),
@@ -135,6 +135,23 @@
 	}
 }
 
+// A value that is none of those allowed is rejected with the list of them.
+func TestSubmissionNamesAllowedValues(t *testing.T) {
+	for body, want := range map[string]string{
+		`{"uid":"run-1","lane":"a","crew":"t","shape":"heap","rank":"prod"}`:    "shape: must be one of sweep, standing, ensemble",
+		`{"uid":"run-1","lane":"a","crew":"t","shape":"","rank":"prod"}`:        "shape: must be one of sweep, standing, ensemble",
+		`{"uid":"run-1","lane":"a","crew":"t","rank":"prod"}`:                   "shape: is missing",
+		`{"uid":"run-1","lane":"a","crew":"t","shape":7,"rank":"prod"}`:         "shape: has the wrong type",
+		`{"uid":"run-1","lane":"a","crew":"t","shape":"sweep","rank":"top"}`:    "rank: must be one of prod, urgent, standard, best_effort",
+		`{"uid":"run-1","lane":"a","crew":"t","shape":"sweep","rank":null}`:     "rank: is missing",
+		`{"uid":"run-1","lane":"a","crew":"t","shape":"sweep","rank":["prod"]}`: "rank: has the wrong type",
+	} {
+		if _, _, err := ParseSubmission([]byte(body)); err == nil || err.Error() != want {
+			t.Errorf("%s: error %v, wanted %s", body, err, want)
+		}
+	}
+}
+
 func TestTaskNames(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		job := "run-" + rapid.StringMatching(`[0-9]{1,9}`).Draw(t, "job")
