--- a/controller/faults_test.go
+++ b/controller/faults_test.go
@@ -342,7 +342,7 @@
 			var lot []*simJob
 			for i := range 40 {
 				j := w.newArray(fmt.Sprintf("run-%06d", i), 4, float64(1+i%6), 15)
-				j.spec.Priority = []string{wire.PriorityLow, wire.PriorityNormal, wire.PriorityHigh, wire.PriorityProduction}[i%4]
+				j.spec.Priority = []wire.Priority{wire.PriorityLow, wire.PriorityNormal, wire.PriorityHigh, wire.PriorityProduction}[i%4]
 				j.spec.Spot = i%2 == 0
 				go w.runUser(j, 0, 0)
 				lot = append(lot, j)
--- a/controller/random_faults_test.go
+++ b/controller/random_faults_test.go
@@ -75,7 +75,7 @@
 	}
 	if i%6 == 2 {
 		s.Kind, s.Tasks, s.CPUs = wire.KindGang, 2+w.rng.IntN(3), float64(1+w.rng.IntN(2))
-		s.CheckpointIntervalS, s.CheckpointSaveS, s.Priority = 4, 1, []string{wire.PriorityNormal, wire.PriorityHigh}[w.rng.IntN(2)]
+		s.CheckpointIntervalS, s.CheckpointSaveS, s.Priority = 4, 1, []wire.Priority{wire.PriorityNormal, wire.PriorityHigh}[w.rng.IntN(2)]
 		s.OneZone, s.Spread = w.rng.IntN(2) == 0, false
 		if i%12 == 8 {
 			s.OneZone, s.Spread = false, true
--- a/leader/order.go
+++ b/leader/order.go
@@ -9,7 +9,6 @@
 	"ravenport/constants"
 	"ravenport/records"
 	"ravenport/settings"
-	"ravenport/wire"
 )
 
 // Kinds of settings.Objective: on the time until a job has finished, and until it starts.
@@ -115,7 +114,7 @@
 func (o JobOrder) Rank(now time.Time, record *records.Job, progress JobProgress) Rank {
 	s := &record.Spec
 	rank := Rank{
-		priority:        -wire.PriorityLevel(s.Priority),
+		priority:        -s.Priority.Level(),
 		notOverdue:      1,
 		beyondGuarantee: 1,
 		notGang:         1,
--- a/leader/order_test.go
+++ b/leader/order_test.go
@@ -15,7 +15,7 @@
 func TestOrder(t *testing.T) {
 	o := NewJobOrder([]settings.Objective{{Kind: "finished", Class: "c", WithinS: 90}})
 	now := time.Unix(10000, 0)
-	job := func(id string, age, estimate float64, priority string) *records.Job {
+	job := func(id string, age, estimate float64, priority wire.Priority) *records.Job {
 		return &records.Job{ID: id, AcceptedMS: now.UnixMilli() - int64(age*1000), Spec: wire.Submission{ID: id, Class: "c", Kind: wire.KindArray, Priority: priority, Tasks: 1, CPUs: 1, EstimateS: estimate}}
 	}
 	in := []struct {
--- a/shard/core_test.go
+++ b/shard/core_test.go
@@ -280,7 +280,7 @@
 			j := arrayJob(fmt.Sprintf("run-%d", i), rapid.IntRange(1, 5).Draw(t, "tasks"), "a")
 			j.Spec.CPUs = rapid.Float64Range(0.5, 8).Draw(t, "cpus")
 			j.Spec.MemoryGB = rapid.Float64Range(0.5, 32).Draw(t, "mem")
-			j.Spec.Priority = rapid.SampledFrom([]string{wire.PriorityLow, wire.PriorityNormal, wire.PriorityProduction}).Draw(t, "priority")
+			j.Spec.Priority = rapid.SampledFrom([]wire.Priority{wire.PriorityLow, wire.PriorityNormal, wire.PriorityProduction}).Draw(t, "priority")
 			r.submit(j)
 			r.advance(100 * time.Millisecond)
 		}
--- a/shard/placementstate.go
+++ b/shard/placementstate.go
@@ -74,7 +74,7 @@
 
 // forPreemption is the class of a job's tasks as preemptors.
 func (d demandClass) forPreemption(s *wire.Submission, withinGuarantee bool) demandClass {
-	d.priorityLevel = wire.PriorityLevel(s.Priority)
+	d.priorityLevel = s.Priority.Level()
 	if withinGuarantee {
 		d.guaranteedTeam = s.Team
 	}
--- a/shard/preempt.go
+++ b/shard/preempt.go
@@ -8,7 +8,6 @@
 
 	"ravenport/constants"
 	"ravenport/logkey"
-	"ravenport/wire"
 )
 
 // isEvictable says whether an attempt is its task's current one and is not about to end.
@@ -22,7 +21,7 @@
 // what others wait for is not worth that.
 func mayPreempt(victim, preemptor *task) bool {
 	victimSpec, spec := &victim.job.rec.Spec, &preemptor.job.rec.Spec
-	victimLevel, level := wire.PriorityLevel(victimSpec.Priority), wire.PriorityLevel(spec.Priority)
+	victimLevel, level := victimSpec.Priority.Level(), spec.Priority.Level()
 	if victimLevel != level {
 		return victimLevel < level
 	}
@@ -61,7 +60,7 @@
 		k.scanForPreemption(scan)
 	}
 	s := &preemptor.job.rec.Spec
-	if wire.PriorityLevel(s.Priority) > scan.lowestPriority {
+	if s.Priority.Level() > scan.lowestPriority {
 		return true
 	}
 	if !preemptor.withinGuarantee {
--- a/shard/scale_test.go
+++ b/shard/scale_test.go
@@ -428,7 +428,7 @@
 				j := arrayJob(fmt.Sprintf("run-%d", jobs), rapid.IntRange(1, 6).Draw(t, "tasks"), "a")
 				j.Spec.Team = rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "team")
 				j.Assignments[0].Guaranteed = rapid.Bool().Draw(t, "guaranteed")
-				j.Spec.Priority = rapid.SampledFrom([]string{wire.PriorityLow, wire.PriorityNormal, wire.PriorityProduction}).Draw(t, "priority")
+				j.Spec.Priority = rapid.SampledFrom([]wire.Priority{wire.PriorityLow, wire.PriorityNormal, wire.PriorityProduction}).Draw(t, "priority")
 				if rapid.Bool().Draw(t, "service") {
 					j.Spec.Kind = wire.KindService
 				} else if rapid.Bool().Draw(t, "saves") {
--- a/shard/usage.go
+++ b/shard/usage.go
@@ -56,12 +56,12 @@
 		}
 		if isEvictable(a, t) {
 			m.usage.needsCheckpoint = m.usage.needsCheckpoint || !a.stopsInstantly || t.job.gang != nil
-			m.usage.lowestPriority = min(m.usage.lowestPriority, wire.PriorityLevel(s.Priority))
+			m.usage.lowestPriority = min(m.usage.lowestPriority, s.Priority.Level())
 			if !t.withinGuarantee && !s.IsService() && !slices.Contains(m.usage.teamsBeyondGuarantee, s.Team) {
 				m.usage.teamsBeyondGuarantee = append(m.usage.teamsBeyondGuarantee, s.Team)
 			}
 		}
-		if a.stopsInstantly && !s.IsGang() && isEvictable(a, t) && wire.PriorityLevel(s.Priority) < wire.PriorityLevel(wire.PriorityProduction) {
+		if a.stopsInstantly && !s.IsGang() && isEvictable(a, t) && s.Priority.Level() < wire.PriorityProduction.Level() {
 			m.usage.preemptibleCPUs += a.resources.cpus
 		}
 	}
--- a/wire/submission.go
+++ b/wire/submission.go
@@ -13,18 +13,21 @@
 	KindGang JobKind = "ensemble"
 )
 
+// Priority is the priority of a job.
+type Priority string
+
 // Priorities of jobs, highest first.
 const (
-	PriorityProduction = "prod"
-	PriorityHigh       = "urgent"
-	PriorityNormal     = "standard"
-	PriorityLow        = "best_effort"
+	PriorityProduction Priority = "prod"
+	PriorityHigh       Priority = "urgent"
+	PriorityNormal     Priority = "standard"
+	PriorityLow        Priority = "best_effort"
 )
 
-// PriorityLevel orders the priorities: a job of a higher level may preempt one of a lower
-// level. It is 0 for an unknown priority.
-func PriorityLevel(priority string) int {
-	switch priority {
+// Level orders the priorities: a job of a higher level may preempt one of a lower level. It
+// is 0 for an unknown priority.
+func (p Priority) Level() int {
+	switch p {
 	case PriorityProduction:
 		return 4
 	case PriorityHigh:
@@ -53,11 +56,11 @@
 // GPUs and memory are those of each task; names that end in S are in seconds, in GB in
 // gigabytes.
 type Submission struct {
-	ID       string  `json:"uid"` // chosen by the user; a retry uses the same
-	Class    string  `json:"lane"`
-	Team     string  `json:"crew"`
-	Kind     JobKind `json:"shape"`
-	Priority string  `json:"rank"`
+	ID       string   `json:"uid"` // chosen by the user; a retry uses the same
+	Class    string   `json:"lane"`
+	Team     string   `json:"crew"`
+	Kind     JobKind  `json:"shape"`
+	Priority Priority `json:"rank"`
 	// Tasks is the number of tasks, which are numbered from 0.
 	Tasks    int     `json:"pieces"`
 	CPUs     float64 `json:"cpus"`
--- a/wire/submission_check.go
+++ b/wire/submission_check.go
@@ -12,7 +12,7 @@
 	Class               *string   `json:"lane"`
 	Team                *string   `json:"crew"`
 	Kind                *JobKind  `json:"shape"`
-	Priority            *string   `json:"rank"`
+	Priority            *Priority `json:"rank"`
 	Tasks               *int      `json:"pieces"`
 	CPUs                *float64  `json:"cpus"`
 	GPUs                *float64  `json:"cards"`
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -19,7 +19,7 @@
 		Class:               name.Draw(t, "class"),
 		Team:                name.Draw(t, "team"),
 		Kind:                rapid.SampledFrom([]JobKind{KindArray, KindService, KindGang}).Draw(t, "kind"),
-		Priority:            rapid.SampledFrom([]string{PriorityProduction, PriorityHigh, PriorityNormal, PriorityLow}).Draw(t, "priority"),
+		Priority:            rapid.SampledFrom([]Priority{PriorityProduction, PriorityHigh, PriorityNormal, PriorityLow}).Draw(t, "priority"),
 		Tasks:               rapid.IntRange(1, MaxTasks).Draw(t, "tasks"),
 		CPUs:                amount.Draw(t, "cpus"),
 		GPUs:                amount.Draw(t, "gpus"),
