--- a/apiserver/cancellations.go
+++ b/apiserver/cancellations.go
@@ -43,13 +43,13 @@
 	}()
 }
 
-func respondEnded(request Request, jobID, endState string) {
+func respondEnded(request Request, jobID string, endState wire.JobState) {
 	respondJSON(request, http.StatusOK, wire.JobReply{ID: jobID, Status: endState})
 }
 
 // cancelJob cancels a job that has not ended and returns the state in which it ended;
 // empty if there is no such job. It runs on a goroutine of its own.
-func (s *Server) cancelJob(ctx context.Context, jobID string, sizeLimits records.SizeLimits) (endState string, err error) {
+func (s *Server) cancelJob(ctx context.Context, jobID string, sizeLimits records.SizeLimits) (endState wire.JobState, err error) {
 	for {
 		job, version, err := s.readJob(ctx, jobID)
 		if err != nil {
--- a/apiserver/server.go
+++ b/apiserver/server.go
@@ -125,7 +125,7 @@
 
 // jobSummary is what the API server remembers of a job.
 type jobSummary struct {
-	endState    string // empty while the job has not ended
+	endState    wire.JobState // empty while the job has not ended
 	taskCount   int
 	closedTasks int // tasks in closed assignments
 }
--- a/controller/faults_test.go
+++ b/controller/faults_test.go
@@ -184,7 +184,7 @@
 			lot := w.submitMany(0, 60*time.Second, 1, 3, 0.7)
 			w.settleAll(t, 3*time.Minute, lot)
 			w.expectEvent(t, "close looks", 200)
-			kinds := map[string]int{}
+			kinds := map[wire.JobState]int{}
 			for _, j := range lot {
 				kinds[j.reportedState]++
 			}
--- a/controller/sim_user_test.go
+++ b/controller/sim_user_test.go
@@ -12,7 +12,7 @@
 type simJob struct {
 	spec            wire.Submission
 	accepted        bool
-	reportedState   string // last terminal state that the user saw
+	reportedState   wire.JobState // last terminal state that the user saw
 	cancelled       time.Time
 	overran         bool // a task of it was seen on a machine past its time
 	cancelRequested bool // cancellation asked for
--- a/records/job.go
+++ b/records/job.go
@@ -11,7 +11,7 @@
 	ID         string          `json:"-"`
 	Spec       wire.Submission `json:"spec"`
 	AcceptedMS int64           `json:"at"`            // time of day (ms)
-	End        string          `json:"end,omitempty"` // wire.JobDone or wire.JobCancelled
+	End        wire.JobState   `json:"end,omitempty"` // wire.JobDone or wire.JobCancelled
 	// Assignments are kept sorted by their tasks; see Normalize.
 	Assignments []Assignment `json:"ch,omitempty"`
 	// Attempt is the number under which a gang in several shards is started. It rises
--- a/wire/job.go
+++ b/wire/job.go
@@ -8,26 +8,30 @@
 	CancelSuffix = "abort"
 )
 
-// States of a job in responses to users.
+// JobState is the state of a job in responses to users and, once the job has ended, in its
+// record.
+type JobState string
+
+// States of a job.
 const (
-	JobQueued    = "queued" // no task is running
-	JobRunning   = "running"
-	JobDone      = "done"
-	JobCancelled = "cancelled"
+	JobQueued    JobState = "queued" // no task is running
+	JobRunning   JobState = "running"
+	JobDone      JobState = "done"
+	JobCancelled JobState = "cancelled"
 )
 
 // JobReply is the response to a submission or a cancellation that succeeded.
 type JobReply struct {
-	ID     string `json:"uid"`
-	Status string `json:"status"` // JobQueued, JobRunning, JobDone or JobCancelled
+	ID     string   `json:"uid"`
+	Status JobState `json:"status"`
 }
 
 // JobStatus is the response to a poll of a job.
 type JobStatus struct {
-	ID      string `json:"uid"`
-	Status  string `json:"status"`  // JobQueued, JobRunning, JobDone or JobCancelled
-	Done    int    `json:"done"`    // tasks
-	Running int    `json:"running"` // tasks
+	ID      string   `json:"uid"`
+	Status  JobState `json:"status"`
+	Done    int      `json:"done"`    // tasks
+	Running int      `json:"running"` // tasks
 }
 
 // Problem is the body of an error response.
