--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -53,22 +53,25 @@
 	Machines []string `json:"hosts"`
 }
 
-// States of a machine in the cloud's list.
+// MachineState is the state of a machine in the cloud's list.
+type MachineState string
+
+// States of a machine.
 const (
-	MachineBooting = "booting"
-	MachineRunning = "running"
-	MachineFailed  = "failed" // stopped on its own; it is listed until it is scaled in
+	MachineBooting MachineState = "booting"
+	MachineRunning MachineState = "running"
+	MachineFailed  MachineState = "failed" // stopped on its own; it is listed until it is scaled in
 )
 
 // CloudMachine is one machine in the cloud's list.
 type CloudMachine struct {
-	Name  string  `json:"uid"`
-	Addr  string  `json:"addr"`
-	Type  string  `json:"build"`
-	Zone  string  `json:"yard"`
-	Spot  bool    `json:"loaners"`
-	State string  `json:"status"`
-	AgeS  float64 `json:"age_s"` // since the scale-out request (s)
+	Name  string       `json:"uid"`
+	Addr  string       `json:"addr"`
+	Type  string       `json:"build"`
+	Zone  string       `json:"yard"`
+	Spot  bool         `json:"loaners"`
+	State MachineState `json:"status"`
+	AgeS  float64      `json:"age_s"` // since the scale-out request (s)
 }
 
 // MachineList is one page of the cloud's list, in the order of names.
