--- a/apiserver/validation.go
+++ b/apiserver/validation.go
@@ -77,7 +77,7 @@
 	if submission.AllOrNothing() {
 		tasks = float64(submission.Tasks)
 	}
-	return exceeds(submission.CPUs*tasks, team.CPUsMax) || exceeds(submission.GPUs*tasks, team.GPUsMax)
+	return exceeds(submission.CPUs*tasks, team.LimitCPUs) || exceeds(submission.GPUs*tasks, team.LimitGPUs)
 }
 
 // exceeds compares with a limit of which 0 means none.
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -77,7 +77,7 @@
 func redirectHeartbeat(m workerHeartbeat, owner string) {
 	body, err := json.Marshal(wire.Redirect{Controller: owner})
 	if err != nil {
-		slog.Error("encoding a response failed", logkey.Err, err)
+		slog.Error("cannot encode response", logkey.Err, err)
 	}
 	m.req.Respond(&httpwire.Response{Status: 421, Body: body})
 }
--- a/controller/overload_test.go
+++ b/controller/overload_test.go
@@ -71,7 +71,7 @@
 	set := &settings.Settings{}
 	set.Deployment.Zones = []string{"a", "b"}
 	set.Deployment.Store.ValueKB, set.Deployment.Store.WriteRPS = 8, 100
-	set.Deployment.Teams = []settings.Team{{Name: "sure", CPUs: 40, CPUsMax: 60}, {Name: "tight", CPUsMax: 48}, {Name: "free"}}
+	set.Deployment.Teams = []settings.Team{{Name: "sure", GuaranteedCPUs: 40, LimitCPUs: 60}, {Name: "tight", LimitCPUs: 48}, {Name: "free"}}
 	set.Deployment.Objectives = []settings.Objective{{Kind: "finished", Class: "arrays", WithinS: 60}, {Kind: "finished", Class: "arrays", WithinS: 120}}
 	c.leader = leader.New(set, 1, c.now, nil, nil)
 	c.leader.SetRoundClock(c.tick)
--- a/controller/scale_in_test.go
+++ b/controller/scale_in_test.go
@@ -23,7 +23,7 @@
 		}
 		w.capacity["a/on-demand"] = 2
 		for _, n := range w.controllers {
-			n.set.Duties.CordonBeforeScaleIn = closeFirst
+			n.set.Duties.CloseBeforeScaleIn = closeFirst
 			n.start()
 		}
 		go w.expireLeases()
@@ -97,7 +97,7 @@
 	w := newWorldWithTimes(seed, []string{"a", "b"}, 3, magnoliaTimes)
 	w.lateCommandShare, w.reliableCloud, w.lateCopyShare = 0, true, 0
 	for _, n := range w.controllers {
-		n.set.Duties.CordonBeforeScaleIn = true
+		n.set.Duties.CloseBeforeScaleIn = true
 		n.set.Operator.SpotIdleTimeout, n.set.Operator.OnDemandIdleTimeout = 3*time.Second, 3*time.Second
 		n.start()
 	}
--- a/controller/shard_actor.go
+++ b/controller/shard_actor.go
@@ -90,7 +90,7 @@
 		SpotIdleTimeout:     set.Operator.SpotIdleTimeout,
 		OnDemandIdleTimeout: set.Operator.OnDemandIdleTimeout,
 		UseSpot:             set.Operator.UseSpot,
-		CloseBeforeScaleIn:  set.Duties.CordonBeforeScaleIn,
+		CloseBeforeScaleIn:  set.Duties.CloseBeforeScaleIn,
 		GangStartTimeout:    settings.Seconds(workers.GangWaitTimeoutS),
 		GangPeerTimeout:     settings.Seconds(workers.GangPeerTimeoutS),
 		CloudListLag:        time.Duration(set.Deployment.Cloud.ListLagS * float64(time.Second)),
--- a/controller/status.go
+++ b/controller/status.go
@@ -65,7 +65,7 @@
 func (c *controlActor) answerStatus(now time.Time, req httpRequest) {
 	body, err := json.MarshalIndent(c.statusView(now), "", "  ")
 	if err != nil {
-		slog.Error("encoding the status failed", logkey.Err, err)
+		slog.Error("cannot encode status", logkey.Err, err)
 	}
 	req.Respond(&httpwire.Response{Status: 200, Body: append(body, '\n')})
 }
--- a/controller/transfer.go
+++ b/controller/transfer.go
@@ -49,7 +49,7 @@
 	if owner == nil || c.isAcquiring(now, key) || !c.hasAuthority(now) || c.isAcquisitionBlocked(now) {
 		return // the owner asks again
 	}
-	slog.Info("numbers of the term are used up, acquiring a new term", logkey.Shard, shard, logkey.Term, owner.term)
+	slog.Info("numbers of the term are nearly used up, acquiring a new term", logkey.Shard, shard, logkey.Term, owner.term)
 	c.transferTerm(now, c.member.AcquisitionFor(key, c.settings.Controller))
 }
 
--- a/leader/helpers_test.go
+++ b/leader/helpers_test.go
@@ -20,7 +20,7 @@
 	s := &settings.Settings{}
 	s.Deployment.Zones = []string{"a", "b", "c"}
 	s.Deployment.Store.ValueKB, s.Deployment.Store.WriteRPS = 8, 100
-	s.Deployment.Teams = []settings.Team{{Name: "t", CPUs: 6, CPUsMax: 20}, {Name: "free"}}
+	s.Deployment.Teams = []settings.Team{{Name: "t", GuaranteedCPUs: 6, LimitCPUs: 20}, {Name: "free"}}
 	return s
 }
 
--- a/leader/quota.go
+++ b/leader/quota.go
@@ -56,15 +56,15 @@
 // tasksWithinLimit is how many of n more tasks of a job its team's quota limit allows.
 func (c *Core) tasksWithinLimit(s *wire.Submission, n int) int {
 	team := c.settings.Team(s.Team)
-	if team == nil || team.CPUsMax <= 0 && team.GPUsMax <= 0 {
+	if team == nil || team.LimitCPUs <= 0 && team.LimitGPUs <= 0 {
 		return n
 	}
 	used := c.usedQuotaExcept(s.Team, s.ID)
-	if team.CPUsMax > 0 {
-		n = tasksThatFit(n, team.CPUsMax-used.cpus, s.CPUs)
+	if team.LimitCPUs > 0 {
+		n = tasksThatFit(n, team.LimitCPUs-used.cpus, s.CPUs)
 	}
-	if team.GPUsMax > 0 {
-		n = tasksThatFit(n, team.GPUsMax-used.gpus, s.GPUs)
+	if team.LimitGPUs > 0 {
+		n = tasksThatFit(n, team.LimitGPUs-used.gpus, s.GPUs)
 	}
 	return max(n, 0)
 }
@@ -73,12 +73,12 @@
 // beside the team's other assignments.
 func (c *Core) tasksWithinGuarantee(s *wire.Submission) int {
 	team := c.settings.Team(s.Team)
-	if team == nil || team.CPUs <= 0 && team.GPUs <= 0 {
+	if team == nil || team.GuaranteedCPUs <= 0 && team.GuaranteedGPUs <= 0 {
 		return 0
 	}
 	used := c.usedQuotaExcept(s.Team, s.ID)
-	n := tasksThatFit(s.Tasks, team.CPUs-used.cpus, s.CPUs)
-	n = tasksThatFit(n, team.GPUs-used.gpus, s.GPUs)
+	n := tasksThatFit(s.Tasks, team.GuaranteedCPUs-used.cpus, s.CPUs)
+	n = tasksThatFit(n, team.GuaranteedGPUs-used.gpus, s.GPUs)
 	return max(n, 0)
 }
 
--- a/settings/check.go
+++ b/settings/check.go
@@ -128,7 +128,7 @@
 		if team.Name == "" {
 			return Invalid("facts.teams.name", "is missing")
 		}
-		if team.CPUs < 0 || team.CPUsMax < 0 || team.GPUs < 0 || team.GPUsMax < 0 {
+		if team.GuaranteedCPUs < 0 || team.LimitCPUs < 0 || team.GuaranteedGPUs < 0 || team.LimitGPUs < 0 {
 			return Invalid("facts.teams", "%q has a negative amount", team.Name)
 		}
 	}
--- a/settings/load/duties.go
+++ b/settings/load/duties.go
@@ -18,5 +18,5 @@
 		return settings.Duties{}, err
 	}
 	closeFirst, err := readBool(p, "duties.close.before.return", true)
-	return settings.Duties{CordonBeforeScaleIn: closeFirst}, err
+	return settings.Duties{CloseBeforeScaleIn: closeFirst}, err
 }
--- a/settings/load/duties_test.go
+++ b/settings/load/duties_test.go
@@ -5,10 +5,10 @@
 // The shipped file switches everything on; a bad field is named, an unknown one
 // ignored.
 func TestDutiesSettings(t *testing.T) {
-	if d, err := Duties("../../deploy/duties.properties"); err != nil || !d.CordonBeforeScaleIn {
+	if d, err := Duties("../../deploy/duties.properties"); err != nil || !d.CloseBeforeScaleIn {
 		t.Errorf("%+v, %v", d, err)
 	}
-	if d, err := ParseDuties([]byte("duties.close.before.return = false\nduties.other = 1")); err != nil || d.CordonBeforeScaleIn {
+	if d, err := ParseDuties([]byte("duties.close.before.return = false\nduties.other = 1")); err != nil || d.CloseBeforeScaleIn {
 		t.Errorf("%+v, %v", d, err)
 	}
 	const line = "duties.close.before.return = 1"
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -110,14 +110,14 @@
 	MaxConnections int     `toml:"max_connections"` // open sockets
 }
 
-// Team is a team with its guaranteed quota (CPUs, GPUs) and its quota limit (CPUsMax,
-// GPUsMax); a limit of 0 is none.
+// Team is a team with its guaranteed quota and its quota limit, as amounts of CPUs and GPUs
+// that its tasks take together; a limit of 0 is none.
 type Team struct {
-	Name    string  `toml:"name"`
-	CPUs    float64 `toml:"cpus"`
-	CPUsMax float64 `toml:"cpus_max"`
-	GPUs    float64 `toml:"gpus"`
-	GPUsMax float64 `toml:"gpus_max"`
+	Name           string  `toml:"name"`
+	GuaranteedCPUs float64 `toml:"cpus"`
+	LimitCPUs      float64 `toml:"cpus_max"`
+	GuaranteedGPUs float64 `toml:"gpus"`
+	LimitGPUs      float64 `toml:"gpus_max"`
 }
 
 // Objective is a service-level objective: a share of the jobs of a class has started
