--- a/controller/overload_test.go
+++ b/controller/overload_test.go
@@ -201,7 +201,7 @@
 			continue
 		}
 		w.changed, w.next = false, c.now.Add(3*time.Second)
-		if reply, ok := c.owners[w.zone].Heartbeat(c.now, w.heartbeat()); ok {
+		if reply, err := c.owners[w.zone].Heartbeat(c.now, w.heartbeat()); err == nil {
 			w.changed = reply.FencingToken > w.token
 			w.token = max(w.token, reply.FencingToken)
 			c.execute(w, reply.Commands)
--- a/controller/shard_actor.go
+++ b/controller/shard_actor.go
@@ -191,8 +191,8 @@
 
 // handleHeartbeat answers a worker's heartbeat, if the owner may.
 func (a *shardActor) handleHeartbeat(now time.Time, m workerHeartbeat) {
-	reply, ok := a.core.Heartbeat(now, m.heartbeat)
-	if !ok {
+	reply, err := a.core.Heartbeat(now, m.heartbeat)
+	if err != nil {
 		refuseHeartbeat(m)
 		return
 	}
--- a/shard/core_test.go
+++ b/shard/core_test.go
@@ -85,7 +85,7 @@
 // bringUp has a machine send heartbeats until it is in the durable inventory and has shown a
 // token of the term.
 func (r *rig) bringUp(name string) {
-	if _, ok := r.Heartbeat(r.now, newHeartbeat(name, 1, 1, 0)); !ok {
+	if _, err := r.Heartbeat(r.now, newHeartbeat(name, 1, 1, 0)); err != nil {
 		panic("heartbeat refused")
 	}
 	r.now = r.now.Add(constants.MinInventoryWriteInterval)
@@ -159,7 +159,7 @@
 	found := false
 	for range 4 {
 		r.now = r.now.Add(time.Second)
-		if reply, ok := r.Heartbeat(r.now, newHeartbeat("m-2", 1, uint64(100+r.now.Unix()), r.latestToken("m-2"))); ok {
+		if reply, err := r.Heartbeat(r.now, newHeartbeat("m-2", 1, uint64(100+r.now.Unix()), r.latestToken("m-2"))); err == nil {
 			for _, c := range reply.Commands {
 				found = found || c.Op == wire.OpStart && c.Task == "run-1/0"
 			}
@@ -233,7 +233,7 @@
 		r.bringUp("m-1")
 		r.machines["m-1"].scalingIn = true
 		r.advance(10 * time.Second)
-		if _, ok := r.Heartbeat(r.now, newHeartbeat("m-1", 1, 9, token(r.term, 0))); ok && r.machines["m-1"].leaseExpiresAt.Before(r.now.Add(leaseEnd)) {
+		if _, err := r.Heartbeat(r.now, newHeartbeat("m-1", 1, 9, token(r.term, 0))); err == nil && r.machines["m-1"].leaseExpiresAt.Before(r.now.Add(leaseEnd)) {
 			t.Fatal("a reply renewed the lease without being counted")
 		}
 	})
@@ -258,9 +258,9 @@
 			s := rapid.Uint64Range(1, 4).Draw(t, "epoch")
 			q := rapid.Uint64Range(1, 30).Draw(t, "seq")
 			newer := s > epoch || s == epoch && q > seq
-			_, ok := r.Heartbeat(r.now, newHeartbeat("m-1", s, q, token(r.term, 0)))
-			if ok != newer {
-				t.Fatalf("(%d,%d) after (%d,%d): taken %v", s, q, epoch, seq, ok)
+			_, err := r.Heartbeat(r.now, newHeartbeat("m-1", s, q, token(r.term, 0)))
+			if (err == nil) != newer {
+				t.Fatalf("(%d,%d) after (%d,%d): %v", s, q, epoch, seq, err)
 			}
 			if newer {
 				epoch, seq = s, q
@@ -301,7 +301,7 @@
 	if acts := r.advance(time.Second); len(acts) != 0 {
 		t.Fatalf("acted without authority: %v", acts)
 	}
-	if _, ok := r.Heartbeat(r.now, newHeartbeat("m-1", 1, 9, token(r.term, 0))); ok {
+	if _, err := r.Heartbeat(r.now, newHeartbeat("m-1", 1, 9, token(r.term, 0))); err == nil {
 		t.Fatal("answered a heartbeat without authority")
 	}
 }
@@ -488,8 +488,8 @@
 	last := time.Time{}
 	for ; old.now.Before(over.Add(2 * leaseExtension)); old.now = old.now.Add(time.Second) {
 		seq++
-		reply, ok := old.Heartbeat(old.now, newHeartbeat("m-0", 1, seq, old.latestToken("m-0")))
-		if !ok {
+		reply, err := old.Heartbeat(old.now, newHeartbeat("m-0", 1, seq, old.latestToken("m-0")))
+		if err != nil {
 			break
 		}
 		if len(reply.Commands) > 0 {
@@ -644,8 +644,8 @@
 	for _, att := range r.machines["m-1"].attempts {
 		names = append(names, wire.TaskStatus{Task: att.key.task, Attempt: att.key.number, State: wire.TaskRunning})
 	}
-	reply, ok := r.Heartbeat(r.now, newHeartbeat("m-1", 1, 3, r.latestToken("m-1"), names...))
-	if !ok || len(reply.Commands) != 2 || reply.Commands[0].Op != wire.OpStop {
+	reply, err := r.Heartbeat(r.now, newHeartbeat("m-1", 1, 3, r.latestToken("m-1"), names...))
+	if err != nil || len(reply.Commands) != 2 || reply.Commands[0].Op != wire.OpStop {
 		t.Fatalf("answered %+v, wanted two stops", reply.Commands)
 	}
 	for i := range names {
--- a/shard/heartbeat.go
+++ b/shard/heartbeat.go
@@ -9,34 +9,38 @@
 	"ravenport/wire"
 )
 
-// Heartbeat handles a worker's heartbeat. ok is false when the owner must not answer it, or
-// it proves nothing.
-func (c *Core) Heartbeat(now time.Time, heartbeat *wire.Heartbeat) (reply wire.HeartbeatReply, ok bool) {
+// Heartbeat handles a worker's heartbeat and returns the reply to it. An error says why the
+// owner must not answer it, or that it proves nothing: ErrUnknownShard, ErrFenced,
+// ErrNoAuthority, ErrMachineTerminated or ErrStaleHeartbeat.
+func (c *Core) Heartbeat(now time.Time, heartbeat *wire.Heartbeat) (reply wire.HeartbeatReply, err error) {
 	if heartbeat.Zone != c.cfg.Shard {
-		return reply, false
+		return reply, ErrUnknownShard
 	}
 	c.observeToken(heartbeat)
 	if !c.mayAct(now) {
-		if !c.mayExtendLeases(now) || tokenTerm(heartbeat.FencingToken) > c.term {
-			return reply, false
+		if tokenTerm(heartbeat.FencingToken) > c.term {
+			return reply, ErrFenced
+		}
+		if !c.mayExtendLeases(now) {
+			return reply, ErrNoAuthority
 		}
 	}
 	if _, terminated := c.terminated[heartbeat.Machine]; terminated {
-		return reply, false // delayed in the network: the machine is gone for good
+		return reply, ErrMachineTerminated // delayed in the network: the machine is gone for good
 	}
 	// A machine whose termination was requested is answered like any other until
 	// the cloud confirms it: a reply that renews its lease without being counted
 	// would let the owner believe that the lease had expired.
 	m := c.ensureMachine(heartbeat.Machine)
 	if !m.isNew(heartbeat) {
-		return reply, false // late or duplicate: nothing in it counts
+		return reply, ErrStaleHeartbeat // late or duplicate: nothing in it counts
 	}
 	c.updateMachine(now, m, heartbeat)
 	c.reconcile(now, m, heartbeat, viaHeartbeat)
 	c.recordHeartbeat(&c.fleetView, now, m)
 	m.leaseExpiresAt = c.leaseExpiry(now, m)
 	if !c.mayAct(now) {
-		return wire.HeartbeatReply{FencingToken: c.fencingToken(m), Commands: []wire.Command{}}, true
+		return wire.HeartbeatReply{FencingToken: c.fencingToken(m), Commands: []wire.Command{}}, nil
 	}
 	if c.isSchedulable(now, m) && !c.fillFreedMachine(now, m) || m.reservedForGangs && c.attemptEnded {
 		c.needsPlacement = true
@@ -46,7 +50,7 @@
 		c.counters.raiseToken(m) // once the machine shows the new token they can be forgotten
 	}
 	reply = wire.HeartbeatReply{FencingToken: c.fencingToken(m), Commands: c.pendingCommands(now, m, viaHeartbeat)}
-	return reply, true
+	return reply, nil
 }
 
 // updateMachine records what a status says of the machine itself.
--- a/shard/scale_test.go
+++ b/shard/scale_test.go
@@ -90,7 +90,7 @@
 		}
 		return testing.AllocsPerRun(50, func() {
 			seq++
-			if _, ok := r.Heartbeat(r.now, newHeartbeat("m-00000", 1, seq, r.latestToken("m-00000"), tasks...)); !ok {
+			if _, err := r.Heartbeat(r.now, newHeartbeat("m-00000", 1, seq, r.latestToken("m-00000"), tasks...)); err != nil {
 				t.Fatal("refused")
 			}
 		})
@@ -549,7 +549,7 @@
 		if len(rep.Tasks) != constants.ExitsBeforeTokenRaise {
 			t.Fatalf("%d tasks sent by a direct command", len(rep.Tasks))
 		}
-		if _, ok := r.Heartbeat(r.now, rep); !ok {
+		if _, err := r.Heartbeat(r.now, rep); err != nil {
 			t.Fatal("refused")
 		}
 		raised = m.tokenCount - was
@@ -572,7 +572,7 @@
 	}
 	n := testing.AllocsPerRun(100, func() {
 		rep.Seq++
-		if _, ok := r.Heartbeat(r.now, rep); !ok {
+		if _, err := r.Heartbeat(r.now, rep); err != nil {
 			t.Fatal("refused")
 		}
 	})
