--- a/leader/assign.go
+++ b/leader/assign.go
@@ -59,7 +59,7 @@
 	if d.tasks < unassigned {
 		job.retryAt = now.Add(constants.PartialAssignmentGap)
 	}
-	value, fitsStore := c.sizes.EncodeWithHeadroom(d.record, job.record)
+	value, fitsStore := c.sizeLimits.EncodeWithHeadroom(d.record, job.record)
 	if !fitsStore {
 		// A job in too many assignments would outgrow a value of the key-value store.
 		// Extending an adjacent assignment hardly changes the size, so the job is not
@@ -69,7 +69,7 @@
 			job.retryAt = now.Add(constants.RetryBackoffMax)
 			return Commit{}, notAssigned
 		}
-		value, _ = c.sizes.Encode(extended, job.record)
+		value, _ = c.sizeLimits.Encode(extended, job.record)
 		d = decision{record: extended, tasks: admitted}
 	}
 	c.trackInFlight(job, d)
@@ -81,7 +81,7 @@
 func (c *Core) commitGangClosed(record *records.Job, job *jobState) Commit {
 	job.isInFlight = true
 	c.urgentInFlight++
-	value, _ := c.sizes.Encode(record, job.record)
+	value, _ := c.sizeLimits.Encode(record, job.record)
 	return c.newCommit(record.ID, job.version, value, true)
 }
 
@@ -206,7 +206,7 @@
 				record.Assignments[i].From -= added
 			}
 			record.Normalize()
-			if _, fitsStore := c.sizes.Encode(record, job.record); fitsStore {
+			if _, fitsStore := c.sizeLimits.Encode(record, job.record); fitsStore {
 				return record
 			}
 		}
--- a/leader/core.go
+++ b/leader/core.go
@@ -19,7 +19,7 @@
 type Core struct {
 	settings    *settings.Settings
 	order       JobOrder
-	sizes       records.SizeLimits
+	sizeLimits  records.SizeLimits
 	termVersion uint64 // of the term's record, on which every commit is conditional
 
 	startedAt      time.Time
@@ -29,16 +29,16 @@
 	jobs       map[string]*jobState // all that have not ended
 	unassigned map[string]*jobState // those with tasks in no assignment
 
-	usedQuota     map[string]quotaAmount // by team: of open and of in-flight assignments
-	reservedQuota map[string]quotaAmount // by job: of its in-flight assignment
-	limitedAt     map[string]time.Time   // by team: when its quota limit last kept a job waiting
+	usedQuota      map[string]quotaAmount // by team: of open and of in-flight assignments
+	reservedQuota  map[string]quotaAmount // by job: of its in-flight assignment
+	limitReachedAt map[string]time.Time   // by team: when its quota limit last kept a job waiting
 
 	inFlight       int // commits without a result, the urgent ones not included
 	urgentInFlight int
 
 	resumeAfter *Rank            // where the last round ran out of its time budget
-	clock       func() time.Time // measures a round
-	budget      time.Duration    // of a round
+	roundClock  func() time.Time // measures a round
+	roundBudget time.Duration    // of a round
 }
 
 // shardState is what the leader knows of a shard.
@@ -74,19 +74,19 @@
 // jobs' records, by job.
 func New(set *settings.Settings, termVersion uint64, now time.Time, jobs map[string]*records.Job, versions map[string]uint64) *Core {
 	c := &Core{
-		settings:      set,
-		order:         NewJobOrder(set.Deployment.Objectives),
-		sizes:         set.RecordSizeLimits(),
-		termVersion:   termVersion,
-		startedAt:     now,
-		shards:        map[string]*shardState{},
-		jobs:          map[string]*jobState{},
-		unassigned:    map[string]*jobState{},
-		usedQuota:     map[string]quotaAmount{},
-		reservedQuota: map[string]quotaAmount{},
-		limitedAt:     map[string]time.Time{},
-		clock:         time.Now,
-		budget:        set.RoundBudget(),
+		settings:       set,
+		order:          NewJobOrder(set.Deployment.Objectives),
+		sizeLimits:     set.RecordSizeLimits(),
+		termVersion:    termVersion,
+		startedAt:      now,
+		shards:         map[string]*shardState{},
+		jobs:           map[string]*jobState{},
+		unassigned:     map[string]*jobState{},
+		usedQuota:      map[string]quotaAmount{},
+		reservedQuota:  map[string]quotaAmount{},
+		limitReachedAt: map[string]time.Time{},
+		roundClock:     time.Now,
+		roundBudget:    set.RoundBudget(),
 	}
 	for _, zone := range set.Deployment.Zones {
 		c.shards[zone] = &shardState{}
@@ -99,14 +99,14 @@
 
 // SetRoundClock replaces the clock that measures a round. Tests use it, since on a busy
 // machine the real one would cut rounds at different places every time.
-func (c *Core) SetRoundClock(clock func() time.Time) { c.clock = clock }
+func (c *Core) SetRoundClock(clock func() time.Time) { c.roundClock = clock }
 
 // SetAuthority sets until when the leader may assign.
 func (c *Core) SetAuthority(until time.Time) { c.authorityUntil = until }
 
 // EnablePacking allows the packed encoding of records. The caller knows that no process
 // of the version before, which cannot read it, can join any more.
-func (c *Core) EnablePacking() { c.sizes.PackingEnabled = true }
+func (c *Core) EnablePacking() { c.sizeLimits.PackingEnabled = true }
 
 // Step runs one round: it assigns tasks of the waiting jobs in the order of their rank
 // and returns the commits to write. A round that runs out of its time budget is continued
@@ -116,7 +116,7 @@
 		return nil
 	}
 	queue := c.rankedQueue(now)
-	roundStart := c.clock()
+	roundStart := c.roundClock()
 	var commits []Commit
 	blockedTeams := map[string]bool{}
 	for i := c.takeResumeIndex(queue); i < len(queue); i++ {
@@ -130,12 +130,12 @@
 		case assigned:
 			commits = append(commits, commit)
 		case overQuotaLimit:
-			c.limitedAt[team] = now
+			c.limitReachedAt[team] = now
 			if c.blocksTeam(now, job.record) {
 				blockedTeams[team] = true
 			}
 		}
-		if i+1 < len(queue) && c.clock().Sub(roundStart) > c.budget {
+		if i+1 < len(queue) && c.roundClock().Sub(roundStart) > c.roundBudget {
 			rank := job.rank
 			c.resumeAfter = &rank
 			break
--- a/leader/forecast.go
+++ b/leader/forecast.go
@@ -80,11 +80,11 @@
 // the others.
 func (c *Core) teamsAtLimit(now time.Time) []string {
 	var teams []string
-	for team, at := range c.limitedAt {
+	for team, at := range c.limitReachedAt {
 		if now.Sub(at) < constants.ForecastTTL {
 			teams = append(teams, team)
 		} else {
-			delete(c.limitedAt, team)
+			delete(c.limitReachedAt, team)
 		}
 	}
 	return teams
