--- a/leader/apply.go
+++ b/leader/apply.go
@@ -17,10 +17,10 @@
 // capacityReservation is an assignment's share of a shard's capacity that the shard's
 // aggregate does not reflect yet.
 type capacityReservation struct {
-	revision        uint64 // of the store, at which the assignment was written; 0: in flight
-	cpus, gpus, mem float64
-	spot, gang      bool
-	jobID           string
+	revision             uint64 // of the store, at which the assignment was written; 0: in flight
+	cpus, gpus, memoryGB float64
+	spot, gang           bool
+	jobID                string
 }
 
 // ApplyAggregate applies the aggregate that a shard's owner pushed. Aggregates of earlier
@@ -104,7 +104,7 @@
 	if urgent {
 		c.urgentInFlight--
 	} else {
-		c.inFlight--
+		c.nonUrgentInFlight--
 	}
 	for _, shard := range c.shards {
 		shard.settleReservations(id, revision)
--- a/leader/assign.go
+++ b/leader/assign.go
@@ -29,8 +29,8 @@
 	keepWaiting bool
 }
 
-// decision is a job's record with more of its tasks assigned.
-type decision struct {
+// assignmentUpdate is a job's record with more of its tasks assigned.
+type assignmentUpdate struct {
 	record  *records.Job
 	planned []plannedAssignment // as carried out; its capacity is reserved in the shards
 	tasks   int                 // newly assigned
@@ -39,8 +39,8 @@
 // assign assigns as many of a job's unassigned tasks as its team's quota limit and the
 // shards allow.
 func (c *Core) assign(now time.Time, job *jobState) (Commit, assignOutcome) {
-	s := &job.record.Spec
-	if s.IsGang() {
+	spec := &job.record.Spec
+	if spec.IsGang() {
 		if record := job.record.Clone(); closeUnassignedIfDone(record) {
 			return c.commitGangClosed(record, job), assigned
 		}
@@ -51,15 +51,15 @@
 		return Commit{}, overQuotaLimit
 	}
 	plan, guaranteed := c.planJob(now, job, admitted, unassigned)
-	d := assignRanges(job.record, plan, guaranteed)
-	if d.tasks == 0 {
+	update := assignRanges(job.record, plan, guaranteed)
+	if update.tasks == 0 {
 		job.retryAt = now.Add(constants.LeaderTick)
 		return Commit{}, notAssigned
 	}
-	if d.tasks < unassigned {
+	if update.tasks < unassigned {
 		job.retryAt = now.Add(constants.PartialAssignmentGap)
 	}
-	value, fitsStore := c.sizeLimits.EncodeWithHeadroom(d.record, job.record)
+	value, fitsStore := c.sizeLimits.EncodeWithHeadroom(update.record, job.record)
 	if !fitsStore {
 		// A job in too many assignments would outgrow a value of the key-value store.
 		// Extending an adjacent assignment hardly changes the size, so the job is not
@@ -70,11 +70,11 @@
 			return Commit{}, notAssigned
 		}
 		value, _ = c.sizeLimits.Encode(extended, job.record)
-		d = decision{record: extended, tasks: admitted}
+		update = assignmentUpdate{record: extended, tasks: admitted}
 	}
-	c.trackInFlight(job, d)
-	slog.Debug("assigning tasks", logkey.JobID, d.record.ID, "plan", fmt.Sprint(plan))
-	return c.newCommit(d.record.ID, job.version, value, s.AllOrNothing()), assigned
+	c.trackInFlight(job, update)
+	slog.Debug("assigning tasks", logkey.JobID, update.record.ID, "plan", fmt.Sprint(plan))
+	return c.newCommit(update.record.ID, job.version, value, spec.AllOrNothing()), assigned
 }
 
 // commitGangClosed writes that the rest of a gang is done.
@@ -117,59 +117,59 @@
 
 // assignRanges assigns a job's unassigned ranges of tasks by a plan. The first tasks are
 // those within the guaranteed quota.
-func assignRanges(record *records.Job, plan []plannedAssignment, guaranteed int) decision {
-	d := decision{record: record.Clone()}
+func assignRanges(record *records.Job, plan []plannedAssignment, guaranteed int) assignmentUpdate {
+	update := assignmentUpdate{record: record.Clone()}
 	ranges := record.Unassigned()
 	for _, p := range plan {
 		left := p.tasks
 		for left > 0 && len(ranges) > 0 {
 			r := &ranges[0]
 			n := min(left, r.Tasks())
-			isGuaranteed := d.tasks < guaranteed
+			isGuaranteed := update.tasks < guaranteed
 			if isGuaranteed {
-				n = min(n, guaranteed-d.tasks)
+				n = min(n, guaranteed-update.tasks)
 			}
-			d.record.Assignments = append(d.record.Assignments, records.Assignment{
+			update.record.Assignments = append(update.record.Assignments, records.Assignment{
 				From: r.From, To: r.From + n, Shard: p.shard, KeepWaiting: p.keepWaiting, Guaranteed: isGuaranteed,
 			})
 			r.From += n
 			left -= n
-			d.tasks += n
+			update.tasks += n
 			if r.Tasks() == 0 {
 				ranges = ranges[1:]
 			}
 		}
-		d.planned = append(d.planned, plannedAssignment{p.shard, p.tasks - left, p.keepWaiting})
+		update.planned = append(update.planned, plannedAssignment{p.shard, p.tasks - left, p.keepWaiting})
 	}
-	d.record.Normalize()
+	update.record.Normalize()
 	if record.Spec.IsGang() {
-		incrementAttemptIfSpread(d.record)
+		incrementAttemptIfSpread(update.record)
 	}
-	return d
+	return update
 }
 
 // trackInFlight counts a decision as in flight: against the bound on commits, the
 // capacity of the shards and the team's quota.
-func (c *Core) trackInFlight(job *jobState, d decision) {
+func (c *Core) trackInFlight(job *jobState, update assignmentUpdate) {
 	s := &job.record.Spec
-	for _, p := range d.planned {
+	for _, p := range update.planned {
 		shard := c.shards[p.shard]
 		quota := quotaOf(s, p.tasks)
 		shard.reservations = append(shard.reservations, capacityReservation{
-			jobID: d.record.ID, spot: s.Spot, gang: s.IsGang(),
-			cpus: quota.cpus, gpus: quota.gpus, mem: float64(p.tasks) * s.MemoryGB,
+			jobID: update.record.ID, spot: s.Spot, gang: s.IsGang(),
+			cpus: quota.cpus, gpus: quota.gpus, memoryGB: float64(p.tasks) * s.MemoryGB,
 		})
 	}
 	job.isInFlight = true
 	if s.AllOrNothing() {
 		c.urgentInFlight++
 	} else {
-		c.inFlight++
+		c.nonUrgentInFlight++
 	}
 	// An earlier commit without a result may still be applied instead of this one, so
 	// the larger of the two counts.
-	reserved := c.reservedQuota[d.record.ID].maxOfEach(quotaOf(s, d.tasks))
-	c.setReservedQuota(d.record.ID, s.Team, reserved)
+	reserved := c.reservedQuota[update.record.ID].maxOfEach(quotaOf(s, update.tasks))
+	c.setReservedQuota(update.record.ID, s.Team, reserved)
 }
 
 // newCommit makes the commit that writes a job's record. It is conditional on the
--- a/leader/candidates.go
+++ b/leader/candidates.go
@@ -49,7 +49,7 @@
 // remainingTasksByShard is how many more tasks of a job its zone rules allow, by shard. All
 // tasks in open assignments count, since any of them may be running.
 func (c *Core) remainingTasksByShard(job *jobState) map[string]int {
-	s := &job.record.Spec
+	spec := &job.record.Spec
 	open := map[string]int{}
 	for _, a := range job.record.Assignments {
 		if !a.Closed {
@@ -58,14 +58,14 @@
 	}
 	remaining := map[string]int{}
 	for _, zone := range c.settings.Deployment.Zones {
-		if s.Zone != "" && s.Zone != zone {
+		if spec.Zone != "" && spec.Zone != zone {
 			continue
 		}
-		limit := s.Tasks
-		if s.Spread {
-			limit = (s.Tasks + 1) / 2
+		limit := spec.Tasks
+		if spec.Spread {
+			limit = (spec.Tasks + 1) / 2
 		}
-		if s.OneZone && runsOutside(zone, open) {
+		if spec.OneZone && runsOutside(zone, open) {
 			limit = 0
 		}
 		remaining[zone] = limit - open[zone]
@@ -85,7 +85,7 @@
 
 // loadAggregate computes the candidate's figures from the shard's aggregate and from the
 // assignments that it does not reflect yet.
-func (k *candidate) loadAggregate(shard *shardState, s *wire.Submission) {
+func (k *candidate) loadAggregate(shard *shardState, spec *wire.Submission) {
 	a := shard.aggregate
 	k.isFresh = true
 	k.queuedCPUs = a.WaitingCPUs
@@ -95,16 +95,16 @@
 		k.totalCPUs += r.cpus
 	}
 	k.totalCPUs += a.Capacity + a.WaitingCPUs
-	k.estimatedTasks = a.EstimateTasks(s)
+	k.estimatedTasks = a.EstimateTasks(spec)
 	k.freeCPUs = a.OnDemand.CPUs.Sum
-	if s.Spot {
+	if spec.Spot {
 		k.freeCPUs += a.Spot.CPUs.Sum
 	}
 	k.maxQueuedCPUs = a.Capacity * constants.MaxQueueShare
-	k.canScaleOut = a.CanScaleOutOnDemand || s.Spot && a.CanScaleOutSpot
-	k.warmTasks = min(shard.estimateWarmTasks(s), k.estimatedTasks, k.maxTasks)
-	if s.IsGang() {
-		k.gang = shard.estimateGang(s, k.estimatedTasks)
+	k.canScaleOut = a.CanScaleOutOnDemand || spec.Spot && a.CanScaleOutSpot
+	k.warmTasks = min(shard.estimateWarmTasks(spec), k.estimatedTasks, k.maxTasks)
+	if spec.IsGang() {
+		k.gang = shard.estimateGang(spec, k.estimatedTasks)
 	}
 }
 
@@ -117,7 +117,7 @@
 	}
 	free.CPUs.Sum -= r.cpus
 	free.GPUs.Sum -= r.gpus
-	free.Memory.Sum -= r.mem
+	free.Memory.Sum -= r.memoryGB
 }
 
 // estimateWarmTasks estimates how many production tasks of a job would find their image on
--- a/leader/core.go
+++ b/leader/core.go
@@ -33,8 +33,8 @@
 	reservedQuota  map[string]quotaAmount // by job: of its in-flight assignment
 	limitReachedAt map[string]time.Time   // by team: when its quota limit last kept a job waiting
 
-	inFlight       int // commits without a result, the urgent ones not included
-	urgentInFlight int
+	nonUrgentInFlight int // commits without a result, the urgent ones not included
+	urgentInFlight    int
 
 	resumeAfter *Rank            // where the last round ran out of its time budget
 	roundClock  func() time.Time // measures a round
@@ -73,7 +73,7 @@
 // acquired. termVersion is the version of the term's record; versions are those of the
 // jobs' records, by job.
 func New(set *settings.Settings, termVersion uint64, now time.Time, jobs map[string]*records.Job, versions map[string]uint64) *Core {
-	c := &Core{
+	core := &Core{
 		settings:       set,
 		order:          NewJobOrder(set.Deployment.Objectives),
 		sizeLimits:     set.RecordSizeLimits(),
@@ -89,12 +89,12 @@
 		roundBudget:    set.RoundBudget(),
 	}
 	for _, zone := range set.Deployment.Zones {
-		c.shards[zone] = &shardState{}
+		core.shards[zone] = &shardState{}
 	}
 	for id, record := range jobs {
-		c.ApplyJob(now, id, record, versions[id])
+		core.ApplyJob(now, id, record, versions[id])
 	}
-	return c
+	return core
 }
 
 // SetRoundClock replaces the clock that measures a round. Tests use it, since on a busy
@@ -181,7 +181,7 @@
 	if job.record.Spec.AllOrNothing() {
 		return c.urgentInFlight < constants.MaxUrgentInFlight
 	}
-	return c.inFlight < constants.MaxAssignmentsInFlight
+	return c.nonUrgentInFlight < constants.MaxAssignmentsInFlight
 }
 
 // blocksTeam reports whether a job over its team's quota limit holds back the team's jobs
--- a/leader/helpers_test.go
+++ b/leader/helpers_test.go
@@ -24,54 +24,54 @@
 	return s
 }
 
-func testAggregate(shard string, rev uint64, cpus float64, machines int) Aggregate {
-	a := Aggregate{Shard: shard, Term: 1, Revision: rev, CanScaleOutOnDemand: true, CanScaleOutSpot: true, Capacity: cpus}
+func testAggregate(shard string, revision uint64, cpus float64, machines int) Aggregate {
+	aggregate := Aggregate{Shard: shard, Term: 1, Revision: revision, CanScaleOutOnDemand: true, CanScaleOutSpot: true, Capacity: cpus}
 	for range machines {
-		a.OnDemand.Machines++
-		a.OnDemand.CPUs.Add(cpus / float64(machines))
-		a.OnDemand.Memory.Add(1000)
+		aggregate.OnDemand.Machines++
+		aggregate.OnDemand.CPUs.Add(cpus / float64(machines))
+		aggregate.OnDemand.Memory.Add(1000)
 	}
-	a.OnDemand.CPUs.Finish(machines)
-	a.OnDemand.Memory.Finish(machines)
-	return a
+	aggregate.OnDemand.CPUs.Finish(machines)
+	aggregate.OnDemand.Memory.Finish(machines)
+	return aggregate
 }
 
 // newTestLeader returns a leader with authority that has no aggregates and no jobs yet.
 func newTestLeader() (time.Time, *settings.Settings, *Core) {
 	now, set := time.Unix(1000, 0), testSettings()
-	c := New(set, 1, now, nil, nil)
-	c.SetAuthority(now.Add(time.Hour))
-	return now, set, c
+	core := New(set, 1, now, nil, nil)
+	core.SetAuthority(now.Add(time.Hour))
+	return now, set, core
 }
 
 // store is the key-value store as the leader sees it: a write may be applied with or
 // without a reply, late, or not at all.
 type store struct {
-	jobs    map[string]*records.Job
-	version map[string]uint64
-	rev     uint64
+	jobs     map[string]*records.Job
+	versions map[string]uint64
+	revision uint64
 }
 
-func (s *store) put(j *records.Job) {
-	s.rev++
-	s.jobs[j.ID], s.version[j.ID] = j, s.rev
+func (s *store) put(job *records.Job) {
+	s.revision++
+	s.jobs[job.ID], s.versions[job.ID] = job, s.revision
 }
 
-func (s *store) try(cm Commit) bool {
-	for _, c := range cm.Txn.Conditions {
-		if c.Key == records.KeyJob(cm.JobID) && s.version[cm.JobID] != c.Version {
+func (s *store) apply(commit Commit) bool {
+	for _, condition := range commit.Txn.Conditions {
+		if condition.Key == records.KeyJob(commit.JobID) && s.versions[commit.JobID] != condition.Version {
 			return false
 		}
 	}
-	s.put(decodeCommit(cm))
+	s.put(decodeCommit(commit))
 	return true
 }
 
 // decodeCommit is the record that a commit would write.
-func decodeCommit(cm Commit) *records.Job {
-	rec, err := records.Decode(cm.Txn.Changes[0].Put, cm.Txn.Changes[0].Value)
+func decodeCommit(commit Commit) *records.Job {
+	record, err := records.Decode(commit.Txn.Changes[0].Put, commit.Txn.Changes[0].Value)
 	if err != nil {
 		panic(err)
 	}
-	return rec.(*records.Job)
+	return record.(*records.Job)
 }
--- a/leader/order.go
+++ b/leader/order.go
@@ -112,9 +112,9 @@
 
 // Rank returns a job's rank.
 func (o JobOrder) Rank(now time.Time, record *records.Job, progress JobProgress) Rank {
-	s := &record.Spec
+	spec := &record.Spec
 	rank := Rank{
-		priority:        -s.Priority.Level(),
+		priority:        -spec.Priority.Level(),
 		notOverdue:      1,
 		beyondGuarantee: 1,
 		notGang:         1,
@@ -127,15 +127,15 @@
 	if IsOverdue(now, record, progress.Started) {
 		rank.notOverdue = 0
 	}
-	if s.IsService() {
+	if spec.IsService() {
 		return rank
 	}
-	if s.IsGang() {
+	if spec.IsGang() {
 		rank.notGang = 0
 	}
-	finish := jobAge(now, record) + settings.Seconds(s.EstimateS)
-	rank.missedObjectives = o.missedObjectives(s.Class, finish)
-	rank.score = float64(record.AcceptedMS)/1000 + float64(s.Tasks)*s.CPUs*s.EstimateS/constants.RankWorkPerSecond
+	finish := jobAge(now, record) + settings.Seconds(spec.EstimateS)
+	rank.missedObjectives = o.missedObjectives(spec.Class, finish)
+	rank.score = float64(record.AcceptedMS)/1000 + float64(spec.Tasks)*spec.CPUs*spec.EstimateS/constants.RankWorkPerSecond
 	return rank
 }
 
--- a/leader/order_test.go
+++ b/leader/order_test.go
@@ -13,13 +13,13 @@
 // A job that can still meet its objective comes before one that missed it;
 // priority, being overdue and the guaranteed quota come before both.
 func TestOrder(t *testing.T) {
-	o := NewJobOrder([]settings.Objective{{Kind: "finished", Class: "c", WithinS: 90}})
+	order := NewJobOrder([]settings.Objective{{Kind: "finished", Class: "c", WithinS: 90}})
 	now := time.Unix(10000, 0)
 	job := func(id string, age, estimate float64, priority wire.Priority) *records.Job {
 		return &records.Job{ID: id, AcceptedMS: now.UnixMilli() - int64(age*1000), Spec: wire.Submission{ID: id, Class: "c", Kind: wire.KindArray, Priority: priority, Tasks: 1, CPUs: 1, EstimateS: estimate}}
 	}
-	in := []struct {
-		rec      *records.Job
+	ranked := []struct {
+		record   *records.Job
 		progress JobProgress
 	}{
 		{job("prod", 0, 10, wire.PriorityProduction), JobProgress{}},
@@ -31,11 +31,11 @@
 		{job("missed", 100, 10, wire.PriorityNormal), JobProgress{}},
 		{job("low", 50, 10, wire.PriorityLow), JobProgress{WithinGuarantee: true}},
 	}
-	for i := range in {
-		for k := i + 1; k < len(in); k++ {
-			a, b := o.Rank(now, in[i].rec, in[i].progress), o.Rank(now, in[k].rec, in[k].progress)
+	for i := range ranked {
+		for k := i + 1; k < len(ranked); k++ {
+			a, b := order.Rank(now, ranked[i].record, ranked[i].progress), order.Rank(now, ranked[k].record, ranked[k].progress)
 			if !a.Before(b) || b.Before(a) {
-				t.Errorf("%s does not come before %s", in[i].rec.ID, in[k].rec.ID)
+				t.Errorf("%s does not come before %s", ranked[i].record.ID, ranked[k].record.ID)
 			}
 		}
 	}
--- a/leader/plan.go
+++ b/leader/plan.go
@@ -8,9 +8,9 @@
 	"ravenport/wire"
 )
 
-// maxPlainReassignments: tasks of a job that owners have sent back more often stay with
+// reassignmentsBeforeKeepWaiting: tasks of a job that owners have sent back more often stay with
 // the next owner.
-const maxPlainReassignments = 2
+const reassignmentsBeforeKeepWaiting = 2
 
 // minQueuedTaskCPUs is the least size (CPUs) that a task counts with in the bounds on
 // queues, so that tiny tasks do not make those bounds meaningless.
@@ -26,7 +26,7 @@
 	}
 	s := &job.record.Spec
 	rankByFit(list, n, s.CPUs*float64(n))
-	keepWaiting := job.reassignments > maxPlainReassignments
+	keepWaiting := job.reassignments > reassignmentsBeforeKeepWaiting
 	plan, left := assignToFreeCapacity(list, s, n, keepWaiting)
 	if left == 0 || s.OneZone && len(plan) > 0 {
 		return plan
--- a/leader/quota_test.go
+++ b/leader/quota_test.go
@@ -14,20 +14,20 @@
 // limitsModel is a leader and a store on which commits may be applied late, with or without
 // a reply, or not at all, while jobs are submitted and owners change assignments.
 type limitsModel struct {
-	now         time.Time
-	store       *store
-	leader      *Core
-	seen        map[string]uint64 // by job: the version that the leader has read
-	lateCommits []Commit
+	now          time.Time
+	store        *store
+	leader       *Core
+	readVersions map[string]uint64 // by job: the version that the leader has read
+	lateCommits  []Commit
 }
 
 func newLimitsModel() *limitsModel {
 	now := time.Unix(1000, 0)
 	m := &limitsModel{
-		now:    now,
-		store:  &store{jobs: map[string]*records.Job{}, version: map[string]uint64{}},
-		leader: New(testSettings(), 1, now, nil, nil),
-		seen:   map[string]uint64{},
+		now:          now,
+		store:        &store{jobs: map[string]*records.Job{}, versions: map[string]uint64{}},
+		leader:       New(testSettings(), 1, now, nil, nil),
+		readVersions: map[string]uint64{},
 	}
 	m.leader.SetAuthority(now.Add(time.Hour))
 	return m
@@ -67,37 +67,37 @@
 	}
 }
 
-// feed has the leader read all records and new aggregates.
-func (m *limitsModel) feed() {
+// readStore has the leader read all records and new aggregates.
+func (m *limitsModel) readStore() {
 	for id, job := range m.store.jobs {
-		if m.store.version[id] > m.seen[id] {
-			m.seen[id] = m.store.version[id]
-			m.leader.ApplyJob(m.now, id, job, m.store.version[id])
+		if m.store.versions[id] > m.readVersions[id] {
+			m.readVersions[id] = m.store.versions[id]
+			m.leader.ApplyJob(m.now, id, job, m.store.versions[id])
 		}
 	}
 	for _, zone := range []string{"a", "b", "c"} {
-		m.leader.ApplyAggregate(m.now, testAggregate(zone, m.store.rev, 16, 2))
+		m.leader.ApplyAggregate(m.now, testAggregate(zone, m.store.revision, 16, 2))
 	}
 }
 
 // applyLateCommit applies the oldest late commit.
 func (m *limitsModel) applyLateCommit() {
 	if len(m.lateCommits) > 0 {
-		m.store.try(m.lateCommits[0])
+		m.store.apply(m.lateCommits[0])
 		m.lateCommits = m.lateCommits[1:]
 	}
 }
 
-// settle draws what becomes of a commit.
-func (m *limitsModel) settle(t *rapid.T, commit Commit) {
+// resolveCommit draws what becomes of a commit.
+func (m *limitsModel) resolveCommit(t *rapid.T, commit Commit) {
 	revision := uint64(0)
 	switch rapid.IntRange(0, 3).Draw(t, "fate") {
 	case 0, 1:
-		if m.store.try(commit) {
-			revision = m.store.rev
+		if m.store.apply(commit) {
+			revision = m.store.revision
 		}
 	case 2: // applied, the reply lost
-		m.store.try(commit)
+		m.store.apply(commit)
 	case 3: // applied later, or never
 		m.lateCommits = append(m.lateCommits, commit)
 	}
@@ -106,17 +106,17 @@
 
 // check checks the records in the store against the quota limit and the zone rules.
 func (m *limitsModel) check(t *rapid.T) {
-	use := 0.0
+	usedCPUs := 0.0
 	for _, job := range m.store.jobs {
 		zones := map[string]int{}
-		at := 0
+		next := 0
 		for _, a := range job.Assignments {
-			if a.From < at {
+			if a.From < next {
 				t.Fatalf("%s: assignments overlap: %+v", job.ID, job.Assignments)
 			}
-			at = a.To
+			next = a.To
 			if !a.Closed {
-				use += float64(a.Tasks()) * job.Spec.CPUs
+				usedCPUs += float64(a.Tasks()) * job.Spec.CPUs
 				zones[a.Shard] += a.Tasks()
 			}
 		}
@@ -129,8 +129,8 @@
 			t.Fatalf("%s: one zone, but %v", job.ID, zones)
 		}
 	}
-	if use > 20+1e-6 {
-		t.Fatalf("team uses %g of 20 CPUs", use)
+	if usedCPUs > 20+1e-6 {
+		t.Fatalf("team uses %g of 20 CPUs", usedCPUs)
 	}
 }
 
@@ -147,12 +147,12 @@
 			case 1:
 				m.changeAssignment(t)
 			case 2:
-				m.feed()
+				m.readStore()
 			case 3:
 				m.applyLateCommit()
 			}
 			for _, commit := range m.leader.Step(m.now) {
-				m.settle(t, commit)
+				m.resolveCommit(t, commit)
 			}
 			m.check(t)
 		}
@@ -163,21 +163,21 @@
 // must not count for as long as the job lives.
 func TestReservationEndsWithNewerRecord(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := New(testSettings(), 1, now, nil, nil)
-	c.SetAuthority(now.Add(time.Hour))
-	c.ApplyAggregate(now, testAggregate("a", 1, 64, 4))
+	core := New(testSettings(), 1, now, nil, nil)
+	core.SetAuthority(now.Add(time.Hour))
+	core.ApplyAggregate(now, testAggregate("a", 1, 64, 4))
 	job := &records.Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", Team: "t", Kind: wire.KindService, Priority: wire.PriorityNormal, Tasks: 2, CPUs: 5, MemoryGB: 1}}
-	c.ApplyJob(now, "run-1", job, 5)
-	commits := c.Step(now)
+	core.ApplyJob(now, "run-1", job, 5)
+	commits := core.Step(now)
 	if len(commits) != 1 {
 		t.Fatalf("%d assignments", len(commits))
 	}
-	c.ApplyCommitResult(now, "run-1", false, 0) // the reply was lost, but it was written
-	if cpus := c.usedQuotaExcept("t", "").cpus; cpus != 10 {
+	core.ApplyCommitResult(now, "run-1", false, 0) // the reply was lost, but it was written
+	if cpus := core.usedQuotaExcept("t", "").cpus; cpus != 10 {
 		t.Fatalf("%g CPUs counted while the write may still come, wanted 10", cpus)
 	}
-	c.ApplyJob(now, "run-1", decodeCommit(commits[0]), 6)
-	if cpus := c.usedQuotaExcept("t", "").cpus; cpus != 10 {
+	core.ApplyJob(now, "run-1", decodeCommit(commits[0]), 6)
+	if cpus := core.usedQuotaExcept("t", "").cpus; cpus != 10 {
 		t.Fatalf("%g CPUs counted, wanted the 10 of the record", cpus)
 	}
 }
@@ -186,42 +186,42 @@
 // the team are submitted all the time.
 func TestLargeServiceIsAdmitted(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := New(testSettings(), 1, now, nil, nil)
-	rev := uint64(0)
+	core := New(testSettings(), 1, now, nil, nil)
+	revision := uint64(0)
 	type run struct {
 		job *records.Job
 		end time.Time
 	}
 	jobs := map[string]*run{}
-	put := func(j *records.Job) {
-		rev++
-		c.ApplyJob(now, j.ID, j, rev)
+	put := func(job *records.Job) {
+		revision++
+		core.ApplyJob(now, job.ID, job, revision)
 	}
 	submit := func(id string, tasks int) {
-		j := &records.Job{ID: id, AcceptedMS: now.UnixMilli(), Spec: wire.Submission{ID: id, Team: "t", Kind: wire.KindService, Priority: wire.PriorityNormal, Tasks: tasks, CPUs: 2, MemoryGB: 1}}
-		jobs[id] = &run{job: j, end: now.Add(40 * time.Second)}
-		put(j)
+		job := &records.Job{ID: id, AcceptedMS: now.UnixMilli(), Spec: wire.Submission{ID: id, Team: "t", Kind: wire.KindService, Priority: wire.PriorityNormal, Tasks: tasks, CPUs: 2, MemoryGB: 1}}
+		jobs[id] = &run{job: job, end: now.Add(40 * time.Second)}
+		put(job)
 	}
-	began := now
-	for i := 0; now.Sub(began) < 4*time.Minute; i++ {
-		c.SetAuthority(now.Add(time.Hour))
+	start := now
+	for i := 0; now.Sub(start) < 4*time.Minute; i++ {
+		core.SetAuthority(now.Add(time.Hour))
 		if i%10 == 0 {
 			submit(fmt.Sprintf("run-small-%d", i), 1)
 		}
 		if i == 100 {
 			submit("run-large", 10) // all 20 CPUs
 		}
-		for _, z := range []string{"a", "b", "c"} {
-			c.ApplyAggregate(now, testAggregate(z, rev, 64, 4))
+		for _, zone := range []string{"a", "b", "c"} {
+			core.ApplyAggregate(now, testAggregate(zone, revision, 64, 4))
 		}
-		for _, cm := range c.Step(now) {
-			if cm.JobID == "run-large" {
+		for _, commit := range core.Step(now) {
+			if commit.JobID == "run-large" {
 				return
 			}
-			j := decodeCommit(cm)
-			jobs[cm.JobID].job, jobs[cm.JobID].end = j, now.Add(40*time.Second)
-			put(j)
-			c.ApplyCommitResult(now, cm.JobID, cm.Urgent, rev)
+			job := decodeCommit(commit)
+			jobs[commit.JobID].job, jobs[commit.JobID].end = job, now.Add(40*time.Second)
+			put(job)
+			core.ApplyCommitResult(now, commit.JobID, commit.Urgent, revision)
 		}
 		for _, r := range jobs { // services that have run for a while are cancelled and closed
 			if len(r.job.Assignments) > 0 && now.After(r.end) && r.job.End == "" {
--- a/leader/scale_test.go
+++ b/leader/scale_test.go
@@ -22,16 +22,16 @@
 		}
 		jobRecords[s.ID], versions[s.ID] = &records.Job{ID: s.ID, Spec: s, AcceptedMS: now.UnixMilli() - int64(i)*100}, uint64(10+i)
 	}
-	c := New(testSettings(), 5, now, jobRecords, versions)
-	c.SetAuthority(now.Add(time.Hour))
-	for _, p := range []string{"a", "b", "c"} {
-		c.ApplyAggregate(now, testAggregate(p, 1, 6400, 400))
+	core := New(testSettings(), 5, now, jobRecords, versions)
+	core.SetAuthority(now.Add(time.Hour))
+	for _, zone := range []string{"a", "b", "c"} {
+		core.ApplyAggregate(now, testAggregate(zone, 1, 6400, 400))
 	}
 	// A round may be cut off by its budget on a slow machine.
-	for i := 0; i < 1000 && (c.urgentInFlight < constants.MaxUrgentInFlight || c.inFlight < constants.MaxAssignmentsInFlight); i++ {
-		c.Step(now)
+	for i := 0; i < 1000 && (core.urgentInFlight < constants.MaxUrgentInFlight || core.nonUrgentInFlight < constants.MaxAssignmentsInFlight); i++ {
+		core.Step(now)
 	}
-	return c, now
+	return core, now
 }
 
 func BenchmarkBacklogStep(b *testing.B) {
@@ -47,7 +47,7 @@
 // the waiting jobs: it allocates nothing for a job.
 func TestBacklogStepAllocatesLittle(t *testing.T) {
 	c, now := backlog(600)
-	if c.urgentInFlight == 0 || c.inFlight == 0 {
+	if c.urgentInFlight == 0 || c.nonUrgentInFlight == 0 {
 		t.Fatal("nothing is under way")
 	}
 	n := testing.AllocsPerRun(50, func() {
