--- a/leader/aggregate.go
+++ b/leader/aggregate.go
@@ -6,12 +6,12 @@
 	"ravenport/wire"
 )
 
-// roundingTolerance absorbs the rounding of sums of fractional resources, so that a
-// task which exactly fills the rest of a machine or of a quota still fits.
+// roundingTolerance allows for rounding errors in sums of fractional resources, so that a
+// task that exactly fills the rest of a machine or of a quota still fits.
 const roundingTolerance = 1e-6
 
-// FreeCapacity aggregates the free resources of one kind of a shard's machines: sum, mean
-// and standard deviation over the machines, as the paper defines them.
+// FreeCapacity aggregates the free resources of a shard's machines of one kind (on-demand
+// or spot): sum, mean and standard deviation over the machines, as the paper defines them.
 type FreeCapacity struct {
 	Machines int     `json:"n"`
 	CPUs     Moments `json:"c"`
@@ -19,20 +19,20 @@
 	Memory   Moments `json:"m"` // GB
 }
 
-// Moments are the aggregate of one resource over several machines.
+// Moments is the aggregate of one resource over several machines.
 type Moments struct {
 	Sum    float64 `json:"s"`
 	Mean   float64 `json:"e"`
 	StdDev float64 `json:"d"`
 }
 
-// Add adds one machine's free amount. The sum of squares is kept in StdDev until Finish.
+// Add adds one machine's free amount. Until Finish, StdDev holds the sum of squares.
 func (m *Moments) Add(free float64) {
 	m.Sum += free
 	m.StdDev += free * free
 }
 
-// Finish computes mean and standard deviation once all of the machines were added.
+// Finish computes the mean and the standard deviation after all machines were added.
 func (m *Moments) Finish(machines int) {
 	if machines == 0 {
 		return
@@ -41,29 +41,30 @@
 	m.StdDev = math.Sqrt(max(0, m.StdDev/float64(machines)-m.Mean*m.Mean))
 }
 
-// Aggregate is the summary of a shard that its owner pushes to the leader.
+// Aggregate is the summary of a shard's capacity that its owner pushes to the leader.
 type Aggregate struct {
 	Shard       string       `json:"part"`
-	Term        uint64       `json:"term"` // the owner's
-	Revision    uint64       `json:"rev"`  // of the store: the records that the figures reflect
-	OnDemand    FreeCapacity `json:"ord"`  // machines that are being provisioned included
+	Term        uint64       `json:"term"` // of the shard's owner
+	Revision    uint64       `json:"rev"`  // of the key-value store, up to which the figures reflect the records
+	OnDemand    FreeCapacity `json:"ord"`  // including machines that are being provisioned
 	Spot        FreeCapacity `json:"spot"`
-	WaitingCPUs float64      `json:"wait"` // CPUs of tasks that wait without machines being provisioned for them
-	// CanScaleOutOnDemand and CanScaleOutSpot say whether the shard may still get
+	WaitingCPUs float64      `json:"wait"` // CPUs of waiting tasks for which no machines are being provisioned
+	// CanScaleOutOnDemand and CanScaleOutSpot say whether the shard can still rent
 	// machines of the kind.
 	CanScaleOutOnDemand bool `json:"ro"`
 	CanScaleOutSpot     bool `json:"rs"`
-	// Preemptible is on-demand capacity (CPUs) held by tasks that production tasks may
-	// preempt.
+	// Preemptible is the on-demand capacity (CPUs) used by tasks that production tasks
+	// may preempt.
 	Preemptible float64 `json:"y"`
-	// Capacity is that of all machines that take tasks or are being provisioned (CPUs).
+	// Capacity is the total capacity (CPUs) of all machines that accept tasks or are
+	// being provisioned.
 	Capacity float64 `json:"cap"`
-	// Warm is, by image, the free and preemptible on-demand capacity (CPUs) on machines
-	// that have the image already.
+	// Warm maps each image to the free and preemptible on-demand capacity (CPUs) on
+	// machines that have already pulled the image.
 	Warm map[string]float64 `json:"w,omitempty"`
-	// Gangs is, by GangShape, how many tasks of a gang could start now.
+	// Gangs maps each GangShape to the number of tasks of such a gang that could start now.
 	Gangs map[string]GangCapacity `json:"gangs,omitempty"`
-	// ReservedForGangs is the capacity (CPUs) that is kept free for gangs.
+	// ReservedForGangs is the free capacity (CPUs) that is reserved for gangs.
 	ReservedForGangs float64 `json:"gk,omitempty"`
 }
 
@@ -80,8 +81,9 @@
 }
 
 // estimateTasks estimates how many tasks of a job's size fit the free capacity. The sum
-// alone hides that no single machine may be large enough, so a resource counts as
-// available if two standard deviations above the mean, or the sum, hold one task.
+// alone does not show whether any single machine has enough free for a task. A resource
+// therefore counts as available if the mean plus two standard deviations, or the sum, is
+// enough for one task.
 func (f FreeCapacity) estimateTasks(s *wire.Submission) int {
 	if f.Machines == 0 {
 		return 0
--- a/leader/apply.go
+++ b/leader/apply.go
@@ -7,23 +7,24 @@
 	"ravenport/records"
 )
 
-// Tasks that an owner sent back are assigned again after a delay that grows by
-// reassignmentDelay with each time, up to maxDelaySteps times that.
+// Tasks that an owner sent back are assigned again after a delay. The delay grows by
+// reassignmentDelay each time the job's tasks are sent back, up to maxDelaySteps times
+// reassignmentDelay.
 const (
 	reassignmentDelay = 500 * time.Millisecond
 	maxDelaySteps     = 8
 )
 
-// capacityReservation is an assignment's share of a shard's capacity that the shard's
-// aggregate does not reflect yet.
+// capacityReservation is the capacity of a shard that an assignment uses and that the
+// shard's aggregate does not reflect yet.
 type capacityReservation struct {
-	revision             uint64 // of the store, at which the assignment was written; 0: in flight
+	revision             uint64 // of the key-value store at which the assignment was written; 0: in flight
 	cpus, gpus, memoryGB float64
 	spot, gang           bool
 	jobID                string
 }
 
-// ApplyAggregate applies the aggregate that a shard's owner pushed. Aggregates of earlier
+// ApplyAggregate applies the aggregate that a shard's owner pushed. Aggregates from earlier
 // terms of the shard are ignored.
 func (c *Core) ApplyAggregate(now time.Time, a Aggregate) {
 	shard := c.shards[a.Shard]
@@ -41,8 +42,8 @@
 	shard.reservations = kept
 }
 
-// ApplyJob applies a job's record from the feed. A job counts until it has ended and all
-// its assignments are closed: until then tasks of it may be running.
+// ApplyJob applies a job's record from the feed. The leader keeps a job until it has ended
+// and all its assignments are closed: until then tasks of the job may be running.
 func (c *Core) ApplyJob(now time.Time, id string, record *records.Job, version uint64) {
 	if record.End != "" && record.AllAssignmentsClosed() {
 		c.removeJob(id)
@@ -56,13 +57,14 @@
 	if version <= job.version {
 		return
 	}
-	// An in-flight commit was based on an older record: it has been written by now or
-	// can only fail, so the newer record says what the team uses.
+	// An in-flight commit was based on an older version of the record. The commit has
+	// either been written by now or can only fail, so the newer record determines what
+	// the team uses.
 	job.isInFlight = false
 	c.setReservedQuota(id, record.Spec.Team, quotaAmount{})
 	hasUnassigned := record.End == "" && len(record.Unassigned()) > 0
 	if job.record != nil && hasUnassigned && !job.hasUnassigned {
-		// An owner sent tasks back: try other shards, a little later each time.
+		// An owner sent tasks back: try other shards, after a delay that grows each time.
 		job.reassignments++
 		job.retryAt = now.Add(time.Duration(min(job.reassignments-1, maxDelaySteps)) * reassignmentDelay)
 	}
@@ -77,7 +79,7 @@
 	c.setOpenQuota(job, quotaOf(&record.Spec, openTasks(record)))
 }
 
-// removeJob forgets a job that has ended, with its quota.
+// removeJob removes a job that has ended and frees its quota.
 func (c *Core) removeJob(id string) {
 	if job := c.jobs[id]; job != nil {
 		c.setOpenQuota(job, quotaAmount{})
@@ -87,7 +89,7 @@
 	delete(c.unassigned, id)
 }
 
-// openTasks is the number of a job's tasks in assignments that are not closed.
+// openTasks returns the number of a job's tasks in assignments that are not closed.
 func openTasks(record *records.Job) int {
 	n := 0
 	for _, a := range record.Assignments {
@@ -98,8 +100,8 @@
 	return n
 }
 
-// ApplyCommitResult applies the result of a commit: the revision of the store at which it
-// was written, or 0 if it is not known to have been written.
+// ApplyCommitResult applies the result of a commit: the revision of the key-value store at
+// which the commit was written, or 0 if it is not known to have been written.
 func (c *Core) ApplyCommitResult(now time.Time, id string, urgent bool, revision uint64) {
 	if urgent {
 		c.urgentInFlight--
@@ -113,15 +115,17 @@
 	if revision != 0 || job == nil {
 		return
 	}
-	// Not known to have been written: if the feed brings a newer record, that one
-	// decides; if not, the same is tried again. The quota stays reserved until then,
-	// since a late transaction may still be applied.
+	// The commit is not known to have been written. If the feed delivers a newer record,
+	// the leader continues from that record; otherwise it assigns the tasks again. The
+	// quota stays reserved until a newer record arrives, since the transaction may still
+	// be applied late.
 	job.isInFlight = false
 	job.retryAt = now.Add(constants.LeaderTick)
 }
 
-// settleReservations dates a job's in-flight reservations by the revision at which they
-// were written, and drops them if they failed or the aggregate reflects them already.
+// settleReservations records the revision at which a job's in-flight reservations were
+// written. It drops the reservations if the commit is not known to have been written
+// (revision 0) or if the shard's aggregate reflects them already.
 func (sh *shardState) settleReservations(jobID string, revision uint64) {
 	kept := sh.reservations[:0]
 	for _, r := range sh.reservations {
--- a/leader/assign.go
+++ b/leader/assign.go
@@ -11,29 +11,30 @@
 	"ravenport/wire"
 )
 
-// assignOutcome is what assign decided on a job.
+// assignOutcome is the outcome of assign for one job.
 type assignOutcome int
 
 // Outcomes of assign.
 const (
-	notAssigned    assignOutcome = iota // no shard takes any of its tasks now
-	assigned                            // there is a commit to write
-	overQuotaLimit                      // the team's quota limit keeps it waiting
+	notAssigned    assignOutcome = iota // no shard accepts any of the job's tasks now
+	assigned                            // assign returned a commit to write
+	overQuotaLimit                      // the job has to wait because of its team's quota limit
 )
 
-// plannedAssignment is a number of a job's tasks for a shard.
+// plannedAssignment is the number of a job's tasks to assign to one shard.
 type plannedAssignment struct {
 	shard string
 	tasks int
-	// keepWaiting: the owner keeps tasks that do not fit now, rather than send them back.
+	// keepWaiting: the shard's owner queues tasks that do not fit now instead of sending
+	// them back to the leader.
 	keepWaiting bool
 }
 
 // assignmentUpdate is a job's record with more of its tasks assigned.
 type assignmentUpdate struct {
 	record  *records.Job
-	planned []plannedAssignment // as carried out; its capacity is reserved in the shards
-	tasks   int                 // newly assigned
+	planned []plannedAssignment // the tasks that were assigned; their capacity is reserved in the shards
+	tasks   int                 // newly assigned tasks
 }
 
 // assign assigns as many of a job's unassigned tasks as its team's quota limit and the
@@ -61,9 +62,9 @@
 	}
 	value, fitsStore := c.sizeLimits.EncodeWithHeadroom(update.record, job.record)
 	if !fitsStore {
-		// A job in too many assignments would outgrow a value of the key-value store.
-		// Extending an adjacent assignment hardly changes the size, so the job is not
-		// put off for ever.
+		// The record of a job with too many assignments would exceed the size limit of
+		// a value in the key-value store. Extending an adjacent assignment hardly
+		// changes the record's size, so the job still makes progress.
 		extended := c.extendAdjacentAssignment(job, admitted)
 		if extended == nil {
 			job.retryAt = now.Add(constants.RetryBackoffMax)
@@ -77,7 +78,7 @@
 	return c.newCommit(update.record.ID, job.version, value, spec.AllOrNothing()), assigned
 }
 
-// commitGangClosed writes that the rest of a gang is done.
+// commitGangClosed returns the commit that closes the remaining tasks of a gang.
 func (c *Core) commitGangClosed(record *records.Job, job *jobState) Commit {
 	job.isInFlight = true
 	c.urgentInFlight++
@@ -85,8 +86,8 @@
 	return c.newCommit(record.ID, job.version, value, true)
 }
 
-// admittedTasks is how many of a job's unassigned tasks may be assigned now; 0 if its
-// team's quota limit keeps it waiting.
+// admittedTasks returns how many of a job's unassigned tasks may be assigned now; 0 if the
+// job has to wait because of its team's quota limit.
 func (c *Core) admittedTasks(now time.Time, job *jobState, unassigned int) int {
 	s := &job.record.Spec
 	n := c.tasksWithinLimit(s, unassigned)
@@ -102,21 +103,21 @@
 	return n
 }
 
-// planJob plans a job's admitted tasks, and says how many of them are within its team's
-// guaranteed quota.
+// planJob plans a job's admitted tasks. It also returns how many of the job's tasks are
+// within its team's guaranteed quota.
 func (c *Core) planJob(now time.Time, job *jobState, admitted, unassigned int) (plan []plannedAssignment, guaranteed int) {
 	guaranteed = c.tasksWithinGuarantee(&job.record.Spec)
 	if !job.record.Spec.IsGang() {
 		return c.planIndependentTasks(now, job, admitted), guaranteed
 	}
 	if guaranteed < unassigned {
-		guaranteed = 0 // a gang is within the guarantee as a whole or not at all
+		guaranteed = 0 // a gang is within the guaranteed quota as a whole or not at all
 	}
 	return c.planGang(now, job), guaranteed
 }
 
-// assignRanges assigns a job's unassigned ranges of tasks by a plan. The first tasks are
-// those within the guaranteed quota.
+// assignRanges assigns a job's unassigned ranges of tasks according to a plan. The first
+// guaranteed tasks are marked as within the team's guaranteed quota.
 func assignRanges(record *records.Job, plan []plannedAssignment, guaranteed int) assignmentUpdate {
 	update := assignmentUpdate{record: record.Clone()}
 	ranges := record.Unassigned()
@@ -148,8 +149,8 @@
 	return update
 }
 
-// trackInFlight counts a decision as in flight: against the bound on commits, the
-// capacity of the shards and the team's quota.
+// trackInFlight counts an update as in flight: towards the bound on commits, the used
+// capacity of the shards and the used quota of the team.
 func (c *Core) trackInFlight(job *jobState, update assignmentUpdate) {
 	s := &job.record.Spec
 	for _, p := range update.planned {
@@ -167,13 +168,13 @@
 		c.nonUrgentInFlight++
 	}
 	// An earlier commit without a result may still be applied instead of this one, so
-	// the larger of the two counts.
+	// the larger amount of the two is reserved.
 	reserved := c.reservedQuota[update.record.ID].maxOfEach(quotaOf(s, update.tasks))
 	c.setReservedQuota(update.record.ID, s.Team, reserved)
 }
 
-// newCommit makes the commit that writes a job's record. It is conditional on the
-// leader's term and on the version of the record that the decision was based on.
+// newCommit returns the commit that writes a job's record. The commit is conditional on
+// the leader's term and on the version of the record that the update was based on.
 func (c *Core) newCommit(jobID string, version uint64, value []byte, urgent bool) Commit {
 	return Commit{JobID: jobID, Urgent: urgent, Txn: wire.Txn{
 		Conditions: []wire.Condition{
@@ -184,9 +185,9 @@
 	}}
 }
 
-// extendAdjacentAssignment assigns up to n tasks of an unassigned range of a job to the
-// shard of an open assignment next to it, as part of that assignment. It returns nil if
-// no assignment may be extended.
+// extendAdjacentAssignment adds up to n tasks of an unassigned range of a job to an open
+// assignment that is adjacent to the range. It returns nil if no assignment may be
+// extended.
 func (c *Core) extendAdjacentAssignment(job *jobState, n int) *records.Job {
 	remaining := c.remainingTasksByShard(job)
 	for _, r := range job.record.Unassigned() {
--- a/leader/candidates.go
+++ b/leader/candidates.go
@@ -7,24 +7,25 @@
 	"ravenport/wire"
 )
 
-// candidate is a shard that may take tasks of a job, with the figures that it is ranked
-// by. They include the assignments that the shard's aggregate does not reflect yet.
+// candidate is a shard that may accept tasks of a job, with the figures by which the shard
+// is ranked. The figures include the assignments that the shard's aggregate does not
+// reflect yet.
 type candidate struct {
 	shard          string
-	maxTasks       int     // tasks of the job that its zone rules still allow here
-	isFresh        bool    // the owner has pushed an aggregate lately
+	maxTasks       int     // tasks of the job that its zone rules still allow in this shard
+	isFresh        bool    // the latest aggregate is younger than constants.AggregateStaleAfter
 	estimatedTasks int     // tasks of the job that could run now
-	freeCPUs       float64 // summed over the machines that the job may use
-	queuedCPUs     float64 // of tasks that wait here
-	totalCPUs      float64 // of machines that are there, being provisioned or needed for the queue
-	canScaleOut    bool    // may still get machines of a kind that the job may use
-	maxQueuedCPUs  float64 // CPUs that may wait here without machines being provisioned
-	warmTasks      int     // production tasks that start without pulling their image
+	freeCPUs       float64 // sum over the machines that the job may use
+	queuedCPUs     float64 // of tasks that wait in this shard
+	totalCPUs      float64 // of machines that are up, being provisioned or needed for the waiting tasks
+	canScaleOut    bool    // the shard can still rent machines of a kind that the job may use
+	maxQueuedCPUs  float64 // bound on the CPUs of tasks that wait in this shard while it cannot scale out
+	warmTasks      int     // production tasks that could start without pulling their image
 	gang           gangEstimate
 }
 
-// candidates lists the shards that a job's zone rules allow. ok is false if there are none,
-// or if a new leader has no aggregates yet and should wait for some.
+// candidates lists the shards that a job's zone rules allow. ok is false if there are no
+// such shards, or if the leader is new and should wait for the first fresh aggregate.
 func (c *Core) candidates(now time.Time, job *jobState) (list []*candidate, ok bool) {
 	remaining := c.remainingTasksByShard(job)
 	anyFresh := false
@@ -46,8 +47,8 @@
 	return list, len(list) > 0
 }
 
-// remainingTasksByShard is how many more tasks of a job its zone rules allow, by shard. All
-// tasks in open assignments count, since any of them may be running.
+// remainingTasksByShard returns, by shard, how many more tasks of a job its zone rules
+// allow. All tasks in open assignments count, since any of them may be running.
 func (c *Core) remainingTasksByShard(job *jobState) map[string]int {
 	spec := &job.record.Spec
 	open := map[string]int{}
@@ -73,7 +74,8 @@
 	return remaining
 }
 
-// runsOutside reports whether tasks are open in a shard of another zone.
+// runsOutside reports whether tasks are in open assignments to shards of other zones. open
+// holds the number of such tasks by shard.
 func runsOutside(zone string, open map[string]int) bool {
 	for other, n := range open {
 		if other != zone && n > 0 {
@@ -84,7 +86,7 @@
 }
 
 // loadAggregate computes the candidate's figures from the shard's aggregate and from the
-// assignments that it does not reflect yet.
+// assignments that the aggregate does not reflect yet.
 func (k *candidate) loadAggregate(shard *shardState, spec *wire.Submission) {
 	a := shard.aggregate
 	k.isFresh = true
@@ -108,8 +110,9 @@
 	}
 }
 
-// subtractReservation subtracts a reservation from the free capacity, of spot machines if
-// it may use them and they have enough CPUs.
+// subtractReservation subtracts a reservation from the free capacity: from that of the spot
+// machines if the job may use them and they have enough free CPUs, or else from that of
+// the on-demand machines.
 func subtractReservation(onDemand, spot *FreeCapacity, r capacityReservation) {
 	free := onDemand
 	if r.spot && spot.CPUs.Sum >= r.cpus {
@@ -120,8 +123,8 @@
 	free.Memory.Sum -= r.memoryGB
 }
 
-// estimateWarmTasks estimates how many production tasks of a job would find their image on
-// a machine.
+// estimateWarmTasks estimates how many production tasks of a job could start on machines
+// that have already pulled the job's image.
 func (sh *shardState) estimateWarmTasks(s *wire.Submission) int {
 	if s.Priority != wire.PriorityProduction || s.CPUs <= 0 {
 		return 0
@@ -135,5 +138,6 @@
 	return max(0, int(warmCPUs/s.CPUs))
 }
 
-// fittingTasks is how many of the job's tasks could run here now, under its zone rules.
+// fittingTasks returns how many of the job's tasks could run in the shard now under the
+// job's zone rules.
 func (k *candidate) fittingTasks() int { return min(k.estimatedTasks, k.maxTasks) }
--- a/leader/core.go
+++ b/leader/core.go
@@ -1,7 +1,8 @@
 // Package leader assigns tasks to shards. It ranks the waiting jobs, ranks the shards for
-// each job by the aggregates that their owners push, and passes the job down that order,
-// within its team's guaranteed quota and quota limit. It is pure: aggregates, job records
-// and time in, compare-and-swap transactions of changed job records out.
+// each job by the aggregates that their owners push, and assigns the job's tasks to the
+// shards in that order, within the team's guaranteed quota and quota limit. The package
+// does no network I/O: its inputs are aggregates, job records and the time, and its outputs
+// are compare-and-swap transactions that change job records.
 package leader
 
 import (
@@ -20,58 +21,58 @@
 	settings    *settings.Settings
 	order       JobOrder
 	sizeLimits  records.SizeLimits
-	termVersion uint64 // of the term's record, on which every commit is conditional
+	termVersion uint64 // of the term's record; every commit is conditional on it
 
 	startedAt      time.Time
 	authorityUntil time.Time
 
 	shards     map[string]*shardState
-	jobs       map[string]*jobState // all that have not ended
-	unassigned map[string]*jobState // those with tasks in no assignment
+	jobs       map[string]*jobState // all jobs that have not ended or have an open assignment
+	unassigned map[string]*jobState // the jobs with tasks in no assignment
 
-	usedQuota      map[string]quotaAmount // by team: of open and of in-flight assignments
-	reservedQuota  map[string]quotaAmount // by job: of its in-flight assignment
+	usedQuota      map[string]quotaAmount // by team: used by open and in-flight assignments
+	reservedQuota  map[string]quotaAmount // by job: used by its in-flight assignments
 	limitReachedAt map[string]time.Time   // by team: when its quota limit last kept a job waiting
 
-	nonUrgentInFlight int // commits without a result, the urgent ones not included
-	urgentInFlight    int
+	nonUrgentInFlight int // commits without a result, except the urgent ones
+	urgentInFlight    int // urgent commits without a result
 
-	resumeAfter *Rank            // where the last round ran out of its time budget
-	roundClock  func() time.Time // measures a round
-	roundBudget time.Duration    // of a round
+	resumeAfter *Rank            // rank of the job after which the last round exceeded its time budget; nil if it did not
+	roundClock  func() time.Time // measures the duration of a round
+	roundBudget time.Duration    // longest duration of a round
 }
 
-// shardState is what the leader knows of a shard.
+// shardState is the leader's state of one shard.
 type shardState struct {
 	aggregate    Aggregate
-	updatedAt    time.Time // when the aggregate arrived
+	updatedAt    time.Time // when the leader received the aggregate
 	reservations []capacityReservation
 }
 
-// jobState is a job that has not ended.
+// jobState is the leader's state of a job that has not ended or has an open assignment.
 type jobState struct {
 	record        *records.Job
 	version       uint64 // of the record
 	isInFlight    bool   // a commit of the job has no result yet
-	reassignments int    // how often owners sent tasks back
+	reassignments int    // how many times owners sent tasks back
 	retryAt       time.Time
 	hasUnassigned bool        // some tasks are in no assignment
-	openQuota     quotaAmount // of its open assignments
-	rank          Rank        // as of the last round
+	openQuota     quotaAmount // used by the job's open assignments
+	rank          Rank        // in the last round
 }
 
 // Commit is a compare-and-swap transaction that changes a job's record.
 type Commit struct {
 	JobID string
 	Txn   wire.Txn
-	// Urgent commits are repeated until they are written: a user waits for the job to
-	// begin.
+	// Urgent commits are retried until they are written, since a user waits for the job
+	// to start.
 	Urgent bool
 }
 
-// New returns the leader's state at the moment when the feed showed that the term was
-// acquired. termVersion is the version of the term's record; versions are those of the
-// jobs' records, by job.
+// New returns the leader's state at the time when the feed showed that the term was
+// acquired. termVersion is the version of the term's record. jobs and versions hold the
+// jobs' records and their versions, by job.
 func New(set *settings.Settings, termVersion uint64, now time.Time, jobs map[string]*records.Job, versions map[string]uint64) *Core {
 	core := &Core{
 		settings:       set,
@@ -97,20 +98,20 @@
 	return core
 }
 
-// SetRoundClock replaces the clock that measures a round. Tests use it, since on a busy
-// machine the real one would cut rounds at different places every time.
+// SetRoundClock replaces the clock that measures a round. Tests use it because with the
+// real clock, on a busy machine, each run would end its rounds after different jobs.
 func (c *Core) SetRoundClock(clock func() time.Time) { c.roundClock = clock }
 
-// SetAuthority sets until when the leader may assign.
+// SetAuthority sets the time until which the leader may assign tasks.
 func (c *Core) SetAuthority(until time.Time) { c.authorityUntil = until }
 
-// EnablePacking allows the packed encoding of records. The caller knows that no process
-// of the version before, which cannot read it, can join any more.
+// EnablePacking allows the packed encoding of records. The caller must know that no process
+// of the previous version, which cannot read this encoding, can join any more.
 func (c *Core) EnablePacking() { c.sizeLimits.PackingEnabled = true }
 
 // Step runs one round: it assigns tasks of the waiting jobs in the order of their rank
-// and returns the commits to write. A round that runs out of its time budget is continued
-// by the next call.
+// and returns the commits to write. If a round exceeds its time budget, the next call
+// continues it.
 func (c *Core) Step(now time.Time) []Commit {
 	if !now.Before(c.authorityUntil) {
 		return nil
@@ -144,7 +145,7 @@
 	return commits
 }
 
-// rankedQueue lists the jobs that may be assigned now by rank.
+// rankedQueue returns the jobs that may be assigned now, sorted by rank.
 func (c *Core) rankedQueue(now time.Time) []*jobState {
 	queue := make([]*jobState, 0, len(c.unassigned))
 	for _, job := range c.unassigned {
@@ -161,9 +162,10 @@
 	return queue
 }
 
-// takeResumeIndex returns the index in the queue at which this round starts: after the
-// rank where the last one stopped, whatever joined or left the queue in between, or else
-// at the head.
+// takeResumeIndex returns the index in the queue at which this round starts, and clears
+// resumeAfter. If the last round exceeded its time budget, this round starts after the rank
+// at which the last one stopped, even if jobs have joined or left the queue since.
+// Otherwise it starts at the head.
 func (c *Core) takeResumeIndex(queue []*jobState) int {
 	if c.resumeAfter == nil {
 		return 0
@@ -174,9 +176,10 @@
 }
 
 // hasInFlightSlot reports whether one more commit of the job's kind may be in flight. The
-// bound lets later jobs of a higher rank go first once some commits were written. Urgent
-// ones are few at once: each is repeated until it is written, and hundreds at a cold start
-// took the key-value store's request allowance from everything else.
+// bound allows jobs of a higher rank that arrive later to go first once some commits have
+// been written. The bound on urgent commits is low: each is retried until it is written,
+// and at a cold start hundreds of them used up the key-value store's request allowance at
+// the expense of all other requests.
 func (c *Core) hasInFlightSlot(job *jobState) bool {
 	if job.record.Spec.AllOrNothing() {
 		return c.urgentInFlight < constants.MaxUrgentInFlight
@@ -184,10 +187,11 @@
 	return c.nonUrgentInFlight < constants.MaxAssignmentsInFlight
 }
 
-// blocksTeam reports whether a job over its team's quota limit holds back the team's jobs
-// behind it until enough of the quota is free: a large service is admitted whole, and
-// small ones would take every bit of the quota that becomes free. This ends after a
-// while, since running services may never free any.
+// blocksTeam reports whether a job that exceeds its team's quota limit blocks the team's
+// jobs of lower rank until enough quota is free. Only overdue jobs do this. A large service
+// is admitted as a whole, and without the block smaller jobs would use any quota that
+// becomes free. The block ends after constants.CapacityHoldTime, since running services may
+// never free any quota.
 func (c *Core) blocksTeam(now time.Time, record *records.Job) bool {
 	return IsOverdue(now, record, len(record.Assignments) > 0) && jobAge(now, record) < constants.OverdueAfter+constants.CapacityHoldTime
 }
--- a/leader/core_test.go
+++ b/leader/core_test.go
@@ -9,7 +9,7 @@
 	"ravenport/wire"
 )
 
-// Of the shards that fit a whole job, the one with the least capacity left comes first.
+// Of the shards that fit a whole job, the one with the least free capacity comes first.
 func TestBestFitComesFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
 	core := New(testSettings(), 1, now, nil, nil)
@@ -21,19 +21,20 @@
 	core.ApplyJob(now, "run-1", job, 5)
 	commits := core.Step(now)
 	if len(commits) != 1 {
-		t.Fatalf("%d assignments", len(commits))
+		t.Fatalf("%d commits, want 1", len(commits))
 	}
 	if assignments := decodeCommit(commits[0]).Assignments; len(assignments) != 1 || assignments[0].Shard != "b" {
-		t.Fatalf("assignments %+v, wanted all in b", assignments)
+		t.Fatalf("assignments %+v, want all in b", assignments)
 	}
 }
 
-// Until the next aggregate the leader counts what it has just assigned.
+// Until a shard's next aggregate arrives, the leader counts the tasks that it has just
+// assigned as used capacity, so that a burst of jobs does not overload one shard.
 func TestUnreportedAssignmentsReduceFreeCapacity(t *testing.T) {
 	now := time.Unix(1000, 0)
 	core := New(testSettings(), 1, now, nil, nil)
 	core.SetAuthority(now.Add(time.Hour))
-	core.SetRoundClock(func() time.Time { return now }) // a busy machine would cut the round
+	core.SetRoundClock(func() time.Time { return now }) // on a busy machine the real clock would end the round early
 	for _, zone := range []string{"a", "b", "c"} {
 		core.ApplyAggregate(now, testAggregate(zone, 1, 16, 1))
 	}
@@ -49,12 +50,12 @@
 	}
 	for _, zone := range []string{"a", "b", "c"} {
 		if got[zone] != 4 {
-			t.Fatalf("tasks by shard %v, wanted 4 each", got)
+			t.Fatalf("tasks by shard %v, want 4 each", got)
 		}
 	}
 }
 
-// A job of the largest size is assigned in portions.
+// A job of the largest size is assigned in several parts.
 func TestLargestJobIsAssignedInParts(t *testing.T) {
 	now := time.Unix(1000, 0)
 	core := New(testSettings(), 1, now, nil, nil)
@@ -65,7 +66,7 @@
 	core.ApplyJob(now, "run-1", &records.Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", Team: "free", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: wire.MaxTasks, CPUs: 1, MemoryGB: 1}}, 5)
 	commits := core.Step(now)
 	if len(commits) != 1 {
-		t.Fatalf("%d assignments", len(commits))
+		t.Fatalf("%d commits, want 1", len(commits))
 	}
 	n := 0
 	for _, assignment := range decodeCommit(commits[0]).Assignments {
@@ -76,8 +77,8 @@
 	}
 }
 
-// A record that is too large for one more assignment still takes tasks, as part of an
-// assignment that is there: a job in many assignments is not put off for ever.
+// If a job's record is too large for one more assignment, its tasks are added to an existing
+// assignment. Otherwise a job with many assignments would never be assigned completely.
 func TestFullRecordExtendsAssignment(t *testing.T) {
 	now := time.Unix(1000, 0)
 	set := testSettings()
@@ -87,7 +88,7 @@
 		core.ApplyAggregate(now, testAggregate(zone, 1, 16, 1))
 	}
 	job := &records.Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", Team: "free", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 2000, CPUs: 1, MemoryGB: 1}}
-	for i := 0; len(records.Encode(job)) < set.ValueBytes()-40; i++ { // gaps between assignments of shards in turn
+	for i := 0; len(records.Encode(job)) < set.ValueBytes()-40; i++ { // unassigned gaps between assignments to the shards in turn
 		job.Assignments = append(job.Assignments, records.Assignment{From: 4 * i, To: 4*i + 2, Shard: string('a' + rune(i%3)), KeepWaiting: true})
 	}
 	left := 2000
@@ -95,18 +96,18 @@
 		core.ApplyJob(now, "run-1", job, revision)
 		commits := core.Step(now)
 		if len(commits) != 1 {
-			t.Fatalf("%d assignments with %d tasks left", len(commits), left)
+			t.Fatalf("%d commits with %d tasks left, want 1 commit", len(commits), left)
 		}
 		core.ApplyCommitResult(now, "run-1", false, revision+1)
 		if job = decodeCommit(commits[0]); len(commits[0].Txn.Changes[0].Value) > set.ValueBytes() {
-			t.Fatalf("a record of %d bytes", len(commits[0].Txn.Changes[0].Value))
+			t.Fatalf("record of %d bytes exceeds the size limit", len(commits[0].Txn.Changes[0].Value))
 		}
 		n := 0
 		for _, r := range job.Unassigned() {
 			n += r.Tasks()
 		}
 		if n >= left {
-			t.Fatalf("still %d tasks left", n)
+			t.Fatalf("%d tasks left, no fewer than before", n)
 		}
 		left = n
 		now = now.Add(time.Second)
--- a/leader/forecast.go
+++ b/leader/forecast.go
@@ -8,22 +8,23 @@
 	"ravenport/wire"
 )
 
-// Forecast is the work that the leader expects to assign to a shard soon: it waits for the
-// key-value store's request allowance rather than for a decision, so the shard's owner can
-// scale out for it meanwhile.
+// Forecast is the work that the leader expects to assign to a shard soon. The work waits
+// for the key-value store's request allowance and not for a decision of the leader, so the
+// shard's owner can scale out for it in the meantime.
 type Forecast struct {
-	Revision uint64  `json:"rev"`  // of the store: assignments written later are part of the forecast
+	Revision uint64  `json:"rev"`  // of the key-value store; assignments written later are part of the forecast
 	Spot     float64 `json:"spot"` // CPUs of tasks that may run on spot machines
-	OnDemand float64 `json:"ord"`  // CPUs of tasks that may not
-	// TeamsAtLimit are the teams whose quota limit keeps jobs waiting. The owner records
-	// their finished tasks at once, without waiting for the rest of the assignment.
+	OnDemand float64 `json:"ord"`  // CPUs of tasks that may not run on spot machines
+	// TeamsAtLimit lists the teams whose quota limit keeps jobs waiting. The owner records
+	// finished tasks of these teams at once, without waiting for the rest of the
+	// assignment.
 	TeamsAtLimit []string `json:"held,omitempty"`
 }
 
 // unassignedWork is the work (CPUs) of tasks in no assignment.
 type unassignedWork struct{ spot, onDemand float64 }
 
-// add adds n tasks of a job.
+// add adds the work of n tasks of a job.
 func (w *unassignedWork) add(s *wire.Submission, n int) {
 	cpus := float64(n) * s.CPUs
 	if s.Spot {
@@ -33,9 +34,10 @@
 	}
 }
 
-// BuildForecasts returns each shard's forecast, by shard: an equal part of the unassigned
-// work that may run anywhere, and all that is bound to the shard's zone. It returns nil if
-// there is nothing to forecast. revision is that of the records which the leader has read.
+// BuildForecasts returns the forecasts by shard: for each shard an equal part of the
+// unassigned work that may run in any zone, and all unassigned work that is bound to the
+// shard's zone. It returns nil if there is nothing to forecast. revision is the revision of
+// the key-value store up to which the leader has read the records.
 func (c *Core) BuildForecasts(now time.Time, revision uint64) map[string]Forecast {
 	unbound, boundToZone := c.unassignedWork(now)
 	teams := c.teamsAtLimit(now)
@@ -55,14 +57,15 @@
 	return forecasts
 }
 
-// unassignedWork sums the work that quota limits admit: that of jobs which may run
-// anywhere and, by zone, that of jobs which may run in one zone alone.
+// unassignedWork sums the unassigned work that the quota limits admit: unbound is the work
+// of jobs that may run in any zone, and boundToZone is, by zone, the work of jobs that may
+// run only in that zone.
 func (c *Core) unassignedWork(now time.Time) (unbound unassignedWork, boundToZone map[string]unassignedWork) {
 	boundToZone = map[string]unassignedWork{}
 	for _, job := range c.unassigned {
 		s := &job.record.Spec
 		if jobAge(now, job.record) < constants.ForecastMinWait {
-			continue // likely to be assigned at once, and its owner may see no need to scale out
+			continue // likely to be assigned at once, and the owner may not have to scale out for it
 		}
 		n := c.tasksWithinLimit(s, records.TasksIn(job.record.Unassigned()))
 		if s.Zone == "" {
@@ -76,8 +79,8 @@
 	return unbound, boundToZone
 }
 
-// teamsAtLimit lists the teams whose quota limit kept a job waiting lately, and forgets
-// the others.
+// teamsAtLimit lists the teams whose quota limit kept a job waiting within the last
+// constants.ForecastTTL. It removes the other teams from limitReachedAt.
 func (c *Core) teamsAtLimit(now time.Time) []string {
 	var teams []string
 	for team, at := range c.limitReachedAt {
--- a/leader/gang.go
+++ b/leader/gang.go
@@ -13,27 +13,29 @@
 )
 
 // GangCapacity is how many tasks of a gang of one shape a shard could start now. Sums of
-// free capacity do not tell that: a gang needs the capacity for all tasks at one moment,
-// so machines that are being provisioned and pieces that are too small do not count.
+// free capacity do not show this: a gang needs the capacity for all its tasks at the same
+// time, so machines that are being provisioned, and free capacity on a machine that is too
+// small for a task, do not count.
 type GangCapacity struct {
 	Now  int `json:"n"`
-	Warm int `json:"w,omitempty"` // of them, on machines that have the image
+	Warm int `json:"w,omitempty"` // of those tasks, on machines that have pulled the image
 }
 
-// GangShape identifies all properties of a gang that its GangCapacity depends on.
+// GangShape returns a key made of all properties of a gang that its GangCapacity depends
+// on.
 func GangShape(s *wire.Submission) string {
 	return fmt.Sprintf("%g/%g/%g/%s/%t/%s", s.CPUs, s.GPUs, s.MemoryGB, s.Image, s.Spot, strings.Join(s.Types, ","))
 }
 
-// gangEstimate is what a shard is ranked by for a gang.
+// gangEstimate holds the figures by which a shard is ranked for a gang.
 type gangEstimate struct {
 	startable    int     // tasks that could start now
-	warm         int     // of them, on machines that have the image
-	reservedCPUs float64 // kept free for gangs
+	warm         int     // of those tasks, on machines that have pulled the image
+	reservedCPUs float64 // free CPUs that are reserved for gangs
 }
 
-// estimateGang estimates what a shard could start of a gang. estimatedTasks stands in where
-// the owner has not pushed the capacity for the gang's shape yet.
+// estimateGang estimates how many tasks of a gang a shard could start now. It uses
+// estimatedTasks if the owner has not pushed the capacity for the gang's shape yet.
 func (sh *shardState) estimateGang(s *wire.Submission, estimatedTasks int) gangEstimate {
 	capacity, known := sh.aggregate.Gangs[GangShape(s)]
 	estimate := gangEstimate{reservedCPUs: sh.aggregate.ReservedForGangs}
@@ -56,20 +58,20 @@
 	return estimate
 }
 
-// gangReadiness is how soon a shard would start a gang; less is sooner.
+// gangReadiness is how soon a shard would start a gang. A smaller value is sooner.
 type gangReadiness int
 
 // Values of gangReadiness.
 const (
-	startsWarm       gangReadiness = iota // now, on machines that have the image
-	startsCold                            // now
-	fitsAndScalesOut                      // by estimate it fits, and the shard can scale out
-	scalesOut                             // the shard can scale out
-	fitsOnly                              // by estimate it fits
-	mustWait                              // none of these
+	startsWarm       gangReadiness = iota // starts now, on machines that have pulled the image
+	startsCold                            // starts now, but some machines have to pull the image
+	fitsAndScalesOut                      // fits by estimate, and the shard can scale out
+	scalesOut                             // does not fit, but the shard can scale out
+	fitsOnly                              // fits by estimate, but the shard cannot scale out
+	mustWait                              // neither fits nor can the shard scale out
 )
 
-// readinessFor is how soon a shard would start n tasks of a gang.
+// readinessFor returns how soon the shard would start n tasks of a gang.
 func (k *candidate) readinessFor(n int) gangReadiness {
 	fits := k.estimatedTasks >= n
 	switch {
@@ -87,9 +89,10 @@
 	return mustWait
 }
 
-// rankForGang puts the shards first that would start n tasks of a gang soonest. Among those
-// that start it now, more machines with the image come first, so that images gather on few
-// machines and are there the next time.
+// rankForGang ranks the shards by how soon they would start n tasks of a gang. Among the
+// shards that would start the tasks now, those that can start more of them on machines with
+// the image come first. This concentrates images on few machines, where later gangs find
+// them.
 func rankForGang(list []*candidate, n int) {
 	sort.SliceStable(list, func(a, b int) bool {
 		x, y := list[a], list[b]
@@ -112,13 +115,13 @@
 	})
 }
 
-// planGang plans a gang's tasks, all of them or none. One shard takes it whole: the one
-// that would start it soonest. Only a gang that must not be in one shard, or that has been
-// overdue without a shard that takes it, is spread over several.
+// planGang plans all of a gang's tasks or none. It assigns the whole gang to the shard that
+// would start it soonest. It spreads a gang over several shards only if the gang must not
+// be in one shard, or if the gang is overdue and no shard has the capacity for all of it.
 func (c *Core) planGang(now time.Time, job *jobState) []plannedAssignment {
 	s := &job.record.Spec
 	if len(job.record.Assignments) > 0 {
-		return nil // owners have not sent all of it back yet
+		return nil // some tasks are still in assignments that owners have not sent back
 	}
 	list, ok := c.candidates(now, job)
 	if !ok {
@@ -132,8 +135,8 @@
 	return spreadGang(list, s)
 }
 
-// maySpreadGang reports whether a gang may be assigned to several of the shards, which are
-// ranked for it.
+// maySpreadGang reports whether a gang may be assigned to several shards. The list must be
+// ranked for the gang.
 func (c *Core) maySpreadGang(now time.Time, job *jobState, list []*candidate) bool {
 	s := &job.record.Spec
 	if s.Spread && s.Tasks != 1 {
@@ -146,9 +149,10 @@
 	return hasWaitedLong && list[0].readinessFor(s.Tasks) >= scalesOut
 }
 
-// spreadGang plans a gang for several shards, all of its tasks or none: nil if the shards
-// cannot hold it under the zone rules. Without zone rules each shard takes what fits it,
-// or an equal part if that is more, and the last takes the rest.
+// spreadGang plans all of a gang's tasks over several shards. It returns nil if the shards
+// cannot take all tasks under the zone rules. Without zone rules each shard is assigned the
+// tasks that fit it, or an equal part if that is more, and the last shard is assigned the
+// remaining tasks.
 func spreadGang(list []*candidate, s *wire.Submission) []plannedAssignment {
 	var plan []plannedAssignment
 	left := s.Tasks
@@ -173,8 +177,8 @@
 	return plan
 }
 
-// incrementAttemptIfSpread counts one more attempt of a gang that is to run in several
-// shards.
+// incrementAttemptIfSpread increments the attempt number of a gang that is assigned to
+// several shards.
 func incrementAttemptIfSpread(record *records.Job) {
 	for _, a := range record.Assignments {
 		if a.Shard != record.Assignments[0].Shard {
@@ -184,10 +188,11 @@
 	}
 }
 
-// closeUnassignedIfDone closes the unassigned tasks of a gang if another assignment of it
-// is closed already: that one's owner saw the gang done, so all of it is. It reports
-// whether it did. Tasks that lost their machine as the gang completed were sent back before
-// anybody knew, and would wait for the rest of the gang for ever.
+// closeUnassignedIfDone closes the unassigned tasks of a gang if another assignment of the
+// gang is closed already, and reports whether it did so. A closed assignment shows that its
+// owner found the whole gang done. Without this, tasks that lost their machine while the
+// gang completed, and that their owner sent back before the completion was known, would
+// wait for the rest of the gang forever.
 func closeUnassignedIfDone(record *records.Job) bool {
 	if !slices.ContainsFunc(record.Assignments, func(a records.Assignment) bool { return a.Closed }) {
 		return false
--- a/leader/gang_test.go
+++ b/leader/gang_test.go
@@ -14,8 +14,9 @@
 		Tasks: tasks, CPUs: 2, MemoryGB: 1, Image: "i"}}
 }
 
-// A gang is assigned to one shard as one range: to one that could start it now, however
-// little capacity is left elsewhere, and on machines with its image if there are any.
+// A gang is assigned to one shard as one range. A shard that could start the gang now is
+// preferred even if another shard has less free capacity, and a shard that has the gang's
+// image on its machines is preferred to one that does not.
 func TestGangIsAssignedToOneShard(t *testing.T) {
 	now := time.Unix(1000, 0)
 	set := testSettings()
@@ -25,7 +26,7 @@
 		core := New(set, 1, now, nil, nil)
 		core.SetAuthority(now.Add(time.Hour))
 		for _, zone := range set.Deployment.Zones {
-			aggregate := testAggregate(zone, 1, 16, 2) // the sums say that it fits everywhere
+			aggregate := testAggregate(zone, 1, 16, 2) // by the sums the gang fits every shard
 			aggregate.Gangs = map[string]GangCapacity{shape: {Now: 4}}
 			if zone == "b" || zone == "c" && name == "image" {
 				aggregate.Gangs[shape] = GangCapacity{Now: 6}
@@ -38,17 +39,18 @@
 		core.ApplyJob(now, "run-1", job, 5)
 		commits := core.Step(now)
 		if len(commits) != 1 {
-			t.Fatalf("%s: %d assignments", name, len(commits))
+			t.Fatalf("%s: %d commits, want 1", name, len(commits))
 		}
 		record := decodeCommit(commits[0])
 		if len(record.Assignments) != 1 || record.Assignments[0].Tasks() != 6 || record.Assignments[0].Shard != want || record.Attempt != 0 {
-			t.Fatalf("%s: %+v, wanted all in %s", name, record, want)
+			t.Fatalf("%s: %+v, want all in %s", name, record, want)
 		}
 	}
 }
 
-// A gang that must not be in one shard is spread under an attempt number that rises with
-// each assignment, and is assigned again only when owners have sent all of it back.
+// A gang that must not be in one shard is spread over several. Its attempt number increases
+// with each assignment, and the gang is assigned again only after owners have sent all of
+// its tasks back.
 func TestSpreadGangIsNumbered(t *testing.T) {
 	now, set, core := newTestLeader()
 	job := gangJob(5)
@@ -64,7 +66,7 @@
 		core.ApplyJob(now, "run-1", job, revision)
 		commits := core.Step(now)
 		if len(commits) != 1 {
-			t.Fatalf("%d assignments", len(commits))
+			t.Fatalf("%d commits, want 1", len(commits))
 		}
 		record := decodeCommit(commits[0])
 		tasksByShard := map[string]int{}
@@ -72,11 +74,11 @@
 			tasksByShard[assignment.Shard] += assignment.Tasks()
 		}
 		if len(tasksByShard) < 2 || len(record.Unassigned()) > 0 || record.Attempt != attempt {
-			t.Fatalf("%+v, wanted attempt %d over several shards", record, attempt)
+			t.Fatalf("%+v, want attempt %d over several shards", record, attempt)
 		}
 		for zone, n := range tasksByShard {
 			if n > 3 {
-				t.Fatalf("%d of 5 tasks in %s", n, zone)
+				t.Fatalf("%d of 5 tasks in %s, want at most 3", n, zone)
 			}
 		}
 		revision++
@@ -89,7 +91,7 @@
 		push()
 		core.ApplyJob(now, "run-1", partlyReturned, revision)
 		if commits := core.Step(now); len(commits) > 0 {
-			t.Fatal("assigned again while some of it is in a shard")
+			t.Fatal("gang assigned again while some of its tasks are in a shard")
 		}
 		job = partlyReturned.Clone()
 		job.Assignments = nil
@@ -98,30 +100,30 @@
 	}
 }
 
-// A gang counts whole towards its team's quota limit: nothing of it is assigned before
-// all fits, and all of it counts from then on.
+// A gang counts towards its team's quota limit as a whole: none of its tasks is assigned
+// before all of them fit, and all of them count once they are assigned.
 func TestGangIsAdmittedWhole(t *testing.T) {
 	now, set, core := newTestLeader()
 	for _, zone := range set.Deployment.Zones {
 		core.ApplyAggregate(now, testAggregate(zone, 1, 100, 10))
 	}
-	for i, tasks := range []int{7, 4} { // of 2 CPUs, where the team may have 20
+	for i, tasks := range []int{7, 4} { // of 2 CPUs each; the team's limit is 20
 		job := gangJob(tasks)
 		job.ID, job.Spec.ID, job.Spec.Team = []string{"run-1", "run-2"}[i], []string{"run-1", "run-2"}[i], "t"
 		core.ApplyJob(now, job.ID, job, uint64(5+i))
 	}
 	commits := core.Step(now)
 	if len(commits) != 1 {
-		t.Fatalf("%d gangs of 14 and 8 CPUs were assigned within 20", len(commits))
+		t.Fatalf("%d gangs of 14 and 8 CPUs assigned within a limit of 20 CPUs, want 1", len(commits))
 	}
 	if record := decodeCommit(commits[0]); len(record.Unassigned()) > 0 {
-		t.Fatalf("%+v: not whole", record)
+		t.Fatalf("%+v: gang assigned only in part", record)
 	}
 }
 
-// Assignments that are repeated until they are written are few at a time, however
-// many services a cold start brings: hundreds took the key-value store's requests
-// from leases and from all other writes.
+// The number of urgent commits in flight is bounded, however many services wait at a cold
+// start. Urgent commits are retried until they are written, and hundreds of them used up
+// the key-value store's request allowance at the expense of leases and all other writes.
 func TestFewUrgentAssignmentsAtOnce(t *testing.T) {
 	now, set, core := newTestLeader()
 	for _, zone := range set.Deployment.Zones {
@@ -150,17 +152,17 @@
 			core.ApplyAggregate(now, testAggregate(zone, uint64(1+round), 1000, 100))
 		}
 		if inFlight[true] > constants.MaxUrgentInFlight || inFlight[false] > constants.MaxAssignmentsInFlight {
-			t.Fatalf("%v assignments under way", inFlight)
+			t.Fatalf("commits in flight by urgency %v exceed the bounds", inFlight)
 		}
 	}
 	if inFlight[true] == 0 || inFlight[false] == 0 {
-		t.Fatalf("%v assignments under way: one kind keeps out the other", inFlight)
+		t.Fatalf("commits in flight by urgency %v: want commits of both kinds", inFlight)
 	}
 }
 
-// An assignment that its owner sent back as the gang completed elsewhere is closed: a
-// closed assignment says that all is done. Found by a generated day on which the gang
-// was done and never reported as such.
+// If an owner sent tasks of a gang back while the gang completed in another shard, the
+// leader closes those tasks: a closed assignment shows that the whole gang is done.
+// Otherwise the gang is done but is never reported as done.
 func TestRestOfDoneGangIsClosed(t *testing.T) {
 	now, _, core := newTestLeader()
 	job := gangJob(4)
@@ -169,7 +171,7 @@
 	core.ApplyJob(now, "run-1", job, 5)
 	commits := core.Step(now)
 	if len(commits) != 1 {
-		t.Fatalf("%d writes", len(commits))
+		t.Fatalf("%d commits, want 1", len(commits))
 	}
 	if record := decodeCommit(commits[0]); record.End != wire.JobDone || !record.AllTasksClosed() {
 		t.Fatalf("%+v", record)
--- a/leader/helpers_test.go
+++ b/leader/helpers_test.go
@@ -36,7 +36,7 @@
 	return aggregate
 }
 
-// newTestLeader returns a leader with authority that has no aggregates and no jobs yet.
+// newTestLeader returns a leader that has authority but no aggregates and no jobs yet.
 func newTestLeader() (time.Time, *settings.Settings, *Core) {
 	now, set := time.Unix(1000, 0), testSettings()
 	core := New(set, 1, now, nil, nil)
@@ -44,7 +44,7 @@
 	return now, set, core
 }
 
-// store is the key-value store as the leader sees it: a write may be applied with or
+// store simulates the key-value store for the leader: a test may apply a commit with or
 // without a reply, late, or not at all.
 type store struct {
 	jobs     map[string]*records.Job
@@ -57,6 +57,8 @@
 	s.jobs[job.ID], s.versions[job.ID] = job, s.revision
 }
 
+// apply applies a commit unless the job's record has changed since the commit was made. It
+// reports whether the commit was applied.
 func (s *store) apply(commit Commit) bool {
 	for _, condition := range commit.Txn.Conditions {
 		if condition.Key == records.KeyJob(commit.JobID) && s.versions[commit.JobID] != condition.Version {
@@ -67,7 +69,7 @@
 	return true
 }
 
-// decodeCommit is the record that a commit would write.
+// decodeCommit returns the record that a commit would write.
 func decodeCommit(commit Commit) *records.Job {
 	record, err := records.Decode(commit.Txn.Changes[0].Put, commit.Txn.Changes[0].Value)
 	if err != nil {
--- a/leader/order.go
+++ b/leader/order.go
@@ -11,27 +11,28 @@
 	"ravenport/settings"
 )
 
-// Kinds of settings.Objective: on the time until a job has finished, and until it starts.
+// Kinds of settings.Objective: on the time from acceptance of a job until it has finished,
+// and until it starts.
 const (
 	objectiveOnFinish = "finished"
 	objectiveOnStart  = "wait"
 )
 
-// starvationFactor: a job that would finish after so many times its class's last
-// objective is ranked as if it had missed none, since what has waited longest must not
-// starve.
+// starvationFactor is a multiple of the longest finish objective of a class. A job that
+// would finish later than this is ranked as if it had missed no objective, so that jobs
+// that have waited longest do not starve.
 const starvationFactor = 4
 
-// JobOrder ranks waiting jobs: by priority, then overdue jobs, then those within their
-// team's guaranteed quota, then gangs, whose tasks start together or not at all, then
-// services, then arrays that can still meet an objective on their finish, then by age and
-// work.
+// JobOrder ranks waiting jobs by priority. Within a priority, overdue jobs come first, then
+// jobs within their team's guaranteed quota, then gangs (whose tasks start together or not
+// at all), then services, then arrays that can still meet an objective on their finish.
+// Jobs that are equal in all of these are ranked by age and amount of work.
 type JobOrder struct {
-	finishObjectives map[string][]time.Duration // by class, in rising order
+	finishObjectives map[string][]time.Duration // by class, in ascending order
 	startObjectives  map[string]time.Duration   // by class, the shortest
 }
 
-// NewJobOrder returns the order under a deployment's objectives.
+// NewJobOrder returns the order of jobs for a deployment's objectives.
 func NewJobOrder(objectives []settings.Objective) JobOrder {
 	o := JobOrder{finishObjectives: map[string][]time.Duration{}, startObjectives: map[string]time.Duration{}}
 	for _, objective := range objectives {
@@ -50,8 +51,8 @@
 	return o
 }
 
-// FinishObjective is the shortest objective on the finish of a class's jobs; 0 if there is
-// none.
+// FinishObjective returns the shortest objective on the finish of a class's jobs; 0 if
+// there is none.
 func (o JobOrder) FinishObjective(class string) time.Duration {
 	if objectives := o.finishObjectives[class]; len(objectives) > 0 {
 		return objectives[0]
@@ -59,12 +60,12 @@
 	return 0
 }
 
-// StartObjective is the shortest objective on the start of a class's jobs; 0 if there is
-// none.
+// StartObjective returns the shortest objective on the start of a class's jobs; 0 if there
+// is none.
 func (o JobOrder) StartObjective(class string) time.Duration { return o.startObjectives[class] }
 
-// ObjectivesMet is how many of its class's objectives a job meets that finishes so long
-// after it was accepted.
+// ObjectivesMet returns how many finish objectives of its class a job meets if it finishes
+// at the given time after it was accepted.
 func (o JobOrder) ObjectivesMet(class string, after time.Duration) int {
 	met := 0
 	for _, objective := range o.finishObjectives[class] {
@@ -75,42 +76,43 @@
 	return met
 }
 
-// Rank is a job's position in the order. Fields are compared in turn, and the smaller
-// value comes first.
+// Rank is a job's position in the order. Ranks are compared field by field, in the order of
+// declaration, and the smaller value comes first.
 type Rank struct {
 	priority         int
-	notOverdue       int     // 0: none of its tasks has started, and it has waited too long
+	notOverdue       int     // 0: overdue, see IsOverdue
 	beyondGuarantee  int     // 0: within its team's guaranteed quota
-	notGang          int     // 0: a gang, which needs all its capacity at one moment
-	missedObjectives int     // on its finish, if it started now
-	score            float64 // when it was accepted (Unix seconds), and later for more work
-	acceptedMS       int64   // Unix milliseconds
+	notGang          int     // 0: a gang, which needs capacity for all its tasks at the same time
+	missedObjectives int     // finish objectives that the job would miss if it started now
+	score            float64 // acceptance time (Unix seconds), plus an amount that grows with the job's work
+	acceptedMS       int64   // acceptance time (Unix milliseconds)
 	id               string
 }
 
-// JobProgress is what the rank of a job depends on beside its record.
+// JobProgress holds what the rank of a job depends on besides its record.
 type JobProgress struct {
-	WithinGuarantee bool // its waiting tasks are within the team's guaranteed quota
-	Started         bool // some of its tasks run or are done
+	WithinGuarantee bool // waiting tasks of the job are within the team's guaranteed quota
+	Started         bool // some of the job's tasks are running or done
 }
 
-// IsOverdue reports whether a job of which no task has started has waited so long that it
-// comes before all others of its priority. Without this, large jobs and those that missed
-// their objectives would starve under lasting overload.
+// IsOverdue reports whether a job of which no task has started has waited longer than
+// constants.OverdueAfter. An overdue job comes before all others of its priority. Without
+// this rule, large jobs and jobs that missed their objectives would starve under sustained
+// overload.
 func IsOverdue(now time.Time, record *records.Job, started bool) bool {
 	return !started && jobAge(now, record) > constants.OverdueAfter
 }
 
-// OverdueBatch is how many of an overdue array's tasks come before all others: enough for
-// it to begin, but not so many that the others cannot.
+// OverdueBatch returns how many tasks of an overdue array come before all other jobs:
+// enough for the array to start, but few enough that other jobs can start as well.
 func OverdueBatch(tasks int) int { return max(1, tasks/constants.OverdueDivisor) }
 
-// jobAge is the time since a job was accepted.
+// jobAge returns the time since a job was accepted.
 func jobAge(now time.Time, record *records.Job) time.Duration {
 	return time.Duration(now.UnixMilli()-record.AcceptedMS) * time.Millisecond
 }
 
-// Rank returns a job's rank.
+// Rank returns the rank of a job.
 func (o JobOrder) Rank(now time.Time, record *records.Job, progress JobProgress) Rank {
 	spec := &record.Spec
 	rank := Rank{
@@ -139,8 +141,8 @@
 	return rank
 }
 
-// missedObjectives is how many objectives count as missed by a job of a class that would
-// finish so long after it was accepted.
+// missedObjectives returns how many finish objectives of a class count as missed by a job
+// that would finish at the given time after it was accepted.
 func (o JobOrder) missedObjectives(class string, finish time.Duration) int {
 	missed := 0
 	last := time.Duration(0)
@@ -156,7 +158,8 @@
 	return missed
 }
 
-// Compare orders ranks: the one that comes first is less.
+// Compare returns a negative number if r comes before other, a positive number if it comes
+// after, and 0 if the ranks are equal.
 func (r Rank) Compare(other Rank) int {
 	switch {
 	case r.priority != other.priority:
@@ -177,5 +180,5 @@
 	return strings.Compare(r.id, other.id)
 }
 
-// Before reports whether a rank comes before another.
+// Before reports whether r comes before other.
 func (r Rank) Before(other Rank) bool { return r.Compare(other) < 0 }
--- a/leader/order_test.go
+++ b/leader/order_test.go
@@ -10,8 +10,8 @@
 	"ravenport/wire"
 )
 
-// A job that can still meet its objective comes before one that missed it;
-// priority, being overdue and the guaranteed quota come before both.
+// A job that can still meet its objective comes before one that missed it. Priority, being
+// overdue and the guaranteed quota take precedence over objectives.
 func TestOrder(t *testing.T) {
 	order := NewJobOrder([]settings.Objective{{Kind: "finished", Class: "c", WithinS: 90}})
 	now := time.Unix(10000, 0)
--- a/leader/plan.go
+++ b/leader/plan.go
@@ -8,17 +8,18 @@
 	"ravenport/wire"
 )
 
-// reassignmentsBeforeKeepWaiting: tasks of a job that owners have sent back more often stay with
-// the next owner.
+// reassignmentsBeforeKeepWaiting: if owners have sent tasks of a job back to the leader
+// more often than this, the next owner keeps the tasks until it has capacity.
 const reassignmentsBeforeKeepWaiting = 2
 
-// minQueuedTaskCPUs is the least size (CPUs) that a task counts with in the bounds on
-// queues, so that tiny tasks do not make those bounds meaningless.
+// minQueuedTaskCPUs is the minimum size (CPUs) with which a task counts towards the bounds
+// on queues. Without it, those bounds would allow almost any number of tiny tasks.
 const minQueuedTaskCPUs = 0.1
 
-// planIndependentTasks spreads n tasks of an array or a service over the shards. They go
-// to the shards by best fit, and what does not fit goes on to the next. What fits nowhere
-// waits in the queues of the shards that can scale out or have the shortest queue.
+// planIndependentTasks distributes n tasks of an array or a service over the shards. Each
+// shard, in the order of best fit, is assigned the tasks that fit it, and the remaining
+// tasks go to the next shard. Tasks that fit no shard wait in the queues of the shards that
+// can scale out or have the shortest queue.
 func (c *Core) planIndependentTasks(now time.Time, job *jobState, n int) []plannedAssignment {
 	list, ok := c.candidates(now, job)
 	if !ok {
@@ -35,10 +36,10 @@
 	return append(plan, assignToQueues(list, s, left)...)
 }
 
-// rankByFit ranks shards for n tasks. Those where production tasks find their image come
-// first, since they start at once there; then those that take all tasks, by the least
-// capacity left afterwards; then the others, by how many they take. cpus is the size of
-// all tasks.
+// rankByFit ranks shards for n tasks. Shards where more production tasks could start
+// without pulling their image come first, since the tasks start at once there. Next come
+// the shards that fit all tasks, the one with the least capacity left afterwards first, and
+// then the other shards by how many tasks they fit. cpus is the size of all n tasks.
 func rankByFit(list []*candidate, n int, cpus float64) {
 	sort.SliceStable(list, func(a, b int) bool {
 		x, y := list[a], list[b]
@@ -56,7 +57,7 @@
 }
 
 // assignToFreeCapacity assigns to each shard in turn the tasks that fit it now, and
-// returns how many are left.
+// returns how many tasks are left.
 func assignToFreeCapacity(list []*candidate, s *wire.Submission, n int, keepWaiting bool) (plan []plannedAssignment, left int) {
 	left = n
 	for _, k := range list {
@@ -75,9 +76,9 @@
 	return plan, left
 }
 
-// rankForQueueing ranks shards for tasks that fit nowhere: those that can scale out, the
-// smallest first, so that the shards grow alike; then those with the shortest queue.
-// Shards without a fresh aggregate come last.
+// rankForQueueing ranks shards for tasks that fit no shard. Shards that can scale out come
+// first, the smallest of them first, so that the shards grow evenly. Next come the other
+// shards, the one with the shortest queue first. Shards without a fresh aggregate come last.
 func rankForQueueing(list []*candidate) {
 	sort.SliceStable(list, func(a, b int) bool {
 		x, y := list[a], list[b]
@@ -94,7 +95,7 @@
 	})
 }
 
-// assignToQueues assigns tasks to shards where they wait for capacity.
+// assignToQueues assigns tasks to the queues of shards, where they wait for capacity.
 func assignToQueues(list []*candidate, s *wire.Submission, left int) (plan []plannedAssignment) {
 	for _, k := range list {
 		if s.OneZone && (k.maxTasks < left || len(plan) > 0) {
@@ -109,17 +110,17 @@
 	return plan
 }
 
-// queueSpace is how many more tasks of a job may wait in the shard's queue. It may be
-// negative.
+// queueSpace returns how many more tasks of a job may wait in the shard's queue. The result
+// may be negative.
 func (k *candidate) queueSpace(s *wire.Submission) int {
 	taskCPUs := max(s.CPUs, minQueuedTaskCPUs)
-	// An owner gets no more than it could scale out for in a while: each waiting task
-	// costs it time in every round.
+	// An owner gets no more tasks than it could scale out for in a few steps, since each
+	// waiting task costs the owner time in every round.
 	space := min(constants.MaxQueuedTasks, max(0, int((constants.MaxQueuedCPUs-k.queuedCPUs)/taskCPUs)))
 	if !k.canScaleOut && k.isFresh && !s.IsService() {
-		// No machine is to be had: the tasks wait with the leader for the first free
-		// capacity of any shard. A few wait with the owner, so that capacity which
-		// becomes free there is used again at once.
+		// The shard cannot rent more machines, so the tasks wait with the leader for
+		// the first free capacity of any shard. A few tasks still wait with the owner,
+		// so that capacity that becomes free in this shard is used again at once.
 		space = min(space, int((k.maxQueuedCPUs-k.queuedCPUs)/taskCPUs))
 	}
 	return space
--- a/leader/quota.go
+++ b/leader/quota.go
@@ -2,11 +2,11 @@
 
 import "ravenport/wire"
 
-// quotaAmount is an amount of the resources that count against a team's guaranteed quota
+// quotaAmount is an amount of the resources that count towards a team's guaranteed quota
 // and quota limit.
 type quotaAmount struct{ cpus, gpus float64 }
 
-// quotaOf is what n tasks of a job count.
+// quotaOf returns the quota that n tasks of a job use.
 func quotaOf(s *wire.Submission, n int) quotaAmount {
 	return quotaAmount{float64(n) * s.CPUs, float64(n) * s.GPUs}
 }
@@ -19,20 +19,20 @@
 	return quotaAmount{a.cpus - b.cpus, a.gpus - b.gpus}
 }
 
-// maxOfEach is the larger amount of each resource.
+// maxOfEach returns the larger amount of each resource.
 func (a quotaAmount) maxOfEach(b quotaAmount) quotaAmount {
 	return quotaAmount{max(a.cpus, b.cpus), max(a.gpus, b.gpus)}
 }
 
-// setOpenQuota sets what a job's open assignments count against its team's quota. Only
-// durable evidence frees quota: an assignment counts until its record says that it is
-// closed.
+// setOpenQuota sets the quota that a job's open assignments use. Quota is freed only by the
+// stored record: an assignment uses quota until the job's record shows it as closed.
 func (c *Core) setOpenQuota(job *jobState, open quotaAmount) {
 	c.replaceUsedQuota(job.record.Spec.Team, job.openQuota, open)
 	job.openQuota = open
 }
 
-// setReservedQuota sets what a job's in-flight assignment may come to count.
+// setReservedQuota sets the quota that a job's in-flight assignments may use once they are
+// written.
 func (c *Core) setReservedQuota(jobID, team string, reserved quotaAmount) {
 	c.replaceUsedQuota(team, c.reservedQuota[jobID], reserved)
 	if reserved == (quotaAmount{}) {
@@ -42,18 +42,18 @@
 	}
 }
 
-// replaceUsedQuota replaces one part of what a team uses by another.
+// replaceUsedQuota replaces the part before of a team's used quota by after.
 func (c *Core) replaceUsedQuota(team string, before, after quotaAmount) {
 	c.usedQuota[team] = c.usedQuota[team].minus(before).plus(after)
 }
 
-// usedQuotaExcept is what a team's open and in-flight assignments count, without the
-// in-flight assignment of one job.
+// usedQuotaExcept returns the quota that a team's open and in-flight assignments use,
+// without the in-flight assignments of one job.
 func (c *Core) usedQuotaExcept(team, inFlightJobID string) quotaAmount {
 	return c.usedQuota[team].minus(c.reservedQuota[inFlightJobID])
 }
 
-// tasksWithinLimit is how many of n more tasks of a job its team's quota limit allows.
+// tasksWithinLimit returns how many of n more tasks of a job its team's quota limit allows.
 func (c *Core) tasksWithinLimit(s *wire.Submission, n int) int {
 	team := c.settings.Team(s.Team)
 	if team == nil || team.LimitCPUs <= 0 && team.LimitGPUs <= 0 {
@@ -69,8 +69,8 @@
 	return max(n, 0)
 }
 
-// tasksWithinGuarantee is how many more tasks of a job fit its team's guaranteed quota
-// beside the team's other assignments.
+// tasksWithinGuarantee returns how many more tasks of a job fit its team's guaranteed quota
+// besides the team's other assignments.
 func (c *Core) tasksWithinGuarantee(s *wire.Submission) int {
 	team := c.settings.Team(s.Team)
 	if team == nil || team.GuaranteedCPUs <= 0 && team.GuaranteedGPUs <= 0 {
@@ -82,7 +82,7 @@
 	return max(n, 0)
 }
 
-// tasksThatFit is how many of n tasks fit what is free of one resource.
+// tasksThatFit returns how many of n tasks fit the free amount of one resource.
 func tasksThatFit(n int, free, perTask float64) int {
 	if perTask <= 0 {
 		return n
--- a/leader/quota_test.go
+++ b/leader/quota_test.go
@@ -11,13 +11,13 @@
 	"ravenport/wire"
 )
 
-// limitsModel is a leader and a store on which commits may be applied late, with or without
-// a reply, or not at all, while jobs are submitted and owners change assignments.
+// limitsModel is a leader with a store that may apply commits late, with or without a
+// reply, or not at all, while jobs are submitted and owners change assignments.
 type limitsModel struct {
 	now          time.Time
 	store        *store
 	leader       *Core
-	readVersions map[string]uint64 // by job: the version that the leader has read
+	readVersions map[string]uint64 // by job: the version of its record that the leader has read last
 	lateCommits  []Commit
 }
 
@@ -33,7 +33,7 @@
 	return m
 }
 
-// submit stores a job.
+// submit stores a new job.
 func (m *limitsModel) submit(t *rapid.T, step int) {
 	s := wire.Submission{ID: fmt.Sprintf("run-%d", step), Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal,
 		Tasks: rapid.IntRange(1, 8).Draw(t, "tasks"), CPUs: rapid.Float64Range(0.5, 6).Draw(t, "cpus"), MemoryGB: 1, Spot: true}
@@ -48,7 +48,7 @@
 	m.store.put(&records.Job{ID: s.ID, Spec: s})
 }
 
-// changeAssignment has an owner close an assignment or send it back.
+// changeAssignment simulates an owner that closes an assignment or sends it back.
 func (m *limitsModel) changeAssignment(t *rapid.T) {
 	for id, stored := range m.store.jobs {
 		if len(stored.Assignments) == 0 || rapid.Bool().Draw(t, "skip") {
@@ -67,7 +67,7 @@
 	}
 }
 
-// readStore has the leader read all records and new aggregates.
+// readStore applies all changed records and new aggregates to the leader.
 func (m *limitsModel) readStore() {
 	for id, job := range m.store.jobs {
 		if m.store.versions[id] > m.readVersions[id] {
@@ -80,7 +80,7 @@
 	}
 }
 
-// applyLateCommit applies the oldest late commit.
+// applyLateCommit applies the oldest of the late commits, if there is one.
 func (m *limitsModel) applyLateCommit() {
 	if len(m.lateCommits) > 0 {
 		m.store.apply(m.lateCommits[0])
@@ -88,7 +88,8 @@
 	}
 }
 
-// resolveCommit draws what becomes of a commit.
+// resolveCommit draws whether a commit is applied, now or late, and whether the leader
+// receives a reply, and applies the result to the leader.
 func (m *limitsModel) resolveCommit(t *rapid.T, commit Commit) {
 	revision := uint64(0)
 	switch rapid.IntRange(0, 3).Draw(t, "fate") {
@@ -96,15 +97,15 @@
 		if m.store.apply(commit) {
 			revision = m.store.revision
 		}
-	case 2: // applied, the reply lost
+	case 2: // applied, but the reply is lost
 		m.store.apply(commit)
-	case 3: // applied later, or never
+	case 3: // applied late or never
 		m.lateCommits = append(m.lateCommits, commit)
 	}
 	m.leader.ApplyCommitResult(m.now, commit.JobID, commit.Urgent, revision)
 }
 
-// check checks the records in the store against the quota limit and the zone rules.
+// check verifies that the records in the store respect the quota limit and the zone rules.
 func (m *limitsModel) check(t *rapid.T) {
 	usedCPUs := 0.0
 	for _, job := range m.store.jobs {
@@ -122,20 +123,20 @@
 		}
 		for zone, n := range zones {
 			if job.Spec.Spread && n > (job.Spec.Tasks+1)/2 {
-				t.Fatalf("%s: %d of %d tasks in %s", job.ID, n, job.Spec.Tasks, zone)
+				t.Fatalf("%s: %d of %d tasks in %s, want at most half, rounded up", job.ID, n, job.Spec.Tasks, zone)
 			}
 		}
 		if job.Spec.OneZone && len(zones) > 1 {
-			t.Fatalf("%s: one zone, but %v", job.ID, zones)
+			t.Fatalf("%s: must be in one zone, is in %v", job.ID, zones)
 		}
 	}
 	if usedCPUs > 20+1e-6 {
-		t.Fatalf("team uses %g of 20 CPUs", usedCPUs)
+		t.Fatalf("team uses %g CPUs, limit is 20", usedCPUs)
 	}
 }
 
-// Whatever replies are lost and whatever is written late, the tasks in open
-// assignments never exceed a team's quota limit, nor a job's zone rules.
+// The tasks in open assignments never exceed a team's quota limit and never violate a job's
+// zone rules, even if replies are lost or commits are applied late.
 func TestLimitsHoldUnderLostAndLateWrites(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newLimitsModel()
@@ -159,8 +160,8 @@
 	})
 }
 
-// The quota reserved for a commit whose reply was lost is freed by the next record; it
-// must not count for as long as the job lives.
+// The quota reserved for a commit whose reply was lost is released when a newer record of
+// the job arrives. It must not stay reserved until the job ends.
 func TestReservationEndsWithNewerRecord(t *testing.T) {
 	now := time.Unix(1000, 0)
 	core := New(testSettings(), 1, now, nil, nil)
@@ -170,20 +171,20 @@
 	core.ApplyJob(now, "run-1", job, 5)
 	commits := core.Step(now)
 	if len(commits) != 1 {
-		t.Fatalf("%d assignments", len(commits))
+		t.Fatalf("%d commits, want 1", len(commits))
 	}
-	core.ApplyCommitResult(now, "run-1", false, 0) // the reply was lost, but it was written
+	core.ApplyCommitResult(now, "run-1", false, 0) // the commit was written, but the reply was lost
 	if cpus := core.usedQuotaExcept("t", "").cpus; cpus != 10 {
-		t.Fatalf("%g CPUs counted while the write may still come, wanted 10", cpus)
+		t.Fatalf("%g CPUs counted while the commit may still be applied, want 10", cpus)
 	}
 	core.ApplyJob(now, "run-1", decodeCommit(commits[0]), 6)
 	if cpus := core.usedQuotaExcept("t", "").cpus; cpus != 10 {
-		t.Fatalf("%g CPUs counted, wanted the 10 of the record", cpus)
+		t.Fatalf("%g CPUs counted, want the 10 of the record", cpus)
 	}
 }
 
-// A service that needs all of its team's quota limit is admitted, though small ones of
-// the team are submitted all the time.
+// A service that needs all of its team's quota limit is admitted even if small services of
+// the same team are submitted continuously.
 func TestLargeServiceIsAdmitted(t *testing.T) {
 	now := time.Unix(1000, 0)
 	core := New(testSettings(), 1, now, nil, nil)
@@ -209,7 +210,7 @@
 			submit(fmt.Sprintf("run-small-%d", i), 1)
 		}
 		if i == 100 {
-			submit("run-large", 10) // all 20 CPUs
+			submit("run-large", 10) // all 20 CPUs of the limit
 		}
 		for _, zone := range []string{"a", "b", "c"} {
 			core.ApplyAggregate(now, testAggregate(zone, revision, 64, 4))
@@ -223,7 +224,7 @@
 			put(job)
 			core.ApplyCommitResult(now, commit.JobID, commit.Urgent, revision)
 		}
-		for _, r := range jobs { // services that have run for a while are cancelled and closed
+		for _, r := range jobs { // cancel and close services that have run for 40 s
 			if len(r.job.Assignments) > 0 && now.After(r.end) && r.job.End == "" {
 				r.job = r.job.Clone()
 				r.job.End = wire.JobCancelled
@@ -235,5 +236,5 @@
 		}
 		now = now.Add(200 * time.Millisecond)
 	}
-	t.Fatal("not admitted within four minutes")
+	t.Fatal("large service not admitted within four minutes")
 }
--- a/leader/scale_test.go
+++ b/leader/scale_test.go
@@ -10,8 +10,8 @@
 	"ravenport/wire"
 )
 
-// backlog returns a leader with many jobs in no shard and as many commits in flight as
-// allowed, as it is for a while after a cold start and in a burst.
+// backlog returns a leader with many unassigned jobs and the maximum number of commits in
+// flight, which is its state for a while after a cold start and during a burst.
 func backlog(jobs int) (*Core, time.Time) {
 	now := time.Unix(1000, 0)
 	jobRecords, versions := map[string]*records.Job{}, map[string]uint64{}
@@ -27,7 +27,7 @@
 	for _, zone := range []string{"a", "b", "c"} {
 		core.ApplyAggregate(now, testAggregate(zone, 1, 6400, 400))
 	}
-	// A round may be cut off by its budget on a slow machine.
+	// On a slow machine a round may exceed its time budget and end early.
 	for i := 0; i < 1000 && (core.urgentInFlight < constants.MaxUrgentInFlight || core.nonUrgentInFlight < constants.MaxAssignmentsInFlight); i++ {
 		core.Step(now)
 	}
@@ -43,20 +43,20 @@
 	}
 }
 
-// While as many commits are in flight as allowed, a round costs no more than one pass over
-// the waiting jobs: it allocates nothing for a job.
+// While the maximum number of commits is in flight, a round costs no more than one pass over
+// the waiting jobs and allocates no memory per job.
 func TestBacklogStepAllocatesLittle(t *testing.T) {
 	c, now := backlog(600)
 	if c.urgentInFlight == 0 || c.nonUrgentInFlight == 0 {
-		t.Fatal("nothing is under way")
+		t.Fatal("no urgent commits or no other commits are in flight")
 	}
 	n := testing.AllocsPerRun(50, func() {
 		now = now.Add(10 * time.Millisecond)
 		if len(c.Step(now)) > 0 {
-			t.Fatal("something more was assigned")
+			t.Fatal("tasks were assigned beyond the bounds on commits in flight")
 		}
 	})
 	if n > 3 {
-		t.Fatalf("%g allocations", n)
+		t.Fatalf("%g allocations in a round, want at most 3", n)
 	}
 }
