--- a/leader/gang.go
+++ b/leader/gang.go
@@ -117,7 +117,8 @@
 
 // planGang plans all of a gang's tasks or none. It assigns the whole gang to the shard that
 // would start it soonest. It spreads a gang over several shards only if the gang must not
-// be in one shard, or if the gang is overdue and no shard has the capacity for all of it.
+// be in one shard, or if the gang is overdue and no shard is ready to take all of it (see
+// maySpreadGang).
 func (c *Core) planGang(now time.Time, job *jobState) []plannedAssignment {
 	s := &job.record.Spec
 	if len(job.record.Assignments) > 0 {
@@ -136,7 +137,7 @@
 }
 
 // maySpreadGang reports whether a gang may be assigned to several shards. The list must be
-// ranked for the gang.
+// ranked for the gang, so its first shard is the one that would start the gang soonest.
 func (c *Core) maySpreadGang(now time.Time, job *jobState, list []*candidate) bool {
 	s := &job.record.Spec
 	if s.Spread && s.Tasks != 1 {
