--- a/shard/pendingcommands.go
+++ b/shard/pendingcommands.go
@@ -9,7 +9,7 @@
 // pendingCommands lists what a machine should do: stops, then forgets, then starts, so
 // that resources are free when a start needs them. Attempts are forgotten only by the reply to
 // a heartbeat.
-func (v *fleetView) pendingCommands(now time.Time, m *machine, via channel) []wire.Command {
+func (v *fleetView) pendingCommands(now time.Time, m *machine, via exchangeKind) []wire.Command {
 	out := []wire.Command{}
 	var starts []wire.Command
 	for _, a := range m.attempts {
--- a/shard/reconcile.go
+++ b/shard/reconcile.go
@@ -8,17 +8,17 @@
 	"ravenport/wire"
 )
 
-// channel is how a machine's status came to the owner, and how commands go back.
-type channel int
+// exchangeKind is how a machine's status came to the owner, and how commands go back.
+type exchangeKind int
 
 const (
-	viaHeartbeat     channel = iota // the worker's own heartbeat and its reply
-	viaDirectCommand                // a direct command and its reply
+	viaHeartbeat     exchangeKind = iota // the worker's own heartbeat and its reply
+	viaDirectCommand                     // a direct command and its reply
 )
 
 // reconcile brings the known state of a machine and its attempts in line with its status,
 // which came by a heartbeat or by the reply to a direct command.
-func (c *Core) reconcile(now time.Time, m *machine, status *wire.Heartbeat, via channel) {
+func (c *Core) reconcile(now time.Time, m *machine, status *wire.Heartbeat, via exchangeKind) {
 	if status.Epoch > m.epoch {
 		c.beginEpoch(now, m, status.Epoch)
 	}
@@ -56,7 +56,7 @@
 // updateSeq records the sequence number of a status, and whether the machine has sent
 // heartbeats elsewhere since the last one: a worker that is answered stays with its
 // controller, and its next heartbeat has the next number.
-func (m *machine) updateSeq(status *wire.Heartbeat, via channel) {
+func (m *machine) updateSeq(status *wire.Heartbeat, via exchangeKind) {
 	m.skippedSeq = via == viaHeartbeat && m.answeredSeq != 0 && status.Epoch == m.lastHeartbeatEpoch && status.Seq > m.answeredSeq+1
 	if via == viaHeartbeat {
 		m.lastHeartbeatEpoch = status.Epoch
@@ -95,7 +95,7 @@
 }
 
 // reconcileUnlisted decides about the attempts that a status does not list.
-func (c *Core) reconcileUnlisted(now time.Time, m *machine, seq uint64, via channel) {
+func (c *Core) reconcileUnlisted(now time.Time, m *machine, seq uint64, via exchangeKind) {
 	for i := len(m.attempts) - 1; i >= 0; i-- {
 		a := m.attempts[i]
 		if a.lastReconcile == c.reconcileCount {
