--- a/shard/core_test.go
+++ b/shard/core_test.go
@@ -574,7 +574,7 @@
 	}
 	r.ApplyMachineList(r.now, list)
 	terminated := 0
-	look := func(d time.Duration) { terminated += len(r.advanceUnanswered(d, func() { r.peersHeardAt = r.now })) }
+	look := func(d time.Duration) { terminated += len(r.advanceUnanswered(d, func() { r.peersReportedAt = r.now })) }
 	look(9 * time.Second)
 	r.ApplyMachineList(r.now, list)
 	r.ApplyMachineList(r.now, nil) // one list may be older than the one before
@@ -694,7 +694,7 @@
 		r.advanceUnanswered(time.Second, func() {})
 		r.Heartbeat(r.now, newHeartbeat("m-0", 1, seq, seen))
 		terminated := r.advanceUnanswered(15*time.Second, func() {
-			r.peersHeardAt = r.now
+			r.peersReportedAt = r.now
 			if !copied {
 				seq++
 				r.Heartbeat(r.now, newHeartbeat("m-0", 1, seq, r.latestToken("m-0")))
--- a/shard/liveness.go
+++ b/shard/liveness.go
@@ -18,7 +18,7 @@
 	startedAt       time.Time            // when the owner could first have received a heartbeat
 	livenessResetAt time.Time            // missing heartbeats are counted from here at the earliest
 	partitioned     bool                 // the shard's machines as a whole are unreachable
-	peersHeardAt    time.Time            // when all live controllers had last been heard from
+	peersReportedAt time.Time            // when all live controllers had last been heard from
 	terminated      map[string]time.Time // by machine: when it was terminated, for constants.TerminatedMemory
 	scaleInScans    pace                 // checks for machines to terminate
 	lastScaleInAt   time.Time            // when machines were last terminated
--- a/shard/partition.go
+++ b/shard/partition.go
@@ -8,13 +8,13 @@
 
 // fleetHealth is what the heartbeats of all machines together prove.
 type fleetHealth struct {
-	expected    int  // machines that should send heartbeats to the owner
-	reporting   int  // those that have, in this term and epoch
-	unreachable int  // those of them that are unreachable now
-	misrouted   int  // machines that have sent heartbeats to another controller lately
-	small       bool // fewer than constants.SmallFleet are expected
-	noneHeard   bool // the fleet is small, but of more than two, and no heartbeat has come lately
-	receiving   bool // enough heartbeats have come lately
+	expected           int  // machines that should send heartbeats to the owner
+	reporting          int  // those that have, in this term and epoch
+	unreachable        int  // those of them that are unreachable now
+	misrouted          int  // machines that have sent heartbeats to another controller lately
+	small              bool // fewer than constants.SmallFleet are expected
+	noRecentHeartbeats bool // the fleet is small, but of more than two, and no heartbeat has come lately
+	receiving          bool // enough heartbeats have come lately
 }
 
 // assessHealth distinguishes machines that fail by themselves from a partition of the owner
@@ -51,7 +51,7 @@
 	s.small = s.expected < constants.SmallFleet
 	if s.small {
 		s.receiving = current*2 > s.expected
-		s.noneHeard = s.expected > constants.MaxCoincidentFailures && current == 0
+		s.noRecentHeartbeats = s.expected > constants.MaxCoincidentFailures && current == 0
 	} else {
 		s.receiving = recent*constants.RecentHeartbeatShare >= s.expected
 	}
@@ -78,12 +78,12 @@
 	if s.receiving {
 		return true
 	}
-	return s.small && !s.noneHeard && l.hasHeardPeers(now) && now.Sub(last) > otherControllers
+	return s.small && !s.noRecentHeartbeats && l.hasRecentPeerReports(now) && now.Sub(last) > otherControllers
 }
 
-// hasHeardPeers reports whether all live controllers were heard from lately.
-func (l *liveness) hasHeardPeers(now time.Time) bool {
-	return now.Sub(l.peersHeardAt) < constants.MaxPushInterval*2
+// hasRecentPeerReports reports whether all live controllers were heard from lately.
+func (l *liveness) hasRecentPeerReports(now time.Time) bool {
+	return now.Sub(l.peersReportedAt) < constants.MaxPushInterval*2
 }
 
 // misroutedWindow is how long a heartbeat to another controller counts.
@@ -117,7 +117,7 @@
 	delay := l.periods(constants.MaxHeartbeatDelayPeriods)
 	// Where all controllers had ended, a worker may come back to this one only
 	// after it has tried the others and its next heartbeat is due.
-	return (!s.small && !s.receiving || s.noneHeard) &&
+	return (!s.small && !s.receiving || s.noRecentHeartbeats) &&
 		now.Sub(l.startedAt) > delay+constants.ControllerSwitchTime && now.Sub(l.livenessResetAt) > delay
 }
 
@@ -132,7 +132,7 @@
 // ApplyMisroutedHeartbeats records which machines sent heartbeats to another controller;
 // allPeersHeard says that every live controller was heard from. A heartbeat that is no newer
 // than the machine's last one to this owner may be a late copy and proves nothing.
-func (v *fleetView) ApplyMisroutedHeartbeats(now time.Time, list []MisroutedHeartbeat, allPeersHeard bool) {
+func (v *fleetView) ApplyMisroutedHeartbeats(now time.Time, list []MisroutedHeartbeat, allPeersReported bool) {
 	for _, heartbeat := range list {
 		m := v.machines[heartbeat.Machine]
 		if m == nil {
@@ -143,7 +143,7 @@
 			m.unansweredProbes = 0 // it runs: what it left unanswered before does not count
 		}
 	}
-	if allPeersHeard {
-		v.peersHeardAt = now
+	if allPeersReported {
+		v.peersReportedAt = now
 	}
 }
--- a/shard/scalein.go
+++ b/shard/scalein.go
@@ -188,7 +188,7 @@
 // it is more likely the owner that they cannot reach, which then gives up its term. What runs
 // on them stays theirs until their leases have expired.
 func (l *liveness) isNotReceivingOfFew(now time.Time, m *machine, up, confirmed int) bool {
-	if up > 2 || !l.hasHeardPeers(now) {
+	if up > 2 || !l.hasRecentPeerReports(now) {
 		return false
 	}
 	return up == 1 || confirmed > 0 || now.Sub(m.unconfirmedSince) > l.leaseTimeout
--- a/shard/state_test.go
+++ b/shard/state_test.go
@@ -48,7 +48,7 @@
 // may be the one that is isolated.
 func TestFewUnconfirmedMachinesAreKept(t *testing.T) {
 	now := time.Unix(1000, 0)
-	l := liveness{heartbeatPeriod: 3 * time.Second, leaseTimeout: 20 * time.Second, peersHeardAt: now}
+	l := liveness{heartbeatPeriod: 3 * time.Second, leaseTimeout: 20 * time.Second, peersReportedAt: now}
 	doubted := &machine{unconfirmedSince: now.Add(-10 * time.Second)}
 	forLong := &machine{unconfirmedSince: now.Add(-21 * time.Second)}
 	for _, c := range []struct {
@@ -60,7 +60,7 @@
 			t.Errorf("of %d up, %d confirmed: not receiving %v, not %v", c.up, c.heard, got, c.want)
 		}
 	}
-	if l.peersHeardAt = now.Add(-time.Hour); l.isNotReceivingOfFew(now, forLong, 2, 1) {
+	if l.peersReportedAt = now.Add(-time.Hour); l.isNotReceivingOfFew(now, forLong, 2, 1) {
 		t.Error("not receiving though the other controllers were not heard from")
 	}
 }
