--- a/shard/directcommands.go
+++ b/shard/directcommands.go
@@ -191,7 +191,7 @@
 	if !m.up || c.needsProbe(now, m) {
 		m.nextCommandAt = now
 	}
-	if c.isSilent(now, m) {
+	if c.isHeartbeatMissing(now, m) {
 		m.unansweredProbes++
 		m.nextCommandAt = m.commandSentAt.Add(constants.ProbeTimeout)
 	}
--- a/shard/liveness.go
+++ b/shard/liveness.go
@@ -52,9 +52,9 @@
 	return l.sinceHeartbeat(now, m) > l.periods(constants.HeartbeatOverduePeriods)
 }
 
-// isSilent reports whether nothing comes from a machine from which something should: it has
+// isHeartbeatMissing reports whether nothing comes from a machine from which something should: it has
 // sent nothing in this term or since its lease expired, or its heartbeat is overdue.
-func (l *liveness) isSilent(now time.Time, m *machine) bool {
+func (l *liveness) isHeartbeatMissing(now time.Time, m *machine) bool {
 	return !m.up || l.isHeartbeatOverdue(now, m)
 }
 
