--- a/shard/directcommands.go
+++ b/shard/directcommands.go
@@ -33,7 +33,7 @@
 	queue := q.commandQueue
 	q.commandQueue = q.commandQueue[:0]
 	for _, m := range queue {
-		if m.commandWanted && m.isCallable(now) && !v.mustProbeFirst(now, m) && q.canSendCommand(v) {
+		if m.commandWanted && m.isReadyForCommand(now) && !v.mustProbeFirst(now, m) && q.canSendCommand(v) {
 			q.sendPendingCommands(v, now, m)
 		}
 		m.commandQueued = m.commandWanted
@@ -52,7 +52,7 @@
 func (q *outbox) scanForCommands(v *fleetView, now time.Time) {
 	probes := 0
 	for _, m := range v.fleet {
-		if !m.isCallable(now) {
+		if !m.isReadyForCommand(now) {
 			continue
 		}
 		probe := v.mustProbeFirst(now, m)
@@ -71,8 +71,8 @@
 	}
 }
 
-// isCallable reports whether a direct command may be sent to a machine now.
-func (m *machine) isCallable(now time.Time) bool {
+// isReadyForCommand reports whether a direct command may be sent to a machine now.
+func (m *machine) isReadyForCommand(now time.Time) bool {
 	return !m.commandInFlight && !m.scalingIn && m.addr != "" && !now.Before(m.nextCommandAt)
 }
 
