--- a/shard/heartbeat.go
+++ b/shard/heartbeat.go
@@ -71,7 +71,7 @@
 	}
 	m.spot, m.addr = status.Spot, status.Addr
 	if !m.scalingIn && (!m.durable || m.durableAddr != m.addr) {
-		c.enroll(m)
+		c.addToInventory(m)
 	}
 }
 
--- a/shard/pages.go
+++ b/shard/pages.go
@@ -75,8 +75,8 @@
 	return p
 }
 
-// enroll puts a machine on the first page with space, or has its page written again.
-func (b *inventoryPages) enroll(m *machine) {
+// addToInventory puts a machine on the first page with space, or has its page written again.
+func (b *inventoryPages) addToInventory(m *machine) {
 	if m.pageNumber != noPage {
 		b.pages[m.pageNumber].dirty = true
 		return
@@ -112,7 +112,7 @@
 	p.remove(name)
 	p.dirty = true
 	m.pageNumber = noPage
-	b.enroll(m)
+	b.addToInventory(m)
 }
 
 // isWritable reports whether all machines that were moved off a page are durably on their new
--- a/shard/scalein.go
+++ b/shard/scalein.go
@@ -205,7 +205,7 @@
 // closeMachine has a machine's page mark it as terminating.
 func (b *inventoryPages) closeMachine(m *machine) {
 	m.closure.decided = true
-	b.enroll(m)
+	b.addToInventory(m)
 }
 
 // markClosed records that a durable page marks a machine as terminating. Whoever reads that
--- a/shard/scaleout.go
+++ b/shard/scaleout.go
@@ -189,7 +189,7 @@
 			m.requestedAt = r.requestedAt
 			c.resolveType(m)
 		}
-		c.enroll(m)
+		c.addToInventory(m)
 	}
 	c.needsPlacement = true
 	c.aggregateChanged = true
--- a/shard/state_test.go
+++ b/shard/state_test.go
@@ -101,7 +101,7 @@
 	}
 	b := inventoryPages{pages: map[int]*page{}, maxPageBytes: 2*entryBytes("m-1") + 1}
 	for _, name := range []string{"m-1", "m-2", "m-3"} {
-		b.enroll(&machine{name: name, pageNumber: noPage})
+		b.addToInventory(&machine{name: name, pageNumber: noPage})
 	}
 	if len(b.pages) != 2 {
 		t.Errorf("three machines are on %d pages, of which each holds two", len(b.pages))
