--- a/shard/bestfit.go
+++ b/shard/bestfit.go
@@ -67,7 +67,7 @@
 			score += constants.ScoreOnDemand
 		}
 	}
-	if m.consolidating || m.drainNext {
+	if m.consolidating || m.selectedByDrain {
 		score += constants.ScoreDraining
 	}
 	if m.reservedForGangs && !s.IsGang() {
--- a/shard/draining.go
+++ b/shard/draining.go
@@ -152,7 +152,7 @@
 	d.reservedCapacity = d.reservedForMigrations()
 	c.uncordonMachines()
 	for _, m := range c.fleet {
-		m.drainNext = false
+		m.selectedByDrain = false
 	}
 	if c.rebuilt && !c.partitioned {
 		for _, number := range d.drainNumbers() {
@@ -170,7 +170,7 @@
 	d := c.draining
 	selected := c.selectedMachines(&s.Record().Selection)
 	for _, m := range selected {
-		m.drainNext = d.isRunning(number)
+		m.selectedByDrain = d.isRunning(number)
 	}
 	c.cordonNext(now, number, s, selected)
 	d.waitReasons[number] = idleReason(now, s)
--- a/shard/machine.go
+++ b/shard/machine.go
@@ -44,7 +44,7 @@
 	scalingIn        bool
 	closure          machineClosure
 	cordon           *cordon // it takes no new task; nil: it may
-	drainNext        bool    // a running drain selects it: a task placed here would move once more
+	selectedByDrain  bool    // a running drain selects it: a task placed here would move once more
 	consolidating    bool    // its tasks move elsewhere; it takes new ones last
 	redundantSince   time.Time
 	avoidUntil       time.Time
--- a/shard/migration.go
+++ b/shard/migration.go
@@ -79,7 +79,7 @@
 func (c *scaleOutState) migrationTarget(v *fleetView, now time.Time, s *wire.Submission, reserved map[*machine]resources) *machine {
 	canScaleOut := c.cheapestOffer(v, now, s).isAvailable()
 	return v.bestFit(now, s, func(m *machine) bool {
-		if canScaleOut && m.drainNext {
+		if canScaleOut && m.selectedByDrain {
 			return false
 		}
 		return taskResources(s).fits(v.freeResources(m).minus(reserved[m]))
