--- a/shard/directcommands.go
+++ b/shard/directcommands.go
@@ -161,7 +161,7 @@
 		return
 	}
 	c.observeToken(status)
-	if status.Machine != name || c.fenced || !m.isNew(status) {
+	if status.Machine != name || c.fenced || !m.isNewer(status) {
 		return
 	}
 	c.updateMachine(now, m, status)
--- a/shard/heartbeat.go
+++ b/shard/heartbeat.go
@@ -32,7 +32,7 @@
 	// the cloud confirms it: a reply that renews its lease without being counted
 	// would let the owner believe that the lease had expired.
 	m := c.ensureMachine(heartbeat.Machine)
-	if !m.isNew(heartbeat) {
+	if !m.isNewer(heartbeat) {
 		return reply, ErrStaleHeartbeat // late or duplicate: nothing in it counts
 	}
 	c.updateMachine(now, m, heartbeat)
--- a/shard/machine.go
+++ b/shard/machine.go
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// isNew reports whether r was made after every known message of the machine.
-func (m *machine) isNew(status *wire.Heartbeat) bool {
+// isNewer reports whether r was made after every known message of the machine.
+func (m *machine) isNewer(status *wire.Heartbeat) bool {
 	if status.Epoch < m.minEpoch {
 		return false
 	}
