--- a/shard/core.go
+++ b/shard/core.go
@@ -16,31 +16,31 @@
 // Config is the configuration of a shard owner.
 type Config struct {
 	Shard               string
-	HeartbeatPeriod     time.Duration // of the workers
-	LeaseTimeout        time.Duration // so long after the last reply that could count, a worker's lease has surely expired
+	HeartbeatPeriod     time.Duration // time between two heartbeats of a worker
+	LeaseTimeout        time.Duration // time after the last possible reply at which a worker's lease has expired for certain
 	LeaseExtension      time.Duration // how long an owner answers heartbeats after the end of its authority
-	SpotIdleTimeout     time.Duration // after which an idle spot machine is terminated
+	SpotIdleTimeout     time.Duration // time after which an idle spot machine is terminated
 	OnDemandIdleTimeout time.Duration // the same for an on-demand machine
 	UseSpot             bool
-	CloseBeforeScaleIn  bool               // a machine is durably closed before it is terminated
+	CloseBeforeScaleIn  bool               // a machine's termination is written to the inventory before the machine is terminated
 	CloudListLag        time.Duration      // how old the cloud's list of machines may be
-	CloudCallInterval   time.Duration      // between calls of one kind to the cloud that can wait for each other
+	CloudCallInterval   time.Duration      // minimum time between two cloud calls of one kind, for calls that may be delayed
 	SizeLimits          records.SizeLimits // the key-value store's limits on a record
-	MaxDirectCommands   int                // direct commands in flight
-	GangStartTimeout    time.Duration      // how long a gang's tasks wait for each other
-	GangPeerTimeout     time.Duration      // within which a gang's tasks notice that one has ended, and all must be told to stop
-	MaxTxnOps           int                // the key-value store's limit on the changes of a transaction
-	MaxWritesPerSecond  float64            // the key-value store's limit on writes, of all controllers
+	MaxDirectCommands   int                // limit on direct commands in flight
+	GangStartTimeout    time.Duration      // how long the tasks of a gang wait for each other to start
+	GangPeerTimeout     time.Duration      // time within which tasks of a gang detect that one has ended, and within which all must receive a stop
+	MaxTxnOps           int                // the key-value store's limit on the number of changes in a transaction
+	MaxWritesPerSecond  float64            // the key-value store's limit on the writes of all controllers together
 	JobOrder            leader.JobOrder
-	RoundBudget         time.Duration // of a placement round; 0: constants.RoundBudget
+	RoundBudget         time.Duration // time limit of a placement round; 0: constants.RoundBudget
 }
 
-// Core is the owner of one shard in one term. It is composed of states, each of which owns
-// what its type says. A method of a state changes only that state and what it is handed;
-// Core's methods bring several states together. Core is not safe for concurrent use.
+// Core is the owner of one shard in one term. Core is composed of state types, each of which
+// holds the data that its comment names. A method of a state type changes only that state and
+// its arguments; methods of Core combine several states. Core is not safe for concurrent use.
 type Core struct {
 	lastStepAt time.Time
-	fleetScans pace // checks of every machine of the fleet
+	fleetScans pace // limits how often every machine of the fleet is checked
 
 	fleetView
 	outbox
@@ -54,16 +54,17 @@
 	draining *draining // nil: drains and disruption budgets are off
 }
 
-// fleetView is what decisions are based on: the owner's term, the known state of machines
-// and jobs, and the liveness of machines. Other states are handed it to read.
+// fleetView is the state on which decisions are based: the owner's term, the known state of
+// machines and jobs, and the liveness of machines. Methods of other states receive it to
+// read.
 type fleetView struct {
 	ownership
 	knownState
 	liveness
 }
 
-// Snapshot is what a new owner starts from: its term, and what is stored at the revision at
-// which the feed showed that the term was acquired.
+// Snapshot is the state from which a new owner starts: its term, and the stored records at
+// the revision at which the feed showed that the term was acquired.
 type Snapshot struct {
 	Term              uint64
 	TermVersion       uint64 // version of the shard's record
@@ -74,7 +75,7 @@
 	InventoryVersions map[string]uint64
 }
 
-// New makes the owner of a shard in a term that it has just acquired.
+// New returns the owner of a shard in a term that was acquired just before the call.
 func New(cfg Config, now time.Time, snapshot Snapshot) *Core {
 	c := &Core{
 		fleetView: fleetView{
@@ -104,26 +105,26 @@
 	return c
 }
 
-// loadInventory adds the machines of the stored inventory, which the term inherits.
+// loadInventory adds the machines of the stored inventory, which the new term inherits.
 func (c *Core) loadInventory(now time.Time, inventory map[string]*records.InventoryPage, versions map[string]uint64) {
-	// Pages split off a large one have higher numbers: a machine found on both
-	// stays on its new page.
+	// A page that was split off a larger page has a higher number. A machine that is on both
+	// pages stays on the new page, which is applied first.
 	keys := slices.Collect(maps.Keys(inventory))
 	slices.SortFunc(keys, func(a, b string) int { return inventory[b].Number - inventory[a].Number })
 	for _, key := range keys {
 		c.applyPage(now, inventory[key], versions[key])
 	}
 	for _, m := range c.machines {
-		// Whatever earlier owners started, or sent and is still in flight, is
-		// bounded by the lease counted from here: they had lost their authority
-		// when this term was acquired.
+		// Earlier owners had lost their authority when this term was acquired. A lease that
+		// is counted from now therefore bounds every attempt that they started and every
+		// command of theirs that is still in flight.
 		m.inherited = m.durableAddr != ""
 		m.leaseExpiresAt = c.leaseExpiry(now, m)
 	}
 }
 
-// SetRoundClock sets the clock by which a placement round's time is taken: by the machine's
-// own clock, rounds on a busy machine differ from run to run.
+// SetRoundClock sets the clock that measures the duration of a placement round. Measured by
+// the system clock, rounds on a busy computer differ from run to run.
 func (p *placement) SetRoundClock(clock func() time.Time) { p.roundClock = clock }
 
 // Apply applies a change from the feed.
@@ -141,7 +142,8 @@
 	}
 }
 
-// Step does what is due and returns the actions decided since the last call.
+// Step does the periodic work that is due and returns the actions decided since the last
+// call.
 func (c *Core) Step(now time.Time) []Action {
 	if !c.lastStepAt.IsZero() && now.Sub(c.lastStepAt) > constants.ProcessPauseThreshold {
 		slog.Warn("process was paused", logkey.Shard, c.cfg.Shard, "for_ms", now.Sub(c.lastStepAt).Milliseconds())
--- a/shard/errors.go
+++ b/shard/errors.go
@@ -4,17 +4,18 @@
 
 // Reasons why an owner does not answer a heartbeat.
 var (
-	// ErrUnknownShard: the machine is in a shard that this core does not own.
+	// ErrUnknownShard means that the machine belongs to a shard that this Core does not own.
 	ErrUnknownShard = errors.New("shard: machine of another shard")
-	// ErrFenced: the machine has seen the fencing token of a later term, so another owner
-	// has replaced this one.
+	// ErrFenced means that the machine has seen the fencing token of a later term, so another
+	// owner has replaced this one.
 	ErrFenced = errors.New("shard: fenced by a later term")
-	// ErrNoAuthority: the owner's authority has ended, and the time in which it may extend
-	// leases as well.
+	// ErrNoAuthority means that the owner's authority has ended, and that the time in which
+	// the owner may still extend leases has ended as well.
 	ErrNoAuthority = errors.New("shard: owner has no authority")
-	// ErrMachineTerminated: the cloud has confirmed the machine's termination; the heartbeat
-	// was delayed.
+	// ErrMachineTerminated means that the cloud has confirmed the termination of the machine;
+	// the heartbeat was delayed in the network.
 	ErrMachineTerminated = errors.New("shard: machine is terminated")
-	// ErrStaleHeartbeat: the heartbeat is no newer than the latest status of the machine.
+	// ErrStaleHeartbeat means that the heartbeat is no newer than the latest known status of
+	// the machine.
 	ErrStaleHeartbeat = errors.New("shard: stale heartbeat")
 )
--- a/shard/machine.go
+++ b/shard/machine.go
@@ -6,80 +6,80 @@
 	"ravenport/wire"
 )
 
-// machine is what the owner knows of one machine.
+// machine is the owner's knowledge of one machine.
 type machine struct {
 	name, addr  string
-	machineType *wire.MachineType // nil: the cloud's types do not name it
+	machineType *wire.MachineType // nil: the cloud's machine types do not include the machine's type
 	typeName    string
 	spot        bool
 	capacity    resources
 
 	// The durable inventory.
-	pageNumber       int    // page of the inventory; noPage: on none
-	durableAddr      string // address as in the durable inventory
-	durable          bool   // is in the durable inventory
-	leavingInventory bool   // its termination is confirmed; it is to leave the inventory
+	pageNumber       int    // page of the inventory that lists the machine; noPage: none
+	durableAddr      string // address of the machine in the durable inventory
+	durable          bool   // the durable inventory lists the machine
+	leavingInventory bool   // the machine's termination is confirmed; its entry has to be removed from the inventory
 
 	// Heartbeats and the lease.
-	epoch, seq     uint64     // epoch and sequence number of the last message from it
-	minEpoch       uint64     // earlier epochs have surely ended
-	reportedToken  uint64     // highest fencing token that it has reported
-	tokenCount     uint64     // what the owner's fencing tokens to it end in
-	lastHeartbeat  time.Time  // its last own heartbeat; at first also a reply to a command
-	leaseExpiresAt time.Time  // after it, the lease of the epoch last known has surely expired
-	inherited      bool       // was in the inventory when the term began
-	up             bool       // has sent a heartbeat or answered a command in this term
-	inCloudList    bool       // the cloud's list has shown it
-	missedLists    int        // lists in a row since then that did not
-	leaseExpired   bool       // its lease expired without a heartbeat; it may come back
+	epoch, seq     uint64     // epoch and sequence number of the last message from the machine
+	minEpoch       uint64     // lowest epoch that the machine can still have; earlier epochs have ended
+	reportedToken  uint64     // highest fencing token that the machine has reported
+	tokenCount     uint64     // counter in the low bits of the owner's fencing tokens for the machine
+	lastHeartbeat  time.Time  // time of the last heartbeat; before the first one, of the first reply to a direct command
+	leaseExpiresAt time.Time  // time at which the lease of the last known epoch has expired for certain
+	inherited      bool       // the machine was in the inventory when the term began
+	up             bool       // the machine has sent a heartbeat or answered a direct command in this term
+	inCloudList    bool       // a list of machines from the cloud has contained the machine
+	missedLists    int        // number of consecutive lists from the cloud without the machine
+	leaseExpired   bool       // the lease expired without a heartbeat; the machine may return
 	attempts       []*attempt // sorted by attempt number
 
 	// Placement and scale in.
 	usage            machineUsage
-	usageStale       bool // usage is to be computed again
+	usageStale       bool // usage has to be computed again
 	cachedImages     map[string]bool
-	reclaimAt        time.Time // when the cloud reclaims it; zero: no spot notice
-	requestedAt      time.Time // when it was requested, or its boot counts from
+	reclaimAt        time.Time // time at which the cloud reclaims the machine; zero: no spot notice
+	requestedAt      time.Time // time at which the machine was requested, or from which its boot time is counted
 	idleSince        time.Time
 	scalingIn        bool
 	closure          machineClosure
-	cordon           *cordon // it takes no new task; nil: it may
-	selectedByDrain  bool    // a running drain selects it: a task placed here would move once more
-	consolidating    bool    // its tasks move elsewhere; it takes new ones last
+	cordon           *cordon // not nil: the machine receives no new tasks
+	selectedByDrain  bool    // a running drain selects the machine: a task placed here would have to move again
+	consolidating    bool    // the tasks of the machine move to other machines; new tasks are placed here last
 	redundantSince   time.Time
 	avoidUntil       time.Time
-	reservedForGangs bool // no array starts here: its capacity is reserved for gangs
-	reservedFor      *job // its capacity is reserved for a task of this job
+	reservedForGangs bool // no array starts on the machine: its capacity is reserved for gangs
+	reservedFor      *job // job for one of whose tasks the capacity of the machine is reserved
 	reservedUntil    time.Time
 
 	// Direct commands and confirmation that the machine receives them.
-	commandInFlight       bool // a direct command waits for its answer
+	commandInFlight       bool // a direct command was sent and has no reply yet
 	nextCommandAt         time.Time
-	commandSentAt         time.Time // when the last direct command was sent
-	commandWanted         bool      // its pending commands should be sent
-	commandQueued         bool      // it is in the outbox's queue for that
-	misroutedAt           time.Time // when it last sent a heartbeat to another controller
-	unansweredProbes      int       // direct commands without an answer while it was silent, since its last message
-	unconfirmedSince      time.Time // since when it must show that replies reach it; zero: it is confirmed
-	confirmationToken     uint64    // the fencing token that it must show
-	needsHigherToken      bool      // holds an unwanted attempt that a late command could still start
-	invalidTaskLogged     bool      // an invalid task name was logged
-	unansweredUnconfirmed int       // direct commands without an answer since it is unconfirmed
-	repliesSinceToken     int       // replies since it last showed the token that they carry
-	answeredSeq           uint64    // sequence number of its last answered heartbeat, or of a reply to a direct command right after it
-	lastHeartbeatSeq      uint64    // sequence number of its last own heartbeat
-	lastHeartbeatEpoch    uint64    // the epoch of that
-	skippedSeq            bool      // its last heartbeat shows that it sent others elsewhere
+	commandSentAt         time.Time // time at which the last direct command was sent
+	commandWanted         bool      // the machine's pending commands should be sent directly
+	commandQueued         bool      // the machine is in the outbox's command queue
+	misroutedAt           time.Time // time of the last heartbeat that the machine sent to another controller
+	unansweredProbes      int       // direct commands without a reply while a heartbeat is missing, since the last message
+	unconfirmedSince      time.Time // time since which the machine has to prove that replies reach it; zero: it is confirmed
+	confirmationToken     uint64    // fencing token that the machine has to report as that proof
+	needsHigherToken      bool      // the machine holds an unwanted attempt that a delayed command could still start
+	invalidTaskLogged     bool      // an invalid task name in the machine's heartbeats was logged
+	unansweredUnconfirmed int       // direct commands without a reply since the machine became unconfirmed
+	repliesSinceToken     int       // replies since the machine last reported the token that they carry
+	answeredSeq           uint64    // sequence number of the last answered heartbeat, or of the reply to a direct command right after it
+	lastHeartbeatSeq      uint64    // sequence number of the last heartbeat that the machine sent to this owner
+	lastHeartbeatEpoch    uint64    // epoch of that heartbeat
+	skippedSeq            bool      // the last heartbeat shows that the machine sent heartbeats to other controllers
 }
 
-// hasSeenTerm reports whether the machine has seen one of the owner's fencing tokens. Then
-// nothing that earlier owners sent can be carried out any more, and its heartbeat shows
-// every attempt that is on it.
+// hasSeenTerm reports whether the machine has reported a fencing token of the given term,
+// which is the owner's. From then on no command of an earlier owner can be carried out, and a
+// heartbeat of the machine lists every attempt that is on it.
 func (m *machine) hasSeenTerm(term uint64) bool {
 	return m.up && tokenTerm(m.reportedToken) == term
 }
 
-// isUnconfirmed reports whether replies and commands may not reach the machine.
+// isUnconfirmed reports whether it is unproven that replies and commands reach the machine.
 func (m *machine) isUnconfirmed() bool { return !m.unconfirmedSince.IsZero() }
 
 // findAttempt returns the attempt with key k, or nil.
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// isNewer reports whether r was made after every known message of the machine.
+// isNewer reports whether a status was made after every known message of the machine.
 func (m *machine) isNewer(status *wire.Heartbeat) bool {
 	if status.Epoch < m.minEpoch {
 		return false
--- a/shard/state.go
+++ b/shard/state.go
@@ -7,17 +7,17 @@
 	"ravenport/wire"
 )
 
-// knownState owns what the owner knows of machines, jobs and attempts. Heartbeats, the feed
-// and the cloud's lists change it through Core; placement adds attempts.
+// knownState holds the machines, jobs and attempts that the owner knows. Core changes it from
+// heartbeats, the feed and the cloud's lists of machines; placement adds attempts.
 type knownState struct {
 	types          map[string]*wire.MachineType
 	jobs           map[string]*job
 	machines       map[string]*machine
-	fleet          []*machine // the same, in the order in which they became known
+	fleet          []*machine // the same machines, in the order in which they became known
 	attemptsByTask map[taskKey][]*attempt
 	reconcileCount uint64 // number of heartbeats and command replies reconciled
 	attemptEnded   bool   // the last reconciliation found that an attempt had ended
-	rebuilt        bool   // every inherited machine has shown its attempts or surely lost them
+	rebuilt        bool   // every inherited machine has reported its attempts, or they have ended for certain
 }
 
 func newKnownState() knownState {
@@ -35,7 +35,7 @@
 	index int
 }
 
-// ensureMachine returns the machine with a name, which it adds if it is not known.
+// ensureMachine returns the machine with the given name. An unknown machine is added.
 func (k *knownState) ensureMachine(name string) *machine {
 	m := k.machines[name]
 	if m == nil {
@@ -66,11 +66,11 @@
 	c.needsPlacement = true
 }
 
-// removeMachine forgets a machine.
+// removeMachine removes a machine from the known state, and ends its direct command.
 func (v *fleetView) removeMachine(q *outbox, m *machine) {
 	delete(v.machines, m.name)
 	q.directCommandDone(m)
-	m.commandWanted = false // the next step drops it from the queue
+	m.commandWanted = false // the next step removes the machine from the command queue
 	for i, o := range v.fleet {
 		if o == m {
 			v.fleet = append(v.fleet[:i], v.fleet[i+1:]...)
@@ -79,7 +79,7 @@
 	}
 }
 
-// addAttempt adds an attempt to its machine, in the order of attempt numbers.
+// addAttempt adds an attempt to its machine, sorted by attempt number, and to its task.
 func (k *knownState) addAttempt(a *attempt) {
 	m := a.machine
 	i := len(m.attempts)
@@ -92,7 +92,7 @@
 	k.attemptsByTask[key] = append(k.attemptsByTask[key], a)
 }
 
-// removeAttempt removes an attempt from its machine.
+// removeAttempt removes an attempt from its machine and its task.
 func (k *knownState) removeAttempt(a *attempt) {
 	m := a.machine
 	if i := slices.Index(m.attempts, a); i >= 0 {
@@ -111,7 +111,7 @@
 	}
 }
 
-// hasLiveAttempt reports whether an attempt of a task that has not exited may be on any
+// hasLiveAttempt reports whether an attempt of the task that has not exited may be on a
 // machine.
 func (k *knownState) hasLiveAttempt(jobID string, index int) bool {
 	for _, a := range k.attemptsByTask[taskKey{jobID, index}] {
@@ -122,7 +122,7 @@
 	return false
 }
 
-// taskOf returns an attempt's task, or nil if it is not assigned to the shard.
+// taskOf returns the task of an attempt, or nil if the task is not assigned to the shard.
 func (k *knownState) taskOf(a *attempt) *task {
 	j := k.jobs[a.jobID]
 	if j == nil {
@@ -131,14 +131,15 @@
 	return j.tasks[a.taskIndex]
 }
 
-// isWanted reports whether an attempt is the one its task should have.
+// isWanted reports whether an attempt is the current attempt of its task, and the task should
+// run.
 func (k *knownState) isWanted(a *attempt) bool {
 	t := k.taskOf(a)
 	return t != nil && t.attempt == a && !t.done && !a.stopRequested && t.job.rec.End == ""
 }
 
-// TaskCounts returns for each job how many of its tasks run in the shard, and how many are
-// done in assignments that are not closed yet, for display.
+// TaskCounts returns for each job the number of its tasks that run in the shard, and the
+// number of done tasks in assignments that are not closed yet. The counts are for display.
 func (k *knownState) TaskCounts() records.CountsByJob {
 	out := make(records.CountsByJob, len(k.jobs))
 	for id, j := range k.jobs {
