--- a/shard/heartbeat.go
+++ b/shard/heartbeat.go
@@ -9,9 +9,9 @@
 	"ravenport/wire"
 )
 
-// Heartbeat handles a worker's heartbeat and returns the reply to it. An error says why the
-// owner must not answer it, or that it proves nothing: ErrUnknownShard, ErrFenced,
-// ErrNoAuthority, ErrMachineTerminated or ErrStaleHeartbeat.
+// Heartbeat handles a worker's heartbeat and returns the reply to it. An error is the reason
+// why the owner must not answer the heartbeat, or why the heartbeat proves nothing:
+// ErrUnknownShard, ErrFenced, ErrNoAuthority, ErrMachineTerminated or ErrStaleHeartbeat.
 func (c *Core) Heartbeat(now time.Time, heartbeat *wire.Heartbeat) (reply wire.HeartbeatReply, err error) {
 	if heartbeat.Zone != c.cfg.Shard {
 		return reply, ErrUnknownShard
@@ -26,14 +26,14 @@
 		}
 	}
 	if _, terminated := c.terminated[heartbeat.Machine]; terminated {
-		return reply, ErrMachineTerminated // delayed in the network: the machine is gone for good
+		return reply, ErrMachineTerminated // the heartbeat was delayed in the network: a terminated machine does not return
 	}
-	// A machine whose termination was requested is answered like any other until
-	// the cloud confirms it: a reply that renews its lease without being counted
-	// would let the owner believe that the lease had expired.
+	// A machine whose termination was requested is answered like any other until the cloud
+	// confirms the termination. Otherwise a reply could renew the machine's lease while the
+	// owner does not count the reply and assumes that the lease has expired.
 	m := c.ensureMachine(heartbeat.Machine)
 	if !m.isNewer(heartbeat) {
-		return reply, ErrStaleHeartbeat // late or duplicate: nothing in it counts
+		return reply, ErrStaleHeartbeat // a late or duplicate heartbeat: its content is ignored
 	}
 	c.updateMachine(now, m, heartbeat)
 	c.reconcile(now, m, heartbeat, viaHeartbeat)
@@ -47,13 +47,13 @@
 	}
 	manyExits := c.exitsNeedingHigherToken(m) >= constants.ExitsBeforeTokenRaise
 	if (m.needsHigherToken || manyExits) && m.reportedToken == c.fencingToken(m) {
-		c.counters.raiseToken(m) // once the machine shows the new token they can be forgotten
+		c.counters.raiseToken(m) // once the machine reports the new token, these attempts can be forgotten
 	}
 	reply = wire.HeartbeatReply{FencingToken: c.fencingToken(m), Commands: c.pendingCommands(now, m, viaHeartbeat)}
 	return reply, nil
 }
 
-// updateMachine records what a status says of the machine itself.
+// updateMachine records the properties of the machine that a status contains.
 func (c *Core) updateMachine(now time.Time, m *machine, status *wire.Heartbeat) {
 	if !m.up {
 		m.up, m.leaseExpired = true, false
@@ -75,15 +75,16 @@
 	}
 }
 
-// recordHeartbeat records that a machine is alive, and checks whether it receives replies: the
-// lease of a machine whose heartbeats arrive while replies and commands do not reach it
-// expires unnoticed. A machine that does not show the fencing token of the last reply, that
-// sent heartbeats to other controllers though it was answered here, or that leaves a direct
-// command unanswered, is unconfirmed until it shows a token that is sent to it from then on.
-// A late copy of a heartbeat cannot: it is older than that token.
+// recordHeartbeat records that a machine is alive, and checks whether the machine receives
+// replies. If its heartbeats arrive while replies and commands do not reach it, its lease
+// expires without notice to the owner. A machine becomes unconfirmed if it does not report
+// the fencing token of the last reply, if it sent heartbeats to other controllers although
+// this owner answered it, or if it leaves a direct command unanswered. It stays unconfirmed
+// until it reports a token that is first sent to it after that. A late copy of a heartbeat
+// cannot contain such a token, because the copy is older than the token.
 func (p *placement) recordHeartbeat(v *fleetView, now time.Time, m *machine) {
 	if v.isUnreachable(now, m) {
-		m.unansweredUnconfirmed = 0 // it was unreachable: unanswered commands of that time do not count
+		m.unansweredUnconfirmed = 0 // commands that were unanswered while the machine was unreachable do not count
 	}
 	m.lastHeartbeat, m.unansweredProbes = now, 0
 	switch {
@@ -98,17 +99,18 @@
 	}
 }
 
-// confirm records that a machine has shown that replies or commands reach it.
+// confirm records that a machine has proved that replies or commands reach it.
 func (p *placement) confirm(m *machine) {
 	m.unconfirmedSince = time.Time{}
 	m.unansweredUnconfirmed = 0
 	p.needsPlacement = true
 }
 
-// exitsNeedingHigherToken is how many exited attempts must not be forgotten because the
-// machine has shown no higher token than the command that may start them again. Exited
-// attempts that only wait for their assignment to be closed do not count: they would have
-// every reply carry a higher token, for which a machine sends a heartbeat at once.
+// exitsNeedingHigherToken returns the number of exited attempts that must not be forgotten
+// yet, because the machine has reported no token higher than that of the command that may
+// start them again. Exited attempts that only wait until their assignment is closed do not
+// count: otherwise every reply would carry a higher token, and the machine answers a higher
+// token with an immediate heartbeat.
 func (k *knownState) exitsNeedingHigherToken(m *machine) int {
 	if k.usageOf(m).exitedDirect < constants.ExitsBeforeTokenRaise {
 		return 0
--- a/shard/liveness.go
+++ b/shard/liveness.go
@@ -8,20 +8,20 @@
 	"ravenport/logkey"
 )
 
-// liveness owns what the owner knows of heartbeats beyond single machines: since when they
-// are counted, whether the shard is partitioned, and which machines were terminated.
-// resetLiveness, scaleIn, ScaleInResult and ApplyMachineList change it, and
+// liveness holds what the owner knows about heartbeats apart from single machines: since when
+// missing heartbeats are counted, whether the shard is partitioned, and which machines were
+// terminated. It is changed by resetLiveness, scaleIn, ScaleInResult, ApplyMachineList and
 // ApplyMisroutedHeartbeats.
 type liveness struct {
-	heartbeatPeriod time.Duration        // between two heartbeats of a machine
-	leaseTimeout    time.Duration        // after the last reply that could count
-	startedAt       time.Time            // when the owner could first have received a heartbeat
-	livenessResetAt time.Time            // missing heartbeats are counted from here at the earliest
+	heartbeatPeriod time.Duration        // time between two heartbeats of a machine
+	leaseTimeout    time.Duration        // Config.LeaseTimeout
+	startedAt       time.Time            // earliest time at which the owner could receive a heartbeat
+	livenessResetAt time.Time            // missing heartbeats are not counted before this time
 	partitioned     bool                 // the shard's machines as a whole are unreachable
-	peersReportedAt time.Time            // when all live controllers had last been heard from
-	terminated      map[string]time.Time // by machine: when it was terminated, for constants.TerminatedMemory
-	scaleInScans    pace                 // checks for machines to terminate
-	lastScaleInAt   time.Time            // when machines were last terminated
+	peersReportedAt time.Time            // last time at which every live controller had reported
+	terminated      map[string]time.Time // time of termination by machine, kept for constants.TerminatedMemory
+	scaleInScans    pace                 // limits how often machines are checked for termination
+	lastScaleInAt   time.Time            // time at which machines were last terminated
 }
 
 func newLiveness(cfg Config, now time.Time) liveness {
@@ -33,13 +33,14 @@
 	}
 }
 
-// periods is the duration of n heartbeat periods.
+// periods returns the duration of n heartbeat periods.
 func (l *liveness) periods(n float64) time.Duration {
 	return time.Duration(n * float64(l.heartbeatPeriod))
 }
 
-// sinceHeartbeat is for how long no heartbeat of a machine has come while one could have:
-// time in which the owner could not receive, or had not yet read any, does not count.
+// sinceHeartbeat returns for how long no heartbeat of a machine was received. Time during
+// which the owner could not receive heartbeats, or had not yet read those received, does not
+// count.
 func (l *liveness) sinceHeartbeat(now time.Time, m *machine) time.Duration {
 	if l.livenessResetAt.After(m.lastHeartbeat) {
 		return now.Sub(l.livenessResetAt)
@@ -47,32 +48,34 @@
 	return now.Sub(m.lastHeartbeat)
 }
 
-// isHeartbeatOverdue reports whether a machine's heartbeat is later than any should be.
+// isHeartbeatOverdue reports whether the next heartbeat of a machine is later than any
+// heartbeat should be.
 func (l *liveness) isHeartbeatOverdue(now time.Time, m *machine) bool {
 	return l.sinceHeartbeat(now, m) > l.periods(constants.HeartbeatOverduePeriods)
 }
 
-// isHeartbeatMissing reports whether nothing comes from a machine from which something should: it has
-// sent nothing in this term or since its lease expired, or its heartbeat is overdue.
+// isHeartbeatMissing reports whether the owner lacks a heartbeat of a machine: the machine
+// has sent nothing in this term or since its lease expired, or its heartbeat is overdue.
 func (l *liveness) isHeartbeatMissing(now time.Time, m *machine) bool {
 	return !m.up || l.isHeartbeatOverdue(now, m)
 }
 
-// isUnreachable reports whether no heartbeat of a machine has come for so long that its
-// lease may expire, whether or not it answers direct commands.
+// isUnreachable reports whether no heartbeat of a machine was received for so long that its
+// lease may expire, whether or not the machine answers direct commands.
 func (l *liveness) isUnreachable(now time.Time, m *machine) bool {
 	return l.sinceHeartbeat(now, m) > l.periods(constants.UnreachablePeriods)
 }
 
-// reportedSinceUnconfirmed reports whether an unconfirmed machine has sent a heartbeat since,
-// to this owner or to another controller: the heartbeat that made it unconfirmed may have
-// been a late copy.
+// reportedSinceUnconfirmed reports whether an unconfirmed machine has sent a heartbeat to
+// this owner or to another controller since it became unconfirmed. Until then, the heartbeat
+// that made the machine unconfirmed may have been a late copy.
 func (m *machine) reportedSinceUnconfirmed() bool {
 	return m.lastHeartbeat.After(m.unconfirmedSince) || m.misroutedAt.After(m.unconfirmedSince)
 }
 
-// resetLiveness counts missing heartbeats and unanswered commands anew: the owner's process
-// was paused, or a partition has ended and the machines come back one after the other.
+// resetLiveness restarts the count of missing heartbeats and unanswered commands. It is
+// called when the owner's process was paused, or when a partition has ended and the machines
+// reconnect one after the other.
 func (v *fleetView) resetLiveness(now time.Time) {
 	v.livenessResetAt = now
 	for _, m := range v.fleet {
@@ -80,7 +83,7 @@
 	}
 }
 
-// expireLeases releases the attempts on machines whose lease has surely expired.
+// expireLeases releases the attempts on machines whose lease has expired for certain.
 func (c *Core) expireLeases(now time.Time) {
 	for _, m := range c.fleet {
 		if m.leaseExpiresAt.IsZero() || now.Before(m.leaseExpiresAt) {
@@ -95,7 +98,7 @@
 		}
 		if m.up || m.inherited {
 			m.leaseExpired = true
-			m.requestedAt = now // it gets as long to come back as one that boots
+			m.requestedAt = now // the machine gets as much time to return as a booting one
 		}
 		m.inherited = false
 		m.up = false
--- a/shard/reconcile.go
+++ b/shard/reconcile.go
@@ -8,16 +8,17 @@
 	"ravenport/wire"
 )
 
-// exchangeKind is how a machine's status came to the owner, and how commands go back.
+// exchangeKind is the kind of message exchange in which a machine's status reaches the owner
+// and commands reach the machine.
 type exchangeKind int
 
 const (
-	viaHeartbeat     exchangeKind = iota // the worker's own heartbeat and its reply
-	viaDirectCommand                     // a direct command and its reply
+	viaHeartbeat     exchangeKind = iota // the worker's own heartbeat and the reply to it
+	viaDirectCommand                     // a direct command and the reply to it
 )
 
-// reconcile brings the known state of a machine and its attempts in line with its status,
-// which came by a heartbeat or by the reply to a direct command.
+// reconcile updates the known state of a machine and its attempts from the machine's status,
+// which a heartbeat or the reply to a direct command contained.
 func (c *Core) reconcile(now time.Time, m *machine, status *wire.Heartbeat, via exchangeKind) {
 	if status.Epoch > m.epoch {
 		c.beginEpoch(now, m, status.Epoch)
@@ -41,21 +42,21 @@
 	}
 }
 
-// beginEpoch records a new epoch of a machine. The end of the earlier epoch killed and
-// removed everything on the machine.
+// beginEpoch records a new epoch of a machine. When the earlier epoch ended, the worker
+// killed and removed every task on the machine.
 func (c *Core) beginEpoch(now time.Time, m *machine, epoch uint64) {
 	c.releaseAttempts(now, m)
 	m.epoch = epoch
 	m.reportedToken = 0
 	m.repliesSinceToken = 0
-	// An epoch has a lease of its own from its first moment on, also when the owner
-	// learns of it by the reply to a direct command.
+	// Each epoch has its own lease from its begin on, also if the owner learns of the epoch
+	// by the reply to a direct command.
 	m.leaseExpiresAt = c.leaseExpiry(now, m)
 }
 
 // updateSeq records the sequence number of a status, and whether the machine has sent
-// heartbeats elsewhere since the last one: a worker that is answered stays with its
-// controller, and its next heartbeat has the next number.
+// heartbeats to other controllers since its last one. A worker whose heartbeat is answered
+// stays with that controller, and its next heartbeat has the next number.
 func (m *machine) updateSeq(status *wire.Heartbeat, via exchangeKind) {
 	m.skippedSeq = via == viaHeartbeat && m.answeredSeq != 0 && status.Epoch == m.lastHeartbeatEpoch && status.Seq > m.answeredSeq+1
 	if via == viaHeartbeat {
@@ -63,12 +64,12 @@
 		m.lastHeartbeatSeq = status.Seq
 		m.answeredSeq = status.Seq
 	} else if status.Epoch == m.lastHeartbeatEpoch && status.Seq == m.seq+1 {
-		m.answeredSeq = status.Seq // the reply to a direct command has a number of the same sequence
+		m.answeredSeq = status.Seq // heartbeats and replies to direct commands share one sequence of numbers
 	}
 	m.seq = status.Seq
 }
 
-// updateReportedToken records the fencing token that a machine has shown.
+// updateReportedToken records the fencing token that a machine has reported.
 func (c *Core) updateReportedToken(m *machine, token uint64) {
 	previous := m.reportedToken
 	if token <= previous {
@@ -77,12 +78,12 @@
 	m.reportedToken = token
 	hadSeenTerm := m.up && tokenTerm(previous) == c.term
 	if !hadSeenTerm && m.hasSeenTerm(c.term) {
-		c.needsPlacement = true // it may take tasks now
+		c.needsPlacement = true // the machine can receive tasks now
 	}
 }
 
-// updateSpotNotice records when the cloud will reclaim the machine; noticeS is nil without a
-// notice.
+// updateSpotNotice records when the cloud will reclaim the machine. noticeS is nil if the
+// machine has no spot notice.
 func (m *machine) updateSpotNotice(now time.Time, noticeS *float64) {
 	if noticeS == nil {
 		m.reclaimAt = time.Time{}
@@ -94,7 +95,7 @@
 	}
 }
 
-// reconcileUnlisted decides about the attempts that a status does not list.
+// reconcileUnlisted handles the attempts that a status does not list.
 func (c *Core) reconcileUnlisted(now time.Time, m *machine, seq uint64, via exchangeKind) {
 	for i := len(m.attempts) - 1; i >= 0; i-- {
 		a := m.attempts[i]
@@ -103,24 +104,24 @@
 		}
 		switch {
 		case a.reported:
-			c.releaseAttempt(now, a) // the machine has forgotten it on the owner's command
+			c.releaseAttempt(now, a) // the machine has forgotten the attempt on a command of the owner
 		case via != viaHeartbeat:
-			// Only a heartbeat proves that a start had no effect.
+			// Only a heartbeat proves that a start command had no effect.
 		case seq > a.startSentSeq && (!a.sentDirectly || a.maxDirectToken < m.reportedToken):
-			// The reply that carried the start was dropped or lost, and a reply
-			// is never carried out late; nor is a direct command under a token
-			// lower than the machine's: the attempt is not there. A wanted one is
-			// sent again, to the same machine, under the same attempt number.
+			// The attempt is not on the machine. The reply that carried the start was dropped
+			// or lost, and a reply is never carried out late. A direct command with a token
+			// lower than the machine's is not carried out either. The start of a wanted
+			// attempt is sent again, to the same machine and with the same attempt number.
 			if !c.isWanted(a) {
 				c.releaseAttempt(now, a)
 			}
 		case !c.isWanted(a):
-			m.needsHigherToken = true // which fences the start
+			m.needsHigherToken = true // a higher token fences the start
 		}
 	}
 }
 
-// reconcileTask brings one attempt in line with its status.
+// reconcileTask updates one attempt from its status.
 func (c *Core) reconcileTask(now time.Time, m *machine, status *wire.TaskStatus) {
 	a := m.findAttempt(attemptKey{status.Task, status.Attempt})
 	if a == nil {
@@ -132,7 +133,7 @@
 	a.lastReconcile = c.reconcileCount
 	if a.reported && previous == status.State {
 		if t := c.taskOf(a); t != nil && t.attempt == nil && !t.done && !a.hasExited() {
-			c.matchAttempt(t, a) // its task has lost the attempt that it had
+			c.matchAttempt(t, a) // the task has lost the attempt that it had
 		}
 		return
 	}
@@ -167,7 +168,7 @@
 }
 
 // adoptUnknownAttempt adds an attempt that the owner did not know: an earlier owner started
-// it, or a command whose reply was lost. It returns nil if the status names no task.
+// it, or a command whose reply was lost. It returns nil if the status has no valid task name.
 func (c *Core) adoptUnknownAttempt(m *machine, status *wire.TaskStatus) *attempt {
 	jobID, index, ok := wire.ParseTaskName(status.Task)
 	if !ok {
@@ -186,11 +187,12 @@
 		sentDirectly:   true,
 		stopsInstantly: true,
 	}
-	// The term in the attempt's number bounds the tokens under which it was ever sent.
+	// The attempt number contains the term, which bounds the tokens of every command that
+	// started the attempt.
 	if term := attemptTerm(status.Attempt); term != 0 {
 		a.maxDirectToken = lastToken(term)
 	} else {
-		a.maxDirectToken = lastToken(c.term - 1) // a gang's shared number has no term
+		a.maxDirectToken = lastToken(c.term - 1) // the shared attempt number of a gang contains no term
 	}
 	if j := c.jobs[jobID]; j != nil {
 		a.applySpec(j)
@@ -199,7 +201,7 @@
 	return a
 }
 
-// recordRunning records that an attempt runs from now on.
+// recordRunning records that an attempt has begun to run.
 func (k *knownState) recordRunning(now time.Time, a *attempt) {
 	a.runningSince = now
 	if j := k.jobs[a.jobID]; j != nil {
@@ -218,8 +220,8 @@
 	}
 }
 
-// finishRebuild ends the rebuild after a failover once every inherited machine has shown all
-// attempts that are on it, or has surely lost them.
+// finishRebuild ends the rebuild after a failover once every inherited machine has reported
+// all attempts that are on it, or those attempts have ended for certain.
 func (c *Core) finishRebuild(now time.Time) {
 	if c.rebuilt {
 		return
