--- a/shard/directcommands.go
+++ b/shard/directcommands.go
@@ -7,17 +7,17 @@
 	"ravenport/wire"
 )
 
-// outbox owns what goes out: the actions decided since the last step, the machines that wait
-// for a direct command, and the number of commands in flight. Other states add to it; Step
-// empties it.
+// outbox holds the outgoing work: the actions decided since the last step, the machines that
+// wait for a direct command, and the number of direct commands in flight. Other states add
+// actions and machines; Step returns and clears the actions.
 type outbox struct {
 	actions          []Action // decided since the last step
 	commandQueue     []*machine
 	commandsInFlight int
 }
 
-// requestCommand has the next step send a machine its pending commands, unless the reply to
-// a heartbeat carries them before.
+// requestCommand queues a machine for a direct command. The next step sends the machine its
+// pending commands, unless the reply to a heartbeat carries them earlier.
 func (q *outbox) requestCommand(m *machine) {
 	m.commandWanted = true
 	if !m.commandQueued {
@@ -26,9 +26,10 @@
 	}
 }
 
-// sendDirectCommands sends pending commands straight to the machines in the queue. Only with
-// scanFleet it also checks every machine, for starts without effect and for due probes: the
-// cost of other steps does not grow with the fleet.
+// sendDirectCommands sends pending commands directly to the machines in the queue. With
+// scanFleet it also checks every machine for starts without effect and for due probes. The
+// scan runs only in some steps, so that the cost of the other steps does not grow with the
+// fleet.
 func (q *outbox) sendDirectCommands(v *fleetView, now time.Time, scanFleet bool) {
 	queue := q.commandQueue
 	q.commandQueue = q.commandQueue[:0]
@@ -47,8 +48,8 @@
 }
 
 // scanForCommands checks every machine for starts without effect, which are sent again, and
-// for due probes, of which only some are sent in a step: many unreachable machines at once
-// must not delay commands to others.
+// for due probes. The number of probes in a step is limited, so that many machines that are
+// unreachable at the same time do not delay commands to other machines.
 func (q *outbox) scanForCommands(v *fleetView, now time.Time) {
 	probes := 0
 	for _, m := range v.fleet {
@@ -76,7 +77,7 @@
 	return !m.commandInFlight && !m.scalingIn && m.addr != "" && !now.Before(m.nextCommandAt)
 }
 
-// canSendCommand reports whether one more direct command may be in flight.
+// canSendCommand reports whether the limit on direct commands in flight allows another one.
 func (q *outbox) canSendCommand(v *fleetView) bool {
 	limit := v.cfg.MaxDirectCommands
 	if v.partitioned {
@@ -86,15 +87,15 @@
 }
 
 // mustProbeFirst reports whether a machine must be probed before commands can be sent to it:
-// a probe is due, or commands are wanted and its epoch is not known yet.
+// a probe is due, or commands are pending and its epoch is unknown.
 func (v *fleetView) mustProbeFirst(now time.Time, m *machine) bool {
 	return m.epoch == 0 && m.commandWanted || v.needsProbe(now, m)
 }
 
-// needsProbe reports whether a machine is to be probed: an inherited one for its attempts,
-// once it had the time to send a heartbeat by itself; one whose heartbeat is overdue, whether
-// it still is there; one whose lease expired without a heartbeat, whether it is back; and an
-// unconfirmed one, whether it receives commands.
+// needsProbe reports whether a machine has to be probed: an inherited machine to learn its
+// attempts, once the machine has had the time to send a heartbeat by itself; a machine with
+// an overdue heartbeat, or whose lease expired without a heartbeat, to learn whether it runs;
+// and an unconfirmed machine to learn whether it receives commands.
 func (v *fleetView) needsProbe(now time.Time, m *machine) bool {
 	switch {
 	case m.inherited && !m.hasSeenTerm(v.term):
@@ -109,10 +110,11 @@
 	return v.isHeartbeatOverdue(now, m)
 }
 
-// hasOverdueStart reports whether a start that was sent to a machine has had no effect.
+// hasOverdueStart reports whether a start that was sent to a machine has had no effect within
+// constants.CommandRetryInterval.
 func (k *knownState) hasOverdueStart(now time.Time, m *machine) bool {
 	if k.usageOf(m).pendingStarts == 0 {
-		return false // as nearly always: every scan of the fleet checks every machine
+		return false // the usual case, kept cheap because every scan of the fleet checks every machine
 	}
 	for _, a := range m.attempts {
 		if a.state == stateSent && now.Sub(a.startSentAt) > constants.CommandRetryInterval && k.isWanted(a) {
@@ -129,8 +131,9 @@
 	}
 }
 
-// sendDirectCommand sends a request with commands to a machine. A probe has none but the stops
-// of cancelled tasks: whatever else the machine should be told waits for its answer.
+// sendDirectCommand sends a request with commands to a machine. A probe is a request without
+// commands other than the stops of cancelled tasks; all other commands wait until the machine
+// has answered the probe.
 func (q *outbox) sendDirectCommand(v *fleetView, now time.Time, m *machine, commands []wire.Command) {
 	m.commandInFlight = true
 	q.commandsInFlight++
@@ -148,8 +151,8 @@
 	}
 }
 
-// CommandResult handles the reply to a direct command: the machine's status. r is nil without
-// a reply; the commands may then still be carried out, late.
+// CommandResult handles the reply to a direct command, which is the machine's status. status
+// is nil if there was no reply; the machine may then still carry out the commands later.
 func (c *Core) CommandResult(now time.Time, name string, status *wire.Heartbeat) {
 	m := c.machines[name]
 	if m == nil {
@@ -167,8 +170,8 @@
 	c.updateMachine(now, m, status)
 	c.reconcile(now, m, status, viaDirectCommand)
 	c.needsPlacement = c.needsPlacement || c.attemptEnded
-	// It answered: commands do reach it. But only a heartbeat of its own renews its
-	// lease, so a reply does not count for one, except the first.
+	// The reply proves that commands reach the machine. It does not count as a heartbeat,
+	// because only a heartbeat renews the machine's lease. The first reply is the exception.
 	m.unansweredProbes, m.unansweredUnconfirmed = 0, 0
 	if m.lastHeartbeat.IsZero() {
 		m.lastHeartbeat = now
@@ -181,10 +184,11 @@
 	}
 }
 
-// commandUnanswered records that a direct command had no reply. A probe is repeated at once:
-// the rebuild after a failover, or the tasks that were on the machine, wait for it. But one to
-// a silent machine stands for the whole time of a probe, however soon it failed: a moment in
-// which nothing is answered must not count as several unanswered probes.
+// commandUnanswered records that a direct command had no reply. A probe is repeated at once,
+// because the rebuild after a failover, or the tasks that were on the machine, wait for its
+// result. If the machine's heartbeat is missing, the next probe is sent no earlier than
+// constants.ProbeTimeout after the last one, however soon that one failed: a short moment
+// without replies must not count as several unanswered probes.
 func (c *Core) commandUnanswered(now time.Time, m *machine) {
 	m.unansweredUnconfirmed++
 	m.nextCommandAt = now.Add(constants.CommandRetryInterval)
--- a/shard/pendingcommands.go
+++ b/shard/pendingcommands.go
@@ -6,9 +6,9 @@
 	"ravenport/wire"
 )
 
-// pendingCommands lists what a machine should do: stops, then forgets, then starts, so
-// that resources are free when a start needs them. Attempts are forgotten only by the reply to
-// a heartbeat.
+// pendingCommands returns the commands for a machine in the order stops, forgets, starts, so
+// that resources are free when a start needs them. Only the reply to a heartbeat contains
+// forgets.
 func (v *fleetView) pendingCommands(now time.Time, m *machine, via exchangeKind) []wire.Command {
 	out := []wire.Command{}
 	var starts []wire.Command
@@ -37,9 +37,9 @@
 	return append(out, starts...)
 }
 
-// cancellationStops lists the stops of attempts whose job is cancelled. They are the only
-// commands that an owner without authority may give (docs/safety.md, point 13), and those
-// that every probe carries: one that is held up may be all that reaches the machine.
+// cancellationStops returns the stops of attempts whose job is cancelled. They are the only
+// commands that an owner without authority may give (docs/safety.md, point 13). Every probe
+// carries them too, because a delayed probe may be the only message that reaches the machine.
 func (v *fleetView) cancellationStops(now time.Time, m *machine) []wire.Command {
 	out := []wire.Command{}
 	for _, a := range m.attempts {
@@ -53,27 +53,28 @@
 	return out
 }
 
-// isCancelled reports whether an attempt is of a job that is known to be cancelled.
+// isCancelled reports whether the job of an attempt is known to be cancelled.
 func (k *knownState) isCancelled(a *attempt) bool {
 	j := k.jobs[a.jobID]
 	return j != nil && j.rec.End == wire.JobCancelled
 }
 
-// nextStop returns the grace period (s) of the next stop command for an unwanted attempt, or
-// send false if none is due. A task that saves its checkpoint is left to finish until its time
-// is up. A gang's tasks save together, and show it only by their exits: until their time is up
-// the same command is repeated, should they have missed it.
+// nextStop returns the grace period in seconds of the next stop command for an unwanted
+// attempt; send is false if no stop is due. A task that saves its checkpoint is not stopped
+// again until its time to save is over. The tasks of a gang save together, and the owner sees
+// that only when they exit. Until their time is over the first command is therefore repeated,
+// in case they did not receive it.
 func (v *fleetView) nextStop(now time.Time, a *attempt) (graceS float64, send bool) {
-	together := v.gangSaveTime(a)
-	inTime := now.Sub(a.stopSentAt) < v.stopGrace(a)+together
-	if a.state == wire.TaskSaving && inTime {
+	gangTime := v.gangSaveTime(a)
+	withinSaveTime := now.Sub(a.stopSentAt) < v.stopGrace(a)+gangTime
+	if a.state == wire.TaskSaving && withinSaveTime {
 		return 0, false
 	}
 	switch {
 	case a.stopSentAt.IsZero():
 		a.stopSentAt = now
 		return v.stopGrace(a).Seconds(), true
-	case together > 0 && inTime:
+	case gangTime > 0 && withinSaveTime:
 		return v.stopGrace(a).Seconds(), true
 	}
 	return 0, true
@@ -83,8 +84,8 @@
 	return wire.Command{Op: wire.OpStop, Task: a.key.task, Attempt: a.key.number, GraceS: &graceS}
 }
 
-// stopGrace is the time that a stopped attempt gets to save its checkpoint: none if it cannot
-// save one, or if none will be used.
+// stopGrace returns the time that a stopped attempt gets to save its checkpoint: none if the
+// attempt cannot save one, or if the checkpoint would not be used.
 func (k *knownState) stopGrace(a *attempt) time.Duration {
 	t := k.taskOf(a)
 	if a.stopsInstantly || t == nil || t.job.rec.End != "" {
@@ -93,8 +94,8 @@
 	return time.Duration((t.job.rec.Spec.CheckpointSaveS + 0.5) * float64(time.Second))
 }
 
-// gangSaveTime is how much longer an attempt takes to save because a gang's tasks
-// wait for each other.
+// gangSaveTime returns the additional time that an attempt needs to save its checkpoint
+// because the tasks of a gang wait for each other.
 func (v *fleetView) gangSaveTime(a *attempt) time.Duration {
 	if j := v.jobs[a.jobID]; j == nil || j.gang == nil || a.stopsInstantly || j.rec.End != "" {
 		return 0
@@ -103,9 +104,9 @@
 }
 
 // canForget reports whether a machine may forget an exited attempt. An attempt that a direct
-// command started must be kept while a late copy of that command could arrive: it would start
-// again. A done task must be kept until its assignment is closed, or a new owner would run it
-// again.
+// command started must be kept as long as a late copy of that command may arrive, because the
+// copy would start the attempt again. A done task must be kept until its assignment is
+// closed, because a new owner would otherwise run the task again.
 func (k *knownState) canForget(a *attempt) bool {
 	if a.sentDirectly && a.maxDirectToken >= a.machine.reportedToken {
 		return false
