--- a/shard/ownership.go
+++ b/shard/ownership.go
@@ -9,20 +9,20 @@
 	"ravenport/wire"
 )
 
-// ownership owns the owner's term and authority: the configuration, the term, until when
-// the owner may act under it, and whether it was fenced. Only its own methods change it,
-// and CommitInvalid its limits on the size of writes.
+// ownership holds the configuration, the owner's term, the end of the owner's authority, and
+// whether the owner was fenced. Only methods of ownership change it, except that
+// CommitInvalid changes the limits on the size of writes.
 type ownership struct {
 	cfg            Config
 	term           uint64
 	termVersion    uint64    // version of the shard's record, on which every transaction depends
 	acquiredAt     time.Time // when the owner learned that it had acquired the term
-	authorityUntil time.Time // may act until then
+	authorityUntil time.Time // end of the authority to act
 	fenced         bool      // a machine has seen a later term: the owner must not act any more
 	counters       termCounters
 }
 
-// SetAuthority sets until when the owner may answer workers and start tasks.
+// SetAuthority sets the time until which the owner may answer workers and start tasks.
 func (o *ownership) SetAuthority(until time.Time) { o.authorityUntil = until }
 
 // mayAct reports whether the owner may give commands and write to the key-value store.
@@ -31,17 +31,18 @@
 }
 
 // mayExtendLeases reports whether the owner still answers heartbeats after the end of its
-// authority, whether or not another owner is known to have begun: a partitioned zone has no
-// other controller, and its machines would end what they run. It gives no commands then but
-// the stops of cancelled tasks, and does not extend the lease of a machine that has seen a
-// later term.
+// authority, whether or not another owner is known to have begun. In a partitioned zone the
+// workers reach no other controller, and without a reply they would end their tasks. The
+// owner then gives no commands but the stops of cancelled tasks, and does not extend the
+// lease of a machine that has seen a later term.
 func (o *ownership) mayExtendLeases(now time.Time) bool {
 	extension := time.Duration(float64(o.cfg.LeaseExtension)*(1-constants.MaxClockDrift)) - constants.AuthorityMargin
 	return !o.authorityUntil.IsZero() && now.Before(o.authorityUntil.Add(extension))
 }
 
-// leaseExpiry is when the lease of a machine has surely expired that is answered now.
-// Until the machine shows a token of this term, the previous owner may extend its lease.
+// leaseExpiry returns the time at which the lease of a machine has expired for certain if the
+// machine is answered now. Until the machine reports a token of this term, the previous owner
+// may extend its lease.
 func (o *ownership) leaseExpiry(now time.Time, m *machine) time.Time {
 	extendedUntil := o.acquiredAt.Add(time.Duration(float64(o.cfg.LeaseExtension)*(1+constants.MaxClockDrift)) + constants.AuthorityMargin)
 	if !m.hasSeenTerm(o.term) && extendedUntil.After(now) {
@@ -50,14 +51,14 @@
 	return now.Add(o.cfg.LeaseTimeout)
 }
 
-// fencingToken is the token of the owner's replies and commands to a machine: the term, and
-// in its low bits a counter for the machine. Raising the counter fences what was sent to
-// the machine before without a new term.
+// fencingToken returns the token of the owner's replies and commands to a machine. It
+// contains the term and, in its low bits, a counter for the machine. A raised counter fences
+// what was sent to the machine before, without a new term.
 func (o *ownership) fencingToken(m *machine) uint64 {
 	return o.term<<constants.TokenCounterBits | m.tokenCount
 }
 
-// observeToken fences the owner for good if a machine has seen a later term.
+// observeToken fences the owner permanently if a machine has seen a later term.
 func (o *ownership) observeToken(status *wire.Heartbeat) {
 	if tokenTerm(status.FencingToken) <= o.term {
 		return
@@ -68,8 +69,8 @@
 	o.fenced = true
 }
 
-// requestConfirmation marks a machine as unconfirmed: it must show a new fencing token,
-// which proves that replies or commands reach it.
+// requestConfirmation marks a machine as unconfirmed: the machine has to report a new fencing
+// token, which proves that replies or commands reach it.
 func (o *ownership) requestConfirmation(now time.Time, m *machine) {
 	if m.isUnconfirmed() || !m.up {
 		return
@@ -80,6 +81,6 @@
 	m.unansweredUnconfirmed = 0
 }
 
-// EnablePacking allows packed records: no process of the previous version, which cannot
-// read them, can join any more.
+// EnablePacking allows packed records. It is called once no process of the previous version,
+// which cannot read them, can join any more.
 func (o *ownership) EnablePacking() { o.cfg.SizeLimits.PackingEnabled = true }
--- a/shard/partition.go
+++ b/shard/partition.go
@@ -6,64 +6,66 @@
 	"ravenport/constants"
 )
 
-// fleetHealth is what the heartbeats of all machines together prove.
+// fleetHealth is the state of the shard that follows from the heartbeats of all machines.
 type fleetHealth struct {
 	expected           int  // machines that should send heartbeats to the owner
-	reporting          int  // those that have, in this term and epoch
-	unreachable        int  // those of them that are unreachable now
-	misrouted          int  // machines that have sent heartbeats to another controller lately
-	small              bool // fewer than constants.SmallFleet are expected
-	noRecentHeartbeats bool // the fleet is small, but of more than two, and no heartbeat has come lately
-	receiving          bool // enough heartbeats have come lately
+	reporting          int  // expected machines that have sent a heartbeat or a reply in this term and epoch
+	unreachable        int  // reporting machines that are unreachable now
+	misrouted          int  // expected machines that have recently sent heartbeats to another controller
+	small              bool // fewer than constants.SmallFleet machines are expected
+	noRecentHeartbeats bool // a small shard of more than two machines from which no recent heartbeat was received
+	receiving          bool // the owner has received enough recent heartbeats
 }
 
-// assessHealth distinguishes machines that fail by themselves from a partition of the owner
-// or the shard. Right after the begin of a partition the last heartbeats of most machines are
-// recent, so for many machines it counts which of the heartbeats that were due in the last
-// moment have come; for few, that would often be none.
+// assessHealth gathers the figures that distinguish failures of single machines from a
+// partition of the owner or the shard. Right after a partition has begun, the last heartbeats
+// of most machines are still recent. In a large shard the check therefore counts which of the
+// heartbeats that were due in a short window have arrived. In a small shard often no
+// heartbeat is due in that window.
 func (v *fleetView) assessHealth(now time.Time) fleetHealth {
-	var s fleetHealth
+	var health fleetHealth
 	recent, current := 0, 0
 	for _, m := range v.fleet {
 		if m.scalingIn || m.isDelisted() || !m.up && !m.inherited && !m.leaseExpired {
 			continue
 		}
-		s.expected++
+		health.expected++
 		if now.Sub(m.misroutedAt) < v.misroutedWindow() {
-			s.misrouted++
+			health.misrouted++
 		}
 		if !m.up {
 			continue
 		}
-		s.reporting++
+		health.reporting++
 		age := now.Sub(m.lastHeartbeat)
 		if age < v.periods(constants.RecentHeartbeatPeriods) {
 			recent++
 		}
-		// Until it shows a token of this term, its heartbeat may be a late copy.
+		// Until the machine reports a token of this term, its heartbeat may be a late copy.
 		if age <= v.periods(constants.HeartbeatOverduePeriods) && m.hasSeenTerm(v.term) {
 			current++
 		}
 		if v.isUnreachable(now, m) {
-			s.unreachable++
+			health.unreachable++
 		}
 	}
-	s.small = s.expected < constants.SmallFleet
-	if s.small {
-		s.receiving = current*2 > s.expected
-		s.noRecentHeartbeats = s.expected > constants.MaxCoincidentFailures && current == 0
+	health.small = health.expected < constants.SmallFleet
+	if health.small {
+		health.receiving = current*2 > health.expected
+		health.noRecentHeartbeats = health.expected > constants.MaxCoincidentFailures && current == 0
 	} else {
-		s.receiving = recent*constants.RecentHeartbeatShare >= s.expected
+		health.receiving = recent*constants.RecentHeartbeatShare >= health.expected
 	}
-	return s
+	return health
 }
 
-// isIsolatedFailure reports whether an unreachable machine has failed by itself: the owner
-// receives heartbeats of others or, in a small fleet, the machine has been unreachable for so
-// long that another controller would have heard from it, all controllers are heard from, and
-// none has. Otherwise the owner or the whole shard is partitioned: terminating machines would
-// then end everything that runs on them.
-func (l *liveness) isIsolatedFailure(now time.Time, m *machine, s fleetHealth) bool {
+// isIsolatedFailure reports whether an unreachable machine has failed by itself. That is the
+// case if the owner receives heartbeats of other machines. In a small shard it is also the
+// case if the machine has been unreachable for so long that another controller would have
+// received its heartbeat, all controllers have reported recently, and none has received one.
+// Otherwise the owner or the whole shard is partitioned, and to terminate machines would end
+// everything that runs on them.
+func (l *liveness) isIsolatedFailure(now time.Time, m *machine, health fleetHealth) bool {
 	if now.Sub(m.misroutedAt) < l.misroutedWindow() {
 		return false
 	}
@@ -74,63 +76,65 @@
 	if last.Before(l.startedAt) {
 		last = l.startedAt
 	}
-	otherControllers := l.periods(constants.MaxHeartbeatDelayPeriods) + constants.ControllerSwitchTime + 2*constants.MaxPushInterval
-	if s.receiving {
+	peerReportDelay := l.periods(constants.MaxHeartbeatDelayPeriods) + constants.ControllerSwitchTime + 2*constants.MaxPushInterval
+	if health.receiving {
 		return true
 	}
-	return s.small && !s.noRecentHeartbeats && l.hasRecentPeerReports(now) && now.Sub(last) > otherControllers
+	return health.small && !health.noRecentHeartbeats && l.hasRecentPeerReports(now) && now.Sub(last) > peerReportDelay
 }
 
-// hasRecentPeerReports reports whether all live controllers were heard from lately.
+// hasRecentPeerReports reports whether all live controllers have reported recently.
 func (l *liveness) hasRecentPeerReports(now time.Time) bool {
 	return now.Sub(l.peersReportedAt) < constants.MaxPushInterval*2
 }
 
-// misroutedWindow is how long a heartbeat to another controller counts.
+// misroutedWindow returns for how long a heartbeat to another controller counts.
 func (l *liveness) misroutedWindow() time.Duration { return l.periods(constants.MisroutedPeriods) }
 
-// IsIsolated reports whether the owner no longer receives its machines' heartbeats, and
-// whether they have been sending them to other controllers: then it is the owner that they
-// cannot reach. For many machines it is enough that hardly any heartbeat comes and a fair
-// share is heard by others: their leases expire while the owner waits.
+// IsIsolated reports whether the owner no longer receives the heartbeats of its machines, and
+// whether the machines have sent them to other controllers. If both are true, the machines
+// cannot reach the owner. In a large shard it is enough that hardly any heartbeat arrives and
+// that other controllers receive heartbeats of a considerable part of the machines, because
+// the leases of the machines expire while the owner waits.
 func (v *fleetView) IsIsolated(now time.Time) (isolated, misrouted bool) {
-	s := v.assessHealth(now)
-	if s.small {
-		return s.unreachable*2 > s.expected, s.misrouted*2 > s.expected
+	health := v.assessHealth(now)
+	if health.small {
+		return health.unreachable*2 > health.expected, health.misrouted*2 > health.expected
 	}
 	if now.Sub(v.acquiredAt) < v.periods(constants.MaxHeartbeatDelayPeriods) {
-		return false, false // not all heartbeats can have come yet
+		return false, false // some heartbeats may still be on their way
 	}
-	misrouted = s.misrouted*constants.RecentHeartbeatShare > s.expected
-	// If no controller ever heard from the machines, it is not known which side has failed.
-	return !s.receiving && (s.reporting > 0 || misrouted), misrouted
+	misrouted = health.misrouted*constants.RecentHeartbeatShare > health.expected
+	// If no controller ever received a heartbeat of the machines, the side that has failed is
+	// unknown.
+	return !health.receiving && (health.reporting > 0 || misrouted), misrouted
 }
 
-// IsPartitioned reports whether the shard's machines as a whole counted as unreachable at the
-// last check.
+// IsPartitioned reports whether the last check found that the shard's machines as a whole are
+// unreachable.
 func (l *liveness) IsPartitioned() bool { return l.partitioned }
 
-// detectPartition reports whether the shard's machines as a whole are unreachable. Then the
-// owner requests no more, which would be unreachable as well, and the leader assigns nothing
-// to the shard that may go to another.
-func (l *liveness) detectPartition(now time.Time, s fleetHealth) bool {
+// detectPartition reports whether the shard's machines as a whole are unreachable. In that
+// case the owner requests no more machines, because they would be unreachable too, and the
+// leader assigns no task to the shard that may run in another shard.
+func (l *liveness) detectPartition(now time.Time, health fleetHealth) bool {
 	delay := l.periods(constants.MaxHeartbeatDelayPeriods)
-	// Where all controllers had ended, a worker may come back to this one only
-	// after it has tried the others and its next heartbeat is due.
-	return (!s.small && !s.receiving || s.noRecentHeartbeats) &&
+	// If all controllers had ended, a worker may return to this controller only after it has
+	// tried the others and its next heartbeat is due.
+	return (!health.small && !health.receiving || health.noRecentHeartbeats) &&
 		now.Sub(l.startedAt) > delay+constants.ControllerSwitchTime && now.Sub(l.livenessResetAt) > delay
 }
 
-// MisroutedHeartbeat is a heartbeat that a machine sent to another controller than its
-// shard's owner.
+// MisroutedHeartbeat is a heartbeat that a machine sent to a controller other than the owner
+// of the machine's shard.
 type MisroutedHeartbeat struct {
 	Machine string `json:"m"`
 	Epoch   uint64 `json:"s"`
 	Seq     uint64 `json:"q"`
 }
 
-// ApplyMisroutedHeartbeats records which machines sent heartbeats to another controller;
-// allPeersHeard says that every live controller was heard from. A heartbeat that is no newer
+// ApplyMisroutedHeartbeats records which machines sent heartbeats to another controller.
+// allPeersReported says that every live controller has reported. A heartbeat that is no newer
 // than the machine's last one to this owner may be a late copy and proves nothing.
 func (v *fleetView) ApplyMisroutedHeartbeats(now time.Time, list []MisroutedHeartbeat, allPeersReported bool) {
 	for _, heartbeat := range list {
@@ -140,7 +144,7 @@
 		}
 		if heartbeat.Epoch > m.lastHeartbeatEpoch || heartbeat.Epoch == m.lastHeartbeatEpoch && heartbeat.Seq > m.lastHeartbeatSeq {
 			m.misroutedAt = now
-			m.unansweredProbes = 0 // it runs: what it left unanswered before does not count
+			m.unansweredProbes = 0 // the machine runs: probes that were unanswered before do not count
 		}
 	}
 	if allPeersReported {
