--- a/shard/commits.go
+++ b/shard/commits.go
@@ -13,11 +13,11 @@
 // Core.CommitInvalid.
 type CommitID struct {
 	kind  commitKind
-	jobID string // of commitJob
-	drain int    // of commitDrain: the drain's number
+	jobID string // for commitJob
+	drain int    // for commitDrain: number of the drain
 }
 
-// commitKind is what a transaction writes.
+// commitKind is the kind of record that a transaction writes.
 type commitKind int
 
 const (
@@ -27,7 +27,7 @@
 	commitDrain                       // a drain's record
 )
 
-// String names the transaction in logs.
+// String returns the name of the transaction for logs.
 func (id CommitID) String() string {
 	switch id.kind {
 	case commitJob:
@@ -41,8 +41,8 @@
 	}
 }
 
-// commitInTerm adds a transaction to the outbox that succeeds only while the owner's term
-// is the shard's latest.
+// commitInTerm adds a transaction to the outbox. The transaction succeeds only while the
+// owner's term is the latest term of the shard.
 func (q *outbox) commitInTerm(v *fleetView, id CommitID, changes []wire.Change, conditions ...wire.Condition) {
 	q.actions = append(q.actions, Commit{ID: id, Txn: wire.Txn{
 		Conditions: append([]wire.Condition{{Key: records.KeyShard(v.cfg.Shard), Version: v.termVersion}}, conditions...),
@@ -50,20 +50,21 @@
 	}})
 }
 
-// CommitInvalid records that the key-value store refused a transaction as invalid: the next
-// ones are smaller. CommitResult is called for the transaction as well.
+// CommitInvalid records that the key-value store refused a transaction as invalid; later
+// transactions of that kind are made smaller. CommitResult is called for the transaction as
+// well.
 func (c *Core) CommitInvalid(id CommitID) {
 	switch id.kind {
 	case commitInventory:
 		c.shrinkPages()
 	case commitJob:
 		c.EnablePacking()
-	case commitClaim, commitDrain: // they cannot be made smaller
+	case commitClaim, commitDrain: // these transactions cannot be made smaller
 	}
 }
 
-// shrinkPages writes one page of the inventory in a transaction from now on, and smaller
-// ones than the largest that was just refused.
+// shrinkPages limits each later transaction to one page of the inventory, and limits pages to
+// a size below that of the largest page that was just refused.
 func (c *Core) shrinkPages() {
 	c.cfg.MaxTxnOps = 1
 	largest := 0
@@ -72,7 +73,8 @@
 			largest = max(largest, p.bytes)
 		}
 	}
-	// A page fills PageFillPercent of a value at most: that part of it is smaller.
+	// A page fills at most PageFillPercent of a value, so that part of the refused size is
+	// smaller than the page that was refused.
 	refused := min(c.cfg.SizeLimits.Next, largest)
 	c.cfg.SizeLimits.Next = max(constants.MinInventoryValueBytes, refused*constants.PageFillPercent/100)
 	c.setSizeLimits(c.cfg.SizeLimits)
@@ -81,17 +83,16 @@
 	}
 }
 
-// CommitResult handles the result of a transaction: its revision, or 0 if it is not known to
-// have been written. A compare-and-swap conflict needs nothing more: the feed brings the
-// change that caused it.
+// CommitResult handles the result of a transaction: its revision, or 0 if the transaction is
+// not known to have been written. A compare-and-swap conflict needs no further handling,
+// because the feed brings the change that caused it.
 func (c *Core) CommitResult(now time.Time, id CommitID, revision uint64) {
 	switch id.kind {
 	case commitInventory:
 		c.inventoryCommitted(now, revision)
 	case commitJob:
 		if j := c.jobs[id.jobID]; j != nil && revision == 0 {
-			// Either the feed will bring a newer version, or the write is
-			// tried again.
+			// Either the feed brings a newer version of the record, or the write is repeated.
 			j.writeInFlight = false
 			j.nextWriteAt = now.Add(constants.RetryBackoffMax)
 			c.queueForClose(j)
--- a/shard/inventory.go
+++ b/shard/inventory.go
@@ -11,7 +11,7 @@
 	"ravenport/wire"
 )
 
-// applyPage applies a page of the inventory as the key-value store has it.
+// applyPage applies a page of the inventory as it is stored in the key-value store.
 func (c *Core) applyPage(now time.Time, record *records.InventoryPage, version uint64) {
 	p := c.ensurePage(record.Number)
 	if version <= p.version {
@@ -27,41 +27,41 @@
 }
 
 // applyEntry applies one machine of a stored page.
-func (c *Core) applyEntry(now time.Time, p *page, e *records.Machine) {
-	if _, terminated := c.terminated[e.Name]; terminated && c.machines[e.Name] == nil {
-		p.dirty = true // written before its termination was known
+func (c *Core) applyEntry(now time.Time, p *page, entry *records.Machine) {
+	if _, terminated := c.terminated[entry.Name]; terminated && c.machines[entry.Name] == nil {
+		p.dirty = true // the page was written before the machine's termination was known
 		return
 	}
-	m := c.ensureMachine(e.Name)
+	m := c.ensureMachine(entry.Name)
 	if m.pageNumber != p.number && m.pageNumber != noPage {
-		p.dirty = true // it was moved, and the owner that moved it has ended
+		p.dirty = true // the machine was moved to another page, and the owner that moved it has ended
 		return
 	}
 	m.pageNumber = p.number
-	p.add(e.Name)
-	m.durable, m.durableAddr = true, e.Addr
-	if e.Terminating {
+	p.add(entry.Name)
+	m.durable, m.durableAddr = true, entry.Addr
+	if entry.Terminating {
 		c.markClosed(m)
 	} else if m.closure.decided {
-		p.dirty = true // a version that does not know the mark has dropped it
+		p.dirty = true // a previous version that does not know the field Terminating has dropped it
 	}
 	if m.addr == "" {
-		m.addr = e.Addr
+		m.addr = entry.Addr
 	}
 	if m.typeName == "" {
-		m.typeName, m.spot = e.Type, e.Spot
+		m.typeName, m.spot = entry.Type, entry.Spot
 		c.resolveType(m)
 	}
 	if m.requestedAt.IsZero() {
-		m.requestedAt = requestTime(now, e)
+		m.requestedAt = requestTime(now, entry)
 	}
 	if m.durableAddr != m.addr && m.addr != "" {
 		p.dirty = true
 	}
 }
 
-// requestTime is when a machine was requested from the cloud; now if its entry does not say,
-// or says what cannot be of use any more.
+// requestTime returns the time at which a machine was requested from the cloud, or now if its
+// entry contains no time or one that is of no use any more.
 func requestTime(now time.Time, e *records.Machine) time.Time {
 	age := now.Unix() - e.RequestedS
 	if e.RequestedS > 0 && age > 0 && age < 3600 {
@@ -70,8 +70,9 @@
 	return now
 }
 
-// applyStoredPage records what a page durably holds: a machine on no durable page gets no
-// task, and one that has left its page for good is forgotten.
+// applyStoredPage records the durable content of a page. A machine on no durable page
+// receives no task, and a machine whose entry was removed after its termination is removed
+// from the known state.
 func (v *fleetView) applyStoredPage(q *outbox, p *page, entries []records.Machine, version uint64) {
 	p.version = version
 	previous := p.storedNames
@@ -92,7 +93,7 @@
 	}
 }
 
-// pageEntries lists what a page should hold now, sorted by name.
+// pageEntries returns the entries that a page should contain now, sorted by name.
 func (k *knownState) pageEntries(p *page) []records.Machine {
 	entries := []records.Machine{}
 	for name := range p.names {
@@ -113,8 +114,8 @@
 	return entries
 }
 
-// writeInventory writes the pages that changed: no machine gets a task before a durable page
-// has it with its address.
+// writeInventory writes the pages that changed. A machine receives no task before a durable
+// page contains the machine with its address.
 func (c *Core) writeInventory(now time.Time) {
 	if c.inventoryInFlight || now.Before(c.nextInventoryWriteAt) {
 		return
@@ -129,8 +130,8 @@
 		entries := c.pageEntries(p)
 		value := encodePage(entries)
 		if len(value) > c.cfg.SizeLimits.Next && len(entries) > 1 {
-			// Many machine types or long addresses take more than was estimated:
-			// half of the machines move to another page, and this one waits for that.
+			// Many machine types or long addresses take more space than was estimated. Half
+			// of the machines move to another page, and this page is written after that one.
 			for _, e := range entries[len(entries)/2:] {
 				c.moveToOtherPage(&c.fleetView, p, e.Name)
 			}
@@ -151,8 +152,8 @@
 	c.commitInTerm(&c.fleetView, CommitID{kind: commitInventory}, changes, conditions...)
 }
 
-// pagesToWrite lists the pages of the next write. Those written longest ago come first: small
-// pages are many, and those of low numbers, which change most, must not delay the others.
+// pagesToWrite returns the pages of the next write, those written longest ago first. With
+// many small pages, those with low numbers change most and must not delay the others.
 func (c *Core) pagesToWrite() []*page {
 	var pages []*page
 	for _, p := range c.pages {
@@ -177,9 +178,10 @@
 	return records.Encode(r)
 }
 
-// inventoryWriteInterval is the time until the next write after one of so many pages: the
-// inventory uses only its share of the key-value store's writes, so that many boots or
-// terminations become one write of a page and not one for each machine.
+// inventoryWriteInterval returns the time until the next write after a write of the given
+// number of pages. The interval keeps the inventory within its share of the key-value store's
+// writes, so many boots or terminations lead to one write of a page instead of one for each
+// machine.
 func (o *ownership) inventoryWriteInterval(pages int) time.Duration {
 	writesPerSecond := o.cfg.MaxWritesPerSecond * constants.InventoryWriteShare
 	interval := time.Duration(float64(pages) / writesPerSecond * float64(time.Second))
@@ -196,14 +198,14 @@
 		sent := p.inFlight
 		p.inFlight = nil
 		if revision == 0 {
-			// If it was carried out all the same, the feed brings the page, and
-			// the next write is based on that.
+			// If the write was carried out nevertheless, the feed brings the page, and the
+			// next write is based on that version.
 			p.dirty = true
 			c.nextInventoryWriteAt = now.Add(constants.RetryBackoffMin)
 			continue
 		}
 		if revision <= p.version {
-			continue // the feed was faster
+			continue // the feed has already brought this version or a later one
 		}
 		c.applyStoredPage(&c.outbox, p, sent, revision)
 		for _, e := range sent {
@@ -227,10 +229,10 @@
 	m.leavingInventory = true
 	p := c.pages[m.pageNumber]
 	if !p.storedNames[m.name] && p.inFlight == nil {
-		p.remove(m.name) // it was never durable
+		p.remove(m.name) // the machine was never durable
 		c.removeMachine(&c.outbox, m)
 		return
 	}
 	p.dirty = true
-	slog.Debug("machine leaves the inventory", logkey.Machine, m.name)
+	slog.Debug("removing machine from inventory", logkey.Machine, m.name)
 }
--- a/shard/pages.go
+++ b/shard/pages.go
@@ -12,18 +12,18 @@
 // noPage is the page number of a machine that is on no page.
 const noPage = -1
 
-// page is one page of the shard's inventory. It is written as a whole, one write at a time,
-// so that a scale out or many boots at once cost one or two writes and not one for each
-// machine.
+// page is one page of the shard's inventory. A page is written as a whole, one write at a
+// time, so that a scale out or many boots at once cost one or two writes instead of one for
+// each machine.
 type page struct {
 	number      int
-	version     uint64            // of its record
-	names       map[string]bool   // machines that belong on it
-	bytes       int               // what their entries take of it, at most
-	storedNames map[string]bool   // machines that the durable page names
-	dirty       bool              // it differs from the durable page
-	inFlight    []records.Machine // content of the write in flight; nil: none is
-	sentAt      time.Time         // when it was last written
+	version     uint64            // version of the page's record
+	names       map[string]bool   // machines that belong on the page
+	bytes       int               // upper bound on the size of their entries
+	storedNames map[string]bool   // machines on the durable page
+	dirty       bool              // the page differs from the durable page
+	inFlight    []records.Machine // entries of the write in flight; nil: no write is in flight
+	sentAt      time.Time         // time of the last write
 }
 
 // add puts a machine on the page.
@@ -42,16 +42,17 @@
 	}
 }
 
-// entryBytes is the size of a machine's entry on a page, at most.
+// entryBytes returns an upper bound on the size of a machine's entry on a page.
 func entryBytes(name string) int { return len(name) + constants.InventoryEntryBytes }
 
-// inventoryPages owns the pages of the shard's inventory and the write of them that is in
-// flight. applyPage, writeInventory and inventoryCommitted bring them in line with the store.
+// inventoryPages holds the pages of the shard's inventory and whether a write of pages is in
+// flight. applyPage, writeInventory and inventoryCommitted bring the pages in line with the
+// key-value store.
 type inventoryPages struct {
-	maxPageBytes         int // limit on the entries of a page
+	maxPageBytes         int // limit on the size of the entries of a page
 	pages                map[int]*page
 	inventoryInFlight    bool      // a write of pages is in flight
-	nextInventoryWriteAt time.Time // when the next write may begin
+	nextInventoryWriteAt time.Time // earliest time of the next write
 }
 
 func newInventoryPages(sizes records.SizeLimits) inventoryPages {
@@ -60,12 +61,13 @@
 	return b
 }
 
-// setSizeLimits sizes the pages by what the key-value store accepts as a value.
+// setSizeLimits derives the size of pages from the largest value that the key-value store
+// accepts.
 func (b *inventoryPages) setSizeLimits(sizes records.SizeLimits) {
 	b.maxPageBytes = sizes.Next * constants.PageFillPercent / 100
 }
 
-// ensurePage returns the page with a number, which it adds if there is none.
+// ensurePage returns the page with the given number. A page that does not exist is added.
 func (b *inventoryPages) ensurePage(n int) *page {
 	p := b.pages[n]
 	if p == nil {
@@ -75,7 +77,8 @@
 	return p
 }
 
-// addToInventory puts a machine on the first page with space, or has its page written again.
+// addToInventory puts a machine on the first page with enough space. If the machine is on a
+// page already, that page is written again.
 func (b *inventoryPages) addToInventory(m *machine) {
 	if m.pageNumber != noPage {
 		b.pages[m.pageNumber].dirty = true
@@ -92,8 +95,8 @@
 	}
 }
 
-// splitOversized moves machines off a page that is larger than a value may be: an owner of
-// the previous version, with larger limits, may have written it.
+// splitOversized moves machines off a page that is larger than a value may be. An owner of
+// the previous version, with larger limits, may have written such a page.
 func (b *inventoryPages) splitOversized(v *fleetView, p *page) {
 	if p.bytes <= b.maxPageBytes {
 		return
@@ -105,8 +108,8 @@
 	}
 }
 
-// moveToOtherPage moves a machine to another page. Until that page is durable, the old one is
-// not written, so the machine is always on a durable page.
+// moveToOtherPage moves a machine to another page. The old page is not written until the new
+// page is durable, so the machine is on a durable page at all times.
 func (b *inventoryPages) moveToOtherPage(v *fleetView, p *page, name string) {
 	m := v.machines[name]
 	p.remove(name)
--- a/shard/termcounters.go
+++ b/shard/termcounters.go
@@ -3,13 +3,13 @@
 import "ravenport/constants"
 
 // termCounters counts the attempt numbers and fencing tokens that a term has used. Both
-// have the term in their high bits, and the count must not overflow into those of the next
-// term.
+// contain the term in their high bits, so the counts must not overflow into the numbers of
+// the next term.
 type termCounters struct {
 	term          uint64
-	attempts      uint64 // attempt numbers used
+	attempts      uint64 // number of attempt numbers used
 	maxTokenCount uint64 // the highest token counter of any machine
-	// Limits of both; tests set smaller ones.
+	// Limits of both counts; tests set lower limits.
 	attemptLimit, tokenLimit uint64
 }
 
@@ -17,7 +17,7 @@
 	return termCounters{term: term, attemptLimit: 1 << constants.AttemptBits, tokenLimit: 1 << constants.TokenCounterBits}
 }
 
-// nextAttempt returns an attempt number that no other attempt has.
+// nextAttempt returns an unused attempt number.
 func (n *termCounters) nextAttempt() uint64 {
 	n.attempts++
 	return n.term<<constants.AttemptBits | n.attempts
@@ -29,35 +29,38 @@
 	n.maxTokenCount = max(n.maxTokenCount, m.tokenCount)
 }
 
-// isNearlyExhausted reports whether so many numbers are used that the owner needs a new term.
+// isNearlyExhausted reports whether so many numbers of the term are used that the owner needs
+// a new term.
 func (n *termCounters) isNearlyExhausted() bool {
-	const whole = 16
-	return n.attempts >= n.attemptLimit/whole*constants.RenewTermAtSixteenths ||
-		n.maxTokenCount >= n.tokenLimit/whole*constants.RenewTermAtSixteenths
+	const sixteenths = 16
+	return n.attempts >= n.attemptLimit/sixteenths*constants.RenewTermAtSixteenths ||
+		n.maxTokenCount >= n.tokenLimit/sixteenths*constants.RenewTermAtSixteenths
 }
 
-// isExhausted reports whether nothing more may be decided under this term. Some numbers are
-// left for what a step that has begun still decides.
+// isExhausted reports whether the owner must decide nothing more under this term. The
+// remaining numbers are reserved for the decisions of a step that has already begun.
 func (n *termCounters) isExhausted() bool {
-	const reserve = 256 // the part that is left: far less than the last sixteenth
-	return n.attempts >= n.attemptLimit-n.attemptLimit/reserve ||
-		n.maxTokenCount >= n.tokenLimit-n.tokenLimit/reserve
+	const reserveDivisor = 256 // one part in this many of the numbers is reserved: far less than the last sixteenth
+	return n.attempts >= n.attemptLimit-n.attemptLimit/reserveDivisor ||
+		n.maxTokenCount >= n.tokenLimit-n.tokenLimit/reserveDivisor
 }
 
-// tokenTerm is the term of a fencing token.
+// tokenTerm returns the term of a fencing token.
 func tokenTerm(token uint64) uint64 { return token >> constants.TokenCounterBits }
 
-// lastToken is the highest fencing token of a term.
+// lastToken returns the highest fencing token of a term.
 func lastToken(term uint64) uint64 { return (term+1)<<constants.TokenCounterBits - 1 }
 
-// attemptTerm is the term in which an attempt number was used; 0 for a gang's shared number.
+// attemptTerm returns the term that an attempt number contains; 0 for the shared number of a
+// gang.
 func attemptTerm(number uint64) uint64 { return number >> constants.AttemptBits }
 
-// IsTermNearlyExhausted reports whether the owner should acquire a new term, before this
-// one's attempt numbers or fencing tokens run out.
+// IsTermNearlyExhausted reports whether the owner should acquire a new term, before the
+// attempt numbers or fencing tokens of its term run out.
 func (o *ownership) IsTermNearlyExhausted() bool { return o.counters.isNearlyExhausted() }
 
-// LimitTermCounters sets how many attempt numbers and tokens the term has, for tests.
+// LimitTermCounters sets the number of attempt numbers and fencing tokens of the term. Only
+// tests use it.
 func (o *ownership) LimitTermCounters(attempts, tokens uint64) {
 	o.counters.attemptLimit, o.counters.tokenLimit = attempts, tokens
 }
