--- a/shard/assignments.go
+++ b/shard/assignments.go
@@ -10,11 +10,11 @@
 	"ravenport/wire"
 )
 
-// closeQueue owns which jobs may have assignments to close, or tasks to offload to
-// the leader. queueForClose adds to it, closeAssignments empties it.
+// closeQueue holds the jobs that may have assignments to close or tasks to offload to the
+// leader. queueForClose adds a job, closeAssignments removes it.
 type closeQueue struct {
 	closeCandidates map[string]*job // by id
-	limitsCheckedAt time.Time       // when jobs of teams at their limit were last looked at for done tasks
+	limitsCheckedAt time.Time       // time at which jobs of teams at their quota limit were last checked for done tasks
 }
 
 // closeAssignments closes finished assignments of the jobs that have changed, and offloads
@@ -34,15 +34,16 @@
 	}
 }
 
-// closeJob writes a job's record if it has finished assignments or tasks to offload.
-// Finished assignments wait a little for the job's others in the shard: a write of the record
-// for each would cost more than all other writes.
+// closeJob writes a job's record if the job has finished assignments or tasks to offload.
+// Finished assignments wait a short time for the job's other assignments in the shard,
+// because a write of the record for each of them would cost more than all other writes
+// together.
 func (c *Core) closeJob(now time.Time, id string, j *job) {
-	f := c.closeStatusOf(&c.fleetView, now, j)
-	if !f.assignmentFinished && !f.tasksOffloaded && !f.tasksFinished {
+	status := c.closeStatusOf(&c.fleetView, now, j)
+	if !status.assignmentFinished && !status.tasksOffloaded && !status.tasksFinished {
 		return
 	}
-	if c.defersClose(now, id, j, f) {
+	if c.defersClose(now, id, j, status) {
 		return
 	}
 	j.closeAt = time.Time{}
@@ -53,11 +54,11 @@
 			assignment.Closed = true
 		}
 	}
-	if f.tasksFinished && !c.closeFinishedTasks(j, rec) && !f.assignmentFinished && !f.tasksOffloaded {
+	if status.tasksFinished && !c.closeFinishedTasks(j, rec) && !status.assignmentFinished && !status.tasksOffloaded {
 		return
 	}
-	if f.tasksOffloaded {
-		if rec = c.removeOffloaded(&c.fleetView, j, rec, f.assignmentFinished); rec == nil {
+	if status.tasksOffloaded {
+		if rec = c.removeOffloaded(&c.fleetView, j, rec, status.assignmentFinished); rec == nil {
 			return
 		}
 	} else {
@@ -69,17 +70,17 @@
 	c.writeJob(now, id, j, rec)
 }
 
-// closeStatus is what of a job in the shard is to be recorded.
+// closeStatus is the part of a job's state in the shard that has to be written to its record.
 type closeStatus struct {
 	assignmentFinished bool // an assignment is finished
-	assignmentOpen     bool // another one is not
-	tasksFinished      bool // tasks of an open one are finished, and the team's quota limit keeps others waiting
-	tasksOffloaded     bool // tasks are to be offloaded to the leader
+	assignmentOpen     bool // another assignment is not finished
+	tasksFinished      bool // tasks of an open assignment are finished, and others wait because of the team's quota limit
+	tasksOffloaded     bool // tasks have to be offloaded to the leader
 }
 
 // closeStatusOf checks a job's assignments in the shard.
 func (c *scaleOutState) closeStatusOf(v *fleetView, now time.Time, j *job) closeStatus {
-	var f closeStatus
+	var status closeStatus
 	atLimit := c.blocksTeamAtLimit(now, j)
 	for i := range j.rec.Assignments {
 		assignment := &j.rec.Assignments[i]
@@ -87,27 +88,27 @@
 			continue
 		}
 		if v.isAssignmentFinished(j, assignment) {
-			f.assignmentFinished = true
+			status.assignmentFinished = true
 			continue
 		}
-		f.assignmentOpen = true
-		for k := assignment.From; atLimit && !f.tasksFinished && k < assignment.To; k++ {
-			f.tasksFinished = v.isTaskFinished(j, k)
+		status.assignmentOpen = true
+		for k := assignment.From; atLimit && !status.tasksFinished && k < assignment.To; k++ {
+			status.tasksFinished = v.isTaskFinished(j, k)
 		}
 	}
 	if j.rec.End == "" {
 		for _, t := range j.tasks {
-			f.tasksOffloaded = f.tasksOffloaded || t.offloading
+			status.tasksOffloaded = status.tasksOffloaded || t.offloading
 		}
 	}
-	return f
+	return status
 }
 
-// defersClose reports whether what is finished waits a little longer for the job's other
-// assignments in the shard.
-func (s *closeQueue) defersClose(now time.Time, id string, j *job, f closeStatus) bool {
-	finished := f.assignmentFinished || f.tasksFinished
-	if !finished || !f.assignmentOpen || f.tasksOffloaded || j.rec.End != "" {
+// defersClose reports whether the write of finished work is deferred to wait for the job's
+// other assignments in the shard.
+func (s *closeQueue) defersClose(now time.Time, id string, j *job, status closeStatus) bool {
+	finished := status.assignmentFinished || status.tasksFinished
+	if !finished || !status.assignmentOpen || status.tasksOffloaded || j.rec.End != "" {
 		return false
 	}
 	if j.closeAt.IsZero() {
@@ -120,19 +121,20 @@
 	return true
 }
 
-// removeOffloaded removes the tasks that are offloaded to the leader from a record's
-// assignments. If the record, with gaps for them, would outgrow the key-value store's values,
-// they stay, and only what was closed is returned; nil if nothing was.
+// removeOffloaded removes the tasks that are offloaded to the leader from the assignments of
+// a record, and returns the record. If the gaps would make the record too large for a value
+// of the key-value store, the tasks stay in the shard; the result is then the record with
+// only its closed assignments changed, or nil if none was closed.
 func (p *placement) removeOffloaded(v *fleetView, j *job, rec *records.Job, closed bool) *records.Job {
-	staying := rec.Clone()
+	withoutRemoval := rec.Clone()
 	for k, t := range j.tasks {
 		if t.offloading {
 			removeTask(rec, k)
 		}
 	}
 	rec.Normalize()
-	plain := len(records.Encode(rec))
-	if plain <= v.cfg.SizeLimits.Next*9/10 || plain <= len(records.Encode(j.rec)) {
+	encodedBytes := len(records.Encode(rec))
+	if encodedBytes <= v.cfg.SizeLimits.Next*9/10 || encodedBytes <= len(records.Encode(j.rec)) {
 		return rec
 	}
 	for _, t := range j.tasks {
@@ -142,8 +144,8 @@
 	if !closed {
 		return nil
 	}
-	staying.Normalize()
-	return staying
+	withoutRemoval.Normalize()
+	return withoutRemoval
 }
 
 // writeJob writes a job's record by compare-and-swap on its version.
@@ -170,8 +172,8 @@
 	return true
 }
 
-// isTaskFinished reports whether a task is done, or its job has ended, and it is surely on no
-// machine.
+// isTaskFinished reports whether a task is done or its job has ended, and no attempt of the
+// task can be on a machine any more.
 func (k *knownState) isTaskFinished(j *job, index int) bool {
 	t := j.tasks[index]
 	ended := j.rec.End != ""
@@ -186,14 +188,14 @@
 	return !k.hasLiveAttempt(j.rec.ID, index)
 }
 
-// closeFinishedTasks closes the finished tasks of open assignments by themselves, unless the
-// record would be too large with so many assignments: then it returns false. While an
-// assignment is open, all its tasks count against their team's quota limit: one task that runs
-// for long would keep others waiting.
+// closeFinishedTasks closes the finished tasks of open assignments one by one. It returns
+// false if the record would be too large with that many assignments. All tasks of an open
+// assignment count against the quota limit of their team, so without this a single long task
+// would keep other tasks waiting.
 func (v *fleetView) closeFinishedTasks(j *job, rec *records.Job) bool {
-	whole := rec.Assignments
+	original := rec.Assignments
 	var split []records.Assignment
-	for _, assignment := range whole {
+	for _, assignment := range original {
 		if assignment.Shard != v.cfg.Shard || assignment.Closed {
 			split = append(split, assignment)
 			continue
@@ -208,13 +210,13 @@
 	rec.Assignments = split
 	rec.Normalize()
 	if len(records.Encode(rec)) > v.cfg.SizeLimits.Next/2 {
-		rec.Assignments = whole
+		rec.Assignments = original
 		return false
 	}
 	return true
 }
 
-// removeTask removes one task from its assignment, which it splits in two.
+// removeTask removes a task from its assignment and splits the assignment in two.
 func removeTask(rec *records.Job, index int) {
 	for i := range rec.Assignments {
 		assignment := &rec.Assignments[i]
@@ -229,7 +231,7 @@
 	}
 }
 
-// queueForClose has a job checked for assignments to close in the next step.
+// queueForClose marks a job so that the next step checks it for assignments to close.
 func (s *closeQueue) queueForClose(j *job) {
 	s.closeCandidates[j.rec.ID] = j
 	j.closeCheckDue = true
--- a/shard/attempt.go
+++ b/shard/attempt.go
@@ -15,38 +15,38 @@
 	jobID          string
 	taskIndex      int
 	machine        *machine
-	state          wire.TaskState // one that a heartbeat has shown, or stateSent
+	state          wire.TaskState // state in the last heartbeat that listed the attempt, or stateSent
 	cause          wire.ExitCause
 	resources      resources
 	image          string
-	reported       bool   // a heartbeat of this epoch has shown it
-	lastReconcile  uint64 // knownState.reconcileCount of the heartbeat that last showed it
-	adopted        bool   // it ran already when this owner first learned of it
-	sentDirectly   bool   // a direct command may have carried its start; a late copy of it may arrive
-	maxDirectToken uint64 // the highest fencing token of such a command
+	reported       bool   // a heartbeat of this epoch has listed the attempt
+	lastReconcile  uint64 // knownState.reconcileCount at the last heartbeat or reply that listed the attempt
+	adopted        bool   // the attempt was running when this owner first learned of it
+	sentDirectly   bool   // a direct command may have carried the start, and a late copy of that command may arrive
+	maxDirectToken uint64 // highest fencing token of such a command
 	startSentSeq   uint64 // sequence number of the heartbeat whose reply last carried the start
-	stopRequested  bool   // to be stopped though its task is still wanted
-	stopsInstantly bool   // it stops without a checkpoint
+	stopRequested  bool   // the attempt has to be stopped although its task is still wanted
+	stopsInstantly bool   // the attempt stops without saving a checkpoint
 	stopSentAt     time.Time
 	startSentAt    time.Time
 	runningSince   time.Time
 }
 
-// attemptKey names one attempt of a task on one machine.
+// attemptKey identifies an attempt of a task on a machine.
 type attemptKey struct {
 	task   string
 	number uint64
 }
 
 // stateSent is the state of an attempt whose start was decided and may have been sent, and
-// which no heartbeat has shown yet.
+// which no heartbeat has listed yet.
 const stateSent wire.TaskState = "sent"
 
 func (a *attempt) hasExited() bool { return a.state == wire.TaskExited }
 
 func (a *attempt) isRunning() bool { return a.state == wire.TaskRunning }
 
-// applySpec copies what the job's specification says of its tasks.
+// applySpec copies the properties of the job's tasks from its specification to an attempt.
 func (a *attempt) applySpec(j *job) {
 	s := &j.rec.Spec
 	a.resources, a.image = taskResources(s), s.Image
@@ -54,7 +54,7 @@
 	a.machine.usageStale = true
 }
 
-// adoptAttempts matches a new task with the attempts of it that are known on machines.
+// adoptAttempts matches a new task with the known attempts of that task on machines.
 func (c *Core) adoptAttempts(t *task) {
 	for _, a := range c.attemptsByTask[taskKey{t.job.rec.ID, t.index}] {
 		a.applySpec(t.job)
@@ -62,7 +62,7 @@
 	}
 }
 
-// matchAttempt reconciles a task with an attempt that a heartbeat showed.
+// matchAttempt updates a task from one of its attempts that a heartbeat listed.
 func (c *Core) matchAttempt(t *task, a *attempt) {
 	a.machine.usageStale = true
 	c.markWaitingStale(t.job)
@@ -83,14 +83,14 @@
 	}
 	if t.attempt == nil && !t.done {
 		t.attempt = a
-		// Only a machine that shows this term's token proves the present. A late copy
-		// of a heartbeat may name a machine that the task has left since, for another
-		// one that has sent no heartbeat yet.
+		// Only the status of a machine that has reported a token of this term is certainly
+		// current. A late copy of an earlier heartbeat may list a task that has since moved
+		// to another machine, which has sent no heartbeat yet.
 		t.uncertain = t.uncertain && !a.machine.hasSeenTerm(c.term)
 	}
 }
 
-// releaseAttempt removes an attempt that has surely ended from its machine and its task.
+// releaseAttempt removes an attempt that has ended for certain from its machine and its task.
 func (c *Core) releaseAttempt(now time.Time, a *attempt) {
 	c.removeAttempt(a)
 	if !a.hasExited() {
@@ -101,7 +101,7 @@
 		if t := j.tasks[a.taskIndex]; t != nil && t.attempt == a {
 			t.attempt = nil
 			t.waitingSince = now
-			t.keepWaiting = false // lost its machine: what does not fit here is offloaded to the leader at once
+			t.keepWaiting = false // the task has lost its machine: if it does not fit here, it is offloaded to the leader at once
 			if j.gang != nil {
 				c.handleLostGangTask(j, a)
 			}
@@ -118,8 +118,8 @@
 	}
 }
 
-// attemptFailed records that an attempt ended without its task being done, and delays the
-// next one.
+// attemptFailed records that an attempt ended although its task was not done, and delays the
+// next attempt.
 func (c *Core) attemptFailed(now time.Time, t *task, a *attempt) {
 	t.waitingSince = now
 	switch a.cause {
@@ -133,14 +133,14 @@
 		}
 		j.failedMachines[a.machine.name] = true
 		t.failures++
-		// Where tasks fail on several machines, the job is at fault and not the machines.
+		// If tasks fail on several machines, the fault is in the job and not in the machines.
 		if len(j.failedMachines) < constants.FaultyJobMachines {
 			a.machine.avoidUntil = now.Add(constants.FaultyMachinePause)
 		}
 		wait := time.Second << min(t.failures, 5)
 		t.notBefore = now.Add(min(wait, constants.MaxFailedTaskRetry))
 		c.draining.migrationFailed(t, a.machine.name)
-	default: // refused for lack of resources, or as busy
+	default: // the machine refused the start for lack of resources or because it was busy
 		slog.Warn("start refused", logkey.TaskID, a.key.task, logkey.Machine, a.machine.name, "cause", a.cause)
 		t.notBefore = now.Add(constants.RefusedStartRetry)
 	}
--- a/shard/cloudlist.go
+++ b/shard/cloudlist.go
@@ -9,8 +9,9 @@
 	"ravenport/wire"
 )
 
-// ApplyMachineList applies the cloud's list of machines, which lags: it shows machines that
-// the owner does not know and those that have failed, and proves nothing else.
+// ApplyMachineList applies the cloud's list of machines. The list lags behind the cloud: it
+// shows machines that the owner does not know and machines that have failed, and proves
+// nothing else.
 func (c *Core) ApplyMachineList(now time.Time, list []wire.CloudMachine) {
 	c.forgetTerminated(now)
 	listed := make(map[string]bool, len(list))
@@ -32,7 +33,7 @@
 			continue
 		}
 		if _, terminated := c.terminated[entry.Name]; terminated {
-			continue // the list lags: terminated a moment ago
+			continue // the list lags: the machine was terminated recently
 		}
 		if m == nil {
 			c.adoptListedMachine(now, entry)
@@ -46,7 +47,8 @@
 	c.countMissedLists(now, listed)
 }
 
-// forgetTerminated drops machines that were terminated long ago.
+// forgetTerminated removes machines that were terminated more than constants.TerminatedMemory
+// ago.
 func (l *liveness) forgetTerminated(now time.Time) {
 	for name, at := range l.terminated {
 		if now.Sub(at) > constants.TerminatedMemory {
@@ -56,7 +58,7 @@
 }
 
 // adoptListedMachine adds an unknown machine that has been booting for longer than the list
-// lags: its request's answer was lost.
+// lags. The reply to the request for such a machine was lost.
 func (c *Core) adoptListedMachine(now time.Time, entry *wire.CloudMachine) {
 	age := time.Duration(entry.AgeS * float64(time.Second))
 	if entry.State != wire.MachineBooting || age <= 2*c.cfg.CloudListLag {
@@ -69,7 +71,8 @@
 	slog.Info("unknown machine found in the cloud's list", logkey.Machine, entry.Name)
 }
 
-// countMissedLists counts for each machine the lists in a row that did not show it.
+// countMissedLists counts for each machine the consecutive lists that did not contain the
+// machine.
 func (v *fleetView) countMissedLists(now time.Time, listed map[string]bool) {
 	for _, m := range v.fleet {
 		if listed[m.name] {
@@ -80,7 +83,7 @@
 	}
 }
 
-// isDelisted reports whether the cloud has stopped listing a machine: it was most likely
-// terminated. That proves nothing, since a list may be old, but an unreachable machine
-// that is still listed is more likely partitioned.
+// isDelisted reports whether the cloud has stopped listing a machine, which was most likely
+// terminated. That is no proof, since a list may be old; but an unreachable machine that is
+// still listed is more likely partitioned.
 func (m *machine) isDelisted() bool { return m.missedLists >= constants.DelistedAfterLists }
--- a/shard/jobrecords.go
+++ b/shard/jobrecords.go
@@ -7,8 +7,8 @@
 	"ravenport/wire"
 )
 
-// applyJob brings the tasks that are assigned to the shard in line with a job's record.
-// inherited marks records from before the term: their tasks may be running.
+// applyJob updates the tasks that are assigned to the shard from a job's record. inherited
+// marks records from before the term, whose tasks may be running already.
 func (c *Core) applyJob(now time.Time, id string, rec *records.Job, version uint64, inherited bool) {
 	c.recordGangShape(now, rec)
 	assigned := c.assignedTasks(rec)
@@ -25,7 +25,7 @@
 	j.rec, j.version = rec, version
 	j.writeInFlight, j.awaitsRecord = false, false
 	for _, t := range j.tasks {
-		t.offloading = false // a write that was based on an older record can only fail now
+		t.offloading = false // a pending write is based on an older record and can only fail now
 		if t.attempt != nil {
 			t.attempt.machine.usageStale = true
 		}
@@ -59,7 +59,7 @@
 	return n
 }
 
-// addJob adds a job that was not known.
+// addJob adds a job to the known state.
 func (c *Core) addJob(now time.Time, id string, rec *records.Job, assigned int) *job {
 	j := &job{rec: rec, tasks: make(map[int]*task, assigned)}
 	c.jobs[id] = j
@@ -70,13 +70,13 @@
 	return j
 }
 
-// sinceAccepted is how long ago a job was accepted.
+// sinceAccepted returns the time since a job was accepted.
 func sinceAccepted(now time.Time, rec *records.Job) time.Duration {
 	return time.Duration(now.UnixMilli()-rec.AcceptedMS) * time.Millisecond
 }
 
-// applyAssignments adds and removes a job's tasks so that they are those of its open
-// assignments to the shard, and returns how many it added.
+// applyAssignments adds and removes tasks of a job so that the known tasks are those of its
+// open assignments to the shard. It returns the number of added tasks.
 func (c *Core) applyAssignments(now time.Time, j *job, assigned int, inherited bool) (added int) {
 	keep := make(map[int]bool, assigned)
 	for _, assignment := range j.rec.Assignments {
@@ -101,7 +101,7 @@
 	for i, t := range j.tasks {
 		if !keep[i] {
 			if t.attempt != nil {
-				c.requestCommand(t.attempt.machine) // to be stopped
+				c.requestCommand(t.attempt.machine) // to stop the attempt
 			}
 			t.attempt = nil
 			delete(j.tasks, i)
@@ -120,11 +120,12 @@
 	}
 }
 
-// ApplyCancellation applies another controller's message that a job is stored as cancelled,
-// before the feed brings the record: its tasks are stopped and none is started. An owner that
-// the key-value store refuses thus follows cancellations that others confirm. The record keeps
-// its version, so no write that is based on it before the feed brings the stored one can
-// succeed.
+// ApplyCancellation handles a message of another controller that a job is stored as
+// cancelled. The message may come before the feed brings the record. The job's tasks are
+// stopped and no task is started. An owner whose requests the key-value store refuses can
+// thus follow cancellations that other controllers confirm. The version of the record is not
+// changed, so a write that is based on the changed record fails until the feed brings the
+// stored record.
 func (c *Core) ApplyCancellation(id string) {
 	j := c.jobs[id]
 	if j == nil || j.rec.End != "" {
@@ -138,7 +139,7 @@
 	c.needsPlacement, c.aggregateChanged = true, true
 }
 
-// assignedWork is work that a job's record assigned to the shard.
+// assignedWork is the amount of work that a version of a job's record assigned to the shard.
 type assignedWork struct {
 	version uint64
 	spot    bool
