--- a/shard/cancellation_test.go
+++ b/shard/cancellation_test.go
@@ -8,16 +8,16 @@
 	"ravenport/wire"
 )
 
-// An owner whose authority has ended goes on answering heartbeats for the lease extension.
-// On a generated day (TestRulesHoldWithDetection with more faults, 1 of 1,425 plays broke
-// ran_cancelled) it so renewed the lease of a machine whose task it knew as cancelled, and
-// gave no command: "heartbeat answered status 200, reply carried out" with the cancelled task
-// listed as running and no stop, 11 s after "cancellation confirmed"; then the machine hung,
-// and stayed so until cancel_s was over. A cancellation is stored before anybody is told and
-// is final, so its stop needs no authority.
+// An owner whose authority has ended still answers heartbeats for the lease extension. In a
+// generated scenario (TestRulesHoldWithDetection with more faults, 1 of 1,425 runs broke
+// ran_cancelled) the owner renewed the lease of a machine whose task it knew as cancelled,
+// and gave no command: the log had "heartbeat answered status 200, reply carried out" with
+// the cancelled task listed as running and no stop, 11 s after "cancellation confirmed". The
+// machine then hung until cancel_s was over. A cancellation is stored before a controller
+// confirms it and is final, so its stop needs no authority.
 
-// cancelledWithoutAuthority is an owner without authority, in its lease extension, with tasks
-// of two jobs that run on one machine; the first job was cancelled.
+// cancelledWithoutAuthority returns an owner without authority, in its lease extension, and
+// the status of the tasks of two jobs that run on one machine. The first job was cancelled.
 func cancelledWithoutAuthority(t *testing.T, cancel func(*rig, *records.Job)) (*rig, []wire.TaskStatus) {
 	t.Helper()
 	job, other := arrayJob("run-1", 1, "a"), arrayJob("run-2", 2, "a")
@@ -44,8 +44,8 @@
 
 func TestCancelledTasksAreStoppedWithoutAuthority(t *testing.T) {
 	for name, cancel := range map[string]func(*rig, *records.Job){
-		"told by another controller": func(r *rig, job *records.Job) { r.ApplyCancellation(job.ID) },
-		"shown by the feed": func(r *rig, job *records.Job) {
+		"reported by another controller": func(r *rig, job *records.Job) { r.ApplyCancellation(job.ID) },
+		"read from the feed": func(r *rig, job *records.Job) {
 			record := job.Clone()
 			record.End = wire.JobCancelled
 			r.submit(record)
@@ -59,7 +59,7 @@
 					t.Fatal(err)
 				}
 				if len(reply.Commands) != 1 || reply.Commands[0].Op != wire.OpStop || reply.Commands[0].Task != "run-1/0" {
-					t.Errorf("commands %+v, wanted the stop of run-1/0 alone", reply.Commands)
+					t.Errorf("commands %+v, want only the stop of run-1/0", reply.Commands)
 				}
 				r.now = r.now.Add(time.Second)
 			}
@@ -70,8 +70,8 @@
 	}
 }
 
-// Nothing else is done without authority: what exited is not forgotten, and a task of a job
-// that is done or unknown is not stopped.
+// An owner without authority gives no other command: an exited attempt is not forgotten, and
+// a task of a job that is done or unknown is not stopped.
 func TestNothingElseIsCommandedWithoutAuthority(t *testing.T) {
 	r, tasks := cancelledWithoutAuthority(t, func(r *rig, job *records.Job) { r.ApplyCancellation(job.ID) })
 	tasks[0].State, tasks[0].Cause = wire.TaskExited, wire.CauseStopped
@@ -86,11 +86,11 @@
 	}
 }
 
-// A stop that got no answer is repeated with every probe of the machine: on another such day
-// (1 of 1,592 plays, "direct command sent stop:run-000006/0" once, then 3 times "direct command
-// carried out" with no command at all, each a probe that was held up) the machine was cut off
-// from its owner for two seconds after the cancellation, carried out probes that said nothing,
-// and hung through an outage.
+// A stop without a reply is repeated with every probe of the machine. In another generated
+// scenario (1 of 1,592 runs) the log had "direct command sent stop:run-000006/0" once, then 3
+// times "direct command carried out" with no command at all, each of them a delayed probe.
+// The machine was cut off from its owner for two seconds after the cancellation, carried out
+// probes without a command, and hung through an outage.
 func TestProbesRepeatStopsOfCancelledTasks(t *testing.T) {
 	job := arrayJob("run-1", 1, "a")
 	r := newRig(map[string]*records.Job{"run-1": job})
@@ -110,7 +110,7 @@
 	r.Heartbeat(r.now, newHeartbeat(name, 1, 20, r.latestToken(name), running))
 	r.ApplyCancellation(job.ID)
 	sent, stops := 0, 0
-	for range 80 { // the machine is silent, the others are not
+	for range 80 { // the machine sends no heartbeats, the others do
 		for _, other := range []string{"m-0", "m-1", "m-2"} {
 			if other != name {
 				r.Heartbeat(r.now, newHeartbeat(other, 1, uint64(r.now.UnixMilli()), r.latestToken(other)))
--- a/shard/directcommands_test.go
+++ b/shard/directcommands_test.go
@@ -10,14 +10,13 @@
 	"ravenport/constants"
 )
 
-// A start that was decided goes out with the very next step, also between two looks
-// at the whole fleet.
+// A start is sent in the step that decides it, also between two scans of the fleet.
 func TestStartIsSentAtOnce(t *testing.T) {
 	r := newRig(nil)
 	for i := range 3 {
 		r.bringUp(fmt.Sprintf("m-%d", i))
 	}
-	r.advance(constants.FleetScanInterval) // a look at the fleet; the next one is that far away
+	r.advance(constants.FleetScanInterval) // runs a scan of the fleet; the next scan is one interval later
 	job := arrayJob("run-1", 2, "a")
 	job.AcceptedMS = r.now.UnixMilli()
 	r.submit(job)
@@ -27,13 +26,13 @@
 		n += len(directStarts(acts, fmt.Sprintf("m-%d", i)))
 	}
 	if n != 2 {
-		t.Fatalf("%d of 2 starts went out with the step that decided them", n)
+		t.Fatalf("%d of 2 starts were sent in the step that decided them", n)
 	}
 }
 
-// Whatever is answered, lost or terminated meanwhile, the direct commands in flight
-// are counted right, never exceed what is allowed, and nothing that a machine should
-// be told is forgotten: its place in the queue or the next look brings it.
+// With any order of replies, lost replies and terminations, the number of direct commands in
+// flight is counted correctly and stays within the limit, and no pending command is lost: the
+// command queue or the next scan of the fleet sends it.
 func TestDirectCommandsInFlightAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const machines = 12
@@ -42,23 +41,23 @@
 			r.bringUp(fmt.Sprintf("m-%d", i))
 		}
 		r.cfg.MaxDirectCommands = rapid.IntRange(1, 4).Draw(t, "calls")
-		open := map[string]bool{}
-		take := func(acts []Action) {
-			for _, a := range acts {
+		inFlight := map[string]bool{}
+		check := func(actions []Action) {
+			for _, a := range actions {
 				s, ok := a.(SendCommands)
 				if !ok {
 					continue
 				}
-				if open[s.Machine] {
-					t.Fatalf("a second command to %s while one is under way", s.Machine)
+				if inFlight[s.Machine] {
+					t.Fatalf("a second command was sent to %s while one is in flight", s.Machine)
 				}
-				open[s.Machine] = true
+				inFlight[s.Machine] = true
 			}
-			if len(open) > r.cfg.MaxDirectCommands {
-				t.Fatalf("%d commands under way, %d allowed", len(open), r.cfg.MaxDirectCommands)
+			if len(inFlight) > r.cfg.MaxDirectCommands {
+				t.Fatalf("%d commands in flight, %d allowed", len(inFlight), r.cfg.MaxDirectCommands)
 			}
-			if r.commandsInFlight != len(open) {
-				t.Fatalf("%d commands under way, counted as %d", len(open), r.commandsInFlight)
+			if r.commandsInFlight != len(inFlight) {
+				t.Fatalf("%d commands in flight, counted as %d", len(inFlight), r.commandsInFlight)
 			}
 		}
 		for i := range rapid.IntRange(5, 60).Draw(t, "moves") {
@@ -67,38 +66,38 @@
 			case 0:
 				r.submit(arrayJob(fmt.Sprintf("run-%d", i), rapid.IntRange(1, 6).Draw(t, "tasks"), "a"))
 			case 1:
-				if open[name] {
-					delete(open, name)
+				if inFlight[name] {
+					delete(inFlight, name)
 					r.CommandResult(r.now, name, nil)
 				}
-			case 2: // its return is confirmed while a command may be under way
+			case 2: // the machine's termination is confirmed while a command may be in flight
 				if r.machines[name] != nil {
 					r.ScaleInResult(r.now, []string{name})
 					r.removeMachine(&r.outbox, r.machines[name])
-					delete(open, name)
+					delete(inFlight, name)
 				}
 			case 3: // a terminated machine answers late
 				if r.machines[name] == nil {
 					r.CommandResult(r.now, name, nil)
 				}
 			}
-			take(r.advance(constants.MinOwnerStepInterval))
+			check(r.advance(constants.MinOwnerStepInterval))
 		}
-		for name := range open {
+		for name := range inFlight {
 			r.CommandResult(r.now, name, nil)
 		}
-		clear(open)
-		for range 4 * machines { // every machine in turn, within the bound
-			take(r.advance(constants.CommandRetryInterval))
-			for name := range open {
+		clear(inFlight)
+		for range 4 * machines { // enough steps for every machine within the limit
+			check(r.advance(constants.CommandRetryInterval))
+			for name := range inFlight {
 				r.CommandResult(r.now, name, nil)
 			}
-			clear(open)
+			clear(inFlight)
 		}
 		for _, m := range r.machines {
 			for _, att := range m.attempts {
 				if att.state == stateSent && r.isWanted(att) && !att.sentDirectly && m.hasSeenTerm(r.term) && !m.isUnconfirmed() && !m.scalingIn {
-					t.Fatalf("%s was never sent the start of %s", m.name, att.key.task)
+					t.Fatalf("the start was never sent: machine %s, task %s", m.name, att.key.task)
 				}
 			}
 		}
@@ -119,7 +118,7 @@
 			return
 		}
 	}
-	t.Fatal("it was not asked")
+	t.Fatal("the machine was not probed")
 }
 
 // The probes of one step are bounded, however many machines are unreachable.
@@ -128,15 +127,15 @@
 	const machines = 3 * constants.MaxProbesPerStep
 	r.fleet(machines)
 	r.Step(r.now)
-	asked := 0
-	for end := r.now.Add(2 * r.cfg.HeartbeatPeriod); asked == 0 && r.now.Before(end); {
+	probed := 0
+	for end := r.now.Add(2 * r.cfg.HeartbeatPeriod); probed == 0 && r.now.Before(end); {
 		for _, a := range r.advance(time.Second) {
 			if s, ok := a.(SendCommands); ok && len(s.Request.Commands) == 0 {
-				asked++
+				probed++
 			}
 		}
 	}
-	if asked != constants.MaxProbesPerStep {
-		t.Fatalf("%d machines probed in one step of %d unreachable ones", asked, machines)
+	if probed != constants.MaxProbesPerStep {
+		t.Fatalf("%d of %d unreachable machines were probed in one step", probed, machines)
 	}
 }
--- a/shard/failureproof_test.go
+++ b/shard/failureproof_test.go
@@ -9,31 +9,31 @@
 	"ravenport/records"
 )
 
-// These tests guard against the termination of machines that run: TestLossyFleet showed, in
-// 5 of 160 plays, running tasks ended as "unreachable since failover" or "unreachable" after
-// two unanswered probes. The owner's log had both probes within milliseconds ("direct
-// command unanswered", err "the answer was lost"): a probe that fails at once was repeated at
-// once, so one moment without answers counted as several, and after a failover the heartbeat
-// of such a machine was not even due.
+// These tests guard against the termination of machines that run. TestLossyFleet showed, in 5
+// of 160 runs, that running tasks ended as "unreachable since failover" or "unreachable"
+// after two unanswered probes. The owner's log had both probes within milliseconds ("direct
+// command unanswered", err "the answer was lost"). The owner repeated a probe at once if it
+// failed at once, so a short moment without replies counted as several unanswered probes.
+// After a failover the heartbeat of such a machine was not even due.
 
-// probedFleet is a fleet of which all machines but the first send a heartbeat every second,
-// while probes of that one have no answer.
+// probedFleet is a fleet in which one machine sends no heartbeat and its probes get no reply,
+// while all other machines send a heartbeat every second.
 type probedFleet struct {
 	*rig
-	silent  string
-	seq     uint64
-	answers int           // answer the probe after so many unanswered ones; 0: never
-	takes   time.Duration // until an unanswered probe has failed
-	pending time.Time     // when the open probe fails; zero: none is open
-	probes  int
+	unreachable string
+	seq         uint64
+	answerAfter int           // number of unanswered probes after which a probe is answered; 0: never
+	failsAfter  time.Duration // time until an unanswered probe fails
+	failsAt     time.Time     // time at which the probe in flight fails; zero: none is in flight
+	probes      int
 }
 
-// advanceUntilTerminated lets time pass and returns after which time the silent machine was
-// terminated; 0 if it was not.
+// advanceUntilTerminated advances the time by at most d. It returns the time after which the
+// unreachable machine was terminated, or 0 if it was not.
 func (f *probedFleet) advanceUntilTerminated(d time.Duration) time.Duration {
-	began := f.now
-	for f.now.Sub(began) < d {
-		if (f.now.Sub(began)/(100*time.Millisecond))%10 == 0 {
+	startedAt := f.now
+	for f.now.Sub(startedAt) < d {
+		if (f.now.Sub(startedAt)/(100*time.Millisecond))%10 == 0 {
 			f.sendHeartbeats()
 		}
 		f.failProbe()
@@ -43,8 +43,8 @@
 				f.answer(a.Machine)
 			case ScaleIn:
 				for _, name := range a.Names {
-					if name == f.silent {
-						return f.now.Sub(began)
+					if name == f.unreachable {
+						return f.now.Sub(startedAt)
 					}
 				}
 			}
@@ -56,40 +56,41 @@
 func (f *probedFleet) sendHeartbeats() {
 	f.seq++
 	for name := range f.machines {
-		if name != f.silent {
+		if name != f.unreachable {
 			heartbeat := newHeartbeat(name, 1, f.seq, f.latestToken(name))
-			heartbeat.Spot = true // idle on-demand ones would be terminated
+			heartbeat.Spot = true // idle on-demand machines would be terminated
 			f.Heartbeat(f.now, heartbeat)
 		}
 	}
 }
 
 func (f *probedFleet) answer(machine string) {
-	if machine != f.silent {
+	if machine != f.unreachable {
 		f.seq++
 		f.CommandResult(f.now, machine, newHeartbeat(machine, 1, f.seq, f.latestToken(machine)))
 		return
 	}
 	f.probes++
-	if f.probes == f.answers+1 && f.answers > 0 {
+	if f.probes == f.answerAfter+1 && f.answerAfter > 0 {
 		f.CommandResult(f.now, machine, newHeartbeat(machine, 1, 1000, f.latestToken(machine)))
 		return
 	}
-	f.pending = f.now.Add(f.takes)
+	f.failsAt = f.now.Add(f.failsAfter)
 }
 
 func (f *probedFleet) failProbe() {
-	if !f.pending.IsZero() && !f.now.Before(f.pending) {
-		f.pending = time.Time{}
-		f.CommandResult(f.now, f.silent, nil)
+	if !f.failsAt.IsZero() && !f.now.Before(f.failsAt) {
+		f.failsAt = time.Time{}
+		f.CommandResult(f.now, f.unreachable, nil)
 	}
 }
 
-// newProbedFleet is a fleet at work, or, inherited, one whose owner has just begun.
+// newProbedFleet returns a fleet whose machines are known to the owner or, with inherited, a
+// fleet whose owner has just acquired its term.
 func newProbedFleet(inherited bool) *probedFleet {
 	const machines = 20
 	if !inherited {
-		f := &probedFleet{rig: newRig(nil), silent: "m-00000", seq: 100}
+		f := &probedFleet{rig: newRig(nil), unreachable: "m-00000", seq: 100}
 		f.fleet(machines)
 		for _, m := range f.machines {
 			m.spot = true
@@ -102,31 +103,32 @@
 		name := fmt.Sprintf("m-%05d", i)
 		inventory = append(inventory, records.Machine{Name: name, Type: "box", Addr: name + ":1", Spot: true})
 	}
-	return &probedFleet{rig: newRig(nil, inventory...), silent: "m-00000", seq: 100}
+	return &probedFleet{rig: newRig(nil, inventory...), unreachable: "m-00000", seq: 100}
 }
 
-// A machine is terminated for its silence only after as many unanswered probes as prove it,
-// each of which stands for the whole time of a probe, however soon it failed; and not much
-// later, since the tasks that were on it wait.
+// A machine without heartbeats is terminated only after constants.MaxUnansweredCommands
+// unanswered probes. Each probe counts for the whole of constants.ProbeTimeout, however soon
+// it failed. The termination must not be much later either, since the tasks that were on the
+// machine wait for it.
 func TestUnansweredProbesProveAFailureOnlyOverTime(t *testing.T) {
 	const proof = constants.MaxUnansweredCommands * constants.ProbeTimeout
-	const slack = time.Second // rounds, scans of the fleet and of what to terminate
+	const slack = time.Second // time for placement rounds, scans of the fleet and checks for machines to terminate
 	for _, c := range []struct {
 		name      string
 		inherited bool
-		overdue   time.Duration // from when on it is probed
+		overdue   time.Duration // time after which the machine is probed
 	}{
-		{"a heartbeat that is overdue", false, time.Duration(constants.HeartbeatOverduePeriods * 3 * float64(time.Second))},
+		{"overdue heartbeat", false, time.Duration(constants.HeartbeatOverduePeriods * 3 * float64(time.Second))},
 		{"after a failover", true, 0},
 	} {
-		for _, takes := range []time.Duration{0, constants.ProbeTimeout / 2, constants.ProbeTimeout} {
-			t.Run(fmt.Sprintf("%s, probes fail after %s", c.name, takes), func(t *testing.T) {
+		for _, failsAfter := range []time.Duration{0, constants.ProbeTimeout / 2, constants.ProbeTimeout} {
+			t.Run(fmt.Sprintf("%s, probes fail after %s", c.name, failsAfter), func(t *testing.T) {
 				f := newProbedFleet(c.inherited)
-				f.takes = takes
+				f.failsAfter = failsAfter
 				after := f.advanceUntilTerminated(20 * time.Second)
 				earliest := c.overdue + proof - constants.ProbeTimeout
 				if after < earliest || after > c.overdue+proof+slack {
-					t.Errorf("terminated after %s and %d probes, wanted %s to %s", after, f.probes, earliest, c.overdue+proof+slack)
+					t.Errorf("terminated after %s and %d probes, want %s to %s", after, f.probes, earliest, c.overdue+proof+slack)
 				}
 				if f.probes < constants.MaxUnansweredCommands {
 					t.Errorf("terminated after %d probes", f.probes)
@@ -136,39 +138,39 @@
 	}
 }
 
-// A machine that answers the last probe before it would be proven as failed has not failed.
+// A machine that answers the last probe before it would count as failed is not terminated.
 func TestAnsweredProbeDiscardsUnansweredOnes(t *testing.T) {
 	for _, inherited := range []bool{false, true} {
-		for _, takes := range []time.Duration{0, constants.ProbeTimeout} {
+		for _, failsAfter := range []time.Duration{0, constants.ProbeTimeout} {
 			f := newProbedFleet(inherited)
-			f.takes, f.answers = takes, constants.MaxUnansweredCommands-1
+			f.failsAfter, f.answerAfter = failsAfter, constants.MaxUnansweredCommands-1
 			if after := f.advanceUntilTerminated(8 * time.Second); after != 0 {
-				t.Errorf("inherited %v, probes fail after %s: terminated after %s and %d probes", inherited, takes, after, f.probes)
+				t.Errorf("inherited %v, probes fail after %s: terminated after %s and %d probes", inherited, failsAfter, after, f.probes)
 			}
 		}
 	}
 }
 
-// A heartbeat that another controller received discards the probes that were unanswered
-// before it: the machine runs, and its silence is counted anew.
+// A heartbeat that another controller received discards the unanswered probes from before it:
+// the machine runs, and missing replies are counted anew.
 func TestMisroutedHeartbeatDiscardsUnansweredProbes(t *testing.T) {
 	f := newProbedFleet(false)
-	f.takes = constants.ProbeTimeout
-	m := f.machines[f.silent]
+	f.failsAfter = constants.ProbeTimeout
+	m := f.machines[f.unreachable]
 	if after := f.advanceUntilTerminated(6 * time.Second); after != 0 {
 		t.Fatalf("terminated after %s", after)
 	}
 	if m.unansweredProbes == 0 {
-		t.Fatal("no probe was unanswered yet")
+		t.Fatal("no probe was left unanswered")
 	}
-	f.ApplyMisroutedHeartbeats(f.now, []MisroutedHeartbeat{{f.silent, 1, 50}}, true)
+	f.ApplyMisroutedHeartbeats(f.now, []MisroutedHeartbeat{{f.unreachable, 1, 50}}, true)
 	if m.unansweredProbes != 0 {
-		t.Errorf("%d probes from before the heartbeat still count", m.unansweredProbes)
+		t.Errorf("%d unanswered probes from before the heartbeat still count", m.unansweredProbes)
 	}
-	f.ApplyMisroutedHeartbeats(f.now, []MisroutedHeartbeat{{f.silent, 1, 1}}, true)
+	f.ApplyMisroutedHeartbeats(f.now, []MisroutedHeartbeat{{f.unreachable, 1, 1}}, true)
 	m.unansweredProbes = 2
-	f.ApplyMisroutedHeartbeats(f.now, []MisroutedHeartbeat{{f.silent, 1, 1}}, true)
+	f.ApplyMisroutedHeartbeats(f.now, []MisroutedHeartbeat{{f.unreachable, 1, 1}}, true)
 	if m.unansweredProbes != 2 {
-		t.Error("a late copy discarded probes")
+		t.Error("a late copy of a heartbeat discarded unanswered probes")
 	}
 }
--- a/shard/heartbeat_test.go
+++ b/shard/heartbeat_test.go
@@ -8,7 +8,7 @@
 	"ravenport/wire"
 )
 
-// Each refusal of a heartbeat has an error of its own.
+// Each reason to refuse a heartbeat has its own error.
 func TestRefusedHeartbeats(t *testing.T) {
 	otherZone := newHeartbeat("m-1", 1, 9, token(5, 0))
 	otherZone.Zone = "b"
--- a/shard/inventory_test.go
+++ b/shard/inventory_test.go
@@ -11,25 +11,25 @@
 	"ravenport/wire"
 )
 
-// A page that the version before left, larger than values will be, is brought
-// under the limit by writes of any small number of pages, and at each moment every
-// machine is on a durable page; also where the owner that did it ends half way.
+// A page of the previous version that is larger than the new limit on values is split by
+// writes of any small number of pages. At each moment every machine is on a durable page,
+// also if the owner that splits the page ends before the split is complete.
 func TestLargePageIsSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pages := map[string]*records.InventoryPage{}
 		versions := map[string]uint64{}
 		names := map[string]bool{}
-		for p := range rapid.IntRange(1, 3).Draw(t, "pages") {
-			pg := &records.InventoryPage{Shard: "a", Number: p}
+		for number := range rapid.IntRange(1, 3).Draw(t, "pages") {
+			record := &records.InventoryPage{Shard: "a", Number: number}
 			for i := range rapid.IntRange(1, 190).Draw(t, "machines") {
-				name := fmt.Sprintf("m-%06d", 1000*p+i)
+				name := fmt.Sprintf("m-%06d", 1000*number+i)
 				names[name] = true
-				pg.Add(records.Machine{Name: name, Type: "box", Addr: "10.1.200.232:9000"})
+				record.Add(records.Machine{Name: name, Type: "box", Addr: "10.1.200.232:9000"})
 			}
-			pages[records.KeyInventory("a", p)], versions[records.KeyInventory("a", p)] = pg, uint64(10+p)
+			pages[records.KeyInventory("a", number)], versions[records.KeyInventory("a", number)] = record, uint64(10+number)
 		}
 		limit := rapid.SampledFrom([]int{1024, 2048, 4096}).Draw(t, "limit")
-		rev := uint64(100)
+		revision := uint64(100)
 		for term := uint64(5); term < 9; term++ {
 			r := newRig(nil)
 			cfg := r.cfg
@@ -43,41 +43,41 @@
 			}
 			for range steps {
 				now = now.Add(300 * time.Millisecond)
-				c.fleetScans.last = now // nobody reports: nothing is to be given up for it
+				c.fleetScans.last = now // no machine sends heartbeats; without scans of the fleet no lease expires
 				for _, a := range c.Step(now) {
-					cm, ok := a.(Commit)
+					commit, ok := a.(Commit)
 					if !ok {
 						continue
 					}
-					if len(cm.Txn.Changes) > cfg.MaxTxnOps {
-						t.Fatalf("%d changes where %d are allowed", len(cm.Txn.Changes), cfg.MaxTxnOps)
+					if len(commit.Txn.Changes) > cfg.MaxTxnOps {
+						t.Fatalf("%d changes in a transaction, %d are allowed", len(commit.Txn.Changes), cfg.MaxTxnOps)
 					}
-					rev++
-					for _, ch := range cm.Txn.Changes {
+					revision++
+					for _, ch := range commit.Txn.Changes {
 						if len(ch.Value) > limit {
-							t.Fatalf("a page of %d bytes", len(ch.Value))
+							t.Fatalf("a page has %d bytes, more than the limit", len(ch.Value))
 						}
 						rec, err := records.Decode(ch.Put, ch.Value)
 						if err != nil {
 							t.Fatal(err)
 						}
-						pages[ch.Put], versions[ch.Put] = rec.(*records.InventoryPage), rev
+						pages[ch.Put], versions[ch.Put] = rec.(*records.InventoryPage), revision
 					}
-					on := map[string]bool{}
+					durable := map[string]bool{}
 					for _, p := range pages {
 						for _, m := range p.Machines() {
-							on[m.Name] = true
+							durable[m.Name] = true
 						}
 					}
-					if len(on) != len(names) {
-						t.Fatalf("%d of %d machines on durable pages", len(on), len(names))
+					if len(durable) != len(names) {
+						t.Fatalf("%d of %d machines are on durable pages", len(durable), len(names))
 					}
 					if rapid.Bool().Draw(t, "answered") {
-						c.CommitResult(now, cm.ID, rev)
+						c.CommitResult(now, commit.ID, revision)
 					} else {
-						c.CommitResult(now, cm.ID, 0)
-						for _, ch := range cm.Txn.Changes {
-							c.Apply(now, records.Change{Key: ch.Put, Version: rev, Record: pages[ch.Put]})
+						c.CommitResult(now, commit.ID, 0)
+						for _, ch := range commit.Txn.Changes {
+							c.Apply(now, records.Change{Key: ch.Put, Version: revision, Record: pages[ch.Put]})
 						}
 					}
 				}
@@ -87,11 +87,11 @@
 		for key, p := range pages {
 			total += len(p.Machines())
 			if n := len(records.Encode(p)); n > limit {
-				t.Fatalf("%s still takes %d bytes", key, n)
+				t.Fatalf("%s still has %d bytes", key, n)
 			}
 		}
 		if total != len(names) {
-			t.Fatalf("%d entries for %d machines", total, len(names))
+			t.Fatalf("the pages have %d entries for %d machines", total, len(names))
 		}
 	})
 }
--- a/shard/partition_test.go
+++ b/shard/partition_test.go
@@ -7,23 +7,23 @@
 )
 
 // advanceMisrouted advances the time while the owner's machines send heartbeats only to other
-// controllers, and returns the machines that it terminated.
+// controllers, and returns the machines that the owner terminated.
 func (r *rig) advanceMisrouted(d time.Duration) []string {
 	seq := uint64(100)
 	return r.advanceUnanswered(d, func() {
 		seq++
-		var seen []MisroutedHeartbeat
+		var heartbeats []MisroutedHeartbeat
 		for name := range r.machines {
-			seen = append(seen, MisroutedHeartbeat{Machine: name, Epoch: 1, Seq: seq})
+			heartbeats = append(heartbeats, MisroutedHeartbeat{Machine: name, Epoch: 1, Seq: seq})
 		}
-		r.ApplyMisroutedHeartbeats(r.now, seen, true)
+		r.ApplyMisroutedHeartbeats(r.now, heartbeats, true)
 	})
 }
 
-// An owner that its machines cannot reach terminates none of them. Guards against two ways in
-// which the machines of a small shard, which ran on and sent heartbeats to others, were
-// terminated: an idle one during the partition, which left two, and two that are both
-// unconfirmed as not receiving.
+// An owner that its machines cannot reach terminates none of them. The test guards against
+// two ways in which running machines of a small shard that sent heartbeats to other
+// controllers were terminated: an idle machine during the partition, which left two machines,
+// and two machines that were both unconfirmed and counted as not receiving.
 func TestSmallShardWithMisroutedHeartbeatsIsKept(t *testing.T) {
 	for _, machines := range []int{2, 3} {
 		r := newRig(nil)
@@ -33,22 +33,22 @@
 		for i := range machines {
 			r.bringUp(fmt.Sprintf("m-%d", i))
 		}
-		if gone := r.advanceMisrouted(16 * time.Second); len(gone) > 0 {
-			t.Errorf("of %d machines that send heartbeats to others %v were terminated", machines, gone)
+		if terminated := r.advanceMisrouted(16 * time.Second); len(terminated) > 0 {
+			t.Errorf("of %d machines that send heartbeats to other controllers, %v were terminated", machines, terminated)
 		}
-		if isolated, elsewhere := r.IsIsolated(r.now); !isolated || !elsewhere {
-			t.Errorf("with %d machines the owner does not see that it is isolated", machines)
+		if isolated, misrouted := r.IsIsolated(r.now); !isolated || !misrouted {
+			t.Errorf("with %d machines the owner does not detect that it is isolated", machines)
 		}
 	}
 }
 
-// Two machines that stay unconfirmed are terminated once their leases have surely ended:
-// nothing runs there any more, and nobody else takes them.
+// Two machines that stay unconfirmed are terminated once their leases have expired for
+// certain: no task runs on them any more, and no other controller uses them.
 func TestTwoMachinesNotReceivingAreTerminatedAfterTheirLease(t *testing.T) {
 	r := newRig(nil)
 	r.bringUp("m-0")
 	r.bringUp("m-1")
-	if gone := r.advanceMisrouted(2*leaseEnd + 10*time.Second); len(gone) != 2 {
-		t.Errorf("%v were terminated", gone)
+	if terminated := r.advanceMisrouted(2*leaseEnd + 10*time.Second); len(terminated) != 2 {
+		t.Errorf("%v were terminated", terminated)
 	}
 }
--- a/shard/reconnect_test.go
+++ b/shard/reconnect_test.go
@@ -9,9 +9,9 @@
 	"ravenport/wire"
 )
 
-// BenchmarkReconnect is a whole shard that comes back with nothing left on its
-// machines: all send heartbeats of new epochs within a period, and all tasks that it had
-// are placed again, services and arrays of many jobs.
+// BenchmarkReconnect measures a whole shard whose machines reconnect without any task on
+// them. All machines send heartbeats of new epochs within a period, and all tasks of the
+// shard, services and arrays of many jobs, are placed again.
 func BenchmarkReconnect(b *testing.B) {
 	const machines, services, arrays = 600, 200, 60
 	for b.Loop() {
--- a/shard/termcounters_test.go
+++ b/shard/termcounters_test.go
@@ -9,15 +9,15 @@
 	"ravenport/wire"
 )
 
-// A term's attempt numbers and tokens never reach those of the next term: the owner
-// asks for a new term in time, and where none comes it starts nothing more. Guards
-// against an owner of a large fleet that starts sixteen million tasks in one term.
+// A term's attempt numbers and tokens never reach those of the next term: the owner requests
+// a new term in time, and without a new term it starts no more tasks. The test guards against
+// an owner of a large fleet that starts sixteen million tasks in one term.
 func TestAttemptNumbersNeverReachTheNextTerm(t *testing.T) {
 	const attempts = 2048
 	r := newRig(nil)
 	r.fleet(4)
 	r.LimitTermCounters(attempts, 1<<constants.TokenCounterBits)
-	asked, started := 0, 0
+	requestedAt, started := 0, 0
 	for i := range 2 * attempts / 8 {
 		r.submit(arrayJob(fmt.Sprintf("run-%06d", i), 8, "a"))
 		r.advance(300 * time.Millisecond)
@@ -27,40 +27,40 @@
 				tasks = append(tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskExited, Cause: wire.CauseDone})
 				started++
 				if a.key.number>>constants.AttemptBits != r.term || a.key.number&(1<<constants.AttemptBits-1) >= attempts {
-					t.Fatalf("attempt %d of term %d with %d numbers", a.key.number, r.term, attempts)
+					t.Fatalf("attempt number %d is outside term %d with %d numbers", a.key.number, r.term, attempts)
 				}
 			}
 			r.Heartbeat(r.now, newHeartbeat(name, 1, uint64(10+i), r.latestToken(name), tasks...))
 		}
-		if r.IsTermNearlyExhausted() && asked == 0 {
-			asked = started
+		if r.IsTermNearlyExhausted() && requestedAt == 0 {
+			requestedAt = started
 		}
 	}
-	if asked == 0 || started <= asked {
-		t.Errorf("a new term was asked for after %d of %d starts", asked, started)
+	if requestedAt == 0 || started <= requestedAt {
+		t.Errorf("a new term was requested after %d of %d starts", requestedAt, started)
 	}
 	if !r.counters.isExhausted() {
-		t.Errorf("%d starts did not use the term up", r.counters.attempts)
+		t.Errorf("%d starts did not exhaust the term's attempt numbers", r.counters.attempts)
 	}
 }
 
-// The same for a machine's tokens.
+// The fencing tokens of a machine never reach those of the next term.
 func TestTokensNeverReachTheNextTerm(t *testing.T) {
 	const epochs = 512
 	r := newRig(nil)
 	r.fleet(1)
 	r.LimitTermCounters(1<<constants.AttemptBits, epochs)
 	m := r.machines["m-00000"]
-	asked := uint64(0)
+	requestedAt := uint64(0)
 	for range 2 * epochs {
 		if r.mayAct(r.now) {
 			r.counters.raiseToken(m)
 		}
-		if r.IsTermNearlyExhausted() && asked == 0 {
-			asked = m.tokenCount
+		if r.IsTermNearlyExhausted() && requestedAt == 0 {
+			requestedAt = m.tokenCount
 		}
 	}
-	if m.tokenCount >= epochs || asked == 0 || asked > epochs*constants.RenewTermAtSixteenths/16+1 {
-		t.Errorf("raised to %d of %d, a new term asked for at %d", m.tokenCount, epochs, asked)
+	if m.tokenCount >= epochs || requestedAt == 0 || requestedAt > epochs*constants.RenewTermAtSixteenths/16+1 {
+		t.Errorf("token counter %d of %d, a new term was requested at %d", m.tokenCount, epochs, requestedAt)
 	}
 }
