--- a/shard/ownership.go
+++ b/shard/ownership.go
@@ -81,6 +81,6 @@
 	m.unansweredUnconfirmed = 0
 }
 
-// EnablePacking allows packed records. It is called once no process of the previous version,
-// which cannot read them, can join any more.
+// EnablePacking allows packed records. Processes of the previous version cannot read them,
+// and no such process can join any more.
 func (o *ownership) EnablePacking() { o.cfg.SizeLimits.PackingEnabled = true }
