--- a/shard/assignments.go
+++ b/shard/assignments.go
@@ -178,7 +178,7 @@
 	switch {
 	case t == nil:
 		return false
-	case (ended || j.gang != nil) && t.uncertain:
+	case (ended || j.gang != nil) && t.possiblyRunning:
 		return false
 	case !ended && !t.done:
 		return false
--- a/shard/attempt.go
+++ b/shard/attempt.go
@@ -73,7 +73,7 @@
 	if a.hasExited() {
 		if a.cause == wire.CauseDone && !t.job.rec.Spec.IsService() {
 			t.done = true
-			t.uncertain = false
+			t.possiblyRunning = false
 		}
 		if t.attempt == a {
 			t.attempt = nil
@@ -86,7 +86,7 @@
 		// Only a machine that shows this term's token proves the present. A late copy
 		// of a heartbeat may name a machine that the task has left since, for another
 		// one that has sent no heartbeat yet.
-		t.uncertain = t.uncertain && !a.machine.hasSeenTerm(c.term)
+		t.possiblyRunning = t.possiblyRunning && !a.machine.hasSeenTerm(c.term)
 	}
 }
 
--- a/shard/cancellation_test.go
+++ b/shard/cancellation_test.go
@@ -18,10 +18,10 @@
 
 // cancelledWithoutAuthority is an owner without authority, in its lease extension, with tasks
 // of two jobs that run on one machine; the first job was cancelled.
-func cancelledWithoutAuthority(t *testing.T, cancel func(*rig, *records.Job)) (*rig, []wire.TaskStatus) {
+func cancelledWithoutAuthority(t *testing.T, cancel func(*testOwner, *records.Job)) (*testOwner, []wire.TaskStatus) {
 	t.Helper()
 	job, other := arrayJob("run-1", 1, "a"), arrayJob("run-2", 2, "a")
-	r := newRig(map[string]*records.Job{"run-1": job, "run-2": other})
+	r := newTestOwner(map[string]*records.Job{"run-1": job, "run-2": other})
 	r.cfg.LeaseExtension = 15 * time.Second
 	r.bringUp("m-0")
 	for range 5 {
@@ -43,9 +43,9 @@
 }
 
 func TestCancelledTasksAreStoppedWithoutAuthority(t *testing.T) {
-	for name, cancel := range map[string]func(*rig, *records.Job){
-		"told by another controller": func(r *rig, job *records.Job) { r.ApplyCancellation(job.ID) },
-		"shown by the feed": func(r *rig, job *records.Job) {
+	for name, cancel := range map[string]func(*testOwner, *records.Job){
+		"told by another controller": func(r *testOwner, job *records.Job) { r.ApplyCancellation(job.ID) },
+		"shown by the feed": func(r *testOwner, job *records.Job) {
 			record := job.Clone()
 			record.End = wire.JobCancelled
 			r.submit(record)
@@ -73,7 +73,7 @@
 // Nothing else is done without authority: what exited is not forgotten, and a task of a job
 // that is done or unknown is not stopped.
 func TestNothingElseIsCommandedWithoutAuthority(t *testing.T) {
-	r, tasks := cancelledWithoutAuthority(t, func(r *rig, job *records.Job) { r.ApplyCancellation(job.ID) })
+	r, tasks := cancelledWithoutAuthority(t, func(r *testOwner, job *records.Job) { r.ApplyCancellation(job.ID) })
 	tasks[0].State, tasks[0].Cause = wire.TaskExited, wire.CauseStopped
 	tasks = append(tasks, wire.TaskStatus{Task: "run-9/0", Attempt: 7, State: wire.TaskRunning})
 	reply, err := r.Heartbeat(r.now, newHeartbeat("m-0", 1, 2001, r.latestToken("m-0"), tasks...))
@@ -93,7 +93,7 @@
 // and hung through an outage.
 func TestProbesRepeatStopsOfCancelledTasks(t *testing.T) {
 	job := arrayJob("run-1", 1, "a")
-	r := newRig(map[string]*records.Job{"run-1": job})
+	r := newTestOwner(map[string]*records.Job{"run-1": job})
 	for _, name := range []string{"m-0", "m-1", "m-2"} {
 		r.bringUp(name)
 	}
--- a/shard/consolidation.go
+++ b/shard/consolidation.go
@@ -35,7 +35,7 @@
 		return
 	}
 	c.sortLeastUsedFirst(r.machines)
-	required := c.productionReserve(&c.fleetView, now) + c.productionArrivals.largest.cpus + c.gangReserveCPUs
+	required := c.targetProductionReserve(&c.fleetView, now) + c.productionArrivals.largest.cpus + c.gangReserveCPUs
 	others := c.machinesWithFreeCapacity(now)
 	searches := 0
 	for _, m := range r.machines {
--- a/shard/core_test.go
+++ b/shard/core_test.go
@@ -18,16 +18,16 @@
 
 const leaseEnd = 21 * time.Second
 
-// rig is an owner under test with its clock; tests pass it messages by hand.
-type rig struct {
+// testOwner is an owner under test with its clock; tests pass it messages by hand.
+type testOwner struct {
 	*Core
 	now     time.Time
 	version uint64
 	term    uint64
 }
 
-func newRig(jobs map[string]*records.Job, inventory ...records.Machine) *rig {
-	r := &rig{now: time.Unix(1000, 0), version: 100, term: 5}
+func newTestOwner(jobs map[string]*records.Job, inventory ...records.Machine) *testOwner {
+	r := &testOwner{now: time.Unix(1000, 0), version: 100, term: 5}
 	versions, pages, pageV := map[string]uint64{}, map[string]*records.InventoryPage{}, map[string]uint64{}
 	for id := range jobs {
 		versions[id] = 10
@@ -46,13 +46,13 @@
 	return r
 }
 
-func (r *rig) advance(d time.Duration) []Action {
+func (r *testOwner) advance(d time.Duration) []Action {
 	r.now = r.now.Add(d)
 	return r.Step(r.now)
 }
 
 // commitAll commits every transaction and applies its changes like the feed.
-func (r *rig) commitAll(acts []Action) {
+func (r *testOwner) commitAll(acts []Action) {
 	for _, a := range acts {
 		cm, ok := a.(Commit)
 		if !ok {
@@ -84,7 +84,7 @@
 
 // bringUp has a machine send heartbeats until it is in the durable inventory and has shown a
 // token of the term.
-func (r *rig) bringUp(name string) {
+func (r *testOwner) bringUp(name string) {
 	if _, err := r.Heartbeat(r.now, newHeartbeat(name, 1, 1, 0)); err != nil {
 		panic("heartbeat refused")
 	}
@@ -94,7 +94,7 @@
 }
 
 // latestToken is the token that a worker shows after the last reply.
-func (r *rig) latestToken(name string) uint64 { return r.fencingToken(r.machines[name]) }
+func (r *testOwner) latestToken(name string) uint64 { return r.fencingToken(r.machines[name]) }
 
 // directStarts lists the starts sent to a machine by direct commands.
 func directStarts(acts []Action, name string) []wire.Command {
@@ -113,7 +113,7 @@
 
 // advanceUnanswered advances the time while no machine answers a direct command and the cloud
 // confirms every scale in, and returns the machines that were terminated.
-func (r *rig) advanceUnanswered(d time.Duration, each func()) (terminated []string) {
+func (r *testOwner) advanceUnanswered(d time.Duration, each func()) (terminated []string) {
 	for end := r.now.Add(d); r.now.Before(end); {
 		each()
 		for _, a := range r.advance(100 * time.Millisecond) {
@@ -129,7 +129,7 @@
 	return terminated
 }
 
-func (r *rig) submit(j *records.Job) {
+func (r *testOwner) submit(j *records.Job) {
 	r.version++
 	r.Apply(r.now, records.Change{Key: records.KeyJob(j.ID), Version: r.version, Record: j})
 }
@@ -139,7 +139,7 @@
 // assigned later starts at once.
 func TestFailoverWaitsForInheritedMachines(t *testing.T) {
 	old := arrayJob("run-1", 1, "a")
-	r := newRig(map[string]*records.Job{"run-1": old}, records.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"})
+	r := newTestOwner(map[string]*records.Job{"run-1": old}, records.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"})
 	r.bringUp("m-2")
 	acts := r.advance(time.Second)
 	if n := len(directStarts(acts, "m-2")); n != 0 {
@@ -177,7 +177,7 @@
 // later: the task must not be placed elsewhere just because heartbeats of its
 // machine do not show it.
 func TestUnansweredDirectStartIsNotPlacedAgain(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	r.bringUp("m-1")
 	r.submit(arrayJob("run-1", 1, "a"))
 	if s := directStarts(r.advance(time.Millisecond), "m-1"); len(s) != 1 {
@@ -202,7 +202,7 @@
 // An exited attempt that a direct command started is forgotten only under a
 // higher token: a late copy of the command would start it again.
 func TestDirectStartIsForgottenOnlyUnderHigherToken(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	r.bringUp("m-1")
 	r.submit(arrayJob("run-1", 1, "a"))
 	s := directStarts(r.advance(time.Millisecond), "m-1")
@@ -229,7 +229,7 @@
 // lease that the owner did not count.
 func TestLeaseIsCountedFromEveryReply(t *testing.T) {
 	t.Run("returning", func(t *testing.T) {
-		r := newRig(nil)
+		r := newTestOwner(nil)
 		r.bringUp("m-1")
 		r.machines["m-1"].scalingIn = true
 		r.advance(10 * time.Second)
@@ -238,7 +238,7 @@
 		}
 	})
 	t.Run("epoch by command", func(t *testing.T) {
-		r := newRig(nil, records.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"})
+		r := newTestOwner(nil, records.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"})
 		r.advance(15 * time.Second)
 		r.CommandResult(r.now, "m-1", newHeartbeat("m-1", 2, 1, token(r.term, 0)))
 		if r.machines["m-1"].leaseExpiresAt.Before(r.now.Add(leaseEnd)) {
@@ -251,7 +251,7 @@
 // always does.
 func TestLateHeartbeatsChangeNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newRig(nil)
+		r := newTestOwner(nil)
 		r.bringUp("m-1")
 		epoch, seq := uint64(1), uint64(2)
 		for range rapid.IntRange(1, 20).Draw(t, "n") {
@@ -272,7 +272,7 @@
 // In whatever order tasks are placed, they never need more than their machine has.
 func TestBestFitNeverOverfills(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newRig(nil)
+		r := newTestOwner(nil)
 		for i := range rapid.IntRange(1, 4).Draw(t, "machines") {
 			r.bringUp(fmt.Sprintf("m-%d", i))
 		}
@@ -294,7 +294,7 @@
 
 // Without authority nothing is started, written or answered.
 func TestNothingWithoutAuthority(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	r.bringUp("m-1")
 	r.SetAuthority(r.now)
 	r.submit(arrayJob("run-1", 3, "a"))
@@ -309,7 +309,7 @@
 // A machine that alone is unreachable is terminated; when most are unreachable and send
 // heartbeats to others, the owner is isolated.
 func TestUnreachableMachineOrIsolatedOwner(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	for i := range 4 {
 		r.bringUp(fmt.Sprintf("m-%d", i))
 	}
@@ -365,7 +365,7 @@
 // On a spot notice a task that can save a checkpoint is stopped early enough to finish
 // saving, and no earlier than it must.
 func TestSpotNoticeLeavesTimeForCheckpoint(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	r.bringUp("m-1")
 	j := arrayJob("run-1", 1, "a")
 	j.Spec.CheckpointIntervalS, j.Spec.CheckpointSaveS, j.Spec.EstimateS = 30, 5, 500
@@ -399,7 +399,7 @@
 // Work that can save a checkpoint is preempted with time to save, and only once; the task that
 // preempts it starts when it has ended.
 func TestPreemptedWorkSavesCheckpointFirst(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	r.bringUp("m-1")
 	low := arrayJob("run-1", 1, "a")
 	low.Spec.CPUs, low.Spec.CheckpointIntervalS, low.Spec.CheckpointSaveS = 8, 30, 5
@@ -444,7 +444,7 @@
 // shows it, the task is not free: it runs on another that has sent none yet.
 func TestLateHeartbeatToNewOwnerFreesNothing(t *testing.T) {
 	old := arrayJob("run-1", 1, "a")
-	r := newRig(map[string]*records.Job{"run-1": old},
+	r := newTestOwner(map[string]*records.Job{"run-1": old},
 		records.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"}, records.Machine{Name: "m-2", Type: "box", Addr: "m-2:1"})
 	r.bringUp("m-3")
 	running := func(attempt uint64) wire.TaskStatus {
@@ -478,7 +478,7 @@
 // machine has shown the new token and so drops old replies.
 func TestLeaseExtensionIsCountedByTheNextOwner(t *testing.T) {
 	const leaseExtension = 15 * time.Second
-	old := newRig(map[string]*records.Job{"run-1": arrayJob("run-1", 2, "a")})
+	old := newTestOwner(map[string]*records.Job{"run-1": arrayJob("run-1", 2, "a")})
 	old.cfg.LeaseExtension = leaseExtension
 	old.bringUp("m-0")
 	old.commitAll(old.advance(time.Second))
@@ -502,7 +502,7 @@
 	}
 	for name, shows := range map[string]bool{"unreachable": false, "shows the new token": true} {
 		t.Run(name, func(t *testing.T) {
-			next := newRig(map[string]*records.Job{"run-1": arrayJob("run-1", 2, "a")}, records.Machine{Name: "m-0", Type: "box", Addr: "m-0:1"})
+			next := newTestOwner(map[string]*records.Job{"run-1": arrayJob("run-1", 2, "a")}, records.Machine{Name: "m-0", Type: "box", Addr: "m-0:1"})
 			next.Core = New(Config{Shard: "a", HeartbeatPeriod: 3 * time.Second, LeaseTimeout: leaseEnd, LeaseExtension: leaseExtension, SizeLimits: records.SizeLimits{Current: 8192, Next: 8192}, MaxDirectCommands: 200, MaxTxnOps: 12, MaxWritesPerSecond: 100, JobOrder: leader.NewJobOrder(nil)},
 				over, Snapshot{Term: 6, TermVersion: 51})
 			next.SetAuthority(over.Add(time.Hour))
@@ -525,7 +525,7 @@
 // After the owner's process was paused, or the shard was partitioned, no machine is
 // terminated for heartbeats that the owner could not have received.
 func TestPausedProcessTerminatesNoMachine(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	r.fleet(40)
 	for _, m := range r.machines {
 		m.spot = true // on-demand ones would be consolidated
@@ -565,7 +565,7 @@
 // terminated, until the cloud stops listing them: those have ended, and the
 // shard must not wait for their leases, or request no machines for ever.
 func TestPartitionedShardOrTerminatedMachines(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	r.fleet(5)
 	var list []wire.CloudMachine
 	for _, m := range r.machines {
@@ -596,7 +596,7 @@
 	for _, room := range []float64{0, 4} {
 		j := arrayJob("run-1", 2, "a")
 		j.AcceptedMS = time.Unix(1000, 0).UnixMilli()
-		r := newRig(map[string]*records.Job{"run-1": j})
+		r := newTestOwner(map[string]*records.Job{"run-1": j})
 		left := 0
 		for range 120 {
 			for _, a := range r.advance(500 * time.Millisecond) {
@@ -627,7 +627,7 @@
 // Another controller's message that a job is cancelled stops its tasks and starts none,
 // before the feed brings the record; nothing is written of it meanwhile.
 func TestCancellationFromPeerStopsTasks(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	r.bringUp("m-1")
 	j := arrayJob("run-1", 2, "a")
 	j.AcceptedMS = r.now.UnixMilli()
@@ -685,7 +685,7 @@
 		inventory = append(inventory, records.Machine{Name: name, Type: "box", Addr: name + ":1"})
 	}
 	for _, copied := range []bool{true, false} {
-		r := newRig(nil, inventory...)
+		r := newTestOwner(nil, inventory...)
 		seen := token(r.term-1, 3)
 		if !copied {
 			seen = token(r.term, 0) // it does receive heartbeats of one: the others have failed by themselves
--- a/shard/directcommands_test.go
+++ b/shard/directcommands_test.go
@@ -13,7 +13,7 @@
 // A start that was decided goes out with the very next step, also between two looks
 // at the whole fleet.
 func TestStartIsSentAtOnce(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	for i := range 3 {
 		r.bringUp(fmt.Sprintf("m-%d", i))
 	}
@@ -37,7 +37,7 @@
 func TestDirectCommandsInFlightAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const machines = 12
-		r := newRig(nil)
+		r := newTestOwner(nil)
 		for i := range machines {
 			r.bringUp(fmt.Sprintf("m-%d", i))
 		}
@@ -107,7 +107,7 @@
 
 // A machine whose epoch is not known is probed before commands are sent to it.
 func TestUnknownEpochIsProbedFirst(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	m := r.ensureMachine("m-new")
 	m.addr, m.requestedAt = "m-new:1", r.now
 	r.requestCommand(m)
@@ -124,7 +124,7 @@
 
 // The probes of one step are bounded, however many machines are unreachable.
 func TestProbesPerStepAreBounded(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	const machines = 3 * constants.MaxProbesPerStep
 	r.fleet(machines)
 	r.Step(r.now)
--- a/shard/draining_test.go
+++ b/shard/draining_test.go
@@ -12,7 +12,7 @@
 
 // startDrainingWithService starts draining with disruption budgets of one unavailable task a
 // team, and a service of three tasks that run on two machines.
-func (r *rig) startDrainingWithService() *job {
+func (r *testOwner) startDrainingWithService() *job {
 	var budgets disruption.Budgets
 	budgets.SetServicesDefault(disruption.MaxUnavailable{Tasks: 1})
 	r.StartDraining(r.now, DrainingConfig{Shards: []string{"a"}, Budgets: budgets, Policy: drain.Policy{StableAfter: 5 * time.Second, ReplacementTimeout: time.Minute, MaxConsecutiveFailures: 2, ParallelPercent: 100}}, nil, nil)
@@ -27,7 +27,7 @@
 
 // advanceWithRunningTasks advances the time while all machines send heartbeats, in which the
 // tasks that were started run, and those that were stopped have exited.
-func (r *rig) advanceWithRunningTasks(d time.Duration) {
+func (r *testOwner) advanceWithRunningTasks(d time.Duration) {
 	for end := r.now.Add(d); r.now.Before(end); {
 		r.commitAll(r.advance(250 * time.Millisecond))
 		for _, m := range r.Core.fleet {
@@ -47,7 +47,7 @@
 // Consolidation migrates a task only within a claim that is written, and no second one
 // before the first is available again.
 func TestConsolidationKeepsToBudgets(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	j := r.startDrainingWithService()
 	first, second := j.tasks[0], j.tasks[1]
 	if r.draining.allowsConsolidation(r.now, first) {
@@ -76,7 +76,7 @@
 // but may have run for long. Guards against a failover after which all tasks of a machine
 // were stopped at once.
 func TestDrainLeavesTasksThatMayBecomeAvailable(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	j := r.startDrainingWithService()
 	r.bringUp("m-2")
 	for _, task := range j.tasks { // as if the owner had just learned of each
@@ -150,7 +150,7 @@
 // A drain interrupts one task of an array, or one gang, at a time where that is the budget.
 func TestDrainKeepsToInterruptionBudgets(t *testing.T) {
 	for _, kind := range []wire.JobKind{wire.KindArray, wire.KindGang} {
-		r := newRig(nil)
+		r := newTestOwner(nil)
 		var budgets disruption.Budgets
 		budgets.SetInterruptionsDefault(disruption.MaxUnavailable{Tasks: 1})
 		cfg := DrainingConfig{Shards: []string{"a"}, Budgets: budgets, Policy: drain.Policy{StableAfter: 5 * time.Second, ReplacementTimeout: time.Minute, MaxConsecutiveFailures: 2, ParallelPercent: 100}}
@@ -199,7 +199,7 @@
 func TestNextOwnerInheritsInterruptions(t *testing.T) {
 	spec := wire.Submission{ID: "run-1", Team: "t", Class: "c", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 3, CPUs: 2, MemoryGB: 1, Image: "i", EstimateS: 600}
 	j := &records.Job{ID: spec.ID, Spec: spec, Assignments: []records.Assignment{{From: 0, To: 3, Shard: "a", KeepWaiting: true}}}
-	r := newRig(map[string]*records.Job{j.ID: j})
+	r := newTestOwner(map[string]*records.Job{j.ID: j})
 	var budgets disruption.Budgets
 	budgets.SetInterruptionsDefault(disruption.MaxUnavailable{Tasks: 2})
 	key := disruption.BudgetKey{Team: "t", Interruptions: true}
--- a/shard/drainplan_test.go
+++ b/shard/drainplan_test.go
@@ -11,7 +11,7 @@
 // panicked ("nil pointer dereference" in PlanDrain, at the policy of no draining), which ends
 // its controller. It refuses instead.
 func TestPlanWithoutDrainingIsRefused(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	r.fleet(3)
 	defer func() {
 		if cause := recover(); cause != nil {
--- a/shard/failureproof_test.go
+++ b/shard/failureproof_test.go
@@ -19,7 +19,7 @@
 // probedFleet is a fleet of which all machines but the first send a heartbeat every second,
 // while probes of that one have no answer.
 type probedFleet struct {
-	*rig
+	*testOwner
 	silent  string
 	seq     uint64
 	answers int           // answer the probe after so many unanswered ones; 0: never
@@ -89,7 +89,7 @@
 func newProbedFleet(inherited bool) *probedFleet {
 	const machines = 20
 	if !inherited {
-		f := &probedFleet{rig: newRig(nil), silent: "m-00000", seq: 100}
+		f := &probedFleet{testOwner: newTestOwner(nil), silent: "m-00000", seq: 100}
 		f.fleet(machines)
 		for _, m := range f.machines {
 			m.spot = true
@@ -102,7 +102,7 @@
 		name := fmt.Sprintf("m-%05d", i)
 		inventory = append(inventory, records.Machine{Name: name, Type: "box", Addr: name + ":1", Spot: true})
 	}
-	return &probedFleet{rig: newRig(nil, inventory...), silent: "m-00000", seq: 100}
+	return &probedFleet{testOwner: newTestOwner(nil, inventory...), silent: "m-00000", seq: 100}
 }
 
 // A machine is terminated for its silence only after as many unanswered probes as prove it,
--- a/shard/gang_test.go
+++ b/shard/gang_test.go
@@ -14,15 +14,15 @@
 // fakeWorkers are the workers of a rig's machines: their heartbeats list the tasks that
 // they were sent starts for, in the states that the test sets.
 type fakeWorkers struct {
-	*rig
+	*testOwner
 	taskStatuses map[string][]wire.TaskStatus // by machine
 	seqs         map[string]uint64
 	stopGraces   map[string]float64 // by task: the grace period of the last stop (s)
 	spotMachine  string             // the machine that is a spot instance
 }
 
-func newFakeWorkers(r *rig, machines ...string) *fakeWorkers {
-	h := &fakeWorkers{rig: r, taskStatuses: map[string][]wire.TaskStatus{}, seqs: map[string]uint64{}, stopGraces: map[string]float64{}}
+func newFakeWorkers(r *testOwner, machines ...string) *fakeWorkers {
+	h := &fakeWorkers{testOwner: r, taskStatuses: map[string][]wire.TaskStatus{}, seqs: map[string]uint64{}, stopGraces: map[string]float64{}}
 	h.cfg.GangStartTimeout, h.cfg.GangPeerTimeout = 30*time.Second, 8*time.Second
 	for _, m := range machines {
 		r.bringUp(m)
@@ -117,7 +117,7 @@
 
 // A gang starts as a whole, under one attempt number, or not at all.
 func TestGangStartsAsAWholeOrNotAtAll(t *testing.T) {
-	h := newFakeWorkers(newRig(nil), "m-1", "m-2")
+	h := newFakeWorkers(newTestOwner(nil), "m-1", "m-2")
 	h.submit(gangJob("run-1", 10, "a")) // of 2 CPUs, on machines of 8
 	if s := h.advanceWithHeartbeats(3 * time.Second); len(s) != 0 {
 		t.Fatalf("%d tasks of a gang started where 8 of 10 fit", len(s))
@@ -138,7 +138,7 @@
 // Two gangs that do not fit together never hold half of the capacity each, and arrays
 // do not take what becomes free before a waiting gang.
 func TestGangsDoNotStarve(t *testing.T) {
-	h := newFakeWorkers(newRig(nil), "m-1", "m-2")
+	h := newFakeWorkers(newTestOwner(nil), "m-1", "m-2")
 	h.submit(arrayJob("run-1", 6, "a"))
 	first := h.advanceWithHeartbeats(time.Second)
 	if len(first) != 6 {
@@ -172,7 +172,7 @@
 // gone, and then under another number.
 func TestGangLosesATask(t *testing.T) {
 	for _, begun := range []bool{false, true} {
-		h := newFakeWorkers(newRig(nil), "m-1", "m-2", "m-3")
+		h := newFakeWorkers(newTestOwner(nil), "m-1", "m-2", "m-3")
 		h.submit(gangJob("run-1", 6, "a"))
 		s := h.advanceWithHeartbeats(time.Second)
 		if len(s) != 6 {
@@ -221,7 +221,7 @@
 func TestNewOwnerFindsGang(t *testing.T) {
 	j := gangJob("run-1", 4, "a")
 	old := uint64(4)<<constants.AttemptBits | 7
-	h := newFakeWorkers(newRig(map[string]*records.Job{"run-1": j},
+	h := newFakeWorkers(newTestOwner(map[string]*records.Job{"run-1": j},
 		records.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"}, records.Machine{Name: "m-2", Type: "box", Addr: "m-2:1"}))
 	for i := range 4 {
 		m := fmt.Sprintf("m-%d", 1+i%2)
@@ -245,7 +245,7 @@
 
 // A spot notice stops a whole gang, all its tasks at once and with time for a checkpoint.
 func TestSpotNoticeStopsWholeGang(t *testing.T) {
-	h := newFakeWorkers(newRig(nil), "m-1", "m-2")
+	h := newFakeWorkers(newTestOwner(nil), "m-1", "m-2")
 	h.submit(gangJob("run-1", 6, "a"))
 	h.advanceWithHeartbeats(time.Second)
 	for m := range h.seqs {
@@ -268,7 +268,7 @@
 
 // A cancelled gang stops at once, without a checkpoint, also one that is saving already.
 func TestCancelledGangEndsAtOnce(t *testing.T) {
-	h := newFakeWorkers(newRig(nil), "m-1", "m-2")
+	h := newFakeWorkers(newTestOwner(nil), "m-1", "m-2")
 	j := gangJob("run-1", 6, "a")
 	h.submit(j)
 	h.advanceWithHeartbeats(time.Second)
@@ -297,7 +297,7 @@
 // Machines are reserved only for a gang that may run on them: of its types, and spot
 // instances only where it allows them.
 func TestMachinesReservedForGangsAreEligible(t *testing.T) {
-	h := newFakeWorkers(newRig(nil), "m-1", "m-2")
+	h := newFakeWorkers(newTestOwner(nil), "m-1", "m-2")
 	h.spotMachine = "m-1"
 	h.advanceWithHeartbeats(time.Second)
 	h.submit(arrayJob("run-1", 8, "a"))
@@ -321,14 +321,14 @@
 	}
 	isOffloaded := func(h *fakeWorkers) bool { return h.jobs["run-1"] == nil }
 
-	h := newFakeWorkers(newRig(map[string]*records.Job{"run-1": job()}, records.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"}))
+	h := newFakeWorkers(newTestOwner(map[string]*records.Job{"run-1": job()}, records.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"}))
 	h.seqs["m-1"] = 10
 	h.taskStatuses["m-1"] = []wire.TaskStatus{{Task: "run-1/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseGangPeerLost}}
 	if s := h.advanceWithHeartbeats(5 * time.Second); len(s) > 0 || !isOffloaded(h) {
 		t.Fatalf("found used up: started %v, offloaded %v", s, isOffloaded(h))
 	}
 
-	h = newFakeWorkers(newRig(nil), "m-1")
+	h = newFakeWorkers(newTestOwner(nil), "m-1")
 	h.submit(job())
 	if s := h.advanceWithHeartbeats(time.Second); len(s) != 2 || s[0].Attempt != 1 {
 		t.Fatalf("started %v, wanted two tasks under the leader's number", s)
--- a/shard/gangattempt.go
+++ b/shard/gangattempt.go
@@ -50,7 +50,7 @@
 	}
 	if t.attempt == nil {
 		t.attempt = a
-		t.uncertain = t.uncertain && !a.machine.hasSeenTerm(c.term)
+		t.possiblyRunning = t.possiblyRunning && !a.machine.hasSeenTerm(c.term)
 	}
 	if a.state == wire.TaskRunning || a.state == wire.TaskSaving {
 		g.hasRun = true
@@ -69,7 +69,7 @@
 	}
 	switch {
 	case a.cause == wire.CauseDone:
-		t.uncertain = false
+		t.possiblyRunning = false
 		c.markGangDone(j)
 	case isRefusal(a.cause) && !g.hasRun:
 	case a.key.number == g.attempt:
--- a/shard/gangreserve.go
+++ b/shard/gangreserve.go
@@ -70,7 +70,7 @@
 		if m.consolidating || m.reservedFor != nil || !v.isSchedulable(now, m) {
 			continue
 		}
-		available := v.capacityBesideArrays(m)
+		available := v.freeOrArrayCapacity(m)
 		if available.cpus < roundingSlack {
 			continue
 		}
@@ -89,8 +89,8 @@
 	return candidates
 }
 
-// capacityBesideArrays is what of a machine is free or held by arrays.
-func (k *knownState) capacityBesideArrays(m *machine) resources {
+// freeOrArrayCapacity is what of a machine is free or held by arrays.
+func (k *knownState) freeOrArrayCapacity(m *machine) resources {
 	available := k.freeResources(m)
 	for _, a := range m.attempts {
 		t := k.taskOf(a)
--- a/shard/inventory_test.go
+++ b/shard/inventory_test.go
@@ -31,7 +31,7 @@
 		limit := rapid.SampledFrom([]int{1024, 2048, 4096}).Draw(t, "limit")
 		rev := uint64(100)
 		for term := uint64(5); term < 9; term++ {
-			r := newRig(nil)
+			r := newTestOwner(nil)
 			cfg := r.cfg
 			cfg.SizeLimits, cfg.MaxTxnOps = records.SizeLimits{Current: 8192, Next: limit}, rapid.IntRange(1, 4).Draw(t, "ops")
 			now := r.now
--- a/shard/job.go
+++ b/shard/job.go
@@ -36,7 +36,7 @@
 	index                  int
 	attempt                *attempt
 	done                   bool
-	uncertain              bool // may run on an inherited machine that has sent no heartbeat yet
+	possiblyRunning        bool // may run on an inherited machine that has sent no heartbeat yet
 	offloading             bool // it is being offloaded to the leader, and is not placed
 	notBefore              time.Time
 	waitingSince           time.Time
@@ -47,7 +47,9 @@
 }
 
 // isWaiting reports whether the task has no attempt and needs one.
-func (t *task) isWaiting() bool { return t.attempt == nil && !t.done && !t.uncertain && !t.offloading }
+func (t *task) isWaiting() bool {
+	return t.attempt == nil && !t.done && !t.possiblyRunning && !t.offloading
+}
 
 // recordPending reports whether a newer record will replace the one known here: no write
 // may be based on this one.
--- a/shard/jobrecords.go
+++ b/shard/jobrecords.go
@@ -87,7 +87,7 @@
 			keep[i] = true
 			t := j.tasks[i]
 			if t == nil {
-				t = &task{job: j, index: i, uncertain: inherited && !c.rebuilt, waitingSince: now}
+				t = &task{job: j, index: i, possiblyRunning: inherited && !c.rebuilt, waitingSince: now}
 				j.tasks[i] = t
 				added++
 				c.adoptAttempts(t)
--- a/shard/partition_test.go
+++ b/shard/partition_test.go
@@ -8,7 +8,7 @@
 
 // advanceMisrouted advances the time while the owner's machines send heartbeats only to other
 // controllers, and returns the machines that it terminated.
-func (r *rig) advanceMisrouted(d time.Duration) []string {
+func (r *testOwner) advanceMisrouted(d time.Duration) []string {
 	seq := uint64(100)
 	return r.advanceUnanswered(d, func() {
 		seq++
@@ -26,7 +26,7 @@
 // unconfirmed as not receiving.
 func TestSmallShardWithMisroutedHeartbeatsIsKept(t *testing.T) {
 	for _, machines := range []int{2, 3} {
-		r := newRig(nil)
+		r := newTestOwner(nil)
 		if machines > 2 {
 			r.cfg.SpotIdleTimeout, r.cfg.OnDemandIdleTimeout = 12*time.Second, 12*time.Second
 		}
@@ -45,7 +45,7 @@
 // Two machines that stay unconfirmed are terminated once their leases have surely ended:
 // nothing runs there any more, and nobody else takes them.
 func TestTwoMachinesNotReceivingAreTerminatedAfterTheirLease(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	r.bringUp("m-0")
 	r.bringUp("m-1")
 	if gone := r.advanceMisrouted(2*leaseEnd + 10*time.Second); len(gone) != 2 {
--- a/shard/placement.go
+++ b/shard/placement.go
@@ -74,8 +74,8 @@
 	}
 	s := &j.rec.Spec
 	p := jobPlacement{job: j, spec: s, demand: taskResources(s), class: demandClassOf(s), isOverdue: leader.IsOverdue(now, j.rec, j.hasStarted)}
-	isUnplaceable := r.unplaceable.covers(p.class, p.demand)
-	if isUnplaceable && r.isHopeless(&p) {
+	isUnplaceable := r.failedPlacements.covers(p.class, p.demand)
+	if isUnplaceable && r.canSkipJob(&p) {
 		return
 	}
 	tasks := c.tasksToPlace(now, &p)
@@ -94,11 +94,11 @@
 	}
 }
 
-// isHopeless says whether the tasks of a job for which no machine has free capacity need
+// canSkipJob says whether the tasks of a job for which no machine has free capacity need
 // not be looked at: nothing can be preempted for them, no machine can be reserved, and
 // they cannot be offloaded for the sake of their image.
-func (r *placementRound) isHopeless(p *jobPlacement) bool {
-	if !r.preemptionIsFutile(p.job, p.class, p.demand) {
+func (r *placementRound) canSkipJob(p *jobPlacement) bool {
+	if !r.preemptionKnownToFail(p.job, p.class, p.demand) {
 		return false
 	}
 	if p.isOverdue && !r.reservationsExhausted {
@@ -164,7 +164,7 @@
 // that takes time or fails, it returns nil: the task starts in a later round, on the
 // capacity that tasks with a checkpoint release, or that is reserved for an overdue job.
 func (c *Core) preemptForTask(now time.Time, t *task, p *jobPlacement, r *placementRound) *machine {
-	r.unplaceable.add(p.class, p.demand)
+	r.failedPlacements.add(p.class, p.demand)
 	if m := c.preempt(now, t, anyMachine, r); m != nil {
 		return m
 	}
--- a/shard/placementstate.go
+++ b/shard/placementstate.go
@@ -37,9 +37,9 @@
 type placementRound struct {
 	freeMachines []*machine // schedulable machines with free capacity when the round began
 
-	unplaceable    failedDemands // no machine has free capacity for these
-	unpreemptable  failedDemands // nor can preemption make it
-	preemptionScan preemptionScan
+	failedPlacements  failedDemands // no machine has free capacity for these
+	failedPreemptions failedDemands // nor can preemption make it
+	preemptionScan    preemptionScan
 
 	reservationsExhausted bool // as many machines are reserved for single jobs as may be
 }
@@ -47,9 +47,9 @@
 // newPlacementRound begins a round with the machines that have free capacity now.
 func (v *fleetView) newPlacementRound(now time.Time) *placementRound {
 	return &placementRound{
-		unplaceable:   failedDemands{},
-		unpreemptable: failedDemands{},
-		freeMachines:  v.machinesWithFreeCapacity(now),
+		failedPlacements:  failedDemands{},
+		failedPreemptions: failedDemands{},
+		freeMachines:      v.machinesWithFreeCapacity(now),
 	}
 }
 
@@ -98,9 +98,9 @@
 // add notes that a search for an amount has found nothing.
 func (f failedDemands) add(d demandClass, n resources) { f[d] = append(f[d], n) }
 
-// preemptionIsFutile says whether preemption is known to find nothing for a job's first
+// preemptionKnownToFail says whether preemption is known to find nothing for a job's first
 // waiting task either.
-func (r *placementRound) preemptionIsFutile(j *job, d demandClass, n resources) bool {
+func (r *placementRound) preemptionKnownToFail(j *job, d demandClass, n resources) bool {
 	withinGuarantee := len(j.waiting) > 0 && j.waiting[0].withinGuarantee
-	return !r.preemptionScan.needsCheckpoint && r.unpreemptable.covers(d.forPreemption(&j.rec.Spec, withinGuarantee), n)
+	return !r.preemptionScan.needsCheckpoint && r.failedPreemptions.covers(d.forPreemption(&j.rec.Spec, withinGuarantee), n)
 }
--- a/shard/preempt.go
+++ b/shard/preempt.go
@@ -87,16 +87,16 @@
 	if image == machineWithImage {
 		class.image = s.Image
 	}
-	if r.unpreemptable.covers(class, n) {
+	if r.failedPreemptions.covers(class, n) {
 		return nil
 	}
 	if !v.hasPreemptibleWork(preemptor, r) {
-		r.unpreemptable.add(class, resources{})
+		r.failedPreemptions.add(class, resources{})
 		return nil
 	}
 	best, victims := v.cheapestPreemption(now, preemptor, image)
 	if best == nil {
-		r.unpreemptable.add(class, n)
+		r.failedPreemptions.add(class, n)
 		return nil
 	}
 	for _, victim := range victims {
--- a/shard/reconcile.go
+++ b/shard/reconcile.go
@@ -232,7 +232,7 @@
 	c.rebuilt = true
 	for _, j := range c.jobs {
 		for _, t := range j.tasks {
-			t.uncertain = false
+			t.possiblyRunning = false
 		}
 		c.markWaitingStale(j)
 		c.queueForClose(j)
--- a/shard/reconnect_test.go
+++ b/shard/reconnect_test.go
@@ -31,7 +31,7 @@
 			name := fmt.Sprintf("m-%05d", i)
 			inventory = append(inventory, records.Machine{Name: name, Type: "box", Addr: name + ":1"})
 		}
-		r := newRig(jobs, inventory...)
+		r := newTestOwner(jobs, inventory...)
 		r.now = r.now.Add(leaseEnd + time.Second)
 		r.Step(r.now)
 		b.StartTimer()
--- a/shard/reserve.go
+++ b/shard/reserve.go
@@ -9,9 +9,9 @@
 	"ravenport/wire"
 )
 
-// productionReserve is the capacity (CPUs) to hold in reserve for production work: that of
+// targetProductionReserve is the capacity (CPUs) to hold in reserve for production work: that of
 // the arrivals expected while a machine boots, and of the largest task at least.
-func (c *scaleOutState) productionReserve(v *fleetView, now time.Time) float64 {
+func (c *scaleOutState) targetProductionReserve(v *fleetView, now time.Time) float64 {
 	boot := time.Duration(v.maxBootSeconds() * float64(time.Second))
 	return max(c.productionArrivals.largest.cpus, constants.ReserveFactor*c.productionArrivals.expectedCPUs(now, boot))
 }
@@ -22,7 +22,7 @@
 	if c.productionArrivals.largest.cpus == 0 && c.gangReserveCPUs == 0 || !c.canScaleOut(&c.fleetView, now, false) {
 		return
 	}
-	missing := max(c.productionReserve(&c.fleetView, now)-c.availableProductionCPUs(), c.missingGangReserve())
+	missing := max(c.targetProductionReserve(&c.fleetView, now)-c.availableProductionCPUs(), c.missingGangReserve())
 	if missing <= 0 {
 		return
 	}
--- a/shard/scale_test.go
+++ b/shard/scale_test.go
@@ -14,7 +14,7 @@
 )
 
 // fleet brings many machines up at once, verified and in the inventory.
-func (r *rig) fleet(n int) {
+func (r *testOwner) fleet(n int) {
 	for i := range n {
 		r.Heartbeat(r.now, newHeartbeat(fmt.Sprintf("m-%05d", i), 1, 1, 0))
 	}
@@ -36,7 +36,7 @@
 // The inventory takes changes by the page, not by the machine, and every machine is
 // durable before its first start.
 func TestInventoryOfManyMachinesTakesFewWrites(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	const machines = 600
 	writes := 0
 	for i := range machines {
@@ -74,7 +74,7 @@
 // What a heartbeat that changes nothing costs does not grow with the fleet.
 func TestQuietHeartbeatCostsTheSameInAnyFleet(t *testing.T) {
 	cost := func(machines int) float64 {
-		r := newRig(nil)
+		r := newTestOwner(nil)
 		r.fleet(machines)
 		r.submit(arrayJob("run-1", 4*machines-8, "a"))
 		for range 30 {
@@ -105,7 +105,7 @@
 // and goes: with time for one job a round, every job's turn comes.
 func TestCutOffRoundsSkipNobody(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newRig(nil)
+		r := newTestOwner(nil)
 		for i := range 30 {
 			r.bringUp(fmt.Sprintf("m-%d", i))
 		}
@@ -141,7 +141,7 @@
 		name := fmt.Sprintf("m-%05d", i)
 		inventory = append(inventory, records.Machine{Name: name, Type: "box", Addr: name + ":1"})
 	}
-	r := newRig(map[string]*records.Job{"run-1": arrayJob("run-1", 3, "a")}, inventory...)
+	r := newTestOwner(map[string]*records.Job{"run-1": arrayJob("run-1", 3, "a")}, inventory...)
 	silent := func(name string) bool { return name < "m-00070" }
 	type call struct {
 		name string
@@ -194,7 +194,7 @@
 // A machine that is heard but does not show what it is sent gets nothing and is
 // given up; one whose answer was lost once shows the next token and goes on.
 func TestConfirmationNeedsANewToken(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	for i := range 4 {
 		r.bringUp(fmt.Sprintf("m-%d", i))
 	}
@@ -221,7 +221,7 @@
 // The lease of a machine that answers commands but sends no heartbeats expires all the same:
 // it is terminated, while the others send heartbeats.
 func TestMachineWithoutHeartbeatsIsTerminated(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	for i := range 4 {
 		r.bringUp(fmt.Sprintf("m-%d", i))
 	}
@@ -256,7 +256,7 @@
 }
 
 func BenchmarkQuietHeartbeat(b *testing.B) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	r.fleet(2000)
 	r.submit(arrayJob("run-1", 7000, "a"))
 	for range 50 {
@@ -274,8 +274,8 @@
 }
 
 // crowded is an owner whose machines are full, with thousands of tasks waiting.
-func crowded(machines int) *rig {
-	r := newRig(nil)
+func crowded(machines int) *testOwner {
+	r := newTestOwner(nil)
 	r.roundBudget = time.Hour
 	r.fleet(machines)
 	for i := range 200 {
@@ -305,7 +305,7 @@
 // is cut off. Once a fair share was heard elsewhere it says so, long before
 // their leases end.
 func TestIsolatedOwnerTerminatesNone(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	const n = 100
 	r.fleet(n)
 	for _, m := range r.machines {
@@ -351,8 +351,8 @@
 
 // settled is an owner of a lean deployment's third of the machines with everything
 // placed and shown, two services and two tasks of arrays on each.
-func settled(machines int) *rig {
-	r := newRig(nil)
+func settled(machines int) *testOwner {
+	r := newTestOwner(nil)
 	r.fleet(machines)
 	r.submit(arrayJob("run-1", 2*machines, "a"))
 	svc := arrayJob("run-2", 2*machines, "a")
@@ -370,7 +370,7 @@
 }
 
 // heartbeatAll has every machine send a heartbeat with what it was sent as running.
-func (r *rig) heartbeatAll(seq uint64) {
+func (r *testOwner) heartbeatAll(seq uint64) {
 	for name, m := range r.machines {
 		rep := newHeartbeat(name, 1, seq, r.latestToken(name))
 		for _, a := range m.attempts {
@@ -381,7 +381,7 @@
 }
 
 // idleSecond plays a second in which nothing changes, at an owner's own pace.
-func (r *rig) idleSecond() (actions int) {
+func (r *testOwner) idleSecond() (actions int) {
 	for range int(time.Second / constants.MaxOwnerStepInterval) {
 		r.now = r.now.Add(constants.MaxOwnerStepInterval)
 		actions += len(r.Step(r.now))
@@ -416,7 +416,7 @@
 // and went: rounds look at the kept sums alone.
 func TestCachedUsageIsCorrect(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newRig(nil)
+		r := newTestOwner(nil)
 		const machines = 6
 		for i := range machines {
 			r.bringUp(fmt.Sprintf("m-%d", i))
@@ -531,7 +531,7 @@
 // A machine whose done tasks wait for their assignment to be closed is sent a higher
 // token once, not with every answer: each new one makes it send a heartbeat at once.
 func TestDoneTasksRaiseTheTokenOnce(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	r.bringUp("m-0")
 	r.submit(arrayJob("run-1", 40, "a"))
 	r.advance(20 * time.Millisecond) // four are started, by a direct command
--- a/shard/scalein_test.go
+++ b/shard/scalein_test.go
@@ -49,7 +49,7 @@
 // An idle machine is terminated only after the write that closes it was surely carried
 // out, however often that fails, and takes nothing from the decision on.
 func TestMachineIsClosedBeforeScaleIn(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	r.cfg.CloseBeforeScaleIn, r.cfg.SpotIdleTimeout, r.cfg.OnDemandIdleTimeout = true, 10*time.Second, 10*time.Second
 	r.fleet(3)
 	closed, refused := 0, 0
@@ -88,7 +88,7 @@
 // closes machines by its own settings.
 func TestNextOwnerKeepsClosedMachinesClosed(t *testing.T) {
 	for _, closeFirst := range []bool{true, false} {
-		r := newRig(nil, records.Machine{Name: "m-1", Type: "box", Addr: "m-1", Terminating: true}, records.Machine{Name: "m-2", Type: "box", Addr: "m-2"})
+		r := newTestOwner(nil, records.Machine{Name: "m-1", Type: "box", Addr: "m-1", Terminating: true}, records.Machine{Name: "m-2", Type: "box", Addr: "m-2"})
 		r.cfg.CloseBeforeScaleIn = closeFirst
 		r.submit(arrayJob("run-1", 16, "a"))
 		var asked []string
--- a/shard/state_test.go
+++ b/shard/state_test.go
@@ -110,7 +110,7 @@
 
 // Pages get smaller once the state service has found one too large.
 func TestRefusedPagesGetSmaller(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	r.bringUp("m-1")
 	for _, p := range r.pages {
 		p.inFlight = []records.Machine{{Name: "m-1"}}
--- a/shard/termcounters_test.go
+++ b/shard/termcounters_test.go
@@ -14,7 +14,7 @@
 // against an owner of a large fleet that starts sixteen million tasks in one term.
 func TestAttemptNumbersNeverReachTheNextTerm(t *testing.T) {
 	const attempts = 2048
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	r.fleet(4)
 	r.LimitTermCounters(attempts, 1<<constants.TokenCounterBits)
 	asked, started := 0, 0
@@ -47,7 +47,7 @@
 // The same for a machine's tokens.
 func TestTokensNeverReachTheNextTerm(t *testing.T) {
 	const epochs = 512
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	r.fleet(1)
 	r.LimitTermCounters(1<<constants.AttemptBits, epochs)
 	m := r.machines["m-00000"]
