--- a/shard/bestfit.go
+++ b/shard/bestfit.go
@@ -32,14 +32,14 @@
 // machine that got a task is left with less, and so stays the best fit for the job's next
 // one until it is full. Machines that hold the image come first, and spot machines before
 // on-demand ones where both are allowed: other tasks can use on-demand capacity only.
-func (k *knownState) rankCandidates(s *wire.Submission, n resources, r *placementRound) []*machine {
+func (k *knownState) rankCandidates(s *wire.Submission, demand resources, r *placementRound) []*machine {
 	var candidates []candidate
 	for _, m := range r.freeMachines {
 		free := k.freeResources(m)
-		if !n.fits(free) || !isEligible(s, m.typeName, m.spot) || m.isReservedForOthers(s) {
+		if !demand.fits(free) || !isEligible(s, m.typeName, m.spot) || m.isReservedForOthers(s) {
 			continue
 		}
-		candidates = append(candidates, candidate{m, k.placementScore(s, n, m, free)})
+		candidates = append(candidates, candidate{m, k.placementScore(s, demand, m, free)})
 	}
 	slices.SortFunc(candidates, candidate.compare)
 	machines := make([]*machine, len(candidates))
@@ -53,12 +53,12 @@
 // less is better. The unit is the share of the machine that would stay free, from 0 to 2
 // (see freeShare); the constants Score... are added in the same unit, and most of them
 // outweigh every difference in fit.
-func (k *knownState) placementScore(s *wire.Submission, n resources, m *machine, free resources) float64 {
-	score := m.freeShare(free.minus(n))
-	if !m.cachedImages[s.Image] {
+func (k *knownState) placementScore(spec *wire.Submission, demand resources, m *machine, free resources) float64 {
+	score := m.freeShare(free.minus(demand))
+	if !m.cachedImages[spec.Image] {
 		score += constants.ScoreImageMissing
 	}
-	if s.Spot && !m.spot {
+	if spec.Spot && !m.spot {
 		// An on-demand machine with services stays in use whatever happens, so its gaps
 		// cost nothing; one without had better become empty.
 		if k.usageOf(m).services > 0 {
@@ -70,7 +70,7 @@
 	if m.consolidating || m.drainNext {
 		score += constants.ScoreDraining
 	}
-	if m.reservedForGangs && !s.IsGang() {
+	if m.reservedForGangs && !spec.IsGang() {
 		score += constants.ScoreGangReserve
 	}
 	return score
@@ -78,22 +78,22 @@
 
 // bestFit is the machine with the best placement score for one task of a job, or nil.
 // Machines for which the filter is false are left out; a nil filter allows all.
-func (v *fleetView) bestFit(now time.Time, s *wire.Submission, filter func(*machine) bool) *machine {
-	n := taskResources(s)
+func (v *fleetView) bestFit(now time.Time, spec *wire.Submission, filter func(*machine) bool) *machine {
+	demand := taskResources(spec)
 	var best *machine
 	var bestScore float64
 	for _, m := range v.fleet {
-		if !isEligible(s, m.typeName, m.spot) || !v.isSchedulable(now, m) {
+		if !isEligible(spec, m.typeName, m.spot) || !v.isSchedulable(now, m) {
 			continue
 		}
 		free := v.freeResources(m)
-		if !n.fits(free) || m.isReservedForOthers(s) {
+		if !demand.fits(free) || m.isReservedForOthers(spec) {
 			continue
 		}
 		if filter != nil && !filter(m) {
 			continue
 		}
-		score := v.placementScore(s, n, m, free)
+		score := v.placementScore(spec, demand, m, free)
 		if best == nil || score < bestScore || score == bestScore && m.name < best.name {
 			best = m
 			bestScore = score
--- a/shard/core_test.go
+++ b/shard/core_test.go
@@ -482,11 +482,11 @@
 	old.cfg.LeaseExtension = leaseExtension
 	old.bringUp("m-0")
 	old.commitAll(old.advance(time.Second))
-	over := old.now
-	old.SetAuthority(over)
+	authorityEnd := old.now
+	old.SetAuthority(authorityEnd)
 	seq := uint64(10)
 	last := time.Time{}
-	for ; old.now.Before(over.Add(2 * leaseExtension)); old.now = old.now.Add(time.Second) {
+	for ; old.now.Before(authorityEnd.Add(2 * leaseExtension)); old.now = old.now.Add(time.Second) {
 		seq++
 		reply, err := old.Heartbeat(old.now, newHeartbeat("m-0", 1, seq, old.latestToken("m-0")))
 		if err != nil {
@@ -497,24 +497,24 @@
 		}
 		last = old.now
 	}
-	if d := last.Sub(over); d < leaseExtension-3*time.Second || d > leaseExtension {
+	if d := last.Sub(authorityEnd); d < leaseExtension-3*time.Second || d > leaseExtension {
 		t.Fatalf("leases extended for %s, wanted about %s", d, leaseExtension)
 	}
 	for name, shows := range map[string]bool{"unreachable": false, "shows the new token": true} {
 		t.Run(name, func(t *testing.T) {
 			next := newTestOwner(map[string]*records.Job{"run-1": arrayJob("run-1", 2, "a")}, records.Machine{Name: "m-0", Type: "box", Addr: "m-0:1"})
 			next.Core = New(Config{Shard: "a", HeartbeatPeriod: 3 * time.Second, LeaseTimeout: leaseEnd, LeaseExtension: leaseExtension, SizeLimits: records.SizeLimits{Current: 8192, Next: 8192}, MaxDirectCommands: 200, MaxTxnOps: 12, MaxWritesPerSecond: 100, JobOrder: leader.NewJobOrder(nil)},
-				over, Snapshot{Term: 6, TermVersion: 51})
-			next.SetAuthority(over.Add(time.Hour))
+				authorityEnd, Snapshot{Term: 6, TermVersion: 51})
+			next.SetAuthority(authorityEnd.Add(time.Hour))
 			// It sends one heartbeat, but the reply may be lost, and then it sends the
 			// next one to the old owner.
 			tok := token(5, 0)
 			if shows {
 				tok = token(6, 0)
 			}
-			next.Heartbeat(over, newHeartbeat("m-0", 1, 50, tok))
+			next.Heartbeat(authorityEnd, newHeartbeat("m-0", 1, 50, tok))
 			m := next.machines["m-0"]
-			ends := m.leaseExpiresAt.Sub(over)
+			ends := m.leaseExpiresAt.Sub(authorityEnd)
 			if shows && ends != leaseEnd || !shows && (ends < leaseExtension+leaseEnd || m.leaseExpiresAt.Before(last.Add(leaseEnd))) {
 				t.Fatalf("its lease counts as expired %s after the term was acquired", ends)
 			}
@@ -531,18 +531,18 @@
 		m.spot = true // on-demand ones would be consolidated
 	}
 	var terminated []string
-	look := func(d time.Duration) { terminated = append(terminated, r.advanceUnanswered(d, func() {})...) }
-	look(time.Second)
+	advanceFor := func(d time.Duration) { terminated = append(terminated, r.advanceUnanswered(d, func() {})...) }
+	advanceFor(time.Second)
 	r.now = r.now.Add(7 * time.Second) // the process is paused; heartbeats sent meanwhile are not read yet
-	look(2 * time.Second)
+	advanceFor(2 * time.Second)
 	if len(terminated) > 0 {
 		t.Fatalf("terminated %d machines whose heartbeats were not read yet", len(terminated))
 	}
 	// In a partition the shard requests no machines; then they come back one after the
 	// other.
-	look(4 * time.Second)
+	advanceFor(4 * time.Second)
 	r.submit(arrayJob("run-2", 400, "a"))
-	look(4 * time.Second)
+	advanceFor(4 * time.Second)
 	if !r.partitioned || len(terminated) > 0 || len(r.pendingScaleOuts) > 0 {
 		t.Fatalf("partitioned %v, terminated %d, scale-out requests %d", r.partitioned, len(terminated), len(r.pendingScaleOuts))
 	}
@@ -555,7 +555,7 @@
 		rep.Spot = true
 		r.Heartbeat(r.now, rep)
 	}
-	look(2 * time.Second)
+	advanceFor(2 * time.Second)
 	if r.partitioned || len(terminated) > 0 {
 		t.Fatalf("partitioned %v, terminated %d machines that were about to send heartbeats", r.partitioned, len(terminated))
 	}
@@ -574,16 +574,16 @@
 	}
 	r.ApplyMachineList(r.now, list)
 	terminated := 0
-	look := func(d time.Duration) { terminated += len(r.advanceUnanswered(d, func() { r.peersHeardAt = r.now })) }
-	look(9 * time.Second)
+	advanceFor := func(d time.Duration) { terminated += len(r.advanceUnanswered(d, func() { r.peersHeardAt = r.now })) }
+	advanceFor(9 * time.Second)
 	r.ApplyMachineList(r.now, list)
 	r.ApplyMachineList(r.now, nil) // one list may be older than the one before
-	look(time.Second)
+	advanceFor(time.Second)
 	if terminated > 0 || !r.partitioned {
 		t.Fatalf("terminated %d machines that are listed, partitioned %v", terminated, r.partitioned)
 	}
 	r.ApplyMachineList(r.now, nil)
-	look(7 * time.Second)
+	advanceFor(7 * time.Second)
 	if terminated != 5 || r.partitioned {
 		t.Fatalf("terminated %d of 5 machines that have ended, partitioned %v", terminated, r.partitioned)
 	}
@@ -593,11 +593,11 @@
 // has waited for long and another shard has capacity for a single one, though the shard may
 // still scale out: the cloud may refuse machines for ever.
 func TestLongWaitGoesToShardWithCapacity(t *testing.T) {
-	for _, room := range []float64{0, 4} {
+	for _, freeCPUs := range []float64{0, 4} {
 		j := arrayJob("run-1", 2, "a")
 		j.AcceptedMS = time.Unix(1000, 0).UnixMilli()
 		r := newTestOwner(map[string]*records.Job{"run-1": j})
-		left := 0
+		sentBack := 0
 		for range 120 {
 			for _, a := range r.advance(500 * time.Millisecond) {
 				switch a := a.(type) {
@@ -606,20 +606,20 @@
 				case Commit:
 					if rec, err := records.Decode(a.Txn.Changes[0].Put, a.Txn.Changes[0].Value); err == nil {
 						if j, ok := rec.(*records.Job); ok {
-							left += len(j.Unassigned())
+							sentBack += len(j.Unassigned())
 						}
 					}
 				}
 			}
 			agg := leader.Aggregate{Shard: "b", Term: 1, OnDemand: leader.FreeCapacity{Machines: 1}}
 			for _, m := range []*leader.Moments{&agg.OnDemand.CPUs, &agg.OnDemand.Memory} {
-				m.Add(room)
+				m.Add(freeCPUs)
 				m.Finish(1)
 			}
 			r.ApplyOtherShards(r.now, []leader.Aggregate{agg, {Shard: "c", Term: 1}})
 		}
-		if (left > 0) != (room > 0) {
-			t.Errorf("%g CPUs in another shard, and %d ranges were sent back", room, left)
+		if (sentBack > 0) != (freeCPUs > 0) {
+			t.Errorf("%g CPUs in another shard, and %d ranges were sent back", freeCPUs, sentBack)
 		}
 	}
 }
@@ -640,18 +640,18 @@
 	if j.End != "" {
 		t.Error("the feed's record was changed")
 	}
-	names := []wire.TaskStatus{}
+	statuses := []wire.TaskStatus{}
 	for _, att := range r.machines["m-1"].attempts {
-		names = append(names, wire.TaskStatus{Task: att.key.task, Attempt: att.key.number, State: wire.TaskRunning})
+		statuses = append(statuses, wire.TaskStatus{Task: att.key.task, Attempt: att.key.number, State: wire.TaskRunning})
 	}
-	reply, err := r.Heartbeat(r.now, newHeartbeat("m-1", 1, 3, r.latestToken("m-1"), names...))
+	reply, err := r.Heartbeat(r.now, newHeartbeat("m-1", 1, 3, r.latestToken("m-1"), statuses...))
 	if err != nil || len(reply.Commands) != 2 || reply.Commands[0].Op != wire.OpStop {
 		t.Fatalf("answered %+v, wanted two stops", reply.Commands)
 	}
-	for i := range names {
-		names[i].State, names[i].Cause = wire.TaskExited, wire.CauseStopped
+	for i := range statuses {
+		statuses[i].State, statuses[i].Cause = wire.TaskExited, wire.CauseStopped
 	}
-	r.Heartbeat(r.now, newHeartbeat("m-1", 1, 4, r.latestToken("m-1"), names...))
+	r.Heartbeat(r.now, newHeartbeat("m-1", 1, 4, r.latestToken("m-1"), statuses...))
 	for range 20 {
 		for _, a := range r.advance(time.Second) {
 			if cm, ok := a.(Commit); ok && cm.ID == (CommitID{kind: commitJob, jobID: "run-1"}) {
--- a/shard/gang_test.go
+++ b/shard/gang_test.go
@@ -150,11 +150,11 @@
 	h.submit(gangJob("run-2", 8, "a"))
 	h.submit(gangJob("run-3", 8, "a"))
 	h.submit(arrayJob("run-4", 20, "a"))
-	began := map[string]int{}
+	started := map[string]int{}
 	count := func(s []wire.Command) {
 		for _, c := range s {
 			job, _, _ := wire.ParseTaskName(c.Task)
-			began[job]++
+			started[job]++
 		}
 	}
 	count(h.advanceWithHeartbeats(2 * time.Second))
@@ -162,8 +162,8 @@
 		count(h.setStates(m, wire.TaskExited, wire.CauseDone))
 		count(h.advanceWithHeartbeats(2 * time.Second))
 	}
-	if began["run-2"]+began["run-3"] != 8 || began["run-2"]*began["run-3"] != 0 {
-		t.Fatalf("of two gangs of 8 began %v", began)
+	if started["run-2"]+started["run-3"] != 8 || started["run-2"]*started["run-3"] != 0 {
+		t.Fatalf("of two gangs of 8 began %v", started)
 	}
 }
 
@@ -171,7 +171,7 @@
 // number. Afterwards the others are stopped at once, and nothing starts before all are
 // gone, and then under another number.
 func TestGangLosesATask(t *testing.T) {
-	for _, begun := range []bool{false, true} {
+	for _, hasRun := range []bool{false, true} {
 		h := newFakeWorkers(newTestOwner(nil), "m-1", "m-2", "m-3")
 		h.submit(gangJob("run-1", 6, "a"))
 		s := h.advanceWithHeartbeats(time.Second)
@@ -186,29 +186,29 @@
 				other = m
 			}
 		}
-		if begun {
+		if hasRun {
 			h.setStates(lost, wire.TaskRunning, "")
 			h.setStates(other, wire.TaskRunning, "")
 		}
 		delete(h.seqs, lost)
 		h.ScaleInResult(h.now, []string{lost})
-		again := h.advanceWithHeartbeats(2 * time.Second)
-		if !begun {
-			if len(again) != 2 || again[0].Attempt != s[0].Attempt || again[1].Attempt != s[0].Attempt {
-				t.Fatalf("replaced by %v, wanted two under %d", again, s[0].Attempt)
+		restarted := h.advanceWithHeartbeats(2 * time.Second)
+		if !hasRun {
+			if len(restarted) != 2 || restarted[0].Attempt != s[0].Attempt || restarted[1].Attempt != s[0].Attempt {
+				t.Fatalf("replaced by %v, wanted two under %d", restarted, s[0].Attempt)
 			}
 			continue
 		}
-		if len(again) != 0 {
-			t.Fatalf("%v started while the old attempt is on a machine", again)
+		if len(restarted) != 0 {
+			t.Fatalf("%v started while the old attempt is on a machine", restarted)
 		}
 		if len(h.stopGraces) != 4 || h.stopGraces["run-1/0"] != 0 {
 			t.Fatalf("stops %v, wanted four without time for a checkpoint", h.stopGraces)
 		}
 		h.setStates(other, wire.TaskExited, wire.CauseGangPeerLost)
-		again = h.advanceWithHeartbeats(3 * time.Second)
-		if len(again) != 6 || again[0].Attempt == s[0].Attempt {
-			t.Fatalf("restarted %v after attempt %d", again, s[0].Attempt)
+		restarted = h.advanceWithHeartbeats(3 * time.Second)
+		if len(restarted) != 6 || restarted[0].Attempt == s[0].Attempt {
+			t.Fatalf("restarted %v after attempt %d", restarted, s[0].Attempt)
 		}
 		if h.machines[other].avoidUntil.After(h.now) || h.jobs["run-1"].failedMachines != nil {
 			t.Fatal("the end of a gang's attempt is blamed on a machine or the job")
--- a/shard/gangpacking.go
+++ b/shard/gangpacking.go
@@ -50,22 +50,22 @@
 }
 
 // gangSlotsFor lists the machines on which tasks of a gang fit now under an attempt number.
-func (v *fleetView) gangSlotsFor(now time.Time, s *wire.Submission, number uint64) gangSlots {
-	n := taskResources(s)
-	isOfAttempt := func(a *attempt) bool { return a.key.number == number && a.jobID == s.ID }
+func (v *fleetView) gangSlotsFor(now time.Time, spec *wire.Submission, number uint64) gangSlots {
+	demand := taskResources(spec)
+	isOfAttempt := func(a *attempt) bool { return a.key.number == number && a.jobID == spec.ID }
 	var out gangSlots
 	for _, m := range v.fleet {
-		if !isEligible(s, m.typeName, m.spot) || !v.isSchedulable(now, m) {
+		if !isEligible(spec, m.typeName, m.spot) || !v.isSchedulable(now, m) {
 			continue
 		}
-		if m.reservedFor != nil && m.reservedFor.rec.ID != s.ID {
+		if m.reservedFor != nil && m.reservedFor.rec.ID != spec.ID {
 			continue
 		}
-		count := v.freeResources(m).countFitting(n)
+		count := v.freeResources(m).countFitting(demand)
 		if count == 0 || slices.ContainsFunc(m.attempts, isOfAttempt) {
 			continue
 		}
-		slots := machineSlots{m, count, m.cachedImages[s.Image]}
+		slots := machineSlots{m, count, m.cachedImages[spec.Image]}
 		out.all = append(out.all, slots)
 		out.allSlots += count
 		if slots.hasImage && !m.consolidating {
@@ -79,8 +79,8 @@
 // fetchMissesStartObjective says whether the fetch of its image alone may make a gang miss
 // its class's start objective. The gang starts with the slowest of its machines.
 func (v *fleetView) fetchMissesStartObjective(s *wire.Submission) bool {
-	within := v.cfg.JobOrder.StartObjective(s.Class)
-	if within <= 0 {
+	objective := v.cfg.JobOrder.StartObjective(s.Class)
+	if objective <= 0 {
 		return false
 	}
 	for _, t := range v.types {
@@ -88,7 +88,7 @@
 			continue
 		}
 		fetchS := s.ImageGB / t.FetchGBPerS * constants.SlowFetchFactor
-		if fetchS < within.Seconds() {
+		if fetchS < objective.Seconds() {
 			return false
 		}
 	}
--- a/shard/gangpreempt.go
+++ b/shard/gangpreempt.go
@@ -14,14 +14,14 @@
 		return false
 	}
 	s := &tasks[0].job.rec.Spec
-	n := taskResources(s)
+	demand := taskResources(s)
 	slots := 0
 	for _, m := range v.fleet {
 		if !isEligible(s, m.typeName, m.spot) || !v.isSchedulable(now, m) {
 			continue
 		}
 		_, available := v.preemptionVictims(m, tasks[0], nil)
-		slots += available.countFitting(n)
+		slots += available.countFitting(demand)
 		if slots >= len(tasks) {
 			return true
 		}
@@ -68,11 +68,11 @@
 
 // freeSlots is how many tasks of a job fit in the shard now.
 func (v *fleetView) freeSlots(now time.Time, s *wire.Submission) int {
-	n := taskResources(s)
+	demand := taskResources(s)
 	slots := 0
 	for _, m := range v.fleet {
 		if isEligible(s, m.typeName, m.spot) && v.isSchedulable(now, m) {
-			slots += v.freeResources(m).countFitting(n)
+			slots += v.freeResources(m).countFitting(demand)
 		}
 	}
 	return slots
--- a/shard/gangreserve.go
+++ b/shard/gangreserve.go
@@ -115,7 +115,7 @@
 // reserveForGang reserves machines for all tasks of a waiting gang, as far as they fit.
 func reserveForGang(candidates []*gangReserveCandidate, j *job) {
 	s := &j.rec.Spec
-	n := taskResources(s)
+	demand := taskResources(s)
 	remaining := len(j.tasks)
 	for _, c := range candidates {
 		if remaining == 0 {
@@ -124,10 +124,10 @@
 		if !isEligible(s, c.machine.typeName, c.machine.spot) {
 			continue
 		}
-		count := min(remaining, c.available.countFitting(n))
+		count := min(remaining, c.available.countFitting(demand))
 		if count > 0 {
 			c.machine.reservedForGangs = true
-			c.available = c.available.minus(n.times(count))
+			c.available = c.available.minus(demand.times(count))
 			remaining -= count
 		}
 	}
--- a/shard/gangshapes.go
+++ b/shard/gangshapes.go
@@ -48,13 +48,13 @@
 // gangCapacity is how many tasks of a gang would start now, and how many of them on
 // machines that hold its image.
 func (v *fleetView) gangCapacity(now time.Time, s *wire.Submission) leader.GangCapacity {
-	n := taskResources(s)
+	demand := taskResources(s)
 	var capacity leader.GangCapacity
 	for _, m := range v.fleet {
 		if m.consolidating || !isEligible(s, m.typeName, m.spot) || !v.isSchedulable(now, m) {
 			continue
 		}
-		count := v.freeResources(m).countFitting(n)
+		count := v.freeResources(m).countFitting(demand)
 		capacity.Now += count
 		if m.cachedImages[s.Image] {
 			capacity.Warm += count
--- a/shard/placement.go
+++ b/shard/placement.go
@@ -72,8 +72,8 @@
 		c.placeGang(now, j, r)
 		return
 	}
-	s := &j.rec.Spec
-	p := jobPlacement{job: j, spec: s, demand: taskResources(s), class: demandClassOf(s), isOverdue: leader.IsOverdue(now, j.rec, j.hasStarted)}
+	spec := &j.rec.Spec
+	p := jobPlacement{job: j, spec: spec, demand: taskResources(spec), class: demandClassOf(spec), isOverdue: leader.IsOverdue(now, j.rec, j.hasStarted)}
 	isUnplaceable := r.failedPlacements.covers(p.class, p.demand)
 	if isUnplaceable && r.canSkipJob(&p) {
 		return
@@ -83,7 +83,7 @@
 		return
 	}
 	if !isUnplaceable {
-		p.candidates = c.rankCandidates(s, p.demand, r)
+		p.candidates = c.rankCandidates(spec, p.demand, r)
 	}
 	for _, t := range tasks {
 		m := c.machineForTask(now, t, &p, r)
@@ -193,14 +193,14 @@
 			continue
 		}
 		tried++
-		n := taskResources(&j.rec.Spec)
+		demand := taskResources(&j.rec.Spec)
 		c.taskBuffer = c.appendReadyTasks(c.taskBuffer[:0], now, j)
 		for _, t := range c.taskBuffer {
-			if !n.fits(free) {
+			if !demand.fits(free) {
 				break
 			}
 			c.startTask(now, t, m)
-			free = free.minus(n)
+			free = free.minus(demand)
 		}
 	}
 	return true
--- a/shard/preempt.go
+++ b/shard/preempt.go
@@ -81,13 +81,13 @@
 // preempt makes a machine free for a task by preempting others that stop at once: the
 // machine on which that costs the least. It returns nil where there is none.
 func (v *fleetView) preempt(now time.Time, preemptor *task, image imageRequirement, r *placementRound) *machine {
-	s := &preemptor.job.rec.Spec
-	n := taskResources(s)
-	class := demandClassOf(s).forPreemption(s, preemptor.withinGuarantee)
+	spec := &preemptor.job.rec.Spec
+	demand := taskResources(spec)
+	class := demandClassOf(spec).forPreemption(spec, preemptor.withinGuarantee)
 	if image == machineWithImage {
-		class.image = s.Image
+		class.image = spec.Image
 	}
-	if r.failedPreemptions.covers(class, n) {
+	if r.failedPreemptions.covers(class, demand) {
 		return nil
 	}
 	if !v.hasPreemptibleWork(preemptor, r) {
@@ -96,12 +96,12 @@
 	}
 	best, victims := v.cheapestPreemption(now, preemptor, image)
 	if best == nil {
-		r.failedPreemptions.add(class, n)
+		r.failedPreemptions.add(class, demand)
 		return nil
 	}
 	for _, victim := range victims {
 		victim.stopRequested = true
-		slog.Debug("task preempted", logkey.TaskID, victim.key.task, logkey.Machine, best.name, "for", s.Priority,
+		slog.Debug("task preempted", logkey.TaskID, victim.key.task, logkey.Machine, best.name, "for", spec.Priority,
 			"guaranteed", preemptor.withinGuarantee, "image_required", bool(image), "age_s", now.Sub(victim.startSentAt).Seconds())
 	}
 	best.usageStale = true
@@ -111,25 +111,25 @@
 // cheapestPreemption is the machine on which making a task's capacity free costs the least
 // (CPU seconds of lost work and the constants Cost...), and the attempts to stop there.
 func (v *fleetView) cheapestPreemption(now time.Time, preemptor *task, image imageRequirement) (*machine, []*attempt) {
-	s := &preemptor.job.rec.Spec
-	n := taskResources(s)
+	spec := &preemptor.job.rec.Spec
+	demand := taskResources(spec)
 	var best *machine
 	var bestVictims, evictable []*attempt
 	bestCost := math.Inf(1)
 	for _, m := range v.fleet {
-		if !isEligible(s, m.typeName, m.spot) {
+		if !isEligible(spec, m.typeName, m.spot) {
 			continue
 		}
-		hasImage := m.cachedImages[s.Image]
+		hasImage := m.cachedImages[spec.Image]
 		if image == machineWithImage && !hasImage || !v.isSchedulable(now, m) {
 			continue
 		}
 		var available resources
 		evictable, available = v.preemptionVictims(m, preemptor, evictable[:0])
-		if len(evictable) == 0 || !n.fits(available) {
+		if len(evictable) == 0 || !demand.fits(available) {
 			continue
 		}
-		victims, cost := v.chooseVictims(now, n, v.freeResources(m), evictable)
+		victims, cost := v.chooseVictims(now, demand, v.freeResources(m), evictable)
 		if len(victims) == 0 {
 			continue
 		}
@@ -151,7 +151,7 @@
 // chooseVictims chooses as many of a machine's attempts, the youngest first, as must stop
 // beside its free capacity to fit n, and returns their cost. The youngest lose the least.
 // It sorts the list that it is given and returns a part of it.
-func (v *fleetView) chooseVictims(now time.Time, n, free resources, evictable []*attempt) ([]*attempt, float64) {
+func (v *fleetView) chooseVictims(now time.Time, demand, free resources, evictable []*attempt) ([]*attempt, float64) {
 	sort.Slice(evictable, func(i, j int) bool {
 		a, b := evictable[i], evictable[j]
 		if !a.startSentAt.Equal(b.startSentAt) {
@@ -161,7 +161,7 @@
 	})
 	cost := 0.0
 	count := 0
-	for count < len(evictable) && !n.fits(free) {
+	for count < len(evictable) && !demand.fits(free) {
 		victim := evictable[count]
 		free = free.plus(victim.resources)
 		cost += victim.resources.cpus * (1 + now.Sub(victim.startSentAt).Seconds())
@@ -199,7 +199,7 @@
 	estimate := time.Duration(rec.Spec.EstimateS * float64(time.Second))
 	age := time.Duration(now.UnixMilli()-rec.AcceptedMS) * time.Millisecond
 	remaining := max(estimate-now.Sub(startedAt), constants.MinRemainingRuntime)
-	undisturbed := v.cfg.JobOrder.ObjectivesMet(rec.Spec.Class, age+remaining)
-	restarted := v.cfg.JobOrder.ObjectivesMet(rec.Spec.Class, age+estimate)
-	return undisturbed > restarted
+	metIfContinued := v.cfg.JobOrder.ObjectivesMet(rec.Spec.Class, age+remaining)
+	metIfRestarted := v.cfg.JobOrder.ObjectivesMet(rec.Spec.Class, age+estimate)
+	return metIfContinued > metIfRestarted
 }
--- a/shard/preemptcheckpoint.go
+++ b/shard/preemptcheckpoint.go
@@ -70,13 +70,13 @@
 // and the CPUs that they hold with the other tasks of their gangs; empty: it does not fit
 // whatever is stopped.
 func (v *fleetView) checkpointVictims(m *machine, preemptor *task) ([]*attempt, float64) {
-	n := taskResources(&preemptor.job.rec.Spec)
+	demand := taskResources(&preemptor.job.rec.Spec)
 	free := v.freeResources(m)
 	cost := 0.0
 	var victims []*attempt
 	for _, a := range m.attempts {
 		t := v.taskOf(a)
-		if n.fits(free) || !isEvictable(a, t) || !mayPreempt(t, preemptor) {
+		if demand.fits(free) || !isEvictable(a, t) || !mayPreempt(t, preemptor) {
 			continue
 		}
 		free = free.plus(a.resources)
@@ -86,7 +86,7 @@
 			cost += a.resources.cpus * float64(len(t.job.tasks)-1) // all of it stops
 		}
 	}
-	if !n.fits(free) {
+	if !demand.fits(free) {
 		return nil, 0
 	}
 	return victims, cost
--- a/shard/reservation.go
+++ b/shard/reservation.go
@@ -47,11 +47,11 @@
 // bestReservation is the machine on which the least must still become free for a task of
 // a job; nil: none is large enough. Arrays count as good as finished.
 func (v *fleetView) bestReservation(now time.Time, s *wire.Submission) *machine {
-	n := taskResources(s)
+	demand := taskResources(s)
 	var best *machine
 	var largest float64 // share of the machine, from 0 to 2
 	for _, m := range v.fleet {
-		if m.reservedFor != nil || !isEligible(s, m.typeName, m.spot) || !n.fits(m.capacity) || !v.isSchedulable(now, m) {
+		if m.reservedFor != nil || !isEligible(s, m.typeName, m.spot) || !demand.fits(m.capacity) || !v.isSchedulable(now, m) {
 			continue
 		}
 		available := m.freeShare(v.freeResources(m)) + v.usageOf(m).batchCPUs/max(m.capacity.cpus, 1)
--- a/shard/resources.go
+++ b/shard/resources.go
@@ -37,9 +37,9 @@
 func taskResources(s *wire.Submission) resources { return resources{s.CPUs, s.GPUs, s.MemoryGB} }
 
 // countFitting is how many tasks that need n each fit.
-func (r resources) countFitting(n resources) int {
+func (r resources) countFitting(demand resources) int {
 	k := math.MaxInt32
-	for _, x := range [][2]float64{{n.cpus, r.cpus}, {n.gpus, r.gpus}, {n.memory, r.memory}} {
+	for _, x := range [][2]float64{{demand.cpus, r.cpus}, {demand.gpus, r.gpus}, {demand.memory, r.memory}} {
 		if x[0] > 0 {
 			k = min(k, int((x[1]+roundingSlack)/x[0]))
 		}
