--- a/shard/core_test.go
+++ b/shard/core_test.go
@@ -16,7 +16,7 @@
 	"ravenport/wire"
 )
 
-const leaseEnd = 21 * time.Second
+const leaseTimeout = 21 * time.Second
 
 // testOwner is an owner under test with its clock; tests pass it messages by hand.
 type testOwner struct {
@@ -39,7 +39,7 @@
 			pages[k].Add(m)
 		}
 	}
-	cfg := Config{Shard: "a", HeartbeatPeriod: 3 * time.Second, LeaseTimeout: leaseEnd, SpotIdleTimeout: time.Hour, OnDemandIdleTimeout: time.Hour, UseSpot: true, CloudListLag: 5 * time.Second, SizeLimits: records.SizeLimits{Current: 8192, Next: 8192}, MaxDirectCommands: 200, MaxTxnOps: 12, MaxWritesPerSecond: 100, JobOrder: leader.NewJobOrder(nil)}
+	cfg := Config{Shard: "a", HeartbeatPeriod: 3 * time.Second, LeaseTimeout: leaseTimeout, SpotIdleTimeout: time.Hour, OnDemandIdleTimeout: time.Hour, UseSpot: true, CloudListLag: 5 * time.Second, SizeLimits: records.SizeLimits{Current: 8192, Next: 8192}, MaxDirectCommands: 200, MaxTxnOps: 12, MaxWritesPerSecond: 100, JobOrder: leader.NewJobOrder(nil)}
 	types := []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.4, BootS: 10, Zones: []string{"a"}}}
 	r.Core = New(cfg, r.now, Snapshot{Term: r.term, TermVersion: 50, MachineTypes: types, Jobs: jobs, JobVersions: versions, Inventory: pages, InventoryVersions: pageV})
 	r.SetAuthority(r.now.Add(time.Hour))
@@ -150,7 +150,7 @@
 	if s := directStarts(acts, "m-2"); len(s) != 1 || s[0].Task != "run-2/0" {
 		t.Fatalf("started %v, wanted the new task alone", s)
 	}
-	for d := 2 * time.Second; d < leaseEnd; d += time.Second {
+	for d := 2 * time.Second; d < leaseTimeout; d += time.Second {
 		if s := directStarts(r.advance(time.Second), "m-2"); len(s) > 0 && s[0].Task == "run-1/0" {
 			t.Fatalf("started after %s, within the lease", d)
 		}
@@ -233,7 +233,7 @@
 		r.bringUp("m-1")
 		r.machines["m-1"].scalingIn = true
 		r.advance(10 * time.Second)
-		if _, err := r.Heartbeat(r.now, newHeartbeat("m-1", 1, 9, token(r.term, 0))); err == nil && r.machines["m-1"].leaseExpiresAt.Before(r.now.Add(leaseEnd)) {
+		if _, err := r.Heartbeat(r.now, newHeartbeat("m-1", 1, 9, token(r.term, 0))); err == nil && r.machines["m-1"].leaseExpiresAt.Before(r.now.Add(leaseTimeout)) {
 			t.Fatal("a reply renewed the lease without being counted")
 		}
 	})
@@ -241,7 +241,7 @@
 		r := newTestOwner(nil, records.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"})
 		r.advance(15 * time.Second)
 		r.CommandResult(r.now, "m-1", newHeartbeat("m-1", 2, 1, token(r.term, 0)))
-		if r.machines["m-1"].leaseExpiresAt.Before(r.now.Add(leaseEnd)) {
+		if r.machines["m-1"].leaseExpiresAt.Before(r.now.Add(leaseTimeout)) {
 			t.Fatal("the new epoch is held to the old one's lease")
 		}
 	})
@@ -503,7 +503,7 @@
 	for name, shows := range map[string]bool{"unreachable": false, "shows the new token": true} {
 		t.Run(name, func(t *testing.T) {
 			next := newTestOwner(map[string]*records.Job{"run-1": arrayJob("run-1", 2, "a")}, records.Machine{Name: "m-0", Type: "box", Addr: "m-0:1"})
-			next.Core = New(Config{Shard: "a", HeartbeatPeriod: 3 * time.Second, LeaseTimeout: leaseEnd, LeaseExtension: leaseExtension, SizeLimits: records.SizeLimits{Current: 8192, Next: 8192}, MaxDirectCommands: 200, MaxTxnOps: 12, MaxWritesPerSecond: 100, JobOrder: leader.NewJobOrder(nil)},
+			next.Core = New(Config{Shard: "a", HeartbeatPeriod: 3 * time.Second, LeaseTimeout: leaseTimeout, LeaseExtension: leaseExtension, SizeLimits: records.SizeLimits{Current: 8192, Next: 8192}, MaxDirectCommands: 200, MaxTxnOps: 12, MaxWritesPerSecond: 100, JobOrder: leader.NewJobOrder(nil)},
 				authorityEnd, Snapshot{Term: 6, TermVersion: 51})
 			next.SetAuthority(authorityEnd.Add(time.Hour))
 			// It sends one heartbeat, but the reply may be lost, and then it sends the
@@ -515,7 +515,7 @@
 			next.Heartbeat(authorityEnd, newHeartbeat("m-0", 1, 50, tok))
 			m := next.machines["m-0"]
 			ends := m.leaseExpiresAt.Sub(authorityEnd)
-			if shows && ends != leaseEnd || !shows && (ends < leaseExtension+leaseEnd || m.leaseExpiresAt.Before(last.Add(leaseEnd))) {
+			if shows && ends != leaseTimeout || !shows && (ends < leaseExtension+leaseTimeout || m.leaseExpiresAt.Before(last.Add(leaseTimeout))) {
 				t.Fatalf("its lease counts as expired %s after the term was acquired", ends)
 			}
 		})
@@ -597,7 +597,7 @@
 		j := arrayJob("run-1", 2, "a")
 		j.AcceptedMS = time.Unix(1000, 0).UnixMilli()
 		r := newTestOwner(map[string]*records.Job{"run-1": j})
-		sentBack := 0
+		offloaded := 0
 		for range 120 {
 			for _, a := range r.advance(500 * time.Millisecond) {
 				switch a := a.(type) {
@@ -606,7 +606,7 @@
 				case Commit:
 					if rec, err := records.Decode(a.Txn.Changes[0].Put, a.Txn.Changes[0].Value); err == nil {
 						if j, ok := rec.(*records.Job); ok {
-							sentBack += len(j.Unassigned())
+							offloaded += len(j.Unassigned())
 						}
 					}
 				}
@@ -618,8 +618,8 @@
 			}
 			r.ApplyOtherShards(r.now, []leader.Aggregate{agg, {Shard: "c", Term: 1}})
 		}
-		if (sentBack > 0) != (freeCPUs > 0) {
-			t.Errorf("%g CPUs in another shard, and %d ranges were sent back", freeCPUs, sentBack)
+		if (offloaded > 0) != (freeCPUs > 0) {
+			t.Errorf("%g CPUs in another shard, and %d ranges were sent back", freeCPUs, offloaded)
 		}
 	}
 }
--- a/shard/gang_test.go
+++ b/shard/gang_test.go
@@ -334,9 +334,9 @@
 		t.Fatalf("started %v, wanted two tasks under the leader's number", s)
 	}
 	h.setStates("m-1", wire.TaskWaitingForGang, "")
-	shard := job()
-	shard.Assignments = shard.Assignments[:1]
-	h.submit(shard)
+	ownShare := job()
+	ownShare.Assignments = ownShare.Assignments[:1]
+	h.submit(ownShare)
 	h.advanceWithHeartbeats(time.Second)
 	if len(h.stopGraces) != 2 {
 		t.Fatalf("stops %v, wanted both tasks of the share", h.stopGraces)
--- a/shard/partition_test.go
+++ b/shard/partition_test.go
@@ -48,7 +48,7 @@
 	r := newTestOwner(nil)
 	r.bringUp("m-0")
 	r.bringUp("m-1")
-	if gone := r.advanceMisrouted(2*leaseEnd + 10*time.Second); len(gone) != 2 {
+	if gone := r.advanceMisrouted(2*leaseTimeout + 10*time.Second); len(gone) != 2 {
 		t.Errorf("%v were terminated", gone)
 	}
 }
--- a/shard/reconnect_test.go
+++ b/shard/reconnect_test.go
@@ -32,7 +32,7 @@
 			inventory = append(inventory, records.Machine{Name: name, Type: "box", Addr: name + ":1"})
 		}
 		r := newTestOwner(jobs, inventory...)
-		r.now = r.now.Add(leaseEnd + time.Second)
+		r.now = r.now.Add(leaseTimeout + time.Second)
 		r.Step(r.now)
 		b.StartTimer()
 		for step := range 300 { // 6 s
--- a/shard/scale_test.go
+++ b/shard/scale_test.go
@@ -388,7 +388,7 @@
 		r.IsIsolated(r.now)
 	}
 	for _, m := range r.machines { // they sent heartbeats meanwhile
-		m.lastHeartbeat, m.leaseExpiresAt = r.now, r.now.Add(leaseEnd)
+		m.lastHeartbeat, m.leaseExpiresAt = r.now, r.now.Add(leaseTimeout)
 	}
 	return actions
 }
@@ -407,7 +407,7 @@
 			}
 		}
 		for _, m := range r.machines {
-			m.lastHeartbeat, m.leaseExpiresAt = r.now, r.now.Add(leaseEnd)
+			m.lastHeartbeat, m.leaseExpiresAt = r.now, r.now.Add(leaseTimeout)
 		}
 	}
 }
