--- a/shard/availability.go
+++ b/shard/availability.go
@@ -6,14 +6,15 @@
 	"ravenport/disruption"
 )
 
-// isRunningTask says whether a task runs, as far as is known, and is not to be stopped.
+// isRunningTask reports whether a task is known to run on a reachable machine and is not
+// to be stopped.
 func (l *liveness) isRunningTask(now time.Time, t *task) bool {
 	a := t.attempt
 	return a != nil && !a.stopRequested && a.isRunning() && !l.isUnreachable(now, a.machine)
 }
 
-// isAvailable says whether a task runs and has been stable for long enough to count as
-// available.
+// isAvailable reports whether a task is running and has been stable for long enough to
+// count as available.
 func (d *draining) isAvailable(v *fleetView, now time.Time, t *task) bool {
 	if !v.isRunningTask(now, t) {
 		return false
@@ -43,7 +44,7 @@
 	return unavailable
 }
 
-// budgetsOf lists the disruption budgets that a job's tasks count against.
+// budgetsOf returns the disruption budgets that a job's tasks count against.
 func (d *draining) budgetsOf(j *job) []disruption.BudgetKey {
 	return d.ledger.BudgetsOf(&j.rec.Spec)
 }
--- a/shard/bestfit.go
+++ b/shard/bestfit.go
@@ -27,11 +27,12 @@
 	return 1
 }
 
-// rankCandidates lists the machines that have free capacity for a task of a job in the
-// order in which they are filled: best fit, which the paper calls Resource-Only Match. A
-// machine that got a task is left with less, and so stays the best fit for the job's next
-// one until it is full. Machines that hold the image come first, and spot machines before
-// on-demand ones where both are allowed: other tasks can use on-demand capacity only.
+// rankCandidates returns the machines that have free capacity for a task of a job, in
+// the order in which the machines are filled. The order is best fit, which the paper
+// calls Resource-Only Match. A machine that received a task has less free capacity and
+// therefore remains the best fit for the job's next task until the machine is full.
+// Machines that hold the image come first. Where both kinds are allowed, spot machines
+// come before on-demand machines, because other tasks can use on-demand capacity only.
 func (k *knownState) rankCandidates(s *wire.Submission, demand resources, r *placementRound) []*machine {
 	var candidates []candidate
 	for _, m := range r.freeMachines {
@@ -49,18 +50,19 @@
 	return machines
 }
 
-// placementScore scores a machine with the given free capacity for a task that needs n;
-// less is better. The unit is the share of the machine that would stay free, from 0 to 2
-// (see freeShare); the constants Score... are added in the same unit, and most of them
-// outweigh every difference in fit.
+// placementScore scores a machine with the given free capacity for a task with the given
+// demand; a lower score is better. The unit is the share of the machine that would stay
+// free, from 0 to 2 (see freeShare). The constants whose names begin with Score are
+// added in the same unit, and most of them outweigh every difference in fit.
 func (k *knownState) placementScore(spec *wire.Submission, demand resources, m *machine, free resources) float64 {
 	score := m.freeShare(free.minus(demand))
 	if !m.cachedImages[spec.Image] {
 		score += constants.ScoreImageMissing
 	}
 	if spec.Spot && !m.spot {
-		// An on-demand machine with services stays in use whatever happens, so its gaps
-		// cost nothing; one without had better become empty.
+		// An on-demand machine with services stays in use in any case, so using its free
+		// capacity costs nothing. An on-demand machine without services should become
+		// empty.
 		if k.usageOf(m).services > 0 {
 			score -= constants.ScoreServiceMachine
 		} else {
@@ -76,8 +78,9 @@
 	return score
 }
 
-// bestFit is the machine with the best placement score for one task of a job, or nil.
-// Machines for which the filter is false are left out; a nil filter allows all.
+// bestFit returns the machine with the best placement score for one task of a job, or
+// nil if no machine can take the task. Machines for which the filter returns false are
+// left out; a nil filter allows all machines.
 func (v *fleetView) bestFit(now time.Time, spec *wire.Submission, filter func(*machine) bool) *machine {
 	demand := taskResources(spec)
 	var best *machine
@@ -102,7 +105,8 @@
 	return best
 }
 
-// freeShare is the free share of a machine's CPUs plus that of its memory, from 0 to 2.
+// freeShare returns the free share of a machine's CPUs plus that of its memory, from 0
+// to 2.
 func (m *machine) freeShare(free resources) float64 {
 	share := 0.0
 	if m.capacity.cpus > 0 {
--- a/shard/core_test.go
+++ b/shard/core_test.go
@@ -18,7 +18,8 @@
 
 const leaseTimeout = 21 * time.Second
 
-// testOwner is an owner under test with its clock; tests pass it messages by hand.
+// testOwner is a shard owner under test with its own clock. Tests pass messages to it
+// directly.
 type testOwner struct {
 	*Core
 	now     time.Time
@@ -51,7 +52,7 @@
 	return r.Step(r.now)
 }
 
-// commitAll commits every transaction and applies its changes like the feed.
+// commitAll commits every transaction and applies its changes as the feed does.
 func (r *testOwner) commitAll(acts []Action) {
 	for _, a := range acts {
 		cm, ok := a.(Commit)
@@ -70,7 +71,7 @@
 	}
 }
 
-// token is the n-th fencing token of a term.
+// token returns the n-th fencing token of a term.
 func token(term, n uint64) uint64 { return term<<constants.TokenCounterBits | n }
 
 func newHeartbeat(name string, epoch, seq, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
@@ -82,8 +83,8 @@
 		Assignments: []records.Assignment{{From: 0, To: tasks, Shard: shard, KeepWaiting: true}}}
 }
 
-// bringUp has a machine send heartbeats until it is in the durable inventory and has shown a
-// token of the term.
+// bringUp sends heartbeats of a machine until the machine is in the durable inventory
+// and has reported a token of the term.
 func (r *testOwner) bringUp(name string) {
 	if _, err := r.Heartbeat(r.now, newHeartbeat(name, 1, 1, 0)); err != nil {
 		panic("heartbeat refused")
@@ -93,10 +94,10 @@
 	r.Heartbeat(r.now, newHeartbeat(name, 1, 2, r.latestToken(name)))
 }
 
-// latestToken is the token that a worker shows after the last reply.
+// latestToken returns the token that a worker reports after the owner's last reply.
 func (r *testOwner) latestToken(name string) uint64 { return r.fencingToken(r.machines[name]) }
 
-// directStarts lists the starts sent to a machine by direct commands.
+// directStarts returns the starts sent to a machine by direct commands.
 func directStarts(acts []Action, name string) []wire.Command {
 	var out []wire.Command
 	for _, a := range acts {
@@ -111,8 +112,9 @@
 	return out
 }
 
-// advanceUnanswered advances the time while no machine answers a direct command and the cloud
-// confirms every scale in, and returns the machines that were terminated.
+// advanceUnanswered advances the time while no machine answers a direct command and the
+// cloud confirms every scale in. It calls each before every step and returns the
+// machines that were terminated.
 func (r *testOwner) advanceUnanswered(d time.Duration, each func()) (terminated []string) {
 	for end := r.now.Add(d); r.now.Before(end); {
 		each()
@@ -134,21 +136,21 @@
 	r.Apply(r.now, records.Change{Key: records.KeyJob(j.ID), Version: r.version, Record: j})
 }
 
-// A task that existed before the term is placed only when every inherited
-// machine has shown the owner's token or its lease has surely expired; a task
-// assigned later starts at once.
+// A task that existed before the term is placed only after every inherited machine has
+// reported a token of the owner or the machine's lease has surely expired. A task
+// assigned during the term starts at once.
 func TestFailoverWaitsForInheritedMachines(t *testing.T) {
 	old := arrayJob("run-1", 1, "a")
 	r := newTestOwner(map[string]*records.Job{"run-1": old}, records.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"})
 	r.bringUp("m-2")
 	acts := r.advance(time.Second)
 	if n := len(directStarts(acts, "m-2")); n != 0 {
-		t.Fatalf("%d tasks of before the term started while m-1 may run them", n)
+		t.Fatalf("%d tasks from before the term started although m-1 may still run them", n)
 	}
 	r.submit(arrayJob("run-2", 1, "a"))
 	acts = r.advance(time.Second)
 	if s := directStarts(acts, "m-2"); len(s) != 1 || s[0].Task != "run-2/0" {
-		t.Fatalf("started %v, wanted the new task alone", s)
+		t.Fatalf("started %v, wanted only the new task", s)
 	}
 	for d := 2 * time.Second; d < leaseTimeout; d += time.Second {
 		if s := directStarts(r.advance(time.Second), "m-2"); len(s) > 0 && s[0].Task == "run-1/0" {
@@ -169,13 +171,13 @@
 		}
 	}
 	if !found {
-		t.Fatal("not started after the lease had ended")
+		t.Fatal("run-1/0 not started after the lease had expired")
 	}
 }
 
-// A start sent by a direct command without a reply may be carried out much
-// later: the task must not be placed elsewhere just because heartbeats of its
-// machine do not show it.
+// A start that was sent by a direct command and got no reply may be executed much later.
+// The task must not be placed elsewhere merely because heartbeats of its machine do not
+// list the task.
 func TestUnansweredDirectStartIsNotPlacedAgain(t *testing.T) {
 	r := newTestOwner(nil)
 	r.bringUp("m-1")
@@ -192,15 +194,16 @@
 			t.Fatalf("placed a second time: %v", s)
 		}
 	}
-	// The end of the epoch proves that it has ended.
+	// A new epoch of the machine proves that the attempt has ended.
 	r.Heartbeat(r.now, newHeartbeat("m-1", 2, 20, token(r.term, 0)))
 	if h := len(r.machines["m-1"].attempts); h > 1 {
 		t.Fatalf("%d attempts after the epoch ended", h)
 	}
 }
 
-// An exited attempt that a direct command started is forgotten only under a
-// higher token: a late copy of the command would start it again.
+// The owner has a worker forget an exited attempt that a direct command started only
+// under a higher token. Otherwise a late copy of the start command would start the
+// attempt again.
 func TestDirectStartIsForgottenOnlyUnderHigherToken(t *testing.T) {
 	r := newTestOwner(nil)
 	r.bringUp("m-1")
@@ -210,7 +213,7 @@
 	reply, _ := r.Heartbeat(r.now, newHeartbeat("m-1", 1, 5, token(r.term, 0), failed))
 	for _, c := range reply.Commands {
 		if c.Op == wire.OpForget {
-			t.Fatal("forgotten while a late copy could start it again")
+			t.Fatal("attempt forgotten while a late copy of the start command could start it again")
 		}
 	}
 	r.machines["m-1"].tokenCount++
@@ -220,13 +223,13 @@
 		forgot = forgot || c.Op == wire.OpForget && c.Attempt == s[0].Attempt
 	}
 	if !forgot {
-		t.Fatal("not forgotten although the higher token makes the old command harmless")
+		t.Fatal("attempt not forgotten although the higher token invalidates the old start command")
 	}
 }
 
-// Two failures found by the generated days: a machine whose termination was
-// requested, and an epoch learned from the reply to a direct command, renewed a
-// lease that the owner did not count.
+// Guards against two failures found by generated days in which a reply renewed a lease
+// and the owner did not count the renewal: for a machine whose termination was
+// requested, and for an epoch learned from the reply to a direct command.
 func TestLeaseIsCountedFromEveryReply(t *testing.T) {
 	t.Run("returning", func(t *testing.T) {
 		r := newTestOwner(nil)
@@ -242,13 +245,13 @@
 		r.advance(15 * time.Second)
 		r.CommandResult(r.now, "m-1", newHeartbeat("m-1", 2, 1, token(r.term, 0)))
 		if r.machines["m-1"].leaseExpiresAt.Before(r.now.Add(leaseTimeout)) {
-			t.Fatal("the new epoch is held to the old one's lease")
+			t.Fatal("the owner counts the old epoch's lease for the new epoch")
 		}
 	})
 }
 
-// Late and duplicate heartbeats change nothing, whatever they say; a newer one
-// always does.
+// Late and duplicate heartbeats change nothing, whatever their content. A newer
+// heartbeat is always accepted.
 func TestLateHeartbeatsChangeNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newTestOwner(nil)
@@ -269,7 +272,8 @@
 	})
 }
 
-// In whatever order tasks are placed, they never need more than their machine has.
+// In whatever order tasks are placed, the tasks on a machine never need more than the
+// machine has.
 func TestBestFitNeverOverfills(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newTestOwner(nil)
@@ -292,7 +296,7 @@
 	})
 }
 
-// Without authority nothing is started, written or answered.
+// Without authority the owner starts nothing, writes nothing and answers no heartbeat.
 func TestNothingWithoutAuthority(t *testing.T) {
 	r := newTestOwner(nil)
 	r.bringUp("m-1")
@@ -306,8 +310,8 @@
 	}
 }
 
-// A machine that alone is unreachable is terminated; when most are unreachable and send
-// heartbeats to others, the owner is isolated.
+// A single unreachable machine is terminated. If most machines are unreachable and send
+// heartbeats to other controllers, the owner is isolated and terminates none of them.
 func TestUnreachableMachineOrIsolatedOwner(t *testing.T) {
 	r := newTestOwner(nil)
 	for i := range 4 {
@@ -348,11 +352,11 @@
 	}
 	r.ApplyMisroutedHeartbeats(r.now, []MisroutedHeartbeat{{"m-1", 1, 900}, {"m-2", 1, 900}, {"m-3", 1, 900}}, true)
 	if isolated, misrouted := r.IsIsolated(r.now); !isolated || !misrouted {
-		t.Fatalf("isolated %v, misrouted %v: the owner does not see that it is isolated", isolated, misrouted)
+		t.Fatalf("isolated %v, misrouted %v: the owner does not detect its isolation", isolated, misrouted)
 	}
 	for _, a := range r.Step(r.now) {
 		if ret, ok := a.(ScaleIn); ok {
-			t.Fatalf("terminated %v although they send heartbeats to others", ret.Names)
+			t.Fatalf("terminated %v although they send heartbeats to other controllers", ret.Names)
 		}
 	}
 }
@@ -362,8 +366,8 @@
 	os.Exit(m.Run())
 }
 
-// On a spot notice a task that can save a checkpoint is stopped early enough to finish
-// saving, and no earlier than it must.
+// After a spot notice, a task that can save a checkpoint is stopped early enough to
+// finish saving, and no earlier than necessary.
 func TestSpotNoticeLeavesTimeForCheckpoint(t *testing.T) {
 	r := newTestOwner(nil)
 	r.bringUp("m-1")
@@ -388,16 +392,16 @@
 				continue
 			}
 			if left < *c.GraceS || *c.GraceS < j.Spec.CheckpointSaveS || left > 12 {
-				t.Fatalf("told to stop %g s before the end, with %g s to save in", left, *c.GraceS)
+				t.Fatalf("stop sent %g s before the reclaim, with a grace period of %g s", left, *c.GraceS)
 			}
 			return
 		}
 	}
-	t.Fatal("never told to save")
+	t.Fatal("no stop sent before the reclaim")
 }
 
-// Work that can save a checkpoint is preempted with time to save, and only once; the task that
-// preempts it starts when it has ended.
+// Work that can save a checkpoint is preempted only once, with time to save. The
+// preempting task starts after that work has ended.
 func TestPreemptedWorkSavesCheckpointFirst(t *testing.T) {
 	r := newTestOwner(nil)
 	r.bringUp("m-1")
@@ -423,7 +427,7 @@
 				case wire.OpStop:
 					stops++
 					if *c.GraceS < low.Spec.CheckpointSaveS {
-						t.Fatalf("%g s to save in", *c.GraceS)
+						t.Fatalf("grace period of %g s is shorter than the checkpoint save", *c.GraceS)
 					}
 				}
 			}
@@ -439,9 +443,10 @@
 	}
 }
 
-// A late copy of a heartbeat reaches a new owner that knows nothing newer: it names a
-// machine that the task has left since. When that machine's own heartbeat no longer
-// shows it, the task is not free: it runs on another that has sent none yet.
+// A late copy of a heartbeat reaches a new owner that knows no newer heartbeat of the
+// machine. The copy lists a task that has since moved to another machine, which has sent
+// no heartbeat to the new owner yet. When a current heartbeat of the first machine no
+// longer lists the task, the owner must not place the task.
 func TestLateHeartbeatToNewOwnerFreesNothing(t *testing.T) {
 	old := arrayJob("run-1", 1, "a")
 	r := newTestOwner(map[string]*records.Job{"run-1": old},
@@ -454,7 +459,7 @@
 	r.Heartbeat(r.now, newHeartbeat("m-1", 1, 5, before, running(7))) // the late copy
 	r.Step(r.now)
 	r.now = r.now.Add(100 * time.Millisecond)
-	r.Heartbeat(r.now, newHeartbeat("m-1", 1, 90, before)) // its own heartbeat, now
+	r.Heartbeat(r.now, newHeartbeat("m-1", 1, 90, before)) // a current heartbeat of m-1
 	r.now = r.now.Add(100 * time.Millisecond)
 	r.Heartbeat(r.now, newHeartbeat("m-1", 1, 91, r.latestToken("m-1")))
 	r.Heartbeat(r.now, newHeartbeat("m-3", 1, 3, r.latestToken("m-3")))
@@ -473,9 +478,10 @@
 	}
 }
 
-// Without authority an owner extends its machines' leases for the lease extension, and gives
-// no command; its successor counts a machine's lease from the end of that, unless the
-// machine has shown the new token and so drops old replies.
+// Without authority an owner extends its machines' leases for the lease extension and
+// sends no commands. Its successor counts a machine's lease from the end of that
+// extension, unless the machine has reported the successor's token and so drops old
+// replies.
 func TestLeaseExtensionIsCountedByTheNextOwner(t *testing.T) {
 	const leaseExtension = 15 * time.Second
 	old := newTestOwner(map[string]*records.Job{"run-1": arrayJob("run-1", 2, "a")})
@@ -506,8 +512,8 @@
 			next.Core = New(Config{Shard: "a", HeartbeatPeriod: 3 * time.Second, LeaseTimeout: leaseTimeout, LeaseExtension: leaseExtension, SizeLimits: records.SizeLimits{Current: 8192, Next: 8192}, MaxDirectCommands: 200, MaxTxnOps: 12, MaxWritesPerSecond: 100, JobOrder: leader.NewJobOrder(nil)},
 				authorityEnd, Snapshot{Term: 6, TermVersion: 51})
 			next.SetAuthority(authorityEnd.Add(time.Hour))
-			// It sends one heartbeat, but the reply may be lost, and then it sends the
-			// next one to the old owner.
+			// The machine sends one heartbeat to the new owner, whose reply may be lost.
+			// The machine then sends the next heartbeat to the old owner.
 			tok := token(5, 0)
 			if shows {
 				tok = token(6, 0)
@@ -538,8 +544,8 @@
 	if len(terminated) > 0 {
 		t.Fatalf("terminated %d machines whose heartbeats were not read yet", len(terminated))
 	}
-	// In a partition the shard requests no machines; then they come back one after the
-	// other.
+	// During a partition the shard requests no machines. Afterwards the machines become
+	// reachable one after the other.
 	advanceFor(4 * time.Second)
 	r.submit(arrayJob("run-2", 400, "a"))
 	advanceFor(4 * time.Second)
@@ -561,9 +567,10 @@
 	}
 }
 
-// A shard that is unreachable as a whole counts as partitioned, and no machine is
-// terminated, until the cloud stops listing them: those have ended, and the
-// shard must not wait for their leases, or request no machines for ever.
+// A shard whose machines are all unreachable counts as partitioned, and no machine is
+// terminated until the cloud stops listing the machines. Machines that are no longer
+// listed have ended. The shard must not wait for their leases, and must not stop
+// requesting machines for ever.
 func TestPartitionedShardOrTerminatedMachines(t *testing.T) {
 	r := newTestOwner(nil)
 	r.fleet(5)
@@ -589,9 +596,10 @@
 	}
 }
 
-// A task that was kept because no shard had capacity goes back to the leader once it
-// has waited for long and another shard has capacity for a single one, though the shard may
-// still scale out: the cloud may refuse machines for ever.
+// A task was kept in its shard because no shard had capacity. Once the task has waited
+// for long and another shard has capacity for a single task, the owner offloads the task
+// to the leader. That holds even if the shard may still scale out, because the cloud may
+// refuse machines for ever.
 func TestLongWaitGoesToShardWithCapacity(t *testing.T) {
 	for _, freeCPUs := range []float64{0, 4} {
 		j := arrayJob("run-1", 2, "a")
@@ -619,13 +627,14 @@
 			r.ApplyOtherShards(r.now, []leader.Aggregate{agg, {Shard: "c", Term: 1}})
 		}
 		if (offloaded > 0) != (freeCPUs > 0) {
-			t.Errorf("%g CPUs in another shard, and %d ranges were sent back", freeCPUs, offloaded)
+			t.Errorf("%g CPUs are free in another shard, and %d ranges were offloaded", freeCPUs, offloaded)
 		}
 	}
 }
 
-// Another controller's message that a job is cancelled stops its tasks and starts none,
-// before the feed brings the record; nothing is written of it meanwhile.
+// Another controller's message that a job is cancelled stops the job's tasks and
+// prevents starts before the feed delivers the record. Until then the owner writes
+// nothing to the job's record.
 func TestCancellationFromPeerStopsTasks(t *testing.T) {
 	r := newTestOwner(nil)
 	r.bringUp("m-1")
@@ -655,7 +664,7 @@
 	for range 20 {
 		for _, a := range r.advance(time.Second) {
 			if cm, ok := a.(Commit); ok && cm.ID == (CommitID{kind: commitJob, jobID: "run-1"}) {
-				t.Fatal("a record is written that the key-value store does not have yet")
+				t.Fatal("the job's record was written before the feed delivered the cancellation")
 			}
 		}
 		if len(directStarts(r.advance(time.Second), "m-1")) > 0 {
@@ -675,9 +684,9 @@
 	}
 }
 
-// A late copy of a heartbeat, of which a new owner knows nothing newer, is not proof
-// that it receives heartbeats: the other machines of a small partitioned shard would count as
-// failed by themselves and be terminated.
+// A late copy of a heartbeat is no proof that a new owner receives heartbeats, even if
+// the owner knows no newer heartbeat of the machine. Otherwise the other machines of a
+// small partitioned shard would count as failed individually and would be terminated.
 func TestLateHeartbeatIsNoEvidenceAtFailover(t *testing.T) {
 	var inventory []records.Machine
 	for i := range 3 {
@@ -688,7 +697,7 @@
 		r := newTestOwner(nil, inventory...)
 		seen := token(r.term-1, 3)
 		if !copied {
-			seen = token(r.term, 0) // it does receive heartbeats of one: the others have failed by themselves
+			seen = token(r.term, 0) // the owner does receive m-0's heartbeats: the others have failed individually
 		}
 		seq := uint64(50)
 		r.advanceUnanswered(time.Second, func() {})
--- a/shard/gang.go
+++ b/shard/gang.go
@@ -11,21 +11,22 @@
 	"ravenport/wire"
 )
 
-// gang is the state of a gang: its tasks run at the same time, under one attempt number, or
-// not at all. A gang that spans shards has a share of its tasks here.
+// gang is the state of a gang, a job whose tasks run at the same time, under one attempt
+// number, or not at all. If a gang spans several shards, only its share of the tasks is
+// assigned to this shard.
 type gang struct {
-	attempt   uint64    // number of the current attempt, or of the last; 0: none is known
-	startedAt time.Time // when the attempt's first task was started or found
-	hasRun    bool      // a task of the attempt was seen to run
-	failed    bool      // the attempt has failed: what is left of it is stopped
-	done      bool      // a task is known to be done, and so all are
+	attempt   uint64    // number of the current or the last attempt; 0: none is known
+	startedAt time.Time // when the attempt was started, or adopted from an earlier owner
+	hasRun    bool      // a heartbeat has shown a running task of the attempt
+	failed    bool      // the attempt has failed; its remaining tasks are stopped
+	done      bool      // a task is known to be done, which means that all tasks are
 }
 
-// isActive says whether an attempt is under way.
+// isActive reports whether an attempt is in progress.
 func (g *gang) isActive() bool { return g.attempt != 0 && !g.failed }
 
-// spansShards says whether a gang's tasks are, or will be, in several shards. Those run
-// under the attempt number that the leader wrote.
+// spansShards reports whether a gang's tasks are, or will be, assigned to several
+// shards. Such tasks run under the attempt number that the leader wrote into the record.
 func spansShards(rec *records.Job, shard string) bool {
 	if rec.Attempt == 0 {
 		return false
@@ -34,8 +35,8 @@
 	return len(rec.Unassigned()) > 0 || slices.ContainsFunc(rec.Assignments, isOther)
 }
 
-// placeGang starts a gang as a whole, or replaces tasks that an attempt lost before it ran,
-// or does nothing.
+// placeGang starts a gang as a whole if no attempt is active. For an active attempt, it
+// replaces tasks that were lost before the gang ran.
 func (c *Core) placeGang(now time.Time, j *job, r *placementRound) {
 	g := j.gang
 	if g.done || j.rec.End != "" {
@@ -47,19 +48,20 @@
 		return
 	}
 	if spans && (g.attempt == j.rec.Attempt || len(j.rec.Unassigned()) > 0) {
-		// The number is used up, or another shard has offloaded its share.
+		// The attempt under the leader's number has failed, or another shard has
+		// offloaded its share.
 		c.offloadGang(now, j)
 		return
 	}
 	tasks := c.readyTasks(now, j)
 	if len(tasks) < len(j.tasks) {
-		return // something of an earlier attempt may be left
+		return // a task of an earlier attempt may still be on a machine
 	}
 	c.startGang(now, j, tasks, spans, r)
 }
 
-// startGang starts all tasks of a gang if they fit, if need be by preemption. A gang within
-// one shard takes a new attempt number once it is known to fit.
+// startGang starts all tasks of a gang if they fit, by preemption if necessary. A gang
+// within one shard takes a new attempt number only after the gang is known to fit.
 func (c *Core) startGang(now time.Time, j *job, tasks []*task, spans bool, r *placementRound) {
 	number := uint64(0)
 	if spans {
@@ -91,13 +93,14 @@
 		}
 		c.startAttempt(now, t, m, number)
 	}
-	slog.Debug("gang starts", logkey.JobID, j.rec.ID, "attempt", number, "tasks", len(tasks), "with_image", withImage,
+	slog.Debug("starting gang", logkey.JobID, j.rec.ID, "attempt", number, "tasks", len(tasks), "with_image", withImage,
 		"preempted", machines == nil, "accepted_s", float64(now.UnixMilli()-j.rec.AcceptedMS)/1000)
 }
 
-// replaceLostGangTasks starts the tasks that an attempt lost before it ran anew, under the
-// same number, while its other tasks wait. A machine that lists the task under this number
-// would ignore another start.
+// replaceLostGangTasks starts again, under the same attempt number, the tasks that an
+// attempt lost before the gang ran. The gang's other tasks wait meanwhile. A machine
+// that already lists the task under this number is left out because its worker would
+// ignore another start.
 func (c *Core) replaceLostGangTasks(now time.Time, j *job) {
 	g := j.gang
 	if len(j.waiting) == 0 {
@@ -116,8 +119,8 @@
 	}
 }
 
-// offloadGang sends a gang, or its share of one, back to the leader: as a whole, and only
-// when none of it may be on any machine.
+// offloadGang returns a gang, or this shard's share of a gang, to the leader. All tasks
+// are offloaded together, and only when none of them may still be on a machine.
 func (c *Core) offloadGang(now time.Time, j *job) {
 	if j.recordPending() || j.rec.End != "" || len(c.readyTasks(now, j)) < len(j.tasks) {
 		return
--- a/shard/gang_test.go
+++ b/shard/gang_test.go
@@ -11,8 +11,8 @@
 	"ravenport/wire"
 )
 
-// fakeWorkers are the workers of a rig's machines: their heartbeats list the tasks that
-// they were sent starts for, in the states that the test sets.
+// fakeWorkers simulates the workers of a testOwner's machines. Their heartbeats list the
+// tasks for which they received starts, in the states that the test sets.
 type fakeWorkers struct {
 	*testOwner
 	taskStatuses map[string][]wire.TaskStatus // by machine
@@ -69,7 +69,7 @@
 	return starts
 }
 
-// heartbeatOf is the next heartbeat of a machine.
+// heartbeatOf returns the next heartbeat of a machine.
 func (h *fakeWorkers) heartbeatOf(m string) *wire.Heartbeat {
 	r := newHeartbeat(m, 1, h.seqs[m], h.latestToken(m), h.taskStatuses[m]...)
 	r.Spot = m == h.spotMachine
@@ -135,8 +135,8 @@
 	}
 }
 
-// Two gangs that do not fit together never hold half of the capacity each, and arrays
-// do not take what becomes free before a waiting gang.
+// Two gangs that do not fit together never hold half of the capacity each. Arrays do not
+// take capacity that becomes free while a gang waits.
 func TestGangsDoNotStarve(t *testing.T) {
 	h := newFakeWorkers(newTestOwner(nil), "m-1", "m-2")
 	h.submit(arrayJob("run-1", 6, "a"))
@@ -163,13 +163,13 @@
 		count(h.advanceWithHeartbeats(2 * time.Second))
 	}
 	if started["run-2"]+started["run-3"] != 8 || started["run-2"]*started["run-3"] != 0 {
-		t.Fatalf("of two gangs of 8 began %v", started)
+		t.Fatalf("of two gangs of 8 tasks each, these tasks started: %v", started)
 	}
 }
 
-// A gang's task that is lost before the gang runs is replaced under the same attempt
-// number. Afterwards the others are stopped at once, and nothing starts before all are
-// gone, and then under another number.
+// A task that is lost before its gang runs is replaced under the same attempt number.
+// After the gang has run, the other tasks are stopped at once. Nothing then starts
+// before all of them are gone, and the new start has another attempt number.
 func TestGangLosesATask(t *testing.T) {
 	for _, hasRun := range []bool{false, true} {
 		h := newFakeWorkers(newTestOwner(nil), "m-1", "m-2", "m-3")
@@ -211,13 +211,14 @@
 			t.Fatalf("restarted %v after attempt %d", restarted, s[0].Attempt)
 		}
 		if h.machines[other].avoidUntil.After(h.now) || h.jobs["run-1"].failedMachines != nil {
-			t.Fatal("the end of a gang's attempt is blamed on a machine or the job")
+			t.Fatal("the end of a gang's attempt counts as a failure of a machine or of the job")
 		}
 	}
 }
 
-// One task that is done makes the gang done; a new owner adopts the attempt that
-// runs, neither stops it nor starts another, and closes the assignment.
+// A new owner adopts the running attempt of a gang, and neither stops that attempt nor
+// starts another. One task that is done makes the gang done, and the owner closes the
+// assignment.
 func TestNewOwnerFindsGang(t *testing.T) {
 	j := gangJob("run-1", 4, "a")
 	old := uint64(4)<<constants.AttemptBits | 7
@@ -231,19 +232,20 @@
 	if s := h.advanceWithHeartbeats(10 * time.Second); len(s) > 0 || len(h.stopGraces) > 0 {
 		t.Fatalf("started %v and stopped %v of a healthy gang", s, h.stopGraces)
 	}
-	delete(h.seqs, "m-1") // gone as it completed
+	delete(h.seqs, "m-1") // the machine is lost while the gang completes
 	h.ScaleInResult(h.now, []string{"m-1"})
 	h.taskStatuses["m-2"][0].State, h.taskStatuses["m-2"][0].Cause = wire.TaskExited, wire.CauseDone
 	h.taskStatuses["m-2"][1].State, h.taskStatuses["m-2"][1].Cause = wire.TaskExited, wire.CauseDone
 	if s := h.advanceWithHeartbeats(10 * time.Second); len(s) > 0 {
-		t.Fatalf("%v started though the gang is done", s)
+		t.Fatalf("%v started although the gang is done", s)
 	}
 	if h.jobs["run-1"] != nil {
 		t.Fatal("a gang that is done was not closed")
 	}
 }
 
-// A spot notice stops a whole gang, all its tasks at once and with time for a checkpoint.
+// A spot notice stops a whole gang: all its tasks at the same time, with time for a
+// checkpoint.
 func TestSpotNoticeStopsWholeGang(t *testing.T) {
 	h := newFakeWorkers(newTestOwner(nil), "m-1", "m-2")
 	h.submit(gangJob("run-1", 6, "a"))
@@ -266,7 +268,8 @@
 	}
 }
 
-// A cancelled gang stops at once, without a checkpoint, also one that is saving already.
+// A cancelled gang stops at once, without time for a checkpoint, even if the gang is
+// already saving one.
 func TestCancelledGangEndsAtOnce(t *testing.T) {
 	h := newFakeWorkers(newTestOwner(nil), "m-1", "m-2")
 	j := gangJob("run-1", 6, "a")
@@ -294,8 +297,8 @@
 	}
 }
 
-// Machines are reserved only for a gang that may run on them: of its types, and spot
-// instances only where it allows them.
+// Machines are reserved only for a gang that may run on them: machines of the gang's
+// types, and spot machines only if the gang allows them.
 func TestMachinesReservedForGangsAreEligible(t *testing.T) {
 	h := newFakeWorkers(newTestOwner(nil), "m-1", "m-2")
 	h.spotMachine = "m-1"
@@ -309,9 +312,9 @@
 	}
 }
 
-// A share of a gang in several shards is stopped and offloaded as a whole if its attempt
-// number is used up, as a new owner finds, or if another share was offloaded: nothing
-// would start under its number any more.
+// The share of a gang that spans shards is stopped and offloaded as a whole in two
+// cases: a new owner finds that the attempt number is used up, or another shard has
+// offloaded its share. No task would start under that number any more.
 func TestGangShareIsOffloaded(t *testing.T) {
 	job := func() *records.Job {
 		j := gangJob("run-1", 4, "a")
@@ -325,7 +328,7 @@
 	h.seqs["m-1"] = 10
 	h.taskStatuses["m-1"] = []wire.TaskStatus{{Task: "run-1/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseGangPeerLost}}
 	if s := h.advanceWithHeartbeats(5 * time.Second); len(s) > 0 || !isOffloaded(h) {
-		t.Fatalf("found used up: started %v, offloaded %v", s, isOffloaded(h))
+		t.Fatalf("attempt number used up: started %v, offloaded %v", s, isOffloaded(h))
 	}
 
 	h = newFakeWorkers(newTestOwner(nil), "m-1")
@@ -343,6 +346,6 @@
 	}
 	h.setStates("m-1", wire.TaskExited, wire.CauseStopped)
 	if s := h.advanceWithHeartbeats(5 * time.Second); len(s) > 0 || !isOffloaded(h) {
-		t.Fatalf("share alone: started %v, offloaded %v", s, isOffloaded(h))
+		t.Fatalf("other share offloaded: started %v, offloaded %v", s, isOffloaded(h))
 	}
 }
--- a/shard/gangattempt.go
+++ b/shard/gangattempt.go
@@ -10,18 +10,19 @@
 	"ravenport/wire"
 )
 
-// reconcileGangRecord brings a gang in line with a newer record.
+// reconcileGangRecord updates a gang's state from a newer record of its job.
 func (c *Core) reconcileGangRecord(j *job) {
 	isClosed := func(a records.Assignment) bool { return a.Closed }
 	switch {
 	case j.rec.End == "" && slices.ContainsFunc(j.rec.Assignments, isClosed):
-		c.markGangDone(j) // another shard has seen a task of it done
+		c.markGangDone(j) // a shard has closed its assignment: a task is done
 	case len(j.rec.Unassigned()) > 0 && j.gang.attempt == j.rec.Attempt:
 		c.failGangAttempt(j, "another share was offloaded")
 	}
 }
 
-// markGangDone notes that a gang has completed: if one task is done, all are.
+// markGangDone records that a gang is done. If one task of a gang is done, all its tasks
+// are.
 func (c *Core) markGangDone(j *job) {
 	j.gang.done = true
 	for _, t := range j.tasks {
@@ -34,7 +35,7 @@
 	c.queueForClose(j)
 }
 
-// reconcileGangAttempt brings a gang in line with an attempt of one of its tasks that a
+// reconcileGangAttempt updates a gang's state from an attempt of one of its tasks that a
 // heartbeat has shown.
 func (c *Core) reconcileGangAttempt(t *task, a *attempt) {
 	if a.hasExited() {
@@ -43,7 +44,7 @@
 	}
 	g := t.job.gang
 	if g.done || a.key.number < g.attempt {
-		return // superseded: it is stopped
+		return // a superseded attempt, which is stopped
 	}
 	if a.key.number > g.attempt {
 		c.adoptGangAttempt(t.job, a.key.number)
@@ -60,8 +61,8 @@
 	}
 }
 
-// reconcileGangExit takes in that a task of a gang has exited: the gang is done, or its
-// attempt has failed, unless the start was refused before the gang ran.
+// reconcileGangExit handles the exit of a gang's task: the gang is done, or its attempt
+// has failed, unless the worker refused the start before the gang ran.
 func (c *Core) reconcileGangExit(t *task, a *attempt) {
 	j, g := t.job, t.job.gang
 	if t.attempt == a {
@@ -75,14 +76,16 @@
 	case a.key.number == g.attempt:
 		c.failGangAttempt(j, string(a.cause))
 	case a.key.number == j.rec.Attempt && g.attempt == 0:
-		// Left by an earlier owner: the leader's number is used up.
+		// An earlier owner started this attempt, so the leader's attempt number cannot
+		// be used again.
 		*g = gang{attempt: a.key.number, failed: true}
 	}
 	c.queueForClose(j)
 }
 
-// adoptGangAttempt takes an attempt that an earlier owner started as the gang's current
-// one: the highest number is the last. What runs under other numbers is stopped.
+// adoptGangAttempt makes an attempt that an earlier owner started the current attempt of
+// the gang. The attempt with the highest number is the latest; tasks that run under
+// other numbers are stopped.
 func (c *Core) adoptGangAttempt(j *job, number uint64) {
 	for _, t := range j.tasks {
 		if t.attempt != nil && t.attempt.key.number != number {
@@ -93,20 +96,21 @@
 	}
 	startedAt := c.lastStepAt
 	if startedAt.Before(c.acquiredAt) {
-		startedAt = c.acquiredAt // found before the first step
+		startedAt = c.acquiredAt // the attempt was found before the first step
 	}
 	*j.gang = gang{attempt: number, startedAt: startedAt}
 }
 
-// isRefusal says whether a cause of exit is that the machine refused the start, so that
-// nothing was lost.
+// isRefusal reports whether an exit cause means that the worker refused the start, in
+// which case no work was lost.
 func isRefusal(cause wire.ExitCause) bool {
 	return cause == wire.CauseNoCapacity || cause == wire.CauseOtherAttempt || cause == wire.CauseUnknownTask
 }
 
-// failGangAttempt gives up the current attempt because a task of it is gone: what the
-// others still do is of no use, and their last checkpoint is safe once one has exited. The
-// reason is for the log; a task's cause of exit is one.
+// failGangAttempt marks the current attempt as failed because one of its tasks is gone,
+// and stops the other tasks. Their further work is of no use, and their last checkpoint
+// is safe once a task has exited, so they get no time for another one. The reason is
+// logged; it may be the exit cause of a task.
 func (c *Core) failGangAttempt(j *job, reason string) {
 	g := j.gang
 	if g.failed || g.done || g.attempt == 0 {
@@ -120,7 +124,7 @@
 			continue
 		}
 		if reason == string(wire.CauseGangIncomplete) && (a.state == stateSent || a.state == wire.TaskFetching) {
-			a.machine.avoidUntil = c.lastStepAt.Add(constants.FaultyMachinePause) // the others waited for it in vain
+			a.machine.avoidUntil = c.lastStepAt.Add(constants.FaultyMachinePause) // the other tasks timed out waiting for the task on this machine
 		}
 		c.stopWithoutCheckpoint(a)
 	}
@@ -129,14 +133,14 @@
 	c.aggregateChanged = true
 }
 
-// stopWithoutCheckpoint stops an attempt with no time for a checkpoint.
+// stopWithoutCheckpoint stops an attempt without time for a checkpoint.
 func (q *outbox) stopWithoutCheckpoint(a *attempt) {
 	a.stopsInstantly = true
 	q.evict(a)
 }
 
-// stopGangWithCheckpoint stops all tasks of a gang at once, with time for a checkpoint. The
-// reason is for the log.
+// stopGangWithCheckpoint stops all tasks of a gang at the same time, with time for a
+// checkpoint. The reason is logged.
 func (q *outbox) stopGangWithCheckpoint(j *job, reason string) {
 	slog.Info("stopping gang with checkpoint", logkey.JobID, j.rec.ID, "reason", reason)
 	for _, t := range j.tasks {
@@ -146,8 +150,9 @@
 	}
 }
 
-// handleLostGangTask notes that a task of the current attempt is surely gone. Before the
-// gang runs, another attempt of the task may take its place; afterwards all of it fails.
+// handleLostGangTask handles the certain loss of a task of the current attempt. Before
+// the gang has run, another attempt of the task may replace the lost one. After that,
+// the whole attempt of the gang fails.
 func (c *Core) handleLostGangTask(j *job, a *attempt) {
 	if a.key.number == j.gang.attempt && j.gang.hasRun && !a.hasExited() {
 		c.failGangAttempt(j, "machine lost")
--- a/shard/gangpacking.go
+++ b/shard/gangpacking.go
@@ -12,28 +12,30 @@
 // machineSlots is a machine with free capacity for some of a gang's tasks.
 type machineSlots struct {
 	machine  *machine
-	slots    int // how many tasks fit
+	slots    int // how many of the gang's tasks fit
 	hasImage bool
 }
 
-// isSamePackingClass says whether two machines differ in nothing that packing puts before
-// the number of their slots.
+// isSamePackingClass reports whether two machines are equal in the criteria that
+// sortForPacking ranks before the number of slots.
 func (s machineSlots) isSamePackingClass(o machineSlots) bool {
 	return s.machine.consolidating == o.machine.consolidating && s.machine.reservedForGangs == o.machine.reservedForGangs
 }
 
-// gangSlots are the machines on which a gang's tasks fit, and of those the ones that hold
-// the image and are not being consolidated.
+// gangSlots lists the machines on which a gang's tasks fit, and those among them that
+// hold the image and are not being consolidated.
 type gangSlots struct {
 	all, withImage           []machineSlots
 	allSlots, withImageSlots int
 }
 
-// packGang finds a machine for each of a gang's tasks, nil if they do not all fit now. It
-// is a best fit by machine: of those that fit all remaining tasks the one that is left with
-// the least, else the one that fits the most, so that few machines have to fetch the image.
-// If all tasks fit on machines that hold it, only those are used. A machine that lists a
-// task of the attempt number, refused to an earlier owner, would ignore another start.
+// packGang finds a machine for each of a gang's tasks, or returns nil if the tasks do
+// not all fit now. Machines are chosen by best fit: among the machines that fit all
+// remaining tasks, the one with the least capacity left; if there is none, the machine
+// that fits the most tasks. Few machines then have to fetch the image. If all tasks fit
+// on machines that hold the image, only those machines are used. A machine that lists a
+// task under the attempt number, because it refused the start of an earlier owner, is
+// left out: its worker would ignore another start.
 func (v *fleetView) packGang(now time.Time, s *wire.Submission, tasks int, number uint64) []*machine {
 	slots := v.gangSlotsFor(now, s, number)
 	switch {
@@ -42,14 +44,16 @@
 	case slots.allSlots < tasks:
 		return nil
 	case v.fetchMissesStartObjective(s):
-		// The objective is missed whatever is done: the gang brings the image to as many
-		// of the reserved machines as it can, for the gangs that come after it.
+		// The gang misses its start objective in any case. The gang is spread over as
+		// many of the reserved machines as possible, so that later gangs find the image
+		// on them.
 		return spreadOverReserved(slots.all, tasks)
 	}
 	return packBestFit(slots.all, tasks)
 }
 
-// gangSlotsFor lists the machines on which tasks of a gang fit now under an attempt number.
+// gangSlotsFor returns the machines on which tasks of a gang fit now under an attempt
+// number.
 func (v *fleetView) gangSlotsFor(now time.Time, spec *wire.Submission, number uint64) gangSlots {
 	demand := taskResources(spec)
 	isOfAttempt := func(a *attempt) bool { return a.key.number == number && a.jobID == spec.ID }
@@ -76,8 +80,9 @@
 	return out
 }
 
-// fetchMissesStartObjective says whether the fetch of its image alone may make a gang miss
-// its class's start objective. The gang starts with the slowest of its machines.
+// fetchMissesStartObjective reports whether the image fetch alone may make a gang miss
+// the start objective of its class. A gang starts only when the slowest of its machines
+// has fetched the image.
 func (v *fleetView) fetchMissesStartObjective(s *wire.Submission) bool {
 	objective := v.cfg.JobOrder.StartObjective(s.Class)
 	if objective <= 0 {
@@ -122,7 +127,7 @@
 }
 
 // packBestFit packs tasks on machines that have slots for all of them, and returns the
-// machine of each task. It sorts and changes the list that it is given.
+// machine of each task. It modifies the given slice.
 func packBestFit(machines []machineSlots, tasks int) []*machine {
 	sortForPacking(machines)
 	out := make([]*machine, 0, tasks)
@@ -137,9 +142,9 @@
 	return out
 }
 
-// sortForPacking puts the machines with the most slots first. Machines that are being
-// consolidated come last, and machines reserved for gangs before others: the next gangs
-// will be there as well, and find the image.
+// sortForPacking sorts the machines with the most slots first. Machines that are being
+// consolidated come last. Machines reserved for gangs come before others, because the
+// next gangs will run there as well and find the image.
 func sortForPacking(machines []machineSlots) {
 	sort.Slice(machines, func(i, j int) bool {
 		a, b := machines[i], machines[j]
@@ -157,9 +162,9 @@
 	})
 }
 
-// bestSlots is the index of the machine that is filled next, of a list in the order of
-// sortForPacking: the one with the fewest slots of those that fit all remaining tasks, else
-// the first, which fits the most.
+// bestSlots returns the index of the machine to fill next, in a list sorted by
+// sortForPacking: the machine with the fewest slots among those that fit all remaining
+// tasks. If there is none, the result is the first machine, which fits the most tasks.
 func bestSlots(machines []machineSlots, remaining int) int {
 	best := 0
 	for i, m := range machines {
--- a/shard/gangpreempt.go
+++ b/shard/gangpreempt.go
@@ -7,8 +7,9 @@
 	"ravenport/wire"
 )
 
-// gangFitsAfterPreemption says whether all of a gang's tasks would fit if everything were
-// stopped that they may preempt at once. Nothing is preempted for a part of a gang.
+// gangFitsAfterPreemption reports whether all of a gang's tasks would fit if all work
+// were stopped that they may preempt and that stops without a checkpoint. Nothing is
+// preempted for only a part of a gang.
 func (v *fleetView) gangFitsAfterPreemption(now time.Time, tasks []*task, r *placementRound) bool {
 	if !v.hasPreemptibleWork(tasks[0], r) {
 		return false
@@ -29,8 +30,10 @@
 	return false
 }
 
-// machineForGangTask is a machine for one task of a gang that fits after preemption: one
-// with free capacity and the image, else one that preemption makes free.
+// machineForGangTask returns a machine for one task of a gang that fits after
+// preemption. It tries, in this order, a machine with free capacity and the image, a
+// machine with the image that preemption frees, any machine with free capacity, and any
+// machine that preemption frees.
 func (v *fleetView) machineForGangTask(now time.Time, t *task, r *placementRound) *machine {
 	s := &t.job.rec.Spec
 	fit := v.bestFit(now, s, nil)
@@ -46,15 +49,15 @@
 	return v.preempt(now, t, anyMachine, r)
 }
 
-// preemptWithCheckpointForGang makes capacity for a gang where work that checkpoints would
-// have to be preempted: as much of it is stopped as the gang lacks slots.
+// preemptWithCheckpointForGang frees capacity for a gang if work that saves checkpoints
+// would have to be preempted. It stops enough work for the slots that the gang lacks.
 func (q *outbox) preemptWithCheckpointForGang(v *fleetView, now time.Time, tasks []*task, r *placementRound) {
 	if !r.preemptionScan.needsCheckpoint {
 		return
 	}
 	isExpectingCapacity := func(t *task) bool { return now.Before(t.resourcesExpectedUntil) }
 	if slices.ContainsFunc(tasks, isExpectingCapacity) {
-		return // what was stopped for it still checkpoints
+		return // the work stopped for this gang is still saving checkpoints
 	}
 	missing := len(tasks) - v.freeSlots(now, &tasks[0].job.rec.Spec)
 	for missing > 0 {
@@ -66,7 +69,7 @@
 	}
 }
 
-// freeSlots is how many tasks of a job fit in the shard now.
+// freeSlots returns how many tasks of a job fit in the shard now.
 func (v *fleetView) freeSlots(now time.Time, s *wire.Submission) int {
 	demand := taskResources(s)
 	slots := 0
--- a/shard/gangreserve.go
+++ b/shard/gangreserve.go
@@ -8,18 +8,19 @@
 	"ravenport/leader"
 )
 
-// gangReserves is the capacity that is held in reserve for gangs, and the arrivals that it
-// follows from.
+// gangReserves is the capacity that is held in reserve for gangs, and the gang arrivals
+// from which the reserve is computed.
 type gangReserves struct {
 	gangArrivals    arrivalRate          // of whole gangs
 	gangShapes      map[string]gangShape // by leader.GangShape
-	gangReserveCPUs float64              // CPUs, beside what waiting gangs need
+	gangReserveCPUs float64              // CPUs, in addition to what waiting gangs need
 }
 
-// reserveMachinesForGangs chooses the machines on which no array task starts, so that gangs
-// can start at once: enough for the waiting gangs and for the expected ones. A gang needs
-// all its slots at the same moment, and arrays would take each that becomes free. The
-// choice is made anew each time, so that none outlives its reason.
+// reserveMachinesForGangs selects the machines on which no array task starts, so that
+// gangs can start at once. It selects enough machines for the waiting gangs and for the
+// expected ones. A gang needs all its slots at the same moment, and arrays would take
+// each slot as it becomes free. The selection is recomputed on each call, so that no
+// reservation outlasts its reason.
 func (c *Core) reserveMachinesForGangs(now time.Time) {
 	c.refreshWaiting(&c.fleetView)
 	c.gangReserveCPUs = c.targetGangReserve(&c.fleetView, now)
@@ -37,7 +38,8 @@
 	reserveForArrivals(candidates, c.gangReserveCPUs)
 }
 
-// waitingGangs lists the gangs that are to be started, in the order of their submission.
+// waitingGangs returns the gangs that are not done and have no active attempt, in order
+// of submission.
 func (p *placement) waitingGangs() []*job {
 	var waiting []*job
 	for j := range p.waiting {
@@ -58,12 +60,13 @@
 // gangReserveCandidate is a machine that may be reserved for gangs.
 type gangReserveCandidate struct {
 	machine      *machine
-	cachedShapes int       // shapes of gangs whose image it holds
-	available    resources // free, or held by arrays, which end soon, and not yet reserved
+	cachedShapes int       // gang shapes whose image the machine holds
+	available    resources // free or used by arrays, which end soon, and not yet reserved
 }
 
-// gangReserveCandidates lists the machines that may be reserved for gangs: those that hold
-// the images of the most shapes first, then those with the most CPUs.
+// gangReserveCandidates returns the machines that may be reserved for gangs. Machines
+// that hold the images of the most gang shapes come first, then machines with the most
+// available CPUs.
 func (g *gangReserves) gangReserveCandidates(v *fleetView, now time.Time) []*gangReserveCandidate {
 	var candidates []*gangReserveCandidate
 	for _, m := range v.fleet {
@@ -89,7 +92,7 @@
 	return candidates
 }
 
-// freeOrArrayCapacity is what of a machine is free or held by arrays.
+// freeOrArrayCapacity returns the capacity of a machine that is free or used by arrays.
 func (k *knownState) freeOrArrayCapacity(m *machine) resources {
 	available := k.freeResources(m)
 	for _, a := range m.attempts {
@@ -101,7 +104,7 @@
 	return available
 }
 
-// countCachedShapes is the number of known gang shapes whose image a machine holds.
+// countCachedShapes returns the number of known gang shapes whose image a machine holds.
 func (g *gangReserves) countCachedShapes(m *machine) int {
 	count := 0
 	for _, shape := range g.gangShapes {
@@ -112,7 +115,8 @@
 	return count
 }
 
-// reserveForGang reserves machines for all tasks of a waiting gang, as far as they fit.
+// reserveForGang reserves machines for the tasks of a waiting gang, for as many of the
+// tasks as fit.
 func reserveForGang(candidates []*gangReserveCandidate, j *job) {
 	s := &j.rec.Spec
 	demand := taskResources(s)
@@ -133,8 +137,8 @@
 	}
 }
 
-// reserveForArrivals reserves on-demand machines with so many CPUs for gangs that are
-// expected.
+// reserveForArrivals reserves on-demand machines with the given number of CPUs for gangs
+// that are expected.
 func reserveForArrivals(candidates []*gangReserveCandidate, cpus float64) {
 	for _, c := range candidates {
 		if cpus <= roundingSlack {
@@ -147,9 +151,9 @@
 	}
 }
 
-// targetGangReserve is the capacity (CPUs) to hold in reserve for gangs: that of the
-// arrivals expected while a machine boots, and of the largest recent gang at least; 0 where
-// gangs have stopped arriving.
+// targetGangReserve returns the capacity (CPUs) to hold in reserve for gangs: that of
+// the arrivals expected while a machine boots, but at least that of the largest recent
+// gang. It returns 0 if gangs have stopped arriving.
 func (g *gangReserves) targetGangReserve(v *fleetView, now time.Time) float64 {
 	largest := g.gangArrivals.largest.cpus
 	if largest == 0 {
@@ -162,7 +166,8 @@
 	return max(largest, constants.ReserveFactor*expected)
 }
 
-// missingGangReserve is how much of the reserve (CPUs) is neither free nor pending.
+// missingGangReserve returns how much of the gang reserve (CPUs) is neither free nor
+// pending.
 func (c *Core) missingGangReserve() float64 {
 	if c.gangReserveCPUs == 0 {
 		return 0
@@ -181,8 +186,9 @@
 	return missing
 }
 
-// gangCapacities is, by gang shape, how many tasks of a recent shape would start now, and
-// how many of them on machines that hold the image. It forgets shapes that are out of date.
+// gangCapacities returns, by gang shape, how many tasks of a recent shape would start
+// now, and how many of those on machines that hold the image. It deletes shapes that
+// were not seen for constants.GangShapeRetention.
 func (g *gangReserves) gangCapacities(v *fleetView, now time.Time) map[string]leader.GangCapacity {
 	out := map[string]leader.GangCapacity{}
 	for key, shape := range g.gangShapes {
--- a/shard/gangshapes.go
+++ b/shard/gangshapes.go
@@ -9,14 +9,15 @@
 	"ravenport/wire"
 )
 
-// gangShape is a gang whose like was seen lately, in this shard or another.
+// gangShape is an example of the gangs with one combination of requirements, as seen
+// recently in this shard or another.
 type gangShape struct {
 	spec     wire.Submission
 	lastSeen time.Time
 }
 
-// recordGangShape remembers the shape of a gang, whichever shard has it: the leader wants
-// to know whether a gang of that shape would start here.
+// recordGangShape records the shape of a gang in any shard: the leader needs to know
+// whether a gang of that shape would start here.
 func (g *gangReserves) recordGangShape(now time.Time, rec *records.Job) {
 	if !rec.Spec.IsGang() || rec.End != "" {
 		return
@@ -29,8 +30,8 @@
 	g.gangShapes[key] = gangShape{rec.Spec, now}
 }
 
-// oldestGangShape is the key of the shape that was seen the longest ago, the first by key
-// of several.
+// oldestGangShape returns the key of the shape that was seen the longest ago, and among
+// several such shapes the first key.
 func (g *gangReserves) oldestGangShape() string {
 	oldestKey := ""
 	var oldest time.Time
@@ -45,8 +46,8 @@
 	return oldestKey
 }
 
-// gangCapacity is how many tasks of a gang would start now, and how many of them on
-// machines that hold its image.
+// gangCapacity returns how many tasks of a gang would start now, and how many of those
+// on machines that hold its image.
 func (v *fleetView) gangCapacity(now time.Time, s *wire.Submission) leader.GangCapacity {
 	demand := taskResources(s)
 	var capacity leader.GangCapacity
--- a/shard/job.go
+++ b/shard/job.go
@@ -7,27 +7,27 @@
 	"ravenport/records"
 )
 
-// job is a job of which some tasks are assigned to the shard.
+// job is a job with tasks that are assigned to the shard.
 type job struct {
 	rec            *records.Job
 	version        uint64
 	tasks          map[int]*task
-	writeInFlight  bool // a write of its record is in flight
-	awaitsRecord   bool // a newer record is known to be stored, and the feed will bring it
+	writeInFlight  bool // a write of the record is in flight
+	awaitsRecord   bool // a newer record is known to be stored, and the feed has not delivered it yet
 	nextWriteAt    time.Time
-	offloadedAt    time.Time       // when tasks of it were last offloaded to the leader
-	closeCheckDue  bool            // it changed since its assignments were last checked
-	closeAt        time.Time       // when finished assignments are closed though others here are not finished; zero: none is
-	failedMachines map[string]bool // machines on which its tasks failed
+	offloadedAt    time.Time       // when tasks of the job were last offloaded to the leader
+	closeCheckDue  bool            // the job changed since its assignments were last checked
+	closeAt        time.Time       // when finished assignments are closed even if others in this shard are not finished; zero: not planned
+	failedMachines map[string]bool // machines on which tasks of the job failed
 
 	gang          *gang     // nil: the job is no gang
 	gangArrivedAt time.Time // when the gang was assigned to the shard
 
-	hasStarted   bool    // a task of it runs or is done, in this shard or another
-	waitingStale bool    // waiting and hasStarted are to be computed again
-	waiting      []*task // sorted: those within the guaranteed quota first, then by index
+	hasStarted   bool    // a task of the job has started or is done, in this shard or another
+	waitingStale bool    // waiting and hasStarted must be recomputed
+	waiting      []*task // sorted: tasks within the guaranteed quota first, then by index
 
-	rank leader.Rank // in the order of the last placement round
+	rank leader.Rank // rank in the last placement round
 }
 
 // task is one task of an open assignment.
@@ -36,8 +36,8 @@
 	index                  int
 	attempt                *attempt
 	done                   bool
-	possiblyRunning        bool // may run on an inherited machine that has sent no heartbeat yet
-	offloading             bool // it is being offloaded to the leader, and is not placed
+	possiblyRunning        bool // the task may run on an inherited machine that has sent no heartbeat yet
+	offloading             bool // the task is being offloaded to the leader and is not placed
 	notBefore              time.Time
 	waitingSince           time.Time
 	failures               int
@@ -51,6 +51,6 @@
 	return t.attempt == nil && !t.done && !t.possiblyRunning && !t.offloading
 }
 
-// recordPending reports whether a newer record will replace the one known here: no write
-// may be based on this one.
+// recordPending reports whether a newer record will replace the known one. No write may
+// be based on the known record then.
 func (j *job) recordPending() bool { return j.writeInFlight || j.awaitsRecord }
--- a/shard/machineoffer.go
+++ b/shard/machineoffer.go
@@ -8,19 +8,20 @@
 	"ravenport/wire"
 )
 
-// machineOffer is a machine that the shard can request; the zero value: there is none.
+// machineOffer is a machine that the shard can request. The zero value means that there
+// is no such machine.
 type machineOffer struct {
 	machineType *wire.MachineType
 	spot        bool
 }
 
-// isAvailable says whether there is a machine to request.
+// isAvailable reports whether there is a machine to request.
 func (o machineOffer) isAvailable() bool { return o.machineType != nil }
 
 // kind is the offer's kind of machine.
 func (o machineOffer) kind() machineKind { return machineKind{o.machineType.Name, o.spot} }
 
-// pricePerCPU is the price of a CPU of the machine.
+// pricePerCPU returns the price of one CPU of the machine.
 func (o machineOffer) pricePerCPU() float64 {
 	price := o.machineType.Price
 	if o.spot {
@@ -29,15 +30,15 @@
 	return price / max(o.machineType.CPUs, 1)
 }
 
-// canScaleOut says whether the shard may get more machines, spot or on-demand: the cloud
-// has not refused some lately, and new ones would not be partitioned from the owner like
-// all others.
+// canScaleOut reports whether the shard may request more machines, spot or on-demand. It
+// may not while a recent refusal by the cloud is in effect, nor while the shard is
+// partitioned: the owner could not reach the new machines either.
 func (c *scaleOutState) canScaleOut(v *fleetView, now time.Time, spot bool) bool {
 	return !v.partitioned && !now.Before(c.refusedUntil[spot])
 }
 
-// cheapestOffer is the machine with the least price per CPU of those that can be requested
-// and fit a task of a job.
+// cheapestOffer returns the machine with the lowest price per CPU among those that can
+// be requested and fit a task of a job.
 func (c *scaleOutState) cheapestOffer(v *fleetView, now time.Time, s *wire.Submission) machineOffer {
 	var best machineOffer
 	bestPrice := math.Inf(1)
--- a/shard/machineselection.go
+++ b/shard/machineselection.go
@@ -7,15 +7,18 @@
 	"ravenport/wire"
 )
 
-// isSchedulable says whether new tasks may go to a machine now: it is known to be in the
-// durable inventory and to have seen this term's token, it is reachable, and nothing is
-// about to end it or keeps tasks off it.
+// isSchedulable reports whether new tasks may be placed on a machine now. The machine
+// must be in the durable inventory under its current address, have a known type, have
+// seen a fencing token of this term, and be reachable and confirmed. A machine that is
+// being scaled in, is cordoned, is about to be reclaimed by the cloud or is avoided
+// after a failure gets no new tasks.
 func (v *fleetView) isSchedulable(now time.Time, m *machine) bool {
 	return m.hasSeenTerm(v.term) && m.durable && m.durableAddr == m.addr && m.machineType != nil && !m.isUnconfirmed() &&
 		!m.scalingIn && m.cordon == nil && m.reclaimAt.IsZero() && !v.isUnreachable(now, m) && !now.Before(m.avoidUntil)
 }
 
-// isEligible says whether a job's tasks may run on machines of a type, spot or on-demand.
+// isEligible reports whether a job's tasks may run on machines of a type, spot or
+// on-demand.
 func isEligible(s *wire.Submission, typeName string, spot bool) bool {
 	if spot && !s.Spot {
 		return false
@@ -23,9 +26,9 @@
 	return len(s.Types) == 0 || slices.Contains(s.Types, typeName)
 }
 
-// machinesWithFreeCapacity lists the schedulable machines that have CPUs and memory left;
-// in a busy shard those are few. A scan of the whole shard for each task would hold up
-// everything else for 10 ms in a shard of some hundred machines.
+// machinesWithFreeCapacity returns the schedulable machines that have CPUs and memory
+// left, which are few in a busy shard. A scan of the whole shard for each task would
+// block the owner for 10 ms in a shard of some hundred machines.
 func (v *fleetView) machinesWithFreeCapacity(now time.Time) []*machine {
 	var list []*machine
 	for _, m := range v.fleet {
--- a/shard/placement.go
+++ b/shard/placement.go
@@ -10,7 +10,8 @@
 	"ravenport/wire"
 )
 
-// rankWaitingJobs lists the jobs with waiting tasks by rank, and notes the rank of each.
+// rankWaitingJobs returns the jobs with waiting tasks in rank order and stores the rank
+// of each job in the job.
 func (p *placement) rankWaitingJobs(v *fleetView, now time.Time) []*job {
 	p.refreshWaiting(v)
 	queue := make([]*job, 0, len(p.waiting))
@@ -23,9 +24,10 @@
 }
 
 // runPlacementRound places waiting tasks on machines, best fit first, within a time
-// budget. The next round continues after the job at which this one stopped, whichever
-// jobs came or went in between, and only a round that reached the end starts over: so
-// every job gets its turn.
+// budget. A round that exceeds the budget stores the rank of the last job that it
+// handled. The next round continues with the first job behind that rank, even if jobs
+// were added or removed in between. Only a round that reached the end of the queue is
+// followed by one from the start, so every job gets its turn.
 func (c *Core) runPlacementRound(now time.Time) {
 	c.needsPlacement = false
 	c.lastPlacement = now
@@ -63,7 +65,7 @@
 	isOverdue  bool
 	candidates []*machine // with free capacity, best fit first
 
-	imagePreemptionFailed bool // no machine that holds the image can be made free
+	imagePreemptionFailed bool // preemption cannot free any machine that holds the image
 }
 
 // placeJob places as many of a job's waiting tasks as it can.
@@ -94,9 +96,9 @@
 	}
 }
 
-// canSkipJob says whether the tasks of a job for which no machine has free capacity need
-// not be looked at: nothing can be preempted for them, no machine can be reserved, and
-// they cannot be offloaded for the sake of their image.
+// canSkipJob reports whether the round can skip a job for which no machine has free
+// capacity: nothing can be preempted for its first task, no machine can be reserved for
+// the job, and its tasks cannot be offloaded to a shard that holds their image.
 func (r *placementRound) canSkipJob(p *jobPlacement) bool {
 	if !r.preemptionKnownToFail(p.job, p.class, p.demand) {
 		return false
@@ -107,8 +109,8 @@
 	return p.spec.Priority != wire.PriorityProduction || p.spec.Spread && p.spec.Tasks > 1
 }
 
-// tasksToPlace lists the ready tasks of a job that this round tries to place. Those that
-// would start sooner in another shard are offloaded instead.
+// tasksToPlace returns the ready tasks of a job that this round tries to place. Tasks
+// that would start sooner in another shard are offloaded instead.
 func (c *Core) tasksToPlace(now time.Time, p *jobPlacement) []*task {
 	tasks := c.appendReadyTasks(c.taskBuffer[:0], now, p.job)
 	c.taskBuffer = tasks
@@ -124,8 +126,8 @@
 	return tasks
 }
 
-// offloadUnlessKept offloads the tasks that need not wait in this shard, and returns the
-// others in place.
+// offloadUnlessKept offloads the tasks that do not have to wait in this shard and
+// returns the others. The result reuses the given slice.
 func (c *Core) offloadUnlessKept(j *job, tasks []*task) []*task {
 	kept := tasks[:0]
 	for _, t := range tasks {
@@ -138,8 +140,8 @@
 	return kept
 }
 
-// machineForTask finds a machine for a task, if need be by preemption. It returns nil
-// where none can take the task now.
+// machineForTask finds a machine for a task, by preemption if necessary. It returns nil
+// if no machine can take the task now.
 func (c *Core) machineForTask(now time.Time, t *task, p *jobPlacement, r *placementRound) *machine {
 	for len(p.candidates) > 0 && !p.demand.fits(c.freeResources(p.candidates[0])) {
 		p.candidates = p.candidates[1:]
@@ -151,8 +153,8 @@
 	if p.spec.Priority != wire.PriorityProduction || best.cachedImages[p.spec.Image] || p.imagePreemptionFailed {
 		return best
 	}
-	// A production task rather preempts work of lower priority on a machine that holds
-	// its image than waits for the image on another.
+	// A production task preempts work of lower priority on a machine that holds its
+	// image, in preference to waiting for the image on another machine.
 	if withImage := c.preempt(now, t, machineWithImage, r); withImage != nil {
 		return withImage
 	}
@@ -160,9 +162,9 @@
 	return best
 }
 
-// preemptForTask makes a machine free for a task for which none has free capacity. Where
-// that takes time or fails, it returns nil: the task starts in a later round, on the
-// capacity that tasks with a checkpoint release, or that is reserved for an overdue job.
+// preemptForTask frees a machine for a task for which no machine has free capacity. It
+// returns nil if that takes time or fails. The task then starts in a later round, on
+// capacity that tasks with a checkpoint release or that is reserved for an overdue job.
 func (c *Core) preemptForTask(now time.Time, t *task, p *jobPlacement, r *placementRound) *machine {
 	r.failedPlacements.add(p.class, p.demand)
 	if m := c.preempt(now, t, anyMachine, r); m != nil {
@@ -176,8 +178,9 @@
 }
 
 // fillFreedMachine places tasks on a machine on which capacity has just become free, in
-// the order of the last round: after a whole round no other machine can take them. It
-// returns false if a whole round is due anyway.
+// the job order of the last round. No other machine is tried: after a whole round no
+// other machine can take the waiting tasks. It returns false if a whole round is due
+// anyway.
 func (c *Core) fillFreedMachine(now time.Time, m *machine) bool {
 	if c.needsPlacement {
 		return false
@@ -206,8 +209,9 @@
 	return true
 }
 
-// mayFill says whether a machine with so much free capacity may take tasks of a job of the
-// last round, which may have ended since. A gang is only placed as a whole.
+// mayFill reports whether a machine with the given free capacity may take tasks of a job
+// from the queue of the last round. The job may have ended since that round. Gangs are
+// excluded because a gang is only placed as a whole.
 func (k *knownState) mayFill(j *job, m *machine, free resources) bool {
 	s := &j.rec.Spec
 	switch {
@@ -228,8 +232,8 @@
 	c.startAttempt(now, t, m, c.counters.nextAttempt())
 }
 
-// startAttempt decides that a task starts on a machine. From here on the attempt counts as
-// one that may be on the machine.
+// startAttempt records the decision to start a task on a machine. From then on the
+// attempt counts as possibly present on the machine.
 func (c *Core) startAttempt(now time.Time, t *task, m *machine, number uint64) {
 	a := &attempt{
 		key:   attemptKey{wire.TaskName(t.job.rec.ID, t.index), number},
--- a/shard/preempt.go
+++ b/shard/preempt.go
@@ -10,15 +10,17 @@
 	"ravenport/logkey"
 )
 
-// isEvictable says whether an attempt is its task's current one and is not about to end.
+// isEvictable reports whether an attempt is its task's current attempt and is not about
+// to end.
 func isEvictable(a *attempt, t *task) bool {
 	return t != nil && t.attempt == a && !a.stopRequested && !a.hasExited()
 }
 
-// mayPreempt says whether a task may be preempted by another: by one of higher priority,
-// or, where it runs beyond its team's guarantee, by one within another team's. The
-// protocol would let guaranteed work preempt also services and work of higher priority;
-// what others wait for is not worth that.
+// mayPreempt reports whether a task may be preempted by another. The preemptor must have
+// higher priority, or, at equal priority, be within its team's guarantee while the
+// victim runs beyond the guarantee of another team. The protocol would let guaranteed
+// work preempt also services and work of higher priority; the shorter wait of the
+// preemptor does not justify that.
 func mayPreempt(victim, preemptor *task) bool {
 	victimSpec, spec := &victim.job.rec.Spec, &preemptor.job.rec.Spec
 	victimLevel, level := victimSpec.Priority.Level(), spec.Priority.Level()
@@ -28,16 +30,16 @@
 	return !victimSpec.IsService() && preemptor.withinGuarantee && !victim.withinGuarantee && victimSpec.Team != spec.Team
 }
 
-// preemptionScan sums up what could be preempted in the shard. A round makes it when it
-// first asks for it.
+// preemptionScan summarizes what could be preempted in the shard. A round makes the scan
+// when the round first needs it.
 type preemptionScan struct {
 	done                 bool
-	needsCheckpoint      bool // some of it checkpoints before it stops
+	needsCheckpoint      bool // some preemptible work saves a checkpoint before it stops
 	lowestPriority       int
 	teamsBeyondGuarantee map[string]bool // teams with arrays or gangs beyond their guarantee
 }
 
-// scanForPreemption makes the round's scan of what could be preempted.
+// scanForPreemption fills in the round's scan of what could be preempted.
 func (k *knownState) scanForPreemption(scan *preemptionScan) {
 	scan.done = true
 	scan.lowestPriority = math.MaxInt
@@ -52,8 +54,7 @@
 	}
 }
 
-// hasPreemptibleWork says whether anything at all in the shard could be preempted by a
-// task.
+// hasPreemptibleWork reports whether a task could preempt any work in the shard.
 func (k *knownState) hasPreemptibleWork(preemptor *task, r *placementRound) bool {
 	scan := &r.preemptionScan
 	if !scan.done {
@@ -70,16 +71,17 @@
 	return teams > 1 || teams == 1 && !scan.teamsBeyondGuarantee[s.Team]
 }
 
-// imageRequirement says which machines preemption is tried on.
+// imageRequirement selects the machines on which preemption is tried.
 type imageRequirement bool
 
 const (
 	anyMachine       imageRequirement = false
-	machineWithImage imageRequirement = true // that hold the preemptor's image
+	machineWithImage imageRequirement = true // only machines that hold the preemptor's image
 )
 
-// preempt makes a machine free for a task by preempting others that stop at once: the
-// machine on which that costs the least. It returns nil where there is none.
+// preempt frees capacity for a task by preempting attempts that stop without a
+// checkpoint, on the machine on which that costs the least. It returns nil if there is
+// no such machine.
 func (v *fleetView) preempt(now time.Time, preemptor *task, image imageRequirement, r *placementRound) *machine {
 	spec := &preemptor.job.rec.Spec
 	demand := taskResources(spec)
@@ -108,8 +110,9 @@
 	return best
 }
 
-// cheapestPreemption is the machine on which making a task's capacity free costs the least
-// (CPU seconds of lost work and the constants Cost...), and the attempts to stop there.
+// cheapestPreemption returns the machine on which freeing capacity for a task costs the
+// least, and the attempts to stop there. The cost is the lost work in CPU seconds plus
+// the constants whose names begin with Cost.
 func (v *fleetView) cheapestPreemption(now time.Time, preemptor *task, image imageRequirement) (*machine, []*attempt) {
 	spec := &preemptor.job.rec.Spec
 	demand := taskResources(spec)
@@ -137,7 +140,7 @@
 			cost += constants.CostImageFetch
 		}
 		if image == machineWithImage && cost > constants.MaxCostForImage {
-			continue // rather fetch the image where there is free capacity
+			continue // fetching the image on a machine with free capacity costs less
 		}
 		if cost < bestCost || cost == bestCost && m.name < best.name {
 			best = m
@@ -148,9 +151,10 @@
 	return best, bestVictims
 }
 
-// chooseVictims chooses as many of a machine's attempts, the youngest first, as must stop
-// beside its free capacity to fit n, and returns their cost. The youngest lose the least.
-// It sorts the list that it is given and returns a part of it.
+// chooseVictims chooses the attempts on a machine that must stop so that the demand fits
+// into the machine's free capacity, and returns them with their cost. The youngest
+// attempts are chosen first because they lose the least work. It sorts the evictable
+// slice and returns a part of it.
 func (v *fleetView) chooseVictims(now time.Time, demand, free resources, evictable []*attempt) ([]*attempt, float64) {
 	sort.Slice(evictable, func(i, j int) bool {
 		a, b := evictable[i], evictable[j]
@@ -173,9 +177,10 @@
 	return evictable[:count], cost
 }
 
-// preemptionVictims appends the attempts on a machine that a task may preempt at once to a
-// list, and returns with it the free capacity that there would be without them. A gang is
-// preempted as a whole or not at all.
+// preemptionVictims appends to the list the attempts on a machine that a task may
+// preempt and that stop without a checkpoint. It also returns the capacity that would be
+// free without them. Attempts of gangs are left out, because a gang is preempted as a
+// whole or not at all.
 func (k *knownState) preemptionVictims(m *machine, preemptor *task, list []*attempt) ([]*attempt, resources) {
 	available := k.freeResources(m)
 	for _, a := range m.attempts {
@@ -188,8 +193,8 @@
 	return list, available
 }
 
-// preemptionMissesObjective says whether a job that would have met an objective for its
-// end would miss it if this task of it started anew.
+// preemptionMissesObjective reports whether restarting the task of an attempt would make
+// the job miss a completion objective that the job would otherwise have met.
 func (v *fleetView) preemptionMissesObjective(now time.Time, a *attempt) bool {
 	rec := v.jobs[a.jobID].rec
 	startedAt := a.startSentAt
--- a/shard/preemptcheckpoint.go
+++ b/shard/preemptcheckpoint.go
@@ -9,9 +9,10 @@
 	"ravenport/logkey"
 )
 
-// preemptWithCheckpoint makes capacity for a task where only work that checkpoints could
-// be preempted: that is stopped with time for its checkpoint, and the task starts once it
-// is gone. It returns for how many such tasks there will be capacity.
+// preemptWithCheckpoint frees capacity for a task if only work that saves checkpoints
+// can be preempted. That work is stopped with time for its checkpoint, and the task
+// starts after the work has ended. The result is the number of tasks with the same
+// demand for which there will be capacity.
 func (q *outbox) preemptWithCheckpoint(v *fleetView, now time.Time, preemptor *task, r *placementRound) int {
 	if !r.preemptionScan.needsCheckpoint || now.Before(preemptor.resourcesExpectedUntil) {
 		return 0
@@ -30,9 +31,9 @@
 	return freed.countFitting(taskResources(&preemptor.job.rec.Spec))
 }
 
-// evictForPreemption stops an attempt, or the whole gang that it is part of, with time for
-// a checkpoint, and returns what that will make free. A gang of which several attempts are
-// victims is stopped and counted once.
+// evictForPreemption stops an attempt, or the whole gang to which the attempt belongs,
+// with time for a checkpoint, and returns the resources that this will free. If several
+// attempts of a gang are victims, the gang is stopped and counted once.
 func (q *outbox) evictForPreemption(v *fleetView, victim *attempt) resources {
 	j := v.taskOf(victim).job
 	if j.gang == nil {
@@ -47,8 +48,9 @@
 	return victim.resources.times(len(j.tasks))
 }
 
-// cheapestCheckpointPreemption lists the attempts to stop on the machine on which the
-// fewest CPUs lose their work so that a task fits; empty: there is no such machine.
+// cheapestCheckpointPreemption returns the attempts to stop so that a task fits, on the
+// machine on which that stops the fewest CPUs of work. The result is empty if there is
+// no such machine.
 func (v *fleetView) cheapestCheckpointPreemption(now time.Time, preemptor *task) []*attempt {
 	s := &preemptor.job.rec.Spec
 	var best []*attempt
@@ -66,9 +68,9 @@
 	return best
 }
 
-// checkpointVictims lists as many attempts on a machine as must stop so that a task fits,
-// and the CPUs that they hold with the other tasks of their gangs; empty: it does not fit
-// whatever is stopped.
+// checkpointVictims returns the attempts on a machine that must stop so that a task
+// fits, and the CPUs that they and the other tasks of their gangs use. The list is empty
+// if the task does not fit whatever is stopped.
 func (v *fleetView) checkpointVictims(m *machine, preemptor *task) ([]*attempt, float64) {
 	demand := taskResources(&preemptor.job.rec.Spec)
 	free := v.freeResources(m)
@@ -83,7 +85,7 @@
 		victims = append(victims, a)
 		cost += a.resources.cpus
 		if t.job.gang != nil {
-			cost += a.resources.cpus * float64(len(t.job.tasks)-1) // all of it stops
+			cost += a.resources.cpus * float64(len(t.job.tasks)-1) // the whole gang stops
 		}
 	}
 	if !demand.fits(free) {
--- a/shard/reservation.go
+++ b/shard/reservation.go
@@ -9,8 +9,8 @@
 	"ravenport/wire"
 )
 
-// isReservedForOthers says whether a machine takes no task of a job because it is reserved
-// for another job, or for gangs.
+// isReservedForOthers reports whether a machine takes no task of a job because the
+// machine is reserved for another job or for gangs.
 func (m *machine) isReservedForOthers(s *wire.Submission) bool {
 	if m.reservedFor != nil && m.reservedFor.rec.ID != s.ID {
 		return true
@@ -18,12 +18,13 @@
 	return m.reservedForGangs && !s.AllOrNothing()
 }
 
-// reserveMachineFor reserves a machine for a job that is overdue and fits nowhere: what
-// becomes free there goes to no other job. Its tasks may be larger than what others leave
-// free, and smaller ones would take every gap before one was large enough.
+// reserveMachineFor reserves a machine for an overdue job whose tasks fit nowhere.
+// Capacity that becomes free on the machine goes to no other job. The job's tasks may be
+// larger than what other jobs leave free, and smaller tasks would take every free part
+// before it was large enough.
 func (v *fleetView) reserveMachineFor(now time.Time, j *job, r *placementRound) {
 	if r.reservationsExhausted {
-		return // hundreds of jobs may be waiting after a shard has lost all its machines
+		return // saves a scan for each job: hundreds may wait after a shard has lost all its machines
 	}
 	reserved := 0
 	for _, m := range v.fleet {
@@ -44,8 +45,9 @@
 	best.reservedUntil = now.Add(constants.CapacityHoldTime)
 }
 
-// bestReservation is the machine on which the least must still become free for a task of
-// a job; nil: none is large enough. Arrays count as good as finished.
+// bestReservation returns the machine on which the least capacity must still become free
+// for a task of a job, or nil if no machine is large enough. Capacity used by arrays
+// counts as free already.
 func (v *fleetView) bestReservation(now time.Time, s *wire.Submission) *machine {
 	demand := taskResources(s)
 	var best *machine
@@ -63,7 +65,8 @@
 	return best
 }
 
-// releaseReservations ends the reservations that were used, or not used in time.
+// releaseReservations ends the reservations that were used, that expired, or whose job
+// no longer waits.
 func (p *placement) releaseReservations(v *fleetView, now time.Time) {
 	for _, m := range v.fleet {
 		j := m.reservedFor
--- a/shard/reserve.go
+++ b/shard/reserve.go
@@ -9,15 +9,16 @@
 	"ravenport/wire"
 )
 
-// targetProductionReserve is the capacity (CPUs) to hold in reserve for production work: that of
-// the arrivals expected while a machine boots, and of the largest task at least.
+// targetProductionReserve returns the capacity (CPUs) to hold in reserve for production
+// work: that of the arrivals expected while a machine boots, but at least that of the
+// largest task.
 func (c *scaleOutState) targetProductionReserve(v *fleetView, now time.Time) float64 {
 	boot := time.Duration(v.maxBootSeconds() * float64(time.Second))
 	return max(c.productionArrivals.largest.cpus, constants.ReserveFactor*c.productionArrivals.expectedCPUs(now, boot))
 }
 
-// scaleOutForReserve adds on-demand machines where the reserve for production work or for
-// gangs is neither free nor pending.
+// scaleOutForReserve adds on-demand machines for the part of the reserves for production
+// work and for gangs that is neither free nor pending.
 func (c *Core) scaleOutForReserve(now time.Time, counts machineCounts) {
 	if c.productionArrivals.largest.cpus == 0 && c.gangReserveCPUs == 0 || !c.canScaleOut(&c.fleetView, now, false) {
 		return
@@ -35,8 +36,8 @@
 	}
 }
 
-// availableProductionCPUs is what production work can have of the on-demand machines,
-// pending ones among them (CPUs).
+// availableProductionCPUs returns the CPUs of on-demand machines, pending ones included,
+// that production work can use.
 func (c *Core) availableProductionCPUs() float64 {
 	available := 0.0
 	for _, m := range c.fleet {
@@ -52,8 +53,9 @@
 	return available
 }
 
-// cheapestReserveType is the machine type with the lowest price of those in the shard's
-// zone that fit the largest production task; nil: there is none.
+// cheapestReserveType returns the machine type with the lowest price among those that
+// are offered in the shard's zone and fit the largest production task, or nil if there
+// is none.
 func (c *Core) cheapestReserveType() *wire.MachineType {
 	var best *wire.MachineType
 	for _, t := range c.types {
--- a/shard/resources.go
+++ b/shard/resources.go
@@ -6,7 +6,8 @@
 	"ravenport/wire"
 )
 
-// resources is an amount of what machines have and tasks need; memory is in GB.
+// resources is an amount of CPUs, GPUs and memory (GB) that a machine has or a task
+// needs.
 type resources struct{ cpus, gpus, memory float64 }
 
 func (r resources) plus(o resources) resources {
@@ -17,26 +18,26 @@
 	return resources{r.cpus - o.cpus, r.gpus - o.gpus, r.memory - o.memory}
 }
 
-// times is the amount that n tasks of this size need.
+// times returns the amount that n tasks of this size need.
 func (r resources) times(n int) resources {
 	return resources{r.cpus * float64(n), r.gpus * float64(n), r.memory * float64(n)}
 }
 
-// roundingSlack allows for rounding in sums of decimal amounts.
+// roundingSlack tolerates rounding errors in sums of decimal amounts.
 const roundingSlack = 1e-6
 
-// fits reports whether an amount fits into another.
+// fits reports whether r fits into in.
 func (r resources) fits(in resources) bool {
 	return r.cpus <= in.cpus+roundingSlack && r.gpus <= in.gpus+roundingSlack && r.memory <= in.memory+roundingSlack
 }
 
-// machineResources is the capacity of a machine of a type.
+// machineResources returns the capacity of a machine of a type.
 func machineResources(t *wire.MachineType) resources { return resources{t.CPUs, t.GPUs, t.MemoryGB} }
 
-// taskResources is what each task of a submission needs.
+// taskResources returns what each task of a submission needs.
 func taskResources(s *wire.Submission) resources { return resources{s.CPUs, s.GPUs, s.MemoryGB} }
 
-// countFitting is how many tasks that need n each fit.
+// countFitting returns how many tasks with the given demand fit into r.
 func (r resources) countFitting(demand resources) int {
 	k := math.MaxInt32
 	for _, x := range [][2]float64{{demand.cpus, r.cpus}, {demand.gpus, r.gpus}, {demand.memory, r.memory}} {
--- a/shard/waiting.go
+++ b/shard/waiting.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// markWaitingStale records that a job's tasks have changed: the cost of a round is then
-// proportional to what changed.
+// markWaitingStale records that a job's tasks have changed. Only changed jobs are
+// recomputed, so the cost of a round is proportional to the number of changes.
 func (p *placement) markWaitingStale(j *job) {
 	if !j.waitingStale {
 		j.waitingStale = true
@@ -14,7 +14,7 @@
 	}
 }
 
-// refreshWaiting lists the waiting tasks of the jobs that changed.
+// refreshWaiting recomputes the waiting tasks of the jobs that changed.
 func (p *placement) refreshWaiting(v *fleetView) {
 	for _, j := range p.changedJobs {
 		j.waitingStale = false
@@ -51,11 +51,11 @@
 	return k.appendReadyTasks(nil, now, j)
 }
 
-// appendReadyTasks appends a job's ready tasks to out. Rounds, which go through one job
-// after the other, use the same slice for each.
+// appendReadyTasks appends a job's ready tasks to out. A placement round handles one job
+// after the other and uses the same slice for each.
 func (k *knownState) appendReadyTasks(out []*task, now time.Time, j *job) []*task {
 	for _, t := range j.waiting {
-		// An attempt that is still on another machine must have ended first.
+		// An earlier attempt that is still on another machine must have ended first.
 		if t.isWaiting() && !now.Before(t.notBefore) && !k.hasLiveAttempt(j.rec.ID, t.index) {
 			out = append(out, t)
 		}
