--- a/shard/core_test.go
+++ b/shard/core_test.go
@@ -227,9 +227,10 @@
 	}
 }
 
-// Guards against two failures found by generated days in which a reply renewed a lease
-// and the owner did not count the renewal: for a machine whose termination was
-// requested, and for an epoch learned from the reply to a direct command.
+// Guards against two failures that generated days found: a reply renewed a lease, and
+// the owner did not count the renewal. The first was for a machine whose termination was
+// requested, the second for an epoch that the owner learned from the reply to a direct
+// command.
 func TestLeaseIsCountedFromEveryReply(t *testing.T) {
 	t.Run("returning", func(t *testing.T) {
 		r := newTestOwner(nil)
@@ -324,7 +325,7 @@
 		seq++
 		for i := 1; i < 4; i++ {
 			rep := newHeartbeat(fmt.Sprintf("m-%d", i), 1, seq, r.latestToken(fmt.Sprintf("m-%d", i)))
-			rep.Spot = true // idle on-demand ones would be terminated
+			rep.Spot = true // idle on-demand machines would be terminated
 			r.Heartbeat(r.now, rep)
 		}
 		for _, a := range r.Step(r.now) {
@@ -534,7 +535,7 @@
 	r := newTestOwner(nil)
 	r.fleet(40)
 	for _, m := range r.machines {
-		m.spot = true // on-demand ones would be consolidated
+		m.spot = true // on-demand machines would be consolidated
 	}
 	var terminated []string
 	advanceFor := func(d time.Duration) { terminated = append(terminated, r.advanceUnanswered(d, func() {})...) }
@@ -569,7 +570,7 @@
 
 // A shard whose machines are all unreachable counts as partitioned, and no machine is
 // terminated until the cloud stops listing the machines. Machines that are no longer
-// listed have ended. The shard must not wait for their leases, and must not stop
+// listed have ended: the shard must not wait for their leases, and must not refrain from
 // requesting machines for ever.
 func TestPartitionedShardOrTerminatedMachines(t *testing.T) {
 	r := newTestOwner(nil)
@@ -584,7 +585,7 @@
 	advanceFor := func(d time.Duration) { terminated += len(r.advanceUnanswered(d, func() { r.peersHeardAt = r.now })) }
 	advanceFor(9 * time.Second)
 	r.ApplyMachineList(r.now, list)
-	r.ApplyMachineList(r.now, nil) // one list may be older than the one before
+	r.ApplyMachineList(r.now, nil) // a list may be older than the list before it
 	advanceFor(time.Second)
 	if terminated > 0 || !r.partitioned {
 		t.Fatalf("terminated %d machines that are listed, partitioned %v", terminated, r.partitioned)
@@ -609,7 +610,7 @@
 		for range 120 {
 			for _, a := range r.advance(500 * time.Millisecond) {
 				switch a := a.(type) {
-				case ScaleOut: // refused each time
+				case ScaleOut: // the cloud refuses each request
 					r.ScaleOutResult(r.now, a.Request.RequestID, nil, true)
 				case Commit:
 					if rec, err := records.Decode(a.Txn.Changes[0].Put, a.Txn.Changes[0].Value); err == nil {
--- a/shard/gang_test.go
+++ b/shard/gang_test.go
@@ -118,7 +118,7 @@
 // A gang starts as a whole, under one attempt number, or not at all.
 func TestGangStartsAsAWholeOrNotAtAll(t *testing.T) {
 	h := newFakeWorkers(newTestOwner(nil), "m-1", "m-2")
-	h.submit(gangJob("run-1", 10, "a")) // of 2 CPUs, on machines of 8
+	h.submit(gangJob("run-1", 10, "a")) // tasks of 2 CPUs, on machines of 8 CPUs
 	if s := h.advanceWithHeartbeats(3 * time.Second); len(s) != 0 {
 		t.Fatalf("%d tasks of a gang started where 8 of 10 fit", len(s))
 	}
--- a/shard/gangshapes.go
+++ b/shard/gangshapes.go
@@ -9,8 +9,8 @@
 	"ravenport/wire"
 )
 
-// gangShape is an example of the gangs with one combination of requirements, as seen
-// recently in this shard or another.
+// gangShape is a gang that was seen recently, in this shard or another. It stands for
+// all gangs with the same key by leader.GangShape.
 type gangShape struct {
 	spec     wire.Submission
 	lastSeen time.Time
--- a/shard/job.go
+++ b/shard/job.go
@@ -43,7 +43,7 @@
 	failures               int
 	keepWaiting            bool
 	withinGuarantee        bool
-	resourcesExpectedUntil time.Time // until then, preempted work is saving its checkpoint to free resources for it
+	resourcesExpectedUntil time.Time // until then, preempted work is saving checkpoints before it frees resources for the task
 }
 
 // isWaiting reports whether the task has no attempt and needs one.
