--- a/shard/core_test.go
+++ b/shard/core_test.go
@@ -53,8 +53,8 @@
 }
 
 // commitAll commits every transaction and applies its changes as the feed does.
-func (r *testOwner) commitAll(acts []Action) {
-	for _, a := range acts {
+func (r *testOwner) commitAll(actions []Action) {
+	for _, a := range actions {
 		cm, ok := a.(Commit)
 		if !ok {
 			continue
@@ -98,9 +98,9 @@
 func (r *testOwner) latestToken(name string) uint64 { return r.fencingToken(r.machines[name]) }
 
 // directStarts returns the starts sent to a machine by direct commands.
-func directStarts(acts []Action, name string) []wire.Command {
+func directStarts(actions []Action, name string) []wire.Command {
 	var out []wire.Command
-	for _, a := range acts {
+	for _, a := range actions {
 		if s, ok := a.(SendCommands); ok && s.Machine == name {
 			for _, c := range s.Request.Commands {
 				if c.Op == wire.OpStart {
@@ -143,13 +143,13 @@
 	old := arrayJob("run-1", 1, "a")
 	r := newTestOwner(map[string]*records.Job{"run-1": old}, records.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"})
 	r.bringUp("m-2")
-	acts := r.advance(time.Second)
-	if n := len(directStarts(acts, "m-2")); n != 0 {
+	actions := r.advance(time.Second)
+	if n := len(directStarts(actions, "m-2")); n != 0 {
 		t.Fatalf("%d tasks from before the term started although m-1 may still run them", n)
 	}
 	r.submit(arrayJob("run-2", 1, "a"))
-	acts = r.advance(time.Second)
-	if s := directStarts(acts, "m-2"); len(s) != 1 || s[0].Task != "run-2/0" {
+	actions = r.advance(time.Second)
+	if s := directStarts(actions, "m-2"); len(s) != 1 || s[0].Task != "run-2/0" {
 		t.Fatalf("started %v, wanted only the new task", s)
 	}
 	for d := 2 * time.Second; d < leaseTimeout; d += time.Second {
@@ -290,8 +290,8 @@
 			r.advance(100 * time.Millisecond)
 		}
 		for _, m := range r.machines {
-			if u := r.usageOf(m).used; !u.fits(m.capacity) {
-				t.Fatalf("%s: %+v of %+v", m.name, u, m.capacity)
+			if usage := r.usageOf(m).used; !usage.fits(m.capacity) {
+				t.Fatalf("%s: %+v of %+v", m.name, usage, m.capacity)
 			}
 		}
 	})
@@ -303,8 +303,8 @@
 	r.bringUp("m-1")
 	r.SetAuthority(r.now)
 	r.submit(arrayJob("run-1", 3, "a"))
-	if acts := r.advance(time.Second); len(acts) != 0 {
-		t.Fatalf("acted without authority: %v", acts)
+	if actions := r.advance(time.Second); len(actions) != 0 {
+		t.Fatalf("acted without authority: %v", actions)
 	}
 	if _, err := r.Heartbeat(r.now, newHeartbeat("m-1", 1, 9, token(r.term, 0))); err == nil {
 		t.Fatal("answered a heartbeat without authority")
@@ -507,7 +507,7 @@
 	if d := last.Sub(authorityEnd); d < leaseExtension-3*time.Second || d > leaseExtension {
 		t.Fatalf("leases extended for %s, wanted about %s", d, leaseExtension)
 	}
-	for name, shows := range map[string]bool{"unreachable": false, "shows the new token": true} {
+	for name, showsNewToken := range map[string]bool{"unreachable": false, "shows the new token": true} {
 		t.Run(name, func(t *testing.T) {
 			next := newTestOwner(map[string]*records.Job{"run-1": arrayJob("run-1", 2, "a")}, records.Machine{Name: "m-0", Type: "box", Addr: "m-0:1"})
 			next.Core = New(Config{Shard: "a", HeartbeatPeriod: 3 * time.Second, LeaseTimeout: leaseTimeout, LeaseExtension: leaseExtension, SizeLimits: records.SizeLimits{Current: 8192, Next: 8192}, MaxDirectCommands: 200, MaxTxnOps: 12, MaxWritesPerSecond: 100, JobOrder: leader.NewJobOrder(nil)},
@@ -515,14 +515,14 @@
 			next.SetAuthority(authorityEnd.Add(time.Hour))
 			// The machine sends one heartbeat to the new owner, whose reply may be lost.
 			// The machine then sends the next heartbeat to the old owner.
-			tok := token(5, 0)
-			if shows {
-				tok = token(6, 0)
+			reportedToken := token(5, 0)
+			if showsNewToken {
+				reportedToken = token(6, 0)
 			}
-			next.Heartbeat(authorityEnd, newHeartbeat("m-0", 1, 50, tok))
+			next.Heartbeat(authorityEnd, newHeartbeat("m-0", 1, 50, reportedToken))
 			m := next.machines["m-0"]
 			ends := m.leaseExpiresAt.Sub(authorityEnd)
-			if shows && ends != leaseTimeout || !shows && (ends < leaseExtension+leaseTimeout || m.leaseExpiresAt.Before(last.Add(leaseTimeout))) {
+			if showsNewToken && ends != leaseTimeout || !showsNewToken && (ends < leaseExtension+leaseTimeout || m.leaseExpiresAt.Before(last.Add(leaseTimeout))) {
 				t.Fatalf("its lease counts as expired %s after the term was acquired", ends)
 			}
 		})
@@ -570,8 +570,8 @@
 
 // A shard whose machines are all unreachable counts as partitioned, and no machine is
 // terminated until the cloud stops listing the machines. Machines that are no longer
-// listed have ended: the shard must not wait for their leases, and must not refrain from
-// requesting machines for ever.
+// listed have ended: the shard must stop waiting for their leases and may request
+// machines again.
 func TestPartitionedShardOrTerminatedMachines(t *testing.T) {
 	r := newTestOwner(nil)
 	r.fleet(5)
--- a/shard/gang_test.go
+++ b/shard/gang_test.go
@@ -33,9 +33,9 @@
 
 // applyActions executes the direct commands among actions, commits all transactions, and
 // returns the starts.
-func (h *fakeWorkers) applyActions(acts []Action) (starts []wire.Command) {
-	h.commitAll(acts)
-	for _, a := range acts {
+func (h *fakeWorkers) applyActions(actions []Action) (starts []wire.Command) {
+	h.commitAll(actions)
+	for _, a := range actions {
 		s, ok := a.(SendCommands)
 		if !ok {
 			continue
--- a/shard/gangattempt.go
+++ b/shard/gangattempt.go
@@ -109,7 +109,7 @@
 
 // failGangAttempt marks the current attempt as failed because one of its tasks is gone,
 // and stops the other tasks. Their further work is of no use, and their last checkpoint
-// is safe once a task has exited, so they get no time for another one. The reason is
+// is safe once a task has exited, so the tasks get no time for another one. The reason is
 // logged; it may be the exit cause of a task.
 func (c *Core) failGangAttempt(j *job, reason string) {
 	g := j.gang
--- a/shard/placement.go
+++ b/shard/placement.go
@@ -126,8 +126,8 @@
 	return tasks
 }
 
-// offloadUnlessKept offloads the tasks that do not have to wait in this shard and
-// returns the others. The result reuses the given slice.
+// offloadUnlessKept offloads the tasks that need not wait in this shard (without
+// keepWaiting) and returns the others. The result reuses the given slice.
 func (c *Core) offloadUnlessKept(j *job, tasks []*task) []*task {
 	kept := tasks[:0]
 	for _, t := range tasks {
