--- a/shard/attempt.go
+++ b/shard/attempt.go
@@ -73,7 +73,7 @@
 	if a.hasExited() {
 		if a.cause == wire.CauseDone && !t.job.rec.Spec.IsService() {
 			t.done = true
-			t.uncertain = false
+			t.possiblyRunning = false
 		}
 		if t.attempt == a {
 			t.attempt = nil
@@ -86,7 +86,7 @@
 		// Only the status of a machine that has reported a token of this term is certainly
 		// current. A late copy of an earlier heartbeat may list a task that has since moved
 		// to another machine, which has sent no heartbeat yet.
-		t.uncertain = t.uncertain && !a.machine.hasSeenTerm(c.term)
+		t.possiblyRunning = t.possiblyRunning && !a.machine.hasSeenTerm(c.term)
 	}
 }
 
--- a/shard/failureproof_test.go
+++ b/shard/failureproof_test.go
@@ -19,7 +19,7 @@
 // probedFleet is a fleet in which one machine sends no heartbeat and its probes get no reply,
 // while all other machines send a heartbeat every second.
 type probedFleet struct {
-	*rig
+	*testOwner
 	unreachable string
 	seq         uint64
 	answerAfter int           // number of unanswered probes after which a probe is answered; 0: never
@@ -90,7 +90,7 @@
 func newProbedFleet(inherited bool) *probedFleet {
 	const machines = 20
 	if !inherited {
-		f := &probedFleet{rig: newRig(nil), unreachable: "m-00000", seq: 100}
+		f := &probedFleet{testOwner: newTestOwner(nil), unreachable: "m-00000", seq: 100}
 		f.fleet(machines)
 		for _, m := range f.machines {
 			m.spot = true
@@ -103,7 +103,7 @@
 		name := fmt.Sprintf("m-%05d", i)
 		inventory = append(inventory, records.Machine{Name: name, Type: "box", Addr: name + ":1", Spot: true})
 	}
-	return &probedFleet{rig: newRig(nil, inventory...), unreachable: "m-00000", seq: 100}
+	return &probedFleet{testOwner: newTestOwner(nil, inventory...), unreachable: "m-00000", seq: 100}
 }
 
 // A machine without heartbeats is terminated only after constants.MaxUnansweredCommands
--- a/shard/gang_test.go
+++ b/shard/gang_test.go
@@ -11,18 +11,18 @@
 	"ravenport/wire"
 )
 
-// fakeWorkers are the workers of a rig's machines: their heartbeats list the tasks that
-// they were sent starts for, in the states that the test sets.
+// fakeWorkers simulates the workers of a testOwner's machines. Their heartbeats list the
+// tasks for which they received starts, in the states that the test sets.
 type fakeWorkers struct {
-	*rig
+	*testOwner
 	taskStatuses map[string][]wire.TaskStatus // by machine
 	seqs         map[string]uint64
 	stopGraces   map[string]float64 // by task: the grace period of the last stop (s)
 	spotMachine  string             // the machine that is a spot instance
 }
 
-func newFakeWorkers(r *rig, machines ...string) *fakeWorkers {
-	h := &fakeWorkers{rig: r, taskStatuses: map[string][]wire.TaskStatus{}, seqs: map[string]uint64{}, stopGraces: map[string]float64{}}
+func newFakeWorkers(r *testOwner, machines ...string) *fakeWorkers {
+	h := &fakeWorkers{testOwner: r, taskStatuses: map[string][]wire.TaskStatus{}, seqs: map[string]uint64{}, stopGraces: map[string]float64{}}
 	h.cfg.GangStartTimeout, h.cfg.GangPeerTimeout = 30*time.Second, 8*time.Second
 	for _, m := range machines {
 		r.bringUp(m)
@@ -33,9 +33,9 @@
 
 // applyActions executes the direct commands among actions, commits all transactions, and
 // returns the starts.
-func (h *fakeWorkers) applyActions(acts []Action) (starts []wire.Command) {
-	h.commitAll(acts)
-	for _, a := range acts {
+func (h *fakeWorkers) applyActions(actions []Action) (starts []wire.Command) {
+	h.commitAll(actions)
+	for _, a := range actions {
 		s, ok := a.(SendCommands)
 		if !ok {
 			continue
@@ -69,7 +69,7 @@
 	return starts
 }
 
-// heartbeatOf is the next heartbeat of a machine.
+// heartbeatOf returns the next heartbeat of a machine.
 func (h *fakeWorkers) heartbeatOf(m string) *wire.Heartbeat {
 	r := newHeartbeat(m, 1, h.seqs[m], h.latestToken(m), h.taskStatuses[m]...)
 	r.Spot = m == h.spotMachine
@@ -117,8 +117,8 @@
 
 // A gang starts as a whole, under one attempt number, or not at all.
 func TestGangStartsAsAWholeOrNotAtAll(t *testing.T) {
-	h := newFakeWorkers(newRig(nil), "m-1", "m-2")
-	h.submit(gangJob("run-1", 10, "a")) // of 2 CPUs, on machines of 8
+	h := newFakeWorkers(newTestOwner(nil), "m-1", "m-2")
+	h.submit(gangJob("run-1", 10, "a")) // tasks of 2 CPUs, on machines of 8 CPUs
 	if s := h.advanceWithHeartbeats(3 * time.Second); len(s) != 0 {
 		t.Fatalf("%d tasks of a gang started where 8 of 10 fit", len(s))
 	}
@@ -135,10 +135,10 @@
 	}
 }
 
-// Two gangs that do not fit together never hold half of the capacity each, and arrays
-// do not take what becomes free before a waiting gang.
+// Two gangs that do not fit together never hold half of the capacity each. Arrays do not
+// take capacity that becomes free while a gang waits.
 func TestGangsDoNotStarve(t *testing.T) {
-	h := newFakeWorkers(newRig(nil), "m-1", "m-2")
+	h := newFakeWorkers(newTestOwner(nil), "m-1", "m-2")
 	h.submit(arrayJob("run-1", 6, "a"))
 	first := h.advanceWithHeartbeats(time.Second)
 	if len(first) != 6 {
@@ -150,11 +150,11 @@
 	h.submit(gangJob("run-2", 8, "a"))
 	h.submit(gangJob("run-3", 8, "a"))
 	h.submit(arrayJob("run-4", 20, "a"))
-	began := map[string]int{}
+	started := map[string]int{}
 	count := func(s []wire.Command) {
 		for _, c := range s {
 			job, _, _ := wire.ParseTaskName(c.Task)
-			began[job]++
+			started[job]++
 		}
 	}
 	count(h.advanceWithHeartbeats(2 * time.Second))
@@ -162,17 +162,17 @@
 		count(h.setStates(m, wire.TaskExited, wire.CauseDone))
 		count(h.advanceWithHeartbeats(2 * time.Second))
 	}
-	if began["run-2"]+began["run-3"] != 8 || began["run-2"]*began["run-3"] != 0 {
-		t.Fatalf("of two gangs of 8 began %v", began)
+	if started["run-2"]+started["run-3"] != 8 || started["run-2"]*started["run-3"] != 0 {
+		t.Fatalf("of two gangs of 8 tasks each, these tasks started: %v", started)
 	}
 }
 
-// A gang's task that is lost before the gang runs is replaced under the same attempt
-// number. Afterwards the others are stopped at once, and nothing starts before all are
-// gone, and then under another number.
+// A task that is lost before its gang runs is replaced under the same attempt number.
+// After the gang has run, the other tasks are stopped at once. Nothing then starts
+// before all of them are gone, and the new start has another attempt number.
 func TestGangLosesATask(t *testing.T) {
-	for _, begun := range []bool{false, true} {
-		h := newFakeWorkers(newRig(nil), "m-1", "m-2", "m-3")
+	for _, hasRun := range []bool{false, true} {
+		h := newFakeWorkers(newTestOwner(nil), "m-1", "m-2", "m-3")
 		h.submit(gangJob("run-1", 6, "a"))
 		s := h.advanceWithHeartbeats(time.Second)
 		if len(s) != 6 {
@@ -186,42 +186,43 @@
 				other = m
 			}
 		}
-		if begun {
+		if hasRun {
 			h.setStates(lost, wire.TaskRunning, "")
 			h.setStates(other, wire.TaskRunning, "")
 		}
 		delete(h.seqs, lost)
 		h.ScaleInResult(h.now, []string{lost})
-		again := h.advanceWithHeartbeats(2 * time.Second)
-		if !begun {
-			if len(again) != 2 || again[0].Attempt != s[0].Attempt || again[1].Attempt != s[0].Attempt {
-				t.Fatalf("replaced by %v, wanted two under %d", again, s[0].Attempt)
+		restarted := h.advanceWithHeartbeats(2 * time.Second)
+		if !hasRun {
+			if len(restarted) != 2 || restarted[0].Attempt != s[0].Attempt || restarted[1].Attempt != s[0].Attempt {
+				t.Fatalf("replaced by %v, wanted two under %d", restarted, s[0].Attempt)
 			}
 			continue
 		}
-		if len(again) != 0 {
-			t.Fatalf("%v started while the old attempt is on a machine", again)
+		if len(restarted) != 0 {
+			t.Fatalf("%v started while the old attempt is on a machine", restarted)
 		}
 		if len(h.stopGraces) != 4 || h.stopGraces["run-1/0"] != 0 {
 			t.Fatalf("stops %v, wanted four without time for a checkpoint", h.stopGraces)
 		}
 		h.setStates(other, wire.TaskExited, wire.CauseGangPeerLost)
-		again = h.advanceWithHeartbeats(3 * time.Second)
-		if len(again) != 6 || again[0].Attempt == s[0].Attempt {
-			t.Fatalf("restarted %v after attempt %d", again, s[0].Attempt)
+		restarted = h.advanceWithHeartbeats(3 * time.Second)
+		if len(restarted) != 6 || restarted[0].Attempt == s[0].Attempt {
+			t.Fatalf("restarted %v after attempt %d", restarted, s[0].Attempt)
 		}
 		if h.machines[other].avoidUntil.After(h.now) || h.jobs["run-1"].failedMachines != nil {
-			t.Fatal("the end of a gang's attempt is blamed on a machine or the job")
+			t.Fatal("the end of a gang's attempt counts as a failure of a machine or of the job")
 		}
 	}
 }
 
-// One task that is done makes the gang done; a new owner adopts the attempt that
-// runs, neither stops it nor starts another, and closes the assignment.
+// A new owner adopts the running attempt of a gang, and neither stops that attempt nor
+// starts another. One task that is done makes the gang done, and the owner closes the
+// assignment.
 func TestNewOwnerFindsGang(t *testing.T) {
 	j := gangJob("run-1", 4, "a")
 	old := uint64(4)<<constants.AttemptBits | 7
-	h := newFakeWorkers(newRig(map[string]*records.Job{"run-1": j},
+	h := newFakeWorkers(newTestOwner(map[string]*records.Job{"run-1": j},
 		records.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"}, records.Machine{Name: "m-2", Type: "box", Addr: "m-2:1"}))
 	for i := range 4 {
 		m := fmt.Sprintf("m-%d", 1+i%2)
@@ -231,21 +232,22 @@
 	if s := h.advanceWithHeartbeats(10 * time.Second); len(s) > 0 || len(h.stopGraces) > 0 {
 		t.Fatalf("started %v and stopped %v of a healthy gang", s, h.stopGraces)
 	}
-	delete(h.seqs, "m-1") // gone as it completed
+	delete(h.seqs, "m-1") // the machine is lost while the gang completes
 	h.ScaleInResult(h.now, []string{"m-1"})
 	h.taskStatuses["m-2"][0].State, h.taskStatuses["m-2"][0].Cause = wire.TaskExited, wire.CauseDone
 	h.taskStatuses["m-2"][1].State, h.taskStatuses["m-2"][1].Cause = wire.TaskExited, wire.CauseDone
 	if s := h.advanceWithHeartbeats(10 * time.Second); len(s) > 0 {
-		t.Fatalf("%v started though the gang is done", s)
+		t.Fatalf("%v started although the gang is done", s)
 	}
 	if h.jobs["run-1"] != nil {
 		t.Fatal("a gang that is done was not closed")
 	}
 }
 
-// A spot notice stops a whole gang, all its tasks at once and with time for a checkpoint.
+// A spot notice stops a whole gang: all its tasks at the same time, with time for a
+// checkpoint.
 func TestSpotNoticeStopsWholeGang(t *testing.T) {
-	h := newFakeWorkers(newRig(nil), "m-1", "m-2")
+	h := newFakeWorkers(newTestOwner(nil), "m-1", "m-2")
 	h.submit(gangJob("run-1", 6, "a"))
 	h.advanceWithHeartbeats(time.Second)
 	for m := range h.seqs {
@@ -266,9 +268,10 @@
 	}
 }
 
-// A cancelled gang stops at once, without a checkpoint, also one that is saving already.
+// A cancelled gang stops at once, without time for a checkpoint, even if the gang is
+// already saving one.
 func TestCancelledGangEndsAtOnce(t *testing.T) {
-	h := newFakeWorkers(newRig(nil), "m-1", "m-2")
+	h := newFakeWorkers(newTestOwner(nil), "m-1", "m-2")
 	j := gangJob("run-1", 6, "a")
 	h.submit(j)
 	h.advanceWithHeartbeats(time.Second)
@@ -294,10 +297,10 @@
 	}
 }
 
-// Machines are reserved only for a gang that may run on them: of its types, and spot
-// instances only where it allows them.
+// Machines are reserved only for a gang that may run on them: machines of the gang's
+// types, and spot machines only if the gang allows them.
 func TestMachinesReservedForGangsAreEligible(t *testing.T) {
-	h := newFakeWorkers(newRig(nil), "m-1", "m-2")
+	h := newFakeWorkers(newTestOwner(nil), "m-1", "m-2")
 	h.spotMachine = "m-1"
 	h.advanceWithHeartbeats(time.Second)
 	h.submit(arrayJob("run-1", 8, "a"))
@@ -309,9 +312,9 @@
 	}
 }
 
-// A share of a gang in several shards is stopped and offloaded as a whole if its attempt
-// number is used up, as a new owner finds, or if another share was offloaded: nothing
-// would start under its number any more.
+// The share of a gang that spans shards is stopped and offloaded as a whole in two
+// cases: a new owner finds that the attempt number is used up, or another shard has
+// offloaded its share. No task would start under that number any more.
 func TestGangShareIsOffloaded(t *testing.T) {
 	job := func() *records.Job {
 		j := gangJob("run-1", 4, "a")
@@ -321,28 +324,28 @@
 	}
 	isOffloaded := func(h *fakeWorkers) bool { return h.jobs["run-1"] == nil }
 
-	h := newFakeWorkers(newRig(map[string]*records.Job{"run-1": job()}, records.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"}))
+	h := newFakeWorkers(newTestOwner(map[string]*records.Job{"run-1": job()}, records.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"}))
 	h.seqs["m-1"] = 10
 	h.taskStatuses["m-1"] = []wire.TaskStatus{{Task: "run-1/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseGangPeerLost}}
 	if s := h.advanceWithHeartbeats(5 * time.Second); len(s) > 0 || !isOffloaded(h) {
-		t.Fatalf("found used up: started %v, offloaded %v", s, isOffloaded(h))
+		t.Fatalf("attempt number used up: started %v, offloaded %v", s, isOffloaded(h))
 	}
 
-	h = newFakeWorkers(newRig(nil), "m-1")
+	h = newFakeWorkers(newTestOwner(nil), "m-1")
 	h.submit(job())
 	if s := h.advanceWithHeartbeats(time.Second); len(s) != 2 || s[0].Attempt != 1 {
 		t.Fatalf("started %v, wanted two tasks under the leader's number", s)
 	}
 	h.setStates("m-1", wire.TaskWaitingForGang, "")
-	shard := job()
-	shard.Assignments = shard.Assignments[:1]
-	h.submit(shard)
+	ownShare := job()
+	ownShare.Assignments = ownShare.Assignments[:1]
+	h.submit(ownShare)
 	h.advanceWithHeartbeats(time.Second)
 	if len(h.stopGraces) != 2 {
 		t.Fatalf("stops %v, wanted both tasks of the share", h.stopGraces)
 	}
 	h.setStates("m-1", wire.TaskExited, wire.CauseStopped)
 	if s := h.advanceWithHeartbeats(5 * time.Second); len(s) > 0 || !isOffloaded(h) {
-		t.Fatalf("share alone: started %v, offloaded %v", s, isOffloaded(h))
+		t.Fatalf("other share offloaded: started %v, offloaded %v", s, isOffloaded(h))
 	}
 }
--- a/shard/reconnect_test.go
+++ b/shard/reconnect_test.go
@@ -31,8 +31,8 @@
 			name := fmt.Sprintf("m-%05d", i)
 			inventory = append(inventory, records.Machine{Name: name, Type: "box", Addr: name + ":1"})
 		}
-		r := newRig(jobs, inventory...)
-		r.now = r.now.Add(leaseEnd + time.Second)
+		r := newTestOwner(jobs, inventory...)
+		r.now = r.now.Add(leaseTimeout + time.Second)
 		r.Step(r.now)
 		b.StartTimer()
 		for step := range 300 { // 6 s
--- a/shard/state_test.go
+++ b/shard/state_test.go
@@ -112,7 +112,7 @@
 
 // Pages get smaller once the key-value store has refused a page as too large.
 func TestRefusedPagesGetSmaller(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	r.bringUp("m-1")
 	for _, p := range r.pages {
 		p.inFlight = []records.Machine{{Name: "m-1"}}
