--- a/shard/scalein.go
+++ b/shard/scalein.go
@@ -121,18 +121,18 @@
 		return reasonDrained
 	case check.idleAllowed && c.isIdle(now, m):
 		return reasonIdle
-	case m.up && c.isHeartbeatOverdue(now, m) && m.leavesProbesUnanswered() && c.isIsolatedFailure(now, m, check.health):
+	case m.up && c.isHeartbeatOverdue(now, m) && m.hasFailedProbes() && c.isIsolatedFailure(now, m, check.health):
 		// Once it is terminated, its attempts have surely ended, long before its lease
 		// expires.
 		return reasonUnreachable
-	case c.isNotReceiving(m) && (mostConfirmed || c.isNotReceivingOfFew(now, m, check.up, check.confirmed)):
+	case c.isNotReceiving(m) && (mostConfirmed || c.isNotReceivingInSmallShard(now, m, check.up, check.confirmed)):
 		return reasonNotReceiving
 	case m.up && c.sinceHeartbeat(now, m) > c.periods(constants.NoHeartbeatPeriods) && mostConfirmed:
 		// It answers commands but sends no heartbeats: its lease expires all the same.
 		return reasonNoHeartbeats
 	case m.up && !m.reclaimAt.IsZero() && now.After(m.reclaimAt):
 		return reasonSpotReclaimed // the cloud has taken it; the termination confirms that at once
-	case m.inherited && !m.up && m.leavesProbesUnanswered() && c.isIsolatedFailure(now, m, check.health) && c.failoverProbesExpired(now, check):
+	case m.inherited && !m.up && m.hasFailedProbes() && c.isIsolatedFailure(now, m, check.health) && c.failoverProbesExpired(now, check):
 		return reasonUnreachableSinceFailover
 	}
 	return keepMachine
@@ -159,9 +159,9 @@
 	return (m.consolidating || now.Sub(m.idleSince) > timeout) && !c.isBusy(m) && m.hasSeenTerm(c.term)
 }
 
-// leavesProbesUnanswered reports whether a silent machine has left as many probes unanswered
+// hasFailedProbes reports whether a silent machine has left as many probes unanswered
 // as prove that it has failed.
-func (m *machine) leavesProbesUnanswered() bool {
+func (m *machine) hasFailedProbes() bool {
 	return m.unansweredProbes >= constants.MaxUnansweredCommands
 }
 
@@ -183,11 +183,11 @@
 		check.returned*4 >= check.inherited*3 && waited > constants.FailoverProbeTimeout
 }
 
-// isNotReceivingOfFew reports whether an unconfirmed machine of a shard with one or two has
+// isNotReceivingInSmallShard reports whether an unconfirmed machine of a shard with one or two has
 // failed by itself. Where two are both unconfirmed and send heartbeats to other controllers,
 // it is more likely the owner that they cannot reach, which then gives up its term. What runs
 // on them stays theirs until their leases have expired.
-func (l *liveness) isNotReceivingOfFew(now time.Time, m *machine, up, confirmed int) bool {
+func (l *liveness) isNotReceivingInSmallShard(now time.Time, m *machine, up, confirmed int) bool {
 	if up > 2 || !l.hasHeardPeers(now) {
 		return false
 	}
--- a/shard/state_test.go
+++ b/shard/state_test.go
@@ -56,11 +56,11 @@
 		up, heard int
 		want      bool
 	}{{doubted, 1, 0, true}, {doubted, 2, 1, true}, {doubted, 2, 0, false}, {forLong, 2, 0, true}, {forLong, 3, 0, false}} {
-		if got := l.isNotReceivingOfFew(now, c.m, c.up, c.heard); got != c.want {
+		if got := l.isNotReceivingInSmallShard(now, c.m, c.up, c.heard); got != c.want {
 			t.Errorf("of %d up, %d confirmed: not receiving %v, not %v", c.up, c.heard, got, c.want)
 		}
 	}
-	if l.peersHeardAt = now.Add(-time.Hour); l.isNotReceivingOfFew(now, forLong, 2, 1) {
+	if l.peersHeardAt = now.Add(-time.Hour); l.isNotReceivingInSmallShard(now, forLong, 2, 1) {
 		t.Error("not receiving though the other controllers were not heard from")
 	}
 }
