--- a/shard/pendingcapacity.go
+++ b/shard/pendingcapacity.go
@@ -74,9 +74,9 @@
 	return out
 }
 
-// tasksBeyondPending places a job's ready tasks on pending machines, and returns those that
+// tasksBeyondPendingCapacity places a job's ready tasks on pending machines, and returns those that
 // do not fit.
-func (c *Core) tasksBeyondPending(now time.Time, j *job) []*task {
+func (c *Core) tasksBeyondPendingCapacity(now time.Time, j *job) []*task {
 	s := &j.rec.Spec
 	tasks := c.appendReadyTasks(c.taskBuffer[:0], now, j)
 	c.taskBuffer = tasks
--- a/shard/scaleout.go
+++ b/shard/scaleout.go
@@ -64,7 +64,7 @@
 			c.scaleOutForGang(now, j, r.counts)
 			continue
 		}
-		if tasks := c.tasksBeyondPending(now, j); len(tasks) > 0 {
+		if tasks := c.tasksBeyondPendingCapacity(now, j); len(tasks) > 0 {
 			c.scaleOutForJob(now, j, tasks, &r)
 		}
 	}
@@ -81,7 +81,7 @@
 	job        *job
 	demand     resources       // of one task
 	offer      machineOffer    // of the cheapest machine for a task
-	filling    *pendingMachine // the machine that was added last; nil: none
+	lastAdded  *pendingMachine // the machine that was added last; nil: none
 	mayOffload bool            // tasks go together, and not over and over
 	offloaded  int
 }
@@ -111,8 +111,8 @@
 func (c *Core) scaleOutForTask(now time.Time, t *task, p *jobScaleOut, r *scaleOutRound) bool {
 	waited := now.Sub(t.waitingSince)
 	switch {
-	case p.filling != nil && p.demand.fits(p.filling.free):
-		p.filling.free = p.filling.free.minus(p.demand)
+	case p.lastAdded != nil && p.demand.fits(p.lastAdded.free):
+		p.lastAdded.free = p.lastAdded.free.minus(p.demand)
 		return true
 	case !t.keepWaiting && p.mayOffload && c.otherShardsFitOneMore(now, p.job.rec, p.offloaded):
 		// Only to a shard that is known to have capacity: otherwise it would come back,
@@ -128,7 +128,7 @@
 	case c.backlogClearsInTime(&c.fleetView, now, p.job, t):
 		// It starts sooner on an existing machine.
 	case p.offer.isAvailable():
-		p.filling = c.planMachine(p.offer, p.demand, r.counts)
+		p.lastAdded = c.planMachine(p.offer, p.demand, r.counts)
 		return true
 	case waited > constants.OffloadWait && p.mayOffload && c.otherShardsFitOneMore(now, p.job.rec, p.offloaded):
 		c.offloadTask(p.job, t)
--- a/shard/scaleoutgang.go
+++ b/shard/scaleoutgang.go
@@ -14,12 +14,12 @@
 // machine, or offloads the gang where another shard is known to have the capacity.
 func (c *Core) scaleOutForGang(now time.Time, j *job, counts machineCounts) {
 	s := &j.rec.Spec
-	n := taskResources(s)
+	demand := taskResources(s)
 	if j.gang.done || j.gang.isActive() {
 		return // a replacement of a lost task needs no machine of its own
 	}
-	c.unplacedDemand = c.unplacedDemand.plus(n.times(len(j.tasks)))
-	remaining := c.takePendingForGang(s, len(j.tasks))
+	c.unplacedDemand = c.unplacedDemand.plus(demand.times(len(j.tasks)))
+	remaining := c.takePendingCapacityForGang(s, len(j.tasks))
 	// Reserved capacity counts as well: the gang will start on it.
 	remaining -= min(remaining, c.reservedGangSlots(now, s))
 	if remaining == 0 {
@@ -31,17 +31,17 @@
 		return
 	}
 	for offer.isAvailable() && remaining > 0 {
-		perMachine := max(1, machineResources(offer.machineType).countFitting(n))
+		perMachine := max(1, machineResources(offer.machineType).countFitting(demand))
 		count := min(remaining, perMachine)
-		c.planMachine(offer, n.times(count), counts)
+		c.planMachine(offer, demand.times(count), counts)
 		remaining -= count
 	}
-	c.excessCPUs += n.cpus * float64(remaining)
+	c.excessCPUs += demand.cpus * float64(remaining)
 }
 
-// takePendingForGang places tasks of a gang on pending machines, in their order, and
+// takePendingCapacityForGang places tasks of a gang on pending machines, in their order, and
 // returns how many do not fit.
-func (c *scaleOutState) takePendingForGang(s *wire.Submission, tasks int) int {
+func (c *scaleOutState) takePendingCapacityForGang(s *wire.Submission, tasks int) int {
 	n := taskResources(s)
 	remaining := tasks
 	for i := range c.pendingCapacity {
