--- a/shard/consolidation.go
+++ b/shard/consolidation.go
@@ -42,12 +42,12 @@
 		// Without the machine the shard must keep its reserves, and have capacity for
 		// what is on it. Those found redundant before count as gone.
 		if r.productionCPUs-m.capacity.cpus < required {
-			r.keep(m)
+			r.markNotRedundant(m)
 			continue
 		}
 		searches++
 		if searches > 4*r.limit || !c.isRedundant(m, others) {
-			r.keep(m)
+			r.markNotRedundant(m)
 			continue
 		}
 		r.productionCPUs -= m.capacity.cpus
@@ -78,8 +78,8 @@
 	return r
 }
 
-// keep ends the consolidation of a machine that is not redundant.
-func (r *consolidationRound) keep(m *machine) {
+// markNotRedundant ends the consolidation of a machine that is not redundant.
+func (r *consolidationRound) markNotRedundant(m *machine) {
 	if m.consolidating {
 		m.consolidating = false
 		r.consolidating--
--- a/shard/cordon.go
+++ b/shard/cordon.go
@@ -18,8 +18,8 @@
 // isCordonedBy says whether a drain has cordoned a machine.
 func (m *machine) isCordonedBy(number int) bool { return m.cordon != nil && m.cordon.drain == number }
 
-// cordonNext cordons the machines that a drain chooses next of those that it selects.
-func (c *Core) cordonNext(now time.Time, number int, s *drain.ShardDrain, selected []*machine) {
+// cordonMachines cordons the machines that a drain chooses next of those that it selects.
+func (c *Core) cordonMachines(now time.Time, number int, s *drain.ShardDrain, selected []*machine) {
 	byName := make(map[string]*machine, len(selected))
 	candidates := make([]drain.Candidate, 0, len(selected))
 	for _, m := range selected {
--- a/shard/draining.go
+++ b/shard/draining.go
@@ -39,11 +39,11 @@
 	hasInheritedInterruptions bool
 
 	// For the current step:
-	reservedCapacity map[*machine]resources // for migrations
-	surgeTasks       []*task                // may migrate, and find no capacity
-	surgeCounts      disruption.Counts      // of those, by budget
-	targetSearches   int                    // searches for a migration's target
-	rotation         int                    // counts steps: each begins with another machine
+	reservedCapacity   map[*machine]resources // for migrations
+	surgeTasks         []*task                // may migrate, and find no capacity
+	surgeCounts        disruption.Counts      // of those, by budget
+	targetSearches     int                    // searches for a migration's target
+	firstMachineOffset int                    // counts steps: each begins with another machine
 }
 
 // StartDraining has the owner drain machines and account for disruptions in its shard. jobs
@@ -147,8 +147,8 @@
 	d.surgeTasks = d.surgeTasks[:0]
 	d.surgeCounts = disruption.Counts{}
 	d.targetSearches = 0
-	d.rotation++
-	d.settleMigrations(&c.fleetView, now)
+	d.firstMachineOffset++
+	d.finishMigrations(&c.fleetView, now)
 	d.reservedCapacity = d.reservedForMigrations()
 	c.uncordonMachines()
 	for _, m := range c.fleet {
@@ -172,10 +172,10 @@
 	for _, m := range selected {
 		m.drainNext = d.isRunning(number)
 	}
-	c.cordonNext(now, number, s, selected)
+	c.cordonMachines(now, number, s, selected)
 	d.waitReasons[number] = idleReason(now, s)
 	for i := range selected {
-		m := selected[(i+d.rotation)%len(selected)]
+		m := selected[(i+d.firstMachineOffset)%len(selected)]
 		if m.isCordonedBy(number) && !m.scalingIn {
 			c.evictFromCordonedMachine(now, m, number)
 		}
--- a/shard/drainplan.go
+++ b/shard/drainplan.go
@@ -35,8 +35,8 @@
 		}
 	}
 	if p.Machines > 0 {
-		atOnce := c.draining.cfg.Policy.MaxCordoned(len(c.fleet))
-		p.Rounds = (p.Machines + atOnce - 1) / atOnce
+		maxCordoned := c.draining.cfg.Policy.MaxCordoned(len(c.fleet))
+		p.Rounds = (p.Machines + maxCordoned - 1) / maxCordoned
 	}
 	return p, nil
 }
--- a/shard/interruptions.go
+++ b/shard/interruptions.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// forget removes a unit that is done.
-func (s *interruptions) forget(u interruptionUnit) { delete(s.units, u) }
+// remove removes a unit that is done.
+func (s *interruptions) remove(u interruptionUnit) { delete(s.units, u) }
 
 // count says how many units are interrupted by budget, once all that are in the shard were
 // observed at the given time.
@@ -116,7 +116,7 @@
 	for _, t := range j.tasks {
 		unit := interruptionUnitOf(t)
 		if t.done {
-			d.interruptions.forget(unit)
+			d.interruptions.remove(unit)
 			continue
 		}
 		d.interruptions.observe(now, unit, budgets, v.isRunningTask(now, t), d.isAvailable(v, now, t))
@@ -127,7 +127,7 @@
 func (d *draining) observeGang(v *fleetView, now time.Time, j *job, budgets []disruption.BudgetKey) {
 	unit := interruptionUnit{j, wholeGang}
 	if j.gang.done {
-		d.interruptions.forget(unit)
+		d.interruptions.remove(unit)
 		return
 	}
 	isRunning, isAvailable := true, true
--- a/shard/migration.go
+++ b/shard/migration.go
@@ -126,9 +126,9 @@
 	return d == nil || d.ledger.RequestStop(now, d.budgetsOf(t.job)) == nil
 }
 
-// settleMigrations ends the migrations of tasks that are available again, and of those that
+// finishMigrations ends the migrations of tasks that are available again, and of those that
 // did not become so in time.
-func (d *draining) settleMigrations(v *fleetView, now time.Time) {
+func (d *draining) finishMigrations(v *fleetView, now time.Time) {
 	for t, m := range d.migrations {
 		j := t.job
 		switch {
--- a/shard/spotreclaim.go
+++ b/shard/spotreclaim.go
@@ -34,7 +34,7 @@
 			}
 			continue
 		}
-		if v.mustLeaveReclaimed(now, t, a, remaining) {
+		if v.mustEvictBeforeReclaim(now, t, a, remaining) {
 			q.evict(a)
 			evicted++
 		}
@@ -48,9 +48,9 @@
 	return !a.stopsInstantly && remaining <= v.stopGrace(a)+v.cfg.GangPeerTimeout+constants.ReclaimMargin
 }
 
-// mustLeaveReclaimed says whether a task is evicted now from a machine that is taken back
+// mustEvictBeforeReclaim says whether a task is evicted now from a machine that is taken back
 // after the remaining time.
-func (v *fleetView) mustLeaveReclaimed(now time.Time, t *task, a *attempt, remaining time.Duration) bool {
+func (v *fleetView) mustEvictBeforeReclaim(now time.Time, t *task, a *attempt, remaining time.Duration) bool {
 	s := &t.job.rec.Spec
 	if !a.stopsInstantly {
 		return remaining <= v.stopGrace(a)+constants.ReclaimMargin // it checkpoints at the last moment
