--- a/shard/core_test.go
+++ b/shard/core_test.go
@@ -526,7 +526,7 @@
 // terminated for heartbeats that the owner could not have received.
 func TestPausedProcessTerminatesNoMachine(t *testing.T) {
 	r := newRig(nil)
-	r.fleet(40)
+	r.bringUpFleet(40)
 	for _, m := range r.machines {
 		m.spot = true // on-demand ones would be consolidated
 	}
@@ -566,7 +566,7 @@
 // shard must not wait for their leases, or request no machines for ever.
 func TestPartitionedShardOrTerminatedMachines(t *testing.T) {
 	r := newRig(nil)
-	r.fleet(5)
+	r.bringUpFleet(5)
 	var list []wire.CloudMachine
 	for _, m := range r.machines {
 		m.spot = true
--- a/shard/directcommands_test.go
+++ b/shard/directcommands_test.go
@@ -126,7 +126,7 @@
 func TestProbesPerStepAreBounded(t *testing.T) {
 	r := newRig(nil)
 	const machines = 3 * constants.MaxProbesPerStep
-	r.fleet(machines)
+	r.bringUpFleet(machines)
 	r.Step(r.now)
 	asked := 0
 	for end := r.now.Add(2 * r.cfg.HeartbeatPeriod); asked == 0 && r.now.Before(end); {
--- a/shard/drainplan_test.go
+++ b/shard/drainplan_test.go
@@ -12,7 +12,7 @@
 // its controller. It refuses instead.
 func TestPlanWithoutDrainingIsRefused(t *testing.T) {
 	r := newRig(nil)
-	r.fleet(3)
+	r.bringUpFleet(3)
 	defer func() {
 		if cause := recover(); cause != nil {
 			t.Errorf("planning without draining panics: %v", cause)
--- a/shard/failureproof_test.go
+++ b/shard/failureproof_test.go
@@ -90,7 +90,7 @@
 	const machines = 20
 	if !inherited {
 		f := &probedFleet{rig: newRig(nil), silent: "m-00000", seq: 100}
-		f.fleet(machines)
+		f.bringUpFleet(machines)
 		for _, m := range f.machines {
 			m.spot = true
 			m.lastHeartbeat = f.now
--- a/shard/scale_test.go
+++ b/shard/scale_test.go
@@ -13,8 +13,8 @@
 	"ravenport/wire"
 )
 
-// fleet brings many machines up at once, verified and in the inventory.
-func (r *rig) fleet(n int) {
+// bringUpFleet brings many machines up at once, verified and in the inventory.
+func (r *rig) bringUpFleet(n int) {
 	for i := range n {
 		r.Heartbeat(r.now, newHeartbeat(fmt.Sprintf("m-%05d", i), 1, 1, 0))
 	}
@@ -75,7 +75,7 @@
 func TestQuietHeartbeatCostsTheSameInAnyFleet(t *testing.T) {
 	cost := func(machines int) float64 {
 		r := newRig(nil)
-		r.fleet(machines)
+		r.bringUpFleet(machines)
 		r.submit(arrayJob("run-1", 4*machines-8, "a"))
 		for range 30 {
 			r.advance(20 * time.Millisecond)
@@ -257,7 +257,7 @@
 
 func BenchmarkQuietHeartbeat(b *testing.B) {
 	r := newRig(nil)
-	r.fleet(2000)
+	r.bringUpFleet(2000)
 	r.submit(arrayJob("run-1", 7000, "a"))
 	for range 50 {
 		r.advance(20 * time.Millisecond)
@@ -273,11 +273,11 @@
 	}
 }
 
-// crowded is an owner whose machines are full, with thousands of tasks waiting.
-func crowded(machines int) *rig {
+// newFullFleetRig is an owner whose machines are full, with thousands of tasks waiting.
+func newFullFleetRig(machines int) *rig {
 	r := newRig(nil)
 	r.roundBudget = time.Hour
-	r.fleet(machines)
+	r.bringUpFleet(machines)
 	for i := range 200 {
 		j := arrayJob(fmt.Sprintf("run-%d", i), 50, "a")
 		j.Spec.CPUs = 2 + float64(i%7)/8
@@ -292,7 +292,7 @@
 // BenchmarkCrowdedRound is a whole round with everything full and thousands of
 // tasks waiting.
 func BenchmarkCrowdedRound(b *testing.B) {
-	r := crowded(1000)
+	r := newFullFleetRig(1000)
 	b.ReportAllocs()
 	for b.Loop() {
 		r.needsPlacement = true
@@ -307,7 +307,7 @@
 func TestIsolatedOwnerTerminatesNone(t *testing.T) {
 	r := newRig(nil)
 	const n = 100
-	r.fleet(n)
+	r.bringUpFleet(n)
 	for _, m := range r.machines {
 		m.spot = true
 	}
@@ -349,11 +349,11 @@
 	}
 }
 
-// settled is an owner of a lean deployment's third of the machines with everything
+// newSteadyFleetRig is an owner of a lean deployment's third of the machines with everything
 // placed and shown, two services and two tasks of arrays on each.
-func settled(machines int) *rig {
+func newSteadyFleetRig(machines int) *rig {
 	r := newRig(nil)
-	r.fleet(machines)
+	r.bringUpFleet(machines)
 	r.submit(arrayJob("run-1", 2*machines, "a"))
 	svc := arrayJob("run-2", 2*machines, "a")
 	svc.Spec.Kind, svc.Spec.Priority, svc.Spec.Spot = wire.KindService, wire.PriorityProduction, false
@@ -396,7 +396,7 @@
 // BenchmarkSettledSteps is a second's steps at the pace of an owner whose machines
 // send heartbeats all the time, with nothing else to do.
 func BenchmarkSettledSteps(b *testing.B) {
-	r := settled(400)
+	r := newSteadyFleetRig(400)
 	b.ReportAllocs()
 	for b.Loop() {
 		for i := range int(time.Second / constants.MinOwnerStepInterval) {
@@ -496,7 +496,7 @@
 // sent or written, and hardly anything is allocated, whatever the fleet.
 func TestIdleSecondCostsLittle(t *testing.T) {
 	cost := func(machines int) float64 {
-		r := settled(machines)
+		r := newSteadyFleetRig(machines)
 		for range 5 {
 			r.idleSecond()
 		}
@@ -517,7 +517,7 @@
 // A round in which everything is full, with hundreds of jobs waiting, allocates by
 // the job and not by the task or the machine.
 func TestCrowdedRoundAllocatesLittle(t *testing.T) {
-	r := crowded(400)
+	r := newFullFleetRig(400)
 	n := testing.AllocsPerRun(50, func() {
 		r.needsPlacement = true
 		r.advance(20 * time.Millisecond)
@@ -562,7 +562,7 @@
 // A heartbeat that changes nothing allocates nothing: an owner of a lean deployment
 // takes in a hundred of them a second.
 func TestQuietHeartbeatAllocatesNothing(t *testing.T) {
-	r := settled(50)
+	r := newSteadyFleetRig(50)
 	rep := newHeartbeat("m-00000", 1, 1000, r.latestToken("m-00000"))
 	for _, a := range r.machines["m-00000"].attempts {
 		rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskRunning})
--- a/shard/scalein_test.go
+++ b/shard/scalein_test.go
@@ -9,8 +9,8 @@
 	"ravenport/records"
 )
 
-// returns lists the machines that actions ask the cloud to take back.
-func returns(acts []Action) []string {
+// terminatedMachines lists the machines that actions ask the cloud to take back.
+func terminatedMachines(acts []Action) []string {
 	var names []string
 	for _, a := range acts {
 		if r, ok := a.(ScaleIn); ok {
@@ -20,8 +20,8 @@
 	return names
 }
 
-// closes lists the machines that written pages name as closed.
-func closes(t *testing.T, acts []Action) []string {
+// machinesWrittenAsTerminating lists the machines that written pages name as closed.
+func machinesWrittenAsTerminating(t *testing.T, acts []Action) []string {
 	t.Helper()
 	var names []string
 	for _, a := range acts {
@@ -51,7 +51,7 @@
 func TestMachineIsClosedBeforeScaleIn(t *testing.T) {
 	r := newRig(nil)
 	r.cfg.CloseBeforeScaleIn, r.cfg.SpotIdleTimeout, r.cfg.OnDemandIdleTimeout = true, 10*time.Second, 10*time.Second
-	r.fleet(3)
+	r.bringUpFleet(3)
 	closed, refused := 0, 0
 	for range 200 {
 		r.now = r.now.Add(300 * time.Millisecond)
@@ -59,10 +59,10 @@
 			r.Heartbeat(r.now, newHeartbeat(name, 1, uint64(10+r.now.UnixMilli()), r.latestToken(name)))
 		}
 		acts := r.Step(r.now)
-		if names := returns(acts); len(names) > 0 && closed == 0 {
+		if names := terminatedMachines(acts); len(names) > 0 && closed == 0 {
 			t.Fatalf("%v terminated before any write that closes them", names)
 		}
-		if names := closes(t, acts); len(names) > 0 {
+		if names := machinesWrittenAsTerminating(t, acts); len(names) > 0 {
 			if refused < 3 { // the write fails; no machine may be terminated for it
 				refused++
 				r.CommitResult(r.now, CommitID{kind: commitInventory}, 0)
@@ -100,7 +100,7 @@
 				}
 			}
 			acts := r.Step(r.now)
-			asked = append(asked, returns(acts)...)
+			asked = append(asked, terminatedMachines(acts)...)
 			r.commitAll(acts)
 		}
 		if !slices.Contains(asked, "m-1") || slices.Contains(asked, "m-2") {
--- a/shard/termcounters_test.go
+++ b/shard/termcounters_test.go
@@ -15,7 +15,7 @@
 func TestAttemptNumbersNeverReachTheNextTerm(t *testing.T) {
 	const attempts = 2048
 	r := newRig(nil)
-	r.fleet(4)
+	r.bringUpFleet(4)
 	r.LimitTermCounters(attempts, 1<<constants.TokenCounterBits)
 	asked, started := 0, 0
 	for i := range 2 * attempts / 8 {
@@ -48,7 +48,7 @@
 func TestTokensNeverReachTheNextTerm(t *testing.T) {
 	const epochs = 512
 	r := newRig(nil)
-	r.fleet(1)
+	r.bringUpFleet(1)
 	r.LimitTermCounters(1<<constants.AttemptBits, epochs)
 	m := r.machines["m-00000"]
 	asked := uint64(0)
