--- a/shard/aggregate.go
+++ b/shard/aggregate.go
@@ -23,7 +23,7 @@
 // Aggregate is what the owner pushes to the leader: the free resources of the schedulable
 // machines and, less what already waits for it, the capacity of those that are booting.
 func (c *Core) Aggregate(now time.Time, revision uint64) leader.Aggregate {
-	a := leader.Aggregate{
+	aggregate := leader.Aggregate{
 		Shard:               c.cfg.Shard,
 		Term:                c.term,
 		Revision:            revision,
@@ -33,9 +33,9 @@
 		CanScaleOutSpot:     c.cfg.UseSpot && c.canScaleOut(&c.fleetView, now, true),
 	}
 	add := func(free resources, spot bool) {
-		r := &a.OnDemand
+		r := &aggregate.OnDemand
 		if spot {
-			r = &a.Spot
+			r = &aggregate.Spot
 		}
 		r.Machines++
 		r.CPUs.Add(free.cpus)
@@ -45,37 +45,37 @@
 	for _, m := range c.fleet {
 		if !c.isSchedulable(now, m) {
 			if c.isPendingMachine(now, m) {
-				a.Capacity += m.capacity.cpus
+				aggregate.Capacity += m.capacity.cpus
 			}
 			continue
 		}
-		a.Capacity += m.capacity.cpus
+		aggregate.Capacity += m.capacity.cpus
 		add(c.freeResources(m), m.spot)
 		if m.spot {
 			continue
 		}
-		a.Preemptible += c.usageOf(m).preemptibleCPUs
+		aggregate.Preemptible += c.usageOf(m).preemptibleCPUs
 		available := c.productionCPUs(m)
 		for image := range m.cachedImages {
-			a.Warm[image] += available
+			aggregate.Warm[image] += available
 		}
 	}
-	a.Gangs = c.gangCapacities(&c.fleetView, now)
-	a.ReservedForGangs = c.gangReserveCPUs
+	aggregate.Gangs = c.gangCapacities(&c.fleetView, now)
+	aggregate.ReservedForGangs = c.gangReserveCPUs
 	for _, pending := range c.pendingCapacity {
 		add(pending.free, pending.spot)
 	}
 	for _, r := range c.pendingScaleOuts {
 		if t := c.types[r.request.Type]; t != nil {
-			a.Capacity += t.CPUs * float64(r.request.Count)
+			aggregate.Capacity += t.CPUs * float64(r.request.Count)
 		}
 	}
-	for _, r := range []*leader.FreeCapacity{&a.OnDemand, &a.Spot} {
+	for _, r := range []*leader.FreeCapacity{&aggregate.OnDemand, &aggregate.Spot} {
 		r.CPUs.Finish(r.Machines)
 		r.GPUs.Finish(r.Machines)
 		r.Memory.Finish(r.Machines)
 	}
-	return a
+	return aggregate
 }
 
 // PushDue reports whether the aggregate has changed since the last call.
--- a/shard/consolidation.go
+++ b/shard/consolidation.go
@@ -30,28 +30,28 @@
 	if !c.rebuilt || !c.consolidationPace.due(now, constants.ConsolidationInterval) {
 		return
 	}
-	r := c.newConsolidationRound(now)
-	if r.migrating >= r.limit || len(r.machines) < 2 || c.unplacedDemand.cpus > 0 {
+	round := c.newConsolidationRound(now)
+	if round.migrating >= round.limit || len(round.machines) < 2 || c.unplacedDemand.cpus > 0 {
 		return
 	}
-	c.sortLeastUsedFirst(r.machines)
+	c.sortLeastUsedFirst(round.machines)
 	required := c.productionReserve(&c.fleetView, now) + c.productionArrivals.largest.cpus + c.gangReserveCPUs
 	others := c.machinesWithFreeCapacity(now)
 	searches := 0
-	for _, m := range r.machines {
+	for _, m := range round.machines {
 		// Without the machine the shard must keep its reserves, and have capacity for
 		// what is on it. Those found redundant before count as gone.
-		if r.productionCPUs-m.capacity.cpus < required {
-			r.markNotRedundant(m)
+		if round.productionCPUs-m.capacity.cpus < required {
+			round.markNotRedundant(m)
 			continue
 		}
 		searches++
-		if searches > 4*r.limit || !c.isRedundant(m, others) {
-			r.markNotRedundant(m)
+		if searches > 4*round.limit || !c.isRedundant(m, others) {
+			round.markNotRedundant(m)
 			continue
 		}
-		r.productionCPUs -= m.capacity.cpus
-		c.consolidateMachine(now, m, r)
+		round.productionCPUs -= m.capacity.cpus
+		c.consolidateMachine(now, m, round)
 	}
 }
 
--- a/shard/eviction.go
+++ b/shard/eviction.go
@@ -39,7 +39,7 @@
 // cordoned. The first reason for which something stays is what the drain waits for.
 func (c *Core) evictFromCordonedMachine(now time.Time, m *machine, number int) {
 	if m.isUnconfirmed() || c.isUnreachable(now, m) {
-		c.draining.noteWaitReason(number, m, errNoReply)
+		c.draining.recordWaitReason(number, m, errNoReply)
 		return
 	}
 	for _, a := range m.attempts {
@@ -54,14 +54,14 @@
 			err = c.evictBatchTask(now, t, a)
 		}
 		if err != nil {
-			c.draining.noteWaitReason(number, m, err)
+			c.draining.recordWaitReason(number, m, err)
 		}
 	}
 }
 
-// noteWaitReason records what a drain waits for, unless it is known to wait for something
+// recordWaitReason records what a drain waits for, unless it is known to wait for something
 // else.
-func (d *draining) noteWaitReason(number int, m *machine, reason error) {
+func (d *draining) recordWaitReason(number int, m *machine, reason error) {
 	if d.waitReasons[number] == "" {
 		d.waitReasons[number] = m.name + ": " + reason.Error()
 	}
--- a/shard/migration.go
+++ b/shard/migration.go
@@ -23,11 +23,11 @@
 // budgets allow it. The error says why it stays.
 func (c *Core) migrateService(now time.Time, number int, t *task) error {
 	d := c.draining
-	s := &t.job.rec.Spec
+	spec := &t.job.rec.Spec
 	budgets := d.budgetsOf(t.job)
 	isAvailable := d.isAvailable(&c.fleetView, now, t)
 	if !isAvailable && d.mayBecomeAvailable(now, t.attempt) {
-		return &notAvailableError{s.ID}
+		return &notAvailableError{spec.ID}
 	}
 	if refusal := d.ledger.Check(now, budgets); refusal != nil && isAvailable {
 		return refusal
@@ -36,10 +36,10 @@
 	if d.targetSearches > constants.MaxMigrationSearches {
 		return errSearchesUsedUp
 	}
-	target := c.migrationTarget(&c.fleetView, now, s, d.reservedCapacity)
+	target := c.migrationTarget(&c.fleetView, now, spec, d.reservedCapacity)
 	if target == nil {
 		d.requestSurge(now, t, budgets)
-		return &noCapacityError{s.ID}
+		return &noCapacityError{spec.ID}
 	}
 	if isAvailable { // what is unavailable already is counted
 		if refusal := d.ledger.RequestStop(now, budgets); refusal != nil {
@@ -48,8 +48,8 @@
 	}
 	slog.Info("migrating task", logkey.TaskID, t.attempt.key.task, "from", t.attempt.machine.name, "target", target.name, "drain", number)
 	c.evict(t.attempt)
-	d.migrations[t] = &migration{drain: number, target: target, demand: taskResources(s), startedAt: now}
-	d.reservedCapacity[target] = d.reservedCapacity[target].plus(taskResources(s))
+	d.migrations[t] = &migration{drain: number, target: target, demand: taskResources(spec), startedAt: now}
+	d.reservedCapacity[target] = d.reservedCapacity[target].plus(taskResources(spec))
 	return nil
 }
 
--- a/shard/scaleout.go
+++ b/shard/scaleout.go
@@ -108,31 +108,31 @@
 
 // scaleOutForTask decides on one task that fits on no pending machine. It says whether the
 // task fits on a machine that was added.
-func (c *Core) scaleOutForTask(now time.Time, t *task, p *jobScaleOut, r *scaleOutRound) bool {
+func (c *Core) scaleOutForTask(now time.Time, t *task, plan *jobScaleOut, round *scaleOutRound) bool {
 	waited := now.Sub(t.waitingSince)
 	switch {
-	case p.lastAdded != nil && p.demand.fits(p.lastAdded.free):
-		p.lastAdded.free = p.lastAdded.free.minus(p.demand)
+	case plan.lastAdded != nil && plan.demand.fits(plan.lastAdded.free):
+		plan.lastAdded.free = plan.lastAdded.free.minus(plan.demand)
 		return true
-	case !t.keepWaiting && p.mayOffload && c.otherShardsFitOneMore(now, p.job.rec, p.offloaded):
+	case !t.keepWaiting && plan.mayOffload && c.otherShardsFitOneMore(now, plan.job.rec, plan.offloaded):
 		// Only to a shard that is known to have capacity: otherwise it would come back,
 		// for two writes more.
-		c.offloadTask(p.job, t)
-		p.offloaded++
-	case r.mayOffloadOverdue && waited > constants.OverdueOffloadWait && c.taskSlotsInOtherShards(now, p.job.rec) > r.overdueOffloaded:
+		c.offloadTask(plan.job, t)
+		plan.offloaded++
+	case round.mayOffloadOverdue && waited > constants.OverdueOffloadWait && c.taskSlotsInOtherShards(now, plan.job.rec) > round.overdueOffloaded:
 		// However little capacity other shards have, and whatever this one may still get:
 		// the task must not wait beside it for ever.
-		c.offloadTask(p.job, t)
+		c.offloadTask(plan.job, t)
 		c.overdueOffloadAt = now
-		r.overdueOffloaded++
-	case c.backlogClearsInTime(&c.fleetView, now, p.job, t):
+		round.overdueOffloaded++
+	case c.backlogClearsInTime(&c.fleetView, now, plan.job, t):
 		// It starts sooner on an existing machine.
-	case p.offer.isAvailable():
-		p.lastAdded = c.planMachine(p.offer, p.demand, r.counts)
+	case plan.offer.isAvailable():
+		plan.lastAdded = c.planMachine(plan.offer, plan.demand, round.counts)
 		return true
-	case waited > constants.OffloadWait && p.mayOffload && c.otherShardsFitOneMore(now, p.job.rec, p.offloaded):
-		c.offloadTask(p.job, t)
-		p.offloaded++
+	case waited > constants.OffloadWait && plan.mayOffload && c.otherShardsFitOneMore(now, plan.job.rec, plan.offloaded):
+		c.offloadTask(plan.job, t)
+		plan.offloaded++
 	}
 	return false
 }
