--- a/shard/draining_test.go
+++ b/shard/draining_test.go
@@ -82,8 +82,8 @@
 	for _, task := range j.tasks { // as if the owner had just learned of each
 		task.attempt.runningSince = r.now
 	}
-	spread := records.Drain{Number: 1, State: records.DrainRunning, CanaryPassed: true, Selection: records.Selection{Machines: []string{"m-0", "m-1"}}}
-	r.Apply(r.now, records.Change{Key: records.KeyDrain(1), Version: r.version, Record: &spread})
+	record := records.Drain{Number: 1, State: records.DrainRunning, CanaryPassed: true, Selection: records.Selection{Machines: []string{"m-0", "m-1"}}}
+	r.Apply(r.now, records.Change{Key: records.KeyDrain(1), Version: r.version, Record: &record})
 	moved := map[*task]bool{}
 	for range 240 {
 		r.advanceWithRunningTasks(250 * time.Millisecond)
--- a/shard/scale_test.go
+++ b/shard/scale_test.go
@@ -72,7 +72,7 @@
 }
 
 // What a heartbeat that changes nothing costs does not grow with the fleet.
-func TestQuietHeartbeatCostsTheSameInAnyFleet(t *testing.T) {
+func TestUnchangedHeartbeatCostIsIndependentOfFleetSize(t *testing.T) {
 	cost := func(machines int) float64 {
 		r := newRig(nil)
 		r.bringUpFleet(machines)
@@ -103,7 +103,7 @@
 
 // A round that is cut off goes on after the job where it stopped, whatever comes
 // and goes: with time for one job a round, every job's turn comes.
-func TestCutOffRoundsSkipNobody(t *testing.T) {
+func TestInterruptedRoundsReachAllJobs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRig(nil)
 		for i := range 30 {
@@ -111,19 +111,19 @@
 		}
 		r.roundBudget = 0
 		n := rapid.IntRange(2, 40).Draw(t, "jobs")
-		came, stuck := 0, 0
+		submitted, unplaceable := 0, 0
 		rounds := 0
-		for ; came < n || len(r.waiting) > stuck || len(r.changedJobs) > 0; rounds++ {
-			if came < n && rapid.Bool().Draw(t, "comes") {
-				j := arrayJob(fmt.Sprintf("run-%d", came), 1, "a")
+		for ; submitted < n || len(r.waiting) > unplaceable || len(r.changedJobs) > 0; rounds++ {
+			if submitted < n && rapid.Bool().Draw(t, "comes") {
+				j := arrayJob(fmt.Sprintf("run-%d", submitted), 1, "a")
 				j.Spec.CPUs = 0.5
 				if rapid.IntRange(0, 3).Draw(t, "stuck") == 0 {
 					j.Spec.CPUs = 9 // no machine is that large: it waits for ever, and holds up nobody
-					stuck++
+					unplaceable++
 				}
 				j.AcceptedMS = r.now.UnixMilli() - int64(rapid.IntRange(0, 90).Draw(t, "age"))*1000
 				r.submit(j)
-				came++
+				submitted++
 			}
 			r.advance(20 * time.Millisecond)
 			if rounds > 8*n+20 {
@@ -147,20 +147,20 @@
 		name string
 		at   time.Time
 	}
-	var flying []call
+	var inFlight []call
 	terminated := 0
 	for step := range 500 {
 		for _, a := range r.advance(20 * time.Millisecond) {
 			switch a := a.(type) {
 			case SendCommands:
-				flying = append(flying, call{a.Machine, r.now})
+				inFlight = append(inFlight, call{a.Machine, r.now})
 			case ScaleIn:
 				terminated += len(a.Names)
 				r.ScaleInResult(r.now, a.Names)
 			}
 		}
-		kept := flying[:0]
-		for _, f := range flying {
+		kept := inFlight[:0]
+		for _, f := range inFlight {
 			switch {
 			case !silent(f.name):
 				r.CommandResult(r.now, f.name, newHeartbeat(f.name, 1, uint64(100+step), r.latestToken(f.name)))
@@ -170,7 +170,7 @@
 				kept = append(kept, f)
 			}
 		}
-		flying = kept
+		inFlight = kept
 		// The others also send heartbeats, each in its turn of the 3 s.
 		for i := 70 + step%150; i < 200 && step > 75; i += 150 {
 			name := fmt.Sprintf("m-%05d", i)
@@ -255,7 +255,7 @@
 	}
 }
 
-func BenchmarkQuietHeartbeat(b *testing.B) {
+func BenchmarkUnchangedHeartbeat(b *testing.B) {
 	r := newRig(nil)
 	r.bringUpFleet(2000)
 	r.submit(arrayJob("run-1", 7000, "a"))
@@ -289,9 +289,9 @@
 	return r
 }
 
-// BenchmarkCrowdedRound is a whole round with everything full and thousands of
+// BenchmarkFullFleetRound is a whole round with everything full and thousands of
 // tasks waiting.
-func BenchmarkCrowdedRound(b *testing.B) {
+func BenchmarkFullFleetRound(b *testing.B) {
 	r := newFullFleetRig(1000)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -313,7 +313,7 @@
 	}
 	seq := make([]uint64, n)
 	turn := 0
-	play := func(d time.Duration, reporting func(i int) bool) []string {
+	advanceFleet := func(d time.Duration, reporting func(i int) bool) []string {
 		return r.advanceUnanswered(d, func() {
 			turn++
 			for i := range n {
@@ -327,13 +327,13 @@
 			}
 		})
 	}
-	if got := play(6*time.Second, func(int) bool { return true }); len(got) != 0 {
+	if got := advanceFleet(6*time.Second, func(int) bool { return true }); len(got) != 0 {
 		t.Fatalf("terminated %d healthy machines", len(got))
 	}
-	if got := play(9*time.Second, func(i int) bool { return i >= 60 }); len(got) != 60 {
+	if got := advanceFleet(9*time.Second, func(i int) bool { return i >= 60 }); len(got) != 60 {
 		t.Fatalf("terminated %d of 60 machines that failed together", len(got))
 	}
-	if got := play(8*time.Second, func(int) bool { return false }); len(got) != 0 {
+	if got := advanceFleet(8*time.Second, func(int) bool { return false }); len(got) != 0 {
 		t.Fatalf("an owner that receives no heartbeats terminated %d machines", len(got))
 	}
 	if isolated, misrouted := r.IsIsolated(r.now); !isolated || misrouted {
@@ -380,8 +380,8 @@
 	}
 }
 
-// idleSecond plays a second in which nothing changes, at an owner's own pace.
-func (r *rig) idleSecond() (actions int) {
+// stepIdleSecond plays a second in which nothing changes, at an owner's own pace.
+func (r *rig) stepIdleSecond() (actions int) {
 	for range int(time.Second / constants.MaxOwnerStepInterval) {
 		r.now = r.now.Add(constants.MaxOwnerStepInterval)
 		actions += len(r.Step(r.now))
@@ -393,9 +393,9 @@
 	return actions
 }
 
-// BenchmarkSettledSteps is a second's steps at the pace of an owner whose machines
+// BenchmarkSteadyFleetSteps is a second's steps at the pace of an owner whose machines
 // send heartbeats all the time, with nothing else to do.
-func BenchmarkSettledSteps(b *testing.B) {
+func BenchmarkSteadyFleetSteps(b *testing.B) {
 	r := newSteadyFleetRig(400)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -481,11 +481,11 @@
 				if m.usageStale {
 					continue
 				}
-				kept := m.usage
-				kept.teamsBeyondGuarantee = slices.Clone(kept.teamsBeyondGuarantee)
+				cached := m.usage
+				cached.teamsBeyondGuarantee = slices.Clone(cached.teamsBeyondGuarantee)
 				m.usageStale = true
-				if got := *r.usageOf(m); fmt.Sprint(got) != fmt.Sprint(kept) {
-					t.Fatalf("%s: kept %+v, true %+v", m.name, kept, got)
+				if got := *r.usageOf(m); fmt.Sprint(got) != fmt.Sprint(cached) {
+					t.Fatalf("%s: kept %+v, true %+v", m.name, cached, got)
 				}
 			}
 		}
@@ -498,10 +498,10 @@
 	cost := func(machines int) float64 {
 		r := newSteadyFleetRig(machines)
 		for range 5 {
-			r.idleSecond()
+			r.stepIdleSecond()
 		}
 		acts := 0
-		n := testing.AllocsPerRun(5, func() { acts += r.idleSecond() })
+		n := testing.AllocsPerRun(5, func() { acts += r.stepIdleSecond() })
 		if acts > 0 {
 			t.Fatalf("%d actions in idle seconds", acts)
 		}
@@ -516,7 +516,7 @@
 
 // A round in which everything is full, with hundreds of jobs waiting, allocates by
 // the job and not by the task or the machine.
-func TestCrowdedRoundAllocatesLittle(t *testing.T) {
+func TestFullFleetRoundAllocatesLittle(t *testing.T) {
 	r := newFullFleetRig(400)
 	n := testing.AllocsPerRun(50, func() {
 		r.needsPlacement = true
@@ -536,7 +536,7 @@
 	r.submit(arrayJob("run-1", 40, "a"))
 	r.advance(20 * time.Millisecond) // four are started, by a direct command
 	m := r.machines["m-0"]
-	seq, was, raised := uint64(2), m.tokenCount, uint64(0)
+	seq, countBefore, raised := uint64(2), m.tokenCount, uint64(0)
 	for range 10 {
 		r.now = r.now.Add(500 * time.Millisecond)
 		seq++
@@ -552,7 +552,7 @@
 		if _, err := r.Heartbeat(r.now, rep); err != nil {
 			t.Fatal("refused")
 		}
-		raised = m.tokenCount - was
+		raised = m.tokenCount - countBefore
 	}
 	if raised != 1 {
 		t.Fatalf("the token was raised %d times", raised)
@@ -561,7 +561,7 @@
 
 // A heartbeat that changes nothing allocates nothing: an owner of a lean deployment
 // takes in a hundred of them a second.
-func TestQuietHeartbeatAllocatesNothing(t *testing.T) {
+func TestUnchangedHeartbeatAllocatesNothing(t *testing.T) {
 	r := newSteadyFleetRig(50)
 	rep := newHeartbeat("m-00000", 1, 1000, r.latestToken("m-00000"))
 	for _, a := range r.machines["m-00000"].attempts {
