--- a/shard/aggregate.go
+++ b/shard/aggregate.go
@@ -7,21 +7,22 @@
 	"ravenport/leader"
 )
 
-// aggregates owns the aggregates that other shards push, and whether this shard's own has
-// changed since it was last pushed.
+// aggregates holds the last aggregates of other shards, and whether this shard's aggregate
+// has changed since it was last pushed.
 type aggregates struct {
 	otherShards      map[string]otherShard // by shard
 	aggregateChanged bool
 }
 
-// otherShard is the last aggregate of another shard.
+// otherShard is the last aggregate that was received of another shard.
 type otherShard struct {
 	aggregate  leader.Aggregate
 	receivedAt time.Time
 }
 
-// Aggregate is what the owner pushes to the leader: the free resources of the schedulable
-// machines and, less what already waits for it, the capacity of those that are booting.
+// Aggregate returns the aggregate that the owner pushes to the leader. The free resources in
+// it are those of the schedulable machines, and the capacity of pending machines that waiting
+// tasks do not need.
 func (c *Core) Aggregate(now time.Time, revision uint64) leader.Aggregate {
 	aggregate := leader.Aggregate{
 		Shard:               c.cfg.Shard,
@@ -85,14 +86,14 @@
 	return due
 }
 
-// PushInterval is the least time between two pushes of a shard of this size.
+// PushInterval returns the minimum interval between two pushes for a shard of this size.
 func (k *knownState) PushInterval() time.Duration {
 	return constants.MinPushInterval + time.Duration(len(k.fleet))*constants.PushIntervalPerMachine
 }
 
-// ApplyOtherShards stores the aggregates that other shards push. Tasks that wait for
-// machines that the cloud does not have are offloaded to the leader only when another shard
-// has capacity for them.
+// ApplyOtherShards stores the aggregates of other shards. They decide on offloading: tasks
+// that wait for machines that the cloud does not have are offloaded to the leader only if
+// another shard has capacity for them.
 func (c *Core) ApplyOtherShards(now time.Time, list []leader.Aggregate) {
 	for _, a := range list {
 		if a.Shard != c.cfg.Shard {
--- a/shard/arrivals.go
+++ b/shard/arrivals.go
@@ -7,15 +7,15 @@
 	"ravenport/constants"
 )
 
-// arrivalRate estimates how much work of a kind arrives, as an exponentially decaying sum
+// arrivalRate estimates the arrival rate of one kind of work by an exponentially decaying sum
 // with the time constant constants.ArrivalTimeConstant.
 type arrivalRate struct {
-	cpus    float64 // decayed sum of CPUs
-	largest resources
+	cpus    float64   // decayed sum of CPUs
+	largest resources // maximum over all arrivals, for each resource separately
 	at      time.Time // when cpus was last decayed
 }
 
-// decay brings the sum up to date.
+// decay applies the decay since the last call to the sum.
 func (a *arrivalRate) decay(now time.Time) {
 	if !a.at.IsZero() {
 		a.cpus *= math.Exp(-now.Sub(a.at).Seconds() / constants.ArrivalTimeConstant.Seconds())
@@ -23,15 +23,15 @@
 	a.at = now
 }
 
-// add counts work that arrived some time ago: a new owner thus knows what the previous one
-// had learned.
+// add counts work that arrived some time ago. A new owner calls it for work that arrived
+// before its term, and thereby has the estimate of the previous owner.
 func (a *arrivalRate) add(now time.Time, ago time.Duration, n resources) {
 	a.decay(now)
 	a.cpus += n.cpus * math.Exp(-max(0, ago.Seconds())/constants.ArrivalTimeConstant.Seconds())
 	a.largest = resources{max(a.largest.cpus, n.cpus), max(a.largest.gpus, n.gpus), max(a.largest.memory, n.memory)}
 }
 
-// expectedCPUs is how many CPUs of work are expected to arrive within d.
+// expectedCPUs returns how many CPUs of work are expected to arrive within d.
 func (a *arrivalRate) expectedCPUs(now time.Time, d time.Duration) float64 {
 	a.decay(now)
 	return a.cpus * d.Seconds() / constants.ArrivalTimeConstant.Seconds()
--- a/shard/backlog.go
+++ b/shard/backlog.go
@@ -6,15 +6,15 @@
 	"ravenport/constants"
 )
 
-// backlog is the work that the existing machines have before them, at one moment. Tasks
-// that are left to wait for those machines are added to it.
+// backlog is the remaining work of the existing machines at one point in time. Waiting tasks
+// for which no machine is requested are added to it.
 type backlog struct {
 	computedAt time.Time
 	cpuSeconds float64 // expected remaining work of arrays and gangs
-	cpus       float64 // CPUs of schedulable machines that services leave to them
+	cpus       float64 // CPUs of schedulable machines that services leave to arrays and gangs
 }
 
-// newBacklog sums up the work on the schedulable machines that stay.
+// newBacklog sums up the work on the schedulable machines that are not being consolidated.
 func (v *fleetView) newBacklog(now time.Time) backlog {
 	b := backlog{computedAt: now}
 	for _, m := range v.fleet {
@@ -37,7 +37,8 @@
 	return b
 }
 
-// expectedRemainingSeconds is how much longer an attempt runs by its job's estimate (s).
+// expectedRemainingSeconds returns the remaining runtime (s) of an attempt by its job's
+// estimate, but at least constants.MinRemainingRuntime.
 func (a *attempt) expectedRemainingSeconds(now time.Time, t *task) float64 {
 	remaining := t.job.rec.Spec.EstimateS
 	if !a.runningSince.IsZero() {
@@ -46,9 +47,10 @@
 	return max(remaining, constants.MinRemainingRuntime.Seconds())
 }
 
-// backlogClearsInTime says whether the existing machines will get to a waiting task before
-// a new machine could be up, and well within its class's objective: a new machine would
-// only cost. If so, the task is added to the backlog.
+// backlogClearsInTime reports whether the existing machines are expected to start a waiting
+// task before a new machine could be up, and well within the objective of the job's class. A
+// new machine would then add cost without starting the task sooner. If so, the task is added
+// to the backlog.
 func (c *scaleOutState) backlogClearsInTime(v *fleetView, now time.Time, j *job, t *task) bool {
 	s := &j.rec.Spec
 	objective := v.cfg.JobOrder.FinishObjective(s.Class)
@@ -57,7 +59,7 @@
 		return false
 	}
 	if now.Sub(t.waitingSince).Seconds() > bootS*constants.BacklogWaitBootTimes {
-		return false // estimates may be far too low
+		return false // the wait shows that the runtime estimates may be far too low
 	}
 	if c.backlog.computedAt != now {
 		c.backlog = v.newBacklog(now)
--- a/shard/forecast.go
+++ b/shard/forecast.go
@@ -9,7 +9,8 @@
 	"ravenport/wire"
 )
 
-// ApplyForecast takes in the leader's forecast of what it will assign to this shard.
+// ApplyForecast stores the leader's forecast of the work that the leader will assign to this
+// shard. An older forecast than the stored one is ignored.
 func (c *Core) ApplyForecast(now time.Time, f leader.Forecast) {
 	if f.Revision < c.forecast.Revision {
 		return
@@ -33,8 +34,9 @@
 	}
 }
 
-// blocksTeamAtLimit says whether a job belongs to a team that is at its quota limit, so
-// that done tasks in open assignments keep others of the team waiting.
+// blocksTeamAtLimit reports whether a job belongs to a team that is at its quota limit. Done
+// tasks count against the quota until their assignment is closed, so the job's open
+// assignments may keep other tasks of the team waiting.
 func (c *scaleOutState) blocksTeamAtLimit(now time.Time, j *job) bool {
 	if j.gang != nil || j.rec.End != "" || now.Sub(c.forecastReceivedAt) > constants.ForecastTTL {
 		return false
@@ -42,9 +44,9 @@
 	return slices.Contains(c.forecast.TeamsAtLimit, j.rec.Spec.Team)
 }
 
-// scaleOutForForecast adds machines for what the leader will assign beyond the free and the
-// pending capacity. Surplus on-demand capacity counts for tasks that may use spot machines
-// as well.
+// scaleOutForForecast adds machines for the forecast work that exceeds the free and the
+// pending capacity. Tasks that may use spot machines can also use on-demand machines, so
+// surplus on-demand capacity reduces the number of spot machines.
 func (c *scaleOutState) scaleOutForForecast(v *fleetView, now time.Time, counts machineCounts) {
 	surplus := 0.0 // CPUs
 	for _, spot := range []bool{false, true} {
@@ -63,7 +65,7 @@
 		if missing <= 0 {
 			continue
 		}
-		// A task of one CPU stands for the forecast work.
+		// The offer is that for a task of one CPU, as the forecast has no task sizes.
 		offer := c.cheapestOffer(v, now, &wire.Submission{Spot: spot, CPUs: 1})
 		if !offer.isAvailable() {
 			continue
@@ -74,8 +76,8 @@
 	}
 }
 
-// forecastCPUs is the work (CPUs) of the leader's forecast that was not assigned yet; none
-// where the forecast is out of date.
+// forecastCPUs returns the work (CPUs) of the leader's forecast that has not been assigned
+// yet. It returns 0 if the forecast is older than constants.ForecastTTL.
 func (c *scaleOutState) forecastCPUs(now time.Time, spot bool) float64 {
 	if now.Sub(c.forecastReceivedAt) > constants.ForecastTTL {
 		c.assignedSinceForecast = nil
--- a/shard/pendingcapacity.go
+++ b/shard/pendingcapacity.go
@@ -7,20 +7,21 @@
 	"ravenport/wire"
 )
 
-// pendingScaleOut is a scale-out request without a response.
+// pendingScaleOut is a scale-out request that the cloud has not answered yet.
 type pendingScaleOut struct {
 	request     wire.ScaleOutRequest
 	requestedAt time.Time
 }
 
-// pendingMachine is the unused capacity of a machine that does not take tasks yet.
+// pendingMachine is the unused capacity of a machine that cannot run tasks yet.
 type pendingMachine struct {
 	free     resources
 	typeName string
 	spot     bool
 }
 
-// bootAge is the time since a machine was requested, in nominal boot times of its type.
+// bootAge returns the time since a machine was requested, as a multiple of the nominal boot
+// time of its type.
 func (m *machine) bootAge(now time.Time) float64 {
 	bootS := 60.0
 	if m.machineType != nil {
@@ -29,7 +30,7 @@
 	return now.Sub(m.requestedAt).Seconds() / bootS
 }
 
-// maxBootSeconds is the longest nominal boot time of all machine types (s).
+// maxBootSeconds returns the longest nominal boot time of all machine types (s).
 func (k *knownState) maxBootSeconds() float64 {
 	bootS := 0.0
 	for _, t := range k.types {
@@ -38,20 +39,20 @@
 	return bootS
 }
 
-// isPendingMachine says whether a machine that is not up yet counts as pending capacity.
+// isPendingMachine reports whether a machine is not up yet and counts as pending capacity.
 func (l *liveness) isPendingMachine(now time.Time, m *machine) bool {
 	return !m.up && !m.inherited && !l.partitioned && !m.scalingIn && m.machineType != nil && m.bootAge(now) < constants.PendingBootTimes
 }
 
-// isNotYetSchedulable says whether a machine is up, and waits only for its first heartbeat
-// under this term or for its entry in the durable inventory.
+// isNotYetSchedulable reports whether a machine is up and becomes schedulable with its first
+// heartbeat under this term, its entry in the durable inventory, or both.
 func (v *fleetView) isNotYetSchedulable(now time.Time, m *machine) bool {
 	isVerified := m.hasSeenTerm(v.term) && m.durable && m.durableAddr == m.addr
 	return m.up && !isVerified && !m.scalingIn && m.machineType != nil && !v.isUnreachable(now, m)
 }
 
-// listPendingMachines lists the capacity of machines that are requested, booting, or not
-// yet schedulable. It reuses the last list.
+// listPendingMachines lists the capacity of machines that are requested, booting or not yet
+// schedulable. The list reuses the memory of c.pendingCapacity.
 func (c *scaleOutState) listPendingMachines(v *fleetView, now time.Time) []pendingMachine {
 	out := c.pendingCapacity[:0]
 	for _, m := range v.fleet {
@@ -74,8 +75,8 @@
 	return out
 }
 
-// tasksBeyondPendingCapacity places a job's ready tasks on pending machines, and returns those that
-// do not fit.
+// tasksBeyondPendingCapacity takes capacity of pending machines for a job's ready tasks, and
+// returns the tasks that do not fit.
 func (c *Core) tasksBeyondPendingCapacity(now time.Time, j *job) []*task {
 	s := &j.rec.Spec
 	tasks := c.appendReadyTasks(c.taskBuffer[:0], now, j)
@@ -84,8 +85,9 @@
 	return tasks[c.takePendingCapacity(s, len(tasks)):]
 }
 
-// takePendingCapacity places tasks of a job on pending machines, and returns how many fit.
-// Spot machines come first: other tasks can use on-demand machines only.
+// takePendingCapacity takes capacity of pending machines for tasks of a job, and returns how
+// many tasks fit. Spot machines are used first, because some of the other tasks can only run
+// on on-demand machines.
 func (c *scaleOutState) takePendingCapacity(s *wire.Submission, tasks int) int {
 	n := taskResources(s)
 	remaining := tasks
@@ -105,8 +107,9 @@
 	return tasks - remaining
 }
 
-// planMachine adds an offered machine to those that are to be requested. What is not taken
-// of it is pending capacity, which is returned; the pointer holds until the next call.
+// planMachine adds an offered machine to the machines to request. It adds the capacity of the
+// machine that is not taken to the pending capacity, and returns a pointer to that entry. The
+// pointer is valid until the next call.
 func (c *scaleOutState) planMachine(offer machineOffer, taken resources, counts machineCounts) *pendingMachine {
 	counts[offer.kind()]++
 	free := machineResources(offer.machineType).minus(taken)
--- a/shard/scalein.go
+++ b/shard/scalein.go
@@ -9,7 +9,7 @@
 	"ravenport/wire"
 )
 
-// terminationReason says in the log why a machine is terminated.
+// terminationReason is the reason for a machine's termination, as it is logged.
 type terminationReason string
 
 const (
@@ -24,20 +24,20 @@
 	reasonUnreachableSinceFailover terminationReason = "unreachable since failover"
 )
 
-// scaleInCheck is what one check for machines to terminate knows of the fleet as a whole.
+// scaleInCheck holds the fleet-wide facts that one scale-in check uses for every machine.
 type scaleInCheck struct {
 	health        fleetHealth
 	up            int       // machines that are up
-	confirmed     int       // those that are neither unreachable nor unconfirmed
-	inherited     int       // machines of the durable inventory
-	returned      int       // those that are up
-	reachableFrom time.Time // since when the machines could have answered the owner
-	idleAllowed   bool      // idle machines may be terminated: a few more are terminated together
+	confirmed     int       // machines that are up and neither unreachable nor unconfirmed
+	inherited     int       // machines in the durable inventory
+	returned      int       // machines in the durable inventory that are up
+	reachableFrom time.Time // earliest time at which the machines could have answered the owner
+	idleAllowed   bool      // idle machines may be terminated; limited in rate, so that they are terminated in batches
 }
 
 // scaleIn terminates machines that are idle, drained or reclaimed, that did not boot, or
-// that have failed: those that are unreachable, do not receive commands or send no
-// heartbeats.
+// that have failed. A machine has failed if it is unreachable, does not receive commands or
+// sends no heartbeats.
 func (c *Core) scaleIn(now time.Time) {
 	check := c.newScaleInCheck(now)
 	var names []string
@@ -55,7 +55,7 @@
 		slog.Info("terminating machine", logkey.Machine, m.name, "reason", string(reason), "spot", m.spot, "delisted", m.isDelisted(),
 			"expected", check.health.expected, "confirmed", check.confirmed)
 		m.scalingIn = true
-		if c.cfg.CloseBeforeScaleIn || m.cordon != nil { // a drain may go on under another owner
+		if c.cfg.CloseBeforeScaleIn || m.cordon != nil { // the next owner may have to continue the drain
 			c.closeMachine(m)
 			continue
 		}
@@ -68,7 +68,8 @@
 	}
 }
 
-// newScaleInCheck assesses the fleet and updates whether the shard is partitioned.
+// newScaleInCheck computes the fleet-wide facts for a scale-in check, and updates whether the
+// shard is partitioned.
 func (c *Core) newScaleInCheck(now time.Time) scaleInCheck {
 	check := scaleInCheck{health: c.assessHealth(now), reachableFrom: c.acquiredAt}
 	if c.livenessResetAt.After(check.reachableFrom) {
@@ -96,7 +97,8 @@
 	return check
 }
 
-// updatePartitioned records the begin or the end of a partition of the whole shard.
+// updatePartitioned records the start or the end of a partition between the owner and the
+// shard's machines as a whole.
 func (c *Core) updatePartitioned(now time.Time, health fleetHealth) {
 	partitioned := c.detectPartition(now, health)
 	if partitioned == c.partitioned {
@@ -110,8 +112,8 @@
 	slog.Warn("shard partition changed", logkey.Shard, c.cfg.Shard, "partitioned", partitioned, "machines", health.expected)
 }
 
-// terminationReason says why a machine is to be terminated, or keepMachine. The first reason
-// that holds counts.
+// terminationReason returns why a machine is to be terminated, or keepMachine. If several
+// reasons apply, it returns the first in the order below.
 func (c *Core) terminationReason(now time.Time, m *machine, check *scaleInCheck) terminationReason {
 	mostConfirmed := check.health.receiving && check.confirmed*2 > check.up
 	switch {
@@ -122,23 +124,24 @@
 	case check.idleAllowed && c.isIdle(now, m):
 		return reasonIdle
 	case m.up && c.isHeartbeatOverdue(now, m) && m.hasFailedProbes() && c.isIsolatedFailure(now, m, check.health):
-		// Once it is terminated, its attempts have surely ended, long before its lease
-		// expires.
+		// The termination proves that the machine's attempts have ended, long before its
+		// lease would expire.
 		return reasonUnreachable
 	case c.isNotReceiving(m) && (mostConfirmed || c.isNotReceivingInSmallShard(now, m, check.up, check.confirmed)):
 		return reasonNotReceiving
 	case m.up && c.sinceHeartbeat(now, m) > c.periods(constants.NoHeartbeatPeriods) && mostConfirmed:
-		// It answers commands but sends no heartbeats: its lease expires all the same.
+		// The machine answers commands but sends no heartbeats. Only heartbeats renew its
+		// lease, so the lease will expire.
 		return reasonNoHeartbeats
 	case m.up && !m.reclaimAt.IsZero() && now.After(m.reclaimAt):
-		return reasonSpotReclaimed // the cloud has taken it; the termination confirms that at once
+		return reasonSpotReclaimed // the cloud has reclaimed the machine; the termination confirms that immediately
 	case m.inherited && !m.up && m.hasFailedProbes() && c.isIsolatedFailure(now, m, check.health) && c.failoverProbesExpired(now, check):
 		return reasonUnreachableSinceFailover
 	}
 	return keepMachine
 }
 
-// isDrained reports whether a cordoned machine has no attempts left.
+// isDrained reports whether a machine is cordoned and has no attempts left.
 func (c *Core) isDrained(m *machine) bool {
 	if m.cordon == nil || c.partitioned || c.isBusy(m) {
 		return false
@@ -146,8 +149,9 @@
 	return m.up && m.hasSeenTerm(c.term) || !m.up && !m.inherited && !m.leaseExpired
 }
 
-// isIdle reports whether a machine has been idle for longer than the settings allow. None
-// is terminated as idle in a partition.
+// isIdle reports whether a machine is to be terminated as idle: it has been idle for longer
+// than the settings allow, or it is being consolidated and has become idle. It returns false
+// while the shard is partitioned.
 func (c *Core) isIdle(now time.Time, m *machine) bool {
 	if c.partitioned || m.reservedForGangs || !m.up || m.idleSince.IsZero() {
 		return false
@@ -159,34 +163,39 @@
 	return (m.consolidating || now.Sub(m.idleSince) > timeout) && !c.isBusy(m) && m.hasSeenTerm(c.term)
 }
 
-// hasFailedProbes reports whether a silent machine has left as many probes unanswered
-// as prove that it has failed.
+// hasFailedProbes reports whether a machine has left so many probes unanswered that it
+// counts as failed.
 func (m *machine) hasFailedProbes() bool {
 	return m.unansweredProbes >= constants.MaxUnansweredCommands
 }
 
-// isNotReceiving reports whether a machine sends heartbeats, here or to other controllers,
-// but receives no commands: its lease expires whatever it sends, and heartbeats to others do
-// not count for it. After a partition, what the first machines that are back left unanswered
-// during it does not count.
+// isNotReceiving reports whether a machine sends heartbeats, to this owner or to other
+// controllers, but receives no commands. The lease of such a machine expires whatever the
+// machine sends; heartbeats to other controllers do not renew it. During a partition
+// isNotReceiving returns false, and the end of a partition resets the counts of unanswered
+// commands: commands that were lost in the partition do not count against the machines that
+// are reachable first.
 func (l *liveness) isNotReceiving(m *machine) bool {
 	return m.up && !l.partitioned && m.isUnconfirmed() &&
 		m.unansweredUnconfirmed >= constants.MaxUnansweredCommands && m.reportedSinceUnconfirmed()
 }
 
 // failoverProbesExpired reports whether a new owner has waited long enough for an inherited
-// machine: the tasks that may be on it wait. Once most machines are back, those that neither
-// sent a heartbeat nor answered a probe will not be.
+// machine. The wait is limited because tasks that may run on the machine cannot be started
+// elsewhere meanwhile. It is shorter once three quarters of the inherited machines are up: a
+// machine that has neither sent a heartbeat nor answered a probe by then is assumed to have
+// failed.
 func (l *liveness) failoverProbesExpired(now time.Time, check *scaleInCheck) bool {
 	waited := now.Sub(check.reachableFrom)
 	return waited > l.periods(constants.FailoverUnreachablePeriods) ||
 		check.returned*4 >= check.inherited*3 && waited > constants.FailoverProbeTimeout
 }
 
-// isNotReceivingInSmallShard reports whether an unconfirmed machine of a shard with one or two has
-// failed by itself. Where two are both unconfirmed and send heartbeats to other controllers,
-// it is more likely the owner that they cannot reach, which then gives up its term. What runs
-// on them stays theirs until their leases have expired.
+// isNotReceivingInSmallShard reports whether an unconfirmed machine in a shard with one or
+// two machines has failed by itself. If both of two machines are unconfirmed and send
+// heartbeats to other controllers, the owner is more likely to be the unreachable side, and
+// the owner then gives up its term. In that case the machines are not terminated before a
+// lease timeout has passed, so their attempts keep running until their leases have expired.
 func (l *liveness) isNotReceivingInSmallShard(now time.Time, m *machine, up, confirmed int) bool {
 	if up > 2 || !l.hasHeardPeers(now) {
 		return false
@@ -194,30 +203,31 @@
 	return up == 1 || confirmed > 0 || now.Sub(m.unconfirmedSince) > l.leaseTimeout
 }
 
-// machineClosure is the progress of a machine's termination where machines are durably closed
-// before they are terminated: see docs/safety.md, point 21.
+// machineClosure is the progress of a termination for which the machine is durably marked as
+// terminating (closed) before the cloud is asked to terminate it: see docs/safety.md,
+// point 21.
 type machineClosure struct {
-	decided          bool // its page of the inventory is to mark it as terminating, for good
-	durable          bool // its page durably does
-	scaleInRequested bool // the cloud was asked to terminate it
+	decided          bool // the machine's inventory page is to mark it as terminating; never revoked
+	durable          bool // the stored inventory page marks the machine as terminating
+	scaleInRequested bool // the cloud was asked to terminate the machine
 }
 
-// closeMachine has a machine's page mark it as terminating.
+// closeMachine has the machine's inventory page mark the machine as terminating.
 func (b *inventoryPages) closeMachine(m *machine) {
 	m.closure.decided = true
 	b.enroll(m)
 }
 
-// markClosed records that a durable page marks a machine as terminating. Whoever reads that
-// goes on with the termination that an earlier owner decided.
+// markClosed records that a stored inventory page marks a machine as terminating. An owner
+// that reads such a page continues the termination that an earlier owner decided.
 func (p *placement) markClosed(m *machine) {
 	m.closure.decided, m.closure.durable = true, true
 	m.scalingIn = true
 	p.needsPlacement = true
 }
 
-// closedMachines lists up to limit machines that are durably closed, and whose termination
-// was not requested from the cloud yet.
+// closedMachines lists up to limit machines that are durably closed and whose termination
+// has not been requested from the cloud, and records that it is requested now.
 func (k *knownState) closedMachines(limit int) []string {
 	var names []string
 	for _, m := range k.fleet {
@@ -232,8 +242,8 @@
 	return names
 }
 
-// ScaleInResult handles the cloud's confirmation that machines and everything on them have
-// ended.
+// ScaleInResult handles the cloud's confirmation that machines were terminated, and with them
+// all their attempts.
 func (c *Core) ScaleInResult(now time.Time, names []string) {
 	for _, name := range names {
 		m := c.machines[name]
--- a/shard/scaleout.go
+++ b/shard/scaleout.go
@@ -11,28 +11,28 @@
 	"ravenport/wire"
 )
 
-// scaleOutState is which machines were requested from the cloud, and the demand that
-// decides on more.
+// scaleOutState holds the machines that were requested from the cloud, and the demand that
+// decides whether more are requested.
 type scaleOutState struct {
 	pendingScaleOuts    map[string]*pendingScaleOut // by request id
 	scaleOutSeq         int                         // number of the last request of this term
-	refusedUntil        map[bool]time.Time          // by spot: no more machines are requested until then
-	scaleOutPace        pace                        // of planScaleOut
+	refusedUntil        map[bool]time.Time          // by spot: the time until which no machines are requested, after a refusal
+	scaleOutPace        pace                        // limits how often planScaleOut runs
 	scaleOutRequestedAt time.Time                   // when machines were last requested
-	overdueOffloadAt    time.Time                   // when tasks were last offloaded because they had waited for long
+	overdueOffloadAt    time.Time                   // when tasks were last offloaded for exceeding constants.OverdueOffloadWait
 
 	unplacedDemand  resources        // waiting demand after the last round
-	excessCPUs      float64          // CPUs of it that fit on no pending machine
-	pendingCapacity []pendingMachine // what is left of the pending machines beside the waiting tasks
+	excessCPUs      float64          // CPUs of unplacedDemand that fit on no pending machine
+	pendingCapacity []pendingMachine // pending machines, with the capacity that waiting tasks leave free
 	backlog         backlog
 
-	productionArrivals    arrivalRate // of production work
+	productionArrivals    arrivalRate // arrival rate of production work
 	forecast              leader.Forecast
 	forecastReceivedAt    time.Time
-	assignedSinceForecast []assignedWork // assignments that are newer than the forecast, or may be
+	assignedSinceForecast []assignedWork // assignments that the forecast may not include yet
 }
 
-// machineKind is a machine type, as spot or on-demand machine.
+// machineKind is a machine type together with whether the machine is a spot machine.
 type machineKind struct {
 	typeName string
 	spot     bool
@@ -41,16 +41,17 @@
 // machineCounts is how many machines of each kind are to be requested.
 type machineCounts map[machineKind]int
 
-// scaleOutRound is one computation of what to scale out.
+// scaleOutRound is the state of one run of planScaleOut.
 type scaleOutRound struct {
 	counts machineCounts
 
-	mayOffloadOverdue bool // tasks that have waited for long may be offloaded in this round
-	overdueOffloaded  int  // how many of those were, of all jobs
+	mayOffloadOverdue bool // tasks that exceed constants.OverdueOffloadWait may be offloaded in this round
+	overdueOffloaded  int  // number of such tasks, over all jobs, that were offloaded in this round
 }
 
-// planScaleOut requests machines for the demand that fits on no pending machine: that of
-// waiting tasks, of drains, of the leader's forecast, and else of the reserve.
+// planScaleOut requests machines for the demand that fits on no pending machine. The demand
+// comes from waiting tasks, drains and the leader's forecast. Machines for the reserve are
+// requested only if none of these needs a machine.
 func (c *Core) planScaleOut(now time.Time) {
 	c.unplacedDemand = resources{}
 	c.excessCPUs = 0
@@ -106,8 +107,9 @@
 	}
 }
 
-// scaleOutForTask decides on one task that fits on no pending machine. It says whether the
-// task fits on a machine that was added.
+// scaleOutForTask decides on one task that fits on no pending machine: to add a machine, to
+// offload the task, or to let it wait. It reports whether the task fits on a machine that was
+// added in this round.
 func (c *Core) scaleOutForTask(now time.Time, t *task, plan *jobScaleOut, round *scaleOutRound) bool {
 	waited := now.Sub(t.waitingSince)
 	switch {
@@ -115,18 +117,19 @@
 		plan.lastAdded.free = plan.lastAdded.free.minus(plan.demand)
 		return true
 	case !t.keepWaiting && plan.mayOffload && c.otherShardsFitOneMore(now, plan.job.rec, plan.offloaded):
-		// Only to a shard that is known to have capacity: otherwise it would come back,
-		// for two writes more.
+		// The task is offloaded only if another shard is known to have capacity for it.
+		// Otherwise it would be returned to this shard, which costs two more writes.
 		c.offloadTask(plan.job, t)
 		plan.offloaded++
 	case round.mayOffloadOverdue && waited > constants.OverdueOffloadWait && c.taskSlotsInOtherShards(now, plan.job.rec) > round.overdueOffloaded:
-		// However little capacity other shards have, and whatever this one may still get:
-		// the task must not wait beside it for ever.
+		// The task has waited for so long that it is offloaded if other shards have any
+		// capacity for it, even if this shard may still get machines. Otherwise the task
+		// could wait here for ever while other shards have free capacity.
 		c.offloadTask(plan.job, t)
 		c.overdueOffloadAt = now
 		round.overdueOffloaded++
 	case c.backlogClearsInTime(&c.fleetView, now, plan.job, t):
-		// It starts sooner on an existing machine.
+		// The task will start sooner on an existing machine than on a new one.
 	case plan.offer.isAvailable():
 		plan.lastAdded = c.planMachine(plan.offer, plan.demand, round.counts)
 		return true
@@ -137,8 +140,9 @@
 	return false
 }
 
-// requestScaleOuts requests machines. The cloud accepts few calls: what comes up within
-// Config.CloudCallInterval is requested together, unless it fills half a request.
+// requestScaleOuts requests machines. The cloud limits the rate of calls, so machines that
+// are needed within one Config.CloudCallInterval are requested together. If they fill half a
+// request, they are requested without that delay.
 func (c *Core) requestScaleOuts(now time.Time, counts machineCounts) {
 	total := 0
 	for _, count := range counts {
@@ -156,11 +160,11 @@
 	}
 }
 
-// requestScaleOut makes one request.
+// requestScaleOut sends one request for machines of one kind to the cloud.
 func (c *Core) requestScaleOut(now time.Time, kind machineKind, count int) {
 	c.scaleOutSeq++
 	req := wire.ScaleOutRequest{
-		// The term makes the request id unique to this owner.
+		// The term makes the request id unique among the shard's owners.
 		RequestID: fmt.Sprintf("rv-%s-%d-%d", c.cfg.Shard, c.term, c.scaleOutSeq),
 		Type:      kind.typeName, Zone: c.cfg.Shard, Spot: kind.spot, Count: count,
 	}
@@ -169,8 +173,8 @@
 	slog.Info("scaling out", logkey.Shard, c.cfg.Shard, "type", kind.typeName, "spot", kind.spot, "count", count)
 }
 
-// ScaleOutResult takes in the cloud's response to a request: the machines, or that it has
-// refused. A request without a response is repeated by the actor under the same id.
+// ScaleOutResult handles the cloud's response to a request: the names of the machines, or a
+// refusal. The actor retries a request without a response under the same id.
 func (c *Core) ScaleOutResult(now time.Time, requestID string, names []string, refused bool) {
 	r := c.pendingScaleOuts[requestID]
 	if r == nil {
--- a/shard/scaleoutgang.go
+++ b/shard/scaleoutgang.go
@@ -11,16 +11,16 @@
 )
 
 // scaleOutForGang adds machines for the tasks of a waiting gang that fit on no pending
-// machine, or offloads the gang where another shard is known to have the capacity.
+// machine, or offloads the gang if shouldOffloadGang says so.
 func (c *Core) scaleOutForGang(now time.Time, j *job, counts machineCounts) {
 	s := &j.rec.Spec
 	demand := taskResources(s)
 	if j.gang.done || j.gang.isActive() {
-		return // a replacement of a lost task needs no machine of its own
+		return // no machine is added for the replacement of a lost task of an active gang
 	}
 	c.unplacedDemand = c.unplacedDemand.plus(demand.times(len(j.tasks)))
 	remaining := c.takePendingCapacityForGang(s, len(j.tasks))
-	// Reserved capacity counts as well: the gang will start on it.
+	// Capacity that is reserved for gangs counts as well, as the gang will start on it.
 	remaining -= min(remaining, c.reservedGangSlots(now, s))
 	if remaining == 0 {
 		return
@@ -55,8 +55,8 @@
 	return remaining
 }
 
-// reservedGangSlots is how many tasks of a gang fit on the machines reserved for gangs;
-// none where the shard's machines are partitioned from the owner.
+// reservedGangSlots returns how many tasks of a gang fit on the machines that are reserved
+// for gangs. It returns 0 while the shard's machines are partitioned from the owner.
 func (v *fleetView) reservedGangSlots(now time.Time, s *wire.Submission) int {
 	if v.partitioned {
 		return 0
@@ -71,10 +71,10 @@
 	return slots
 }
 
-// shouldOffloadGang says whether a gang that does not fit here goes back to the leader: for
-// another shard that fits it, or to be spread over shards. It is spread, if it may be,
-// where it has waited for long and the cloud has no more machines: then no shard may be
-// large enough for it.
+// shouldOffloadGang reports whether a gang that does not fit in this shard is offloaded to
+// the leader, which assigns it to another shard that fits it or spreads it over several
+// shards. A gang that may use several zones is spread if it is overdue and the cloud has no
+// more machines for this shard: possibly no single shard is large enough for it.
 func (c *Core) shouldOffloadGang(now time.Time, j *job, offer machineOffer) bool {
 	s := &j.rec.Spec
 	if now.Sub(j.offloadedAt) <= constants.OffloadWait || spansShards(j.rec, c.cfg.Shard) {
@@ -90,7 +90,8 @@
 	return true
 }
 
-// otherShardFitsGang says whether another shard is known to fit all of a gang now.
+// otherShardFitsGang reports whether another shard is known to have capacity now for all
+// tasks of a gang.
 func (f *aggregates) otherShardFitsGang(now time.Time, s *wire.Submission) bool {
 	shape := leader.GangShape(s)
 	for _, o := range f.otherShards {
--- a/shard/usage.go
+++ b/shard/usage.go
@@ -7,23 +7,24 @@
 	"ravenport/wire"
 )
 
-// machineUsage is the sum of what a machine's attempts use.
+// machineUsage sums up the resources and properties of a machine's attempts.
 type machineUsage struct {
-	used            resources // without attempts that are stopping instantly: a stop and a start in one list of commands are carried out in order
+	used            resources // excludes attempts that stop instantly: the worker carries out a stop and a start in one list of commands in order
 	active          int       // attempts that have not exited
 	services        int
-	preemptibleCPUs float64 // CPUs that production work may preempt at once
+	preemptibleCPUs float64 // CPUs that production work may preempt without waiting for a checkpoint
 	exitedDirect    int     // exited attempts that a direct command may have started
-	pendingStarts   int     // attempts that no heartbeat has shown yet
+	pendingStarts   int     // attempts that no heartbeat has reported yet
 	batchCPUs       float64 // CPUs used by arrays and gangs
-	// Of the attempts that may be evicted: whether one needs a checkpoint, their lowest
-	// priority, and the teams that run arrays beyond their guaranteed quota.
+	// These fields cover only the attempts that may be evicted: whether any of them needs
+	// a checkpoint, their lowest priority, and the teams that run arrays or gangs beyond
+	// their guaranteed quota.
 	needsCheckpoint      bool
 	lowestPriority       int
 	teamsBeyondGuarantee []string
 }
 
-// usageOf returns a machine's usage, which is computed again only after a change.
+// usageOf returns a machine's usage. The usage is cached, and recomputed only after a change.
 func (k *knownState) usageOf(m *machine) *machineUsage {
 	if !m.usageStale {
 		return &m.usage
@@ -71,11 +72,11 @@
 // isBusy reports whether the machine has an attempt that has not exited.
 func (k *knownState) isBusy(m *machine) bool { return k.usageOf(m).active > 0 }
 
-// freeResources is the part of a machine's capacity that no attempt uses.
+// freeResources returns the part of a machine's capacity that no attempt uses.
 func (k *knownState) freeResources(m *machine) resources { return m.capacity.minus(k.usageOf(m).used) }
 
-// productionCPUs is what production work can use of an on-demand machine (CPUs): what is
-// free, and what it can preempt at once.
+// productionCPUs returns the CPUs of an on-demand machine that production work can use: the
+// free CPUs, and those that it can preempt without waiting for a checkpoint.
 func (k *knownState) productionCPUs(m *machine) float64 {
 	s := k.usageOf(m)
 	return m.capacity.cpus - s.used.cpus + s.preemptibleCPUs
