--- a/shard/consolidation.go
+++ b/shard/consolidation.go
@@ -13,19 +13,19 @@
 // consolidation limits how often services are migrated to make machines empty.
 type consolidation struct{ consolidationPace pace }
 
-// consolidationRound is one step of consolidation.
+// consolidationRound is the state of one run of consolidate.
 type consolidationRound struct {
 	machines       []*machine // schedulable on-demand machines
-	productionCPUs float64    // what production work can have of those that stay (CPUs)
-	migrating      int        // tasks on them that are stopping
+	productionCPUs float64    // CPUs for production work on the machines not yet found redundant
+	migrating      int        // stopping tasks on the machines
 	consolidating  int        // machines whose services are being migrated
-	limit          int        // how many tasks may migrate, and machines be consolidated, at once
+	limit          int        // limit on concurrently migrating tasks, and on concurrently consolidated machines
 }
 
-// consolidate makes on-demand machines empty that the shard can do without, by migrating
-// services one at a time to machines that hold their image: a service is down for a moment,
-// while a machine with one service on it costs as much as a full one. How many services
-// migrate at once grows with the shard.
+// consolidate empties redundant on-demand machines, by migrating services one at a time to
+// machines that have cached their image. A migration interrupts the service's task briefly,
+// but saves the cost of a machine: a machine with one service costs as much as a full one.
+// The limit on concurrent migrations grows with the shard.
 func (c *Core) consolidate(now time.Time) {
 	if !c.rebuilt || !c.consolidationPace.due(now, constants.ConsolidationInterval) {
 		return
@@ -39,8 +39,9 @@
 	others := c.machinesWithFreeCapacity(now)
 	searches := 0
 	for _, m := range round.machines {
-		// Without the machine the shard must keep its reserves, and have capacity for
-		// what is on it. Those found redundant before count as gone.
+		// A machine is redundant if the shard keeps its reserves without the machine, and
+		// if the machine's attempts fit on other machines. The capacity of machines that
+		// were found redundant earlier in this round no longer counts.
 		if round.productionCPUs-m.capacity.cpus < required {
 			round.markNotRedundant(m)
 			continue
@@ -55,7 +56,7 @@
 	}
 }
 
-// newConsolidationRound sums up the schedulable on-demand machines.
+// newConsolidationRound lists the schedulable on-demand machines and sums up their state.
 func (c *Core) newConsolidationRound(now time.Time) *consolidationRound {
 	r := &consolidationRound{}
 	for _, m := range c.fleet {
@@ -87,8 +88,9 @@
 	m.redundantSince = time.Time{}
 }
 
-// consolidateMachine migrates a service off a redundant machine, or begins to consolidate
-// the machine once it has been redundant for long enough.
+// consolidateMachine migrates one service from a redundant machine that is being
+// consolidated. Consolidation of a machine begins once the machine has been redundant for
+// longer than constants.RedundantFor.
 func (c *Core) consolidateMachine(now time.Time, m *machine, r *consolidationRound) {
 	switch {
 	case m.consolidating:
@@ -104,7 +106,7 @@
 	}
 }
 
-// sortLeastUsedFirst sorts machines by their used CPUs.
+// sortLeastUsedFirst sorts machines by their used CPUs, in ascending order.
 func (k *knownState) sortLeastUsedFirst(machines []*machine) {
 	sort.Slice(machines, func(i, j int) bool {
 		a, b := machines[i], machines[j]
@@ -116,8 +118,8 @@
 	})
 }
 
-// isRedundant says whether everything on a machine would fit on others with free capacity:
-// services on those that hold their image.
+// isRedundant reports whether all attempts on a machine would fit on other machines with free
+// capacity. A service fits only on a machine that has cached its image.
 func (k *knownState) isRedundant(m *machine, others []*machine) bool {
 	taken := map[*machine]resources{}
 	for _, a := range m.attempts {
@@ -134,8 +136,8 @@
 	return true
 }
 
-// tightestFit is the machine with the fewest free CPUs, beside what is taken, on which an
-// attempt would fit if it left its machine; nil: there is none.
+// tightestFit returns the machine among others with the fewest free CPUs, less the resources
+// in taken, on which an attempt from machine m would fit. It returns nil if there is none.
 func (k *knownState) tightestFit(m *machine, a *attempt, t *task, others []*machine, taken map[*machine]resources) *machine {
 	s := &t.job.rec.Spec
 	var best *machine
@@ -156,8 +158,9 @@
 	return best
 }
 
-// migrateOneService stops one service on a machine that is being consolidated, if another
-// machine that holds its image can take it at once and its budgets allow it.
+// migrateOneService stops one service's task on a machine that is being consolidated, if
+// another machine that has cached the image has capacity for the task now and the task's
+// disruption budgets allow the stop. It reports whether it stopped a task.
 func (c *Core) migrateOneService(now time.Time, m *machine) bool {
 	for _, a := range m.attempts {
 		t := c.taskOf(a)
--- a/shard/cordon.go
+++ b/shard/cordon.go
@@ -9,16 +9,16 @@
 	"ravenport/records"
 )
 
-// cordon says that a machine takes no new tasks because a drain has chosen it.
+// cordon marks a machine that gets no new tasks because a drain has chosen the machine.
 type cordon struct {
 	drain int // number of the drain
 	since time.Time
 }
 
-// isCordonedBy says whether a drain has cordoned a machine.
+// isCordonedBy reports whether the drain with the given number has cordoned a machine.
 func (m *machine) isCordonedBy(number int) bool { return m.cordon != nil && m.cordon.drain == number }
 
-// cordonMachines cordons the machines that a drain chooses next of those that it selects.
+// cordonMachines cordons the machines that a drain chooses next among its selected machines.
 func (c *Core) cordonMachines(now time.Time, number int, s *drain.ShardDrain, selected []*machine) {
 	byName := make(map[string]*machine, len(selected))
 	candidates := make([]drain.Candidate, 0, len(selected))
@@ -39,7 +39,7 @@
 	}
 }
 
-// uncordonMachines lifts the cordons of drains that do not run any more.
+// uncordonMachines removes the cordons of drains that are no longer running.
 func (c *Core) uncordonMachines() {
 	for _, m := range c.fleet {
 		if m.cordon == nil || c.draining.isRunning(m.cordon.drain) {
@@ -52,12 +52,13 @@
 	}
 }
 
-// selectableMachine is a machine as a drain's selection sees it.
+// selectableMachine returns the properties of a machine that a drain's selection can match.
 func (o *ownership) selectableMachine(m *machine) drain.Machine {
 	return drain.Machine{Name: m.name, Zone: o.cfg.Shard, Type: m.typeName, Spot: m.spot}
 }
 
-// selectedMachines lists the machines that match a drain's selection and are still there.
+// selectedMachines lists the machines that match a drain's selection and are not being
+// removed from the inventory.
 func (v *fleetView) selectedMachines(s *records.Selection) []*machine {
 	var out []*machine
 	for _, m := range v.fleet {
--- a/shard/draining.go
+++ b/shard/draining.go
@@ -12,18 +12,19 @@
 	"ravenport/wire"
 )
 
-// DrainingConfig is what an owner needs to know to drain machines.
+// DrainingConfig holds the settings with which an owner drains machines.
 type DrainingConfig struct {
-	Shards  []string // all of the deployment, in its order
+	Shards  []string // all shards of the deployment, in the deployment's order
 	Budgets disruption.Budgets
 	Policy  drain.Policy
 
-	// SkipClaimProof and SkipStableTime let a test show what claims and the stable time
-	// are for: tasks stop without a claim, or count as available as soon as they run.
+	// SkipClaimProof and SkipStableTime disable two safety rules, so that a test can show
+	// that the rules are needed. With SkipClaimProof tasks are stopped without a claim.
+	// With SkipStableTime tasks count as available as soon as they run.
 	SkipClaimProof, SkipStableTime bool
 }
 
-// draining is the state of drains in the shard and of its disruption budgets.
+// draining is the state of the drains and of the disruption budgets in the shard.
 type draining struct {
 	cfg            DrainingConfig
 	ledger         *disruption.Ledger
@@ -43,11 +44,11 @@
 	surgeTasks         []*task                // may migrate, and find no capacity
 	surgeCounts        disruption.Counts      // of those, by budget
 	targetSearches     int                    // searches for a migration's target
-	firstMachineOffset int                    // counts steps: each begins with another machine
+	firstMachineOffset int                    // incremented in each step, so that each step begins with another machine
 }
 
 // StartDraining has the owner drain machines and account for disruptions in its shard. jobs
-// are the records of all jobs, and changes the stored drains, claims and terms.
+// holds the records of all jobs, and changes holds the stored drains, claims and terms.
 func (c *Core) StartDraining(now time.Time, cfg DrainingConfig, jobs map[string]*records.Job, changes []records.Change) {
 	c.draining = &draining{
 		cfg:            cfg,
@@ -73,7 +74,7 @@
 	}
 }
 
-// applyChange takes in a change from the feed.
+// applyChange applies a change from the feed.
 func (d *draining) applyChange(now time.Time, shard string, change records.Change) {
 	switch r := change.Record.(type) {
 	case *records.Job:
@@ -87,7 +88,7 @@
 	case nil:
 		deleted := records.DamagedRecord{Key: change.Key} // parses the key
 		if number, ok := deleted.DrainNumber(); ok {
-			delete(d.drains, number) // an old one was deleted
+			delete(d.drains, number) // the record of an old drain was deleted
 		}
 	case *records.DamagedRecord:
 		if claimingShard, ok := r.ClaimedShard(); ok {
@@ -100,7 +101,7 @@
 	}
 }
 
-// applyDrain takes in a drain's record.
+// applyDrain applies a drain's record.
 func (d *draining) applyDrain(shard string, r *records.Drain, version uint64) {
 	delete(d.damagedRecords, r.Number)
 	s := d.drains[r.Number]
@@ -115,18 +116,18 @@
 	}
 }
 
-// drainNumbers lists the drains that are not over, in order.
+// drainNumbers lists the numbers of the drains that are not over, in ascending order.
 func (d *draining) drainNumbers() []int {
 	return slices.Sorted(maps.Keys(d.drains))
 }
 
-// isRunning says whether a drain runs.
+// isRunning reports whether a drain is running.
 func (d *draining) isRunning(number int) bool {
 	s := d.drains[number]
 	return s != nil && s.Record().State == records.DrainRunning
 }
 
-// hasRunningDrain says whether any drain runs.
+// hasRunningDrain reports whether any drain is running.
 func (d *draining) hasRunningDrain() bool {
 	for number := range d.drains {
 		if d.isRunning(number) {
@@ -136,8 +137,8 @@
 	return false
 }
 
-// advanceDrains counts what is unavailable, advances all drains, and writes the shard's
-// claim.
+// advanceDrains counts the unavailable tasks, advances all drains, and writes the shard's
+// disruption claim.
 func (c *Core) advanceDrains(now time.Time) {
 	d := c.draining
 	if d == nil || !d.drainPace.due(now, constants.DrainInterval) {
@@ -164,8 +165,8 @@
 	}
 }
 
-// advanceDrain makes a drain's next step in this shard: it cordons machines, evicts what
-// runs on them, and writes the drain's progress.
+// advanceDrain makes a drain's next step in this shard: it cordons machines, evicts their
+// attempts, and writes the drain's progress.
 func (c *Core) advanceDrain(now time.Time, number int, s *drain.ShardDrain) {
 	d := c.draining
 	selected := c.selectedMachines(&s.Record().Selection)
@@ -190,8 +191,8 @@
 	c.commitInTerm(&c.fleetView, CommitID{kind: commitDrain, drain: number}, []wire.Change{change}, condition)
 }
 
-// idleReason says why a drain has nothing to do in this shard at present; empty: it has
-// something to do.
+// idleReason returns why a drain has nothing to do in this shard at present, or "" if the
+// drain has something to do.
 func idleReason(now time.Time, s *drain.ShardDrain) string {
 	isOpen, opensAt := s.WindowState(now)
 	switch {
@@ -212,8 +213,9 @@
 	}
 }
 
-// bootFailed notes that a machine did not come up: while a drain runs, it may be a
-// replacement.
+// bootFailed records that a machine did not boot. The machine may have been a replacement for
+// a drained machine, so the failure counts for each drain that may cordon machines and does
+// not select this machine.
 func (d *draining) bootFailed(v *fleetView, m *machine) {
 	if d == nil {
 		return
@@ -225,7 +227,7 @@
 	}
 }
 
-// machineDrained notes that a cordoned machine has been terminated.
+// machineDrained records with the drain that a cordoned machine has been terminated.
 func (d *draining) machineDrained(m *machine) {
 	if m.cordon == nil || d == nil {
 		return
--- a/shard/drainplan.go
+++ b/shard/drainplan.go
@@ -10,11 +10,12 @@
 	"ravenport/records"
 )
 
-// ErrDrainingNotStarted says that the owner does not drain: draining is off in its settings.
+// ErrDrainingNotStarted says that the owner does not drain machines, because draining is off
+// in its settings.
 var ErrDrainingNotStarted = errors.New("shard: draining was not started")
 
-// PlanDrain says what a drain with a selection would do in this shard. The error is
-// ErrDrainingNotStarted.
+// PlanDrain returns what a drain with a selection would do in this shard. The only error it
+// returns is ErrDrainingNotStarted.
 func (c *Core) PlanDrain(now time.Time, s *records.Selection) (drain.ShardPlan, error) {
 	if c.draining == nil {
 		return drain.ShardPlan{}, ErrDrainingNotStarted
@@ -41,7 +42,7 @@
 	return p, nil
 }
 
-// planTask adds a task to a plan, with the obstacle to its migration if there is one.
+// planTask adds a task to a plan, and the obstacle to the task's migration if there is one.
 func (c *Core) planTask(now time.Time, p *drain.ShardPlan, t *task, reserved map[*machine]resources) {
 	if !t.job.rec.Spec.IsService() {
 		p.ArrayTasks++
@@ -60,8 +61,9 @@
 	}
 }
 
-// migrationObstacle is what stands in the way of a service's task, nil if nothing does: its
-// budgets never let it stop, or there is and will be no capacity for it.
+// migrationObstacle returns what prevents the migration of a service's task: the task's
+// budgets never allow the stop, or no machine has capacity for the task and the shard cannot
+// scale out. It returns nil if neither applies.
 func (c *Core) migrationObstacle(now time.Time, t *task, reserved map[*machine]resources) *drain.Obstacle {
 	s := &t.job.rec.Spec
 	obstacle := &drain.Obstacle{JobID: s.ID, Machine: t.attempt.machine.name}
@@ -79,7 +81,7 @@
 	return obstacle
 }
 
-// DrainProgress is how far the drains have come in this shard.
+// DrainProgress returns the progress of the drains in this shard.
 func (c *Core) DrainProgress() []drain.ShardProgress {
 	if c.draining == nil {
 		return nil
@@ -91,7 +93,7 @@
 	return out
 }
 
-// progress is how far one drain has come in this shard.
+// progress returns the progress of one drain in this shard.
 func (d *draining) progress(v *fleetView, number int, s *drain.ShardDrain) drain.ShardProgress {
 	p := drain.ShardProgress{Drain: number, Shard: v.cfg.Shard, WaitingFor: d.waitReasons[number], ConsecutiveFailures: s.ConsecutiveFailures()}
 	for _, m := range v.selectedMachines(&s.Record().Selection) {
@@ -108,7 +110,7 @@
 	return p
 }
 
-// Usage is the use of the disruption budgets as far as the owner knows it.
+// Usage returns the use of the disruption budgets as far as the owner knows it.
 func (c *Core) Usage(now time.Time) []disruption.Usage {
 	if c.draining == nil {
 		return nil
--- a/shard/interruptions.go
+++ b/shard/interruptions.go
@@ -6,17 +6,18 @@
 	"ravenport/disruption"
 )
 
-// interruptionUnit is what a disruption budget counts as one interruption: a task of an
-// array, or a gang.
+// interruptionUnit is the unit in which disruption budgets count interruptions: a task of an
+// array, or a whole gang.
 type interruptionUnit struct {
 	job   *job
-	index int // of the task, or wholeGang
+	index int // index of the task, or wholeGang
 }
 
-// wholeGang is the index of the unit that is a gang.
+// wholeGang is the index in the interruptionUnit of a gang.
 const wholeGang = -1
 
-// interruptionUnitOf is the unit that a task is, or is part of.
+// interruptionUnitOf returns the unit of a task: the task itself, or the gang that the task
+// belongs to.
 func interruptionUnitOf(t *task) interruptionUnit {
 	if t.job.gang != nil {
 		return interruptionUnit{t.job, wholeGang}
@@ -27,22 +28,23 @@
 // interruption is the state of one unit.
 type interruption struct {
 	keys        []disruption.BudgetKey
-	hasRun      bool // it runs, or did when it was last observed
-	interrupted bool // it ran, and has not become available again since
+	hasRun      bool // the unit runs, or ran when it was last observed and was not stopped since
+	interrupted bool // the unit ran, was interrupted, and has not become available again since
 	observedAt  time.Time
 }
 
-// markInterrupted notes that a unit is being stopped, or was by an earlier owner. It is
-// noted at once, as the unit may be offloaded to another shard before it is observed again.
+// markInterrupted records that a unit is being stopped, or was stopped by an earlier owner.
+// This is recorded immediately, because the unit may be offloaded to another shard before it
+// is observed again.
 func (i *interruption) markInterrupted() {
 	i.hasRun = false
 	i.interrupted = true
 }
 
-// interruptions is the state of arrays and gangs that disruption budgets count. Those may
-// wait for long before they first run, so a unit counts only once it has run, and no more
-// when it is available again or its job ends. One that is offloaded to another shard
-// meanwhile counts for the retention time.
+// interruptions is the state of the arrays and gangs for which there are disruption budgets.
+// Arrays and gangs may wait for a long time before they first run. A unit therefore counts as
+// interrupted only after it has run, and until it is available again or its job ends. An
+// interrupted unit that is offloaded to another shard counts for the retention time.
 type interruptions struct {
 	units     map[interruptionUnit]*interruption
 	retention time.Duration
@@ -52,7 +54,7 @@
 	return interruptions{units: map[interruptionUnit]*interruption{}, retention: retention}
 }
 
-// observe takes in whether a unit runs now, and whether it is available.
+// observe records whether a unit is running now, and whether it is available.
 func (s *interruptions) observe(now time.Time, u interruptionUnit, keys []disruption.BudgetKey, isRunning, isAvailable bool) {
 	i := s.units[u]
 	if i == nil {
@@ -72,8 +74,8 @@
 // remove removes a unit that is done.
 func (s *interruptions) remove(u interruptionUnit) { delete(s.units, u) }
 
-// count says how many units are interrupted by budget, once all that are in the shard were
-// observed at the given time.
+// count returns the number of interrupted units by budget. All units that are in the shard
+// must have been observed at the given time; count deletes other units that no longer count.
 func (s *interruptions) count(now time.Time) disruption.Counts {
 	out := disruption.Counts{}
 	for u, i := range s.units {
@@ -89,7 +91,8 @@
 	return out
 }
 
-// observeInterruptions observes all arrays and gangs that budgets count.
+// observeInterruptions observes all arrays and gangs for which there are disruption budgets,
+// and returns the number of interrupted units by budget.
 func (d *draining) observeInterruptions(v *fleetView, now time.Time) disruption.Counts {
 	for _, j := range v.jobs {
 		if j.rec.End != "" || j.rec.Spec.IsService() {
@@ -123,7 +126,7 @@
 	}
 }
 
-// observeGang observes a gang, which runs if all its tasks in the shard do.
+// observeGang observes a gang. A gang is running if all its tasks in the shard are running.
 func (d *draining) observeGang(v *fleetView, now time.Time, j *job, budgets []disruption.BudgetKey) {
 	unit := interruptionUnit{j, wholeGang}
 	if j.gang.done {
@@ -138,8 +141,9 @@
 	d.interruptions.observe(now, unit, budgets, isRunning, isAvailable)
 }
 
-// inheritInterruptions takes as many waiting units as interrupted as earlier owners claimed:
-// which ones those were is not stored.
+// inheritInterruptions marks as many waiting units as interrupted as earlier owners claimed.
+// The choice of units is arbitrary, because the store does not hold which units were
+// interrupted.
 func (d *draining) inheritInterruptions() {
 	inherited := disruption.Counts{}
 	for _, i := range d.interruptions.units {
@@ -156,17 +160,17 @@
 	}
 }
 
-// tryInterrupt asks the ledger for the interruption of an array's task, or of the gang that
-// the task is part of. The error says why it is not allowed now.
+// tryInterrupt requests from the ledger that an array's task, or the gang that the task
+// belongs to, may be interrupted. The error says why the interruption is not allowed now.
 func (d *draining) tryInterrupt(now time.Time, t *task) error {
 	i := d.interruptions.units[interruptionUnitOf(t)]
 	switch {
 	case i == nil:
-		return nil // no budget counts it
+		return nil // there is no budget for the unit
 	case i.interrupted && d.mayBecomeAvailable(now, t.attempt):
 		return &notAvailableError{t.job.rec.ID}
 	case !i.hasRun:
-		return nil // nothing that ran is lost
+		return nil // the unit has not run, or already counts as interrupted
 	}
 	if refusal := d.ledger.RequestStop(now, i.keys); refusal != nil {
 		return refusal
--- a/shard/migration.go
+++ b/shard/migration.go
@@ -10,17 +10,17 @@
 	"ravenport/wire"
 )
 
-// migration is a service's task that a drain has stopped and that is not available again
-// on another machine.
+// migration is a service's task that a drain has stopped and that is not available again on
+// another machine yet.
 type migration struct {
 	drain     int      // number of the drain
-	target    *machine // that had capacity for it
+	target    *machine // machine that had capacity for the task when the task was stopped
 	demand    resources
 	startedAt time.Time
 }
 
-// migrateService stops a service's task if another machine has capacity for it and its
-// budgets allow it. The error says why it stays.
+// migrateService stops a service's task if another machine has capacity for the task and the
+// task's budgets allow the stop. The error says why the task is not stopped.
 func (c *Core) migrateService(now time.Time, number int, t *task) error {
 	d := c.draining
 	spec := &t.job.rec.Spec
@@ -41,7 +41,7 @@
 		d.requestSurge(now, t, budgets)
 		return &noCapacityError{spec.ID}
 	}
-	if isAvailable { // what is unavailable already is counted
+	if isAvailable { // the ledger already counts a task that is unavailable
 		if refusal := d.ledger.RequestStop(now, budgets); refusal != nil {
 			return refusal
 		}
@@ -53,16 +53,16 @@
 	return nil
 }
 
-// mayBecomeAvailable says whether an attempt that is not available is left alone to become
-// so. To stop it would make nothing more unavailable as the owner counts, but would keep
-// its task down for longer, and after a failover it may have run for long without the
-// owner's knowledge.
+// mayBecomeAvailable reports whether an attempt that is not available is not stopped, because
+// it may become available. Stopping the attempt would not raise the owner's count of
+// unavailable tasks, but would extend the task's downtime. After a failover, the attempt may
+// have run for a long time without the new owner's knowledge.
 func (d *draining) mayBecomeAvailable(now time.Time, a *attempt) bool {
 	return a.isRunning() || now.Sub(a.machine.cordon.since) < d.cfg.Policy.ReplacementTimeout
 }
 
-// reservedForMigrations is the capacity on each machine that is reserved for tasks that
-// migrate there.
+// reservedForMigrations returns the capacity on each machine that is reserved for tasks that
+// migrate to the machine.
 func (d *draining) reservedForMigrations() map[*machine]resources {
 	reserved := map[*machine]resources{}
 	for t, m := range d.migrations {
@@ -73,9 +73,9 @@
 	return reserved
 }
 
-// migrationTarget is a machine with capacity for a task beside what is reserved; nil: there
-// is none. Machines that a running drain takes in as well are left out, unless the shard
-// cannot scale out.
+// migrationTarget returns a machine with capacity for a task in addition to the reserved
+// capacity, or nil if there is none. If the shard can scale out, machines that a running
+// drain selects are excluded, because the task would have to migrate again.
 func (c *scaleOutState) migrationTarget(v *fleetView, now time.Time, s *wire.Submission, reserved map[*machine]resources) *machine {
 	canScaleOut := c.cheapestOffer(v, now, s).isAvailable()
 	return v.bestFit(now, s, func(m *machine) bool {
@@ -86,8 +86,9 @@
 	})
 }
 
-// requestSurge notes a task that may migrate and finds no capacity, so that the shard
-// scales out for it: for no more tasks than the budgets would let migrate.
+// requestSurge records a task that may migrate but for which no machine has capacity, so that
+// the shard scales out for the task. The number of such tasks is limited to the number of
+// tasks that the budgets allow to migrate now, and to constants.MaxSurgeTasks.
 func (d *draining) requestSurge(now time.Time, t *task, budgets []disruption.BudgetKey) {
 	if len(d.surgeTasks) >= constants.MaxSurgeTasks {
 		return
@@ -104,7 +105,7 @@
 }
 
 // scaleOutForDrains adds machines for the tasks of services that may migrate and fit on no
-// machine, pending ones among them.
+// existing or pending machine.
 func (c *Core) scaleOutForDrains(now time.Time, counts machineCounts) {
 	if c.draining == nil {
 		return
@@ -120,20 +121,22 @@
 	}
 }
 
-// allowsConsolidation asks the ledger whether a service's task may be migrated so that its
-// machine becomes empty.
+// allowsConsolidation requests from the ledger that a service's task may be stopped for
+// consolidation, and reports whether the ledger allows it. It returns true if draining is
+// off.
 func (d *draining) allowsConsolidation(now time.Time, t *task) bool {
 	return d == nil || d.ledger.RequestStop(now, d.budgetsOf(t.job)) == nil
 }
 
-// finishMigrations ends the migrations of tasks that are available again, and of those that
-// did not become so in time.
+// finishMigrations removes the migrations of tasks that are available again, of tasks that
+// did not become available within the replacement timeout, and of tasks that the shard no
+// longer has.
 func (d *draining) finishMigrations(v *fleetView, now time.Time) {
 	for t, m := range d.migrations {
 		j := t.job
 		switch {
 		case v.jobs[j.rec.ID] != j || j.tasks[t.index] != t || j.rec.End != "":
-			delete(d.migrations, t) // the job has ended, or another shard has the task
+			delete(d.migrations, t) // the job has ended, or the task is assigned to another shard
 		case d.isAvailable(v, now, t):
 			delete(d.migrations, t)
 		case now.Sub(m.startedAt) > d.cfg.Policy.ReplacementTimeout:
@@ -143,8 +146,8 @@
 	}
 }
 
-// migrationFailed notes that the task of a migration ended with an error before it was
-// available.
+// migrationFailed records that the task of a migration ended with an error before the task
+// was available.
 func (d *draining) migrationFailed(t *task, machine string) {
 	if d == nil {
 		return
@@ -154,14 +157,14 @@
 	}
 }
 
-// recordFailure notes a failed replacement with a drain, if that is not over.
+// recordFailure records a failed replacement for a drain, unless the drain is over.
 func (d *draining) recordFailure(number int, reason string) {
 	if s := d.drains[number]; s != nil {
 		s.RecordFailure(reason)
 	}
 }
 
-// hasMigrations says whether a task that a drain has stopped is not available again.
+// hasMigrations reports whether any task that a drain has stopped is not available again yet.
 func (d *draining) hasMigrations(number int) bool {
 	for _, m := range d.migrations {
 		if m.drain == number {
--- a/shard/offload.go
+++ b/shard/offload.go
@@ -8,8 +8,8 @@
 	"ravenport/wire"
 )
 
-// offloadTask marks a waiting task to be sent back to the leader. It is not placed here any
-// more, until a newer record says which shard has it.
+// offloadTask marks a waiting task to be returned to the leader. The task is not placed in
+// this shard any more, until a newer job record assigns the task to a shard.
 func (c *Core) offloadTask(j *job, t *task) {
 	if j.recordPending() || c.hasLiveAttempt(j.rec.ID, t.index) {
 		return
@@ -19,8 +19,8 @@
 	c.queueForClose(j)
 }
 
-// isImageWarmInOtherShard says whether a production task would have to wait for its image
-// here, and would not in another shard.
+// isImageWarmInOtherShard reports whether a production task would have to wait for its image
+// in this shard, and another shard has cached the image and has capacity for the task.
 func (f *aggregates) isImageWarmInOtherShard(v *fleetView, now time.Time, s *wire.Submission) bool {
 	if s.Priority != wire.PriorityProduction || s.OneZone || s.Spread && s.Tasks > 1 || s.Zone != "" {
 		return false
@@ -38,15 +38,15 @@
 	return false
 }
 
-// otherShardsFitOneMore says whether other shards are known to have capacity for one more
-// of a job's tasks, beside so many that were offloaded already. All shards see the same
-// free capacity, so each counts on its part of it only.
+// otherShardsFitOneMore reports whether other shards are known to have capacity for one more
+// of a job's tasks, in addition to the tasks that were already offloaded. All shards see the
+// same free capacity, so each shard counts on its share of that capacity only.
 func (f *aggregates) otherShardsFitOneMore(now time.Time, rec *records.Job, offloaded int) bool {
 	return f.taskSlotsInOtherShards(now, rec) > (offloaded+1)*max(1, len(f.otherShards))
 }
 
-// taskSlotsInOtherShards is how many more of a job's tasks other shards are known to have
-// capacity for.
+// taskSlotsInOtherShards returns for how many more of a job's tasks other shards are known to
+// have capacity.
 func (f *aggregates) taskSlotsInOtherShards(now time.Time, rec *records.Job) int {
 	s := &rec.Spec
 	slots := 0
@@ -55,15 +55,15 @@
 			slots += o.aggregate.EstimateTasks(s)
 		}
 	}
-	// Whatever the capacity, a spread job may have no place outside this shard.
+	// A spread job is also limited in its tasks per shard, whatever the capacity.
 	if s.Spread && s.Tasks > 1 {
 		slots = min(slots, f.spreadSlotsInOtherShards(rec))
 	}
 	return slots
 }
 
-// spreadSlotsInOtherShards is how many more tasks of a spread job may be in other shards
-// beside those there: at most half of all its tasks in each.
+// spreadSlotsInOtherShards returns how many more tasks of a spread job may be assigned to
+// other shards: each shard may have at most half of the job's tasks, rounded up.
 func (f *aggregates) spreadSlotsInOtherShards(rec *records.Job) int {
 	slots := 0
 	for name := range f.otherShards {
--- a/shard/spotreclaim.go
+++ b/shard/spotreclaim.go
@@ -7,9 +7,9 @@
 	"ravenport/settings"
 )
 
-// evictFromReclaimedMachines evicts tasks from machines that the cloud will take back soon:
-// those that checkpoint in time, and services and arrays that will not end before, while
-// there is capacity for them.
+// evictFromReclaimedMachines evicts tasks from machines that the cloud will reclaim soon. It
+// evicts tasks that need a checkpoint in time for the checkpoint. It evicts services, and
+// tasks of arrays that are not expected to end before, while another machine has capacity.
 func (q *outbox) evictFromReclaimedMachines(v *fleetView, now time.Time) {
 	for _, m := range v.fleet {
 		if !m.reclaimAt.IsZero() && !m.scalingIn && m.up {
@@ -18,8 +18,8 @@
 	}
 }
 
-// evictFromReclaimedMachine evicts up to constants.MaxReclaimEvictions tasks from a
-// machine, and the gangs on it if it is time for their checkpoint.
+// evictFromReclaimedMachine evicts up to constants.MaxReclaimEvictions tasks from a machine,
+// and stops the gangs on the machine whose checkpoint is due.
 func (q *outbox) evictFromReclaimedMachine(v *fleetView, now time.Time, m *machine) {
 	remaining := m.reclaimAt.Sub(now)
 	evicted := 0
@@ -41,19 +41,20 @@
 	}
 }
 
-// isGangCheckpointDue says whether a gang with a task on a machine that is taken back after
-// the remaining time must stop now: it checkpoints as a whole, at the last moment at which
-// all its tasks can be told. One that cannot checkpoint is left to end by itself.
+// isGangCheckpointDue reports whether a gang with a task on a machine that is reclaimed after
+// the remaining time must stop now. A gang checkpoints as a whole, at the latest time at
+// which all its tasks can still be told to stop. A gang that cannot checkpoint is left to end
+// by itself.
 func (v *fleetView) isGangCheckpointDue(a *attempt, remaining time.Duration) bool {
 	return !a.stopsInstantly && remaining <= v.stopGrace(a)+v.cfg.GangPeerTimeout+constants.ReclaimMargin
 }
 
-// mustEvictBeforeReclaim says whether a task is evicted now from a machine that is taken back
-// after the remaining time.
+// mustEvictBeforeReclaim reports whether a task is to be evicted now from a machine that is
+// reclaimed after the remaining time.
 func (v *fleetView) mustEvictBeforeReclaim(now time.Time, t *task, a *attempt, remaining time.Duration) bool {
 	s := &t.job.rec.Spec
 	if !a.stopsInstantly {
-		return remaining <= v.stopGrace(a)+constants.ReclaimMargin // it checkpoints at the last moment
+		return remaining <= v.stopGrace(a)+constants.ReclaimMargin // the task checkpoints as late as possible
 	}
 	if !s.IsService() {
 		runtime := settings.Seconds(s.EstimateS)
@@ -61,7 +62,7 @@
 			runtime -= now.Sub(a.runningSince)
 		}
 		if float64(runtime) < constants.ReclaimRuntimeFactor*float64(remaining) {
-			return false // it may well end before
+			return false // the task is likely to end before the machine is reclaimed
 		}
 	}
 	return v.bestFit(now, s, nil) != nil
