--- a/shard/draining.go
+++ b/shard/draining.go
@@ -28,21 +28,21 @@
 type draining struct {
 	cfg            DrainingConfig
 	ledger         *disruption.Ledger
-	drains         map[int]*drain.ShardDrain // those that are not over, by number
+	drains         map[int]*drain.ShardDrain // drains that are not over, by number
 	damagedRecords map[int]bool              // numbers of drains whose record cannot be read
-	waitReasons    map[int]string            // by drain: what it waits for; part of its status
-	drainPace      pace                      // of advanceDrains
+	waitReasons    map[int]string            // by drain number: what the drain waits for; part of its status
+	drainPace      pace                      // limits how often advanceDrains runs
 
 	migrations    map[*task]*migration
 	interruptions interruptions
-	// hasInheritedInterruptions: what earlier owners claimed for interruptions is among
-	// them.
+	// hasInheritedInterruptions says that interruptions includes the interruptions that
+	// earlier owners claimed.
 	hasInheritedInterruptions bool
 
-	// For the current step:
-	reservedCapacity   map[*machine]resources // for migrations
-	surgeTasks         []*task                // may migrate, and find no capacity
-	surgeCounts        disruption.Counts      // of those, by budget
+	// State of the current step:
+	reservedCapacity   map[*machine]resources // capacity that is reserved for migrations
+	surgeTasks         []*task                // tasks that may migrate but for which no machine has capacity
+	surgeCounts        disruption.Counts      // number of surgeTasks, by budget
 	targetSearches     int                    // searches for a migration's target
 	firstMachineOffset int                    // incremented in each step, so that each step begins with another machine
 }
--- a/shard/draining_test.go
+++ b/shard/draining_test.go
@@ -10,8 +10,8 @@
 	"ravenport/wire"
 )
 
-// startDrainingWithService starts draining with disruption budgets of one unavailable task a
-// team, and a service of three tasks that run on two machines.
+// startDrainingWithService starts draining with disruption budgets of one unavailable task
+// per team, and a service with three tasks that run on two machines.
 func (r *rig) startDrainingWithService() *job {
 	var budgets disruption.Budgets
 	budgets.SetServicesDefault(disruption.MaxUnavailable{Tasks: 1})
@@ -25,8 +25,8 @@
 	return r.jobs["run-1"]
 }
 
-// advanceWithRunningTasks advances the time while all machines send heartbeats, in which the
-// tasks that were started run, and those that were stopped have exited.
+// advanceWithRunningTasks advances the time while all machines send heartbeats. The
+// heartbeats report started tasks as running and stopped tasks as exited.
 func (r *rig) advanceWithRunningTasks(d time.Duration) {
 	for end := r.now.Add(d); r.now.Before(end); {
 		r.commitAll(r.advance(250 * time.Millisecond))
@@ -44,14 +44,14 @@
 	}
 }
 
-// Consolidation migrates a task only within a claim that is written, and no second one
-// before the first is available again.
+// Consolidation migrates a task only under a disruption claim that is written, and no second
+// task before the first is available again.
 func TestConsolidationKeepsToBudgets(t *testing.T) {
 	r := newRig(nil)
 	j := r.startDrainingWithService()
 	first, second := j.tasks[0], j.tasks[1]
 	if r.draining.allowsConsolidation(r.now, first) {
-		t.Fatal("migrated without a claim")
+		t.Fatal("a task may migrate without a claim")
 	}
 	moved := false
 	for i := 0; i < 40 && !moved; i++ {
@@ -59,27 +59,27 @@
 		moved = r.draining.allowsConsolidation(r.now, first)
 	}
 	if !moved {
-		t.Fatal("never migrated, though no other task is unavailable")
+		t.Fatal("no task may migrate, although no task is unavailable")
 	}
 	if r.draining.allowsConsolidation(r.now, second) {
-		t.Error("a second one migrates beside the first")
+		t.Error("a second task may migrate together with the first")
 	}
 	r.evict(first.attempt)
 	r.advanceWithRunningTasks(2 * time.Second)
 	if r.draining.allowsConsolidation(r.now, second) {
-		t.Error("a second one migrates before the first is available again")
+		t.Error("a second task may migrate before the first is available again")
 	}
 }
 
-// A drain leaves tasks alone that are about to become available, and migrates them within
-// the budget once they have: a task that an owner has just learned of counts as unavailable,
-// but may have run for long. Guards against a failover after which all tasks of a machine
-// were stopped at once.
+// A drain does not stop tasks that are about to become available, and migrates them within
+// the budget once they are available. An owner counts a task that it has just learned of as
+// unavailable, although the task may have run for a long time. Guards against a fault in
+// which, after a failover, all tasks of a machine were stopped at once.
 func TestDrainLeavesTasksThatMayBecomeAvailable(t *testing.T) {
 	r := newRig(nil)
 	j := r.startDrainingWithService()
 	r.bringUp("m-2")
-	for _, task := range j.tasks { // as if the owner had just learned of each
+	for _, task := range j.tasks { // as if the owner had just learned of each task
 		task.attempt.runningSince = r.now
 	}
 	record := records.Drain{Number: 1, State: records.DrainRunning, CanaryPassed: true, Selection: records.Selection{Machines: []string{"m-0", "m-1"}}}
@@ -95,7 +95,7 @@
 		}
 		for task := range r.draining.migrations {
 			if !moved[task] && unavailable > 1 {
-				t.Fatalf("a task is stopped while %d are unavailable, of which one may be", unavailable)
+				t.Fatalf("a task was stopped while %d tasks are unavailable, the budget allows one", unavailable)
 			}
 			moved[task] = true
 		}
@@ -105,9 +105,9 @@
 	}
 }
 
-// A budget of interruptions counts no unit that has not run yet; one that has run and does
-// not any more, until it is available again; and for some time one that is offloaded
-// meanwhile.
+// A budget for interruptions does not count a unit that has not run yet. It counts a unit
+// that was interrupted until the unit is available again. It counts an interrupted unit that
+// was offloaded for the retention time.
 func TestInterruptionsCounted(t *testing.T) {
 	now := time.Unix(1000, 0)
 	keys := []disruption.BudgetKey{{Team: "t", Interruptions: true}}
@@ -117,7 +117,7 @@
 		name                   string
 		here                   bool
 		isRunning, isAvailable bool
-		stopped                bool // it is stopped after it was observed
+		stopped                bool // the unit is stopped after it was observed
 		after                  time.Duration
 		want                   int
 	}{
@@ -142,12 +142,12 @@
 			s.units[interruptionUnit{j, 0}].markInterrupted()
 		}
 		if got := s.count(now)[keys[0]]; got != step.want {
-			t.Fatalf("%s: %d count, %d should", step.name, got, step.want)
+			t.Fatalf("%s: %d units count as interrupted, want %d", step.name, got, step.want)
 		}
 	}
 }
 
-// A drain interrupts one task of an array, or one gang, at a time where that is the budget.
+// A drain interrupts one task of an array, or one gang, at a time if the budget is one.
 func TestDrainKeepsToInterruptionBudgets(t *testing.T) {
 	for _, kind := range []wire.JobKind{wire.KindArray, wire.KindGang} {
 		r := newRig(nil)
@@ -167,7 +167,7 @@
 		for _, j := range r.jobs {
 			for _, task := range j.tasks {
 				if !r.draining.isAvailable(&r.fleetView, r.now, task) {
-					t.Fatalf("%s: %s does not run", kind, j.rec.ID)
+					t.Fatalf("%s: a task of %s is not available", kind, j.rec.ID)
 				}
 				units[interruptionUnitOf(task)] = true
 			}
@@ -185,17 +185,17 @@
 				}
 			}
 			if n > 1 {
-				t.Fatalf("%s: %d are interrupted, one may be", kind, n)
+				t.Fatalf("%s: %d units are interrupted, the budget allows one", kind, n)
 			}
 		}
 		if len(interrupted) != len(units) {
-			t.Errorf("%s: %d of %d were interrupted, each must be for the drain to finish", kind, len(interrupted), len(units))
+			t.Errorf("%s: %d of %d units were interrupted, the drain must interrupt all to finish", kind, len(interrupted), len(units))
 		}
 	}
 }
 
-// Which tasks were interrupted is not stored: a new owner takes as many of the waiting ones
-// as interrupted as the claim of the last owner says, until they run again.
+// The store does not hold which tasks were interrupted. A new owner therefore counts as many
+// waiting tasks as interrupted as the claim of the last owner says, until they run again.
 func TestNextOwnerInheritsInterruptions(t *testing.T) {
 	spec := wire.Submission{ID: "run-1", Team: "t", Class: "c", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 3, CPUs: 2, MemoryGB: 1, Image: "i", EstimateS: 600}
 	j := &records.Job{ID: spec.ID, Spec: spec, Assignments: []records.Assignment{{From: 0, To: 3, Shard: "a", KeepWaiting: true}}}
@@ -208,11 +208,11 @@
 	r.StartDraining(r.now, cfg, map[string]*records.Job{j.ID: j}, []records.Change{{Key: records.KeyDisruptionClaim("a"), Version: 90, Record: &last}})
 	r.commitAll(r.advance(time.Second))
 	if n := r.draining.countUnavailable(&r.fleetView, r.now)[key]; n != 2 {
-		t.Errorf("%d of 3 waiting tasks count, 2 were claimed", n)
+		t.Errorf("%d of 3 waiting tasks count as interrupted, want the 2 that were claimed", n)
 	}
 	r.bringUp("m-0")
 	r.advanceWithRunningTasks(15 * time.Second)
 	if n := r.draining.countUnavailable(&r.fleetView, r.now)[key]; n != 0 {
-		t.Errorf("%d count though all run", n)
+		t.Errorf("%d tasks count as interrupted although all are running", n)
 	}
 }
--- a/shard/drainplan_test.go
+++ b/shard/drainplan_test.go
@@ -7,9 +7,9 @@
 	"ravenport/records"
 )
 
-// An owner that was asked for the plan of a drain without ever having started to drain
-// panicked ("nil pointer dereference" in PlanDrain, at the policy of no draining), which ends
-// its controller. It refuses instead.
+// An owner on which draining was not started refuses to plan a drain. Guards against a fault
+// in which PlanDrain panicked with a nil pointer dereference, as there was no draining policy
+// to read; the panic ended the controller.
 func TestPlanWithoutDrainingIsRefused(t *testing.T) {
 	r := newRig(nil)
 	r.bringUpFleet(3)
@@ -19,6 +19,6 @@
 		}
 	}()
 	if plan, err := r.PlanDrain(r.now, &records.Selection{}); !errors.Is(err, ErrDrainingNotStarted) {
-		t.Errorf("plan %+v, %v", plan, err)
+		t.Errorf("plan %+v, error %v, want ErrDrainingNotStarted", plan, err)
 	}
 }
--- a/shard/scale_test.go
+++ b/shard/scale_test.go
@@ -13,7 +13,8 @@
 	"ravenport/wire"
 )
 
-// bringUpFleet brings many machines up at once, verified and in the inventory.
+// bringUpFleet brings up n machines that are schedulable: each has confirmed the owner's
+// term and is in the durable inventory.
 func (r *rig) bringUpFleet(n int) {
 	for i := range n {
 		r.Heartbeat(r.now, newHeartbeat(fmt.Sprintf("m-%05d", i), 1, 1, 0))
@@ -28,13 +29,13 @@
 	}
 	for name, m := range r.machines {
 		if !m.durable || !r.isSchedulable(r.now, m) {
-			panic(name + " is not usable")
+			panic(name + " is not schedulable")
 		}
 	}
 }
 
-// The inventory takes changes by the page, not by the machine, and every machine is
-// durable before its first start.
+// The inventory is written by page and not by machine, so that many new machines need few
+// writes. Every machine must be durable before the first start on it.
 func TestInventoryOfManyMachinesTakesFewWrites(t *testing.T) {
 	r := newRig(nil)
 	const machines = 600
@@ -47,7 +48,7 @@
 				writes += len(cm.Txn.Changes)
 				for _, ch := range cm.Txn.Changes {
 					if len(ch.Value) > r.cfg.SizeLimits.Next {
-						t.Fatalf("a page of %d bytes", len(ch.Value))
+						t.Fatalf("page of %d bytes exceeds the size limit", len(ch.Value))
 					}
 				}
 				r.commitAll([]Action{cm})
@@ -64,14 +65,14 @@
 		}
 	}
 	if stored != machines {
-		t.Fatalf("%d of %d machines durable", stored, machines)
+		t.Fatalf("%d of %d machines are durable", stored, machines)
 	}
 	if writes > machines/4 {
-		t.Fatalf("%d changes for %d machines", writes, machines)
+		t.Fatalf("%d changes were written for %d machines, want at most a quarter", writes, machines)
 	}
 }
 
-// What a heartbeat that changes nothing costs does not grow with the fleet.
+// The cost of handling a heartbeat that changes nothing does not grow with the fleet.
 func TestUnchangedHeartbeatCostIsIndependentOfFleetSize(t *testing.T) {
 	cost := func(machines int) float64 {
 		r := newRig(nil)
@@ -86,23 +87,24 @@
 			tasks = append(tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskRunning})
 		}
 		if len(tasks) != 4 {
-			t.Fatalf("%d tasks on a machine", len(tasks))
+			t.Fatalf("%d tasks on m-00000, want 4", len(tasks))
 		}
 		return testing.AllocsPerRun(50, func() {
 			seq++
 			if _, err := r.Heartbeat(r.now, newHeartbeat("m-00000", 1, seq, r.latestToken("m-00000"), tasks...)); err != nil {
-				t.Fatal("refused")
+				t.Fatal("heartbeat refused")
 			}
 		})
 	}
 	small, large := cost(20), cost(2000)
 	if large > small+1 {
-		t.Fatalf("%g allocations a heartbeat in a fleet of 2000, %g in one of 20", large, small)
+		t.Fatalf("%g allocations per heartbeat in a fleet of 2000 machines, %g in a fleet of 20", large, small)
 	}
 }
 
-// A round that is cut off goes on after the job where it stopped, whatever comes
-// and goes: with time for one job a round, every job's turn comes.
+// A placement round that exceeds its time budget continues in the next round after the job
+// at which it stopped, also while jobs arrive and leave. With time for one job per round,
+// every job is considered.
 func TestInterruptedRoundsReachAllJobs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRig(nil)
@@ -118,7 +120,7 @@
 				j := arrayJob(fmt.Sprintf("run-%d", submitted), 1, "a")
 				j.Spec.CPUs = 0.5
 				if rapid.IntRange(0, 3).Draw(t, "stuck") == 0 {
-					j.Spec.CPUs = 9 // no machine is that large: it waits for ever, and holds up nobody
+					j.Spec.CPUs = 9 // no machine is that large: the job waits for ever, and must not delay others
 					unplaceable++
 				}
 				j.AcceptedMS = r.now.UnixMilli() - int64(rapid.IntRange(0, 90).Draw(t, "age"))*1000
@@ -127,14 +129,16 @@
 			}
 			r.advance(20 * time.Millisecond)
 			if rounds > 8*n+20 {
-				t.Fatalf("%d jobs wait after %d rounds", len(r.waiting), rounds)
+				t.Fatalf("%d jobs still wait after %d rounds", len(r.waiting), rounds)
 			}
 		}
 	})
 }
 
-// After a failover with many machines, those that are unreachable delay no other: all
-// others are probed, or have sent heartbeats, within seconds.
+// After a failover in a shard with many machines, unreachable machines do not delay the
+// recovery of others: all reachable machines are probed, or have sent heartbeats, within
+// seconds. The shard is rebuilt only after the unreachable machines have been terminated,
+// because they may still run its tasks.
 func TestUnreachableMachinesDelayNoFailover(t *testing.T) {
 	var inventory []records.Machine
 	for i := range 200 {
@@ -171,7 +175,7 @@
 			}
 		}
 		inFlight = kept
-		// The others also send heartbeats, each in its turn of the 3 s.
+		// The reachable machines also send heartbeats, spread over the 3 s period.
 		for i := 70 + step%150; i < 200 && step > 75; i += 150 {
 			name := fmt.Sprintf("m-%05d", i)
 			r.Heartbeat(r.now, newHeartbeat(name, 1, uint64(100+step), r.latestToken(name)))
@@ -183,7 +187,7 @@
 			}
 		}
 		if back == 130 && r.now.Sub(r.acquiredAt) > constants.FailoverProbeDelay+2*time.Second && step < 300 && terminated == 0 && r.rebuilt {
-			t.Fatal("rebuilt while unreachable machines may run its tasks")
+			t.Fatal("shard was rebuilt while unreachable machines may run its tasks")
 		}
 	}
 	if !r.rebuilt || terminated != 70 {
@@ -191,8 +195,9 @@
 	}
 }
 
-// A machine that is heard but does not show what it is sent gets nothing and is
-// given up; one whose answer was lost once shows the next token and goes on.
+// A machine that sends heartbeats without the latest token becomes unconfirmed and gets no
+// tasks. Repeating the old token does not confirm the machine; a heartbeat with the next
+// token does, so that a machine of which one answer was lost becomes schedulable again.
 func TestConfirmationNeedsANewToken(t *testing.T) {
 	r := newRig(nil)
 	for i := range 4 {
@@ -204,22 +209,22 @@
 	}
 	m := r.machines["m-0"]
 	stale := r.latestToken("m-0")
-	r.Heartbeat(r.now, newHeartbeat("m-0", 1, 6, stale)) // it has sent heartbeats to others since
+	r.Heartbeat(r.now, newHeartbeat("m-0", 1, 6, stale)) // the gap in sequence numbers shows heartbeats to other controllers
 	if !m.isUnconfirmed() || r.isSchedulable(r.now, m) {
-		t.Fatal("it stays trusted though it did not stay")
+		t.Fatal("the machine is still confirmed and schedulable after it sent heartbeats to other controllers")
 	}
 	r.Heartbeat(r.now, newHeartbeat("m-0", 1, 7, stale))
 	if !m.isUnconfirmed() {
-		t.Fatal("an old token ended the doubt")
+		t.Fatal("an old token confirmed the machine")
 	}
 	r.Heartbeat(r.now, newHeartbeat("m-0", 1, 8, r.latestToken("m-0")))
 	if m.isUnconfirmed() || !r.isSchedulable(r.now, m) {
-		t.Fatal("the new token did not end the doubt")
+		t.Fatal("the new token did not confirm the machine")
 	}
 }
 
-// The lease of a machine that answers commands but sends no heartbeats expires all the same:
-// it is terminated, while the others send heartbeats.
+// A machine that answers commands but sends no heartbeats is terminated while the other
+// machines send heartbeats: only heartbeats renew a machine's lease, so the lease expires.
 func TestMachineWithoutHeartbeatsIsTerminated(t *testing.T) {
 	r := newRig(nil)
 	for i := range 4 {
@@ -231,7 +236,7 @@
 		for i := 1; i < 4; i++ {
 			name := fmt.Sprintf("m-%d", i)
 			rep := newHeartbeat(name, 1, seq, r.latestToken(name))
-			rep.Spot = true // idle on-demand ones would be terminated
+			rep.Spot = true // idle on-demand machines would be terminated
 			r.Heartbeat(r.now, rep)
 		}
 		for _, a := range r.Step(r.now) {
@@ -247,11 +252,11 @@
 			}
 		}
 		if r.now.Sub(r.acquiredAt) < 8*time.Second && terminated["m-0"] {
-			t.Fatal("given up at once")
+			t.Fatal("m-0 was terminated too early")
 		}
 	}
 	if !terminated["m-0"] || len(terminated) != 1 {
-		t.Fatalf("terminated %v, wanted m-0 alone", terminated)
+		t.Fatalf("terminated %v, want only m-0", terminated)
 	}
 }
 
@@ -273,7 +278,8 @@
 	}
 }
 
-// newFullFleetRig is an owner whose machines are full, with thousands of tasks waiting.
+// newFullFleetRig returns the rig of an owner whose machines are full, with thousands of
+// tasks waiting.
 func newFullFleetRig(machines int) *rig {
 	r := newRig(nil)
 	r.roundBudget = time.Hour
@@ -289,8 +295,8 @@
 	return r
 }
 
-// BenchmarkFullFleetRound is a whole round with everything full and thousands of
-// tasks waiting.
+// BenchmarkFullFleetRound measures a whole placement round on full machines with thousands
+// of tasks waiting.
 func BenchmarkFullFleetRound(b *testing.B) {
 	r := newFullFleetRig(1000)
 	b.ReportAllocs()
@@ -300,10 +306,11 @@
 	}
 }
 
-// An owner that loses all its machines at once returns none of them, though at
-// first most were heard not long ago and nobody answers: it is the owner that
-// is cut off. Once a fair share was heard elsewhere it says so, long before
-// their leases end.
+// An owner that loses contact with all its machines at once terminates none of them: the
+// owner is assumed to be partitioned. This holds also in the first seconds, when the last
+// heartbeats of most machines are recent but no machine answers probes. Once other
+// controllers have received heartbeats of a sufficient share of the machines, the owner
+// reports that it is isolated, long before the machines' leases expire.
 func TestIsolatedOwnerTerminatesNone(t *testing.T) {
 	r := newRig(nil)
 	const n = 100
@@ -345,12 +352,13 @@
 	}
 	r.ApplyMisroutedHeartbeats(r.now, seen, true)
 	if isolated, misrouted := r.IsIsolated(r.now); !isolated || !misrouted {
-		t.Fatalf("isolated %v, misrouted %v: the owner does not see that it is isolated", isolated, misrouted)
+		t.Fatalf("isolated %v, misrouted %v: the owner does not detect that it is isolated", isolated, misrouted)
 	}
 }
 
-// newSteadyFleetRig is an owner of a lean deployment's third of the machines with everything
-// placed and shown, two services and two tasks of arrays on each.
+// newSteadyFleetRig returns the rig of an owner with one third of the machines of a small
+// deployment. All tasks are placed and reported as running: two tasks of a service and two
+// tasks of an array per machine.
 func newSteadyFleetRig(machines int) *rig {
 	r := newRig(nil)
 	r.bringUpFleet(machines)
@@ -369,7 +377,7 @@
 	return r
 }
 
-// heartbeatAll has every machine send a heartbeat with what it was sent as running.
+// heartbeatAll has every machine send a heartbeat that reports all its attempts as running.
 func (r *rig) heartbeatAll(seq uint64) {
 	for name, m := range r.machines {
 		rep := newHeartbeat(name, 1, seq, r.latestToken(name))
@@ -380,21 +388,22 @@
 	}
 }
 
-// stepIdleSecond plays a second in which nothing changes, at an owner's own pace.
+// stepIdleSecond simulates a second in which nothing changes, with steps at an idle owner's
+// interval. It returns the number of actions.
 func (r *rig) stepIdleSecond() (actions int) {
 	for range int(time.Second / constants.MaxOwnerStepInterval) {
 		r.now = r.now.Add(constants.MaxOwnerStepInterval)
 		actions += len(r.Step(r.now))
 		r.IsIsolated(r.now)
 	}
-	for _, m := range r.machines { // they sent heartbeats meanwhile
+	for _, m := range r.machines { // as if each had sent a heartbeat during the second
 		m.lastHeartbeat, m.leaseExpiresAt = r.now, r.now.Add(leaseEnd)
 	}
 	return actions
 }
 
-// BenchmarkSteadyFleetSteps is a second's steps at the pace of an owner whose machines
-// send heartbeats all the time, with nothing else to do.
+// BenchmarkSteadyFleetSteps measures the steps of one second, at the interval of an owner
+// whose machines send heartbeats all the time, with nothing else to do.
 func BenchmarkSteadyFleetSteps(b *testing.B) {
 	r := newSteadyFleetRig(400)
 	b.ReportAllocs()
@@ -412,8 +421,8 @@
 	}
 }
 
-// What the owner keeps of a machine is what its attempts add up to, whatever came
-// and went: rounds look at the kept sums alone.
+// The cached usage of a machine equals the sum over the machine's attempts after any sequence
+// of events. Placement rounds use only the cached usage.
 func TestCachedUsageIsCorrect(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRig(nil)
@@ -436,7 +445,7 @@
 				}
 				r.submit(j)
 				jobs++
-			case 1: // a record changes: over, or within the guarantee or not
+			case 1: // a job's record changes: the job ends, or its tasks' guarantee changes
 				if jobs == 0 {
 					continue
 				}
@@ -454,7 +463,7 @@
 				}
 				r.version++
 				r.Apply(r.now, records.Change{Key: records.KeyJob(id), Version: r.version, Record: rec})
-			case 2: // a machine shows some progress
+			case 2: // a machine reports progress of its attempts, or has restarted
 				name := fmt.Sprintf("m-%d", rapid.IntRange(0, machines-1).Draw(t, "machine"))
 				m := r.machines[name]
 				if m == nil {
@@ -485,15 +494,15 @@
 				cached.teamsBeyondGuarantee = slices.Clone(cached.teamsBeyondGuarantee)
 				m.usageStale = true
 				if got := *r.usageOf(m); fmt.Sprint(got) != fmt.Sprint(cached) {
-					t.Fatalf("%s: kept %+v, true %+v", m.name, cached, got)
+					t.Fatalf("%s: cached usage %+v, actual usage %+v", m.name, cached, got)
 				}
 			}
 		}
 	})
 }
 
-// An idle second of a lean deployment's shard costs no work to speak of: nothing is
-// sent or written, and hardly anything is allocated, whatever the fleet.
+// An idle second of a shard of a small deployment causes almost no work: nothing is sent or
+// written, and the number of allocations is small and does not grow with the fleet.
 func TestIdleSecondCostsLittle(t *testing.T) {
 	cost := func(machines int) float64 {
 		r := newSteadyFleetRig(machines)
@@ -503,7 +512,7 @@
 		acts := 0
 		n := testing.AllocsPerRun(5, func() { acts += r.stepIdleSecond() })
 		if acts > 0 {
-			t.Fatalf("%d actions in idle seconds", acts)
+			t.Fatalf("%d actions in idle seconds, want none", acts)
 		}
 		return n
 	}
@@ -514,8 +523,8 @@
 	}
 }
 
-// A round in which everything is full, with hundreds of jobs waiting, allocates by
-// the job and not by the task or the machine.
+// In a round with full machines and hundreds of jobs waiting, the number of allocations grows
+// with the jobs and not with the tasks or the machines.
 func TestFullFleetRoundAllocatesLittle(t *testing.T) {
 	r := newFullFleetRig(400)
 	n := testing.AllocsPerRun(50, func() {
@@ -528,13 +537,14 @@
 	}
 }
 
-// A machine whose done tasks wait for their assignment to be closed is sent a higher
-// token once, not with every answer: each new one makes it send a heartbeat at once.
+// A machine whose done tasks wait for their assignment to be closed is sent a higher token
+// once, and not in every answer: each new token makes the machine send a heartbeat
+// immediately.
 func TestDoneTasksRaiseTheTokenOnce(t *testing.T) {
 	r := newRig(nil)
 	r.bringUp("m-0")
 	r.submit(arrayJob("run-1", 40, "a"))
-	r.advance(20 * time.Millisecond) // four are started, by a direct command
+	r.advance(20 * time.Millisecond) // four tasks are started by a direct command
 	m := r.machines["m-0"]
 	seq, countBefore, raised := uint64(2), m.tokenCount, uint64(0)
 	for range 10 {
@@ -547,20 +557,20 @@
 			}
 		}
 		if len(rep.Tasks) != constants.ExitsBeforeTokenRaise {
-			t.Fatalf("%d tasks sent by a direct command", len(rep.Tasks))
+			t.Fatalf("%d tasks were sent by a direct command, want constants.ExitsBeforeTokenRaise", len(rep.Tasks))
 		}
 		if _, err := r.Heartbeat(r.now, rep); err != nil {
-			t.Fatal("refused")
+			t.Fatal("heartbeat refused")
 		}
 		raised = m.tokenCount - countBefore
 	}
 	if raised != 1 {
-		t.Fatalf("the token was raised %d times", raised)
+		t.Fatalf("the token was raised %d times, want once", raised)
 	}
 }
 
-// A heartbeat that changes nothing allocates nothing: an owner of a lean deployment
-// takes in a hundred of them a second.
+// Handling a heartbeat that changes nothing allocates no memory: an owner in a small
+// deployment receives a hundred of them per second.
 func TestUnchangedHeartbeatAllocatesNothing(t *testing.T) {
 	r := newSteadyFleetRig(50)
 	rep := newHeartbeat("m-00000", 1, 1000, r.latestToken("m-00000"))
@@ -568,15 +578,15 @@
 		rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskRunning})
 	}
 	if len(rep.Tasks) == 0 {
-		t.Fatal("nothing runs")
+		t.Fatal("no task runs on m-00000")
 	}
 	n := testing.AllocsPerRun(100, func() {
 		rep.Seq++
 		if _, err := r.Heartbeat(r.now, rep); err != nil {
-			t.Fatal("refused")
+			t.Fatal("heartbeat refused")
 		}
 	})
 	if n > 0 {
-		t.Fatalf("%g allocations", n)
+		t.Fatalf("%g allocations, want none", n)
 	}
 }
--- a/shard/scalein_test.go
+++ b/shard/scalein_test.go
@@ -9,7 +9,7 @@
 	"ravenport/records"
 )
 
-// terminatedMachines lists the machines that actions ask the cloud to take back.
+// terminatedMachines lists the machines that actions ask the cloud to terminate.
 func terminatedMachines(acts []Action) []string {
 	var names []string
 	for _, a := range acts {
@@ -20,7 +20,8 @@
 	return names
 }
 
-// machinesWrittenAsTerminating lists the machines that written pages name as closed.
+// machinesWrittenAsTerminating lists the machines that the inventory pages written by actions
+// mark as terminating.
 func machinesWrittenAsTerminating(t *testing.T, acts []Action) []string {
 	t.Helper()
 	var names []string
@@ -46,8 +47,9 @@
 	return names
 }
 
-// An idle machine is terminated only after the write that closes it was surely carried
-// out, however often that fails, and takes nothing from the decision on.
+// An idle machine is terminated only after the write that marks it as terminating has
+// succeeded, however often the write fails before. The machine gets no task once its
+// termination is decided.
 func TestMachineIsClosedBeforeScaleIn(t *testing.T) {
 	r := newRig(nil)
 	r.cfg.CloseBeforeScaleIn, r.cfg.SpotIdleTimeout, r.cfg.OnDemandIdleTimeout = true, 10*time.Second, 10*time.Second
@@ -60,32 +62,33 @@
 		}
 		acts := r.Step(r.now)
 		if names := terminatedMachines(acts); len(names) > 0 && closed == 0 {
-			t.Fatalf("%v terminated before any write that closes them", names)
+			t.Fatalf("%v terminated before they were durably marked as terminating", names)
 		}
 		if names := machinesWrittenAsTerminating(t, acts); len(names) > 0 {
-			if refused < 3 { // the write fails; no machine may be terminated for it
+			if refused < 3 { // the write fails, so no machine may be terminated
 				refused++
 				r.CommitResult(r.now, CommitID{kind: commitInventory}, 0)
 				continue
 			}
 			closed = len(names)
 			r.commitAll(acts)
-			r.submit(arrayJob("run-1", 8, "a")) // comes now, and finds no machine that may take it
+			r.submit(arrayJob("run-1", 8, "a")) // no machine may take the tasks of a job that arrives now
 		}
 		for _, m := range r.machines {
 			if m.closure.decided && len(m.attempts) > 0 {
-				t.Fatalf("%s is closed and takes a task", m.name)
+				t.Fatalf("%s got a task after its termination was decided", m.name)
 			}
 		}
 	}
 	if refused < 3 || closed == 0 {
-		t.Errorf("%d writes refused, %d machines closed", refused, closed)
+		t.Errorf("%d writes refused, want 3; %d machines closed, want some", refused, closed)
 	}
 }
 
-// The next owner reads that a machine is closed, places nothing on it though it has
-// room and reports in good health, and asks for its return itself, whether or not it
-// closes machines by its own settings.
+// A new owner that reads that a machine is marked as terminating places no tasks on the
+// machine, although the machine has free capacity and sends heartbeats. The new owner
+// requests the termination from the cloud itself, whether or not Config.CloseBeforeScaleIn
+// is set for it.
 func TestNextOwnerKeepsClosedMachinesClosed(t *testing.T) {
 	for _, closeFirst := range []bool{true, false} {
 		r := newRig(nil, records.Machine{Name: "m-1", Type: "box", Addr: "m-1", Terminating: true}, records.Machine{Name: "m-2", Type: "box", Addr: "m-2"})
@@ -104,13 +107,13 @@
 			r.commitAll(acts)
 		}
 		if !slices.Contains(asked, "m-1") || slices.Contains(asked, "m-2") {
-			t.Errorf("by its settings %v it terminated %v", closeFirst, asked)
+			t.Errorf("CloseBeforeScaleIn %v: the owner terminated %v, want m-1 and not m-2", closeFirst, asked)
 		}
 		if n := len(r.machines["m-1"].attempts); n > 0 {
-			t.Errorf("%d tasks on a closed machine", n)
+			t.Errorf("%d tasks on a machine that is marked as terminating", n)
 		}
 		if len(r.machines["m-2"].attempts) == 0 {
-			t.Error("nothing runs on the other one")
+			t.Error("no task was placed on m-2")
 		}
 	}
 }
--- a/shard/scaleout.go
+++ b/shard/scaleout.go
@@ -80,11 +80,11 @@
 // jobScaleOut is the scale-out for one job's tasks in one round.
 type jobScaleOut struct {
 	job        *job
-	demand     resources       // of one task
-	offer      machineOffer    // of the cheapest machine for a task
+	demand     resources       // demand of one task
+	offer      machineOffer    // offer of the cheapest machine for a task
 	lastAdded  *pendingMachine // the machine that was added last; nil: none
-	mayOffload bool            // tasks go together, and not over and over
-	offloaded  int
+	mayOffload bool            // limits the job to one batch of offloaded tasks per constants.OffloadWait
+	offloaded  int             // tasks of the job that were offloaded in this round
 }
 
 // scaleOutForJob adds machines for tasks of a job that fit on no pending machine, or
--- a/shard/scaleoutgang.go
+++ b/shard/scaleoutgang.go
@@ -39,8 +39,8 @@
 	c.excessCPUs += demand.cpus * float64(remaining)
 }
 
-// takePendingCapacityForGang places tasks of a gang on pending machines, in their order, and
-// returns how many do not fit.
+// takePendingCapacityForGang takes capacity of pending machines, in the order of the list,
+// for the tasks of a gang, and returns how many tasks do not fit.
 func (c *scaleOutState) takePendingCapacityForGang(s *wire.Submission, tasks int) int {
 	n := taskResources(s)
 	remaining := tasks
