--- a/shard/scalein.go
+++ b/shard/scalein.go
@@ -151,7 +151,7 @@
 
 // isIdle reports whether a machine is to be terminated as idle: it has been idle for longer
 // than the settings allow, or it is being consolidated and has become idle. It returns false
-// while the shard is partitioned.
+// for machines that are reserved for gangs, and while the shard is partitioned.
 func (c *Core) isIdle(now time.Time, m *machine) bool {
 	if c.partitioned || m.reservedForGangs || !m.up || m.idleSince.IsZero() {
 		return false
--- a/shard/scaleout.go
+++ b/shard/scaleout.go
@@ -84,7 +84,7 @@
 	offer      machineOffer    // offer of the cheapest machine for a task
 	lastAdded  *pendingMachine // the machine that was added last; nil: none
 	mayOffload bool            // limits the job to one batch of offloaded tasks per constants.OffloadWait
-	offloaded  int             // tasks of the job that were offloaded in this round
+	offloaded  int             // tasks of the job that were offloaded in this round, without overdue tasks
 }
 
 // scaleOutForJob adds machines for tasks of a job that fit on no pending machine, or
--- a/shard/usage.go
+++ b/shard/usage.go
@@ -9,7 +9,7 @@
 
 // machineUsage sums up the resources and properties of a machine's attempts.
 type machineUsage struct {
-	used            resources // excludes attempts that stop instantly: the worker carries out a stop and a start in one list of commands in order
+	used            resources // excludes attempts that are stopping instantly: the worker carries out a stop and a start in one list of commands in order
 	active          int       // attempts that have not exited
 	services        int
 	preemptibleCPUs float64 // CPUs that production work may preempt without waiting for a checkpoint
