--- a/shard/scale_test.go
+++ b/shard/scale_test.go
@@ -235,16 +235,16 @@
 		r.now = r.now.Add(time.Second)
 		for i := 1; i < 4; i++ {
 			name := fmt.Sprintf("m-%d", i)
-			rep := newHeartbeat(name, 1, seq, r.latestToken(name))
-			rep.Spot = true // idle on-demand machines would be terminated
-			r.Heartbeat(r.now, rep)
+			heartbeat := newHeartbeat(name, 1, seq, r.latestToken(name))
+			heartbeat.Spot = true // idle on-demand machines would be terminated
+			r.Heartbeat(r.now, heartbeat)
 		}
 		for _, a := range r.Step(r.now) {
 			switch a := a.(type) {
 			case SendCommands:
-				rep := newHeartbeat(a.Machine, 1, seq, r.latestToken(a.Machine))
-				rep.Spot = true
-				r.CommandResult(r.now, a.Machine, rep)
+				heartbeat := newHeartbeat(a.Machine, 1, seq, r.latestToken(a.Machine))
+				heartbeat.Spot = true
+				r.CommandResult(r.now, a.Machine, heartbeat)
 			case ScaleIn:
 				for _, n := range a.Names {
 					terminated[n] = true
@@ -267,14 +267,14 @@
 	for range 50 {
 		r.advance(20 * time.Millisecond)
 	}
-	rep := newHeartbeat("m-00000", 1, 3, r.latestToken("m-00000"))
+	heartbeat := newHeartbeat("m-00000", 1, 3, r.latestToken("m-00000"))
 	for _, a := range r.machines["m-00000"].attempts {
-		rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskRunning})
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskRunning})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		rep.Seq++
-		r.Heartbeat(r.now, rep)
+		heartbeat.Seq++
+		r.Heartbeat(r.now, heartbeat)
 	}
 }
 
@@ -327,9 +327,9 @@
 				if i%30 == turn%30 && reporting(i) {
 					name := fmt.Sprintf("m-%05d", i)
 					seq[i]++
-					rep := newHeartbeat(name, 1, 2+seq[i], r.latestToken(name))
-					rep.Spot = true
-					r.Heartbeat(r.now, rep)
+					heartbeat := newHeartbeat(name, 1, 2+seq[i], r.latestToken(name))
+					heartbeat.Spot = true
+					r.Heartbeat(r.now, heartbeat)
 				}
 			}
 		})
@@ -380,11 +380,11 @@
 // heartbeatAll has every machine send a heartbeat that reports all its attempts as running.
 func (r *rig) heartbeatAll(seq uint64) {
 	for name, m := range r.machines {
-		rep := newHeartbeat(name, 1, seq, r.latestToken(name))
+		heartbeat := newHeartbeat(name, 1, seq, r.latestToken(name))
 		for _, a := range m.attempts {
-			rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskRunning})
+			heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskRunning})
 		}
-		r.Heartbeat(r.now, rep)
+		r.Heartbeat(r.now, heartbeat)
 	}
 }
 
@@ -474,15 +474,15 @@
 				if rapid.IntRange(0, 9).Draw(t, "ended") == 0 {
 					lastEpoch = m.epoch + 1
 				}
-				rep := newHeartbeat(name, max(lastEpoch, m.epoch), seq, r.latestToken(name))
+				heartbeat := newHeartbeat(name, max(lastEpoch, m.epoch), seq, r.latestToken(name))
 				for _, a := range m.attempts {
 					s := wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: rapid.SampledFrom([]wire.TaskState{wire.TaskFetching, wire.TaskRunning, wire.TaskExited}).Draw(t, "state")}
 					if a.hasExited() || s.State == wire.TaskExited {
 						s.State, s.Cause = wire.TaskExited, rapid.SampledFrom([]wire.ExitCause{wire.CauseDone, wire.CauseError, wire.CauseStopped}).Draw(t, "cause")
 					}
-					rep.Tasks = append(rep.Tasks, s)
+					heartbeat.Tasks = append(heartbeat.Tasks, s)
 				}
-				r.Heartbeat(r.now, rep)
+				r.Heartbeat(r.now, heartbeat)
 			default:
 				r.commitAll(r.advance(time.Duration(rapid.IntRange(20, 900).Draw(t, "ms")) * time.Millisecond))
 			}
@@ -509,10 +509,10 @@
 		for range 5 {
 			r.stepIdleSecond()
 		}
-		acts := 0
-		n := testing.AllocsPerRun(5, func() { acts += r.stepIdleSecond() })
-		if acts > 0 {
-			t.Fatalf("%d actions in idle seconds, want none", acts)
+		actions := 0
+		n := testing.AllocsPerRun(5, func() { actions += r.stepIdleSecond() })
+		if actions > 0 {
+			t.Fatalf("%d actions in idle seconds, want none", actions)
 		}
 		return n
 	}
@@ -550,16 +550,16 @@
 	for range 10 {
 		r.now = r.now.Add(500 * time.Millisecond)
 		seq++
-		rep := newHeartbeat("m-0", 1, seq, r.latestToken("m-0"))
+		heartbeat := newHeartbeat("m-0", 1, seq, r.latestToken("m-0"))
 		for _, a := range m.attempts {
 			if a.sentDirectly {
-				rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskExited, Cause: wire.CauseDone})
+				heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskExited, Cause: wire.CauseDone})
 			}
 		}
-		if len(rep.Tasks) != constants.ExitsBeforeTokenRaise {
-			t.Fatalf("%d tasks were sent by a direct command, want constants.ExitsBeforeTokenRaise", len(rep.Tasks))
+		if len(heartbeat.Tasks) != constants.ExitsBeforeTokenRaise {
+			t.Fatalf("%d tasks were sent by a direct command, want constants.ExitsBeforeTokenRaise", len(heartbeat.Tasks))
 		}
-		if _, err := r.Heartbeat(r.now, rep); err != nil {
+		if _, err := r.Heartbeat(r.now, heartbeat); err != nil {
 			t.Fatal("refused")
 		}
 		raised = m.tokenCount - countBefore
@@ -573,16 +573,16 @@
 // deployment receives a hundred of them per second.
 func TestUnchangedHeartbeatAllocatesNothing(t *testing.T) {
 	r := newSteadyFleetRig(50)
-	rep := newHeartbeat("m-00000", 1, 1000, r.latestToken("m-00000"))
+	heartbeat := newHeartbeat("m-00000", 1, 1000, r.latestToken("m-00000"))
 	for _, a := range r.machines["m-00000"].attempts {
-		rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskRunning})
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskRunning})
 	}
-	if len(rep.Tasks) == 0 {
+	if len(heartbeat.Tasks) == 0 {
 		t.Fatal("no task runs on m-00000")
 	}
 	n := testing.AllocsPerRun(100, func() {
-		rep.Seq++
-		if _, err := r.Heartbeat(r.now, rep); err != nil {
+		heartbeat.Seq++
+		if _, err := r.Heartbeat(r.now, heartbeat); err != nil {
 			t.Fatal("refused")
 		}
 	})
--- a/shard/scalein_test.go
+++ b/shard/scalein_test.go
@@ -10,9 +10,9 @@
 )
 
 // terminatedMachines lists the machines that actions ask the cloud to terminate.
-func terminatedMachines(acts []Action) []string {
+func terminatedMachines(actions []Action) []string {
 	var names []string
-	for _, a := range acts {
+	for _, a := range actions {
 		if r, ok := a.(ScaleIn); ok {
 			names = append(names, r.Names...)
 		}
@@ -22,10 +22,10 @@
 
 // machinesWrittenAsTerminating lists the machines that the inventory pages written by actions
 // mark as terminating.
-func machinesWrittenAsTerminating(t *testing.T, acts []Action) []string {
+func machinesWrittenAsTerminating(t *testing.T, actions []Action) []string {
 	t.Helper()
 	var names []string
-	for _, a := range acts {
+	for _, a := range actions {
 		cm, ok := a.(Commit)
 		if !ok {
 			continue
@@ -60,18 +60,18 @@
 		for name := range r.machines {
 			r.Heartbeat(r.now, newHeartbeat(name, 1, uint64(10+r.now.UnixMilli()), r.latestToken(name)))
 		}
-		acts := r.Step(r.now)
-		if names := terminatedMachines(acts); len(names) > 0 && closed == 0 {
+		actions := r.Step(r.now)
+		if names := terminatedMachines(actions); len(names) > 0 && closed == 0 {
 			t.Fatalf("%v terminated before they were durably marked as terminating", names)
 		}
-		if names := machinesWrittenAsTerminating(t, acts); len(names) > 0 {
+		if names := machinesWrittenAsTerminating(t, actions); len(names) > 0 {
 			if refused < 3 { // the write fails, so no machine may be terminated
 				refused++
 				r.CommitResult(r.now, CommitID{kind: commitInventory}, 0)
 				continue
 			}
 			closed = len(names)
-			r.commitAll(acts)
+			r.commitAll(actions)
 			r.submit(arrayJob("run-1", 8, "a")) // no machine may take the tasks of a job that arrives now
 		}
 		for _, m := range r.machines {
@@ -94,7 +94,7 @@
 		r := newRig(nil, records.Machine{Name: "m-1", Type: "box", Addr: "m-1", Terminating: true}, records.Machine{Name: "m-2", Type: "box", Addr: "m-2"})
 		r.cfg.CloseBeforeScaleIn = closeFirst
 		r.submit(arrayJob("run-1", 16, "a"))
-		var asked []string
+		var terminated []string
 		for i := range 40 {
 			r.now = r.now.Add(300 * time.Millisecond)
 			for _, name := range []string{"m-1", "m-2"} {
@@ -102,12 +102,12 @@
 					r.Heartbeat(r.now, newHeartbeat(name, 1, uint64(1+i), r.term<<constants.TokenCounterBits))
 				}
 			}
-			acts := r.Step(r.now)
-			asked = append(asked, terminatedMachines(acts)...)
-			r.commitAll(acts)
+			actions := r.Step(r.now)
+			terminated = append(terminated, terminatedMachines(actions)...)
+			r.commitAll(actions)
 		}
-		if !slices.Contains(asked, "m-1") || slices.Contains(asked, "m-2") {
-			t.Errorf("CloseBeforeScaleIn %v: the owner terminated %v, want m-1 and not m-2", closeFirst, asked)
+		if !slices.Contains(terminated, "m-1") || slices.Contains(terminated, "m-2") {
+			t.Errorf("CloseBeforeScaleIn %v: the owner terminated %v, want m-1 and not m-2", closeFirst, terminated)
 		}
 		if n := len(r.machines["m-1"].attempts); n > 0 {
 			t.Errorf("%d tasks on a machine that is marked as terminating", n)
