--- a/shard/aggregate.go
+++ b/shard/aggregate.go
@@ -7,23 +7,24 @@
 	"ravenport/leader"
 )
 
-// aggregates owns the aggregates that other shards push, and whether this shard's own has
-// changed since it was last pushed.
+// aggregates holds the last aggregates of other shards, and whether this shard's aggregate
+// has changed since it was last pushed.
 type aggregates struct {
 	otherShards      map[string]otherShard // by shard
 	aggregateChanged bool
 }
 
-// otherShard is the last aggregate of another shard.
+// otherShard is the last aggregate that was received of another shard.
 type otherShard struct {
 	aggregate  leader.Aggregate
 	receivedAt time.Time
 }
 
-// Aggregate is what the owner pushes to the leader: the free resources of the schedulable
-// machines and, less what already waits for it, the capacity of those that are booting.
+// Aggregate returns the aggregate that the owner pushes to the leader. The free resources in
+// it are those of the schedulable machines, and the capacity of pending machines that waiting
+// tasks do not need.
 func (c *Core) Aggregate(now time.Time, revision uint64) leader.Aggregate {
-	a := leader.Aggregate{
+	aggregate := leader.Aggregate{
 		Shard:               c.cfg.Shard,
 		Term:                c.term,
 		Revision:            revision,
@@ -33,9 +34,9 @@
 		CanScaleOutSpot:     c.cfg.UseSpot && c.canScaleOut(&c.fleetView, now, true),
 	}
 	add := func(free resources, spot bool) {
-		r := &a.OnDemand
+		r := &aggregate.OnDemand
 		if spot {
-			r = &a.Spot
+			r = &aggregate.Spot
 		}
 		r.Machines++
 		r.CPUs.Add(free.cpus)
@@ -45,37 +46,37 @@
 	for _, m := range c.fleet {
 		if !c.isSchedulable(now, m) {
 			if c.isPendingMachine(now, m) {
-				a.Capacity += m.capacity.cpus
+				aggregate.Capacity += m.capacity.cpus
 			}
 			continue
 		}
-		a.Capacity += m.capacity.cpus
+		aggregate.Capacity += m.capacity.cpus
 		add(c.freeResources(m), m.spot)
 		if m.spot {
 			continue
 		}
-		a.Preemptible += c.usageOf(m).preemptibleCPUs
+		aggregate.Preemptible += c.usageOf(m).preemptibleCPUs
 		available := c.productionCPUs(m)
 		for image := range m.cachedImages {
-			a.Warm[image] += available
+			aggregate.Warm[image] += available
 		}
 	}
-	a.Gangs = c.gangCapacities(&c.fleetView, now)
-	a.ReservedForGangs = c.gangReserveCPUs
+	aggregate.Gangs = c.gangCapacities(&c.fleetView, now)
+	aggregate.ReservedForGangs = c.gangReserveCPUs
 	for _, pending := range c.pendingCapacity {
 		add(pending.free, pending.spot)
 	}
 	for _, r := range c.pendingScaleOuts {
 		if t := c.types[r.request.Type]; t != nil {
-			a.Capacity += t.CPUs * float64(r.request.Count)
+			aggregate.Capacity += t.CPUs * float64(r.request.Count)
 		}
 	}
-	for _, r := range []*leader.FreeCapacity{&a.OnDemand, &a.Spot} {
+	for _, r := range []*leader.FreeCapacity{&aggregate.OnDemand, &aggregate.Spot} {
 		r.CPUs.Finish(r.Machines)
 		r.GPUs.Finish(r.Machines)
 		r.Memory.Finish(r.Machines)
 	}
-	return a
+	return aggregate
 }
 
 // PushDue reports whether the aggregate has changed since the last call.
@@ -85,14 +86,14 @@
 	return due
 }
 
-// PushInterval is the least time between two pushes of a shard of this size.
+// PushInterval returns the minimum interval between two pushes for a shard of this size.
 func (k *knownState) PushInterval() time.Duration {
 	return constants.MinPushInterval + time.Duration(len(k.fleet))*constants.PushIntervalPerMachine
 }
 
-// ApplyOtherShards stores the aggregates that other shards push. Tasks that wait for
-// machines that the cloud does not have are offloaded to the leader only when another shard
-// has capacity for them.
+// ApplyOtherShards stores the aggregates of other shards. They decide on offloading: tasks
+// that wait for machines that the cloud does not have are offloaded to the leader only if
+// another shard has capacity for them.
 func (c *Core) ApplyOtherShards(now time.Time, list []leader.Aggregate) {
 	for _, a := range list {
 		if a.Shard != c.cfg.Shard {
--- a/shard/core_test.go
+++ b/shard/core_test.go
@@ -533,7 +533,7 @@
 // terminated for heartbeats that the owner could not have received.
 func TestPausedProcessTerminatesNoMachine(t *testing.T) {
 	r := newTestOwner(nil)
-	r.fleet(40)
+	r.bringUpFleet(40)
 	for _, m := range r.machines {
 		m.spot = true // on-demand machines would be consolidated
 	}
@@ -574,7 +574,7 @@
 // machines again.
 func TestPartitionedShardOrTerminatedMachines(t *testing.T) {
 	r := newTestOwner(nil)
-	r.fleet(5)
+	r.bringUpFleet(5)
 	var list []wire.CloudMachine
 	for _, m := range r.machines {
 		m.spot = true
--- a/shard/directcommands_test.go
+++ b/shard/directcommands_test.go
@@ -125,7 +125,7 @@
 func TestProbesPerStepAreBounded(t *testing.T) {
 	r := newTestOwner(nil)
 	const machines = 3 * constants.MaxProbesPerStep
-	r.fleet(machines)
+	r.bringUpFleet(machines)
 	r.Step(r.now)
 	probed := 0
 	for end := r.now.Add(2 * r.cfg.HeartbeatPeriod); probed == 0 && r.now.Before(end); {
--- a/shard/failureproof_test.go
+++ b/shard/failureproof_test.go
@@ -91,7 +91,7 @@
 	const machines = 20
 	if !inherited {
 		f := &probedFleet{testOwner: newTestOwner(nil), unreachable: "m-00000", seq: 100}
-		f.fleet(machines)
+		f.bringUpFleet(machines)
 		for _, m := range f.machines {
 			m.spot = true
 			m.lastHeartbeat = f.now
--- a/shard/scale_test.go
+++ b/shard/scale_test.go
@@ -13,8 +13,9 @@
 	"ravenport/wire"
 )
 
-// fleet brings many machines up at once, verified and in the inventory.
-func (r *testOwner) fleet(n int) {
+// bringUpFleet brings up n machines that are schedulable: each has confirmed the owner's
+// term and is in the durable inventory.
+func (r *testOwner) bringUpFleet(n int) {
 	for i := range n {
 		r.Heartbeat(r.now, newHeartbeat(fmt.Sprintf("m-%05d", i), 1, 1, 0))
 	}
@@ -28,13 +29,13 @@
 	}
 	for name, m := range r.machines {
 		if !m.durable || !r.isSchedulable(r.now, m) {
-			panic(name + " is not usable")
+			panic(name + " is not schedulable")
 		}
 	}
 }
 
-// The inventory takes changes by the page, not by the machine, and every machine is
-// durable before its first start.
+// The inventory is written by page and not by machine, so that many new machines need few
+// writes. Every machine must be durable before the first start on it.
 func TestInventoryOfManyMachinesTakesFewWrites(t *testing.T) {
 	r := newTestOwner(nil)
 	const machines = 600
@@ -47,7 +48,7 @@
 				writes += len(cm.Txn.Changes)
 				for _, ch := range cm.Txn.Changes {
 					if len(ch.Value) > r.cfg.SizeLimits.Next {
-						t.Fatalf("a page of %d bytes", len(ch.Value))
+						t.Fatalf("page of %d bytes exceeds the size limit", len(ch.Value))
 					}
 				}
 				r.commitAll([]Action{cm})
@@ -64,18 +65,18 @@
 		}
 	}
 	if stored != machines {
-		t.Fatalf("%d of %d machines durable", stored, machines)
+		t.Fatalf("%d of %d machines are durable", stored, machines)
 	}
 	if writes > machines/4 {
-		t.Fatalf("%d changes for %d machines", writes, machines)
+		t.Fatalf("%d changes were written for %d machines, want at most a quarter", writes, machines)
 	}
 }
 
-// What a heartbeat that changes nothing costs does not grow with the fleet.
-func TestQuietHeartbeatCostsTheSameInAnyFleet(t *testing.T) {
+// The cost of handling a heartbeat that changes nothing does not grow with the fleet.
+func TestUnchangedHeartbeatCostIsIndependentOfFleetSize(t *testing.T) {
 	cost := func(machines int) float64 {
 		r := newTestOwner(nil)
-		r.fleet(machines)
+		r.bringUpFleet(machines)
 		r.submit(arrayJob("run-1", 4*machines-8, "a"))
 		for range 30 {
 			r.advance(20 * time.Millisecond)
@@ -86,7 +87,7 @@
 			tasks = append(tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskRunning})
 		}
 		if len(tasks) != 4 {
-			t.Fatalf("%d tasks on a machine", len(tasks))
+			t.Fatalf("%d tasks on m-00000, want 4", len(tasks))
 		}
 		return testing.AllocsPerRun(50, func() {
 			seq++
@@ -97,13 +98,14 @@
 	}
 	small, large := cost(20), cost(2000)
 	if large > small+1 {
-		t.Fatalf("%g allocations a heartbeat in a fleet of 2000, %g in one of 20", large, small)
+		t.Fatalf("%g allocations per heartbeat in a fleet of 2000 machines, %g in a fleet of 20", large, small)
 	}
 }
 
-// A round that is cut off goes on after the job where it stopped, whatever comes
-// and goes: with time for one job a round, every job's turn comes.
-func TestCutOffRoundsSkipNobody(t *testing.T) {
+// A placement round that exceeds its time budget continues in the next round after the job
+// at which it stopped, also while jobs arrive and leave. With time for one job per round,
+// every job is considered.
+func TestInterruptedRoundsReachAllJobs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newTestOwner(nil)
 		for i := range 30 {
@@ -111,30 +113,32 @@
 		}
 		r.roundBudget = 0
 		n := rapid.IntRange(2, 40).Draw(t, "jobs")
-		came, stuck := 0, 0
+		submitted, unplaceable := 0, 0
 		rounds := 0
-		for ; came < n || len(r.waiting) > stuck || len(r.changedJobs) > 0; rounds++ {
-			if came < n && rapid.Bool().Draw(t, "comes") {
-				j := arrayJob(fmt.Sprintf("run-%d", came), 1, "a")
+		for ; submitted < n || len(r.waiting) > unplaceable || len(r.changedJobs) > 0; rounds++ {
+			if submitted < n && rapid.Bool().Draw(t, "comes") {
+				j := arrayJob(fmt.Sprintf("run-%d", submitted), 1, "a")
 				j.Spec.CPUs = 0.5
 				if rapid.IntRange(0, 3).Draw(t, "stuck") == 0 {
-					j.Spec.CPUs = 9 // no machine is that large: it waits for ever, and holds up nobody
-					stuck++
+					j.Spec.CPUs = 9 // no machine is that large: the job waits for ever, and must not delay others
+					unplaceable++
 				}
 				j.AcceptedMS = r.now.UnixMilli() - int64(rapid.IntRange(0, 90).Draw(t, "age"))*1000
 				r.submit(j)
-				came++
+				submitted++
 			}
 			r.advance(20 * time.Millisecond)
 			if rounds > 8*n+20 {
-				t.Fatalf("%d jobs wait after %d rounds", len(r.waiting), rounds)
+				t.Fatalf("%d jobs still wait after %d rounds", len(r.waiting), rounds)
 			}
 		}
 	})
 }
 
-// After a failover with many machines, those that are unreachable delay no other: all
-// others are probed, or have sent heartbeats, within seconds.
+// After a failover in a shard with many machines, unreachable machines do not delay the
+// recovery of others: all reachable machines are probed, or have sent heartbeats, within
+// seconds. The shard is rebuilt only after the unreachable machines have been terminated,
+// because they may still run its tasks.
 func TestUnreachableMachinesDelayNoFailover(t *testing.T) {
 	var inventory []records.Machine
 	for i := range 200 {
@@ -147,20 +151,20 @@
 		name string
 		at   time.Time
 	}
-	var flying []call
+	var inFlight []call
 	terminated := 0
 	for step := range 500 {
 		for _, a := range r.advance(20 * time.Millisecond) {
 			switch a := a.(type) {
 			case SendCommands:
-				flying = append(flying, call{a.Machine, r.now})
+				inFlight = append(inFlight, call{a.Machine, r.now})
 			case ScaleIn:
 				terminated += len(a.Names)
 				r.ScaleInResult(r.now, a.Names)
 			}
 		}
-		kept := flying[:0]
-		for _, f := range flying {
+		kept := inFlight[:0]
+		for _, f := range inFlight {
 			switch {
 			case !silent(f.name):
 				r.CommandResult(r.now, f.name, newHeartbeat(f.name, 1, uint64(100+step), r.latestToken(f.name)))
@@ -170,8 +174,8 @@
 				kept = append(kept, f)
 			}
 		}
-		flying = kept
-		// The others also send heartbeats, each in its turn of the 3 s.
+		inFlight = kept
+		// The reachable machines also send heartbeats, spread over the 3 s period.
 		for i := 70 + step%150; i < 200 && step > 75; i += 150 {
 			name := fmt.Sprintf("m-%05d", i)
 			r.Heartbeat(r.now, newHeartbeat(name, 1, uint64(100+step), r.latestToken(name)))
@@ -183,7 +187,7 @@
 			}
 		}
 		if back == 130 && r.now.Sub(r.acquiredAt) > constants.FailoverProbeDelay+2*time.Second && step < 300 && terminated == 0 && r.rebuilt {
-			t.Fatal("rebuilt while unreachable machines may run its tasks")
+			t.Fatal("shard was rebuilt while unreachable machines may run its tasks")
 		}
 	}
 	if !r.rebuilt || terminated != 70 {
@@ -191,8 +195,9 @@
 	}
 }
 
-// A machine that is heard but does not show what it is sent gets nothing and is
-// given up; one whose answer was lost once shows the next token and goes on.
+// A machine that sends heartbeats without the latest token becomes unconfirmed and gets no
+// tasks. Repeating the old token does not confirm the machine; a heartbeat with the next
+// token does, so that a machine of which one answer was lost becomes schedulable again.
 func TestConfirmationNeedsANewToken(t *testing.T) {
 	r := newTestOwner(nil)
 	for i := range 4 {
@@ -204,22 +209,22 @@
 	}
 	m := r.machines["m-0"]
 	stale := r.latestToken("m-0")
-	r.Heartbeat(r.now, newHeartbeat("m-0", 1, 6, stale)) // it has sent heartbeats to others since
+	r.Heartbeat(r.now, newHeartbeat("m-0", 1, 6, stale)) // the gap in sequence numbers shows heartbeats to other controllers
 	if !m.isUnconfirmed() || r.isSchedulable(r.now, m) {
-		t.Fatal("it stays trusted though it did not stay")
+		t.Fatal("the machine is still confirmed and schedulable after it sent heartbeats to other controllers")
 	}
 	r.Heartbeat(r.now, newHeartbeat("m-0", 1, 7, stale))
 	if !m.isUnconfirmed() {
-		t.Fatal("an old token ended the doubt")
+		t.Fatal("an old token confirmed the machine")
 	}
 	r.Heartbeat(r.now, newHeartbeat("m-0", 1, 8, r.latestToken("m-0")))
 	if m.isUnconfirmed() || !r.isSchedulable(r.now, m) {
-		t.Fatal("the new token did not end the doubt")
+		t.Fatal("the new token did not confirm the machine")
 	}
 }
 
-// The lease of a machine that answers commands but sends no heartbeats expires all the same:
-// it is terminated, while the others send heartbeats.
+// A machine that answers commands but sends no heartbeats is terminated while the other
+// machines send heartbeats: only heartbeats renew a machine's lease, so the lease expires.
 func TestMachineWithoutHeartbeatsIsTerminated(t *testing.T) {
 	r := newTestOwner(nil)
 	for i := range 4 {
@@ -230,16 +235,16 @@
 		r.now = r.now.Add(time.Second)
 		for i := 1; i < 4; i++ {
 			name := fmt.Sprintf("m-%d", i)
-			rep := newHeartbeat(name, 1, seq, r.latestToken(name))
-			rep.Spot = true // idle on-demand ones would be terminated
-			r.Heartbeat(r.now, rep)
+			heartbeat := newHeartbeat(name, 1, seq, r.latestToken(name))
+			heartbeat.Spot = true // idle on-demand machines would be terminated
+			r.Heartbeat(r.now, heartbeat)
 		}
 		for _, a := range r.Step(r.now) {
 			switch a := a.(type) {
 			case SendCommands:
-				rep := newHeartbeat(a.Machine, 1, seq, r.latestToken(a.Machine))
-				rep.Spot = true
-				r.CommandResult(r.now, a.Machine, rep)
+				heartbeat := newHeartbeat(a.Machine, 1, seq, r.latestToken(a.Machine))
+				heartbeat.Spot = true
+				r.CommandResult(r.now, a.Machine, heartbeat)
 			case ScaleIn:
 				for _, n := range a.Names {
 					terminated[n] = true
@@ -247,37 +252,38 @@
 			}
 		}
 		if r.now.Sub(r.acquiredAt) < 8*time.Second && terminated["m-0"] {
-			t.Fatal("given up at once")
+			t.Fatal("m-0 was terminated too early")
 		}
 	}
 	if !terminated["m-0"] || len(terminated) != 1 {
-		t.Fatalf("terminated %v, wanted m-0 alone", terminated)
+		t.Fatalf("terminated %v, want only m-0", terminated)
 	}
 }
 
-func BenchmarkQuietHeartbeat(b *testing.B) {
+func BenchmarkUnchangedHeartbeat(b *testing.B) {
 	r := newTestOwner(nil)
-	r.fleet(2000)
+	r.bringUpFleet(2000)
 	r.submit(arrayJob("run-1", 7000, "a"))
 	for range 50 {
 		r.advance(20 * time.Millisecond)
 	}
-	rep := newHeartbeat("m-00000", 1, 3, r.latestToken("m-00000"))
+	heartbeat := newHeartbeat("m-00000", 1, 3, r.latestToken("m-00000"))
 	for _, a := range r.machines["m-00000"].attempts {
-		rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskRunning})
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskRunning})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		rep.Seq++
-		r.Heartbeat(r.now, rep)
+		heartbeat.Seq++
+		r.Heartbeat(r.now, heartbeat)
 	}
 }
 
-// crowded is an owner whose machines are full, with thousands of tasks waiting.
-func crowded(machines int) *testOwner {
+// newFullFleetRig returns the rig of an owner whose machines are full, with thousands of
+// tasks waiting.
+func newFullFleetRig(machines int) *testOwner {
 	r := newTestOwner(nil)
 	r.roundBudget = time.Hour
-	r.fleet(machines)
+	r.bringUpFleet(machines)
 	for i := range 200 {
 		j := arrayJob(fmt.Sprintf("run-%d", i), 50, "a")
 		j.Spec.CPUs = 2 + float64(i%7)/8
@@ -289,10 +295,10 @@
 	return r
 }
 
-// BenchmarkCrowdedRound is a whole round with everything full and thousands of
-// tasks waiting.
-func BenchmarkCrowdedRound(b *testing.B) {
-	r := crowded(1000)
+// BenchmarkFullFleetRound measures a whole placement round on full machines with thousands
+// of tasks waiting.
+func BenchmarkFullFleetRound(b *testing.B) {
+	r := newFullFleetRig(1000)
 	b.ReportAllocs()
 	for b.Loop() {
 		r.needsPlacement = true
@@ -300,40 +306,41 @@
 	}
 }
 
-// An owner that loses all its machines at once returns none of them, though at
-// first most were heard not long ago and nobody answers: it is the owner that
-// is cut off. Once a fair share was heard elsewhere it says so, long before
-// their leases end.
+// An owner that loses contact with all its machines at once terminates none of them: the
+// owner is assumed to be partitioned. This holds also in the first seconds, when the last
+// heartbeats of most machines are recent but no machine answers probes. Once other
+// controllers have received heartbeats of a sufficient share of the machines, the owner
+// reports that it is isolated, long before the machines' leases expire.
 func TestIsolatedOwnerTerminatesNone(t *testing.T) {
 	r := newTestOwner(nil)
 	const n = 100
-	r.fleet(n)
+	r.bringUpFleet(n)
 	for _, m := range r.machines {
 		m.spot = true
 	}
 	seq := make([]uint64, n)
 	turn := 0
-	play := func(d time.Duration, reporting func(i int) bool) []string {
+	advanceFleet := func(d time.Duration, reporting func(i int) bool) []string {
 		return r.advanceUnanswered(d, func() {
 			turn++
 			for i := range n {
 				if i%30 == turn%30 && reporting(i) {
 					name := fmt.Sprintf("m-%05d", i)
 					seq[i]++
-					rep := newHeartbeat(name, 1, 2+seq[i], r.latestToken(name))
-					rep.Spot = true
-					r.Heartbeat(r.now, rep)
+					heartbeat := newHeartbeat(name, 1, 2+seq[i], r.latestToken(name))
+					heartbeat.Spot = true
+					r.Heartbeat(r.now, heartbeat)
 				}
 			}
 		})
 	}
-	if got := play(6*time.Second, func(int) bool { return true }); len(got) != 0 {
+	if got := advanceFleet(6*time.Second, func(int) bool { return true }); len(got) != 0 {
 		t.Fatalf("terminated %d healthy machines", len(got))
 	}
-	if got := play(9*time.Second, func(i int) bool { return i >= 60 }); len(got) != 60 {
+	if got := advanceFleet(9*time.Second, func(i int) bool { return i >= 60 }); len(got) != 60 {
 		t.Fatalf("terminated %d of 60 machines that failed together", len(got))
 	}
-	if got := play(8*time.Second, func(int) bool { return false }); len(got) != 0 {
+	if got := advanceFleet(8*time.Second, func(int) bool { return false }); len(got) != 0 {
 		t.Fatalf("an owner that receives no heartbeats terminated %d machines", len(got))
 	}
 	if isolated, misrouted := r.IsIsolated(r.now); !isolated || misrouted {
@@ -345,15 +352,16 @@
 	}
 	r.ApplyMisroutedHeartbeats(r.now, seen, true)
 	if isolated, misrouted := r.IsIsolated(r.now); !isolated || !misrouted {
-		t.Fatalf("isolated %v, misrouted %v: the owner does not see that it is isolated", isolated, misrouted)
+		t.Fatalf("isolated %v, misrouted %v: the owner does not detect that it is isolated", isolated, misrouted)
 	}
 }
 
-// settled is an owner of a lean deployment's third of the machines with everything
-// placed and shown, two services and two tasks of arrays on each.
-func settled(machines int) *testOwner {
+// newSteadyFleetRig returns the rig of an owner with one third of the machines of a small
+// deployment. All tasks are placed and reported as running: two tasks of a service and two
+// tasks of an array per machine.
+func newSteadyFleetRig(machines int) *testOwner {
 	r := newTestOwner(nil)
-	r.fleet(machines)
+	r.bringUpFleet(machines)
 	r.submit(arrayJob("run-1", 2*machines, "a"))
 	svc := arrayJob("run-2", 2*machines, "a")
 	svc.Spec.Kind, svc.Spec.Priority, svc.Spec.Spot = wire.KindService, wire.PriorityProduction, false
@@ -369,34 +377,35 @@
 	return r
 }
 
-// heartbeatAll has every machine send a heartbeat with what it was sent as running.
+// heartbeatAll has every machine send a heartbeat that reports all its attempts as running.
 func (r *testOwner) heartbeatAll(seq uint64) {
 	for name, m := range r.machines {
-		rep := newHeartbeat(name, 1, seq, r.latestToken(name))
+		heartbeat := newHeartbeat(name, 1, seq, r.latestToken(name))
 		for _, a := range m.attempts {
-			rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskRunning})
+			heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskRunning})
 		}
-		r.Heartbeat(r.now, rep)
+		r.Heartbeat(r.now, heartbeat)
 	}
 }
 
-// idleSecond plays a second in which nothing changes, at an owner's own pace.
-func (r *testOwner) idleSecond() (actions int) {
+// stepIdleSecond simulates a second in which nothing changes, with steps at an idle owner's
+// interval. It returns the number of actions.
+func (r *testOwner) stepIdleSecond() (actions int) {
 	for range int(time.Second / constants.MaxOwnerStepInterval) {
 		r.now = r.now.Add(constants.MaxOwnerStepInterval)
 		actions += len(r.Step(r.now))
 		r.IsIsolated(r.now)
 	}
-	for _, m := range r.machines { // they sent heartbeats meanwhile
+	for _, m := range r.machines { // as if each had sent a heartbeat during the second
 		m.lastHeartbeat, m.leaseExpiresAt = r.now, r.now.Add(leaseTimeout)
 	}
 	return actions
 }
 
-// BenchmarkSettledSteps is a second's steps at the pace of an owner whose machines
-// send heartbeats all the time, with nothing else to do.
-func BenchmarkSettledSteps(b *testing.B) {
-	r := settled(400)
+// BenchmarkSteadyFleetSteps measures the steps of one second, at the interval of an owner
+// whose machines send heartbeats all the time, with nothing else to do.
+func BenchmarkSteadyFleetSteps(b *testing.B) {
+	r := newSteadyFleetRig(400)
 	b.ReportAllocs()
 	for b.Loop() {
 		for i := range int(time.Second / constants.MinOwnerStepInterval) {
@@ -412,8 +421,8 @@
 	}
 }
 
-// What the owner keeps of a machine is what its attempts add up to, whatever came
-// and went: rounds look at the kept sums alone.
+// The cached usage of a machine equals the sum over the machine's attempts after any sequence
+// of events. Placement rounds use only the cached usage.
 func TestCachedUsageIsCorrect(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newTestOwner(nil)
@@ -436,7 +445,7 @@
 				}
 				r.submit(j)
 				jobs++
-			case 1: // a record changes: over, or within the guarantee or not
+			case 1: // a job's record changes: the job ends, or its tasks' guarantee changes
 				if jobs == 0 {
 					continue
 				}
@@ -454,7 +463,7 @@
 				}
 				r.version++
 				r.Apply(r.now, records.Change{Key: records.KeyJob(id), Version: r.version, Record: rec})
-			case 2: // a machine shows some progress
+			case 2: // a machine reports progress of its attempts, or has restarted
 				name := fmt.Sprintf("m-%d", rapid.IntRange(0, machines-1).Draw(t, "machine"))
 				m := r.machines[name]
 				if m == nil {
@@ -465,15 +474,15 @@
 				if rapid.IntRange(0, 9).Draw(t, "ended") == 0 {
 					lastEpoch = m.epoch + 1
 				}
-				rep := newHeartbeat(name, max(lastEpoch, m.epoch), seq, r.latestToken(name))
+				heartbeat := newHeartbeat(name, max(lastEpoch, m.epoch), seq, r.latestToken(name))
 				for _, a := range m.attempts {
 					s := wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: rapid.SampledFrom([]wire.TaskState{wire.TaskFetching, wire.TaskRunning, wire.TaskExited}).Draw(t, "state")}
 					if a.hasExited() || s.State == wire.TaskExited {
 						s.State, s.Cause = wire.TaskExited, rapid.SampledFrom([]wire.ExitCause{wire.CauseDone, wire.CauseError, wire.CauseStopped}).Draw(t, "cause")
 					}
-					rep.Tasks = append(rep.Tasks, s)
+					heartbeat.Tasks = append(heartbeat.Tasks, s)
 				}
-				r.Heartbeat(r.now, rep)
+				r.Heartbeat(r.now, heartbeat)
 			default:
 				r.commitAll(r.advance(time.Duration(rapid.IntRange(20, 900).Draw(t, "ms")) * time.Millisecond))
 			}
@@ -481,29 +490,29 @@
 				if m.usageStale {
 					continue
 				}
-				kept := m.usage
-				kept.teamsBeyondGuarantee = slices.Clone(kept.teamsBeyondGuarantee)
+				cached := m.usage
+				cached.teamsBeyondGuarantee = slices.Clone(cached.teamsBeyondGuarantee)
 				m.usageStale = true
-				if got := *r.usageOf(m); fmt.Sprint(got) != fmt.Sprint(kept) {
-					t.Fatalf("%s: kept %+v, true %+v", m.name, kept, got)
+				if got := *r.usageOf(m); fmt.Sprint(got) != fmt.Sprint(cached) {
+					t.Fatalf("%s: cached usage %+v, actual usage %+v", m.name, cached, got)
 				}
 			}
 		}
 	})
 }
 
-// An idle second of a lean deployment's shard costs no work to speak of: nothing is
-// sent or written, and hardly anything is allocated, whatever the fleet.
+// An idle second of a shard of a small deployment causes almost no work: nothing is sent or
+// written, and the number of allocations is small and does not grow with the fleet.
 func TestIdleSecondCostsLittle(t *testing.T) {
 	cost := func(machines int) float64 {
-		r := settled(machines)
+		r := newSteadyFleetRig(machines)
 		for range 5 {
-			r.idleSecond()
+			r.stepIdleSecond()
 		}
-		acts := 0
-		n := testing.AllocsPerRun(5, func() { acts += r.idleSecond() })
-		if acts > 0 {
-			t.Fatalf("%d actions in idle seconds", acts)
+		actions := 0
+		n := testing.AllocsPerRun(5, func() { actions += r.stepIdleSecond() })
+		if actions > 0 {
+			t.Fatalf("%d actions in idle seconds, want none", actions)
 		}
 		return n
 	}
@@ -514,10 +523,10 @@
 	}
 }
 
-// A round in which everything is full, with hundreds of jobs waiting, allocates by
-// the job and not by the task or the machine.
-func TestCrowdedRoundAllocatesLittle(t *testing.T) {
-	r := crowded(400)
+// In a round with full machines and hundreds of jobs waiting, the number of allocations grows
+// with the jobs and not with the tasks or the machines.
+func TestFullFleetRoundAllocatesLittle(t *testing.T) {
+	r := newFullFleetRig(400)
 	n := testing.AllocsPerRun(50, func() {
 		r.needsPlacement = true
 		r.advance(20 * time.Millisecond)
@@ -528,55 +537,56 @@
 	}
 }
 
-// A machine whose done tasks wait for their assignment to be closed is sent a higher
-// token once, not with every answer: each new one makes it send a heartbeat at once.
+// A machine whose done tasks wait for their assignment to be closed is sent a higher token
+// once, and not in every answer: each new token makes the machine send a heartbeat
+// immediately.
 func TestDoneTasksRaiseTheTokenOnce(t *testing.T) {
 	r := newTestOwner(nil)
 	r.bringUp("m-0")
 	r.submit(arrayJob("run-1", 40, "a"))
-	r.advance(20 * time.Millisecond) // four are started, by a direct command
+	r.advance(20 * time.Millisecond) // four tasks are started by a direct command
 	m := r.machines["m-0"]
-	seq, was, raised := uint64(2), m.tokenCount, uint64(0)
+	seq, countBefore, raised := uint64(2), m.tokenCount, uint64(0)
 	for range 10 {
 		r.now = r.now.Add(500 * time.Millisecond)
 		seq++
-		rep := newHeartbeat("m-0", 1, seq, r.latestToken("m-0"))
+		heartbeat := newHeartbeat("m-0", 1, seq, r.latestToken("m-0"))
 		for _, a := range m.attempts {
 			if a.sentDirectly {
-				rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskExited, Cause: wire.CauseDone})
+				heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskExited, Cause: wire.CauseDone})
 			}
 		}
-		if len(rep.Tasks) != constants.ExitsBeforeTokenRaise {
-			t.Fatalf("%d tasks sent by a direct command", len(rep.Tasks))
+		if len(heartbeat.Tasks) != constants.ExitsBeforeTokenRaise {
+			t.Fatalf("%d tasks were sent by a direct command, want constants.ExitsBeforeTokenRaise", len(heartbeat.Tasks))
 		}
-		if _, err := r.Heartbeat(r.now, rep); err != nil {
+		if _, err := r.Heartbeat(r.now, heartbeat); err != nil {
 			t.Fatal("refused")
 		}
-		raised = m.tokenCount - was
+		raised = m.tokenCount - countBefore
 	}
 	if raised != 1 {
-		t.Fatalf("the token was raised %d times", raised)
+		t.Fatalf("the token was raised %d times, want once", raised)
 	}
 }
 
-// A heartbeat that changes nothing allocates nothing: an owner of a lean deployment
-// takes in a hundred of them a second.
-func TestQuietHeartbeatAllocatesNothing(t *testing.T) {
-	r := settled(50)
-	rep := newHeartbeat("m-00000", 1, 1000, r.latestToken("m-00000"))
+// Handling a heartbeat that changes nothing allocates no memory: an owner in a small
+// deployment receives a hundred of them per second.
+func TestUnchangedHeartbeatAllocatesNothing(t *testing.T) {
+	r := newSteadyFleetRig(50)
+	heartbeat := newHeartbeat("m-00000", 1, 1000, r.latestToken("m-00000"))
 	for _, a := range r.machines["m-00000"].attempts {
-		rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskRunning})
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskRunning})
 	}
-	if len(rep.Tasks) == 0 {
-		t.Fatal("nothing runs")
+	if len(heartbeat.Tasks) == 0 {
+		t.Fatal("no task runs on m-00000")
 	}
 	n := testing.AllocsPerRun(100, func() {
-		rep.Seq++
-		if _, err := r.Heartbeat(r.now, rep); err != nil {
+		heartbeat.Seq++
+		if _, err := r.Heartbeat(r.now, heartbeat); err != nil {
 			t.Fatal("refused")
 		}
 	})
 	if n > 0 {
-		t.Fatalf("%g allocations", n)
+		t.Fatalf("%g allocations, want none", n)
 	}
 }
--- a/shard/scalein_test.go
+++ b/shard/scalein_test.go
@@ -9,10 +9,10 @@
 	"ravenport/records"
 )
 
-// returns lists the machines that actions ask the cloud to take back.
-func returns(acts []Action) []string {
+// terminatedMachines lists the machines that actions ask the cloud to terminate.
+func terminatedMachines(actions []Action) []string {
 	var names []string
-	for _, a := range acts {
+	for _, a := range actions {
 		if r, ok := a.(ScaleIn); ok {
 			names = append(names, r.Names...)
 		}
@@ -20,11 +20,12 @@
 	return names
 }
 
-// closes lists the machines that written pages name as closed.
-func closes(t *testing.T, acts []Action) []string {
+// machinesWrittenAsTerminating lists the machines that the inventory pages written by actions
+// mark as terminating.
+func machinesWrittenAsTerminating(t *testing.T, actions []Action) []string {
 	t.Helper()
 	var names []string
-	for _, a := range acts {
+	for _, a := range actions {
 		cm, ok := a.(Commit)
 		if !ok {
 			continue
@@ -46,52 +47,54 @@
 	return names
 }
 
-// An idle machine is terminated only after the write that closes it was surely carried
-// out, however often that fails, and takes nothing from the decision on.
+// An idle machine is terminated only after the write that marks it as terminating has
+// succeeded, however often the write fails before. The machine gets no task once its
+// termination is decided.
 func TestMachineIsClosedBeforeScaleIn(t *testing.T) {
 	r := newTestOwner(nil)
 	r.cfg.CloseBeforeScaleIn, r.cfg.SpotIdleTimeout, r.cfg.OnDemandIdleTimeout = true, 10*time.Second, 10*time.Second
-	r.fleet(3)
+	r.bringUpFleet(3)
 	closed, refused := 0, 0
 	for range 200 {
 		r.now = r.now.Add(300 * time.Millisecond)
 		for name := range r.machines {
 			r.Heartbeat(r.now, newHeartbeat(name, 1, uint64(10+r.now.UnixMilli()), r.latestToken(name)))
 		}
-		acts := r.Step(r.now)
-		if names := returns(acts); len(names) > 0 && closed == 0 {
-			t.Fatalf("%v terminated before any write that closes them", names)
+		actions := r.Step(r.now)
+		if names := terminatedMachines(actions); len(names) > 0 && closed == 0 {
+			t.Fatalf("%v terminated before they were durably marked as terminating", names)
 		}
-		if names := closes(t, acts); len(names) > 0 {
-			if refused < 3 { // the write fails; no machine may be terminated for it
+		if names := machinesWrittenAsTerminating(t, actions); len(names) > 0 {
+			if refused < 3 { // the write fails, so no machine may be terminated
 				refused++
 				r.CommitResult(r.now, CommitID{kind: commitInventory}, 0)
 				continue
 			}
 			closed = len(names)
-			r.commitAll(acts)
-			r.submit(arrayJob("run-1", 8, "a")) // comes now, and finds no machine that may take it
+			r.commitAll(actions)
+			r.submit(arrayJob("run-1", 8, "a")) // no machine may take the tasks of a job that arrives now
 		}
 		for _, m := range r.machines {
 			if m.closure.decided && len(m.attempts) > 0 {
-				t.Fatalf("%s is closed and takes a task", m.name)
+				t.Fatalf("%s got a task after its termination was decided", m.name)
 			}
 		}
 	}
 	if refused < 3 || closed == 0 {
-		t.Errorf("%d writes refused, %d machines closed", refused, closed)
+		t.Errorf("%d writes refused, want 3; %d machines closed, want some", refused, closed)
 	}
 }
 
-// The next owner reads that a machine is closed, places nothing on it though it has
-// room and reports in good health, and asks for its return itself, whether or not it
-// closes machines by its own settings.
+// A new owner that reads that a machine is marked as terminating places no tasks on the
+// machine, although the machine has free capacity and sends heartbeats. The new owner
+// requests the termination from the cloud itself, whether or not Config.CloseBeforeScaleIn
+// is set for it.
 func TestNextOwnerKeepsClosedMachinesClosed(t *testing.T) {
 	for _, closeFirst := range []bool{true, false} {
 		r := newTestOwner(nil, records.Machine{Name: "m-1", Type: "box", Addr: "m-1", Terminating: true}, records.Machine{Name: "m-2", Type: "box", Addr: "m-2"})
 		r.cfg.CloseBeforeScaleIn = closeFirst
 		r.submit(arrayJob("run-1", 16, "a"))
-		var asked []string
+		var terminated []string
 		for i := range 40 {
 			r.now = r.now.Add(300 * time.Millisecond)
 			for _, name := range []string{"m-1", "m-2"} {
@@ -99,18 +102,18 @@
 					r.Heartbeat(r.now, newHeartbeat(name, 1, uint64(1+i), r.term<<constants.TokenCounterBits))
 				}
 			}
-			acts := r.Step(r.now)
-			asked = append(asked, returns(acts)...)
-			r.commitAll(acts)
+			actions := r.Step(r.now)
+			terminated = append(terminated, terminatedMachines(actions)...)
+			r.commitAll(actions)
 		}
-		if !slices.Contains(asked, "m-1") || slices.Contains(asked, "m-2") {
-			t.Errorf("by its settings %v it terminated %v", closeFirst, asked)
+		if !slices.Contains(terminated, "m-1") || slices.Contains(terminated, "m-2") {
+			t.Errorf("CloseBeforeScaleIn %v: the owner terminated %v, want m-1 and not m-2", closeFirst, terminated)
 		}
 		if n := len(r.machines["m-1"].attempts); n > 0 {
-			t.Errorf("%d tasks on a closed machine", n)
+			t.Errorf("%d tasks on a machine that is marked as terminating", n)
 		}
 		if len(r.machines["m-2"].attempts) == 0 {
-			t.Error("nothing runs on the other one")
+			t.Error("no task was placed on m-2")
 		}
 	}
 }
