--- a/controller/commit.go
+++ b/controller/commit.go
@@ -25,8 +25,8 @@
 // is of no use.
 func (r commitResult) isInvalidRequest() bool { return errors.Is(r.err, kvstore.ErrInvalidRequest) }
 
-// write is a transaction to be committed.
-type write struct {
+// writeRequest is a transaction to be committed.
+type writeRequest struct {
 	txn         wire.Txn
 	description string // for the log
 	urgent      bool   // retried at once where a rate limit alone was in the way
@@ -34,18 +34,18 @@
 
 // commit commits a write. One without an answer is retried: its conditions make that safe.
 // One that the store found invalid is not.
-func commit(ctx context.Context, store Store, w write) commitResult {
+func commit(ctx context.Context, store Store, write writeRequest) commitResult {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	began := time.Now()
 	var revision uint64
 	commitOnce := func() error {
-		written, err := store.Commit(ctx, w.txn)
+		written, err := store.Commit(ctx, write.txn)
 		revision = written
 		return err
 	}
 	err := kvstore.Retry(ctx, func() error {
-		if !w.urgent {
+		if !write.urgent {
 			return commitOnce()
 		}
 		retry := kvstore.RateLimitRetry{
@@ -56,16 +56,16 @@
 		return retry.Do(ctx, commitOnce)
 	})
 	if err != nil {
-		w.logFailure(ctx, err)
+		write.logFailure(ctx, err)
 		return commitResult{err: err}
 	}
-	slog.Debug("write committed", "what", w.description, "took_ms", time.Since(began).Milliseconds())
+	slog.Debug("write committed", "what", write.description, "took_ms", time.Since(began).Milliseconds())
 	return commitResult{revision: revision}
 }
 
 // logFailure logs why a write failed; a failure of a context that has ended is expected,
 // and is not logged.
-func (w write) logFailure(ctx context.Context, err error) {
+func (w writeRequest) logFailure(ctx context.Context, err error) {
 	var conflict *kvstore.ConflictError
 	switch {
 	case errors.As(err, &conflict):
--- a/controller/control.go
+++ b/controller/control.go
@@ -103,7 +103,7 @@
 
 // newControlActor returns the control actor; without a monitor failure detection is off.
 func newControlActor(set *settings.Settings, dependencies Dependencies, self, apiServer, monitor *actor.Ref) *controlActor {
-	c := &controlActor{
+	control := &controlActor{
 		settings:     set,
 		dependencies: dependencies,
 		self:         self,
@@ -137,16 +137,16 @@
 		drains: newDrainRecords(),
 	}
 	period, shortened := set.Authority()
-	c.authority.period = period
+	control.authority.period = period
 	if shortened {
 		slog.Warn("authority shortened, cancel_s leaves little time after a worker's lease", "authority", period)
 	}
 	if monitor != nil {
 		// A worker that is not served comes back after it has waited for an answer.
-		window := c.misroutedWindow() + constants.ControllerSwitchTime
-		c.detection = detectionState{monitor: monitor, redirects: newRedirectTracker(window)}
+		window := control.misroutedWindow() + constants.ControllerSwitchTime
+		control.detection = detectionState{monitor: monitor, redirects: newRedirectTracker(window)}
 	}
-	return c
+	return control
 }
 
 // newMember returns the membership core of this controller.
@@ -184,12 +184,12 @@
 	case shardForecasts:
 		c.handleForecasts(m)
 	default:
-		c.receiveByConcern(ctx, now, msg)
+		c.dispatchMessage(ctx, now, msg)
 	}
 }
 
-// receiveByConcern offers a message to each concern until one handles it.
-func (c *controlActor) receiveByConcern(ctx context.Context, now time.Time, msg any) {
+// dispatchMessage offers a message to each concern until one handles it.
+func (c *controlActor) dispatchMessage(ctx context.Context, now time.Time, msg any) {
 	switch {
 	case c.receivePeerMessage(now, msg):
 	case c.receiveLeaseMessage(now, msg):
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -39,7 +39,7 @@
 // Start starts a controller's actors; they run until ctx ends. The error is that of an
 // invalid configuration of failure detection.
 func Start(ctx context.Context, set *settings.Settings, dependencies Dependencies) (*Controller, error) {
-	c := &Controller{
+	controller := &Controller{
 		name:         set.Controller,
 		store:        dependencies.Store,
 		control:      actor.NewRef(),
@@ -48,30 +48,30 @@
 		failures:     make(chan error, 1),
 	}
 	if set.Detection != nil {
-		if err := c.startMonitor(ctx, set, dependencies); err != nil {
+		if err := controller.startMonitor(ctx, set, dependencies); err != nil {
 			return nil, err
 		}
 	}
 	if set.Draining != nil {
-		c.drainService = &drainService{
+		controller.drainService = &drainService{
 			name:        set.Controller,
-			control:     c.control,
+			control:     controller.control,
 			store:       dependencies.Store,
 			cloud:       dependencies.Cloud,
 			peers:       dependencies.Drains,
 			stableAfter: set.Draining.Policy.StableAfter,
 		}
 	}
-	control := newControlActor(set, dependencies, c.control, c.apiServer, c.monitor)
-	feed := kvstore.NewFeed(dependencies.Store, set.WatchInterval(), func(update records.Update) { c.control.Tell(update) })
-	go c.apiServer.Run(ctx, apiserver.New(set, dependencies.Store, c.apiServer, c.control))
-	go c.control.Run(ctx, control)
+	control := newControlActor(set, dependencies, controller.control, controller.apiServer, controller.monitor)
+	feed := kvstore.NewFeed(dependencies.Store, set.WatchInterval(), func(update records.Update) { controller.control.Tell(update) })
+	go controller.apiServer.Run(ctx, apiserver.New(set, dependencies.Store, controller.apiServer, controller.control))
+	go controller.control.Run(ctx, control)
 	go feed.Run(ctx)
 	go runEvery(ctx, constants.MembershipTickInterval, func(now time.Time) {
-		c.control.Tell(controlTick(now))
-		c.apiServer.Tell(apiserver.Tick(now))
+		controller.control.Tell(controlTick(now))
+		controller.apiServer.Tell(apiserver.Tick(now))
 	})
-	return c, nil
+	return controller, nil
 }
 
 // startMonitor starts failure detection.
--- a/controller/dependencies.go
+++ b/controller/dependencies.go
@@ -85,6 +85,6 @@
 	Drains   map[string]DrainPeer
 	// History stores the membership events of failure detection; nil: nothing does.
 	History History
-	// drainingGuards lets a test take away what budgets rest on.
-	drainingGuards func(*shard.DrainingConfig)
+	// overrideDraining lets a test take away what budgets rest on.
+	overrideDraining func(*shard.DrainingConfig)
 }
--- a/controller/detection.go
+++ b/controller/detection.go
@@ -23,7 +23,7 @@
 func (c *controlActor) receiveDetectionMessage(ctx context.Context, now time.Time, msg any) {
 	switch m := msg.(type) {
 	case []detector.RevocationProposal:
-		c.revokeFailed(ctx, now, m)
+		c.revokeFailedController(ctx, now, m)
 	case revocationDone:
 		c.handleRevocationDone(m)
 	case membershipView:
@@ -41,7 +41,7 @@
 	view := clusterView{
 		incarnation:  c.lease.incarnation,
 		incarnations: map[string]uint64{},
-		unserved:     c.unservedBy(now),
+		unserved:     c.controllersWithUnservedWorkers(now),
 		actors:       map[string]*actor.Ref{"control": c.self, "api server": c.apiServer},
 		feed:         watchdog.Sample{Name: "feed", Handled: c.feed.revision, Pending: c.overdueReads(now)},
 	}
--- a/controller/drain_records.go
+++ b/controller/drain_records.go
@@ -46,8 +46,8 @@
 		Budgets: c.settings.Draining.Budgets,
 		Policy:  c.settings.Draining.Policy,
 	}
-	if c.dependencies.drainingGuards != nil {
-		c.dependencies.drainingGuards(&config)
+	if c.dependencies.overrideDraining != nil {
+		c.dependencies.overrideDraining(&config)
 	}
 	return config
 }
--- a/controller/health.go
+++ b/controller/health.go
@@ -17,7 +17,7 @@
 // healthy: it answers at once with a time to retry after, and serves as soon as the
 // store returns.
 func (c *controlActor) answerHealth(now time.Time, m healthRequest) {
-	if !c.isReady() || c.isAloneWithoutStore(now) {
+	if !c.isReady() || c.isStoreUnreachableOnlyHere(now) {
 		m.req.Respond(&httpwire.Response{Status: 503, Body: []byte(`{"status":"unready"}`)})
 		return
 	}
@@ -29,9 +29,9 @@
 	return c.feed.synced && len(c.machineTypes.known) > 0 && !c.detection.resigned
 }
 
-// isAloneWithoutStore says whether the key-value store is silent here while another
+// isStoreUnreachableOnlyHere says whether the key-value store is silent here while another
 // controller reaches it.
-func (c *controlActor) isAloneWithoutStore(now time.Time) bool {
+func (c *controlActor) isStoreUnreachableOnlyHere(now time.Time) bool {
 	if now.Sub(c.lastStoreContact) <= constants.StoreSilenceTimeout+constants.WatchTimeout/2 {
 		return false
 	}
--- a/controller/leader_actor.go
+++ b/controller/leader_actor.go
@@ -104,7 +104,7 @@
 	if assignment.Urgent {
 		store = a.urgentStore
 	}
-	result := commit(ctx, store, write{
+	result := commit(ctx, store, writeRequest{
 		txn:         assignment.Txn,
 		description: "assignment of " + assignment.JobID,
 		urgent:      assignment.Urgent,
--- a/controller/peer_status.go
+++ b/controller/peer_status.go
@@ -130,7 +130,7 @@
 		c.stopReplacedOwner(aggregate, s.Controller)
 		c.tellLeader(aggregate)
 	}
-	misrouted := misroutedHeartbeats{s.MisroutedHeartbeats, c.isInContactWithAllPeers(now)}
+	misrouted := peerMisroutedHeartbeats{s.MisroutedHeartbeats, c.isInContactWithAllPeers(now)}
 	for _, owner := range c.roles.owners {
 		owner.ref.Tell(s.Aggregates)
 		owner.ref.Tell(misrouted)
--- a/controller/redirects.go
+++ b/controller/redirects.go
@@ -25,12 +25,12 @@
 
 // record notes that a worker's heartbeat was redirected to its owner.
 func (r *redirectTracker) record(now time.Time, worker string, epoch, seq uint64, owner string) {
-	before, known := r.workers[worker]
-	isCopy := known && (epoch < before.epoch || epoch == before.epoch && seq <= before.seq)
+	previous, known := r.workers[worker]
+	isCopy := known && (epoch < previous.epoch || epoch == previous.epoch && seq <= previous.seq)
 	if isCopy {
 		return
 	}
-	returned := known && before.owner == owner && now.Sub(before.redirectedAt) <= r.window
+	returned := known && previous.owner == owner && now.Sub(previous.redirectedAt) <= r.window
 	r.workers[worker] = redirectedWorker{epoch: epoch, seq: seq, owner: owner, redirectedAt: now, returned: returned}
 }
 
--- a/controller/revocation.go
+++ b/controller/revocation.go
@@ -12,9 +12,9 @@
 	"ravenport/records"
 )
 
-// revokeFailed revokes the first of the controllers that were declared failed. Without
+// revokeFailedController revokes the first of the controllers that were declared failed. Without
 // authority of its own a controller revokes nobody.
-func (c *controlActor) revokeFailed(ctx context.Context, now time.Time, proposals []detector.RevocationProposal) {
+func (c *controlActor) revokeFailedController(ctx context.Context, now time.Time, proposals []detector.RevocationProposal) {
 	if c.detection.revoking || c.detection.resigned || !c.hasAuthority(now) || c.isAcquisitionBlocked(now) {
 		return
 	}
--- a/controller/role_messages.go
+++ b/controller/role_messages.go
@@ -52,8 +52,8 @@
 		machines []wire.CloudMachine
 		err      error
 	}
-	// misroutedHeartbeats are machines whose heartbeats reached another controller.
-	misroutedHeartbeats struct {
+	// peerMisroutedHeartbeats are machines whose heartbeats reached another controller.
+	peerMisroutedHeartbeats struct {
 		machines          []shard.MisroutedHeartbeat
 		allPeersInContact bool // every live controller made contact lately
 	}
--- a/controller/roles.go
+++ b/controller/roles.go
@@ -182,21 +182,21 @@
 	c.tellOwners([]leader.Aggregate{m.aggregate})
 }
 
-// areAllPeersSilent says whether no other controller made contact lately, though some live.
-func (c *controlActor) areAllPeersSilent(now time.Time) bool {
-	return c.isEveryPeerSilent(now, func(v peerView) time.Time { return v.lastContact })
+// lacksPeerContact says whether no other controller made contact lately, though some live.
+func (c *controlActor) lacksPeerContact(now time.Time) bool {
+	return c.havePeersTimedOut(now, func(v peerView) time.Time { return v.lastContact })
 }
 
 // lacksPeerStatus says whether no other controller has sent its status lately, though some
 // live and may answer this one's. Guards against a leader that others cannot call: it
 // would know the figures of its own shards alone, and give those all work.
 func (c *controlActor) lacksPeerStatus(now time.Time) bool {
-	return c.isEveryPeerSilent(now, func(v peerView) time.Time { return v.lastStatus })
+	return c.havePeersTimedOut(now, func(v peerView) time.Time { return v.lastStatus })
 }
 
-// isEveryPeerSilent says whether some other controller lives, and the last sign of each
+// havePeersTimedOut says whether some other controller lives, and the last sign of each
 // other one was too long ago.
-func (c *controlActor) isEveryPeerSilent(now time.Time, lastSign func(peerView) time.Time) bool {
+func (c *controlActor) havePeersTimedOut(now time.Time, lastSign func(peerView) time.Time) bool {
 	someAlive := false
 	for _, p := range c.settings.Peers {
 		if now.Sub(lastSign(c.peers[p.Controller])) < constants.PeerSilenceTimeout {
--- a/controller/run.go
+++ b/controller/run.go
@@ -94,8 +94,8 @@
 func (c *Controller) serve(ctx context.Context, set *settings.Settings) <-chan error {
 	failed := make(chan error, 2) // one for each server, so that neither blocks
 	go func() { failed <- peer.Serve(ctx, set.PeerAddr, c.peerHandlers()) }()
-	frontServer := server.New(set.Listen, set.SocketLimits().Server, c.route)
-	go func() { failed <- frontServer.Run() }()
+	httpServer := server.New(set.Listen, set.SocketLimits().Server, c.route)
+	go func() { failed <- httpServer.Run() }()
 	return failed
 }
 
--- a/controller/shard_actor.go
+++ b/controller/shard_actor.go
@@ -148,7 +148,7 @@
 		a.core.SetTypes(m.types)
 	case wake:
 		a.pacer.noteWake(m)
-	case misroutedHeartbeats:
+	case peerMisroutedHeartbeats:
 		a.core.ApplyMisroutedHeartbeats(now, m.machines, m.allPeersInContact)
 		return false
 	case []leader.Aggregate:
--- a/controller/shard_calls.go
+++ b/controller/shard_calls.go
@@ -35,7 +35,7 @@
 
 // commit writes a record. It runs beside the actor, as scaleOut and scaleIn do.
 func (a *shardActor) commit(ctx context.Context, c shard.Commit) {
-	result := commit(ctx, a.store, write{txn: c.Txn, description: c.ID.String()})
+	result := commit(ctx, a.store, writeRequest{txn: c.Txn, description: c.ID.String()})
 	a.self.Tell(shardCommitDone{c.ID, result})
 }
 
--- a/controller/sim_world_test.go
+++ b/controller/sim_world_test.go
@@ -266,7 +266,7 @@
 		cancel()
 		return
 	}
-	out.drainingGuards = n.unguardDrains
+	out.overrideDraining = n.unguardDrains
 	process, err := Start(ctx, n.set, out)
 	if err != nil {
 		panic(err)
--- a/controller/transfer.go
+++ b/controller/transfer.go
@@ -25,7 +25,7 @@
 	if c.roles.owners[m.shard] == nil {
 		return
 	}
-	if m.heartbeatsMisrouted || c.areAllPeersSilent(now) {
+	if m.heartbeatsMisrouted || c.lacksPeerContact(now) {
 		c.transferUnusableTerm(now, records.KeyShard(m.shard))
 	}
 }
--- a/controller/unserved.go
+++ b/controller/unserved.go
@@ -7,10 +7,10 @@
 	"ravenport/records"
 )
 
-// unservedBy says of which controllers too many workers come back here after they were
+// controllersWithUnservedWorkers says of which controllers too many workers come back here after they were
 // redirected to them as their owner. It is held against nobody while this controller
 // cannot know who the owners are, nor for a while after.
-func (c *controlActor) unservedBy(now time.Time) map[string]bool {
+func (c *controlActor) controllersWithUnservedWorkers(now time.Time) map[string]bool {
 	if !c.hasAuthority(now) {
 		c.detection.redirects.reset()
 		return nil
@@ -25,12 +25,12 @@
 // unservedThreshold is how many of a controller's machines must come back here to count
 // against it: one in RecentHeartbeatShare, rounded up, and never fewer than MinUnservedMachines.
 func (c *controlActor) unservedThreshold(controller string) int {
-	share := (c.machinesOf(controller) + constants.RecentHeartbeatShare - 1) / constants.RecentHeartbeatShare
+	share := (c.countOwnedMachines(controller) + constants.RecentHeartbeatShare - 1) / constants.RecentHeartbeatShare
 	return max(constants.MinUnservedMachines, share)
 }
 
-// machinesOf counts the machines of the shards that a controller owns.
-func (c *controlActor) machinesOf(controller string) int {
+// countOwnedMachines counts the machines of the shards that a controller owns.
+func (c *controlActor) countOwnedMachines(controller string) int {
 	owned := map[string]bool{}
 	for _, zone := range c.settings.Deployment.Zones {
 		holder, alive := c.member.Holder(records.KeyShard(zone))
