--- a/controller/acquisition.go
+++ b/controller/acquisition.go
@@ -12,8 +12,8 @@
 	"ravenport/member"
 )
 
-// receiveTermMessage handles a message about the acquisition of a term, and returns
-// whether it is one.
+// receiveTermMessage handles a message about the acquisition of a term. It returns false
+// if msg is of another kind.
 func (c *controlActor) receiveTermMessage(ctx context.Context, now time.Time, msg any) bool {
 	switch m := msg.(type) {
 	case acquisitionDone:
@@ -27,8 +27,8 @@
 	return true
 }
 
-// acquireDueTerms acquires the vacant terms that are this controller's to take, and transfers
-// those that another one is better placed for.
+// acquireDueTerms acquires the vacant terms that this controller is due to acquire, and
+// transfers the terms that it holds but for which another controller is preferred.
 func (c *controlActor) acquireDueTerms(ctx context.Context, now time.Time) {
 	authorized := c.hasAuthority(now) && !c.isAcquisitionBlocked(now)
 	for _, acquisition := range c.member.DueAcquisitions(now, c.lease.incarnation, authorized) {
@@ -40,15 +40,15 @@
 			continue
 		}
 		if now.Sub(c.terms.unstableAt[acquisition.Key]) < constants.FailbackSettleTime {
-			continue // a second rebuild right after the first would keep more work waiting
+			continue // a second rebuild right after the first would delay more work
 		}
 		slog.Info("transferring term", "key", acquisition.Key, logkey.Controller, acquisition.NewHolder)
 		c.transferTerm(now, acquisition)
 	}
 }
 
-// reacquireRelinquished takes a new term where a transfer failed, since the term that was
-// given up has no owner.
+// reacquireRelinquished acquires a new term where a transfer failed: without it the
+// relinquished term has no running leader or owner.
 func (c *controlActor) reacquireRelinquished(ctx context.Context, now time.Time) {
 	for key, number := range c.terms.relinquished {
 		if c.isAcquisitionBlocked(now) {
@@ -65,15 +65,15 @@
 	}
 }
 
-// isAcquiring says whether an acquisition of key is under way, or was started a moment
-// ago. It ends by itself: else an owner that once acquired its shard could never hand it
-// over.
+// isAcquiring reports whether an acquisition of key is in progress, or was started less
+// than StoreTimeout and one second ago. The state expires without a further event:
+// otherwise an owner that had once acquired its shard could never transfer the shard.
 func (c *controlActor) isAcquiring(now time.Time, key string) bool {
 	startedAt, ok := c.terms.acquiring[key]
 	return ok && now.Sub(startedAt) < constants.StoreTimeout+time.Second
 }
 
-// startAcquisition writes an acquisition, unless one of the same term is under way.
+// startAcquisition writes an acquisition, unless one for the same key is in progress.
 func (c *controlActor) startAcquisition(ctx context.Context, now time.Time, acquisition member.TermAcquisition) {
 	if c.isAcquiring(now, acquisition.Key) {
 		return
@@ -85,8 +85,9 @@
 	}()
 }
 
-// acquire commits an acquisition. One that is refused for rate alone is retried at once:
-// until it is written nobody owns the shard. It runs beside the actor.
+// acquire commits an acquisition. It retries an acquisition that was refused only for the
+// rate limit after a short delay, because the shard has no owner until the acquisition is
+// written. It runs on a goroutine other than the actor's.
 func (c *controlActor) acquire(ctx context.Context, acquisition member.TermAcquisition) error {
 	const backoff = constants.RetryBackoffMin / 4
 	retry := kvstore.RateLimitRetry{
@@ -103,8 +104,8 @@
 // handleAcquisitionDone handles the result of an acquisition.
 func (c *controlActor) handleAcquisitionDone(now time.Time, m acquisitionDone) {
 	if m.err == nil || errors.Is(m.err, kvstore.ErrOutcomeUnknown) {
-		// The feed shows the outcome; until then nothing else is tried, for a little
-		// while.
+		// No other acquisition of the key is started for one second, within which the
+		// feed is expected to deliver the outcome.
 		c.terms.acquiring[m.acquisition.Key] = now.Add(-constants.StoreTimeout)
 		return
 	}
--- a/controller/authority.go
+++ b/controller/authority.go
@@ -6,7 +6,8 @@
 	"ravenport/constants"
 )
 
-// handleRevisionRead notes a revision of the store that the feed is measured by.
+// handleRevisionRead records a revision of the store, with which the freshness of the feed
+// is determined.
 func (c *controlActor) handleRevisionRead(now time.Time, m revisionRead) {
 	if m.err != nil {
 		return
@@ -16,7 +17,8 @@
 	c.advanceFreshness()
 }
 
-// advanceFreshness notes up to when the feed is known to hold every change.
+// advanceFreshness updates the time up to which the feed is known to have delivered every
+// change.
 func (c *controlActor) advanceFreshness() {
 	ahead := c.authority.revisionReads[:0]
 	for _, read := range c.authority.revisionReads {
@@ -30,9 +32,9 @@
 	c.broadcastAuthority()
 }
 
-// authorityEnd is when this controller's authority ends. It rests on the lease and on the
-// knowledge of cancellations, both counted from before they were requested. It is zero
-// where there is none.
+// authorityEnd returns when this controller's authority ends, or zero if the controller
+// has none. Authority requires the lease and a feed that is known to hold all
+// cancellations. The validity of both is counted from before their request was sent.
 func (c *controlActor) authorityEnd() time.Time {
 	if c.lease.id == 0 || c.lease.requestedAt.IsZero() || c.authority.feedFreshAt.IsZero() {
 		return time.Time{}
@@ -44,13 +46,13 @@
 	return start.Add(c.authority.period)
 }
 
-// hasAuthority says whether this controller may act now.
+// hasAuthority reports whether this controller has authority to act now.
 func (c *controlActor) hasAuthority(now time.Time) bool {
 	return c.feed.synced && now.Before(c.authorityEnd())
 }
 
-// ownerAuthorityEnd is when the authority of the owners here ends. It is later than
-// authorityEnd where all other controllers have granted lease extensions.
+// ownerAuthorityEnd returns when the authority of the owners on this controller ends. It
+// may be later than authorityEnd if all other controllers have granted lease extensions.
 func (c *controlActor) ownerAuthorityEnd() time.Time {
 	end := c.authorityEnd()
 	if end.IsZero() || len(c.settings.Peers) == 0 {
@@ -72,14 +74,15 @@
 	return end
 }
 
-// extensionPeriod is how long an owner may count on a lease extension, by the slowest
-// clock that the protocol allows.
+// extensionPeriod returns how long an owner may rely on a lease extension, under the
+// greatest clock drift that the protocol allows.
 func (c *controlActor) extensionPeriod() time.Duration {
 	granted := min(c.authority.period, constants.ExtensionTTL)
 	return time.Duration(float64(granted)*(1-constants.MaxClockDrift)) - constants.AuthorityMargin
 }
 
-// latestAuthorityEnd is the latest authority that any actor here may still hold.
+// latestAuthorityEnd returns the latest time at which any actor on this controller may
+// still have authority.
 func (c *controlActor) latestAuthorityEnd() time.Time {
 	latest := c.authorityEnd()
 	if extended := c.ownerAuthorityEnd(); extended.After(latest) {
@@ -88,7 +91,8 @@
 	return latest
 }
 
-// broadcastAuthority tells the leader and the owners here until when they may act.
+// broadcastAuthority tells the leader and the owners on this controller when their
+// authority ends.
 func (c *controlActor) broadcastAuthority() {
 	c.tellOwners(authorityChanged{until: c.ownerAuthorityEnd()})
 	c.tellLeader(authorityChanged{until: c.authorityEnd()})
--- a/controller/commit.go
+++ b/controller/commit.go
@@ -12,28 +12,28 @@
 	"ravenport/wire"
 )
 
-// commitTimeout bounds a transaction with its retries.
+// commitTimeout bounds a transaction including its retries.
 const commitTimeout = 2 * constants.StoreTimeout
 
 // commitResult is the result of a transaction.
 type commitResult struct {
-	revision uint64 // 0: not known to have been written
+	revision uint64 // 0: the transaction is not known to have been written
 	err      error
 }
 
-// isInvalidRequest says whether the store refused the transaction itself, so that repeating it
-// is of no use.
+// isInvalidRequest reports whether the store refused the transaction as invalid, so that
+// a retry cannot succeed.
 func (r commitResult) isInvalidRequest() bool { return errors.Is(r.err, kvstore.ErrInvalidRequest) }
 
 // writeRequest is a transaction to be committed.
 type writeRequest struct {
 	txn         wire.Txn
 	description string // for the log
-	urgent      bool   // retried at once where a rate limit alone was in the way
+	urgent      bool   // retried after a short delay if only a rate limit prevented the write
 }
 
-// commit commits a write. One without an answer is retried: its conditions make that safe.
-// One that the store found invalid is not.
+// commit commits a write. It retries a write that was not answered, which is safe because
+// the write is conditional. It does not retry a write that the store refused as invalid.
 func commit(ctx context.Context, store Store, write writeRequest) commitResult {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -63,8 +63,8 @@
 	return commitResult{revision: revision}
 }
 
-// logFailure logs why a write failed; a failure of a context that has ended is expected,
-// and is not logged.
+// logFailure logs why a write failed. Failures after the context has ended are expected
+// and are logged only if they are conflicts or invalid requests.
 func (w writeRequest) logFailure(ctx context.Context, err error) {
 	var conflict *kvstore.ConflictError
 	switch {
--- a/controller/control.go
+++ b/controller/control.go
@@ -15,19 +15,21 @@
 )
 
 // controlActor holds the controller's lease, acquires and transfers terms, starts and
-// stops the leader and the shard owners that run here, and routes heartbeats to them.
+// stops the leader and the shard owners of this controller, and routes heartbeats to the
+// owners.
 //
-// All of its state belongs to its own goroutine and is changed in Receive alone. Calls
-// to the outside run on goroutines of their own and send their results back as messages.
+// All of the actor's state belongs to its goroutine and is changed only by Receive.
+// Network calls run on separate goroutines and send their results to the actor as
+// messages.
 type controlActor struct {
 	settings     *settings.Settings
 	dependencies Dependencies
 	self         *actor.Ref
 	apiServer    *actor.Ref
-	member       *member.Core // decides which terms to acquire; a mirror of the stored terms
+	member       *member.Core // mirrors the stored terms and decides which ones to acquire
 	startedAt    time.Time
 
-	// lastStoreContact is when the key-value store last answered any call.
+	// lastStoreContact is when the key-value store last answered a call of any kind.
 	lastStoreContact time.Time
 
 	feed         feedState
@@ -46,62 +48,65 @@
 	detection     detectionState
 }
 
-// feedState mirrors the records of the key-value store as the feed has shown them. The
-// leader and the owners are started from it, and keep copies of their own from then on.
+// feedState mirrors the records of the key-value store as the watch feed has delivered
+// them. The leader and the owners start from this state and maintain their own copies
+// afterwards.
 type feedState struct {
-	jobs              map[string]*records.Job // by id: those not over, or with open assignments
+	jobs              map[string]*records.Job // by id: jobs that have not ended or have open assignments
 	jobVersions       map[string]uint64       // by job id
 	inventory         map[string]*records.InventoryPage
-	inventoryVersions map[string]uint64 // by key, as inventory
-	shardByMachine    map[string]string // of each machine in the inventory
+	inventoryVersions map[string]uint64 // by key, like inventory
+	shardByMachine    map[string]string // the shard of each machine in the inventory
 	revision          uint64
-	synced            bool // the feed has read everything once
-	packing           bool // every controller reads packed records, and none of an older version can return
+	synced            bool // the feed has read the whole store once
+	packing           bool // every controller reads packed records, and no older version can start again
 }
 
-// leaseState is the lease that this process holds in the key-value store, and the
-// registration under it.
+// leaseState is the lease that this process holds in the key-value store, and this
+// controller's registration under that lease.
 type leaseState struct {
 	id           uint64 // 0: none
-	incarnation  uint64 // of this process, chosen with the lease; 0: none
+	incarnation  uint64 // of this process, chosen when the lease is requested; 0: none
 	requestedAt  time.Time
 	callInFlight bool
 	nextCall     time.Time
 }
 
-// authorityState is what this controller's authority is computed from, besides its
-// lease: how far its view of cancellations is known to be complete.
+// authorityState holds what this controller's authority is computed from, apart from the
+// lease: the time up to which the controller is known to have seen every cancellation.
 type authorityState struct {
 	period        time.Duration
-	feedFreshAt   time.Time      // the feed has shown every change made before this time
-	revisionReads []revisionRead // those that the feed has not reached yet
+	feedFreshAt   time.Time      // the feed has delivered every change made before this time
+	revisionReads []revisionRead // reads of a revision that the feed has not reached yet
 }
 
-// extensionState is what this controller knows of lease extensions: the promise it has
-// given to others, and those it has received.
+// extensionState holds the lease extensions that this controller has granted to others
+// and those that others have granted to this controller.
 type extensionState struct {
-	noAcquisitionUntil time.Time
+	noAcquisitionUntil time.Time            // granted extensions forbid term acquisitions until then
 	grantedAt          map[string]time.Time // by controller: when the granted request was sent
 }
 
-// termState is what this controller is doing about terms beyond what the feed shows.
+// termState holds what this controller knows and does about terms beyond the stored
+// records that the feed delivers.
 type termState struct {
-	acquiring    map[string]time.Time // by key: when the acquisition was started
-	relinquished map[string]uint64    // by key: the term given up here, or known from another controller to be over
-	successors   map[string]string    // by shard: the owner that another controller reported
-	unstableAt   map[string]time.Time // by key: when a shard here was last not rebuilt, or unreachable
+	acquiring    map[string]time.Time // by key: when the acquisition started
+	relinquished map[string]uint64    // by key: the term that this controller relinquished, or that another controller reported as superseded
+	successors   map[string]string    // by shard: the new owner that another controller reported
+	unstableAt   map[string]time.Time // by key: when a shard owned here was last not rebuilt or was unreachable
 }
 
-// roleState is the leader and the shard owners that run here, and their latest figures.
+// roleState holds the leader and the shard owners that run on this controller, and the
+// latest status that each owner reported.
 type roleState struct {
 	owners        map[string]*runningActor // by shard
-	leader        *runningActor            // nil: the leader does not run here
+	leader        *runningActor            // nil: the leader does not run on this controller
 	leaderSince   time.Time
 	shardStatuses map[string]shardStatus
-	forecasts     shardForecasts // of the leader here
+	forecasts     shardForecasts // the latest ones of the leader on this controller
 }
 
-// newControlActor returns the control actor; without a monitor failure detection is off.
+// newControlActor returns the control actor. Failure detection is off if monitor is nil.
 func newControlActor(set *settings.Settings, dependencies Dependencies, self, apiServer, monitor *actor.Ref) *controlActor {
 	control := &controlActor{
 		settings:     set,
@@ -142,7 +147,8 @@
 		slog.Warn("authority shortened, cancel_s leaves little time after a worker's lease", "authority", period)
 	}
 	if monitor != nil {
-		// A worker that is not served comes back after it has waited for an answer.
+		// A worker that the owner does not answer waits for the answer before it returns
+		// to this controller.
 		window := control.misroutedWindow() + constants.ControllerSwitchTime
 		control.detection = detectionState{monitor: monitor, redirects: newRedirectTracker(window)}
 	}
@@ -188,7 +194,8 @@
 	}
 }
 
-// dispatchMessage offers a message to each concern until one handles it.
+// dispatchMessage offers a message to each group of handlers in turn until a group
+// accepts the message.
 func (c *controlActor) dispatchMessage(ctx context.Context, now time.Time, msg any) {
 	switch {
 	case c.receivePeerMessage(now, msg):
@@ -201,7 +208,7 @@
 	}
 }
 
-// handleTick does what is due by time.
+// handleTick does the periodic work of the control actor.
 func (c *controlActor) handleTick(ctx context.Context, now time.Time) {
 	c.keepLease(ctx, now)
 	c.readMachineTypes(ctx, now)
--- a/controller/control_messages.go
+++ b/controller/control_messages.go
@@ -26,14 +26,15 @@
 
 // Messages to the control actor from other controllers.
 type (
-	// peerStatusReceived is another controller's status that requests no lease extension.
+	// peerStatusReceived is another controller's status without a request for a lease
+	// extension.
 	peerStatusReceived peer.Status
-	// extensionRequest is another controller's status that requests one.
+	// extensionRequest is another controller's status that requests a lease extension.
 	extensionRequest struct {
 		status peer.Status
 		answer chan<- peer.StatusReply // buffered
 	}
-	// peerStatusReply is the answer to this controller's own status.
+	// peerStatusReply is another controller's answer to the status of this controller.
 	peerStatusReply struct {
 		controller         string
 		sentAt             time.Time
@@ -43,10 +44,11 @@
 	}
 )
 
-// Messages to the control actor with the results of its calls. Times are those when a
-// call was begun.
+// Messages to the control actor with the results of its calls. The field sentAt is the
+// time at which a call was started.
 type (
-	// leaseGranted is the result of requesting a lease and registering under it.
+	// leaseGranted is the result of requesting a lease and registering this controller
+	// under that lease.
 	leaseGranted struct {
 		lease, incarnation uint64
 		sentAt             time.Time
@@ -73,35 +75,39 @@
 	revocationDone struct{ err error }
 )
 
-// Messages to the control actor from the leader and the shard owners here.
+// Messages to the control actor from the leader and the shard owners of this controller.
 type (
 	shardStatus struct {
 		shard     string
 		aggregate leader.Aggregate
-		// The following are sent less often; nil counts mean that they are not there.
+		// The fields below are sent less often than the aggregate. They are absent if
+		// counts is nil.
 		counts  records.CountsByJob
 		summary shard.Summary
 		drains  drain.ShardStatus
 	}
-	// shardForecasts is what the leader will assign soon, by shard; nil: nothing.
+	// shardForecasts is the work that the leader expects to assign soon, by shard; nil
+	// if there is none.
 	shardForecasts map[string]leader.Forecast
-	// newTermRequest says that an owner needs a new term.
+	// newTermRequest asks for a new term for the owner of a shard.
 	newTermRequest struct{ shard string }
-	// shardUnreachable says that a shard's machines fell silent together.
+	// shardUnreachable reports that a shard's machines became unreachable at the same
+	// time.
 	shardUnreachable struct {
 		shard               string
-		heartbeatsMisrouted bool // other controllers receive their heartbeats
+		heartbeatsMisrouted bool // other controllers receive the machines' heartbeats
 	}
-	// actorStopped says that an actor has stopped for a transfer of its term, so that the acquisition
-	// may be written.
+	// actorStopped reports that an actor has stopped for a transfer of its term, so that
+	// the acquisition may now be written.
 	actorStopped struct{ acquisition member.TermAcquisition }
 )
 
 // Messages to the control actor from the monitor.
 type (
-	// resignLease says that an actor is stalled, so that this process must end its lease.
+	// resignLease reports that an actor is stalled, so that this process must end its
+	// lease.
 	resignLease struct{}
-	// membershipView is what failure detection sees, for the status.
+	// membershipView is the state of failure detection, to be shown in the status.
 	membershipView struct {
 		members []MemberStatus
 		dropped DroppedHeartbeats
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -1,11 +1,11 @@
-// Package controller is the controller process: its actors, the calls that they make, and
-// the servers that users, workers and other controllers call.
+// Package controller implements the controller process: its actors, the calls that the
+// actors make, and the servers that users, workers and other controllers call.
 //
-// The control actor (control.go) holds the controller's lease and starts and stops the
-// leader's actor and the actors of shard owners as the stored terms say. The monitor
-// (monitor.go) runs failure detection. Decisions are made in pure packages (member,
-// leader, shard, detector); the actors here give them messages and time, and carry out
-// what they decide.
+// The control actor (control.go) holds the controller's lease, and starts and stops the
+// leader's actor and the actors of shard owners according to the stored terms. The
+// monitor (monitor.go) runs failure detection. Decisions are made in packages without
+// side effects (member, leader, shard, detector). The actors of this package pass
+// messages and the time to these packages and carry out their decisions.
 package controller
 
 import (
@@ -21,10 +21,11 @@
 	"ravenport/settings"
 )
 
-// ErrStalled ends a controller one of whose actors makes no progress.
+// ErrStalled is the error with which a controller ends if one of its actors makes no
+// progress.
 var ErrStalled = errors.New("controller: an actor makes no progress")
 
-// Controller is one controller without its servers.
+// Controller is a controller without its servers.
 type Controller struct {
 	name         string
 	store        Store
@@ -36,8 +37,8 @@
 	failures     chan error
 }
 
-// Start starts a controller's actors; they run until ctx ends. The error is that of an
-// invalid configuration of failure detection.
+// Start starts a controller's actors, which run until ctx ends. Start fails only if the
+// configuration of failure detection is invalid.
 func Start(ctx context.Context, set *settings.Settings, dependencies Dependencies) (*Controller, error) {
 	controller := &Controller{
 		name:         set.Controller,
@@ -74,7 +75,7 @@
 	return controller, nil
 }
 
-// startMonitor starts failure detection.
+// startMonitor starts the monitor, which runs failure detection.
 func (c *Controller) startMonitor(ctx context.Context, set *settings.Settings, dependencies Dependencies) error {
 	c.monitor = actor.NewRef()
 	monitor, err := newMonitorActor(set, dependencies, c.monitor, c.control, c.failures)
@@ -104,6 +105,6 @@
 	}
 }
 
-// Failed delivers the error with which this controller must end because it cannot go on;
-// errors.Is(err, ErrStalled) holds.
+// Failed returns a channel that delivers an error if this controller cannot continue and
+// must end. The error wraps ErrStalled.
 func (c *Controller) Failed() <-chan error { return c.failures }
--- a/controller/dependencies.go
+++ b/controller/dependencies.go
@@ -13,24 +13,24 @@
 	"ravenport/worker"
 )
 
-// Store is the key-value store as a controller uses it. Its errors are those of package
+// Store is a client of the key-value store. Its methods return the errors of package
 // kvstore.
 type Store interface {
 	apiserver.Store
-	// List returns all keys with a prefix, and the store's revision.
+	// List returns all keys with a prefix and their values, and the store's revision.
 	List(ctx context.Context, prefix string) ([]wire.KeyValue, uint64, error)
-	// Watch returns the events after a revision, waiting for the first one.
+	// Watch returns the events after a revision. It waits for the first one.
 	Watch(ctx context.Context, prefix string, from uint64, wait time.Duration) (*wire.Events, error)
 	// Grant creates a lease and returns its id.
 	Grant(ctx context.Context, ttl time.Duration) (uint64, error)
-	// Renew renews a lease; the error is kvstore.ErrLeaseExpired if it is gone.
+	// Renew renews a lease. It returns kvstore.ErrLeaseExpired if the lease has ended.
 	Renew(ctx context.Context, lease uint64) error
 }
 
-// Cloud is the cloud as a controller uses it. Its errors are those of package cloud.
+// Cloud is a client of the cloud. Its methods return the errors of package cloud.
 type Cloud interface {
 	MachineTypes(ctx context.Context) ([]wire.MachineType, error)
-	// ScaleOut returns the names of the machines that are on their way.
+	// ScaleOut requests machines and returns the names of those that are being provisioned.
 	ScaleOut(ctx context.Context, r wire.ScaleOutRequest) ([]string, error)
 	ScaleIn(ctx context.Context, names []string) error
 	Machines(ctx context.Context) ([]wire.CloudMachine, error)
@@ -38,27 +38,27 @@
 
 // Workers sends direct commands to workers.
 type Workers interface {
-	// Send sends commands to the worker at an address; done is called with the result on
-	// another goroutine.
+	// Send sends commands to the worker at an address. The function done is called with
+	// the result on another goroutine.
 	Send(ctx context.Context, addr string, req wire.CommandRequest, done func(worker.Result))
-	// Forget drops the connection to a worker that is gone.
+	// Forget drops the connection to a worker whose machine no longer exists.
 	Forget(addr string)
 	Close()
 }
 
-// Peer is another controller.
+// Peer is a client of another controller.
 type Peer interface {
 	apiserver.Relay
 	PushStatus(ctx context.Context, s peer.Status) (peer.StatusReply, error)
 }
 
-// MonitorPeer is another controller as failure detection calls it.
+// MonitorPeer is a client of another controller for failure detection.
 type MonitorPeer interface {
 	Heartbeat(ctx context.Context, m detector.Message) (detector.Message, error)
 	Probe(ctx context.Context, r peer.ProbeRequest) (peer.ProbeReply, error)
 }
 
-// DrainPeer is another controller as requests about drains call it.
+// DrainPeer is a client of another controller for requests about drains.
 type DrainPeer interface {
 	Drain(ctx context.Context, r peer.DrainRequest) (peer.DrainReply, error)
 }
@@ -68,23 +68,25 @@
 	Append(events ...history.Event) error
 }
 
-// Dependencies is everything that a controller calls.
+// Dependencies holds the clients of all services that a controller calls.
 type Dependencies struct {
-	// Store is the key-value store, for users' writes and for reads. The other three are
-	// the same store with other shares of its rate limit.
+	// Store is the client of the key-value store for users' writes and for reads. The
+	// next three are clients of the same store with other shares of its rate limit.
 	Store       Store
-	Unthrottled Store // for leases and term acquisitions, which come before all others
-	Background  Store // for writes that give way to users' writes
-	Urgent      Store // for writes that users wait for by the second
+	Unthrottled Store // for the writes of leases and term acquisitions, which precede all others
+	Background  Store // for writes that have lower priority than users' writes
+	Urgent      Store // for writes whose delay users notice within seconds
 	Cloud       Cloud
 	Workers     func() Workers // called once for each shard owner
-	// Peers, Monitors and Drains are the other controllers, by name; the last two are
-	// used where failure detection and draining are on.
+	// Peers, Monitors and Drains are the clients of the other controllers, by name.
+	// Monitors is used if failure detection is on, and Drains if draining is on.
 	Peers    map[string]Peer
 	Monitors map[string]MonitorPeer
 	Drains   map[string]DrainPeer
-	// History stores the membership events of failure detection; nil: nothing does.
+	// History stores the membership events of failure detection. If it is nil, the events
+	// are not stored.
 	History History
-	// overrideDraining lets a test take away what budgets rest on.
+	// overrideDraining lets a test change an owner's draining configuration, to disable
+	// the safeguards that keep disruptions within their budgets.
 	overrideDraining func(*shard.DrainingConfig)
 }
--- a/controller/extension.go
+++ b/controller/extension.go
@@ -8,16 +8,18 @@
 	"ravenport/records"
 )
 
-// While nobody reaches the key-value store, controllers promise each other to acquire no
-// term, so that owners may go on answering their workers. The argument is point 12 of
-// docs/safety.md.
+// While no controller reaches the key-value store, controllers grant each other lease
+// extensions: a controller that grants one acquires no term until the extension expires,
+// so that owners may continue to answer their workers. Point 12 of docs/safety.md shows
+// why this is safe.
 
-// isStoreSilent says whether nothing has come from the key-value store for a moment.
+// isStoreSilent reports whether the key-value store has sent nothing for longer than
+// ExtensionStoreSilence.
 func (c *controlActor) isStoreSilent(now time.Time) bool {
 	return c.feed.synced && now.Sub(c.lastStoreContact) > constants.ExtensionStoreSilence
 }
 
-// termsToExtend lists the terms for which lease extensions are requested now.
+// termsToExtend returns the terms for which lease extensions are to be requested now.
 func (c *controlActor) termsToExtend(now time.Time) []peer.HeldTerm {
 	if !c.isStoreSilent(now) || c.lease.id == 0 || len(c.settings.Peers) == 0 {
 		return nil
@@ -29,7 +31,8 @@
 	return held
 }
 
-// grantExtension answers whether this controller promises to acquire nothing for a while.
+// grantExtension answers a request for a lease extension. If this controller grants the
+// extension, it acquires no term for ExtensionTTL.
 func (c *controlActor) grantExtension(now time.Time, s peer.Status) peer.StatusReply {
 	reply := peer.StatusReply{Controller: c.settings.Controller, LatestCancellation: c.cancellations.latest}
 	if c.cancellations.isCompleteSince(s.Revision) {
@@ -37,7 +40,7 @@
 		reply.Cancellations = c.cancellations.since(s.Revision)
 	}
 	if !c.isStoreSilent(now) {
-		return reply // this one reaches the key-value store, and so could the other one
+		return reply // this controller reaches the key-value store, so the other one may too
 	}
 	for _, held := range s.ExtensionRequest {
 		if c.isAcquiring(now, held.Key) || !c.isCurrentHolder(s.Controller, held) {
@@ -49,7 +52,8 @@
 	return reply
 }
 
-// isCurrentHolder says whether a controller holds a term as far as the feed has shown.
+// isCurrentHolder reports whether a controller holds a term according to the records that
+// the feed has delivered.
 func (c *controlActor) isCurrentHolder(controller string, held peer.HeldTerm) bool {
 	holder, alive := c.member.Holder(held.Key)
 	if !alive || holder != controller || c.member.IsRevoked(holder) {
@@ -59,17 +63,19 @@
 	return term.Number == held.Term && version == held.Version
 }
 
-// isAcquisitionBlocked says whether no term may be acquired: this process has promised not
-// to, or the one before it, which ended a moment ago, may have.
+// isAcquisitionBlocked reports whether this controller must not acquire a term because a
+// lease extension may be in force. Either this process granted the extension, or the
+// previous process of this controller may have granted it shortly before this one started.
 func (c *controlActor) isAcquisitionBlocked(now time.Time) bool {
 	return now.Before(c.extension.noAcquisitionUntil) || now.Sub(c.startedAt) < constants.ExtensionTTL
 }
 
-// applyExtensionReply takes over what another controller answered. A lease extension
-// counts from before it was requested, and only if this controller knows of every
-// cancellation that the other one may have confirmed: by its feed, or because the other
-// one listed them. They reach the owners here before the authority that they are a
-// condition of.
+// applyExtensionReply applies another controller's answer to a request for a lease
+// extension. The extension is counted from before its request was sent. It is valid only
+// if this controller knows every cancellation that the other controller may have
+// confirmed, either from the feed or because the reply lists them. The owners on this
+// controller receive the cancellations before the extended authority, which depends on
+// them.
 func (c *controlActor) applyExtensionReply(m peerStatusReply) {
 	if !m.extensionRequested {
 		return
--- a/controller/feed.go
+++ b/controller/feed.go
@@ -10,7 +10,7 @@
 	"ravenport/wire"
 )
 
-// applyUpdate applies changes from the feed and passes them on to the other actors.
+// applyUpdate applies changes from the feed and forwards them to the other actors.
 func (c *controlActor) applyUpdate(ctx context.Context, now time.Time, update records.Update) {
 	for _, change := range update.Changes {
 		c.applyChange(now, change)
@@ -29,7 +29,7 @@
 	c.advanceFreshness()
 }
 
-// applyChange applies one change to what this actor keeps.
+// applyChange applies a change to the state of the control actor.
 func (c *controlActor) applyChange(now time.Time, change records.Change) {
 	c.member.Apply(now, change)
 	c.drains.apply(change)
@@ -49,7 +49,8 @@
 	}
 }
 
-// applyJob keeps a job until it is over and all its assignments are closed.
+// applyJob stores a job, or removes it if the job has ended and all its assignments are
+// closed.
 func (f *feedState) applyJob(job *records.Job, version uint64) {
 	if job.End != "" && job.AllAssignmentsClosed() {
 		delete(f.jobs, job.ID)
@@ -74,7 +75,8 @@
 	f.inventoryVersions[key] = version
 }
 
-// enablePacking lets all actors write packed records once every controller reads them.
+// enablePacking allows all actors to write packed records once every controller is able to
+// read them.
 func (c *controlActor) enablePacking() {
 	if c.feed.packing || !c.member.AllReadPacked() {
 		return
--- a/controller/health.go
+++ b/controller/health.go
@@ -7,15 +7,16 @@
 	"ravenport/httpwire"
 )
 
-// isStoreReachable says whether the key-value store answered a short while ago.
+// isStoreReachable reports whether the key-value store answered within
+// StoreSilenceTimeout.
 func (c *controlActor) isStoreReachable(now time.Time) bool {
 	return now.Sub(c.lastStoreContact) < constants.StoreSilenceTimeout
 }
 
-// answerHealth answers whether this controller can serve users. While the key-value
-// store is away for all controllers, this one can do as much as any other and stays
-// healthy: it answers at once with a time to retry after, and serves as soon as the
-// store returns.
+// answerHealth answers whether this controller can serve users. While no controller
+// reaches the key-value store, this controller can do as much as any other and stays
+// healthy: it answers users at once with a time to retry after, and serves them as soon
+// as the store is reachable again.
 func (c *controlActor) answerHealth(now time.Time, m healthRequest) {
 	if !c.isReady() || c.isStoreUnreachableOnlyHere(now) {
 		m.req.Respond(&httpwire.Response{Status: 503, Body: []byte(`{"status":"unready"}`)})
@@ -24,13 +25,14 @@
 	m.req.Respond(&httpwire.Response{Status: 200, Body: []byte(`{"status":"ok"}`)})
 }
 
-// isReady says whether this controller has read what it needs and is not ending.
+// isReady reports whether this controller has read the key-value store and the machine
+// types, and is not about to end because an actor is stalled.
 func (c *controlActor) isReady() bool {
 	return c.feed.synced && len(c.machineTypes.known) > 0 && !c.detection.resigned
 }
 
-// isStoreUnreachableOnlyHere says whether the key-value store is silent here while another
-// controller reaches it.
+// isStoreUnreachableOnlyHere reports whether the key-value store does not answer this
+// controller while at least one other controller reaches it.
 func (c *controlActor) isStoreUnreachableOnlyHere(now time.Time) bool {
 	if now.Sub(c.lastStoreContact) <= constants.StoreSilenceTimeout+constants.WatchTimeout/2 {
 		return false
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -13,25 +13,26 @@
 	"ravenport/wire"
 )
 
-// heartbeatState is what this actor remembers of heartbeats that it routed.
+// heartbeatState holds what the control actor records about the heartbeats that it routes.
 type heartbeatState struct {
 	misrouted          map[string]misroutedHeartbeat // by machine: the latest one
-	zoneMismatchLogged map[string]bool               // machines whose impossible zone was logged
+	zoneMismatchLogged map[string]bool               // machines whose wrong zone was logged
 }
 
-// misroutedHeartbeat is a heartbeat that came here though another controller owns its
-// machine's shard.
+// misroutedHeartbeat is a heartbeat that reached this controller although the owner of the
+// machine's shard does not run here.
 type misroutedHeartbeat struct {
 	shard.MisroutedHeartbeat
 	receivedAt time.Time
 }
 
-// routeHeartbeat passes a worker's heartbeat to the owner of its shard, or redirects the
-// worker to the controller that owns it.
+// routeHeartbeat passes a worker's heartbeat to the owner of the worker's shard, or
+// redirects the worker to the controller that owns the shard.
 func (c *controlActor) routeHeartbeat(now time.Time, m workerHeartbeat) {
 	zone := m.heartbeat.Zone
 	if known, ok := c.feed.shardByMachine[m.heartbeat.Machine]; ok && known != zone {
-		// A machine never changes shard: two owners must not command it.
+		// A machine never moves to another shard, because two owners must not send
+		// commands to the same machine.
 		c.logZoneMismatch(m.heartbeat, known)
 		refuseHeartbeat(m)
 		return
@@ -53,7 +54,8 @@
 	redirectHeartbeat(m, owner)
 }
 
-// logZoneMismatch logs, once a machine, that it names a zone that is not its shard's.
+// logZoneMismatch logs once for each machine that its heartbeat names a zone other than
+// that of the machine's shard.
 func (c *controlActor) logZoneMismatch(h *wire.Heartbeat, known string) {
 	if c.heartbeats.zoneMismatchLogged[h.Machine] {
 		return
@@ -62,8 +64,8 @@
 	slog.Warn("heartbeat names a zone that is not the machine's", logkey.Machine, h.Machine, "zone", h.Zone, logkey.Shard, known)
 }
 
-// otherOwner returns the other controller that owns a zone's shard, as far as it is
-// known here; empty if it is not.
+// otherOwner returns the other controller that owns a zone's shard. It returns an empty
+// string if this controller does not know the owner.
 func (c *controlActor) otherOwner(zone string) string {
 	holder, alive := c.member.Holder(records.KeyShard(zone))
 	if alive && holder != c.settings.Controller {
@@ -72,8 +74,8 @@
 	return c.terms.successors[zone]
 }
 
-// redirectHeartbeat sends a worker to another controller; an empty name means that the
-// owner is not known.
+// redirectHeartbeat answers a heartbeat with a redirect to another controller. The owner's
+// name is empty if it is not known.
 func redirectHeartbeat(m workerHeartbeat, owner string) {
 	body, err := json.Marshal(wire.Redirect{Controller: owner})
 	if err != nil {
@@ -82,17 +84,18 @@
 	m.req.Respond(&httpwire.Response{Status: 421, Body: body})
 }
 
-// refuseHeartbeat tells a worker that nobody here may answer it now.
+// refuseHeartbeat answers a heartbeat that no actor on this controller may process now.
 func refuseHeartbeat(m workerHeartbeat) {
 	m.req.Respond(&httpwire.Response{Status: 503, Body: []byte(`{"error":"not entitled"}`), RetryAfterS: constants.RetryAfterS})
 }
 
-// misroutedWindow is how long a misrouted heartbeat counts.
+// misroutedWindow returns how long a misrouted heartbeat is taken into account.
 func (c *controlActor) misroutedWindow() time.Duration {
 	return time.Duration(constants.MisroutedPeriods * float64(c.settings.HeartbeatPeriod()))
 }
 
-// recentMisrouted lists the misrouted heartbeats that still count, and drops the others.
+// recentMisrouted returns the misrouted heartbeats within the window, and discards the
+// others.
 func (c *controlActor) recentMisrouted(now time.Time) []shard.MisroutedHeartbeat {
 	var recent []shard.MisroutedHeartbeat
 	window := c.misroutedWindow()
--- a/controller/lease.go
+++ b/controller/lease.go
@@ -14,8 +14,8 @@
 	"ravenport/wire"
 )
 
-// receiveLeaseMessage handles the result of a call for the lease or its freshness, and
-// returns whether a message is one.
+// receiveLeaseMessage handles the result of a call that requests or renews the lease or
+// reads the store's revision. It returns false if msg is of another kind.
 func (c *controlActor) receiveLeaseMessage(now time.Time, msg any) bool {
 	switch m := msg.(type) {
 	case leaseGranted:
@@ -30,7 +30,8 @@
 	return true
 }
 
-// keepLease renews the lease, or requests one and registers this controller under it.
+// keepLease renews the lease. If there is none, it requests a lease and registers this
+// controller under that lease.
 func (c *controlActor) keepLease(ctx context.Context, now time.Time) {
 	if c.lease.callInFlight || now.Before(c.lease.nextCall) || !c.feed.synced || c.detection.resigned {
 		return
@@ -46,7 +47,8 @@
 	go c.renewLease(ctx, now, lease)
 }
 
-// startRegistration requests a lease and then writes this controller's key under it.
+// startRegistration requests a lease and then writes this controller's record under that
+// lease.
 func (c *controlActor) startRegistration(ctx context.Context, now time.Time, ttl time.Duration) {
 	incarnation := rand.Uint64()>>1 | 1
 	record := records.Controller{Incarnation: incarnation, ReadsPacked: true}
@@ -60,15 +62,15 @@
 	}()
 }
 
-// register requests a lease and commits this controller's record under it. It runs
-// beside the actor.
+// register requests a lease and commits this controller's record under that lease. It
+// runs on a goroutine other than the actor's.
 func (c *controlActor) register(ctx context.Context, record records.Controller, version uint64, ttl time.Duration) (uint64, error) {
 	lease, err := c.dependencies.Store.Grant(ctx, ttl)
 	if err != nil {
 		return lease, err
 	}
-	// Conditional, so that a late copy from an earlier process can never replace this
-	// one's.
+	// The write is conditional, so that a delayed copy of an earlier process's write can
+	// never replace the record of this process.
 	key := records.KeyController(c.settings.Controller)
 	_, err = c.dependencies.Unthrottled.Commit(ctx, wire.Txn{
 		Conditions: []wire.Condition{{Key: key, Version: version}},
@@ -77,8 +79,8 @@
 	return lease, err
 }
 
-// renewLease renews the lease and then reads the store's revision, by which the feed's
-// freshness is measured. It runs beside the actor.
+// renewLease renews the lease and then reads the store's revision, with which the
+// freshness of the feed is determined. It runs on a goroutine other than the actor's.
 func (c *controlActor) renewLease(ctx context.Context, sentAt time.Time, lease uint64) {
 	err := c.dependencies.Store.Renew(ctx, lease)
 	c.self.Tell(leaseRenewed{lease, sentAt, err})
@@ -116,7 +118,7 @@
 func (c *controlActor) handleLeaseRenewed(now time.Time, m leaseRenewed) {
 	c.lease.callInFlight = false
 	switch {
-	case m.lease != c.lease.id: // given up meanwhile
+	case m.lease != c.lease.id: // this process ended the lease in the meantime
 	case m.err == nil:
 		c.lastStoreContact = now
 		if m.sentAt.After(c.lease.requestedAt) {
@@ -124,7 +126,8 @@
 		}
 		c.broadcastAuthority()
 	case errors.Is(m.err, kvstore.ErrLeaseExpired):
-		// Others may hold this controller's terms by now. It begins anew.
+		// Other controllers may hold this controller's terms by now, so it stops all
+		// roles and requests a new lease.
 		slog.Warn("lease expired", logkey.Lease, m.lease)
 		c.endLease(now)
 	default:
@@ -133,13 +136,13 @@
 	}
 }
 
-// retryLeaseCall puts the next call for the lease off by a short random time.
+// retryLeaseCall schedules the next call for the lease after a short random delay.
 func (c *controlActor) retryLeaseCall(now time.Time) {
 	c.lease.nextCall = now.Add(constants.RetryBackoffMin + rand.N(constants.RetryBackoffMin))
 }
 
-// endLease stops everything that is done under the lease. The next one is requested at
-// retryAt at the earliest.
+// endLease drops the lease and stops the leader and the owners that run under it. A new
+// lease is requested at retryAt at the earliest.
 func (c *controlActor) endLease(retryAt time.Time) {
 	c.lease.id = 0
 	c.lease.incarnation = 0
--- a/controller/pacer.go
+++ b/controller/pacer.go
@@ -6,16 +6,16 @@
 	"ravenport/actor"
 )
 
-// stepPacer keeps an actor's steps apart, so that what arrives between two steps is
-// decided together.
+// stepPacer enforces a minimum gap between an actor's steps, so that messages that arrive
+// between two steps are handled by a single decision.
 type stepPacer struct {
 	self          *actor.Ref
 	lastStep      time.Time
-	stepScheduled bool // a wake for the next step is on its way
-	tickScheduled bool // a wake of the regular tick is on its way
+	stepScheduled bool // a wake message for the next step is scheduled
+	tickScheduled bool // a wake message for the regular tick is scheduled
 }
 
-// noteWake notes that a scheduled wake has arrived.
+// noteWake records that a scheduled wake message has arrived.
 func (p *stepPacer) noteWake(w wake) {
 	if w.deferredStep {
 		p.stepScheduled = false
@@ -24,7 +24,7 @@
 	}
 }
 
-// scheduleTick wakes the actor after a time, unless a tick is scheduled already.
+// scheduleTick schedules a tick of the actor, unless one is scheduled already.
 func (p *stepPacer) scheduleTick(after time.Duration) {
 	if p.tickScheduled {
 		return
@@ -33,8 +33,8 @@
 	time.AfterFunc(after, func() { p.self.Tell(wake{}) })
 }
 
-// startStep returns whether a step may be made now, and notes it as made. Otherwise it
-// schedules a wake for when the next one may be.
+// startStep reports whether a step may start now, and records its start. If the step may
+// not start yet, startStep schedules a wake message for the time when it may.
 func (p *stepPacer) startStep(now time.Time, gap time.Duration) bool {
 	wait := p.lastStep.Add(gap).Sub(now)
 	if wait <= 0 {
--- a/controller/redirects.go
+++ b/controller/redirects.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// redirectedWorker is a worker whose heartbeat came here and was redirected to the owner
-// of its shard.
+// redirectedWorker is a worker that sent its heartbeat to this controller and was
+// redirected to the owner of its shard.
 type redirectedWorker struct {
-	epoch, seq   uint64 // of its latest heartbeat here
-	owner        string // the controller that it was last redirected to
+	epoch, seq   uint64 // of the worker's latest heartbeat to this controller
+	owner        string // the controller to which the worker was last redirected
 	redirectedAt time.Time
-	returned     bool // it came back with a newer heartbeat after it was redirected there
+	returned     bool // the worker sent a newer heartbeat here after it was redirected to owner
 }
 
-// redirectTracker notices workers that come back to this controller after they were
-// redirected to their owner: they were not served there. A late copy of a heartbeat is no
-// newer than the last one, and does not count.
+// redirectTracker detects workers that return to this controller after they were
+// redirected to their owner: the owner did not serve them. A late copy of a heartbeat is
+// not newer than the latest heartbeat and does not count as a return.
 type redirectTracker struct {
-	window  time.Duration // how long a redirect counts
+	window  time.Duration // how long a redirect is taken into account
 	workers map[string]redirectedWorker
 }
 
@@ -23,7 +23,7 @@
 	return &redirectTracker{window: window, workers: map[string]redirectedWorker{}}
 }
 
-// record notes that a worker's heartbeat was redirected to its owner.
+// record stores that a worker's heartbeat was redirected to its owner.
 func (r *redirectTracker) record(now time.Time, worker string, epoch, seq uint64, owner string) {
 	previous, known := r.workers[worker]
 	isCopy := known && (epoch < previous.epoch || epoch == previous.epoch && seq <= previous.seq)
@@ -34,12 +34,12 @@
 	r.workers[worker] = redirectedWorker{epoch: epoch, seq: seq, owner: owner, redirectedAt: now, returned: returned}
 }
 
-// reset drops everything: while this controller may not know who the owners are, it
-// holds nothing against them.
+// reset discards all redirects. It is called while this controller may not know the
+// current owners, so that its redirects are no evidence against them.
 func (r *redirectTracker) reset() { clear(r.workers) }
 
-// countReturned counts the workers that came back lately, by the controller that they
-// were redirected to.
+// countReturned returns the number of workers that returned to this controller within the
+// window, by the controller to which they were redirected.
 func (r *redirectTracker) countReturned(now time.Time) map[string]int {
 	returned := map[string]int{}
 	for worker, s := range r.workers {
--- a/controller/revocation.go
+++ b/controller/revocation.go
@@ -12,8 +12,8 @@
 	"ravenport/records"
 )
 
-// revokeFailedController revokes the first of the controllers that were declared failed. Without
-// authority of its own a controller revokes nobody.
+// revokeFailedController revokes the first of the proposed controllers that can be
+// revoked. It does nothing if this controller has no authority.
 func (c *controlActor) revokeFailedController(ctx context.Context, now time.Time, proposals []detector.RevocationProposal) {
 	if c.detection.revoking || c.detection.resigned || !c.hasAuthority(now) || c.isAcquisitionBlocked(now) {
 		return
@@ -38,8 +38,8 @@
 	}
 }
 
-// handleRevocationDone handles the result of a revocation; the monitor proposes one that
-// failed again if its reasons still hold.
+// handleRevocationDone handles the result of writing a revocation. If the write failed and
+// the evidence persists, the monitor proposes the revocation again.
 func (c *controlActor) handleRevocationDone(m revocationDone) {
 	c.detection.revoking = false
 	if m.err != nil {
@@ -47,8 +47,8 @@
 	}
 }
 
-// applyRevocation applies a stored revocation. If it is this process's, everything done
-// here under its lease ends.
+// applyRevocation applies a stored revocation. If this process was revoked, it ends its
+// lease and stops the leader and the owners that run under the lease.
 func (c *controlActor) applyRevocation(now time.Time, r *records.Revocation) {
 	if c.detection.monitor == nil {
 		return
--- a/controller/role_messages.go
+++ b/controller/role_messages.go
@@ -10,16 +10,18 @@
 
 // Messages to the leader and to shard owners.
 type (
-	// authorityChanged says until when the actor may act; zero: not at all.
+	// authorityChanged carries the time until which the actor has authority; zero: it has
+	// none.
 	authorityChanged struct{ until time.Time }
-	// packingEnabled says that every controller reads packed records.
+	// packingEnabled reports that every controller reads packed records.
 	packingEnabled struct{}
-	// wake tells an actor to look at what is due. A deferred step is one that was put
-	// off to keep it apart from the one before; else it is the regular tick.
+	// wake makes an actor do the work that is due. It is either the regular tick or, if
+	// deferredStep is set, the start of a step that was deferred to keep the minimum gap
+	// between two steps.
 	wake struct{ deferredStep bool }
-	// stopRequest tells an actor to stop for good and to call stopped then.
+	// stopRequest tells an actor to stop permanently and then to call stopped.
 	stopRequest struct{ stopped func() }
-	// assignmentDone is the result of writing an assignment, for the leader.
+	// assignmentDone tells the leader the result of writing an assignment.
 	assignmentDone struct {
 		jobID  string
 		urgent bool
@@ -27,7 +29,7 @@
 	}
 )
 
-// Messages to shard owners alone.
+// Messages to shard owners only.
 type (
 	// shardCommitDone is the result of an owner's transaction.
 	shardCommitDone struct {
@@ -39,22 +41,23 @@
 		machine string
 		result  worker.Result
 	}
-	// scaleOutDone is the cloud's answer to a scale-out request; an error means that it
-	// gave no machine.
+	// scaleOutDone is the cloud's answer to a scale-out request. If err is set, the cloud
+	// provided no machine.
 	scaleOutDone struct {
 		requestID string
 		machines  []string
 		err       error
 	}
-	// scaleInDone names machines that the cloud has taken back.
+	// scaleInDone lists machines that the cloud has terminated.
 	scaleInDone    struct{ machines []string }
 	machinesListed struct {
 		machines []wire.CloudMachine
 		err      error
 	}
-	// peerMisroutedHeartbeats are machines whose heartbeats reached another controller.
+	// peerMisroutedHeartbeats lists machines whose heartbeats reached another controller
+	// than their owner's.
 	peerMisroutedHeartbeats struct {
 		machines          []shard.MisroutedHeartbeat
-		allPeersInContact bool // every live controller made contact lately
+		allPeersInContact bool // every other live controller made contact recently
 	}
 )
--- a/controller/roles.go
+++ b/controller/roles.go
@@ -13,22 +13,25 @@
 	"ravenport/records"
 )
 
-// runningActor is the actor of a role that runs here, under one term.
+// runningActor is the actor of a role, leader or shard owner, that runs on this
+// controller under one term.
 type runningActor struct {
 	ref    *actor.Ref
 	cancel context.CancelFunc
 	term   uint64
-	// version is the store's version of an owner's term.
+	// version is the version of the term's record in the key-value store. It is set for
+	// shard owners only.
 	version uint64
 }
 
-// heldTerm is a term that this process holds, and the store's version of it.
+// heldTerm is a term that this process holds, and the version of its record in the
+// key-value store.
 type heldTerm struct {
 	number  uint64
 	version uint64
 }
 
-// term returns the term under key, and whether this process holds it.
+// term returns the term stored under key, and whether this process holds the term.
 func (c *controlActor) term(key string) (heldTerm, bool) {
 	term, version := c.member.Term(key)
 	held := version != 0 && c.lease.incarnation != 0 &&
@@ -36,7 +39,8 @@
 	return heldTerm{number: term.Number, version: version}, held
 }
 
-// reconcileRoles starts and stops the leader and the owners as the terms say.
+// reconcileRoles starts and stops the leader and the owners according to the stored
+// terms.
 func (c *controlActor) reconcileRoles(ctx context.Context, now time.Time) {
 	for _, shard := range c.settings.Deployment.Zones {
 		c.reconcileOwner(ctx, now, shard)
@@ -63,7 +67,7 @@
 		if owner.term == current.number {
 			return
 		}
-		c.stopOwner(shard) // a further term of this controller's begins anew, like any other
+		c.stopOwner(shard) // each term has its own actor, also if the controller is the same
 	}
 	slog.Info("shard acquired", logkey.Shard, shard, logkey.Term, current.number)
 	c.startOwner(ctx, now, shard, current)
@@ -102,14 +106,15 @@
 		a.self.Tell(apiserver.JobCancelled{JobID: cancellation.JobID, Revision: cancellation.Revision})
 	}
 	c.roles.owners[shard] = &runningActor{ref: a.self, cancel: cancel, term: term.number, version: term.version}
-	clear(c.extension.grantedAt) // they were granted for other terms
+	clear(c.extension.grantedAt) // the lease extensions were granted for other terms
 	go func() {
 		defer a.workers.Close()
 		a.self.Run(ctx, a)
 	}()
 }
 
-// stopLeader ends the leader here, if there is one. Its forecasts are sent no more.
+// stopLeader stops the leader if it runs on this controller. Its forecasts are no longer
+// sent.
 func (c *controlActor) stopLeader() {
 	if c.roles.leader == nil {
 		return
@@ -119,7 +124,7 @@
 	c.roles.leader = nil
 }
 
-// stopOwner ends the owner of a shard here, if there is one.
+// stopOwner stops the owner of a shard if it runs on this controller.
 func (c *controlActor) stopOwner(shard string) {
 	owner := c.roles.owners[shard]
 	if owner == nil {
@@ -132,22 +137,22 @@
 	delete(c.drains.views, shard)
 }
 
-// tellOwners sends a message to every owner here.
+// tellOwners sends a message to every owner on this controller.
 func (c *controlActor) tellOwners(msg any) {
 	for _, owner := range c.roles.owners {
 		owner.ref.Tell(msg)
 	}
 }
 
-// tellLeader sends a message to the leader, if it runs here.
+// tellLeader sends a message to the leader if it runs on this controller.
 func (c *controlActor) tellLeader(msg any) {
 	if c.roles.leader != nil {
 		c.roles.leader.ref.Tell(msg)
 	}
 }
 
-// receiveShardMessage handles a message that comes from an owner here, and returns
-// whether it is one.
+// receiveShardMessage handles a message from an owner on this controller. It returns
+// false if msg is of another kind.
 func (c *controlActor) receiveShardMessage(now time.Time, msg any) bool {
 	switch m := msg.(type) {
 	case shardStatus:
@@ -162,7 +167,8 @@
 	return true
 }
 
-// handleShardStatus keeps an owner's figures and passes them on.
+// handleShardStatus stores an owner's status and passes it on to the API server, the
+// leader and the other owners on this controller.
 func (c *controlActor) handleShardStatus(now time.Time, m shardStatus) {
 	c.push.pending = true
 	if m.counts != nil {
@@ -182,24 +188,28 @@
 	c.tellOwners([]leader.Aggregate{m.aggregate})
 }
 
-// lacksPeerContact says whether no other controller made contact lately, though some live.
+// lacksPeerContact reports whether no other controller made contact within
+// PeerSilenceTimeout although at least one is alive.
 func (c *controlActor) lacksPeerContact(now time.Time) bool {
 	return c.havePeersTimedOut(now, func(v peerView) time.Time { return v.lastContact })
 }
 
-// lacksPeerStatus says whether no other controller has sent its status lately, though some
-// live and may answer this one's. Guards against a leader that others cannot call: it
-// would know the figures of its own shards alone, and give those all work.
+// lacksPeerStatus reports whether no other controller sent its status within
+// PeerSilenceTimeout although at least one is alive. The others may still answer this
+// controller's status. The check guards against a leader that other controllers cannot
+// call: the leader would have the aggregates of its own shards only, and would assign
+// all work to those shards.
 func (c *controlActor) lacksPeerStatus(now time.Time) bool {
 	return c.havePeersTimedOut(now, func(v peerView) time.Time { return v.lastStatus })
 }
 
-// havePeersTimedOut says whether some other controller lives, and the last sign of each
-// other one was too long ago.
-func (c *controlActor) havePeersTimedOut(now time.Time, lastSign func(peerView) time.Time) bool {
+// havePeersTimedOut reports whether at least one other controller is alive, and the time
+// that lastReceived returns is longer ago than PeerSilenceTimeout for every other
+// controller.
+func (c *controlActor) havePeersTimedOut(now time.Time, lastReceived func(peerView) time.Time) bool {
 	someAlive := false
 	for _, p := range c.settings.Peers {
-		if now.Sub(lastSign(c.peers[p.Controller])) < constants.PeerSilenceTimeout {
+		if now.Sub(lastReceived(c.peers[p.Controller])) < constants.PeerSilenceTimeout {
 			return false
 		}
 		someAlive = someAlive || c.member.IsAlive(p.Controller)
--- a/controller/run.go
+++ b/controller/run.go
@@ -15,7 +15,8 @@
 	"ravenport/worker"
 )
 
-// Run runs a controller with its servers until ctx ends or one of them fails.
+// Run runs a controller with its servers until ctx ends, or until the controller or a
+// server fails.
 func Run(ctx context.Context, set *settings.Settings) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -44,7 +45,7 @@
 	}
 }
 
-// connect prepares the clients of everything that a controller calls.
+// connect creates the clients of all services that a controller calls.
 func connect(set *settings.Settings) (Dependencies, error) {
 	limits := set.StoreLimits()
 	store := kvstore.NewClient(set.Services.Store, limits.RPS, limits.WriteRPS)
@@ -71,8 +72,9 @@
 	return dependencies, nil
 }
 
-// openHistory opens the file of membership events; nil if none is configured or it cannot
-// be opened. A controller starts all the same, also with a damaged file.
+// openHistory opens the file of membership events. It returns nil if no file is configured
+// or the file cannot be opened. A controller starts even without a file or with a damaged
+// one.
 func openHistory(set *settings.Settings) *history.File {
 	if set.Detection == nil || set.Detection.HistoryPath == "" {
 		return nil
@@ -89,18 +91,18 @@
 	return file
 }
 
-// serve starts the servers of users, workers and other controllers; the first that fails
-// delivers its error.
+// serve starts the servers for users, workers and other controllers. The returned channel
+// delivers the error of a server that fails.
 func (c *Controller) serve(ctx context.Context, set *settings.Settings) <-chan error {
-	failed := make(chan error, 2) // one for each server, so that neither blocks
+	failed := make(chan error, 2) // one slot for each server, so that neither blocks
 	go func() { failed <- peer.Serve(ctx, set.PeerAddr, c.peerHandlers()) }()
 	httpServer := server.New(set.Listen, set.SocketLimits().Server, c.route)
 	go func() { failed <- httpServer.Run() }()
 	return failed
 }
 
-// peerHandlers returns what answers other controllers' calls; without failure detection or
-// draining their calls are refused.
+// peerHandlers returns the handlers of other controllers' calls. Calls about failure
+// detection or draining are refused if that feature is off.
 func (c *Controller) peerHandlers() peer.Handlers {
 	handlers := peer.Handlers{Status: c.HandlePeerStatus, Commit: c.HandlePeerCommit}
 	if c.monitor != nil {
--- a/controller/transfer.go
+++ b/controller/transfer.go
@@ -10,8 +10,8 @@
 	"ravenport/records"
 )
 
-// transferCutOffLeadership transfers the leadership if no other controller's status
-// arrives here.
+// transferCutOffLeadership transfers the leadership if this controller receives no status
+// from any other controller.
 func (c *controlActor) transferCutOffLeadership(now time.Time) {
 	settled := now.Sub(c.roles.leaderSince) > 2*constants.PeerSilenceTimeout
 	if c.roles.leader != nil && settled && c.lacksPeerStatus(now) {
@@ -19,8 +19,10 @@
 	}
 }
 
-// transferUnreachableShard transfers a shard whose machines fell silent together, unless
-// it may be the machines that are cut off.
+// transferUnreachableShard transfers a shard whose machines became unreachable at the same
+// time. It does so only if this controller appears to be cut off: other controllers
+// receive the machines' heartbeats, or no other controller is in contact with this one.
+// Otherwise the machines themselves may be cut off.
 func (c *controlActor) transferUnreachableShard(now time.Time, m shardUnreachable) {
 	if c.roles.owners[m.shard] == nil {
 		return
@@ -30,8 +32,8 @@
 	}
 }
 
-// transferUnusableTerm transfers a term that this controller cannot make use of, because
-// it is cut off from what that takes.
+// transferUnusableTerm transfers a term that this controller holds but cannot use, because
+// it is cut off from the machines or the controllers that the term concerns.
 func (c *controlActor) transferUnusableTerm(now time.Time, key string) {
 	acquisition, ok := c.member.TransferAway(now, key)
 	if !ok || c.isAcquiring(now, key) || !c.hasAuthority(now) {
@@ -41,22 +43,22 @@
 	c.transferTerm(now, acquisition)
 }
 
-// renewTerm gives an owner here a new term before the numbers of its own run out. Like
-// any transfer it begins with the owner's stop.
+// renewTerm acquires a new term for an owner on this controller before the numbers of the
+// current term are used up. Like every transfer, the renewal first stops the owner.
 func (c *controlActor) renewTerm(now time.Time, shard string) {
 	key := records.KeyShard(shard)
 	owner := c.roles.owners[shard]
 	if owner == nil || c.isAcquiring(now, key) || !c.hasAuthority(now) || c.isAcquisitionBlocked(now) {
-		return // the owner asks again
+		return // the owner repeats its request
 	}
 	slog.Info("numbers of the term are nearly used up, acquiring a new term", logkey.Shard, shard, logkey.Term, owner.term)
 	c.transferTerm(now, c.member.AcquisitionFor(key, c.settings.Controller))
 }
 
-// transferTerm ends what this controller does under a term before another begins. The
-// acquisition that transfers the term is written only once the actor has stopped:
-// heartbeats that still wait in its mailbox must not be answered after the next owner has
-// begun to count the workers' leases.
+// transferTerm stops the actor that runs under a term before the next term begins. The
+// acquisition that transfers the term is written only after the actor has stopped: the
+// actor must not answer heartbeats that are still in its mailbox after the next owner has
+// started to time the workers' leases.
 func (c *controlActor) transferTerm(now time.Time, acquisition member.TermAcquisition) {
 	term, _ := c.member.Term(acquisition.Key)
 	c.terms.relinquished[acquisition.Key] = term.Number
@@ -72,8 +74,8 @@
 	}})
 }
 
-// detachRole removes the actor that runs here under key from the roles, without stopping
-// it, and returns it; nil if there is none.
+// detachRole removes the actor that runs on this controller under key from the roles,
+// without stopping the actor, and returns it. It returns nil if there is no such actor.
 func (c *controlActor) detachRole(key string) *runningActor {
 	if key == records.KeyLeader {
 		running := c.roles.leader
--- a/controller/unserved.go
+++ b/controller/unserved.go
@@ -7,9 +7,11 @@
 	"ravenport/records"
 )
 
-// controllersWithUnservedWorkers says of which controllers too many workers come back here after they were
-// redirected to them as their owner. It is held against nobody while this controller
-// cannot know who the owners are, nor for a while after.
+// controllersWithUnservedWorkers returns, for each controller to which workers were
+// redirected and from which some returned, whether enough workers returned to be evidence
+// against that controller. While this controller has no authority it may not know the
+// owners: it then returns nil and discards the redirects that it has recorded, so that
+// there is no evidence for some time afterwards either.
 func (c *controlActor) controllersWithUnservedWorkers(now time.Time) map[string]bool {
 	if !c.hasAuthority(now) {
 		c.detection.redirects.reset()
@@ -22,14 +24,15 @@
 	return unserved
 }
 
-// unservedThreshold is how many of a controller's machines must come back here to count
-// against it: one in RecentHeartbeatShare, rounded up, and never fewer than MinUnservedMachines.
+// unservedThreshold returns how many of a controller's machines must return to this
+// controller to be evidence against the owner: one in RecentHeartbeatShare, rounded up,
+// and at least MinUnservedMachines.
 func (c *controlActor) unservedThreshold(controller string) int {
 	share := (c.countOwnedMachines(controller) + constants.RecentHeartbeatShare - 1) / constants.RecentHeartbeatShare
 	return max(constants.MinUnservedMachines, share)
 }
 
-// countOwnedMachines counts the machines of the shards that a controller owns.
+// countOwnedMachines returns the number of machines in the shards that a controller owns.
 func (c *controlActor) countOwnedMachines(controller string) int {
 	owned := map[string]bool{}
 	for _, zone := range c.settings.Deployment.Zones {
