--- a/controller/control.go
+++ b/controller/control.go
@@ -91,7 +91,7 @@
 // records that the feed delivers.
 type termState struct {
 	acquiring    map[string]time.Time // by key: when the acquisition started
-	relinquished map[string]uint64    // by key: the term that this controller relinquished, or that another controller reported as superseded
+	relinquished map[string]uint64    // by key: the term relinquished here, or reported as superseded
 	successors   map[string]string    // by shard: the new owner that another controller reported
 	unstableAt   map[string]time.Time // by key: when a shard owned here was last not rebuilt or was unreachable
 }
