--- a/disruption/claim.go
+++ b/disruption/claim.go
@@ -150,10 +150,10 @@
 func (l *Ledger) nextClaim(now time.Time) (next Counts, raises []BudgetKey) {
 	next = Counts{}
 	for k := range l.unavailable {
-		next[k] = l.unavailableHere(now, k)
+		next[k] = l.unavailableInShard(now, k)
 	}
 	for k := range l.inherited {
-		if n := l.unavailableHere(now, k); n > 0 {
+		if n := l.unavailableInShard(now, k); n > 0 {
 			next[k] = n
 		}
 	}
--- a/disruption/damaged_claim_test.go
+++ b/disruption/damaged_claim_test.go
@@ -22,14 +22,14 @@
 	m.store(key, &records.DamagedRecord{Key: key})
 }
 
-// playDamaged is play, in which claims are damaged now and then. It returns how often.
-func (m *model) playDamaged(events int) (damaged int) {
+// runEventsWithDamage is play, in which claims are damaged now and then. It returns how often.
+func (m *model) runEventsWithDamage(events int) (damaged int) {
 	for _, s := range m.shards {
 		m.startOwner(s)
 		m.owners[s].isRebuilt = true
 	}
 	for range events {
-		if m.event(); m.violation != "" {
+		if m.randomEvent(); m.violation != "" {
 			return damaged
 		}
 		if m.pick(25) == 0 {
@@ -41,18 +41,18 @@
 }
 
 func TestDamagedClaimsKeepWithinBudgets(t *testing.T) {
-	const days = 400
+	const runs = 400
 	damaged, stops := 0, 0
-	for seed := range uint64(days) {
+	for seed := range uint64(runs) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		m := newModel(rng.IntN)
-		damaged += m.playDamaged(400)
+		damaged += m.runEventsWithDamage(400)
 		stops += m.voluntaryStops
 		if m.violation != "" {
 			t.Fatalf("seed %d: %s", seed, m.violation)
 		}
 	}
-	if damaged < days || stops < days/20 { // without damage there is a stop on every third day
+	if damaged < runs || stops < runs/20 { // without damage there is a stop on every third day
 		t.Errorf("only %d damaged claims and %d stops", damaged, stops)
 	}
 }
@@ -62,19 +62,19 @@
 	now := time.Unix(1000, 0)
 	var budgets Budgets
 	budgets.SetServicesDefault(MaxUnavailable{Tasks: 1})
-	l := NewLedger(Config{Shard: "a", Shards: []string{"a", "b"}, Term: 1, Budgets: budgets, StableAfter: time.Second})
+	ledger := NewLedger(Config{Shard: "a", Shards: []string{"a", "b"}, Term: 1, Budgets: budgets, StableAfter: time.Second})
 	spec := wire.Submission{ID: "run-1", Team: modelTeam, Class: "c", Kind: wire.KindService, Tasks: 4}
-	l.ApplyJob(now, &records.Job{ID: "run-1", Spec: spec, Assignments: []records.Assignment{{From: 0, To: 2, Shard: "a"}, {From: 2, To: 4, Shard: "b"}}})
-	l.ApplyTerm(&records.Term{Shard: "b", Number: 1})
-	l.ApplyClaim(&records.DisruptionClaim{Shard: "b", Term: 1}, 5)
-	l.Observe(now, Counts{}, true)
+	ledger.ApplyJob(now, &records.Job{ID: "run-1", Spec: spec, Assignments: []records.Assignment{{From: 0, To: 2, Shard: "a"}, {From: 2, To: 4, Shard: "b"}}})
+	ledger.ApplyTerm(&records.Term{Shard: "b", Number: 1})
+	ledger.ApplyClaim(&records.DisruptionClaim{Shard: "b", Term: 1}, 5)
+	ledger.Observe(now, Counts{}, true)
 	now = now.Add(time.Minute)
-	if refusal := l.RequestStop(now, l.BudgetsOf(&spec)); refusal == nil || refusal.Reason != ReasonClaimPending {
+	if refusal := ledger.RequestStop(now, ledger.BudgetsOf(&spec)); refusal == nil || refusal.Reason != ReasonClaimPending {
 		t.Fatalf("refused as %v", refusal)
 	}
-	l.ApplyClaim(&records.DisruptionClaim{Shard: "b", Term: 1, Unavailable: map[string]int{modelTeam: 1}}, 6)
-	l.ApplyDamagedClaim("b", 7)
-	changes, _ := l.PrepareWrite(now, true)
+	ledger.ApplyClaim(&records.DisruptionClaim{Shard: "b", Term: 1, Unavailable: map[string]int{modelTeam: 1}}, 6)
+	ledger.ApplyDamagedClaim("b", 7)
+	changes, _ := ledger.PrepareWrite(now, true)
 	for _, change := range changes {
 		record, err := records.Decode(change.Put, change.Value)
 		if err != nil {
--- a/disruption/fuzz_test.go
+++ b/disruption/fuzz_test.go
@@ -17,8 +17,8 @@
 			}
 		}
 		key := ParseBudgetKey(text)
-		if again := ParseBudgetKey(key.String()); again != key {
-			t.Errorf("%q is %+v, and then %+v", text, key, again)
+		if reparsed := ParseBudgetKey(key.String()); reparsed != key {
+			t.Errorf("%q is %+v, and then %+v", text, key, reparsed)
 		}
 	})
 }
--- a/disruption/ledger.go
+++ b/disruption/ledger.go
@@ -95,18 +95,18 @@
 	return budget.For(l.population.total[k])
 }
 
-// unavailableHere is what this shard counts against a budget: the unavailable tasks and,
+// unavailableInShard is what this shard counts against a budget: the unavailable tasks and,
 // until the stable time has passed, what earlier owners claimed. Those may be the same
 // tasks, or tasks that run but have not proved themselves stable.
-func (l *Ledger) unavailableHere(now time.Time, k BudgetKey) int {
+func (l *Ledger) unavailableInShard(now time.Time, k BudgetKey) int {
 	if l.isRebuilt && !now.Before(l.inheritedUntil) {
 		return l.unavailable[k]
 	}
 	return l.unavailable[k] + l.inherited[k]
 }
 
-// unavailableElsewhere is what counts against a budget outside of this shard.
-func (l *Ledger) unavailableElsewhere(now time.Time, k BudgetKey) int {
+// unavailableOutsideShard is what counts against a budget outside of this shard.
+func (l *Ledger) unavailableOutsideShard(now time.Time, k BudgetKey) int {
 	n := l.population.countUnowned(now, k)
 	for _, shard := range l.cfg.Shards {
 		if record := l.claims[shard].record; shard != l.cfg.Shard && record != nil {
@@ -118,7 +118,7 @@
 
 // Headroom is how many more tasks a budget allows to be unavailable, as far as is known.
 func (l *Ledger) Headroom(now time.Time, k BudgetKey) int {
-	return l.limit(k) - l.unavailableHere(now, k) - l.unavailableElsewhere(now, k)
+	return l.limit(k) - l.unavailableInShard(now, k) - l.unavailableOutsideShard(now, k)
 }
 
 // Check returns why one more task that counts against the keys may not be unavailable now,
@@ -135,7 +135,7 @@
 	}
 	for _, k := range keys {
 		limit := l.limit(k)
-		unavailable := l.unavailableHere(now, k) + l.unavailableElsewhere(now, k)
+		unavailable := l.unavailableInShard(now, k) + l.unavailableOutsideShard(now, k)
 		switch {
 		case limit < 1:
 			return &RefusalError{Reason: ReasonNeverAllowed, Budget: k, Unavailable: unavailable, Limit: limit}
@@ -154,7 +154,7 @@
 		return refusal
 	}
 	for _, k := range keys {
-		if !l.cfg.SkipClaimProof && l.unavailableHere(now, k)+1 > l.granted[k] {
+		if !l.cfg.SkipClaimProof && l.unavailableInShard(now, k)+1 > l.granted[k] {
 			l.requestClaim(now, keys)
 			return &RefusalError{Reason: ReasonClaimPending, Budget: k}
 		}
@@ -176,11 +176,11 @@
 func (l *Ledger) Usage(now time.Time) []Usage {
 	var usage []Usage
 	for _, k := range slices.SortedFunc(maps.Keys(l.population.total), BudgetKey.compare) {
-		here := l.unavailableHere(now, k)
+		inShard := l.unavailableInShard(now, k)
 		usage = append(usage, Usage{
 			Budget:             k.String(),
-			Unavailable:        here + l.unavailableElsewhere(now, k),
-			UnavailableInShard: here,
+			Unavailable:        inShard + l.unavailableOutsideShard(now, k),
+			UnavailableInShard: inShard,
 			Limit:              l.limit(k),
 			Tasks:              l.population.total[k],
 		})
--- a/disruption/ledger_test.go
+++ b/disruption/ledger_test.go
@@ -46,7 +46,7 @@
 	term        uint64
 	ledger      *Ledger
 	changesRead int            // changes of the feed that it has read
-	views       map[int]string // by task: the shard that it believes it to be in
+	knownShards map[int]string // by task: the shard that it believes it to be in
 	isRebuilt   bool
 	stopping    map[int]bool
 	inFlight    *modelWrite
@@ -55,13 +55,13 @@
 // model is a deployment of three shards whose owners end, fall behind, lose replies and
 // are replaced, while tasks fail, move between shards and are stopped by request.
 type model struct {
-	pick   picker
-	now    time.Time
-	stable time.Duration
-	budget MaxUnavailable
-	tasks  []modelTask
-	owners map[string]*modelOwner
-	shards []string
+	pick        picker
+	now         time.Time
+	stableAfter time.Duration
+	budget      MaxUnavailable
+	tasks       []modelTask
+	owners      map[string]*modelOwner
+	shards      []string
 
 	log        []records.Change
 	versions   map[string]uint64
@@ -69,16 +69,16 @@
 	stops      []modelStop
 	lateWrites []*modelWrite
 
-	skipClaimProof, provedAtStart bool // mutants: no claim is needed, a task counts as available once it starts
-	violation                     string
-	voluntaryStops                int
-	refusals                      map[Reason]int
+	skipClaimProof, availableAtStart bool // mutants: no claim is needed, a task counts as available once it starts
+	violation                        string
+	voluntaryStops                   int
+	refusals                         map[Reason]int
 }
 
 const modelTeam = "team"
 
 func newModel(pick picker) *model {
-	m := &model{pick: pick, now: time.Unix(1000, 0), stable: 10 * time.Second, budget: MaxUnavailable{Tasks: 1 + pick(3)}, shards: []string{"a", "b", "c"},
+	m := &model{pick: pick, now: time.Unix(1000, 0), stableAfter: 10 * time.Second, budget: MaxUnavailable{Tasks: 1 + pick(3)}, shards: []string{"a", "b", "c"},
 		owners: map[string]*modelOwner{}, versions: map[string]uint64{}, claims: map[string]*records.DisruptionClaim{}, refusals: map[Reason]int{}}
 	if pick(3) == 0 {
 		m.budget = MaxUnavailable{Percent: 25, IsPercent: true}
@@ -118,8 +118,8 @@
 	m.store(records.KeyShard(shard), &records.Term{Shard: shard, Number: term})
 	var budgets Budgets
 	budgets.SetServicesDefault(m.budget)
-	o := &modelOwner{shard: shard, term: term, views: map[int]string{}, stopping: map[int]bool{},
-		ledger: NewLedger(Config{Shard: shard, Shards: m.shards, Term: term, Budgets: budgets, StableAfter: m.stable, SkipClaimProof: m.skipClaimProof})}
+	o := &modelOwner{shard: shard, term: term, knownShards: map[int]string{}, stopping: map[int]bool{},
+		ledger: NewLedger(Config{Shard: shard, Shards: m.shards, Term: term, Budgets: budgets, StableAfter: m.stableAfter, SkipClaimProof: m.skipClaimProof})}
 	m.owners[shard] = o
 	m.deliver(o, len(m.log))
 }
@@ -131,9 +131,9 @@
 		switch r := ch.Record.(type) {
 		case *records.Job:
 			o.ledger.ApplyJob(m.now, r)
-			clear(o.views)
+			clear(o.knownShards)
 			for _, a := range r.Assignments {
-				o.views[a.From] = a.Shard
+				o.knownShards[a.From] = a.Shard
 			}
 		case *records.DisruptionClaim:
 			o.ledger.ApplyClaim(r, ch.Version)
@@ -146,47 +146,47 @@
 	}
 }
 
-// isUp reports whether a task is stable, as its owner sees it.
-func (m *model) isUp(t *modelTask) bool {
-	return t.isRunning && (m.provedAtStart || m.now.Sub(t.runningSince) >= m.stable)
+// isStable reports whether a task is stable, as its owner sees it.
+func (m *model) isStable(t *modelTask) bool {
+	return t.isRunning && (m.availableAtStart || m.now.Sub(t.runningSince) >= m.stableAfter)
 }
 
 // step has an owner count, request stops and write its claim.
-func (m *model) step(o *modelOwner) {
-	m.deliver(o, o.changesRead+m.pick(len(m.log)-o.changesRead+1))
-	down := Counts{}
-	keys := o.ledger.BudgetsOf(&wire.Submission{Team: modelTeam, Class: "c", Kind: wire.KindService})
-	var up []int
+func (m *model) step(owner *modelOwner) {
+	m.deliver(owner, owner.changesRead+m.pick(len(m.log)-owner.changesRead+1))
+	unavailable := Counts{}
+	keys := owner.ledger.BudgetsOf(&wire.Submission{Team: modelTeam, Class: "c", Kind: wire.KindService})
+	var available []int
 	for i := range m.tasks {
 		t := &m.tasks[i]
 		switch {
-		case o.views[i] != o.shard:
-		case t.shard != o.shard || o.stopping[i] || !m.isUp(t):
-			down.Add(keys, 1)
+		case owner.knownShards[i] != owner.shard:
+		case t.shard != owner.shard || owner.stopping[i] || !m.isStable(t):
+			unavailable.Add(keys, 1)
 		default:
-			up = append(up, i)
+			available = append(available, i)
 		}
 	}
-	o.ledger.Observe(m.now, down, o.isRebuilt)
+	owner.ledger.Observe(m.now, unavailable, owner.isRebuilt)
 	for range 1 + m.pick(3) {
-		if len(up) == 0 {
+		if len(available) == 0 {
 			break
 		}
-		at := m.pick(len(up))
-		i := up[at]
-		if refused := o.ledger.RequestStop(m.now, keys); refused != nil {
-			m.refusals[refused.Reason]++
+		index := m.pick(len(available))
+		i := available[index]
+		if refusal := owner.ledger.RequestStop(m.now, keys); refusal != nil {
+			m.refusals[refusal.Reason]++
 			continue
 		}
-		up = slices.Delete(up, at, at+1)
-		o.stopping[i] = true
-		m.stops = append(m.stops, modelStop{o.shard, o.term, i})
+		available = slices.Delete(available, index, index+1)
+		owner.stopping[i] = true
+		m.stops = append(m.stops, modelStop{owner.shard, owner.term, i})
 	}
-	if o.inFlight != nil {
+	if owner.inFlight != nil {
 		return
 	}
-	if changes, ifs := o.ledger.PrepareWrite(m.now, true); changes != nil {
-		o.inFlight = &modelWrite{o.shard, o.term, changes, ifs}
+	if changes, conditions := owner.ledger.PrepareWrite(m.now, true); changes != nil {
+		owner.inFlight = &modelWrite{owner.shard, owner.term, changes, conditions}
 	}
 }
 
@@ -213,14 +213,14 @@
 	n := 0
 	for i := range m.tasks {
 		t := &m.tasks[i]
-		if t.isRunning && m.now.Sub(t.runningSince) >= m.stable {
+		if t.isRunning && m.now.Sub(t.runningSince) >= m.stableAfter {
 			t.isVoluntarilyDown = false
 		}
 		if t.isVoluntarilyDown {
 			n++
 		}
 	}
-	if most := m.budget.For(len(m.tasks)); n > most && m.violation == "" {
+	if limit := m.budget.For(len(m.tasks)); n > limit && m.violation == "" {
 		m.violation = fmt.Sprintf("%s: %d are down by request, %s of %d may be", what, n, m.budget, len(m.tasks))
 	}
 }
@@ -240,10 +240,10 @@
 		panic(err)
 	}
 	claim := v.(*records.DisruptionClaim)
-	was := m.claims[w.shard]
+	previous := m.claims[w.shard]
 	m.claims[w.shard] = claim
 	version := m.store(w.changes[0].Put, claim)
-	if len(w.conditions) > 1 && (was == nil || claim.Unavailable[modelTeam] > was.Unavailable[modelTeam]) {
+	if len(w.conditions) > 1 && (previous == nil || claim.Unavailable[modelTeam] > previous.Unavailable[modelTeam]) {
 		m.checkClaims()
 	}
 	return version
@@ -256,13 +256,13 @@
 	for _, c := range m.claims {
 		n += c.Unavailable[modelTeam]
 	}
-	if most := m.budget.For(len(m.tasks)); n > most && m.violation == "" {
-		m.violation = fmt.Sprintf("a raise makes all claims %d, of %d that may be", n, most)
+	if limit := m.budget.For(len(m.tasks)); n > limit && m.violation == "" {
+		m.violation = fmt.Sprintf("a raise makes all claims %d, of %d that may be", n, limit)
 	}
 }
 
-// settleWrite decides what becomes of an owner's write.
-func (m *model) settleWrite(o *modelOwner) {
+// resolveWrite decides what becomes of an owner's write.
+func (m *model) resolveWrite(o *modelOwner) {
 	w := o.inFlight
 	o.inFlight = nil
 	switch m.pick(8) {
@@ -279,46 +279,46 @@
 	}
 }
 
-// event lets one thing happen.
-func (m *model) event() {
-	o := m.owners[m.shards[m.pick(3)]]
-	t := &m.tasks[m.pick(len(m.tasks))]
+// randomEvent lets one thing happen.
+func (m *model) randomEvent() {
+	owner := m.owners[m.shards[m.pick(3)]]
+	task := &m.tasks[m.pick(len(m.tasks))]
 	switch m.pick(16) {
 	case 0, 1, 2, 3, 4, 5:
-		m.step(o)
+		m.step(owner)
 	case 6, 7, 8:
-		if o.inFlight != nil {
-			m.settleWrite(o)
+		if owner.inFlight != nil {
+			m.resolveWrite(owner)
 		}
 	case 9, 10: // a stop arrives
 		if n := len(m.stops); n > 0 {
-			at := m.pick(n)
-			s := m.stops[at]
-			m.stops = slices.Delete(m.stops, at, at+1)
+			index := m.pick(n)
+			s := m.stops[index]
+			m.stops = slices.Delete(m.stops, index, index+1)
 			m.applyStop(s)
 		}
 	case 11, 12: // a task starts again
-		if !t.isRunning && t.shard != "" {
-			t.isRunning, t.runningSince = true, m.now
+		if !task.isRunning && task.shard != "" {
+			task.isRunning, task.runningSince = true, m.now
 		}
 	case 13: // one fails, or moves to another shard
-		if t.shard != "" && m.pick(3) > 0 {
-			t.isRunning = false
+		if task.shard != "" && m.pick(3) > 0 {
+			task.isRunning = false
 			break
 		}
-		if !t.isRunning {
-			if t.shard != "" {
-				t.shard = ""
+		if !task.isRunning {
+			if task.shard != "" {
+				task.shard = ""
 			} else {
-				t.shard = m.shards[m.pick(3)]
+				task.shard = m.shards[m.pick(3)]
 			}
 			m.storeJob()
 		}
 	case 14: // an owner ends, another begins and rebuilds after a while
 		if m.pick(3) == 0 {
-			m.startOwner(o.shard)
+			m.startOwner(owner.shard)
 		} else {
-			o.isRebuilt = true
+			owner.isRebuilt = true
 		}
 	case 15:
 		if n := len(m.lateWrites); n > 0 {
@@ -330,14 +330,14 @@
 	m.now = m.now.Add(time.Duration(m.pick(600)) * time.Millisecond)
 }
 
-// play runs a deployment for so many events.
-func (m *model) play(events int) {
+// runEvents runs a deployment for so many events.
+func (m *model) runEvents(events int) {
 	for _, s := range m.shards {
 		m.startOwner(s)
 		m.owners[s].isRebuilt = true
 	}
 	for range events {
-		if m.event(); m.violation != "" {
+		if m.randomEvent(); m.violation != "" {
 			return
 		}
 	}
@@ -349,7 +349,7 @@
 	stops, refusals := 0, map[Reason]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") })
-		m.play(400)
+		m.runEvents(400)
 		if m.violation != "" {
 			t.Fatal(m.violation)
 		}
@@ -369,14 +369,14 @@
 func TestModelCatchesMutants(t *testing.T) {
 	for name, mutate := range map[string]func(*model){
 		"no claim":            func(m *model) { m.skipClaimProof = true },
-		"proved by its start": func(m *model) { m.provedAtStart = true },
+		"proved by its start": func(m *model) { m.availableAtStart = true },
 	} {
 		caught := ""
 		for seed := uint64(0); seed < 300 && caught == ""; seed++ {
 			rng := rand.New(rand.NewPCG(seed, 1))
 			m := newModel(rng.IntN)
 			mutate(m)
-			m.play(400)
+			m.runEvents(400)
 			caught = m.violation
 		}
 		if caught == "" {
--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -91,12 +91,12 @@
 		candidates = append(candidates, Candidate{Name: name, IsCordoned: slices.Contains(m.cordoned[zone], name)})
 	}
 	m.cordoned[zone] = append(m.cordoned[zone], s.ChooseMachines(time.Unix(0, 0), candidates, 10)...)
-	most := max(1, int(m.policy.ParallelPercent/10))
+	maxCordoned := max(1, int(m.policy.ParallelPercent/10))
 	if !m.record.CanaryPassed {
-		most = 1
+		maxCordoned = 1
 	}
-	if n := len(m.cordoned[zone]); n > most || n > 0 && !s.MayCordon() && m.record.State == records.DrainRunning {
-		t.Fatalf("%v of %s are cordoned, %d may be", m.cordoned[zone], zone, most)
+	if n := len(m.cordoned[zone]); n > maxCordoned || n > 0 && !s.MayCordon() && m.record.State == records.DrainRunning {
+		t.Fatalf("%v of %s are cordoned, %d may be", m.cordoned[zone], zone, maxCordoned)
 	}
 }
 
@@ -117,11 +117,11 @@
 // write writes the record that a shard requests, if any, unless the write is lost.
 func (m *drainModel) write(t *rapid.T, zone string) {
 	s := m.drains[zone]
-	next, on := s.NextRecord(rapid.Bool().Draw(t, "settled"))
+	next, version := s.NextRecord(rapid.Bool().Draw(t, "settled"))
 	if next == nil {
 		return
 	}
-	if on != m.version || rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
+	if version != m.version || rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
 		s.ApplyWriteResult(false)
 		return
 	}
--- a/drain/selection.go
+++ b/drain/selection.go
@@ -61,26 +61,26 @@
 }
 
 // Validate returns the first reason why a selection cannot be drained, or nil.
-func (inv *Inventory) Validate(s *records.Selection) *FieldError {
-	for _, zone := range s.Zones {
+func (inv *Inventory) Validate(selection *records.Selection) *FieldError {
+	for _, zone := range selection.Zones {
 		if !slices.Contains(inv.Zones, zone) {
 			return &FieldError{"zone", fmt.Sprintf("there is no zone %q", zone)}
 		}
 	}
-	for _, machineType := range s.Types {
+	for _, machineType := range selection.Types {
 		if !slices.Contains(inv.Types, machineType) {
 			return &FieldError{"type", fmt.Sprintf("the cloud has no machine type %q", machineType)}
 		}
 	}
-	if len(s.Machines) > constants.MaxDrainMachineNames {
-		return &FieldError{"machine", fmt.Sprintf("names %d machines; at most %d can be named, select by zone, type or age instead", len(s.Machines), constants.MaxDrainMachineNames)}
+	if len(selection.Machines) > constants.MaxDrainMachineNames {
+		return &FieldError{"machine", fmt.Sprintf("names %d machines; at most %d can be named, select by zone, type or age instead", len(selection.Machines), constants.MaxDrainMachineNames)}
 	}
-	for _, name := range s.Machines {
+	for _, name := range selection.Machines {
 		if !inv.hasMachine(name) {
 			return &FieldError{"machine", fmt.Sprintf("no machine %q is in the inventory", name)}
 		}
 	}
-	selected := inv.Select(s)
+	selected := inv.Select(selection)
 	if len(selected) == 0 {
 		return &FieldError{"selection", "takes in no machine"}
 	}
--- a/drain/sharddrain.go
+++ b/drain/sharddrain.go
@@ -166,7 +166,7 @@
 // settled says that every task which was moved is available again or was given up. The
 // caller writes the record on the condition of the returned version and passes the result
 // to ApplyWriteResult.
-func (s *ShardDrain) NextRecord(settled bool) (record *records.Drain, version uint64) {
+func (s *ShardDrain) NextRecord(movesCompleted bool) (record *records.Drain, version uint64) {
 	if s.isWriteInFlight || s.record.State != records.DrainRunning {
 		return nil, 0
 	}
@@ -175,13 +175,13 @@
 	case s.consecutiveFailures >= s.policy.MaxConsecutiveFailures:
 		next.State = records.DrainStopped
 		next.StopReason = fmt.Sprintf("%d replacements in a row failed in %s, the last: %s", s.consecutiveFailures, s.shard, s.lastFailure)
-	case s.remainingMachines == 0 && !s.isDrained(s.shard) && settled:
+	case s.remainingMachines == 0 && !s.isDrained(s.shard) && movesCompleted:
 		next.DrainedShards = append(next.DrainedShards, s.shard)
 		next.CanaryPassed = next.CanaryPassed || s.replacedMachines > 0
 		if s.areAllDrained(next.DrainedShards) {
 			next.State = records.DrainFinished
 		}
-	case !s.record.CanaryPassed && s.replacedMachines > 0 && settled:
+	case !s.record.CanaryPassed && s.replacedMachines > 0 && movesCompleted:
 		next.CanaryPassed = true
 	default:
 		return nil, 0
--- a/window/window_test.go
+++ b/window/window_test.go
@@ -10,7 +10,7 @@
 	_ "ravenport/internal/testseed"
 )
 
-func at(text string) time.Time {
+func mustParseTime(text string) time.Time {
 	t, err := time.Parse(time.RFC3339, text)
 	if err != nil {
 		panic(err)
@@ -35,12 +35,12 @@
 		"every second Tuesday": {"FREQ=WEEKLY;INTERVAL=2;BYDAY=TU", "UTC", time.Hour, "2026-12-02T00:00:00Z", "2026-12-08T00:00:00Z", "2026-12-08T01:00:00Z"},
 		"on leap days":         {"FREQ=YEARLY;BYMONTH=2;BYMONTHDAY=29", "UTC", time.Hour, "2026-12-02T00:00:00Z", "2028-02-29T00:00:00Z", "2028-02-29T01:00:00Z"},
 	} {
-		s, err := Parse(c.rule, c.zone, c.length, at(c.now))
+		s, err := Parse(c.rule, c.zone, c.length, mustParseTime(c.now))
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
 		}
-		if w, ok := s.Next(at(c.now)); !ok || !w.Opens.Equal(at(c.opens)) || !w.Closes.Equal(at(c.closes)) {
+		if w, ok := s.Next(mustParseTime(c.now)); !ok || !w.Opens.Equal(mustParseTime(c.opens)) || !w.Closes.Equal(mustParseTime(c.closes)) {
 			t.Errorf("%s: %s to %s, %v", name, w.Opens.UTC(), w.Closes.UTC(), ok)
 		}
 	}
@@ -48,7 +48,7 @@
 
 // Invalid schedules are refused with the reason.
 func TestBadWindows(t *testing.T) {
-	now := at("2026-12-02T13:00:00Z")
+	now := mustParseTime("2026-12-02T13:00:00Z")
 	for _, c := range []struct {
 		rule, zone string
 		length     time.Duration
@@ -76,7 +76,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		zone := rapid.SampledFrom([]string{"Europe/Berlin", "Africa/Johannesburg", "America/New_York", "Australia/Lord_Howe"}).Draw(t, "zone")
 		rule := rapid.SampledFrom([]string{"FREQ=DAILY;BYHOUR=2;BYMINUTE=15", "FREQ=WEEKLY;BYDAY=SU;BYHOUR=1", "FREQ=DAILY;BYHOUR=23"}).Draw(t, "rule")
-		now := at("2026-01-01T00:00:00Z").Add(time.Duration(rapid.IntRange(0, 365*24*60).Draw(t, "minute")) * time.Minute)
+		now := mustParseTime("2026-01-01T00:00:00Z").Add(time.Duration(rapid.IntRange(0, 365*24*60).Draw(t, "minute")) * time.Minute)
 		s, err := Parse(rule, zone, time.Duration(rapid.IntRange(1, 600).Draw(t, "minutes"))*time.Minute, now)
 		if err != nil {
 			t.Fatal(err)
