--- a/disruption/budget.go
+++ b/disruption/budget.go
@@ -1,10 +1,11 @@
 // Package disruption enforces disruption budgets, which bound how many tasks of a team may
-// be unavailable at once. The budgets are shared by all shards, so the owner of each
-// publishes a claim: a record of how much of every budget its shard uses. A Ledger is one
+// be unavailable at once. All shards share the budgets, so the owner of each shard
+// publishes a claim: a record of how much of every budget the shard uses. A Ledger is one
 // owner's view of all claims, and decides whether one more task of its shard may be
-// stopped. A stop needs a claim that covers it, written by a compare-and-swap transaction
-// on the condition that no other shard's claim has changed. The package is pure: records,
-// counts and time in, decisions and records to write out.
+// stopped. A stop requires a stored claim that covers it. The claim is written by a
+// compare-and-swap transaction on the condition that no other shard's claim has changed.
+// The package does no I/O: callers pass in records, counts and the time, and get decisions
+// and the records to write.
 package disruption
 
 import (
@@ -13,21 +14,21 @@
 	"strings"
 )
 
-// BudgetKey identifies a budget: a team's, or that of one class of a team.
+// BudgetKey identifies the budget of a team, or of one class of a team.
 type BudgetKey struct {
 	Team  string
 	Class string // empty: all classes of the team
-	// Interruptions: the budget counts tasks of arrays that were running and were stopped
-	// before they were done, and gangs, each as one task. Otherwise it counts tasks of
-	// services that are unavailable.
+	// Interruptions is true for a budget that counts interrupted work: tasks of arrays that
+	// were stopped before they had finished, and gangs, each of which counts as one task.
+	// A budget without Interruptions counts the unavailable tasks of services.
 	Interruptions bool
 }
 
 // InterruptionsPrefix precedes the team in the name of a budget of interruptions.
 const InterruptionsPrefix = "interruptions:"
 
-// String returns the budget's name, "TEAM" or "TEAM/CLASS", after InterruptionsPrefix for a
-// budget of interruptions.
+// String returns the budget's name: "TEAM" or "TEAM/CLASS", preceded by
+// InterruptionsPrefix for a budget of interruptions.
 func (k BudgetKey) String() string {
 	name := k.Team
 	if k.Class != "" {
@@ -46,7 +47,7 @@
 	return BudgetKey{team, class, isInterruptions}
 }
 
-// compare orders keys by team and class, those of services first.
+// compare orders keys of services before keys of interruptions, then by team and class.
 func (k BudgetKey) compare(other BudgetKey) int {
 	if k.Interruptions != other.Interruptions {
 		if other.Interruptions {
@@ -60,7 +61,7 @@
 // Budgets are the configured budgets. The zero value has none.
 type Budgets struct {
 	byKey map[BudgetKey]MaxUnavailable
-	// The defaults, unless nil, apply to each team without a budget of the kind of its own.
+	// The defaults apply to each team that has no budget of that kind. nil: no default.
 	defaultServices      *MaxUnavailable
 	defaultInterruptions *MaxUnavailable
 }
@@ -73,15 +74,15 @@
 	b.byKey[k] = m
 }
 
-// SetServicesDefault sets the budget of services of each team without one of its own.
+// SetServicesDefault sets the budget of services for each team that has none.
 func (b *Budgets) SetServicesDefault(m MaxUnavailable) { b.defaultServices = &m }
 
-// SetInterruptionsDefault sets the budget of interruptions of each team without one of its
-// own.
+// SetInterruptionsDefault sets the budget of interruptions for each team that has none.
 func (b *Budgets) SetInterruptionsDefault(m MaxUnavailable) { b.defaultInterruptions = &m }
 
-// KeysFor lists the budgets that a task of a service, or else of an array or a gang, counts
-// against. It is empty if the task may be stopped at any time.
+// KeysFor lists the budgets that a task counts against. isService distinguishes tasks of
+// services from tasks of arrays and gangs. The list is empty if no budget limits when the
+// task may be stopped.
 func (b Budgets) KeysFor(team, class string, isService bool) []BudgetKey {
 	var keys []BudgetKey
 	if k := (BudgetKey{Team: team, Interruptions: !isService}); b.has(k) {
@@ -98,7 +99,8 @@
 	return ok
 }
 
-// maxUnavailable is the budget of a key, or the default that applies to it.
+// maxUnavailable returns the budget that is set for a key, or the default that applies to
+// the key. ok is false if the key has neither.
 func (b Budgets) maxUnavailable(k BudgetKey) (MaxUnavailable, bool) {
 	if m, ok := b.byKey[k]; ok {
 		return m, true
@@ -113,7 +115,7 @@
 	return MaxUnavailable{}, false
 }
 
-// Keys lists in order the budgets that were set by key.
+// Keys lists the budgets that were set with Set, in the order of compare.
 func (b Budgets) Keys() []BudgetKey {
 	var keys []BudgetKey
 	for k := range b.byKey {
--- a/disruption/claim.go
+++ b/disruption/claim.go
@@ -9,9 +9,9 @@
 	"ravenport/wire"
 )
 
-// storedClaim is a shard's claim as last read.
+// storedClaim is a shard's claim as last read from the key-value store.
 type storedClaim struct {
-	record  *records.DisruptionClaim // nil: it cannot be read
+	record  *records.DisruptionClaim // nil: the stored record cannot be decoded
 	version uint64
 }
 
@@ -33,8 +33,10 @@
 	}
 }
 
-// ApplyDamagedClaim applies that the claim of a shard cannot be read. The shard's owner
-// replaces it once it can know by itself what earlier owners may have granted.
+// ApplyDamagedClaim records that the stored claim of a shard cannot be decoded. The shard's
+// owner replaces the claim after it has rebuilt the shard and the stable time has passed.
+// Until then, the tasks that earlier owners stopped may be accounted for only in the damaged
+// claim.
 func (l *Ledger) ApplyDamagedClaim(shard string, version uint64) {
 	if version <= l.claims[shard].version {
 		return
@@ -45,7 +47,7 @@
 	}
 }
 
-// countsOf returns a claim's counts that are positive.
+// countsOf returns the positive counts of a claim.
 func countsOf(record *records.DisruptionClaim) Counts {
 	counts := Counts{}
 	for name, n := range record.Unavailable {
@@ -56,8 +58,8 @@
 	return counts
 }
 
-// shardWithoutClaim is a shard whose present owner has not published a claim, or "" if
-// there is none.
+// shardWithoutClaim returns another shard whose current owner has not published a readable
+// claim, or "" if all owners have.
 func (l *Ledger) shardWithoutClaim() string {
 	for _, shard := range l.cfg.Shards {
 		if shard == l.cfg.Shard {
@@ -71,14 +73,15 @@
 	return ""
 }
 
-// capGrants lowers what is granted to a claim that is, or may come to be, the stored one.
+// capGrants lowers the granted counts to those of a claim that is stored, or may be stored
+// later.
 func (l *Ledger) capGrants(claim Counts) {
 	for k, n := range l.granted {
 		l.granted[k] = min(n, claim[k])
 	}
 }
 
-// requestClaim requests a claim for one more task, within the headroom of its budgets.
+// requestClaim requests a claim for one more task, if all its budgets have headroom for it.
 func (l *Ledger) requestClaim(now time.Time, keys []BudgetKey) {
 	for _, k := range keys {
 		if l.requested[k]+1 > l.Headroom(now, k) {
@@ -89,10 +92,10 @@
 }
 
 // PrepareWrite returns the changes and conditions of a transaction that writes the claim,
-// or nil if none is to be written now. The caller adds the condition of the owner's term,
-// commits the transaction and passes its result to ApplyWriteResult. Requests for claims
-// since the last call that are not in it must be repeated. isDraining shortens the time to
-// the next write.
+// or nil if no write is due. The caller adds the condition that the owner's term is current,
+// commits the transaction and passes the result to ApplyWriteResult. Each call discards the
+// requests for claims since the previous call, so callers repeat requests that the
+// transaction does not include. isDraining shortens the time to the next write.
 func (l *Ledger) PrepareWrite(now time.Time, isDraining bool) (changes []wire.Change, conditions []wire.Condition) {
 	defer clear(l.requested)
 	if l.isWriteInFlight || !l.isRebuilt || now.Before(l.nextWriteAt) {
@@ -116,7 +119,7 @@
 	l.isWriteInFlight = true
 	l.inFlightClaim = next
 	l.inFlightRaises = raises
-	l.capGrants(next) // the transaction may be applied whatever its result says
+	l.capGrants(next) // the store may apply the transaction even if its result is an error
 	l.nextWriteAt = now.Add(constants.ClaimWriteGapIdle)
 	if isDraining {
 		l.nextWriteAt = now.Add(constants.ClaimWriteGap)
@@ -124,8 +127,8 @@
 	return changes, conditions
 }
 
-// otherClaimsUnchanged are the conditions that the claims of all other shards are those
-// that the ledger has read.
+// otherClaimsUnchanged returns the conditions that the claims of all other shards still
+// have the versions that the ledger has read.
 func (l *Ledger) otherClaimsUnchanged() []wire.Condition {
 	var conditions []wire.Condition
 	for _, shard := range l.cfg.Shards {
@@ -136,7 +139,7 @@
 	return conditions
 }
 
-// newClaimRecord is the record of this term's claim of the counts.
+// newClaimRecord returns the record of a claim of the counts under this term.
 func (l *Ledger) newClaimRecord(counts Counts) *records.DisruptionClaim {
 	record := &records.DisruptionClaim{Shard: l.cfg.Shard, Term: l.cfg.Term, Unavailable: map[string]int{}}
 	for k, n := range counts {
@@ -145,8 +148,9 @@
 	return record
 }
 
-// nextClaim returns the claim that should be stored, and the budgets for which it is raised
-// for requested stops. Those raises are valid only while no other claim changes.
+// nextClaim returns the claim that should be stored, and the budgets for which the claim
+// is raised above the granted count for requested stops. The raises are valid only if no
+// other claim changes before the write.
 func (l *Ledger) nextClaim(now time.Time) (next Counts, raises []BudgetKey) {
 	next = Counts{}
 	for k := range l.unavailable {
@@ -158,10 +162,10 @@
 		}
 	}
 	if l.shardWithoutClaim() != "" {
-		return next, nil // what that shard's owner may have granted is not known
+		return next, nil // the shard without a claim may use an unknown part of the budgets
 	}
 	for k, requested := range l.requested {
-		// Others may have raised theirs since the request.
+		// Other owners may have raised their claims since the request.
 		raise := min(requested, l.Headroom(now, k))
 		if raise <= 0 {
 			continue
@@ -174,9 +178,9 @@
 	return next, raises
 }
 
-// ApplyWriteResult applies the result of the transaction from PrepareWrite: the revision
-// of the store at which it was written, or 0 if it is not known to have been written. If
-// it was written all the same, the feed brings the claim.
+// ApplyWriteResult applies the result of the transaction from PrepareWrite. revision is the
+// store's revision of the write, or 0 if the write was refused or its outcome is unknown. If
+// a write of unknown outcome was applied, the feed delivers the claim.
 func (l *Ledger) ApplyWriteResult(now time.Time, revision uint64) {
 	claim, raises := l.inFlightClaim, l.inFlightRaises
 	l.isWriteInFlight = false
--- a/disruption/damaged_claim_test.go
+++ b/disruption/damaged_claim_test.go
@@ -9,20 +9,21 @@
 	"ravenport/wire"
 )
 
-// A claim that cannot be read counted as 0 where a raise is computed: an owner that had asked
-// for a stop before the damage raised its claim "within the headroom", on the condition that
-// the damaged claim is still there, and the claims of all shards together passed the budget
-// ("a raise makes all claims 4, of 3 that may be", in the model). Nobody may raise a claim
-// while one is missing or damaged.
+// These tests guard against raising a claim while another shard's claim is missing or cannot
+// be decoded. Such a claim counted as 0 when a raise was computed. An owner that had requested
+// a stop before the damage raised its claim within the wrong headroom, on the condition that
+// the damaged record was unchanged. The claims of all shards then exceeded the budget (in the
+// model: "a raise makes all claims 4, of 3 that may be").
 
-// damageClaim replaces a shard's stored claim with one that cannot be read. What its owner
-// may have granted stays.
+// damageClaim replaces a shard's stored claim with a record that cannot be decoded. The
+// model's own copy of the claim stays, since the owner may still act on it.
 func (m *model) damageClaim(shard string) {
 	key := records.KeyDisruptionClaim(shard)
 	m.store(key, &records.DamagedRecord{Key: key})
 }
 
-// runEventsWithDamage is play, in which claims are damaged now and then. It returns how often.
+// runEventsWithDamage is runEvents, but damages a claim after about 1 in 25 events. It
+// returns the number of damaged claims.
 func (m *model) runEventsWithDamage(events int) (damaged int) {
 	for _, s := range m.shards {
 		m.startOwner(s)
@@ -52,12 +53,12 @@
 			t.Fatalf("seed %d: %s", seed, m.violation)
 		}
 	}
-	if damaged < runs || stops < runs/20 { // without damage there is a stop on every third day
+	if damaged < runs || stops < runs/20 { // without damage there is a stop in every third run
 		t.Errorf("only %d damaged claims and %d stops", damaged, stops)
 	}
 }
 
-// The raise that was asked for before another shard's claim was damaged is not written.
+// A raise that was requested before another shard's claim was damaged is not written.
 func TestNoRaiseBesideADamagedClaim(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var budgets Budgets
--- a/disruption/fuzz_test.go
+++ b/disruption/fuzz_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// FuzzParse: whatever a setting or a stored claim names, parsing does not panic, and what is
-// taken as an amount or a budget is written as it is read.
+// FuzzParse checks that parsing an amount or a budget's name from a setting or a stored
+// claim does not panic, that an amount allows no negative number of tasks, and that a
+// budget's name is parsed to the same key after it is formatted.
 func FuzzParse(f *testing.F) {
 	for _, text := range []string{"3", "29%", "99.9%", "1e400%", "NaN%", "-1", "unlimited", "team/class", "team", "/", "", "a/b/c"} {
 		f.Add(text)
--- a/disruption/ledger.go
+++ b/disruption/ledger.go
@@ -16,37 +16,39 @@
 	Term        uint64   // of the shard's owner
 	Budgets     Budgets
 	StableAfter time.Duration // a task that has run for so long counts as available
-	// SkipClaimProof allows stops without a claim that covers them, so that tests can show
-	// what claims are needed for.
+	// SkipClaimProof allows stops without a stored claim that covers them. Tests set it to
+	// show that budgets are violated without claims.
 	SkipClaimProof bool
 }
 
-// Ledger is one owner's view of the use of all budgets, in one term. It is not safe for
+// Ledger is one owner's view of the usage of all budgets, in one term. It is not safe for
 // concurrent use.
 type Ledger struct {
 	cfg        Config
 	population population
-	terms      map[string]uint64      // the highest known, by shard
-	claims     map[string]storedClaim // the last known, by shard, this one included
+	terms      map[string]uint64      // highest known term, by shard
+	claims     map[string]storedClaim // last known claim, by shard, this shard included
 
-	isRebuilt   bool   // the state of the shard's tasks is known
-	unavailable Counts // in this shard: as last observed, with stops since
+	isRebuilt   bool   // the owner knows the state of the shard's tasks
+	unavailable Counts // in this shard: as last observed, plus the stops allowed since
 
-	inherited         Counts // what earlier owners of the shard claimed
-	inheritedUntil    time.Time
-	isOwnClaimDamaged bool // what they claimed cannot be read
+	inherited         Counts    // claimed by earlier owners of the shard
+	inheritedUntil    time.Time // the inherited counts apply until then
+	isOwnClaimDamaged bool      // the shard's stored claim was undecodable in this term
 
 	requested Counts // stops that were requested and wait for a claim
 	claimed   Counts // this term's claim as last known to be stored
-	granted   Counts // what of it was compared with all others' claims; stops keep within it
+	// granted is the part of the claim that was written on the condition that no other
+	// shard's claim had changed. Stops may not exceed it.
+	granted Counts
 
 	isWriteInFlight bool
 	inFlightClaim   Counts
-	inFlightRaises  []BudgetKey // budgets whose raise is compared with others' claims
-	nextWriteAt     time.Time   // not before
+	inFlightRaises  []BudgetKey // budgets that the write raises, if no other claim has changed
+	nextWriteAt     time.Time   // earliest time of the next write
 }
 
-// NewLedger returns the ledger of an owner whose term has just begun.
+// NewLedger returns the ledger of an owner at the start of its term.
 func NewLedger(cfg Config) *Ledger {
 	return &Ledger{
 		cfg:         cfg,
@@ -64,15 +66,15 @@
 // ApplyJob applies a job's record from the feed.
 func (l *Ledger) ApplyJob(now time.Time, j *records.Job) { l.population.apply(now, j) }
 
-// ApplyTerm applies the record of a shard's term.
+// ApplyTerm applies the record of a shard's term from the feed.
 func (l *Ledger) ApplyTerm(t *records.Term) {
 	if t.Shard != "" {
 		l.terms[t.Shard] = max(l.terms[t.Shard], t.Number)
 	}
 }
 
-// Observe sets how many tasks of the shard are unavailable. isRebuilt says whether the
-// owner has rebuilt the shard's state: before, it knows nothing of its tasks.
+// Observe sets how many tasks of the shard are unavailable. isRebuilt is whether the owner
+// has rebuilt the shard's state. Until then the state of the shard's tasks is unknown.
 func (l *Ledger) Observe(now time.Time, unavailable Counts, isRebuilt bool) {
 	if isRebuilt && !l.isRebuilt {
 		l.inheritedUntil = now.Add(l.cfg.StableAfter)
@@ -86,18 +88,20 @@
 	return l.cfg.Budgets.KeysFor(s.Team, s.Class, s.IsService())
 }
 
-// InheritedUnavailable is what earlier owners of the shard claimed of a budget.
+// InheritedUnavailable returns how many tasks earlier owners of the shard claimed of a
+// budget.
 func (l *Ledger) InheritedUnavailable(k BudgetKey) int { return l.inherited[k] }
 
-// limit is how many tasks a budget allows to be unavailable.
+// limit returns how many tasks a budget allows to be unavailable.
 func (l *Ledger) limit(k BudgetKey) int {
 	budget, _ := l.cfg.Budgets.maxUnavailable(k)
 	return budget.For(l.population.total[k])
 }
 
-// unavailableInShard is what this shard counts against a budget: the unavailable tasks and,
-// until the stable time has passed, what earlier owners claimed. Those may be the same
-// tasks, or tasks that run but have not proved themselves stable.
+// unavailableInShard returns how many tasks of this shard count against a budget: the
+// unavailable tasks and, until the stable time has passed, the tasks that earlier owners
+// claimed. The two sets may overlap. A task that an earlier owner claimed may also be
+// running again, but for less than the stable time.
 func (l *Ledger) unavailableInShard(now time.Time, k BudgetKey) int {
 	if l.isRebuilt && !now.Before(l.inheritedUntil) {
 		return l.unavailable[k]
@@ -105,7 +109,8 @@
 	return l.unavailable[k] + l.inherited[k]
 }
 
-// unavailableOutsideShard is what counts against a budget outside of this shard.
+// unavailableOutsideShard returns how many tasks outside this shard count against a budget:
+// the tasks that other shards claim, and the tasks that no owner counts.
 func (l *Ledger) unavailableOutsideShard(now time.Time, k BudgetKey) int {
 	n := l.population.countUnowned(now, k)
 	for _, shard := range l.cfg.Shards {
@@ -116,13 +121,14 @@
 	return n
 }
 
-// Headroom is how many more tasks a budget allows to be unavailable, as far as is known.
+// Headroom returns how many more tasks a budget allows to be unavailable, according to the
+// claims that the ledger has read. It is negative if the budget is exceeded.
 func (l *Ledger) Headroom(now time.Time, k BudgetKey) int {
 	return l.limit(k) - l.unavailableInShard(now, k) - l.unavailableOutsideShard(now, k)
 }
 
-// Check returns why one more task that counts against the keys may not be unavailable now,
-// or nil if it may. It does not check whether a claim that covers the task is stored.
+// Check returns why no further task that counts against the keys may become unavailable now,
+// or nil if one may. It does not check whether a claim that covers the task is stored.
 func (l *Ledger) Check(now time.Time, keys []BudgetKey) *RefusalError {
 	if len(keys) == 0 {
 		return nil
@@ -146,9 +152,10 @@
 	return nil
 }
 
-// RequestStop requests to stop one more task that counts against the keys. If it returns
-// nil, the task may be stopped and counts as unavailable from now on. If only a claim that
-// covers the task is missing, it also requests that claim.
+// RequestStop requests to stop one more task that counts against the keys. If RequestStop
+// returns nil, the task may be stopped and counts as unavailable from now on. If the budgets
+// allow the stop but no stored claim covers the task, RequestStop refuses with
+// ReasonClaimPending and requests the claim for the next write.
 func (l *Ledger) RequestStop(now time.Time, keys []BudgetKey) *RefusalError {
 	if refusal := l.Check(now, keys); refusal != nil {
 		return refusal
@@ -163,16 +170,17 @@
 	return nil
 }
 
-// Usage is how much of a budget is used.
+// Usage describes how many tasks count against a budget.
 type Usage struct {
 	Budget             string `json:"budget"`
-	Unavailable        int    `json:"down"`  // tasks in all shards, as far as is known here
-	UnavailableInShard int    `json:"here"`  // tasks in this shard
+	Unavailable        int    `json:"down"`  // unavailable tasks in all shards, as this ledger knows them
+	UnavailableInShard int    `json:"here"`  // unavailable tasks in this shard
 	Limit              int    `json:"most"`  // tasks that may be unavailable
-	Tasks              int    `json:"tasks"` // that should be available
+	Tasks              int    `json:"tasks"` // tasks that should be available
 }
 
-// Usage lists in order the budgets that tasks count against now.
+// Usage lists the usage of all budgets that tasks count against now, in the order of
+// BudgetKey.compare.
 func (l *Ledger) Usage(now time.Time) []Usage {
 	var usage []Usage
 	for _, k := range slices.SortedFunc(maps.Keys(l.population.total), BudgetKey.compare) {
--- a/disruption/ledger_test.go
+++ b/disruption/ledger_test.go
@@ -14,25 +14,25 @@
 	"ravenport/wire"
 )
 
-// picker draws numbers from 0 to n-1.
+// picker draws a number from 0 to n-1.
 type picker func(n int) int
 
-// modelTask is one task of the service that the model's budget is for.
+// modelTask is one task of the service that the model's budget applies to.
 type modelTask struct {
-	shard             string // "": none
+	shard             string // "": not assigned
 	isRunning         bool
-	runningSince      time.Time // when it started, if it runs
-	isVoluntarilyDown bool      // stopped by a request, and not stable again since
+	runningSince      time.Time // last start, if isRunning
+	isVoluntarilyDown bool      // stopped by a request, and not yet stable again
 }
 
-// modelStop is a stop on its way to a machine.
+// modelStop is a stop command that has not reached its machine yet.
 type modelStop struct {
 	shard string
 	term  uint64
 	task  int
 }
 
-// modelWrite is a transaction under way.
+// modelWrite is a transaction whose result is outstanding.
 type modelWrite struct {
 	shard      string
 	term       uint64
@@ -45,15 +45,16 @@
 	shard       string
 	term        uint64
 	ledger      *Ledger
-	changesRead int            // changes of the feed that it has read
-	knownShards map[int]string // by task: the shard that it believes it to be in
+	changesRead int            // number of changes that the owner has read from the feed
+	knownShards map[int]string // by task: its shard according to the changes read
 	isRebuilt   bool
 	stopping    map[int]bool
 	inFlight    *modelWrite
 }
 
-// model is a deployment of three shards whose owners end, fall behind, lose replies and
-// are replaced, while tasks fail, move between shards and are stopped by request.
+// model is a deployment of three shards. Owners are replaced, read the feed with delay and
+// lose replies of the key-value store. Meanwhile tasks fail, move between shards and are
+// stopped by request.
 type model struct {
 	pick        picker
 	now         time.Time
@@ -69,7 +70,7 @@
 	stops      []modelStop
 	lateWrites []*modelWrite
 
-	skipClaimProof, availableAtStart bool // mutants: no claim is needed, a task counts as available once it starts
+	skipClaimProof, availableAtStart bool // mutants: stops need no claim; tasks count as available as soon as they start
 	violation                        string
 	voluntaryStops                   int
 	refusals                         map[Reason]int
@@ -98,7 +99,7 @@
 	return version
 }
 
-// storeJob stores the job as the tasks are assigned now.
+// storeJob stores the job's record with the current assignments of its tasks.
 func (m *model) storeJob() {
 	j := &records.Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", Team: modelTeam, Class: "c", Kind: wire.KindService, Tasks: len(m.tasks)}}
 	for i, t := range m.tasks {
@@ -124,7 +125,7 @@
 	m.deliver(o, len(m.log))
 }
 
-// deliver has an owner read the feed up to a change.
+// deliver has an owner read the feed until it has read a number of changes.
 func (m *model) deliver(o *modelOwner, to int) {
 	for ; o.changesRead < to; o.changesRead++ {
 		ch := m.log[o.changesRead]
@@ -146,12 +147,12 @@
 	}
 }
 
-// isStable reports whether a task is stable, as its owner sees it.
+// isStable reports whether the owner of a task counts the task as stable.
 func (m *model) isStable(t *modelTask) bool {
 	return t.isRunning && (m.availableAtStart || m.now.Sub(t.runningSince) >= m.stableAfter)
 }
 
-// step has an owner count, request stops and write its claim.
+// step has an owner count its unavailable tasks, request stops and write its claim.
 func (m *model) step(owner *modelOwner) {
 	m.deliver(owner, owner.changesRead+m.pick(len(m.log)-owner.changesRead+1))
 	unavailable := Counts{}
@@ -190,8 +191,8 @@
 	}
 }
 
-// applyStop applies a stop, unless the shard's next owner has made sure that no stop of earlier
-// owners is applied any more.
+// applyStop applies a stop. Stops of earlier owners have no effect once the shard's current
+// owner has rebuilt its state.
 func (m *model) applyStop(s modelStop) {
 	o := m.owners[s.shard]
 	if o.term == s.term {
@@ -208,7 +209,7 @@
 	m.checkBudget(fmt.Sprintf("task %d of %s was stopped", s.task, s.shard))
 }
 
-// checkBudget compares the tasks that are down by request with the budget.
+// checkBudget checks that the tasks that are down by request do not exceed the budget.
 func (m *model) checkBudget(what string) {
 	n := 0
 	for i := range m.tasks {
@@ -225,7 +226,8 @@
 	}
 }
 
-// commit applies a write if its conditions hold.
+// commit applies a write if its term is current and its conditions hold. It returns the
+// version of the claim, or 0 if the write was refused.
 func (m *model) commit(w *modelWrite) uint64 {
 	if m.owners[w.shard].term != w.term {
 		return 0
@@ -249,8 +251,8 @@
 	return version
 }
 
-// checkClaims compares all claims, as they are stored after a raise for stops, with the
-// budget: a raise counts every failure that was published before.
+// checkClaims checks, after a raise for stops was stored, that all claims together do not
+// exceed the budget. A raise must count all failures that were published before it.
 func (m *model) checkClaims() {
 	n := 0
 	for _, c := range m.claims {
@@ -261,15 +263,15 @@
 	}
 }
 
-// resolveWrite decides what becomes of an owner's write.
+// resolveWrite draws the outcome of an owner's write.
 func (m *model) resolveWrite(o *modelOwner) {
 	w := o.inFlight
 	o.inFlight = nil
 	switch m.pick(8) {
-	case 0: // applied late, if at all
+	case 0: // reported as failed, and applied later or never
 		m.lateWrites = append(m.lateWrites, w)
 		o.ledger.ApplyWriteResult(m.now, 0)
-	case 1: // applied, the reply is lost
+	case 1: // applied, but the reply is lost
 		m.commit(w)
 		o.ledger.ApplyWriteResult(m.now, 0)
 	case 2: // refused
@@ -279,7 +281,7 @@
 	}
 }
 
-// randomEvent lets one thing happen.
+// randomEvent draws one event and applies it.
 func (m *model) randomEvent() {
 	owner := m.owners[m.shards[m.pick(3)]]
 	task := &m.tasks[m.pick(len(m.tasks))]
@@ -290,18 +292,18 @@
 		if owner.inFlight != nil {
 			m.resolveWrite(owner)
 		}
-	case 9, 10: // a stop arrives
+	case 9, 10: // a stop reaches its machine
 		if n := len(m.stops); n > 0 {
 			index := m.pick(n)
 			s := m.stops[index]
 			m.stops = slices.Delete(m.stops, index, index+1)
 			m.applyStop(s)
 		}
-	case 11, 12: // a task starts again
+	case 11, 12: // a task restarts
 		if !task.isRunning && task.shard != "" {
 			task.isRunning, task.runningSince = true, m.now
 		}
-	case 13: // one fails, or moves to another shard
+	case 13: // a task fails, or is unassigned or assigned to a shard
 		if task.shard != "" && m.pick(3) > 0 {
 			task.isRunning = false
 			break
@@ -314,7 +316,7 @@
 			}
 			m.storeJob()
 		}
-	case 14: // an owner ends, another begins and rebuilds after a while
+	case 14: // a new owner starts, or the owner finishes rebuilding its state
 		if m.pick(3) == 0 {
 			m.startOwner(owner.shard)
 		} else {
@@ -330,7 +332,8 @@
 	m.now = m.now.Add(time.Duration(m.pick(600)) * time.Millisecond)
 }
 
-// runEvents runs a deployment for so many events.
+// runEvents starts the owners of all shards and applies up to the given number of events,
+// until the first violation.
 func (m *model) runEvents(events int) {
 	for _, s := range m.shards {
 		m.startOwner(s)
@@ -343,8 +346,8 @@
 	}
 }
 
-// Whatever fails, the tasks that are down by request stay within the budget, and no claim
-// is raised past it.
+// Under any sequence of failures, the tasks that are down by request do not exceed the
+// budget, and no raise makes the claims exceed it.
 func TestClaimsKeepWithinBudgets(t *testing.T) {
 	stops, refusals := 0, map[Reason]int{}
 	rapid.Check(t, func(t *rapid.T) {
@@ -360,16 +363,16 @@
 	})
 	t.Logf("%d stops, refused: %v", stops, refusals)
 	if stops == 0 || refusals[ReasonExhausted] == 0 || refusals[ReasonClaimMissing] == 0 || refusals[ReasonClaimPending] == 0 {
-		t.Error("hardly anything came about")
+		t.Error("the runs had no stops, or lacked refusals for one of the three reasons")
 	}
 }
 
-// Without claims, or if tasks count as available as soon as they start, the same model
-// violates budgets.
+// The model detects violations: it reports one if stops need no claim, and if tasks count as
+// available as soon as they start.
 func TestModelCatchesMutants(t *testing.T) {
 	for name, mutate := range map[string]func(*model){
-		"no claim":            func(m *model) { m.skipClaimProof = true },
-		"proved by its start": func(m *model) { m.availableAtStart = true },
+		"no claim":           func(m *model) { m.skipClaimProof = true },
+		"available at start": func(m *model) { m.availableAtStart = true },
 	} {
 		caught := ""
 		for seed := uint64(0); seed < 300 && caught == ""; seed++ {
@@ -380,7 +383,7 @@
 			caught = m.violation
 		}
 		if caught == "" {
-			t.Errorf("%s: never seen broken", name)
+			t.Errorf("%s: no violation in 300 runs", name)
 		}
 	}
 }
@@ -399,7 +402,7 @@
 	}
 	for _, text := range []string{"", "-1", "1.5", "101%", "-1%", "NaN%", "ten", "%"} {
 		if _, err := ParseMaxUnavailable(text); err == nil {
-			t.Errorf("%q is taken as an amount", text)
+			t.Errorf("%q is parsed as an amount", text)
 		}
 	}
 }
--- a/disruption/maxunavailable.go
+++ b/disruption/maxunavailable.go
@@ -12,13 +12,13 @@
 type MaxUnavailable struct {
 	Tasks     int
 	Percent   float64 // 0 to 100
-	IsPercent bool    // Percent counts, not Tasks
+	IsPercent bool    // Percent applies instead of Tasks
 }
 
-// fullPercent is the percentage that stands for the whole population.
+// fullPercent is the percentage of the whole population.
 const fullPercent = 100
 
-// ErrInvalidMaxUnavailable is returned by ParseMaxUnavailable for any other text.
+// ErrInvalidMaxUnavailable is returned by ParseMaxUnavailable for text in neither form.
 var ErrInvalidMaxUnavailable = errors.New("must be a whole number of tasks, or a share from 0% to 100%")
 
 // ParseMaxUnavailable parses a number of tasks ("3") or a percentage ("10%").
@@ -46,8 +46,9 @@
 	return strconv.Itoa(m.Tasks)
 }
 
-// For is how many tasks of a population of the given size may be unavailable. Percentages
-// are rounded down, so one below 100% never allows all of a population.
+// For returns how many tasks of a population of the given size may be unavailable.
+// Percentages are rounded down, so a percentage below 100% never allows all tasks to be
+// unavailable.
 func (m MaxUnavailable) For(population int) int {
 	if !m.IsPercent {
 		return m.Tasks
--- a/disruption/population.go
+++ b/disruption/population.go
@@ -8,7 +8,7 @@
 	"ravenport/records"
 )
 
-// Counts are numbers of tasks by budget. Budgets without tasks are absent.
+// Counts holds numbers of tasks by budget. Budgets without tasks are absent.
 type Counts map[BudgetKey]int
 
 // Add adds n to the count of each key.
@@ -21,27 +21,28 @@
 	}
 }
 
-// jobPopulation is what a job adds to the population.
+// jobPopulation is the contribution of one job to the population.
 type jobPopulation struct {
 	keys       []BudgetKey
 	tasks      int
-	unassigned int // services' tasks in no assignment
+	unassigned int // tasks of a service that are assigned to no shard
 }
 
-// recentAssignment is a number of tasks that were assigned to a shard lately.
+// recentAssignment is a number of tasks that were assigned to a shard recently.
 type recentAssignment struct {
-	until time.Time // when the shard's owner counts them
+	until time.Time // from then on the claim of the shard's owner includes the tasks
 	keys  []BudgetKey
 	tasks int
 }
 
-// population counts, from the records of all jobs, the tasks that count against each
-// budget, and the tasks of services that no owner counts as unavailable because they are in
-// no shard. Tasks that were assigned lately count among the latter until their owner can
-// have claimed them. Arrays' and gangs' unassigned tasks do not count: they may wait.
+// population counts the tasks of all jobs by budget, from the jobs' records. It also counts
+// the unassigned tasks of services: they are unavailable, but no owner claims them because
+// they are in no shard. Recently assigned tasks count as unassigned until their owner can
+// have claimed them. Unassigned tasks of arrays and gangs do not count, because arrays and
+// gangs may wait.
 type population struct {
 	budgets           Budgets
-	jobs              map[string]jobPopulation // by job, of those that count against a budget
+	jobs              map[string]jobPopulation // by job; only jobs that count against a budget
 	total             Counts
 	unassigned        Counts
 	recentAssignments []recentAssignment
@@ -74,8 +75,8 @@
 	p.jobs[j.ID] = after
 }
 
-// newJobPopulation is what a job whose tasks count against the keys adds: nothing once it
-// has ended. A gang counts as one task.
+// newJobPopulation returns the contribution of a job whose tasks count against the keys. A
+// job that has ended contributes nothing. A gang counts as one task.
 func newJobPopulation(j *records.Job, keys []BudgetKey) jobPopulation {
 	if j.End != "" {
 		return jobPopulation{}
@@ -90,8 +91,8 @@
 	return added
 }
 
-// countUnowned is how many tasks are in no shard, or were until a moment ago. It forgets
-// the assignments that are not recent any more.
+// countUnowned returns how many tasks of a budget are in no shard, or were assigned to a
+// shard recently. It removes assignments that are no longer recent.
 func (p *population) countUnowned(now time.Time, k BudgetKey) int {
 	n := p.unassigned[k]
 	recent := p.recentAssignments[:0]
--- a/disruption/refusal.go
+++ b/disruption/refusal.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Reason is why a task may not be stopped now.
+// Reason is the reason why a task may not be stopped now.
 type Reason string
 
-// Reasons of a RefusalError. All but ReasonNeverAllowed end by themselves.
+// Reasons of a RefusalError. All but ReasonNeverAllowed end without intervention.
 const (
 	ReasonNeverAllowed    Reason = "the budget lets none of so few tasks be down"
 	ReasonExhausted       Reason = "the budget is used up"
@@ -14,11 +14,11 @@
 	ReasonClaimPending    Reason = "the claim is being written"
 )
 
-// RefusalError says why a task may not be stopped now.
+// RefusalError reports why a task may not be stopped now.
 type RefusalError struct {
 	Reason      Reason
 	Budget      BudgetKey // with ReasonNeverAllowed, ReasonExhausted and ReasonClaimPending
-	Unavailable int       // tasks that count against the budget now, as far as is known
+	Unavailable int       // tasks that count against the budget now, as the ledger knows them
 	Limit       int       // tasks that the budget allows
 	Shard       string    // with ReasonClaimMissing: the shard without a claim
 }
--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -12,8 +12,8 @@
 	"ravenport/records"
 )
 
-// A selection selects the machines that match every field, and is refused with the field
-// that is invalid.
+// A selection selects the machines that match all its fields, and an invalid selection is
+// refused with the name of the invalid field.
 func TestSelections(t *testing.T) {
 	spot := true
 	inventory := Inventory{Zones: []string{"a", "b"}, Types: []string{"box", "tub"}, Machines: []Machine{{"m-1", "a", "box", false}, {"m-2", "a", "tub", true}, {"m-3", "b", "box", true}}}
@@ -44,8 +44,8 @@
 	}
 }
 
-// drainModel is a drain of several shards whose owners change, whose machines leave or fail
-// to be replaced, and whose record is written late or not at all.
+// drainModel is a drain of several shards. Owners of shards change, machines are replaced or
+// fail to be replaced, and writes of the drain's record conflict or are lost.
 type drainModel struct {
 	zones     []string
 	policy    Policy
@@ -76,14 +76,15 @@
 	return m
 }
 
-// startOwner starts a new owner of a shard, which has no cordons: they follow from the
-// record.
+// startOwner starts a new owner of a shard. It begins without cordoned machines, because
+// cordons are not stored: the owner chooses them again from the drain's record.
 func (m *drainModel) startOwner(zone string) {
 	m.drains[zone] = NewShardDrain(m.policy, zone, m.zones, m.record, m.version)
 	m.cordoned[zone] = nil
 }
 
-// cordon cordons the machines that a shard chooses, and checks how many are cordoned.
+// cordon cordons the machines that a shard chooses, and checks that the number of cordoned
+// machines does not exceed the maximum.
 func (m *drainModel) cordon(t *rapid.T, zone string) {
 	s := m.drains[zone]
 	var candidates []Candidate
@@ -96,7 +97,7 @@
 		maxCordoned = 1
 	}
 	if n := len(m.cordoned[zone]); n > maxCordoned || n > 0 && !s.MayCordon() && m.record.State == records.DrainRunning {
-		t.Fatalf("%v of %s are cordoned, %d may be", m.cordoned[zone], zone, maxCordoned)
+		t.Fatalf("machines %v of shard %s are cordoned, at most %d may be", m.cordoned[zone], zone, maxCordoned)
 	}
 }
 
@@ -114,7 +115,8 @@
 	}
 }
 
-// write writes the record that a shard requests, if any, unless the write is lost.
+// write writes the record that a shard requests, if any. The write fails if the version
+// conflicts or the write is drawn as lost.
 func (m *drainModel) write(t *rapid.T, zone string) {
 	s := m.drains[zone]
 	next, version := s.NextRecord(rapid.Bool().Draw(t, "settled"))
@@ -138,22 +140,22 @@
 	switch m.record.State {
 	case records.DrainStopped:
 		if m.failures < m.policy.MaxConsecutiveFailures || m.record.StopReason == "" {
-			t.Fatalf("stopped after %d failures: %+v", m.failures, m.record)
+			t.Fatalf("drain stopped after %d failures: %+v", m.failures, m.record)
 		}
 	case records.DrainFinished:
 		if remaining > 0 {
-			t.Fatalf("finished, and %d machines are left", remaining)
+			t.Fatalf("drain finished with %d machines remaining", remaining)
 		}
 	default:
 		if remaining == 0 && len(m.record.DrainedShards) == len(m.zones) {
-			t.Fatalf("all are gone, and it goes on: %+v", m.record)
+			t.Fatalf("drain is still running after all machines were replaced: %+v", m.record)
 		}
 	}
 }
 
-// Whatever happens to its machines, a drain of several shards begins with a canary in one
-// shard, cordons no more than its share at a time, and ends finished, or stopped after so
-// many consecutive failures.
+// Under any sequence of replacements and failures, a drain of several shards begins with a
+// canary in one shard, never cordons more machines at once than its policy allows, and
+// either finishes or stops after the configured number of consecutive failures.
 func TestDrainsComeToAnEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newDrainModel(t)
@@ -173,7 +175,8 @@
 	})
 }
 
-// The plan's minimum time is that of the binding budget, over all shards.
+// The minimum time of a merged plan is that of the binding budget, with the moves of all
+// shards added up.
 func TestPlansAreMerged(t *testing.T) {
 	usage := []disruption.Usage{{Budget: "x", Limit: 2}, {Budget: "y", Limit: 10}}
 	p := MergePlans([]ShardPlan{{Shard: "b", MovesByBudget: map[string]int{"x": 3, "y": 9}, BudgetUsage: usage, Rounds: 4}, {Shard: "a", MovesByBudget: map[string]int{"x": 2, "": 50}, BudgetUsage: usage, Rounds: 2}}, []string{"c"}, 10*time.Second)
--- a/drain/plan.go
+++ b/drain/plan.go
@@ -9,42 +9,43 @@
 	"ravenport/disruption"
 )
 
-// ShardPlan is what a drain would do in one shard, as its owner predicts it.
+// ShardPlan is the prediction of a shard's owner of what a drain would do in the shard.
 type ShardPlan struct {
 	Shard         string             `json:"shard"`
-	Machines      int                `json:"machines"` // selected
-	EmptyMachines int                `json:"empty"`    // of those, without tasks
+	Machines      int                `json:"machines"` // selected machines
+	EmptyMachines int                `json:"empty"`    // selected machines without tasks
 	ArrayTasks    int                `json:"arrays"`   // tasks of arrays and gangs, which get time to end
-	MovesByBudget map[string]int     `json:"moves"`    // services' tasks, by the budget's name; "": under none
+	MovesByBudget map[string]int     `json:"moves"`    // tasks of services to move, by budget name; "": no budget
 	BudgetUsage   []disruption.Usage `json:"usage"`
-	Rounds        int                `json:"steps"` // of machines that are cordoned at once
-	// Obstacles are why tasks cannot be moved. Not all of them are listed if they are many.
+	Rounds        int                `json:"steps"` // each cordons a group of machines at once
+	// Obstacles lists reasons why tasks cannot be moved. The list may be incomplete.
 	Obstacles []Obstacle `json:"obstacles,omitempty"`
 }
 
-// Obstacle is why a task cannot be moved.
+// Obstacle is a reason why a task cannot be moved.
 type Obstacle struct {
 	JobID   string `json:"job"`
 	Machine string `json:"machine"`
 	Reason  string `json:"why"`
-	// IsPermanent: the obstacle does not end by itself, so the drain would wait for ever.
+	// IsPermanent is true if the obstacle does not end without intervention. The drain would
+	// then wait forever.
 	IsPermanent bool `json:"permanent"`
 }
 
-// Plan is what a drain would do.
+// Plan is the prediction of what a drain would do in all shards.
 type Plan struct {
 	Shards []ShardPlan `json:"shards"`
-	Rounds int         `json:"steps"` // of machines that are cordoned at once, the canary included
-	// BindingBudget is the name of the budget that takes longest, and MinimumS the least
-	// possible time under it (s): each move uses one task of the budget for the stable time
-	// at least.
+	Rounds int         `json:"steps"` // each cordons a group of machines at once; the canary is the first
+	// BindingBudget is the name of the budget that delays the drain most. MinimumS is a lower
+	// bound of the drain's duration under that budget, in seconds: each move uses one task
+	// of the budget for at least the stable time.
 	BindingBudget string  `json:"binding,omitempty"`
 	MinimumS      float64 `json:"least_s"`
 	// MissingShards are the shards whose owner sent no plan.
 	MissingShards []string `json:"missing,omitempty"`
 }
 
-// FirstPermanentObstacle is the first obstacle that never ends by itself, or nil.
+// FirstPermanentObstacle returns the first obstacle that is permanent, or nil.
 func (p *Plan) FirstPermanentObstacle() *Obstacle {
 	for _, shard := range p.Shards {
 		for i := range shard.Obstacles {
@@ -56,8 +57,8 @@
 	return nil
 }
 
-// MergePlans merges the plans of all shards; it sorts shards in place. missing are the
-// shards without a plan, and stable is how long a moved task must run before it counts as
+// MergePlans merges the plans of all shards, and sorts shards in place. missing lists the
+// shards without a plan. stable is how long a moved task must run before it counts as
 // available.
 func MergePlans(shards []ShardPlan, missing []string, stable time.Duration) Plan {
 	plan := Plan{Shards: shards, MissingShards: missing}
@@ -78,20 +79,21 @@
 			continue
 		}
 		minimum := MinimumTime(n, limits[budget], stable).Seconds()
-		// Of budgets that take equally long, the first by name binds.
+		// Among budgets with the same minimum, the first by name is reported.
 		if minimum > plan.MinimumS || minimum == plan.MinimumS && budget < plan.BindingBudget {
 			plan.BindingBudget = budget
 			plan.MinimumS = minimum
 		}
 	}
 	if plan.Rounds > 0 {
-		plan.Rounds++ // the canary is a round of its own
+		plan.Rounds++ // the canary is drained in a separate round
 	}
 	return plan
 }
 
-// MinimumTime is a lower bound of the time that a number of moves takes under a budget of
-// so many unavailable tasks: each move uses one of them for the stable time at least.
+// MinimumTime returns a lower bound of the duration of a number of moves under a budget,
+// which is the number of tasks that may be unavailable at once. Each move uses one task of
+// the budget for at least the stable time.
 func MinimumTime(moves, budget int, stable time.Duration) time.Duration {
 	return time.Duration(math.Ceil(float64(moves)/float64(budget))) * stable
 }
--- a/drain/selection.go
+++ b/drain/selection.go
@@ -1,7 +1,8 @@
 // Package drain decides how machines are drained: which machines a drain selects, which of
-// them are cordoned next, when the drain has finished or is stopped, and what it would do.
-// It is pure: records, machines and time in, decisions out. Package shard carries the
-// decisions out, and package disruption decides which tasks may be stopped.
+// them are cordoned next, and when the drain has finished or is stopped. It also merges the
+// shards' predictions of what a drain would do. The package does no I/O: callers pass in
+// records, machines and the time, and get decisions. Package shard carries out the
+// decisions, and package disruption decides which tasks may be stopped.
 package drain
 
 import (
@@ -12,13 +13,13 @@
 	"ravenport/records"
 )
 
-// Machine is the properties of a machine that a selection matches.
+// Machine holds the properties of a machine that selections match.
 type Machine struct {
 	Name, Zone, Type string
 	Spot             bool
 }
 
-// FieldError says which field of a request is invalid, and why.
+// FieldError reports which field of a request is invalid, and why.
 type FieldError struct {
 	Field   string `json:"field"`
 	Problem string `json:"problem"`
@@ -27,8 +28,8 @@
 // Error implements error.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
-// Matches reports whether a selection selects a machine. A field of the selection that is
-// empty matches all machines.
+// Matches reports whether a selection selects a machine. An empty field of the selection
+// matches all machines.
 func Matches(s *records.Selection, m Machine) bool {
 	return matchesName(s.Machines, m.Name) &&
 		matchesName(s.Zones, m.Zone) &&
@@ -41,9 +42,10 @@
 	return len(allowed) == 0 || slices.Contains(allowed, name)
 }
 
-// Inventory is what a selection is validated against.
+// Inventory holds the zones, machine types, machines and running drains that a selection is
+// validated against.
 type Inventory struct {
-	Zones         []string // of the deployment
+	Zones         []string // all zones of the deployment
 	Types         []string // machine types of the cloud
 	Machines      []Machine
 	RunningDrains []*records.Drain
@@ -103,8 +105,8 @@
 	return nil
 }
 
-// SelectedZones lists the zones whose machines a selection may select, in the order of all,
-// which are the deployment's.
+// SelectedZones lists the zones whose machines a selection may select. all are the zones of
+// the deployment, and the result has the same order.
 func SelectedZones(s *records.Selection, all []string) []string {
 	var selected []string
 	for _, zone := range all {
--- a/drain/sharddrain.go
+++ b/drain/sharddrain.go
@@ -15,30 +15,31 @@
 type Candidate struct {
 	Name       string
 	IsCordoned bool
-	Services   int     // tasks of services on it
-	UsedCPUs   float64 // by tasks
+	Services   int     // number of tasks of services on the machine
+	UsedCPUs   float64 // CPUs used by tasks
 }
 
 // ShardDrain is a drain's progress in one shard, in one term of the shard's owner. The
-// first machine of all is a canary: until it has been replaced, and the moved tasks are
-// available, no other machine of any shard is cordoned. It is not safe for concurrent use.
+// drain's first machine is a canary: no other machine of any shard is cordoned until the
+// canary has been replaced and the moved tasks are available. ShardDrain is not safe for
+// concurrent use.
 type ShardDrain struct {
 	policy  Policy
 	shard   string
-	zones   []string // selected ones, in the deployment's order
+	zones   []string // selected zones, in the deployment's order
 	record  *records.Drain
-	version uint64 // of the record
+	version uint64 // version of the record
 
 	consecutiveFailures int
 	lastFailure         string
-	replacedMachines    int // in this term
+	replacedMachines    int // machines of this shard replaced in this term
 	remainingMachines   int
 	isWriteInFlight     bool
-	window              window.Window // open now or the next to open; zero: not computed yet
+	window              window.Window // the open window, or the next to open; zero: not computed yet
 }
 
-// NewShardDrain returns the progress of a drain in a shard whose owner has just read its
-// record. zones are all of the deployment, in order.
+// NewShardDrain returns the progress of a drain in a shard whose owner has just read the
+// drain's record. zones are all zones of the deployment, in its order.
 func NewShardDrain(policy Policy, shard string, zones []string, record *records.Drain, version uint64) *ShardDrain {
 	return &ShardDrain{
 		policy:  policy,
@@ -49,8 +50,8 @@
 	}
 }
 
-// ApplyRecord applies the drain's record from the feed. Resuming a stopped drain resets the
-// count of failures.
+// ApplyRecord applies the drain's record from the feed. If the drain was resumed, ApplyRecord
+// resets the count of consecutive failures.
 func (s *ShardDrain) ApplyRecord(record *records.Drain, version uint64) {
 	if version <= s.version {
 		return
@@ -63,15 +64,16 @@
 	s.isWriteInFlight = false
 }
 
-// Record is the drain's record as last read.
+// Record returns the drain's record as last read.
 func (s *ShardDrain) Record() *records.Drain { return s.record }
 
-// ConsecutiveFailures is the number of failures since the last machine was replaced.
+// ConsecutiveFailures returns the number of failures since the last machine was replaced or
+// the drain was resumed.
 func (s *ShardDrain) ConsecutiveFailures() int { return s.consecutiveFailures }
 
-// MayCordon reports whether machines of this shard may be cordoned: the drain is running
-// and the shard is not drained, and either the canary has passed or this is the canary's
-// shard.
+// MayCordon reports whether machines of this shard may be cordoned. The drain must be
+// running and the shard not drained. Also, the canary must have passed, or this must be the
+// canary's shard.
 func (s *ShardDrain) MayCordon() bool {
 	if s.record.State != records.DrainRunning || s.isDrained(s.shard) {
 		return false
@@ -79,7 +81,7 @@
 	return s.record.CanaryPassed || s.firstUndrainedShard() == s.shard
 }
 
-// CanaryShard is the shard of the canary, or "" if the canary has passed.
+// CanaryShard returns the shard of the canary, or "" if the canary has passed.
 func (s *ShardDrain) CanaryShard() string {
 	if s.record.CanaryPassed {
 		return ""
@@ -96,13 +98,14 @@
 	return ""
 }
 
-// isDrained reports whether a shard has no selected machines left, or never had any.
+// isDrained reports whether the drain's record lists a shard as drained, or the drain does
+// not select the shard.
 func (s *ShardDrain) isDrained(shard string) bool {
 	return slices.Contains(s.record.DrainedShards, shard) || !slices.Contains(s.zones, shard)
 }
 
-// WindowState reports whether a maintenance window is open, and if not when the next one
-// opens.
+// WindowState reports whether a maintenance window is open. If none is open, next is the
+// time when the next window opens.
 func (s *ShardDrain) WindowState(now time.Time) (open bool, next time.Time) {
 	if s.policy.Windows == nil {
 		return true, now
@@ -114,9 +117,9 @@
 }
 
 // ChooseMachines returns the names of the machines to cordon now. candidates are all
-// selected machines that are left in the shard, and machineCount is the number of all its
-// machines, which bounds how many are cordoned at once. The emptiest come first: they free
-// capacity for the tasks of the others.
+// selected machines that remain in the shard. machineCount is the number of all machines of
+// the shard, which bounds how many are cordoned at once. The least loaded machines are
+// chosen first, because replacing them frees capacity for the tasks of the other machines.
 func (s *ShardDrain) ChooseMachines(now time.Time, candidates []Candidate, machineCount int) []string {
 	s.remainingMachines = len(candidates)
 	if open, _ := s.WindowState(now); !open || !s.MayCordon() {
@@ -162,10 +165,10 @@
 	s.lastFailure = cause
 }
 
-// NextRecord returns the record as it should be stored now, or nil if nothing changes.
-// settled says that every task which was moved is available again or was given up. The
-// caller writes the record on the condition of the returned version and passes the result
-// to ApplyWriteResult.
+// NextRecord returns the record that should be stored now, or nil if nothing changes.
+// movesCompleted is whether no move of a task is in progress: each moved task is available
+// again, or its move has failed. The caller writes the record on the condition that the
+// stored record has the returned version, and passes the result to ApplyWriteResult.
 func (s *ShardDrain) NextRecord(movesCompleted bool) (record *records.Drain, version uint64) {
 	if s.isWriteInFlight || s.record.State != records.DrainRunning {
 		return nil, 0
@@ -190,7 +193,7 @@
 	return next, s.version
 }
 
-// areAllDrained reports whether the drained shards are all that the drain selects.
+// areAllDrained reports whether the drained shards include all shards that the drain selects.
 func (s *ShardDrain) areAllDrained(drained []string) bool {
 	for _, zone := range s.zones {
 		if !slices.Contains(drained, zone) {
@@ -200,8 +203,8 @@
 	return true
 }
 
-// ApplyWriteResult applies the result of writing the record that NextRecord returned. If it
-// was written, the feed brings the record.
+// ApplyWriteResult applies the result of writing the record that NextRecord returned. If the
+// record was written, the feed delivers it to ApplyRecord.
 func (s *ShardDrain) ApplyWriteResult(written bool) {
 	if !written {
 		s.isWriteInFlight = false
--- a/window/fuzz_test.go
+++ b/window/fuzz_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// FuzzParse: whatever rule an operator's setting holds, it is refused or gives a schedule
-// that can be asked.
+// FuzzParse checks that Parse does not panic on any rule and zone from an operator's
+// settings, and returns either a schedule or an error.
 func FuzzParse(f *testing.F) {
 	f.Add("FREQ=DAILY;BYHOUR=2", "UTC")
 	f.Add("FREQ=WEEKLY;BYDAY=MO,TU;BYHOUR=25", "Africa/Johannesburg")
--- a/window/window.go
+++ b/window/window.go
@@ -1,26 +1,27 @@
 // Package window computes recurring maintenance windows. A recurrence rule (RFC 5545) in a
-// time zone says when a window opens, and a length when it closes. The zone data is compiled
-// in, so that all controllers evaluate a rule alike.
+// time zone determines when windows open, and a length determines when they close. The zone
+// data is compiled into the binary, so that all controllers evaluate a rule alike.
 package window
 
 import (
 	"errors"
 	"fmt"
 	"time"
-	_ "time/tzdata" // the machine may have no zone data
+	_ "time/tzdata" // for machines without zone data
 
 	"github.com/teambition/rrule-go"
 )
 
-// MaxLength is the maximum length of a window: a week, with which a rule for every day
-// means always.
+// MaxLength is the maximum length of a window. With a length of a week, a window that opens
+// daily is always open.
 const MaxLength = 7 * 24 * time.Hour
 
-// maxTimeToOpen is how far ahead a window must open at least once: a leap day comes every
-// eight years at the latest.
+// maxTimeToOpen is the time within which a schedule must open at least once. It allows
+// rules for leap days, which can be eight years apart.
 const maxTimeToOpen = 9 * 366 * 24 * time.Hour
 
-// Errors of Parse. All but ErrInvalidLength are wrapped, after the text that they are about.
+// Errors of Parse. All but ErrInvalidLength are wrapped in an error that begins with the
+// invalid text.
 var (
 	ErrInvalidRule   = errors.New("is no recurrence rule of days, weeks, months or years")
 	ErrUnknownZone   = errors.New("is no time zone")
@@ -28,7 +29,8 @@
 	ErrNeverOpens    = errors.New("never opens")
 )
 
-// Window is one interval in which a maintenance window is open. Closes is exclusive.
+// Window is one interval in which a maintenance window is open. Opens is inclusive and
+// Closes is exclusive.
 type Window struct{ Opens, Closes time.Time }
 
 // IsOpen reports whether the window is open at a time.
@@ -41,11 +43,11 @@
 	text   string
 }
 
-// Parse returns the schedule of a rule whose times of day are those of the zone. Where
-// clocks are set forward over the opening time, the window opens that much later; where
-// they are set back and the opening time occurs twice, it opens at the first. The length is
-// elapsed time, whatever is done to the clocks meanwhile. The schedule must open at least
-// once in the nine years from now.
+// Parse returns the schedule of a rule whose times of day are local times of the zone. If
+// clocks are set forward past the opening time, the window opens later by the skipped time.
+// If clocks are set back and the opening time occurs twice, the window opens at the first
+// occurrence. The length is elapsed time and does not depend on clock changes. The schedule
+// must open at least once within nine years of now.
 func Parse(rule, zone string, length time.Duration, now time.Time) (*Schedule, error) {
 	location, err := time.LoadLocation(zone)
 	if err != nil || zone == "" {
@@ -65,10 +67,10 @@
 	return s, nil
 }
 
-// parseRule parses a recurrence rule. Those that recur more often than daily are refused.
+// parseRule parses a recurrence rule. It refuses rules that recur more often than daily.
 func parseRule(rule string, location *time.Location) (*rrule.RRule, error) {
 	options, err := rrule.StrToROptionInLocation(rule, location)
-	if err != nil || options.Freq > rrule.DAILY { // frequencies are in falling order of length
+	if err != nil || options.Freq > rrule.DAILY { // greater values are shorter intervals
 		return nil, fmt.Errorf("%q %w", rule, ErrInvalidRule)
 	}
 	if options.Dtstart.IsZero() {
@@ -81,14 +83,15 @@
 	return parsed, nil
 }
 
-// defaultStart is the day from which intervals are counted where a rule names none: the
-// first day of a year that began on a Monday.
+// defaultStart returns the start from which intervals are counted if a rule has no DTSTART:
+// 1 January 1996, which was a Monday.
 func defaultStart(location *time.Location) time.Time {
 	return time.Date(1996, time.January, 1, 0, 0, 0, 0, location)
 }
 
-// Next returns the window that is open at a time or, if none is, the next one; ok is false
-// if none opens any more. If windows overlap, Next returns the one that opened last.
+// Next returns the window that is open at a time, or the next window to open. ok is false if
+// no window opens after that time. If several windows are open, Next returns the one that
+// opened last.
 func (s *Schedule) Next(at time.Time) (w Window, ok bool) {
 	if last := s.rule.Before(at, true); !last.IsZero() {
 		w = s.windowAt(last)
@@ -105,11 +108,11 @@
 	return Window{}, false
 }
 
-// clockSetBacks are by how much clocks are set back somewhere in the zone data.
+// clockSetBacks lists the amounts by which zones in the zone data set their clocks back.
 var clockSetBacks = []time.Duration{time.Hour, 30 * time.Minute}
 
-// windowAt is the window of an occurrence of the rule. If its time of day occurs twice, the
-// window opens at the first.
+// windowAt returns the window of an occurrence of the rule. If the local time of the
+// occurrence occurs twice because clocks are set back, the window opens at the first.
 func (s *Schedule) windowAt(opens time.Time) Window {
 	for _, setBack := range clockSetBacks {
 		first := opens.Add(-setBack)
--- a/window/window_test.go
+++ b/window/window_test.go
@@ -18,7 +18,7 @@
 	return t
 }
 
-// Windows open by the zone's clocks, over midnight and over changes of the clocks.
+// Windows open at the local time of their zone, also across midnight and clock changes.
 func TestWindowsOpenByTheZonesClocks(t *testing.T) {
 	for name, c := range map[string]struct {
 		rule, zone    string
@@ -28,9 +28,9 @@
 	}{
 		"at night, queried by day":     {"FREQ=DAILY;BYHOUR=1", "Africa/Johannesburg", 2 * time.Hour, "2026-12-02T13:00:00Z", "2026-12-02T23:00:00Z", "2026-12-03T01:00:00Z"},
 		"over midnight, queried in it": {"FREQ=DAILY;BYHOUR=23;BYMINUTE=30", "Europe/Berlin", 2 * time.Hour, "2026-12-02T23:45:00Z", "2026-12-02T22:30:00Z", "2026-12-03T00:30:00Z"},
-		"in the hour that is left out": {"FREQ=DAILY;BYHOUR=2;BYMINUTE=30", "Europe/Berlin", time.Hour, "2026-03-29T00:00:00Z",
+		"in the hour that is skipped": {"FREQ=DAILY;BYHOUR=2;BYMINUTE=30", "Europe/Berlin", time.Hour, "2026-03-29T00:00:00Z",
 			"2026-03-29T01:30:00Z", "2026-03-29T02:30:00Z"},
-		"in the hour that comes twice": {"FREQ=DAILY;BYHOUR=2;BYMINUTE=30", "Europe/Berlin", time.Hour, "2026-10-24T23:00:00Z",
+		"in the hour that is repeated": {"FREQ=DAILY;BYHOUR=2;BYMINUTE=30", "Europe/Berlin", time.Hour, "2026-10-24T23:00:00Z",
 			"2026-10-25T00:30:00Z", "2026-10-25T01:30:00Z"},
 		"every second Tuesday": {"FREQ=WEEKLY;INTERVAL=2;BYDAY=TU", "UTC", time.Hour, "2026-12-02T00:00:00Z", "2026-12-08T00:00:00Z", "2026-12-08T01:00:00Z"},
 		"on leap days":         {"FREQ=YEARLY;BYMONTH=2;BYMONTHDAY=29", "UTC", time.Hour, "2026-12-02T00:00:00Z", "2028-02-29T00:00:00Z", "2028-02-29T01:00:00Z"},
@@ -71,7 +71,7 @@
 	}
 }
 
-// At any time, Next returns a window that is open then or opens later, and none opens between.
+// Next returns a window that closes after the given time, and no other window opens before it.
 func TestNextWindowIsTheNext(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zone := rapid.SampledFrom([]string{"Europe/Berlin", "Africa/Johannesburg", "America/New_York", "Australia/Lord_Howe"}).Draw(t, "zone")
