--- a/disruption/ledger_test.go
+++ b/disruption/ledger_test.go
@@ -14,25 +14,25 @@
 	"ravenport/wire"
 )
 
-// picker draws numbers from 0 to n-1.
+// picker draws a number from 0 to n-1.
 type picker func(n int) int
 
-// modelTask is one task of the service that the model's budget is for.
+// modelTask is one task of the service that the model's budget applies to.
 type modelTask struct {
-	shard             string // "": none
+	shard             string // "": not assigned
 	isRunning         bool
-	runningSince      time.Time // when it started, if it runs
-	isVoluntarilyDown bool      // stopped by a request, and not stable again since
+	runningSince      time.Time // last start, if isRunning
+	isVoluntarilyDown bool      // stopped by a request, and not yet stable again
 }
 
-// modelStop is a stop on its way to a machine.
+// modelStop is a stop command that has not reached its machine yet.
 type modelStop struct {
 	shard string
 	term  uint64
 	task  int
 }
 
-// modelWrite is a transaction under way.
+// modelWrite is a transaction whose result is outstanding.
 type modelWrite struct {
 	shard      string
 	term       uint64
@@ -45,23 +45,24 @@
 	shard       string
 	term        uint64
 	ledger      *Ledger
-	changesRead int            // changes of the feed that it has read
-	views       map[int]string // by task: the shard that it believes it to be in
+	changesRead int            // number of changes that the owner has read from the feed
+	knownShards map[int]string // by task: its shard according to the changes read
 	isRebuilt   bool
 	stopping    map[int]bool
 	inFlight    *modelWrite
 }
 
-// model is a deployment of three shards whose owners end, fall behind, lose replies and
-// are replaced, while tasks fail, move between shards and are stopped by request.
+// model is a deployment of three shards. Owners are replaced, read the feed with delay and
+// lose replies of the key-value store. Meanwhile tasks fail, move between shards and are
+// stopped by request.
 type model struct {
-	pick   picker
-	now    time.Time
-	stable time.Duration
-	budget MaxUnavailable
-	tasks  []modelTask
-	owners map[string]*modelOwner
-	shards []string
+	pick        picker
+	now         time.Time
+	stableAfter time.Duration
+	budget      MaxUnavailable
+	tasks       []modelTask
+	owners      map[string]*modelOwner
+	shards      []string
 
 	log        []records.Change
 	versions   map[string]uint64
@@ -69,16 +70,16 @@
 	stops      []modelStop
 	lateWrites []*modelWrite
 
-	skipClaimProof, provedAtStart bool // mutants: no claim is needed, a task counts as available once it starts
-	violation                     string
-	voluntaryStops                int
-	refusals                      map[Reason]int
+	skipClaimProof, availableAtStart bool // mutants: stops need no claim; tasks count as available as soon as they start
+	violation                        string
+	voluntaryStops                   int
+	refusals                         map[Reason]int
 }
 
 const modelTeam = "team"
 
 func newModel(pick picker) *model {
-	m := &model{pick: pick, now: time.Unix(1000, 0), stable: 10 * time.Second, budget: MaxUnavailable{Tasks: 1 + pick(3)}, shards: []string{"a", "b", "c"},
+	m := &model{pick: pick, now: time.Unix(1000, 0), stableAfter: 10 * time.Second, budget: MaxUnavailable{Tasks: 1 + pick(3)}, shards: []string{"a", "b", "c"},
 		owners: map[string]*modelOwner{}, versions: map[string]uint64{}, claims: map[string]*records.DisruptionClaim{}, refusals: map[Reason]int{}}
 	if pick(3) == 0 {
 		m.budget = MaxUnavailable{Percent: 25, IsPercent: true}
@@ -98,7 +99,7 @@
 	return version
 }
 
-// storeJob stores the job as the tasks are assigned now.
+// storeJob stores the job's record with the current assignments of its tasks.
 func (m *model) storeJob() {
 	j := &records.Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", Team: modelTeam, Class: "c", Kind: wire.KindService, Tasks: len(m.tasks)}}
 	for i, t := range m.tasks {
@@ -118,22 +119,22 @@
 	m.store(records.KeyShard(shard), &records.Term{Shard: shard, Number: term})
 	var budgets Budgets
 	budgets.SetServicesDefault(m.budget)
-	o := &modelOwner{shard: shard, term: term, views: map[int]string{}, stopping: map[int]bool{},
-		ledger: NewLedger(Config{Shard: shard, Shards: m.shards, Term: term, Budgets: budgets, StableAfter: m.stable, SkipClaimProof: m.skipClaimProof})}
+	o := &modelOwner{shard: shard, term: term, knownShards: map[int]string{}, stopping: map[int]bool{},
+		ledger: NewLedger(Config{Shard: shard, Shards: m.shards, Term: term, Budgets: budgets, StableAfter: m.stableAfter, SkipClaimProof: m.skipClaimProof})}
 	m.owners[shard] = o
 	m.deliver(o, len(m.log))
 }
 
-// deliver has an owner read the feed up to a change.
+// deliver has an owner read the feed until it has read a number of changes.
 func (m *model) deliver(o *modelOwner, to int) {
 	for ; o.changesRead < to; o.changesRead++ {
 		ch := m.log[o.changesRead]
 		switch r := ch.Record.(type) {
 		case *records.Job:
 			o.ledger.ApplyJob(m.now, r)
-			clear(o.views)
+			clear(o.knownShards)
 			for _, a := range r.Assignments {
-				o.views[a.From] = a.Shard
+				o.knownShards[a.From] = a.Shard
 			}
 		case *records.DisruptionClaim:
 			o.ledger.ApplyClaim(r, ch.Version)
@@ -146,52 +147,52 @@
 	}
 }
 
-// isUp reports whether a task is stable, as its owner sees it.
-func (m *model) isUp(t *modelTask) bool {
-	return t.isRunning && (m.provedAtStart || m.now.Sub(t.runningSince) >= m.stable)
+// isStable reports whether the owner of a task counts the task as stable.
+func (m *model) isStable(t *modelTask) bool {
+	return t.isRunning && (m.availableAtStart || m.now.Sub(t.runningSince) >= m.stableAfter)
 }
 
-// step has an owner count, request stops and write its claim.
-func (m *model) step(o *modelOwner) {
-	m.deliver(o, o.changesRead+m.pick(len(m.log)-o.changesRead+1))
-	down := Counts{}
-	keys := o.ledger.BudgetsOf(&wire.Submission{Team: modelTeam, Class: "c", Kind: wire.KindService})
-	var up []int
+// step has an owner count its unavailable tasks, request stops and write its claim.
+func (m *model) step(owner *modelOwner) {
+	m.deliver(owner, owner.changesRead+m.pick(len(m.log)-owner.changesRead+1))
+	unavailable := Counts{}
+	keys := owner.ledger.BudgetsOf(&wire.Submission{Team: modelTeam, Class: "c", Kind: wire.KindService})
+	var available []int
 	for i := range m.tasks {
 		t := &m.tasks[i]
 		switch {
-		case o.views[i] != o.shard:
-		case t.shard != o.shard || o.stopping[i] || !m.isUp(t):
-			down.Add(keys, 1)
+		case owner.knownShards[i] != owner.shard:
+		case t.shard != owner.shard || owner.stopping[i] || !m.isStable(t):
+			unavailable.Add(keys, 1)
 		default:
-			up = append(up, i)
+			available = append(available, i)
 		}
 	}
-	o.ledger.Observe(m.now, down, o.isRebuilt)
+	owner.ledger.Observe(m.now, unavailable, owner.isRebuilt)
 	for range 1 + m.pick(3) {
-		if len(up) == 0 {
+		if len(available) == 0 {
 			break
 		}
-		at := m.pick(len(up))
-		i := up[at]
-		if refused := o.ledger.RequestStop(m.now, keys); refused != nil {
-			m.refusals[refused.Reason]++
+		index := m.pick(len(available))
+		i := available[index]
+		if refusal := owner.ledger.RequestStop(m.now, keys); refusal != nil {
+			m.refusals[refusal.Reason]++
 			continue
 		}
-		up = slices.Delete(up, at, at+1)
-		o.stopping[i] = true
-		m.stops = append(m.stops, modelStop{o.shard, o.term, i})
+		available = slices.Delete(available, index, index+1)
+		owner.stopping[i] = true
+		m.stops = append(m.stops, modelStop{owner.shard, owner.term, i})
 	}
-	if o.inFlight != nil {
+	if owner.inFlight != nil {
 		return
 	}
-	if changes, ifs := o.ledger.PrepareWrite(m.now, true); changes != nil {
-		o.inFlight = &modelWrite{o.shard, o.term, changes, ifs}
+	if changes, conditions := owner.ledger.PrepareWrite(m.now, true); changes != nil {
+		owner.inFlight = &modelWrite{owner.shard, owner.term, changes, conditions}
 	}
 }
 
-// applyStop applies a stop, unless the shard's next owner has made sure that no stop of earlier
-// owners is applied any more.
+// applyStop applies a stop. Stops of earlier owners have no effect once the shard's current
+// owner has rebuilt its state.
 func (m *model) applyStop(s modelStop) {
 	o := m.owners[s.shard]
 	if o.term == s.term {
@@ -208,24 +209,25 @@
 	m.checkBudget(fmt.Sprintf("task %d of %s was stopped", s.task, s.shard))
 }
 
-// checkBudget compares the tasks that are down by request with the budget.
+// checkBudget checks that the tasks that are down by request do not exceed the budget.
 func (m *model) checkBudget(what string) {
 	n := 0
 	for i := range m.tasks {
 		t := &m.tasks[i]
-		if t.isRunning && m.now.Sub(t.runningSince) >= m.stable {
+		if t.isRunning && m.now.Sub(t.runningSince) >= m.stableAfter {
 			t.isVoluntarilyDown = false
 		}
 		if t.isVoluntarilyDown {
 			n++
 		}
 	}
-	if most := m.budget.For(len(m.tasks)); n > most && m.violation == "" {
+	if limit := m.budget.For(len(m.tasks)); n > limit && m.violation == "" {
 		m.violation = fmt.Sprintf("%s: %d are down by request, %s of %d may be", what, n, m.budget, len(m.tasks))
 	}
 }
 
-// commit applies a write if its conditions hold.
+// commit applies a write if its term is current and its conditions hold. It returns the
+// version of the claim, or 0 if the write was refused.
 func (m *model) commit(w *modelWrite) uint64 {
 	if m.owners[w.shard].term != w.term {
 		return 0
@@ -240,36 +242,36 @@
 		panic(err)
 	}
 	claim := v.(*records.DisruptionClaim)
-	was := m.claims[w.shard]
+	previous := m.claims[w.shard]
 	m.claims[w.shard] = claim
 	version := m.store(w.changes[0].Put, claim)
-	if len(w.conditions) > 1 && (was == nil || claim.Unavailable[modelTeam] > was.Unavailable[modelTeam]) {
+	if len(w.conditions) > 1 && (previous == nil || claim.Unavailable[modelTeam] > previous.Unavailable[modelTeam]) {
 		m.checkClaims()
 	}
 	return version
 }
 
-// checkClaims compares all claims, as they are stored after a raise for stops, with the
-// budget: a raise counts every failure that was published before.
+// checkClaims checks, after a raise for stops was stored, that all claims together do not
+// exceed the budget. A raise must count all failures that were published before it.
 func (m *model) checkClaims() {
 	n := 0
 	for _, c := range m.claims {
 		n += c.Unavailable[modelTeam]
 	}
-	if most := m.budget.For(len(m.tasks)); n > most && m.violation == "" {
-		m.violation = fmt.Sprintf("a raise makes all claims %d, of %d that may be", n, most)
+	if limit := m.budget.For(len(m.tasks)); n > limit && m.violation == "" {
+		m.violation = fmt.Sprintf("a raise makes all claims %d, of %d that may be", n, limit)
 	}
 }
 
-// settleWrite decides what becomes of an owner's write.
-func (m *model) settleWrite(o *modelOwner) {
+// resolveWrite draws the outcome of an owner's write.
+func (m *model) resolveWrite(o *modelOwner) {
 	w := o.inFlight
 	o.inFlight = nil
 	switch m.pick(8) {
-	case 0: // applied late, if at all
+	case 0: // reported as failed, and applied later or never
 		m.lateWrites = append(m.lateWrites, w)
 		o.ledger.ApplyWriteResult(m.now, 0)
-	case 1: // applied, the reply is lost
+	case 1: // applied, but the reply is lost
 		m.commit(w)
 		o.ledger.ApplyWriteResult(m.now, 0)
 	case 2: // refused
@@ -279,46 +281,46 @@
 	}
 }
 
-// event lets one thing happen.
-func (m *model) event() {
-	o := m.owners[m.shards[m.pick(3)]]
-	t := &m.tasks[m.pick(len(m.tasks))]
+// randomEvent draws one event and applies it.
+func (m *model) randomEvent() {
+	owner := m.owners[m.shards[m.pick(3)]]
+	task := &m.tasks[m.pick(len(m.tasks))]
 	switch m.pick(16) {
 	case 0, 1, 2, 3, 4, 5:
-		m.step(o)
+		m.step(owner)
 	case 6, 7, 8:
-		if o.inFlight != nil {
-			m.settleWrite(o)
+		if owner.inFlight != nil {
+			m.resolveWrite(owner)
 		}
-	case 9, 10: // a stop arrives
+	case 9, 10: // a stop reaches its machine
 		if n := len(m.stops); n > 0 {
-			at := m.pick(n)
-			s := m.stops[at]
-			m.stops = slices.Delete(m.stops, at, at+1)
+			index := m.pick(n)
+			s := m.stops[index]
+			m.stops = slices.Delete(m.stops, index, index+1)
 			m.applyStop(s)
 		}
-	case 11, 12: // a task starts again
-		if !t.isRunning && t.shard != "" {
-			t.isRunning, t.runningSince = true, m.now
+	case 11, 12: // a task restarts
+		if !task.isRunning && task.shard != "" {
+			task.isRunning, task.runningSince = true, m.now
 		}
-	case 13: // one fails, or moves to another shard
-		if t.shard != "" && m.pick(3) > 0 {
-			t.isRunning = false
+	case 13: // a task fails, or is unassigned or assigned to a shard
+		if task.shard != "" && m.pick(3) > 0 {
+			task.isRunning = false
 			break
 		}
-		if !t.isRunning {
-			if t.shard != "" {
-				t.shard = ""
+		if !task.isRunning {
+			if task.shard != "" {
+				task.shard = ""
 			} else {
-				t.shard = m.shards[m.pick(3)]
+				task.shard = m.shards[m.pick(3)]
 			}
 			m.storeJob()
 		}
-	case 14: // an owner ends, another begins and rebuilds after a while
+	case 14: // a new owner starts, or the owner finishes rebuilding its state
 		if m.pick(3) == 0 {
-			m.startOwner(o.shard)
+			m.startOwner(owner.shard)
 		} else {
-			o.isRebuilt = true
+			owner.isRebuilt = true
 		}
 	case 15:
 		if n := len(m.lateWrites); n > 0 {
@@ -330,26 +332,27 @@
 	m.now = m.now.Add(time.Duration(m.pick(600)) * time.Millisecond)
 }
 
-// play runs a deployment for so many events.
-func (m *model) play(events int) {
+// runEvents starts the owners of all shards and applies up to the given number of events,
+// until the first violation.
+func (m *model) runEvents(events int) {
 	for _, s := range m.shards {
 		m.startOwner(s)
 		m.owners[s].isRebuilt = true
 	}
 	for range events {
-		if m.event(); m.violation != "" {
+		if m.randomEvent(); m.violation != "" {
 			return
 		}
 	}
 }
 
-// Whatever fails, the tasks that are down by request stay within the budget, and no claim
-// is raised past it.
+// Under any sequence of failures, the tasks that are down by request do not exceed the
+// budget, and no raise makes the claims exceed it.
 func TestClaimsKeepWithinBudgets(t *testing.T) {
 	stops, refusals := 0, map[Reason]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") })
-		m.play(400)
+		m.runEvents(400)
 		if m.violation != "" {
 			t.Fatal(m.violation)
 		}
@@ -360,27 +363,27 @@
 	})
 	t.Logf("%d stops, refused: %v", stops, refusals)
 	if stops == 0 || refusals[ReasonExhausted] == 0 || refusals[ReasonClaimMissing] == 0 || refusals[ReasonClaimPending] == 0 {
-		t.Error("hardly anything came about")
+		t.Error("the runs had no stops, or lacked refusals for one of the three reasons")
 	}
 }
 
-// Without claims, or if tasks count as available as soon as they start, the same model
-// violates budgets.
+// The model detects violations: it reports one if stops need no claim, and if tasks count as
+// available as soon as they start.
 func TestModelCatchesMutants(t *testing.T) {
 	for name, mutate := range map[string]func(*model){
-		"no claim":            func(m *model) { m.skipClaimProof = true },
-		"proved by its start": func(m *model) { m.provedAtStart = true },
+		"no claim":           func(m *model) { m.skipClaimProof = true },
+		"available at start": func(m *model) { m.availableAtStart = true },
 	} {
 		caught := ""
 		for seed := uint64(0); seed < 300 && caught == ""; seed++ {
 			rng := rand.New(rand.NewPCG(seed, 1))
 			m := newModel(rng.IntN)
 			mutate(m)
-			m.play(400)
+			m.runEvents(400)
 			caught = m.violation
 		}
 		if caught == "" {
-			t.Errorf("%s: never seen broken", name)
+			t.Errorf("%s: no violation in 300 runs", name)
 		}
 	}
 }
@@ -399,7 +402,7 @@
 	}
 	for _, text := range []string{"", "-1", "1.5", "101%", "-1%", "NaN%", "ten", "%"} {
 		if _, err := ParseMaxUnavailable(text); err == nil {
-			t.Errorf("%q is taken as an amount", text)
+			t.Errorf("%q is parsed as an amount", text)
 		}
 	}
 }
