--- a/controller/drain_records.go
+++ b/controller/drain_records.go
@@ -26,7 +26,7 @@
 	case *records.Drain, *records.DisruptionClaim, *records.Term:
 		r.stored[change.Key] = change
 	case *records.DamagedRecord:
-		if record.ConcernsDraining() {
+		if record.IsDrainOrClaim() {
 			r.stored[change.Key] = change
 		}
 	case nil:
--- a/records/change.go
+++ b/records/change.go
@@ -27,7 +27,7 @@
 	}
 	change := Change{Key: key, Version: version}
 	damaged := &DamagedRecord{Key: key}
-	if _, isJob := damaged.JobID(); isJob || damaged.ConcernsDraining() {
+	if _, isJob := damaged.JobID(); isJob || damaged.IsDrainOrClaim() {
 		change.Record = damaged
 	}
 	return change, err
--- a/records/codec.go
+++ b/records/codec.go
@@ -74,7 +74,7 @@
 	if id, ok := strings.CutPrefix(key, jobPrefix); ok {
 		return &Job{ID: id}
 	}
-	return newDrainingRecord(key)
+	return newDrainOrClaim(key)
 }
 
 // newInventoryPage makes the empty page for the rest of a key, "shard/number"; nil if
@@ -88,9 +88,9 @@
 	return &InventoryPage{Shard: shard, Number: number}
 }
 
-// newDrainingRecord makes the empty record for the key of a drain or of a disruption
+// newDrainOrClaim makes the empty record for the key of a drain or of a disruption
 // claim; nil for a key of another kind.
-func newDrainingRecord(key string) Record {
+func newDrainOrClaim(key string) Record {
 	if shard, ok := strings.CutPrefix(key, claimPrefix); ok {
 		return &DisruptionClaim{Shard: shard}
 	}
--- a/records/damaged.go
+++ b/records/damaged.go
@@ -11,12 +11,12 @@
 	return strings.CutPrefix(d.Key, jobPrefix)
 }
 
-// ConcernsDraining says whether it is the record of a drain or a disruption claim.
-func (d *DamagedRecord) ConcernsDraining() bool { return newDrainingRecord(d.Key) != nil }
+// IsDrainOrClaim says whether it is the record of a drain or a disruption claim.
+func (d *DamagedRecord) IsDrainOrClaim() bool { return newDrainOrClaim(d.Key) != nil }
 
 // DrainNumber is the number of the damaged drain; ok is false if it is no drain.
 func (d *DamagedRecord) DrainNumber() (number int, ok bool) {
-	drain, ok := newDrainingRecord(d.Key).(*Drain)
+	drain, ok := newDrainOrClaim(d.Key).(*Drain)
 	if !ok {
 		return 0, false
 	}
