--- a/records/job.go
+++ b/records/job.go
@@ -116,7 +116,7 @@
 	return &clone
 }
 
-var errAssignments = errors.New("assignments that the job cannot have")
+var errInvalidAssignments = errors.New("assignments that the job cannot have")
 
 // checkAssignments reports whether the assignments, in their order, are ranges of the job's
 // tasks that do not overlap. Whoever applies the record relies on it.
@@ -124,7 +124,7 @@
 	next := 0 // the first task that may be in the next assignment
 	for _, assignment := range j.Assignments {
 		if assignment.From < next || assignment.To < assignment.From || assignment.To > j.Spec.Tasks {
-			return errAssignments
+			return errInvalidAssignments
 		}
 		next = assignment.To
 	}
--- a/records/packed_job.go
+++ b/records/packed_job.go
@@ -54,7 +54,7 @@
 // value of 16 KiB could stand for 16 MiB.
 const maxUnpackedSize = 4 << 20
 
-var errNotPacked = errors.New("records: not a packed job record")
+var errMalformedPackedJob = errors.New("records: not a packed job record")
 
 // isPackedJob says whether a job's stored record is packed, not a plain JSON object.
 func isPackedJob(data []byte) bool { return len(data) > 0 && data[0] == '[' }
@@ -88,7 +88,7 @@
 		}
 	}
 	if len(elements) != packedElements {
-		return errNotPacked
+		return errMalformedPackedJob
 	}
 	var runs string
 	var shards []string
@@ -166,7 +166,7 @@
 		}
 		runs = rest
 		if tasks > job.Spec.Tasks-next {
-			return errNotPacked
+			return errMalformedPackedJob
 		}
 		assignment := Assignment{From: next, To: next + tasks}
 		next = assignment.To
@@ -199,7 +199,7 @@
 	}
 	n, err := strconv.ParseInt(runs[:end], taskCountBase, 32)
 	if err != nil || n <= 0 {
-		return 0, 0, "", errNotPacked
+		return 0, 0, "", errMalformedPackedJob
 	}
 	return code, int(n), runs[end:], nil
 }
@@ -214,13 +214,13 @@
 			break
 		}
 		if scale >= codes {
-			return 0, "", errNotPacked
+			return 0, "", errMalformedPackedJob
 		}
 		code += scale * digit
 		digits++
 	}
 	if digits == 0 || code >= codes {
-		return 0, "", errNotPacked
+		return 0, "", errMalformedPackedJob
 	}
 	return code, runs[digits:], nil
 }
@@ -254,7 +254,7 @@
 	reader := io.LimitReader(flate.NewReader(bytes.NewReader(compressed)), maxUnpackedSize+1)
 	unpacked, err := io.ReadAll(reader)
 	if err == nil && len(unpacked) > maxUnpackedSize {
-		return nil, errNotPacked
+		return nil, errMalformedPackedJob
 	}
 	return unpacked, err
 }
