--- a/records/packed_job.go
+++ b/records/packed_job.go
@@ -35,9 +35,9 @@
 	runClosed     = 1
 	runOpen       = 2
 
-	openCodesPerShard  = 4
-	openFlagKeepWait   = 1
-	openFlagGuaranteed = 2
+	openCodesPerShard   = 4
+	openFlagKeepWaiting = 1
+	openFlagGuaranteed  = 2
 )
 
 // codeDigits are the digits of a run's code; none is a digit in base 36.
@@ -132,7 +132,7 @@
 func openRunCode(assignment Assignment, shardIndex int) int {
 	code := runOpen + shardIndex*openCodesPerShard
 	if assignment.KeepWaiting {
-		code += openFlagKeepWait
+		code += openFlagKeepWaiting
 	}
 	if assignment.Guaranteed {
 		code += openFlagGuaranteed
@@ -158,9 +158,9 @@
 // decodeRuns appends the assignments of runs to the job.
 func decodeRuns(job *Job, runs string, shards []string) error {
 	next := 0 // the first task after the runs that were read
-	codes := runOpen + len(shards)*openCodesPerShard
+	codeCount := runOpen + len(shards)*openCodesPerShard
 	for len(runs) > 0 {
-		code, tasks, rest, err := readRun(runs, codes)
+		code, tasks, rest, err := readRun(runs, codeCount)
 		if err != nil {
 			return err
 		}
@@ -179,7 +179,7 @@
 			openCode := code - runOpen
 			flags := openCode % openCodesPerShard
 			assignment.Shard = shards[openCode/openCodesPerShard]
-			assignment.KeepWaiting = flags&openFlagKeepWait != 0
+			assignment.KeepWaiting = flags&openFlagKeepWaiting != 0
 			assignment.Guaranteed = flags&openFlagGuaranteed != 0
 		}
 		job.Assignments = append(job.Assignments, assignment)
@@ -188,8 +188,8 @@
 }
 
 // readRun reads the first run, whose code is below codes, and returns the runs after it.
-func readRun(runs string, codes int) (code, tasks int, rest string, err error) {
-	code, runs, err = readCode(runs, codes)
+func readRun(runs string, codeCount int) (code, tasks int, rest string, err error) {
+	code, runs, err = readCode(runs, codeCount)
 	if err != nil {
 		return 0, 0, "", err
 	}
@@ -206,20 +206,20 @@
 
 // readCode reads the code that a run begins with, and returns what follows it. A code of
 // more digits than the largest one needs is refused before it can overflow.
-func readCode(runs string, codes int) (code int, rest string, err error) {
+func readCode(runs string, codeCount int) (code int, rest string, err error) {
 	digits := 0
 	for scale := 1; digits < len(runs); scale *= len(codeDigits) {
 		digit := strings.IndexByte(codeDigits, runs[digits])
 		if digit < 0 {
 			break
 		}
-		if scale >= codes {
+		if scale >= codeCount {
 			return 0, "", errMalformedPackedJob
 		}
 		code += scale * digit
 		digits++
 	}
-	if digits == 0 || code >= codes {
+	if digits == 0 || code >= codeCount {
 		return 0, "", errMalformedPackedJob
 	}
 	return code, runs[digits:], nil
