--- a/records/codec.go
+++ b/records/codec.go
@@ -79,8 +79,8 @@
 
 // newInventoryPage makes the empty page for the rest of a key, "shard/number"; nil if
 // that is no number.
-func newInventoryPage(keyRest string) Record {
-	shard, pageNumber, _ := strings.Cut(keyRest, "/")
+func newInventoryPage(keySuffix string) Record {
+	shard, pageNumber, _ := strings.Cut(keySuffix, "/")
 	number, err := strconv.Atoi(pageNumber)
 	if err != nil {
 		return nil
--- a/records/size_limits.go
+++ b/records/size_limits.go
@@ -27,7 +27,7 @@
 		return plain, true
 	}
 	if !l.PackingEnabled {
-		return plain, len(plain) <= l.Current && previous != nil && sizeAtEnd(previous) > l.Next
+		return plain, len(plain) <= l.Current && previous != nil && maxSizeUntilEnd(previous) > l.Next
 	}
 	packed := packJob(job)
 	if len(packed) > l.Next && job.End != "" {
@@ -49,12 +49,12 @@
 	if !ok || l.PackingEnabled {
 		return value, ok
 	}
-	return value, sizeAtEnd(job) <= max(l.Next, sizeAtEnd(previous))
+	return value, maxSizeUntilEnd(job) <= max(l.Next, maxSizeUntilEnd(previous))
 }
 
-// sizeAtEnd is the largest plain size (bytes) that a record reaches without new
+// maxSizeUntilEnd is the largest plain size (bytes) that a record reaches without new
 // assignments: with all of them closed and the job's end.
-func sizeAtEnd(job *Job) int {
+func maxSizeUntilEnd(job *Job) int {
 	size := len(Encode(job)) + len(`,"end":"cancelled"`)
 	for _, assignment := range job.Assignments {
 		if !assignment.Closed {
