--- a/kvstore/feed.go
+++ b/kvstore/feed.go
@@ -44,7 +44,7 @@
 func (f *Feed) Run(ctx context.Context) {
 	retryDelay := constants.RetryBackoffMin
 	for ctx.Err() == nil {
-		err := f.step(ctx)
+		err := f.listOrWatch(ctx)
 		switch {
 		case err == nil:
 			retryDelay = constants.RetryBackoffMin
@@ -66,8 +66,8 @@
 	}
 }
 
-// step lists all keys or, once that has been done, waits for the next changes.
-func (f *Feed) step(ctx context.Context) error {
+// listOrWatch lists all keys or, once that has been done, waits for the next changes.
+func (f *Feed) listOrWatch(ctx context.Context) error {
 	if !f.listed {
 		return f.list(ctx)
 	}
