--- a/records/damaged_test.go
+++ b/records/damaged_test.go
@@ -55,7 +55,7 @@
 }
 
 // What an undamaged record may hold is read as before.
-func TestRunsOfWholeJobAreRead(t *testing.T) {
+func TestValidRunsAreRead(t *testing.T) {
 	spec := string(Encode(Job{Spec: wire.Submission{Kind: wire.KindArray, Tasks: 40}}))
 	value := fmt.Sprintf(`[%s,"A2C11B1",["a"]]`, spec)
 	record, err := decodeWithoutPanic(t, KeyJob("run-1"), value)
--- a/records/packed_job_test.go
+++ b/records/packed_job_test.go
@@ -75,7 +75,7 @@
 
 // What the leader may add to a record leaves room for its end while nothing may be
 // packed yet.
-func TestGrownRecordStillEnds(t *testing.T) {
+func TestExtendedRecordFitsUntilEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		previous := drawJob(t)
 		j := previous.Clone()
@@ -97,7 +97,7 @@
 
 // A specification as long as the version before took it can still end: names of
 // full length, and as many machine types as may be named.
-func TestLongSpecificationEnds(t *testing.T) {
+func TestLongSpecificationIsPackedAtEnd(t *testing.T) {
 	j := &Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", Kind: wire.KindArray, Tasks: 9}}
 	for i := range 32 {
 		j.Spec.Types = append(j.Spec.Types, fmt.Sprintf("%0100d-kind-%02d", 7, i))
@@ -169,7 +169,7 @@
 	} `json:"ch,omitempty"`
 }
 
-func TestVersionBeforeRewritesRecords(t *testing.T) {
+func TestPreviousVersionRewritesRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		j := drawJob(t)
 		var f previousVersionJob
@@ -196,7 +196,7 @@
 }
 
 // What the version before wrote, produced by running it, is read to the last field.
-func TestReadsWhatTheVersionBeforeWrote(t *testing.T) {
+func TestReadsRecordsOfPreviousVersion(t *testing.T) {
 	text, err := os.ReadFile("testdata/production.json")
 	if err != nil {
 		t.Fatal(err)
