--- a/records/fuzz_test.go
+++ b/records/fuzz_test.go
@@ -34,8 +34,8 @@
 	}
 	f.Add(5, []byte(`["AAAA"]`))
 	f.Add(5, []byte(`[null,null,null]`))
-	f.Fuzz(func(t *testing.T, kind int, value []byte) {
-		key := fuzzKeys[uint(kind)%uint(len(fuzzKeys))]
+	f.Fuzz(func(t *testing.T, keyIndex int, value []byte) {
+		key := fuzzKeys[uint(keyIndex)%uint(len(fuzzKeys))]
 		record, err := Decode(key, value)
 		if err != nil {
 			if !errors.Is(err, ErrDamaged) {
@@ -46,12 +46,12 @@
 		if record == nil {
 			return
 		}
-		again, err := Decode(key, Encode(record))
+		reread, err := Decode(key, Encode(record))
 		if err != nil {
 			t.Fatalf("what was read of %q cannot be read again: %v", value, err)
 		}
-		if !reflect.DeepEqual(Encode(record), Encode(again)) {
-			t.Errorf("%s is read again as %s", Encode(record), Encode(again))
+		if !reflect.DeepEqual(Encode(record), Encode(reread)) {
+			t.Errorf("%s is read again as %s", Encode(record), Encode(reread))
 		}
 		checkDecodedJob(t, record)
 	})
--- a/records/golden_test.go
+++ b/records/golden_test.go
@@ -13,8 +13,8 @@
 	page := &InventoryPage{}
 	page.Add(Machine{Name: "m-1", Type: "box", Addr: "10.0.0.9:9000"})
 	page.Add(Machine{Name: "m-2", Type: "box", RequestedS: 17})
-	closing := &InventoryPage{}
-	closing.Add(Machine{Name: "m-1", Type: "box", Spot: true, Addr: "10.0.0.9:9000", Terminating: true})
+	terminating := &InventoryPage{}
+	terminating.Add(Machine{Name: "m-1", Type: "box", Spot: true, Addr: "10.0.0.9:9000", Terminating: true})
 	for _, c := range []struct {
 		name, key, want string
 		record          any
@@ -26,7 +26,7 @@
 		{"term", KeyShard("a"), `{"node":"n-0","inc":7,"term":3,"cut":true}`, Term{Shard: "a", Controller: "n-0", Incarnation: 7, Number: 3, PreviousUnreachable: true}},
 		{"leader's term", KeyLeader, `{"node":"n-0","inc":7,"term":3}`, Term{Controller: "n-0", Incarnation: 7, Number: 3}},
 		{"page", KeyInventory("a", 2), `{"g":[{"t":"box","u":{"m-1":"10.0.0.9:9000"},"c":{"m-2":17}}]}`, page},
-		{"page with a closed machine", KeyInventory("a", 3), `{"g":[{"t":"box","s":true,"u":{"m-1":"10.0.0.9:9000"},"x":["m-1"]}]}`, closing},
+		{"page with a closed machine", KeyInventory("a", 3), `{"g":[{"t":"box","s":true,"u":{"m-1":"10.0.0.9:9000"},"x":["m-1"]}]}`, terminating},
 		{"job", KeyJob("run-000001"), `{"spec":{"uid":"","lane":"c","crew":"t","shape":"sweep","rank":"standard","pieces":4,"cpus":1,"cards":0,"mem_gb":2,"kit":"i","pull_gb":0.5,"guess_s":9,"mark_every_s":0,"stow_s":0},"at":5,"end":"done","ch":[{"f":0,"t":4,"p":"a","c":true,"k":true,"g":true}],"try":6}`,
 			Job{ID: "run-000001", AcceptedMS: 5, End: wire.JobDone, Attempt: 6,
 				Spec:        wire.Submission{Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 4, CPUs: 1, MemoryGB: 2, Image: "i", ImageGB: 0.5, EstimateS: 9},
