--- a/kvstore/client.go
+++ b/kvstore/client.go
@@ -14,22 +14,23 @@
 	"ravenport/wire"
 )
 
-// Client calls the key-value store within this controller's share of its rate limits.
-// It is safe for concurrent use.
+// Client sends requests to the key-value store. It limits its request rate to this
+// controller's share of the store's rate limits. A Client is safe for concurrent use.
 type Client struct {
 	httpClient *httpwire.Client
-	// watchClient has a connection of its own, which a watch holds while it waits.
+	// watchClient has a separate connection, because a watch occupies its connection
+	// until the store responds.
 	watchClient *httpwire.Client
 
 	priority          writePriority
-	readLimiter       *rate.Limiter // of lists and watches (requests)
-	writeLimiter      *rate.Limiter // of all writes (changes)
-	backgroundLimiter *rate.Limiter // of background writes, besides writeLimiter (changes)
+	readLimiter       *rate.Limiter // limits lists and watches (requests)
+	writeLimiter      *rate.Limiter // limits all writes (changes)
+	backgroundLimiter *rate.Limiter // limits background writes in addition to writeLimiter (changes)
 }
 
-// NewClient makes a client of the store at addr, whose rate limits are requestsPerSecond
-// and changesPerSecond. Its writes are interactive: see Background, Urgent and
-// Unthrottled for others.
+// NewClient returns a client of the store at addr. requestsPerSecond and changesPerSecond
+// are the rate limits of the store. The client's writes have interactive priority; see
+// Background, Urgent and Unthrottled for clients with other priorities.
 func NewClient(addr string, requestsPerSecond, changesPerSecond float64) *Client {
 	limits := httpwire.Limits{Header: constants.MaxHeaderBytes, Body: constants.MaxResponseBody}
 	return &Client{
@@ -41,9 +42,9 @@
 	}
 }
 
-// call sends one request with body, if there is one, as JSON. Its error tells whether
-// the request may have been executed; a response of any other status than 429 and 503 is
-// left to the caller.
+// call sends one request, with body encoded as JSON unless body is nil. The error tells
+// whether the store may have executed the request. Statuses 429 and 503 are returned as
+// errors; the caller handles all other statuses.
 func (c *Client) call(ctx context.Context, method, path string, body any) (*httpwire.Message, error) {
 	var data []byte
 	if body != nil {
@@ -66,15 +67,16 @@
 }
 
 // Commit executes a compare-and-swap transaction and returns its revision. After
-// ErrOutcomeUnknown the caller must read the keys before it concludes anything; other
-// errors are ErrRefused, ErrLeaseExpired, ErrInvalidRequest and ConflictError.
+// ErrOutcomeUnknown the caller must read the keys to learn whether the transaction was
+// executed. The other errors are ErrRefused, ErrLeaseExpired, ErrInvalidRequest and
+// ConflictError.
 func (c *Client) Commit(ctx context.Context, txn wire.Txn) (revision uint64, err error) {
 	if n := len(txn.Changes); n > 0 {
 		if err := c.waitForWriteLimit(ctx, n); err != nil {
 			return 0, fmt.Errorf("%w: own rate limit: %w", ErrRefused, err)
 		}
 	}
-	// The store expects empty lists in place of null.
+	// The store requires empty lists instead of null.
 	if txn.Conditions == nil {
 		txn.Conditions = []wire.Condition{}
 	}
@@ -88,7 +90,7 @@
 	return commitResult(response)
 }
 
-// commitResult reads the response to a transaction.
+// commitResult converts the response to a transaction into a revision or an error.
 func commitResult(response *httpwire.Message) (revision uint64, err error) {
 	if response.Status == http.StatusBadRequest {
 		var problem wire.Problem
@@ -110,7 +112,7 @@
 	return 0, unexpectedStatus("transaction", response)
 }
 
-// Get reads one key; found is false when it does not exist.
+// Get reads one key. found is false if the key does not exist.
 func (c *Client) Get(ctx context.Context, key string) (kv wire.KeyValue, found bool, err error) {
 	response, err := c.call(ctx, http.MethodGet, wire.KeyPath(key), nil)
 	if err != nil {
@@ -130,7 +132,7 @@
 
 // Revision reads the store's current revision.
 func (c *Client) Revision(ctx context.Context) (uint64, error) {
-	// The response for a key that does not exist carries nothing but the revision.
+	// The response for a key that does not exist contains only the revision.
 	response, err := c.call(ctx, http.MethodGet, wire.KeyPath(records.KeyBarrier), nil)
 	if err != nil {
 		return 0, err
@@ -143,7 +145,7 @@
 }
 
 // List reads all keys under prefix, page by page. The result contains every change up to
-// revision, and may contain later ones.
+// revision and may contain later changes, as the first page determines revision.
 func (c *Client) List(ctx context.Context, prefix string) (items []wire.KeyValue, revision uint64, err error) {
 	after := ""
 	for {
@@ -162,7 +164,7 @@
 	}
 }
 
-// listPage reads one page of the keys under prefix that follow the key after.
+// listPage reads one page of the keys under prefix, starting behind the key after.
 func (c *Client) listPage(ctx context.Context, prefix, after string) (page wire.KeyList, err error) {
 	if err := c.readLimiter.Wait(ctx); err != nil {
 		return page, err
@@ -177,9 +179,10 @@
 	return page, nil
 }
 
-// Watch waits for at most wait until a key under prefix has changed after a revision,
-// and returns all such changes. It returns ErrCompacted when the store no longer keeps
-// them, and ErrRefused for every other failure, since a watch changes nothing.
+// Watch returns all changes of keys under prefix after the revision after. If there are
+// none yet, the store waits for the first one, but not longer than wait. Watch returns
+// ErrCompacted if the store no longer keeps these changes. It returns ErrRefused for
+// every other failed request, since a watch changes nothing and can always be retried.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (*wire.Events, error) {
 	if err := c.readLimiter.Wait(ctx); err != nil {
 		return nil, err
@@ -205,7 +208,8 @@
 	return nil, fmt.Errorf("%w: watch: status %d", ErrRefused, response.Status)
 }
 
-// Grant obtains a lease that expires unless it is renewed within ttl, and returns its id.
+// Grant requests a new lease, which expires unless it is renewed within ttl, and returns
+// the id of the lease.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (lease uint64, err error) {
 	request := wire.LeaseRequest{TTLMS: ttl.Milliseconds()}
 	response, err := c.call(ctx, http.MethodPost, wire.PathLeases, request)
@@ -219,7 +223,7 @@
 	return reply.Lease, nil
 }
 
-// Renew renews a lease. It returns ErrLeaseExpired when the lease has expired.
+// Renew renews a lease. It returns ErrLeaseExpired if the lease has already expired.
 func (c *Client) Renew(ctx context.Context, lease uint64) error {
 	response, err := c.call(ctx, http.MethodPost, wire.RenewPath(lease), struct{}{})
 	if err != nil {
@@ -234,13 +238,13 @@
 	return unexpectedStatus("lease renewal", response)
 }
 
-// unexpectedStatus is the error for a response whose status, or content, does not fit
-// the request.
+// unexpectedStatus returns the error for a response whose status or content is not valid
+// for the request.
 func unexpectedStatus(request string, response *httpwire.Message) error {
 	return fmt.Errorf("%w: %s: status %d", ErrOutcomeUnknown, request, response.Status)
 }
 
-// unreadableResponse is the error for a response whose body is not the expected JSON.
+// unreadableResponse returns the error for a response whose body is not the expected JSON.
 func unreadableResponse(err error) error {
 	return fmt.Errorf("%w: unreadable response: %w", ErrOutcomeUnknown, err)
 }
--- a/kvstore/doc.go
+++ b/kvstore/doc.go
@@ -1,9 +1,9 @@
 // Package kvstore is the client of the consensus-backed key-value store that holds all
-// of ravenport's durable state: compare-and-swap transactions, reads, leases and
-// watches, within a controller's share of the store's rate limits, and a feed that
-// mirrors every key.
+// of ravenport's durable state. [Client] provides compare-and-swap transactions, reads,
+// leases and watches within a controller's share of the store's rate limits. [Feed]
+// follows the changes of all keys.
 //
-// Every failed call says what is known of its outcome, so that callers can decide
-// whether a retry is safe: an error that wraps [ErrRefused] means that the store surely
-// did not execute the request, [ErrOutcomeUnknown] that it may have.
+// The error of a failed call says what is known of the call's outcome, so that the caller
+// can decide whether a retry is safe. [ErrRefused] means that the store did not execute
+// the request. [ErrOutcomeUnknown] means that the store may have executed it.
 package kvstore
--- a/kvstore/errors.go
+++ b/kvstore/errors.go
@@ -5,31 +5,34 @@
 	"fmt"
 )
 
-// Errors of calls to the key-value store; test for them with errors.Is. A failed
-// compare-and-swap is a [ConflictError].
+// Errors of calls to the key-value store, to be tested with errors.Is. A failed
+// compare-and-swap is reported as a [ConflictError] instead.
 var (
-	// ErrRefused: the request was surely not executed, so that it is safe to retry.
+	// ErrRefused means that the store did not execute the request and never will, so a
+	// retry is safe.
 	ErrRefused = errors.New("kvstore: refused")
-	// ErrRateLimited: the request was refused because it exceeds a rate limit, the
-	// store's or this controller's own share of it. It is always wrapped together with
-	// ErrRefused.
+	// ErrRateLimited means that the request was refused because it exceeds the store's
+	// rate limit or this controller's share of it. [Client] always returns it together
+	// with ErrRefused.
 	ErrRateLimited = errors.New("kvstore: rate limited")
-	// ErrOutcomeUnknown: the request may have been executed, or may yet be.
+	// ErrOutcomeUnknown means that the store may have executed the request, or may still
+	// execute it later.
 	ErrOutcomeUnknown = errors.New("kvstore: outcome unknown")
-	// ErrLeaseExpired: the lease has expired, and the keys attached to it are deleted.
+	// ErrLeaseExpired means that the lease has expired and that the store has deleted the
+	// keys attached to the lease.
 	ErrLeaseExpired = errors.New("kvstore: lease expired")
-	// ErrInvalidRequest: the store rejected the request itself, most likely for its
-	// size, and will reject it on every retry.
+	// ErrInvalidRequest means that the store rejected the request as invalid, most likely
+	// because of its size. The store would reject every retry as well.
 	ErrInvalidRequest = errors.New("kvstore: invalid request")
-	// ErrCompacted: a watch asked for changes since a revision that the store no longer
-	// keeps; all keys have to be listed again.
+	// ErrCompacted means that the store no longer keeps all changes since the revision
+	// that a watch started from. The caller has to list all keys again.
 	ErrCompacted = errors.New("kvstore: revision compacted")
 )
 
 // ConflictError reports a failed compare-and-swap: at least one condition of the
-// transaction did not hold, and no change was applied.
+// transaction was not met, and the store applied none of the changes.
 type ConflictError struct {
-	// Keys are those whose version differs from the transaction's condition.
+	// Keys are the keys whose version differs from the transaction's condition.
 	Keys []string
 }
 
--- a/kvstore/feed.go
+++ b/kvstore/feed.go
@@ -13,34 +13,35 @@
 	"ravenport/wire"
 )
 
-// ListWatcher is what a feed needs of the key-value store; see [Client.List] and
-// [Client.Watch].
+// ListWatcher is the part of the key-value store's client that a feed uses; see
+// [Client.List] and [Client.Watch].
 type ListWatcher interface {
 	List(ctx context.Context, prefix string) (items []wire.KeyValue, revision uint64, err error)
 	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (*wire.Events, error)
 }
 
-// Feed mirrors all of ravenport's keys: it lists them once, watches them from there on,
-// and lists them again only when the watch has fallen too far behind.
+// Feed delivers all changes of ravenport's keys. It lists all keys once and then watches
+// for changes. It lists the keys again only if the store no longer keeps the changes since
+// the last watch.
 type Feed struct {
 	store    ListWatcher
 	deliver  func(records.Update)
-	interval time.Duration // between two watches
+	interval time.Duration // pause between two watches
 
-	versions    map[string]uint64 // of all keys that were delivered and not deleted since
-	listed      bool              // revision is valid
-	revision    uint64            // up to which all changes were delivered
+	versions    map[string]uint64 // delivered version of each key, without deleted keys
+	listed      bool              // all keys were listed, so that revision is valid
+	revision    uint64            // all changes up to this revision were delivered
 	outageSince time.Time         // zero while the store is reachable
 }
 
-// NewFeed makes a feed that passes its updates to deliver, in order. It leaves interval,
-// which must be positive, between two watches, so that a burst of changes arrives in few
-// responses.
+// NewFeed returns a feed that passes its updates to deliver, in order. The feed pauses for
+// interval, which must be positive, between two watches, so that a burst of changes
+// arrives in few responses.
 func NewFeed(store ListWatcher, interval time.Duration, deliver func(records.Update)) *Feed {
 	return &Feed{store: store, deliver: deliver, versions: map[string]uint64{}, interval: interval}
 }
 
-// Run follows the store until ctx ends.
+// Run lists and watches the keys until ctx ends.
 func (f *Feed) Run(ctx context.Context) {
 	retryDelay := constants.RetryBackoffMin
 	for ctx.Err() == nil {
@@ -51,7 +52,7 @@
 			f.logRecovery()
 			sleep(ctx, f.interval)
 		case errors.Is(err, ErrRateLimited):
-			// The store is reachable, only busy: no outage, and no backoff.
+			// The store is reachable but busy. This is no outage and needs no backoff.
 			sleep(ctx, f.interval/2+rand.N(f.interval))
 		case errors.Is(err, ErrCompacted):
 			slog.Warn("watch revision compacted, listing all keys again")
@@ -66,7 +67,8 @@
 	}
 }
 
-// listOrWatch lists all keys or, once that has been done, waits for the next changes.
+// listOrWatch lists all keys if they have not been listed yet, and otherwise waits for the
+// next changes.
 func (f *Feed) listOrWatch(ctx context.Context) error {
 	if !f.listed {
 		return f.list(ctx)
@@ -74,7 +76,7 @@
 	return f.watch(ctx)
 }
 
-// logOutage logs the first failure of a row.
+// logOutage logs the first of several consecutive failures.
 func (f *Feed) logOutage(err error) {
 	if f.outageSince.IsZero() {
 		f.outageSince = time.Now()
@@ -90,7 +92,7 @@
 	}
 }
 
-// list reads all keys and delivers the differences from what was delivered before.
+// list reads all keys and delivers every difference from the state delivered so far.
 func (f *Feed) list(ctx context.Context) error {
 	items, revision, err := f.store.List(ctx, records.KeyPrefix)
 	if err != nil {
@@ -115,7 +117,7 @@
 	return nil
 }
 
-// watch waits for changes after the present revision and delivers them.
+// watch waits for changes after the delivered revision and delivers them.
 func (f *Feed) watch(ctx context.Context) error {
 	watched, err := f.store.Watch(ctx, records.KeyPrefix, f.revision, constants.WatchTimeout)
 	if err != nil {
@@ -126,7 +128,8 @@
 		update.Revision = max(update.Revision, event.Version)
 		switch {
 		case event.Delete != "":
-			// A list read in pages may hold a newer key than this deletion.
+			// The keys are listed in pages, so a later page may contain a version of the
+			// key that was written after this deletion.
 			if version, ok := f.versions[event.Delete]; ok && version < event.Version {
 				f.appendDelete(&update, event.Delete, event.Version)
 			}
@@ -139,8 +142,9 @@
 	return nil
 }
 
-// appendPut adds a changed key to the update and remembers its version. A record that
-// cannot be decoded is logged, and dropped unless it has to be delivered as damaged.
+// appendPut adds a changed key to the update and stores the key's version in f.versions.
+// If the record cannot be decoded, appendPut logs the error. It then drops the change
+// unless the change has to be delivered with a records.DamagedRecord.
 func (f *Feed) appendPut(update *records.Update, key string, value []byte, version uint64) {
 	change, err := records.DecodeChange(key, value, version)
 	if err != nil {
@@ -153,7 +157,7 @@
 	update.Changes = append(update.Changes, change)
 }
 
-// appendDelete adds a deleted key to the update and forgets its version.
+// appendDelete adds a deleted key to the update and removes its version from f.versions.
 func (f *Feed) appendDelete(update *records.Update, key string, version uint64) {
 	delete(f.versions, key)
 	update.Changes = append(update.Changes, records.Change{Key: key, Version: version})
--- a/kvstore/retry.go
+++ b/kvstore/retry.go
@@ -9,8 +9,8 @@
 	"ravenport/constants"
 )
 
-// Retry repeats call while it returns ErrRefused, with exponential backoff and jitter,
-// until ctx ends. It returns the last call's error.
+// Retry repeats call as long as call returns ErrRefused and ctx has not ended, with
+// exponential backoff and jitter. It returns the error of the last call.
 func Retry(ctx context.Context, call func() error) error {
 	delay := constants.RetryBackoffMin
 	for {
@@ -25,18 +25,18 @@
 	}
 }
 
-// RateLimitRetry says how a call that was rate limited is retried.
+// RateLimitRetry configures the retries of a rate-limited call.
 type RateLimitRetry struct {
-	// MaxElapsed is the time since the first call after which there is no other.
+	// MaxElapsed is the time since the first call after which no retry is started.
 	MaxElapsed time.Duration
-	// MinDelay is the least delay before a retry.
+	// MinDelay is the minimum delay before a retry.
 	MinDelay time.Duration
-	// Jitter bounds the random delay that is added; it must be positive.
+	// Jitter bounds the random delay that is added to MinDelay. Jitter must be positive.
 	Jitter time.Duration
 }
 
-// Do repeats call while it returns ErrRateLimited, until ctx ends or MaxElapsed has
-// passed. It returns the last call's error.
+// Do repeats call as long as call returns ErrRateLimited, until ctx ends or MaxElapsed
+// has passed. It returns the error of the last call.
 func (r RateLimitRetry) Do(ctx context.Context, call func() error) error {
 	start := time.Now()
 	for {
@@ -48,11 +48,11 @@
 	}
 }
 
-// withJitter is a random delay from half to one and a half times d, which must be
+// withJitter returns a random delay from half to one and a half times d. d must be
 // positive.
 func withJitter(d time.Duration) time.Duration { return d/2 + rand.N(d) }
 
-// sleep waits for d or until ctx ends; it says whether d has passed.
+// sleep waits until d has passed or ctx ends, and reports whether d has passed.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
