--- a/records/codec.go
+++ b/records/codec.go
@@ -10,21 +10,21 @@
 	"ravenport/wire"
 )
 
-// Encode writes a record, or a request to the key-value store, as JSON.
+// Encode encodes a record, or a request to the key-value store, as JSON.
 func Encode(v any) json.RawMessage {
 	data, err := json.Marshal(v)
 	if err != nil {
-		// Records hold only checked numbers and strings.
+		// This cannot happen: records contain only validated numbers and strings.
 		panic(fmt.Sprintf("records: encoding a %T: %v", v, err))
 	}
 	return data
 }
 
-// ErrDamaged says that a stored value cannot be the record of its key.
+// ErrDamaged means that a stored value is not a valid record for its key.
 var ErrDamaged = errors.New("records: damaged record")
 
-// Decode reads the record under key. It returns nil for a key of no known kind. Its errors
-// are ErrDamaged.
+// Decode decodes the record stored under key. It returns nil if the key is of no known
+// kind. All its errors wrap ErrDamaged.
 func Decode(key string, data []byte) (Record, error) {
 	record := newRecord(key)
 	if record == nil {
@@ -45,7 +45,7 @@
 	return record, nil
 }
 
-// checkRecord reports what a decoded record cannot hold; nil if there is nothing.
+// checkRecord returns an error if the content of a decoded record is invalid.
 func checkRecord(record Record) error {
 	if job, ok := record.(*Job); ok {
 		return job.checkAssignments()
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// newRecord makes the empty record for a key, with the fields that the key holds; nil
-// for a key of no known kind.
+// newRecord returns a new record for a key. Only the fields that are part of the key are
+// set. It returns nil if the key is of no known kind.
 func newRecord(key string) Record {
 	if key == KeyLeader {
 		return &Term{}
@@ -77,8 +77,8 @@
 	return newDrainOrClaim(key)
 }
 
-// newInventoryPage makes the empty page for the rest of a key, "shard/number"; nil if
-// that is no number.
+// newInventoryPage returns an empty page for a key with the suffix "shard/number". It
+// returns nil if number is not a number.
 func newInventoryPage(keySuffix string) Record {
 	shard, pageNumber, _ := strings.Cut(keySuffix, "/")
 	number, err := strconv.Atoi(pageNumber)
@@ -88,8 +88,8 @@
 	return &InventoryPage{Shard: shard, Number: number}
 }
 
-// newDrainOrClaim makes the empty record for the key of a drain or of a disruption
-// claim; nil for a key of another kind.
+// newDrainOrClaim returns a new record for the key of a drain or a disruption claim. It
+// returns nil if the key is of another kind.
 func newDrainOrClaim(key string) Record {
 	if shard, ok := strings.CutPrefix(key, claimPrefix); ok {
 		return &DisruptionClaim{Shard: shard}
--- a/records/controller.go
+++ b/records/controller.go
@@ -1,25 +1,26 @@
 package records
 
-// Controller registers a live process of a controller. Its key is attached to the
-// process's lease.
+// Controller is the registration of a controller's running process. The record's key is
+// attached to the lease of that process.
 type Controller struct {
 	Name        string `json:"-"`
-	Incarnation uint64 `json:"inc"` // of the process
-	// ReadsPacked: the process's version reads packed job records.
+	Incarnation uint64 `json:"inc"` // incarnation of the process
+	// ReadsPacked means that the version of the process can read packed job records.
 	ReadsPacked bool `json:"pack,omitempty"`
 	// LeaseTTLMS is the time to live of the process's lease (ms) if the process obeys
-	// revocations, and 0 if it does not; then it must not be revoked.
+	// revocations. It is 0 if the process does not; such a process must not be revoked.
 	LeaseTTLMS int64 `json:"life,omitempty"`
 }
 
-// Revocation ends the authority of one process of a controller although its lease has
-// not expired: at the latest the lease's time to live after the revocation was written.
-// It is never deleted, and does not concern any other process.
+// Revocation ends the authority of one process of a controller although the lease of the
+// process has not expired. The authority ends at the latest when the lease's time to live
+// has passed since the revocation was written. A revocation is never deleted and applies to
+// no other process of the controller.
 type Revocation struct {
 	Controller  string   `json:"-"`
-	Incarnation uint64   `json:"inc"`  // of the process that is revoked
-	LeaseTTLMS  int64    `json:"life"` // of that process's lease (ms)
-	RevokedBy   string   `json:"by"`   // a controller
+	Incarnation uint64   `json:"inc"`  // incarnation of the revoked process
+	LeaseTTLMS  int64    `json:"life"` // time to live of the revoked process's lease (ms)
+	RevokedBy   string   `json:"by"`   // name of a controller
 	Evidence    []string `json:"ev,omitempty"`
-	Accusers    []string `json:"acc,omitempty"` // controllers
+	Accusers    []string `json:"acc,omitempty"` // names of controllers
 }
--- a/records/damaged.go
+++ b/records/damaged.go
@@ -2,19 +2,20 @@
 
 import "strings"
 
-// DamagedRecord takes the place of the record of a job, a drain or a disruption claim that
-// cannot be decoded.
+// DamagedRecord stands for the record of a job, a drain or a disruption claim that cannot
+// be decoded.
 type DamagedRecord struct{ Key string }
 
-// JobID is the id of the damaged job; ok is false if it is no job.
+// JobID returns the job id; ok is false if the key is not that of a job.
 func (d *DamagedRecord) JobID() (id string, ok bool) {
 	return strings.CutPrefix(d.Key, jobPrefix)
 }
 
-// IsDrainOrClaim says whether it is the record of a drain or a disruption claim.
+// IsDrainOrClaim reports whether the key is that of a drain or a disruption claim.
 func (d *DamagedRecord) IsDrainOrClaim() bool { return newDrainOrClaim(d.Key) != nil }
 
-// DrainNumber is the number of the damaged drain; ok is false if it is no drain.
+// DrainNumber returns the number of the drain; ok is false if the key is not that of a
+// drain.
 func (d *DamagedRecord) DrainNumber() (number int, ok bool) {
 	drain, ok := newDrainOrClaim(d.Key).(*Drain)
 	if !ok {
@@ -23,7 +24,8 @@
 	return drain.Number, true
 }
 
-// ClaimedShard is the shard of the damaged claim; ok is false if it is no claim.
+// ClaimedShard returns the shard of the disruption claim; ok is false if the key is not
+// that of a claim.
 func (d *DamagedRecord) ClaimedShard() (shard string, ok bool) {
 	return strings.CutPrefix(d.Key, claimPrefix)
 }
--- a/records/disruption_claim.go
+++ b/records/disruption_claim.go
@@ -1,9 +1,10 @@
 package records
 
-// DisruptionClaim is what a shard's owner counts against the disruption budgets: tasks
-// that are unavailable, or that it may stop. See docs/draining.md.
+// DisruptionClaim is the number of tasks that a shard's owner counts against the disruption
+// budgets: tasks that are unavailable and tasks that the owner may stop. See
+// docs/draining.md.
 type DisruptionClaim struct {
 	Shard       string         `json:"-"`
-	Term        uint64         `json:"term"`           // of the owner that wrote it
-	Unavailable map[string]int `json:"down,omitempty"` // tasks, by budget
+	Term        uint64         `json:"term"`           // term number of the owner that wrote the claim
+	Unavailable map[string]int `json:"down,omitempty"` // number of tasks by budget
 }
--- a/records/doc.go
+++ b/records/doc.go
@@ -1,6 +1,6 @@
-// Package records defines the records that ravenport keeps in the key-value store, their
-// keys and their stored forms. It does no input or output.
+// Package records defines the records that ravenport stores in the key-value store, their
+// keys and their encodings. It does no I/O.
 //
-// Controllers of several versions read each other's records during an upgrade, so the
-// stored form of each record is fixed by tests, whatever its Go identifiers are called.
+// During an upgrade, controllers of different versions read each other's records. Tests
+// therefore fix the encoding of each record independently of its Go identifiers.
 package records
--- a/records/drain.go
+++ b/records/drain.go
@@ -3,27 +3,28 @@
 // DrainState is the state of a drain.
 type DrainState string
 
-// States of a drain. Only a running one has any effect; cancelled and finished ones are
-// terminal.
+// States of a drain. Only a running drain has any effect. The states DrainCancelled and
+// DrainFinished are terminal.
 const (
 	DrainRunning   DrainState = "running"
 	DrainPaused    DrainState = "paused"
-	DrainStopped   DrainState = "stopped" // by itself, because replacements failed
+	DrainStopped   DrainState = "stopped" // stopped automatically because replacements failed
 	DrainCancelled DrainState = "cancelled"
 	DrainFinished  DrainState = "finished"
 )
 
-// IsTerminal says whether a drain in this state never continues.
+// IsTerminal reports whether a drain in this state can never continue.
 func (s DrainState) IsTerminal() bool { return s == DrainCancelled || s == DrainFinished }
 
-// Selection selects the machines of a drain: all that match every field that is set.
+// Selection selects the machines of a drain. A machine is selected if it matches every
+// field that is set.
 type Selection struct {
-	Machines []string `json:"machines,omitempty"` // names
+	Machines []string `json:"machines,omitempty"` // names of machines
 	Zones    []string `json:"zones,omitempty"`
 	Types    []string `json:"types,omitempty"`
 	Spot     *bool    `json:"spot,omitempty"`
-	// LastMachine selects the machines up to this name; the order of names is that of
-	// the scale-out requests.
+	// LastMachine selects the machines up to and including this name. Machine names are
+	// ordered by the time of their scale-out requests.
 	LastMachine string `json:"last,omitempty"`
 }
 
@@ -32,17 +33,17 @@
 	Number       int        `json:"-"`
 	Selection    Selection  `json:"sel"`
 	State        DrainState `json:"state"`
-	StopReason   string     `json:"why,omitempty"` // of DrainStopped
+	StopReason   string     `json:"why,omitempty"` // set in state DrainStopped
 	StartedS     int64      `json:"at"`            // time of day (s)
-	MachineCount int        `json:"machines"`      // selected when the drain was started
-	// CanaryPassed: the first machine was replaced, so that all shards may proceed.
+	MachineCount int        `json:"machines"`      // number of selected machines at the start of the drain
+	// CanaryPassed means that the first machine was replaced, so all shards may proceed.
 	CanaryPassed bool `json:"proven,omitempty"`
-	// DrainedShards have none of the selected machines any more.
+	// DrainedShards are the shards in which no selected machine is left.
 	DrainedShards []string `json:"done,omitempty"`
 	ResumeCount   int      `json:"attempts,omitempty"`
 }
 
-// Clone copies the record, so that the copy can be changed.
+// Clone returns a copy of the record that can be changed.
 func (d *Drain) Clone() *Drain {
 	clone := *d
 	clone.DrainedShards = append([]string(nil), d.DrainedShards...)
--- a/records/inventory.go
+++ b/records/inventory.go
@@ -5,27 +5,27 @@
 	"strings"
 )
 
-// InventoryPage is one page of a shard's inventory. An inventory of a thousand machines
-// with a key for each would take minutes of the store's write rate; grouped by type, a
-// page of 8 KiB holds some two hundred machines.
+// InventoryPage is one page of a shard's inventory. With one key per machine, writing an
+// inventory of a thousand machines would use up the store's write rate limit for minutes.
+// Grouped by type, about two hundred machines fit into a page of 8 KiB.
 type InventoryPage struct {
 	Shard  string         `json:"-"`
-	Number int            `json:"-"` // of the page
+	Number int            `json:"-"` // page number
 	Groups []MachineGroup `json:"g"`
 }
 
-// MachineGroup lists machines of one type that may hold tasks, either spot instances or
-// on-demand ones.
+// MachineGroup lists machines of one type that may run tasks. They are either all spot
+// instances or all on-demand instances.
 type MachineGroup struct {
 	Type string `json:"t"`
 	Spot bool   `json:"s,omitempty"`
-	// Registered are the addresses of the machines that have sent a heartbeat, by name.
+	// Registered maps the name of each machine that has sent a heartbeat to its address.
 	Registered map[string]string `json:"u,omitempty"`
-	// Pending are the other machines, by name, with the time of day of the scale-out
-	// request (s): nothing was ever sent to them.
+	// Pending maps the name of each other machine to the time of day of its scale-out
+	// request (s). No message was ever sent to a pending machine.
 	Pending map[string]int64 `json:"c,omitempty"`
-	// Terminating are the names of machines of both kinds that are to be scaled in: they
-	// never take a task again.
+	// Terminating lists the registered and pending machines that will be scaled in. They
+	// are never assigned another task.
 	Terminating []string `json:"x,omitempty"`
 }
 
@@ -34,9 +34,10 @@
 	Name       string
 	Type       string
 	Spot       bool
-	Addr       string // empty while it has sent no heartbeat
-	RequestedS int64  // time of day of the scale-out request (s); of machines without Addr
-	// Terminating: it is to be scaled in and never takes a task again.
+	Addr       string // empty until the machine has sent a heartbeat
+	RequestedS int64  // time of day of the scale-out request (s), only set without Addr
+	// Terminating means that the machine will be scaled in and is never assigned another
+	// task.
 	Terminating bool
 }
 
@@ -53,7 +54,7 @@
 	}
 }
 
-// group returns the group of a type of machine, which it adds if there is none. The
+// group returns the group of a machine type, and adds the group if the page has none. The
 // pointer is valid until the next group is added.
 func (p *InventoryPage) group(machineType string, spot bool) *MachineGroup {
 	for i := len(p.Groups) - 1; i >= 0; i-- {
@@ -89,7 +90,8 @@
 	return machines
 }
 
-// machine returns what the group tells of any of its machines.
+// machine returns the machine called name with the properties that the group stores for
+// all machines; Addr and RequestedS are left unset.
 func (g *MachineGroup) machine(name string) Machine {
 	return Machine{Name: name, Type: g.Type, Spot: g.Spot, Terminating: slices.Contains(g.Terminating, name)}
 }
--- a/records/job.go
+++ b/records/job.go
@@ -13,34 +13,36 @@
 	Spec       wire.Submission `json:"spec"`
 	AcceptedMS int64           `json:"at"`            // time of day (ms)
 	End        wire.JobState   `json:"end,omitempty"` // wire.JobDone or wire.JobCancelled
-	// Assignments are kept sorted by their tasks; see Normalize.
+	// Assignments are sorted by their tasks; see Normalize.
 	Assignments []Assignment `json:"ch,omitempty"`
-	// Attempt is the number under which a gang in several shards is started. It rises
-	// with every such assignment and is never used again.
+	// Attempt is the number of the latest attempt to start a gang in several shards. It
+	// increases with every such assignment, and a number is never reused.
 	Attempt uint64 `json:"try,omitempty"`
 }
 
-// Assignment is a range of a job's tasks for which one shard is responsible. Tasks in no
-// assignment wait for the leader.
+// Assignment is a range of a job's tasks for which one shard is responsible. The leader
+// has yet to assign the tasks that are in no assignment.
 type Assignment struct {
 	From  int    `json:"f"`
 	To    int    `json:"t"` // exclusive
 	Shard string `json:"p"`
-	// Closed: every task of the range is done or, if the job has ended, is surely on no
-	// machine any more. A closed assignment uses no capacity.
+	// Closed means that every task of the range is done or, if the job has ended, is known
+	// to be on no machine any more. A closed assignment uses no capacity.
 	Closed bool `json:"c,omitempty"`
-	// KeepWaiting: other shards have been asked or are known to be full, so the owner
-	// waits for capacity or scales out instead of sending the tasks back to the leader.
+	// KeepWaiting means that other shards have been asked or are known to be full. The
+	// owner therefore waits for capacity or scales out instead of returning the tasks to
+	// the leader.
 	KeepWaiting bool `json:"k,omitempty"`
-	// Guaranteed: the leader found the work within its team's guaranteed quota.
+	// Guaranteed means that the tasks were within the team's guaranteed quota when the
+	// leader assigned them.
 	Guaranteed bool `json:"g,omitempty"`
 }
 
-// Tasks is the number of tasks in the assignment.
+// Tasks returns the number of tasks in the assignment.
 func (a Assignment) Tasks() int { return a.To - a.From }
 
-// canMerge says whether the next assignment continues this one, so that both can be one.
-// Of closed assignments nothing but the range matters any more.
+// canMerge reports whether next directly follows a and has the same properties, so that
+// the two can be merged. Of a closed assignment only the range matters.
 func (a Assignment) canMerge(next Assignment) bool {
 	if a.To != next.From || a.Closed != next.Closed {
 		return false
@@ -57,10 +59,10 @@
 	To   int // exclusive
 }
 
-// Tasks is the number of tasks in the range.
+// Tasks returns the number of tasks in the range.
 func (r Range) Tasks() int { return r.To - r.From }
 
-// TasksIn is the number of tasks in several ranges.
+// TasksIn returns the number of tasks in all ranges.
 func TasksIn(ranges []Range) int {
 	n := 0
 	for _, r := range ranges {
@@ -72,7 +74,7 @@
 // Unassigned returns the ranges of tasks that are in no assignment.
 func (j *Job) Unassigned() []Range {
 	var unassigned []Range
-	next := 0 // the first task that was not looked at yet
+	next := 0 // the first task after the assignments checked so far
 	for _, assignment := range j.Assignments {
 		if assignment.From > next {
 			unassigned = append(unassigned, Range{From: next, To: assignment.From})
@@ -85,9 +87,9 @@
 	return unassigned
 }
 
-// AllTasksClosed says whether every task of the job is in a closed assignment.
+// AllTasksClosed reports whether every task of the job is in a closed assignment.
 func (j *Job) AllTasksClosed() bool {
-	next := 0 // the first task that was not looked at yet
+	next := 0 // the first task after the assignments checked so far
 	for _, assignment := range j.Assignments {
 		if assignment.From != next || !assignment.Closed {
 			return false
@@ -97,8 +99,8 @@
 	return next == j.Spec.Tasks
 }
 
-// AllAssignmentsClosed says whether no assignment is open any more, so that no task of
-// the job can be on any machine. There may be tasks in no assignment.
+// AllAssignmentsClosed reports whether no assignment is open any more, so that no task of
+// the job can be on any machine. The job may still have unassigned tasks.
 func (j *Job) AllAssignmentsClosed() bool {
 	for _, assignment := range j.Assignments {
 		if !assignment.Closed {
@@ -108,20 +110,20 @@
 	return true
 }
 
-// Clone copies the record so that the copy's assignments can be changed. Records from
-// the feed are shared and must not be changed.
+// Clone returns a copy of the record whose assignments can be changed. Records from the
+// feed are shared and must not be changed.
 func (j *Job) Clone() *Job {
 	clone := *j
 	clone.Assignments = append([]Assignment(nil), j.Assignments...)
 	return &clone
 }
 
-var errInvalidAssignments = errors.New("assignments that the job cannot have")
+var errInvalidAssignments = errors.New("assignments overlap, are out of order or are outside the job's tasks")
 
-// checkAssignments reports whether the assignments, in their order, are ranges of the job's
-// tasks that do not overlap. Whoever applies the record relies on it.
+// checkAssignments returns errInvalidAssignments unless the assignments are sorted ranges
+// of the job's tasks that do not overlap. The code that applies the record relies on this.
 func (j *Job) checkAssignments() error {
-	next := 0 // the first task that may be in the next assignment
+	next := 0 // the smallest task that the next assignment may start with
 	for _, assignment := range j.Assignments {
 		if assignment.From < next || assignment.To < assignment.From || assignment.To > j.Spec.Tasks {
 			return errInvalidAssignments
@@ -131,8 +133,8 @@
 	return nil
 }
 
-// Normalize sorts the assignments, drops empty ones and merges those that continue one
-// another.
+// Normalize sorts the assignments, drops empty ones and merges adjacent ones with the same
+// properties.
 func (j *Job) Normalize() {
 	j.sortAssignments()
 	merged := j.Assignments[:0]
@@ -149,7 +151,7 @@
 	j.Assignments = merged
 }
 
-// sortAssignments is an insertion sort by the first task.
+// sortAssignments sorts the assignments by their first task, with an insertion sort.
 func (j *Job) sortAssignments() {
 	for i := 1; i < len(j.Assignments); i++ {
 		for k := i; k > 0 && j.Assignments[k].From < j.Assignments[k-1].From; k-- {
@@ -158,8 +160,8 @@
 	}
 }
 
-// CreatesJob says whether a transaction creates one job's record and does nothing else:
-// executed twice, or late, it changes nothing that exists.
+// CreatesJob reports whether a transaction creates one job's record and does nothing else.
+// Such a transaction changes no existing key, even if it is executed twice or late.
 func CreatesJob(txn wire.Txn) bool {
 	if len(txn.Conditions) != 1 || len(txn.Changes) != 1 {
 		return false
--- a/records/packed_job.go
+++ b/records/packed_job.go
@@ -14,22 +14,23 @@
 	"ravenport/wire"
 )
 
-// A packed record is a JSON array, which the version before cannot take for a job and
-// leaves alone. It has three elements:
+// A packed record is a JSON array. The previous version cannot decode an array as a job and
+// therefore leaves the record unchanged. The array has three elements:
 //
 //   - the job without its assignments,
 //   - the assignments, run-length encoded as a string of runs,
-//   - the names of the shards in them.
+//   - the names of the shards in the assignments.
 //
-// If the array becomes shorter by that, it is compressed instead: an array of one
-// string, the base64 encoding of the deflated array of three.
+// If compression makes the record shorter, the record is instead an array of one string:
+// the base64 encoding of the array of three elements, compressed with DEFLATE.
 //
-// A run stands for consecutive tasks and is written as a code, in letters, and a number
-// of tasks, in base 36 with small letters. The code is a number in base 26, the lowest
-// digit first, and tells what assignment the tasks are in.
+// A run represents consecutive tasks. It is encoded as a code in upper-case letters,
+// followed by the number of tasks in base 36 with lower-case letters. The code is a number
+// in base 26 with the least significant digit first. It identifies the kind of assignment
+// that the tasks are in.
 
-// Codes of a run. Those of open assignments begin at runOpen: openCodesPerShard for each
-// shard, to whose first one the flags are added.
+// Codes of a run. The codes of open assignments start at runOpen. Each shard has
+// openCodesPerShard codes: the shard's first code plus the flags of the assignment.
 const (
 	runUnassigned = 0
 	runClosed     = 1
@@ -40,7 +41,8 @@
 	openFlagGuaranteed  = 2
 )
 
-// codeDigits are the digits of a run's code; none is a digit in base 36.
+// codeDigits are the digits of a run's code. They are disjoint from the digits of the
+// number of tasks, which is in base 36 with lower-case letters.
 const codeDigits = "ABCDEFGHIJKLMNOPQRSTUVWXYZ"
 
 // taskCountBase is the base of a run's number of tasks.
@@ -49,17 +51,18 @@
 // packedElements is the number of elements of a packed record that is not compressed.
 const packedElements = 3
 
-// maxUnpackedSize bounds a packed record before it was compressed (bytes): a job of 100,000
-// tasks, each in an assignment of its own, takes less than a tenth of it, while a damaged
-// value of 16 KiB could stand for 16 MiB.
+// maxUnpackedSize limits the decompressed size of a packed record (bytes). A job of 100,000
+// tasks, each in a separate assignment, takes less than a tenth of this limit. Without the
+// limit, a damaged value of 16 KiB could decompress to 16 MiB.
 const maxUnpackedSize = 4 << 20
 
-var errMalformedPackedJob = errors.New("records: not a packed job record")
+var errMalformedPackedJob = errors.New("records: malformed packed job record")
 
-// isPackedJob says whether a job's stored record is packed, not a plain JSON object.
+// isPackedJob reports whether a job's stored record is packed rather than a plain JSON
+// object.
 func isPackedJob(data []byte) bool { return len(data) > 0 && data[0] == '[' }
 
-// packJob writes the packed record of a job.
+// packJob encodes a job as a packed record.
 func packJob(job *Job) json.RawMessage {
 	withoutAssignments := *job
 	withoutAssignments.Assignments = nil
@@ -72,7 +75,7 @@
 	return packed
 }
 
-// unpackJob reads what packJob wrote.
+// unpackJob decodes a packed record into job.
 func unpackJob(data []byte, job *Job) error {
 	var elements []json.RawMessage
 	if err := wire.Decode(data, &elements); err != nil {
@@ -103,13 +106,13 @@
 	return decodeRuns(job, runs, shards)
 }
 
-// encodeRuns writes assignments as runs, and the names of their shards in the order of
-// the runs' codes.
+// encodeRuns encodes assignments as runs. shards are the names of the shards of the open
+// assignments, in the order of their codes.
 func encodeRuns(assignments []Assignment) (runs string, shards []string) {
 	var encoded []byte
 	shards = []string{}
 	shardIndex := map[string]int{}
-	next := 0 // the first task that is in no run yet
+	next := 0 // the first task that is not encoded yet
 	for _, assignment := range assignments {
 		encoded = appendRun(encoded, runUnassigned, assignment.From-next)
 		next = assignment.To
@@ -128,7 +131,7 @@
 	return string(encoded), shards
 }
 
-// openRunCode is the code of an open assignment in the shard with an index.
+// openRunCode returns the code of an open assignment in the shard at shardIndex.
 func openRunCode(assignment Assignment, shardIndex int) int {
 	code := runOpen + shardIndex*openCodesPerShard
 	if assignment.KeepWaiting {
@@ -140,7 +143,7 @@
 	return code
 }
 
-// appendRun writes a run of so many tasks; nothing if there are none.
+// appendRun appends a run of the given number of tasks, or nothing if tasks is not positive.
 func appendRun(runs []byte, code, tasks int) []byte {
 	if tasks <= 0 {
 		return runs
@@ -155,9 +158,9 @@
 	return strconv.AppendInt(runs, int64(tasks), taskCountBase)
 }
 
-// decodeRuns appends the assignments of runs to the job.
+// decodeRuns decodes runs and appends their assignments to the job.
 func decodeRuns(job *Job, runs string, shards []string) error {
-	next := 0 // the first task after the runs that were read
+	next := 0 // the first task that is not decoded yet
 	codeCount := runOpen + len(shards)*openCodesPerShard
 	for len(runs) > 0 {
 		code, tasks, rest, err := readRun(runs, codeCount)
@@ -204,8 +207,8 @@
 	return code, int(n), runs[end:], nil
 }
 
-// readCode reads the code that a run begins with, and returns what follows it. A code of
-// more digits than the largest one needs is refused before it can overflow.
+// readCode decodes the code at the start of a run and returns the rest of runs. A code with
+// more digits than the largest valid code is rejected before it can overflow.
 func readCode(runs string, codeCount int) (code int, rest string, err error) {
 	digits := 0
 	for scale := 1; digits < len(runs); scale *= len(codeDigits) {
@@ -225,7 +228,7 @@
 	return code, runs[digits:], nil
 }
 
-// deflate compresses data.
+// deflate compresses data with DEFLATE.
 func deflate(data []byte) []byte {
 	var compressed bytes.Buffer
 	writer, err := flate.NewWriter(&compressed, flate.BestCompression)
@@ -236,12 +239,12 @@
 		err = writer.Close()
 	}
 	if err != nil {
-		panic(fmt.Sprintf("records: packing: %v", err)) // into memory: cannot happen
+		panic(fmt.Sprintf("records: packing: %v", err)) // cannot happen: the writer writes to memory
 	}
 	return compressed.Bytes()
 }
 
-// decompress reads the only element of a compressed record.
+// decompress decodes the only element of a compressed record.
 func decompress(element json.RawMessage) ([]byte, error) {
 	var text string
 	if err := wire.Decode(element, &text); err != nil {
--- a/records/record.go
+++ b/records/record.go
@@ -1,8 +1,8 @@
 package records
 
-// Record is one of the records of this package: *Controller, *Revocation, *Term,
-// *InventoryPage, *Job, *Drain or *DisruptionClaim, or *DamagedRecord in place of one of
-// the last two. Records are shared between actors and must not be changed.
+// Record is implemented by the records of this package: *Controller, *Revocation, *Term,
+// *InventoryPage, *Job, *Drain and *DisruptionClaim, and by *DamagedRecord, which stands
+// for one of the last three. Records are shared between actors and must not be changed.
 type Record interface {
 	isRecord()
 }
--- a/records/size_limits.go
+++ b/records/size_limits.go
@@ -6,21 +6,21 @@
 	"ravenport/wire"
 )
 
-// SizeLimits are the limits on the size of a job's record, before and after an upgrade
-// to a version with smaller ones.
+// SizeLimits are the limits on the size of a job's record before and after an upgrade to
+// a version with smaller limits.
 type SizeLimits struct {
 	Current int // bytes
 	Next    int // bytes, at most Current
-	// PackingEnabled: every process reads packed records, and no process of the version
-	// before, which does not, can start any more.
+	// PackingEnabled means that every process can read packed records, and that no process
+	// of the previous version, which cannot read them, can start any more.
 	PackingEnabled bool
 }
 
-// Encode writes a job's record so that it can be stored; ok is false if it cannot be.
-// previous is the stored record, nil for a new one. A record of usual size is written as
-// plain JSON. One that the version before left larger than the next limit stays plain
-// while that version may still read it, as the current limit holds as long, and is
-// packed afterwards.
+// Encode encodes a job's record for storage. ok is false if the record exceeds the size
+// limits. previous is the stored record, or nil for a new job. A record within the next
+// limit is encoded as plain JSON. The previous version may have stored a larger record.
+// While processes of that version may still read the record, the current limit applies
+// and the record stays plain JSON; afterwards it is packed.
 func (l SizeLimits) Encode(job, previous *Job) (value json.RawMessage, ok bool) {
 	plain := Encode(job)
 	if len(plain) <= l.Next {
@@ -31,8 +31,8 @@
 	}
 	packed := packJob(job)
 	if len(packed) > l.Next && job.End != "" {
-		// A job that has ended is not placed any more: what says where it may run can be
-		// left out, so that every job can end.
+		// Tasks of an ended job are not placed any more, so the fields that restrict
+		// their placement can be dropped. This way every job can be ended.
 		reduced := *job
 		reduced.Spec.Types = nil
 		reduced.Spec.Image = ""
@@ -42,8 +42,8 @@
 	return packed, len(packed) <= l.Next
 }
 
-// EncodeWithHeadroom writes a record with new assignments like Encode; ok is false
-// unless it can be stored now and until the job's end.
+// EncodeWithHeadroom is like Encode, for a record with new assignments. ok is false unless
+// the record fits the size limits now and until the job's end.
 func (l SizeLimits) EncodeWithHeadroom(job, previous *Job) (value json.RawMessage, ok bool) {
 	value, ok = l.Encode(job, previous)
 	if !ok || l.PackingEnabled {
@@ -52,8 +52,8 @@
 	return value, maxSizeUntilEnd(job) <= max(l.Next, maxSizeUntilEnd(previous))
 }
 
-// maxSizeUntilEnd is the largest plain size (bytes) that a record reaches without new
-// assignments: with all of them closed and the job's end.
+// maxSizeUntilEnd returns the largest size in plain JSON (bytes) that a record can reach
+// without new assignments: with all assignments closed and the job ended.
 func maxSizeUntilEnd(job *Job) int {
 	size := len(Encode(job)) + len(`,"end":"cancelled"`)
 	for _, assignment := range job.Assignments {
@@ -64,11 +64,11 @@
 	return size
 }
 
-// longestEnd takes no less space than any value of Job.End.
+// longestEnd is at least as long as every value of Job.End.
 const longestEnd = wire.JobCancelled + " "
 
-// FitsUntilEnd says whether a new job's record could be stored, as plain JSON, until the
-// job's end: with an assignment in each of the shards, closed or not, and with its end.
+// FitsUntilEnd reports whether a new job's record can be stored as plain JSON until the
+// job's end. It assumes one assignment in each shard, open or closed, and an ended job.
 func (l SizeLimits) FitsUntilEnd(job *Job, shards []string) bool {
 	largest := *job
 	largest.End = longestEnd
--- a/records/task_counts.go
+++ b/records/task_counts.go
@@ -1,28 +1,28 @@
 package records
 
-// TaskCounts counts the running tasks of a job, and those that are done in open
-// assignments. Its encoded form is a list of these two numbers.
+// TaskCounts counts the running tasks of a job and the done tasks in its open assignments.
+// It is encoded as a list of these two numbers.
 type TaskCounts [2]int
 
-// Indexes of the two numbers.
+// Indexes of the numbers in TaskCounts.
 const (
 	runningIndex = iota
 	doneIndex
 )
 
-// Running is the number of running tasks.
+// Running returns the number of running tasks.
 func (c TaskCounts) Running() int { return c[runningIndex] }
 
-// Done is the number of tasks that are done in open assignments.
+// Done returns the number of done tasks in open assignments.
 func (c TaskCounts) Done() int { return c[doneIndex] }
 
-// IsZero says whether nothing is counted.
+// IsZero reports whether both numbers are zero.
 func (c TaskCounts) IsZero() bool { return c == TaskCounts{} }
 
-// AddRunning counts one more running task.
+// AddRunning increments the number of running tasks.
 func (c *TaskCounts) AddRunning() { c[runningIndex]++ }
 
-// AddDone counts one more task that is done.
+// AddDone increments the number of done tasks.
 func (c *TaskCounts) AddDone() { c[doneIndex]++ }
 
 // Plus returns the sum of two counts.
@@ -30,5 +30,5 @@
 	return TaskCounts{c.Running() + other.Running(), c.Done() + other.Done()}
 }
 
-// CountsByJob are the counts of a shard's jobs, by job id.
+// CountsByJob maps the job ids of a shard to the task counts of the jobs.
 type CountsByJob map[string]TaskCounts
--- a/records/term.go
+++ b/records/term.go
@@ -1,13 +1,14 @@
 package records
 
-// Term records which process of which controller leads or owns a shard, and with which
-// term number. Terms are never deleted, so that their numbers only rise.
+// Term records which process of which controller is the leader or the owner of a shard,
+// and its term number. Terms are never deleted, so that the term numbers only increase.
 type Term struct {
 	Shard       string `json:"-"` // empty for the leader's term
 	Controller  string `json:"node"`
-	Incarnation uint64 `json:"inc"` // of the controller's process
+	Incarnation uint64 `json:"inc"` // incarnation of the controller's process
 	Number      uint64 `json:"term"`
-	// PreviousUnreachable: the previous holder gave the term up because its machines
-	// could not reach it. It gets the term back only after a while.
+	// PreviousUnreachable means that the previous holder resigned because its machines
+	// could not reach it. The previous holder can get the term back only after
+	// constants.FailbackCooldown.
 	PreviousUnreachable bool `json:"cut,omitempty"`
 }
