--- a/records/fuzz_test.go
+++ b/records/fuzz_test.go
@@ -9,14 +9,14 @@
 	"ravenport/wire"
 )
 
-// fuzzKeys are keys of every kind of record.
+// fuzzKeys contains keys of every kind of record.
 var fuzzKeys = []string{
 	KeyLeader, KeyShard("a"), KeyController("n-0"), KeyRevocation("n-0"), KeyInventory("a", 2), KeyJob("run-000001"),
 	KeyDrain(3), KeyDisruptionClaim("a"), KeyPrefix + "unknown/x", "",
 }
 
-// FuzzDecode: whatever is stored under a key, decoding it does not panic, and refuses it as
-// ErrDamaged or returns a record that is read again as the same once it was written.
+// FuzzDecode checks that decoding any value under any key does not panic. Decode either
+// returns ErrDamaged, or a record that is the same after it was encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	spec := wire.Submission{Class: "c", Kind: wire.KindArray, Tasks: 40, CPUs: 1}
 	job := &Job{ID: "run-000001", Spec: spec, Assignments: []Assignment{{From: 0, To: 7, Shard: "a", Closed: true}, {From: 9, To: 40, Shard: "b", KeepWaiting: true}}}
@@ -39,7 +39,7 @@
 		record, err := Decode(key, value)
 		if err != nil {
 			if !errors.Is(err, ErrDamaged) {
-				t.Errorf("%v is no ErrDamaged", err)
+				t.Errorf("error %v does not wrap ErrDamaged", err)
 			}
 			return
 		}
@@ -48,17 +48,17 @@
 		}
 		reread, err := Decode(key, Encode(record))
 		if err != nil {
-			t.Fatalf("what was read of %q cannot be read again: %v", value, err)
+			t.Fatalf("record decoded from %q cannot be encoded and decoded again: %v", value, err)
 		}
 		if !reflect.DeepEqual(Encode(record), Encode(reread)) {
-			t.Errorf("%s is read again as %s", Encode(record), Encode(reread))
+			t.Errorf("%s became %s after encoding and decoding", Encode(record), Encode(reread))
 		}
 		checkDecodedJob(t, record)
 	})
 }
 
-// checkDecodedJob checks that a job that was read has the form that its readers rely on,
-// and that packing keeps it.
+// checkDecodedJob checks that the assignments of a decoded job do not overlap and stay within
+// the job's tasks, and that the job can be decoded after it was packed.
 func checkDecodedJob(t *testing.T, record Record) {
 	t.Helper()
 	job, ok := record.(*Job)
@@ -74,9 +74,9 @@
 		assigned += assignment.Tasks()
 	}
 	if job.Spec.Tasks >= 0 && assigned+unassigned != job.Spec.Tasks {
-		t.Errorf("%d tasks in assignments and %d in none, of %d", assigned, unassigned, job.Spec.Tasks)
+		t.Errorf("%d assigned and %d unassigned tasks, but the job has %d", assigned, unassigned, job.Spec.Tasks)
 	}
 	if _, err := Decode(KeyJob(job.ID), packJob(job)); err != nil {
-		t.Errorf("%+v cannot be read once it was packed: %v", job, err)
+		t.Errorf("%+v cannot be decoded after it was packed: %v", job, err)
 	}
 }
--- a/records/packed_job_test.go
+++ b/records/packed_job_test.go
@@ -31,7 +31,8 @@
 	return job
 }
 
-// withoutClosedDetails clears of closed assignments what no longer matters.
+// withoutClosedDetails returns a copy of the job in which closed assignments have only their
+// range, since packing does not keep their other fields.
 func withoutClosedDetails(j *Job) *Job {
 	clone := j.Clone()
 	for i := range clone.Assignments {
@@ -46,22 +47,23 @@
 	return clone
 }
 
-// A record that the version before could leave, of any number of assignments that fit
-// its limits, can be written under the limits to come, and says the same.
+// A record that the previous version may have stored, with any number of assignments within
+// that version's limits, can be stored under the smaller next limit. It decodes to the same
+// job.
 func TestLargeRecordIsPacked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		job := drawJob(t)
 		limits := SizeLimits{Current: 16 << 10, Next: 2 << 10}
 		if len(Encode(job)) > limits.Current {
-			t.Skip("the version before could not have written it")
+			t.Skip("record exceeds the limit of the previous version")
 		}
 		if v, ok := limits.Encode(job, job); !ok || string(v) != string(Encode(job)) {
-			t.Fatalf("not written plainly (%v) while the version before may read it", ok)
+			t.Fatalf("not encoded as plain JSON (%v) while the previous version may read it", ok)
 		}
 		limits.PackingEnabled = true
 		value, ok := limits.Encode(job, job)
 		if !ok || len(value) > limits.Next {
-			t.Fatalf("%d bytes of %d for %d assignments", len(value), limits.Next, len(job.Assignments))
+			t.Fatalf("%d bytes exceed the limit of %d bytes with %d assignments", len(value), limits.Next, len(job.Assignments))
 		}
 		got, err := Decode(KeyJob(job.ID), value)
 		if err != nil {
@@ -73,8 +75,8 @@
 	})
 }
 
-// What the leader may add to a record leaves room for its end while nothing may be
-// packed yet.
+// While packing is not enabled, the leader may extend a record only as far as the record
+// still fits the size limit when the job ends.
 func TestExtendedRecordFitsUntilEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		previous := drawJob(t)
@@ -87,16 +89,16 @@
 		end := job.Clone()
 		end.End = wire.JobCancelled
 		for i := range end.Assignments {
-			end.Assignments[i].Closed = true // not joined, at worst
+			end.Assignments[i].Closed = true // not merged, which is the worst case for the size
 		}
 		if v, ok := limits.Encode(end, job); !ok {
-			t.Fatalf("%d bytes at the end, %d before, of %d", len(v), len(Encode(job)), limits.Next)
+			t.Fatalf("%d bytes at the end and %d bytes before, with a limit of %d bytes", len(v), len(Encode(job)), limits.Next)
 		}
 	})
 }
 
-// A specification as long as the version before took it can still end: names of
-// full length, and as many machine types as may be named.
+// A job with the longest specification that the previous version accepted can still be
+// ended: with names of maximum length and the maximum number of machine types.
 func TestLongSpecificationIsPackedAtEnd(t *testing.T) {
 	job := &Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", Kind: wire.KindArray, Tasks: 9}}
 	for i := range 32 {
@@ -104,21 +106,21 @@
 	}
 	limits := SizeLimits{Current: 8 << 10, Next: 2 << 10, PackingEnabled: true}
 	if limits.FitsUntilEnd(job, []string{"a", "b"}) {
-		t.Error("accepted though it cannot be stored plainly")
+		t.Error("job was accepted although it exceeds the size limit as plain JSON")
 	}
 	previous := *job
 	job.End = wire.JobCancelled
 	value, ok := limits.Encode(job, &previous)
 	if !ok {
-		t.Fatalf("%d bytes", len(value))
+		t.Fatalf("record of %d bytes cannot be stored", len(value))
 	}
 	if got, err := Decode(KeyJob("run-1"), value); err != nil || !reflect.DeepEqual(got, job) {
 		t.Fatalf("%+v, %v", got, err)
 	}
 }
 
-// One that no packing makes small enough can still be cancelled, and says what
-// users and team limits need.
+// A job whose record exceeds the size limit even when it is packed can still be cancelled.
+// The reduced record keeps the fields that users and team limits need.
 func TestAnySpecificationCanBeCancelled(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.StringMatching(`[a-zA-Z0-9]{128}`)
@@ -129,7 +131,7 @@
 		previous.End = ""
 		value, ok := SizeLimits{Current: 8 << 10, Next: 2 << 10, PackingEnabled: true}.Encode(job, &previous)
 		if !ok {
-			t.Fatalf("%d bytes", len(value))
+			t.Fatalf("record of %d bytes cannot be stored", len(value))
 		}
 		record, err := Decode(KeyJob("run-1"), value)
 		if err != nil {
@@ -142,7 +144,7 @@
 	})
 }
 
-// Whatever stands under a job's key, reading it is an error at worst.
+// Decoding any value under a job's key returns an error at worst and must not panic.
 func TestUnpackingAnythingDoesNotPanic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, err := json.Marshal(rapid.SliceOfN(rapid.OneOf(rapid.StringMatching(`[A-Z0-9a-z]{0,12}`).AsAny(), rapid.Int().AsAny()), 0, 4).Draw(t, "value"))
@@ -153,8 +155,8 @@
 	})
 }
 
-// The version before reads and rewrites a job's record with types of its own,
-// frozen here. What it loses must be nothing that safety rests on.
+// previousVersionJob is a fixed copy of the type with which the previous version decodes and
+// rewrites a job's record. Fields that get lost in this way must not be needed for safety.
 type previousVersionJob struct {
 	Spec        json.RawMessage `json:"spec"`
 	AcceptedMS  int64           `json:"at"`
@@ -184,18 +186,19 @@
 			t.Fatalf("%+v became %+v, %v", job, got, err)
 		}
 		if err := json.Unmarshal(packJob(job), &previousVersionJob{}); err == nil {
-			t.Fatal("the version before would take a packed record for a job without assignments")
+			t.Fatal("the previous version would decode a packed record as a job without assignments")
 		}
 	})
 }
 
-// keyKind is the kind of record that a key is for.
+// keyKind returns the kind of record that is stored under a key.
 func keyKind(key string) string {
 	kind, _, _ := strings.Cut(strings.TrimPrefix(key, KeyPrefix), "/")
 	return kind
 }
 
-// What the version before wrote, produced by running it, is read to the last field.
+// Records that were written by running the previous version are decoded with all their
+// fields.
 func TestReadsRecordsOfPreviousVersion(t *testing.T) {
 	text, err := os.ReadFile("testdata/production.json")
 	if err != nil {
