--- a/records/damaged_test.go
+++ b/records/damaged_test.go
@@ -29,17 +29,17 @@
 	const tasks = 40
 	spec := string(Encode(Job{Spec: wire.Submission{Kind: wire.KindArray, Tasks: tasks}}))
 	for name, runs := range map[string]string{
-		"a code that overflows to a negative one": strings.Repeat("A", 14) + "Y1",
-		"a code of 15 letters":                    strings.Repeat("Z", 15) + "1",
-		"a code of 40 letters":                    strings.Repeat("N", 40) + "1",
-		"a code that overflows to a valid one":    "C" + strings.Repeat("A", 80) + "B1",
-		"a shard that is not in the list":               "G1",
-		"more tasks than the job has":             "C15",
-		"more tasks than the job has, in two runs":     "C10B5",
-		"a number of tasks that overflows":            "Czzzzzzzzz",
-		"no number of tasks":                               "C",
-		"a negative number of tasks":                       "C-1",
-		"a lower-case letter as the code":                    "c1",
+		"a code that overflows to a negative one":  strings.Repeat("A", 14) + "Y1",
+		"a code of 15 letters":                     strings.Repeat("Z", 15) + "1",
+		"a code of 40 letters":                     strings.Repeat("N", 40) + "1",
+		"a code that overflows to a valid one":     "C" + strings.Repeat("A", 80) + "B1",
+		"a shard that is not in the list":          "G1",
+		"more tasks than the job has":              "C15",
+		"more tasks than the job has, in two runs": "C10B5",
+		"a number of tasks that overflows":         "Czzzzzzzzz",
+		"no number of tasks":                       "C",
+		"a negative number of tasks":               "C-1",
+		"a lower-case letter as the code":          "c1",
 	} {
 		t.Run(name, func(t *testing.T) {
 			value := fmt.Sprintf(`[%s,%q,["a"]]`, spec, runs)
@@ -73,11 +73,11 @@
 // the controllers that read it create a task for each task number in the assignments.
 func TestDamagedAssignmentsAreRefused(t *testing.T) {
 	for name, assignments := range map[string]string{
-		"below the first task": `[{"f":-1,"t":4,"p":"a"}]`,
-		"beyond the last task": `[{"f":0,"t":5,"p":"a"}]`,
-		"far beyond the last task":        `[{"f":0,"t":4000000000,"p":"a"}]`,
-		"backwards":            `[{"f":3,"t":1,"p":"a"}]`,
-		"one task in two assignments":      `[{"f":0,"t":3,"p":"a"},{"f":2,"t":4,"p":"b"}]`,
+		"below the first task":        `[{"f":-1,"t":4,"p":"a"}]`,
+		"beyond the last task":        `[{"f":0,"t":5,"p":"a"}]`,
+		"far beyond the last task":    `[{"f":0,"t":4000000000,"p":"a"}]`,
+		"backwards":                   `[{"f":3,"t":1,"p":"a"}]`,
+		"one task in two assignments": `[{"f":0,"t":3,"p":"a"},{"f":2,"t":4,"p":"b"}]`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			value := fmt.Sprintf(`{"spec":{"shape":"sweep","pieces":4},"at":5,"ch":%s}`, assignments)
--- a/records/drain.go
+++ b/records/drain.go
@@ -35,7 +35,7 @@
 	State        DrainState `json:"state"`
 	StopReason   string     `json:"why,omitempty"` // set in state DrainStopped
 	StartedS     int64      `json:"at"`            // time of day (s)
-	MachineCount int        `json:"machines"`      // number of selected machines at the start of the drain
+	MachineCount int        `json:"machines"`      // machines selected when the drain was started
 	// CanaryPassed means that the first machine was replaced, so all shards may proceed.
 	CanaryPassed bool `json:"proven,omitempty"`
 	// DrainedShards are the shards in which no selected machine is left.
--- a/records/packed_job.go
+++ b/records/packed_job.go
@@ -190,7 +190,8 @@
 	return nil
 }
 
-// readRun reads the first run, whose code is below codes, and returns the runs after it.
+// readRun decodes the first run and returns the remaining runs as rest. It returns an error
+// if the code of the run is not below codeCount.
 func readRun(runs string, codeCount int) (code, tasks int, rest string, err error) {
 	code, runs, err = readCode(runs, codeCount)
 	if err != nil {
