--- a/httpwire/body.go
+++ b/httpwire/body.go
@@ -33,34 +33,34 @@
 
 // parseChunkedBody is parseBody for a chunked body.
 func parseChunkedBody(buf []byte, limit int) (body []byte, used int, complete bool, err error) {
-	at := 0
+	offset := 0
 	for {
-		size, n, err := parseChunkSize(buf[at:])
+		size, n, err := parseChunkSize(buf[offset:])
 		if err != nil || n == 0 {
 			return nil, 0, false, err
 		}
-		at += n
+		offset += n
 		if size == 0 {
 			break
 		}
 		if limit > 0 && len(body)+size > limit {
 			return nil, 0, false, ErrTooLarge
 		}
-		end := at + size
+		end := offset + size
 		if len(buf) < end+len(lineEnd) {
 			return nil, 0, false, nil
 		}
-		body = append(body, buf[at:end]...)
+		body = append(body, buf[offset:end]...)
 		if !bytes.HasPrefix(buf[end:], lineEnd) {
 			return nil, 0, false, ErrMalformed
 		}
-		at = end + len(lineEnd)
+		offset = end + len(lineEnd)
 	}
-	n, err := skipTrailers(buf[at:])
+	n, err := skipTrailers(buf[offset:])
 	if err != nil || n == 0 {
 		return nil, 0, false, err
 	}
-	return body, at + n, true, nil
+	return body, offset + n, true, nil
 }
 
 // parseChunkSize parses the line before a chunk and returns the number of bytes used, 0
@@ -84,18 +84,18 @@
 // skipTrailers returns the number of bytes of the trailers and the empty line after them,
 // 0 if they are not complete yet.
 func skipTrailers(buf []byte) (int, error) {
-	at := 0
+	offset := 0
 	for {
-		length := bytes.Index(buf[at:], lineEnd)
+		length := bytes.Index(buf[offset:], lineEnd)
 		if length < 0 {
-			if len(buf)-at > maxTrailerLine {
+			if len(buf)-offset > maxTrailerLine {
 				return 0, ErrMalformed
 			}
 			return 0, nil
 		}
-		at += length + len(lineEnd)
+		offset += length + len(lineEnd)
 		if length == 0 {
-			return at, nil
+			return offset, nil
 		}
 	}
 }
--- a/httpwire/client.go
+++ b/httpwire/client.go
@@ -13,9 +13,9 @@
 const (
 	// minReadBuffer is the least room for a read of a response (bytes).
 	minReadBuffer = 4 << 10
-	// maxKeptBuffer is the largest buffer that an idle connection keeps (bytes): one
+	// maxIdleBuffer is the largest buffer that an idle connection keeps (bytes): one
 	// large response must not stay in memory.
-	maxKeptBuffer = 64 << 10
+	maxIdleBuffer = 64 << 10
 )
 
 // Client calls one server and keeps idle connections to it. It is safe for concurrent use:
@@ -122,13 +122,13 @@
 	if err != nil {
 		return nil, err
 	}
-	surplus := used != len(buf)
-	if cap(buf) > maxKeptBuffer {
+	hasExtraBytes := used != len(buf)
+	if cap(buf) > maxIdleBuffer {
 		buf = nil
-		surplus = false
+		hasExtraBytes = false
 	}
 	conn.buf = buf
-	if m.Close || surplus || !stopInterrupt() {
+	if m.Close || hasExtraBytes || !stopInterrupt() {
 		conn.Close()
 		return m, nil
 	}
--- a/wire/decode.go
+++ b/wire/decode.go
@@ -9,15 +9,15 @@
 	jsonv1 "github.com/go-json-experiment/json/v1"
 )
 
-// stdlibRules are the rules of the present encoding/json.
-var stdlibRules = jsonv1.DefaultOptionsV1()
+// jsonV1Options are the rules of the present encoding/json.
+var jsonV1Options = jsonv1.DefaultOptionsV1()
 
 // Decode reads JSON as encoding/json does; after an error v may be half read. It uses the
 // mirror of the standard library's coming version, with the rules of the present one:
 // heartbeats are most of what a controller reads, and it takes about half the processor
 // and a fifth of the allocations for them.
 func Decode(data []byte, v any) error {
-	if err := json.Unmarshal(data, v, stdlibRules); err != nil {
+	if err := json.Unmarshal(data, v, jsonV1Options); err != nil {
 		return withPlainStringType(err)
 	}
 	return nil
--- a/wire/field_checker.go
+++ b/wire/field_checker.go
@@ -50,13 +50,13 @@
 }
 
 // count checks a whole number from least to most.
-func (c *fieldChecker) count(field string, value *int, least, most int) int {
+func (c *fieldChecker) count(field string, value *int, minValue, maxValue int) int {
 	if value == nil {
 		c.fail(field, "is missing")
 		return 0
 	}
-	if *value < least || *value > most {
-		c.fail(field, fmt.Sprintf("must be %d to %d", least, most))
+	if *value < minValue || *value > maxValue {
+		c.fail(field, fmt.Sprintf("must be %d to %d", minValue, maxValue))
 	}
 	return *value
 }
--- a/wire/submission_check.go
+++ b/wire/submission_check.go
@@ -47,39 +47,39 @@
 
 // check checks all fields, and names the first one at fault.
 func (raw *rawSubmission) check() (Submission, error) {
-	var c fieldChecker
-	s := Submission{
-		ID:                  c.jobID("uid", raw.ID),
-		Class:               c.name("lane", raw.Class),
-		Team:                c.name("crew", raw.Team),
-		Kind:                oneOf(&c, "shape", raw.Kind, KindArray, KindService, KindGang),
-		Priority:            oneOf(&c, "rank", raw.Priority, PriorityProduction, PriorityHigh, PriorityNormal, PriorityLow),
-		Tasks:               c.count("pieces", raw.Tasks, 1, MaxTasks),
-		CPUs:                c.amount("cpus", raw.CPUs),
-		GPUs:                c.amount("cards", raw.GPUs),
-		MemoryGB:            c.amount("mem_gb", raw.MemoryGB),
-		Image:               c.name("kit", raw.Image),
-		ImageGB:             c.amount("pull_gb", raw.ImageGB),
-		OneZone:             c.flag("one_zone", raw.OneZone),
-		Spread:              c.flag("scatter", raw.Spread),
-		Spot:                c.flag("loaners", raw.Spot),
-		EstimateS:           c.amount("guess_s", raw.EstimateS),
-		CheckpointIntervalS: c.amount("mark_every_s", raw.CheckpointIntervalS),
-		CheckpointSaveS:     c.amount("stow_s", raw.CheckpointSaveS),
+	var checker fieldChecker
+	submission := Submission{
+		ID:                  checker.jobID("uid", raw.ID),
+		Class:               checker.name("lane", raw.Class),
+		Team:                checker.name("crew", raw.Team),
+		Kind:                oneOf(&checker, "shape", raw.Kind, KindArray, KindService, KindGang),
+		Priority:            oneOf(&checker, "rank", raw.Priority, PriorityProduction, PriorityHigh, PriorityNormal, PriorityLow),
+		Tasks:               checker.count("pieces", raw.Tasks, 1, MaxTasks),
+		CPUs:                checker.amount("cpus", raw.CPUs),
+		GPUs:                checker.amount("cards", raw.GPUs),
+		MemoryGB:            checker.amount("mem_gb", raw.MemoryGB),
+		Image:               checker.name("kit", raw.Image),
+		ImageGB:             checker.amount("pull_gb", raw.ImageGB),
+		OneZone:             checker.flag("one_zone", raw.OneZone),
+		Spread:              checker.flag("scatter", raw.Spread),
+		Spot:                checker.flag("loaners", raw.Spot),
+		EstimateS:           checker.amount("guess_s", raw.EstimateS),
+		CheckpointIntervalS: checker.amount("mark_every_s", raw.CheckpointIntervalS),
+		CheckpointSaveS:     checker.amount("stow_s", raw.CheckpointSaveS),
 	}
 	// The other fields may be missing.
 	if raw.Types != nil {
-		s.Types = *raw.Types
-		c.machineTypes("builds", s.Types)
+		submission.Types = *raw.Types
+		checker.machineTypes("builds", submission.Types)
 	}
 	if raw.Zone != nil {
-		s.Zone = c.name("yard", raw.Zone)
+		submission.Zone = checker.name("yard", raw.Zone)
 	}
 	if raw.DeadlineS != nil {
-		deadline := c.amount("due_s", raw.DeadlineS)
-		s.DeadlineS = &deadline
+		deadline := checker.amount("due_s", raw.DeadlineS)
+		submission.DeadlineS = &deadline
 	}
-	return s, c.err
+	return submission, checker.err
 }
 
 // readJobID reads nothing but the job's id from a submission that is invalid otherwise;
