--- a/httpwire/message_test.go
+++ b/httpwire/message_test.go
@@ -94,13 +94,13 @@
 // No bytes make the parser panic or read past its input.
 func TestParserOnAnyBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		junk := rapid.OneOf(
+		input := rapid.OneOf(
 			rapid.SliceOfN(rapid.Byte(), 0, 200),
 			rapid.Map(rapid.StringMatching(`(GET|POST) /[a-z]* HTTP/1\.[01]\r\n(Content-Length: -?[0-9a]{1,12}\r\n|Transfer-Encoding: [a-z]+\r\n|[A-Z: \n]*\r\n)*\r\n`), func(s string) []byte { return []byte(s) }),
 		).Draw(t, "junk")
-		_, n, _ := ParseRequest(junk, limits)
-		if n < 0 || n > len(junk) {
-			t.Fatalf("used %d of %d", n, len(junk))
+		_, n, _ := ParseRequest(input, limits)
+		if n < 0 || n > len(input) {
+			t.Fatalf("used %d of %d", n, len(input))
 		}
 	})
 }
--- a/wire/decode_test.go
+++ b/wire/decode_test.go
@@ -26,7 +26,7 @@
 // Whatever comes, however broken, is read as encoding/json reads it: the same
 // messages are refused, and the same is understood.
 func TestDecodesAsTheStandardLibraryDoes(t *testing.T) {
-	junk := []string{"", "null", "true", "1.5", "-1", "1e3", "18446744073709551616", `"x"`, "[]", "{}", "[1]", `{"piece":7}`, `"\ud800"`, "\"\xff\"", "nul", " ", "\n", ",", `"host":"y",`, `"HOST":"z",`, `"tally":4.0,`, "\x00"}
+	insertions := []string{"", "null", "true", "1.5", "-1", "1e3", "18446744073709551616", `"x"`, "[]", "{}", "[1]", `{"piece":7}`, `"\ud800"`, "\"\xff\"", "nul", " ", "\n", ",", `"host":"y",`, `"HOST":"z",`, `"tally":4.0,`, "\x00"}
 	rapid.Check(t, func(t *rapid.T) {
 		var body []byte
 		var err error
@@ -41,10 +41,10 @@
 		for range rapid.IntRange(0, 4).Draw(t, "breaks") {
 			from := rapid.IntRange(0, len(body)).Draw(t, "from")
 			to := min(len(body), from+rapid.IntRange(0, 8).Draw(t, "length"))
-			body = append(append(append([]byte{}, body[:from]...), rapid.SampledFrom(junk).Draw(t, "junk")...), body[to:]...)
+			body = append(append(append([]byte{}, body[:from]...), rapid.SampledFrom(insertions).Draw(t, "junk")...), body[to:]...)
 		}
-		for _, new := range []func() any{func() any { return &Heartbeat{} }, func() any { return &rawSubmission{} }} {
-			want, got := new(), new()
+		for _, newMessage := range []func() any{func() any { return &Heartbeat{} }, func() any { return &rawSubmission{} }} {
+			want, got := newMessage(), newMessage()
 			wantErr, gotErr := json.Unmarshal(body, want), Decode(body, got)
 			if (wantErr == nil) != (gotErr == nil) {
 				t.Fatalf("%q: error %v, wanted %v", body, gotErr, wantErr)
@@ -96,7 +96,7 @@
 
 // A quiet report is read with few allocations: it is most of what a controller
 // does, with over a thousand machines hundreds of times a second.
-func TestQuietReportIsReadWithFewAllocations(t *testing.T) {
+func TestParseHeartbeatAllocatesLittle(t *testing.T) {
 	body := heartbeatOfFourTasks()
 	n := testing.AllocsPerRun(200, func() {
 		if _, err := ParseHeartbeat(body); err != nil {
@@ -108,7 +108,7 @@
 	}
 }
 
-func BenchmarkParseReport(b *testing.B) {
+func BenchmarkParseHeartbeat(b *testing.B) {
 	body := heartbeatOfFourTasks()
 	b.ReportAllocs()
 	for b.Loop() {
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -14,7 +14,7 @@
 func drawSubmission(t *rapid.T) Submission {
 	amount := rapid.Float64Range(0, 1e6)
 	name := rapid.StringMatching(`[a-z0-9-]{1,20}`)
-	s := Submission{
+	submission := Submission{
 		ID:                  "run-" + rapid.StringMatching(`[0-9]{1,9}`).Draw(t, "id"),
 		Class:               name.Draw(t, "class"),
 		Team:                name.Draw(t, "team"),
@@ -35,14 +35,14 @@
 		CheckpointIntervalS: amount.Draw(t, "cp"),
 		CheckpointSaveS:     amount.Draw(t, "save"),
 	}
-	if len(s.Types) == 0 {
-		s.Types = nil
+	if len(submission.Types) == 0 {
+		submission.Types = nil
 	}
 	if rapid.Bool().Draw(t, "due") {
 		d := amount.Draw(t, "deadline")
-		s.DeadlineS = &d
+		submission.DeadlineS = &d
 	}
-	return s
+	return submission
 }
 
 // asMap is a submission as a user would write it, every field present.
@@ -96,9 +96,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := asMap(t, drawSubmission(t))
 		id := m["uid"].(string)
-		must := []string{"lane", "crew", "shape", "rank", "pieces", "cpus", "cards", "mem_gb", "kit",
+		required := []string{"lane", "crew", "shape", "rank", "pieces", "cpus", "cards", "mem_gb", "kit",
 			"pull_gb", "one_zone", "scatter", "loaners", "guess_s", "mark_every_s", "stow_s"}
-		f := rapid.SampledFrom(must).Draw(t, "field")
+		f := rapid.SampledFrom(required).Draw(t, "field")
 		switch rapid.IntRange(0, 2).Draw(t, "how") {
 		case 0:
 			delete(m, f)
@@ -116,19 +116,19 @@
 }
 
 func TestBadSubmissions(t *testing.T) {
-	good := `{"uid":"run-1","lane":"a","crew":"t","shape":"sweep","rank":"prod","pieces":1,"cpus":1,"cards":0,"mem_gb":1,"kit":"i","pull_gb":1,"one_zone":false,"scatter":false,"loaners":true,"guess_s":1,"mark_every_s":0,"stow_s":0}`
-	if _, _, err := ParseSubmission([]byte(good)); err != nil {
+	valid := `{"uid":"run-1","lane":"a","crew":"t","shape":"sweep","rank":"prod","pieces":1,"cpus":1,"cards":0,"mem_gb":1,"kit":"i","pull_gb":1,"one_zone":false,"scatter":false,"loaners":true,"guess_s":1,"mark_every_s":0,"stow_s":0}`
+	if _, _, err := ParseSubmission([]byte(valid)); err != nil {
 		t.Fatal(err)
 	}
 	for from, to := range map[string]string{
 		`"pieces":1`: `"pieces":0`, `"cpus":1`: `"cpus":-1`, `"mem_gb":1`: `"mem_gb":1e999`, `"run-1"`: `"job-1"`,
 		`"sweep"`: `"heap"`, `"prod"`: `"top"`, `"cards":0`: `"cards":"0"`, `"pull_gb":1`: `"pull_gb":NaN`,
 	} {
-		if _, _, err := ParseSubmission([]byte(strings.Replace(good, from, to, 1))); err == nil {
+		if _, _, err := ParseSubmission([]byte(strings.Replace(valid, from, to, 1))); err == nil {
 			t.Errorf("%s was taken", to)
 		}
 	}
-	for _, s := range []string{"", "null", "[]", "7", `"x"`, "{", good + good} {
+	for _, s := range []string{"", "null", "[]", "7", `"x"`, "{", valid + valid} {
 		if _, _, err := ParseSubmission([]byte(s)); err == nil {
 			t.Errorf("%q was taken", s)
 		}
