--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -1,13 +1,13 @@
 package wire
 
-// Paths of the cloud.
+// Paths of the cloud's API.
 const (
 	PathTypes    = "/flavors"
 	PathMachines = "/machines" // lists machines, and scales out
 	PathScaleIn  = "/machines/return"
 )
 
-// Limits on a call of the cloud (machines).
+// Limits per call to the cloud's API (number of machines).
 const (
 	MaxMachinesPerScaleOut = 50
 	MaxMachinesPerScaleIn  = 100
@@ -20,26 +20,26 @@
 	CPUs        float64 `json:"cpus"`
 	GPUs        float64 `json:"cards"`
 	MemoryGB    float64 `json:"mem_gb"`
-	CacheGB     float64 `json:"cache_gb"` // for images
+	CacheGB     float64 `json:"cache_gb"` // space for images
 	FetchGBPerS float64 `json:"fetch_gb_per_s"`
-	Price       float64 `json:"hourly"` // of an on-demand machine, per hour
+	Price       float64 `json:"hourly"` // of an on-demand instance, per hour
 	// SpotPrice is the current price of a spot instance, per hour.
 	SpotPrice float64 `json:"spot_price"`
 	// BootS is the nominal time from the scale-out request until the machine is up (s).
 	BootS float64 `json:"ready_s"`
-	// Zones are those that offer the type; none: not known.
+	// Zones are the zones that offer the type; empty if the zones are not known.
 	Zones []string `json:"yards"`
 }
 
-// MachineTypes is the response to a call for the machine types.
+// MachineTypes is the response to a request for the list of machine types.
 type MachineTypes struct {
 	Types []MachineType `json:"builds"`
 }
 
 // ScaleOutRequest requests machines.
 type ScaleOutRequest struct {
-	// RequestID is the idempotency key: a request that succeeded returns the same
-	// machines again, so that an id must never be used for another request.
+	// RequestID is the idempotency key. A repetition of a successful request returns
+	// the same machines, so an id must never be used for another request.
 	RequestID string `json:"requisition"`
 	Type      string `json:"build"`
 	Zone      string `json:"yard"`
@@ -47,8 +47,8 @@
 	Count     int    `json:"number"`
 }
 
-// MachineNames is the response to a scale-out request, with the machines that the cloud
-// grants, and the body of a scale-in request.
+// MachineNames is the response to a scale-out request, where it names the machines that
+// the cloud grants, and the body of a scale-in request.
 type MachineNames struct {
 	Machines []string `json:"hosts"`
 }
@@ -60,7 +60,7 @@
 const (
 	MachineBooting MachineState = "booting"
 	MachineRunning MachineState = "running"
-	MachineFailed  MachineState = "failed" // stopped on its own; it is listed until it is scaled in
+	MachineFailed  MachineState = "failed" // the machine stopped by itself; the cloud lists it until it is scaled in
 )
 
 // CloudMachine is one machine in the cloud's list.
@@ -74,7 +74,7 @@
 	AgeS  float64      `json:"age_s"` // since the scale-out request (s)
 }
 
-// MachineList is one page of the cloud's list, in the order of names.
+// MachineList is one page of the cloud's list, sorted by name.
 type MachineList struct {
 	Machines []CloudMachine `json:"hosts"`
 	HasMore  bool           `json:"has_next"`
--- a/wire/decode.go
+++ b/wire/decode.go
@@ -9,13 +9,14 @@
 	jsonv1 "github.com/go-json-experiment/json/v1"
 )
 
-// jsonV1Options are the rules of the present encoding/json.
+// jsonV1Options selects the behaviour of the current encoding/json (version 1).
 var jsonV1Options = jsonv1.DefaultOptionsV1()
 
-// Decode reads JSON as encoding/json does; after an error v may be half read. It uses the
-// mirror of the standard library's coming version, with the rules of the present one:
-// heartbeats are most of what a controller reads, and it takes about half the processor
-// and a fifth of the allocations for them.
+// Decode decodes JSON as encoding/json does. After an error, v may be partly filled.
+// Decode uses go-json-experiment/json, the mirror of the standard library's next
+// version of encoding/json, with the options of the current version. Heartbeats are
+// most of what a controller reads, and for them this decoder takes about half the CPU
+// time and a fifth of the allocations of encoding/json.
 func Decode(data []byte, v any) error {
 	if err := json.Unmarshal(data, v, jsonV1Options); err != nil {
 		return withPlainStringType(err)
@@ -23,8 +24,8 @@
 	return nil
 }
 
-// withPlainStringType makes the error of a field with a named string type say that the
-// field is a string: whoever sent the message knows the protocol, not the types of Go.
+// withPlainStringType replaces a named string type in a decoding error by string: the
+// sender of the message knows the protocol, not the Go types.
 func withPlainStringType(err error) error {
 	var typeError *jsonv1.UnmarshalTypeError
 	if errors.As(err, &typeError) && typeError.Type != nil && typeError.Type.Kind() == reflect.String {
@@ -33,8 +34,8 @@
 	return err
 }
 
-// isObject says whether a message begins like a JSON object. Without that check null
-// would be taken for an object without fields.
+// isObject reports whether a message begins like a JSON object. Without this check,
+// null would be accepted as an object without fields.
 func isObject(body []byte) bool {
 	trimmed := bytes.TrimLeft(body, " \t\r\n")
 	return len(trimmed) > 0 && trimmed[0] == '{'
--- a/wire/decode_test.go
+++ b/wire/decode_test.go
@@ -23,8 +23,8 @@
 	return r
 }
 
-// Whatever comes, however broken, is read as encoding/json reads it: the same
-// messages are refused, and the same is understood.
+// Decode accepts and refuses the same messages as encoding/json, including malformed
+// ones, and decodes the accepted messages to the same values.
 func TestDecodesAsTheStandardLibraryDoes(t *testing.T) {
 	insertions := []string{"", "null", "true", "1.5", "-1", "1e3", "18446744073709551616", `"x"`, "[]", "{}", "[1]", `{"piece":7}`, `"\ud800"`, "\"\xff\"", "nul", " ", "\n", ",", `"host":"y",`, `"HOST":"z",`, `"tally":4.0,`, "\x00"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -56,8 +56,8 @@
 	})
 }
 
-// The error of a value that is no string names no type of Go but string, also where the
-// field has a named type.
+// The error for a field with a named string type names the type string, not the Go
+// type.
 func TestDecodeErrorsNamePlainStrings(t *testing.T) {
 	for _, c := range []struct {
 		body    string
@@ -94,8 +94,8 @@
 	return append(body, "]}"...)
 }
 
-// A quiet report is read with few allocations: it is most of what a controller
-// does, with over a thousand machines hundreds of times a second.
+// Parsing a heartbeat takes few allocations: it is most of a controller's work,
+// hundreds of times a second with over a thousand machines.
 func TestParseHeartbeatAllocatesLittle(t *testing.T) {
 	body := heartbeatOfFourTasks()
 	n := testing.AllocsPerRun(200, func() {
@@ -103,8 +103,8 @@
 			t.Fatal(err)
 		}
 	})
-	if n > 15 { // 8; a few more under the race detector, which empties pools at random
-		t.Fatalf("%g allocations for a report of four tasks", n)
+	if n > 15 { // 8 allocations, and a few more under the race detector, which empties pools at random
+		t.Fatalf("%g allocations for a heartbeat of four tasks", n)
 	}
 }
 
--- a/wire/doc.go
+++ b/wire/doc.go
@@ -1,10 +1,10 @@
-// Package wire holds the JSON messages, paths and string constants of every interface
-// that ravenport speaks: users, workers, the cloud and the key-value store. Clients may
-// import it.
+// Package wire defines the JSON messages, paths and string constants of every protocol
+// that ravenport speaks: with users, workers, the cloud and the key-value store. Clients
+// may import the package.
 //
-// This package is the one place where the protocol's own names are mapped to the terms of
-// the field: the protocol's names stand in its JSON tags and string constants, and
-// nowhere else in Go code. The most frequent ones are:
+// Only this package maps the protocol's own names to the terms of the field. The
+// protocol's names appear in the package's JSON tags and string constants, and nowhere
+// else in Go code. The most frequent names are:
 //
 //	protocol                       term                     in Go
 //
--- a/wire/field_checker.go
+++ b/wire/field_checker.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// FieldError says which field made a message invalid, and why. Its text is shown to
-// whoever sent the message.
+// FieldError is the error of a message with an invalid field. The sender of the message
+// receives the error's text.
 type FieldError struct {
 	Field   string // the protocol's name of the field, or "body"
 	Problem string
@@ -16,7 +16,7 @@
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
 // fieldChecker checks the fields of a message and keeps the first error. Its methods
-// return a field's value; a nil value stands for a field that is missing.
+// return the field's value. A nil value means that the field is missing.
 type fieldChecker struct{ err error }
 
 func (c *fieldChecker) fail(field, problem string) {
@@ -25,7 +25,7 @@
 	}
 }
 
-// jobID checks the id of a job.
+// jobID checks a required job id.
 func (c *fieldChecker) jobID(field string, value *string) string {
 	if value == nil {
 		c.fail(field, "is missing")
@@ -37,7 +37,7 @@
 	return *value
 }
 
-// name checks a name that is neither empty nor too long.
+// name checks a required name of 1 to maxNameBytes bytes.
 func (c *fieldChecker) name(field string, value *string) string {
 	if value == nil {
 		c.fail(field, "is missing")
@@ -49,7 +49,7 @@
 	return *value
 }
 
-// count checks a whole number from least to most.
+// count checks a required integer from minValue to maxValue.
 func (c *fieldChecker) count(field string, value *int, minValue, maxValue int) int {
 	if value == nil {
 		c.fail(field, "is missing")
@@ -61,7 +61,7 @@
 	return *value
 }
 
-// amount checks a number from 0 to maxAmount.
+// amount checks a required number from 0 to maxAmount.
 func (c *fieldChecker) amount(field string, value *float64) float64 {
 	if value == nil {
 		c.fail(field, "is missing")
@@ -73,7 +73,7 @@
 	return *value
 }
 
-// flag checks that a boolean is there.
+// flag checks a required boolean.
 func (c *fieldChecker) flag(field string, value *bool) bool {
 	if value == nil {
 		c.fail(field, "is missing")
@@ -82,8 +82,8 @@
 	return *value
 }
 
-// oneOf checks a value that must be one of those allowed; it returns "" if it is none. It
-// is a function because methods take no type parameters.
+// oneOf checks a required value, which must be one of the allowed values, and returns
+// "" if it is not. oneOf is a function because methods cannot have type parameters.
 func oneOf[T ~string](c *fieldChecker, field string, value *T, allowed ...T) T {
 	if value == nil {
 		c.fail(field, "is missing")
--- a/wire/job.go
+++ b/wire/job.go
@@ -4,7 +4,7 @@
 const (
 	PathJobs   = "/v2/runs"
 	PathHealth = "/healthz"
-	// CancelSuffix follows a job's path in a cancellation.
+	// CancelSuffix is appended to a job's path to cancel the job.
 	CancelSuffix = "abort"
 )
 
@@ -20,7 +20,7 @@
 	JobCancelled JobState = "cancelled"
 )
 
-// JobReply is the response to a submission or a cancellation that succeeded.
+// JobReply is the response to a successful submission or cancellation.
 type JobReply struct {
 	ID     string   `json:"uid"`
 	Status JobState `json:"status"`
@@ -30,12 +30,12 @@
 type JobStatus struct {
 	ID      string   `json:"uid"`
 	Status  JobState `json:"status"`
-	Done    int      `json:"done"`    // tasks
-	Running int      `json:"running"` // tasks
+	Done    int      `json:"done"`    // number of tasks that are done
+	Running int      `json:"running"` // number of running tasks
 }
 
 // Problem is the body of an error response.
 type Problem struct {
 	Error string `json:"error"`
-	Field string `json:"field,omitempty"` // of the request, by the protocol's name
+	Field string `json:"field,omitempty"` // the protocol's name of the request's invalid field
 }
--- a/wire/job_names.go
+++ b/wire/job_names.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// jobIDPrefix begins every job's id.
+// jobIDPrefix is the prefix of every job id.
 const jobIDPrefix = "run-"
 
-// ValidJobID says whether id can be the id of a job.
+// ValidJobID reports whether id is a valid job id.
 func ValidJobID(id string) bool {
 	if !strings.HasPrefix(id, jobIDPrefix) || len(id) == len(jobIDPrefix) || len(id) > maxNameBytes {
 		return false
@@ -25,11 +25,12 @@
 	return r >= '0' && r <= '9' || r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r == '-' || r == '_'
 }
 
-// TaskName is the name of a job's task: the job's id, a slash and the task's index.
+// TaskName returns the name of a job's task: the job's id, a slash and the task's
+// index.
 func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
-// ParseTaskName splits the name of a task; ok is false if it is not one that TaskName
-// writes for a valid job id and index.
+// ParseTaskName splits a task's name into the job's id and the task's index. ok is
+// false unless TaskName returns this name for a valid job id and index.
 func ParseTaskName(name string) (job string, index int, ok bool) {
 	slash := strings.LastIndexByte(name, '/')
 	if slash < 0 {
--- a/wire/store.go
+++ b/wire/store.go
@@ -8,7 +8,7 @@
 	PathTxn    = "/multi"
 	PathLeases = "/holds"
 	PathWatch  = "/follow"
-	// renewSuffix follows a lease's path in a renewal.
+	// renewSuffix is appended to a lease's path to renew the lease.
 	renewSuffix = "renew"
 )
 
@@ -22,35 +22,36 @@
 	Value json.RawMessage `json:"data"`
 	// Version is the revision of the key's latest change.
 	Version uint64 `json:"stamp"`
-	// Lease is the lease that the key is attached to; 0: none.
+	// Lease is the id of the lease to which the key is attached; 0 if there is none.
 	Lease uint64 `json:"tenure,omitempty"`
 }
 
-// KeyList is one page of keys, in their order.
+// KeyList is one page of keys, sorted by key.
 type KeyList struct {
 	Items    []KeyValue `json:"entries"`
 	HasMore  bool       `json:"has_next"`
 	Revision uint64     `json:"ledger_count"`
 }
 
-// Condition demands that a key has a version; 0: that it does not exist.
+// Condition requires that a key has a version. Version 0 requires that the key does not
+// exist.
 type Condition struct {
 	Key     string `json:"path"`
 	Version uint64 `json:"stamp"`
 }
 
-// Change is one put or delete of a transaction. Put and Delete are keys, of which one is
-// set.
+// Change is one put or delete of a transaction. One of Put and Delete is set, to the
+// key.
 type Change struct {
 	Put   string          `json:"put,omitempty"`
-	Value json.RawMessage `json:"data,omitempty"` // of Put
-	// Lease is the lease to which Put is attached; 0: none.
+	Value json.RawMessage `json:"data,omitempty"` // value of Put
+	// Lease is the id of the lease to which Put is attached; 0 if there is none.
 	Lease  uint64 `json:"tenure,omitempty"`
 	Delete string `json:"delete,omitempty"`
 }
 
-// Txn is a compare-and-swap transaction: its changes are applied together if all
-// conditions hold. One without changes only compares.
+// Txn is a compare-and-swap transaction: the store applies all changes atomically if
+// all conditions hold. A transaction without changes only checks the conditions.
 type Txn struct {
 	Conditions []Condition `json:"if"`
 	Changes    []Change    `json:"apply"`
@@ -69,18 +70,18 @@
 
 // LeaseReply is the response to a request for a lease.
 type LeaseReply struct {
-	Lease uint64 `json:"tenure"` // its id
+	Lease uint64 `json:"tenure"` // the lease's id
 }
 
-// Event is one change seen by a watch. Put and Delete are keys, of which one is set.
+// Event is one change that a watch reports. One of Put and Delete is set, to the key.
 type Event struct {
 	Put     string          `json:"put,omitempty"`
-	Value   json.RawMessage `json:"data,omitempty"` // of Put
+	Value   json.RawMessage `json:"data,omitempty"` // value of Put
 	Version uint64          `json:"stamp"`
 	Delete  string          `json:"delete,omitempty"`
 }
 
-// Events is the response to a watch: all changes after a revision.
+// Events is the response to a watch: all changes after the given revision.
 type Events struct {
 	Revision uint64  `json:"ledger_count"`
 	Events   []Event `json:"log"`
--- a/wire/submission_check.go
+++ b/wire/submission_check.go
@@ -6,7 +6,8 @@
 	"fmt"
 )
 
-// rawSubmission is a submission as it was sent: a missing field, or null, is nil.
+// rawSubmission is a decoded submission before validation. A field that is missing or
+// null is nil.
 type rawSubmission struct {
 	ID                  *string   `json:"uid"`
 	Class               *string   `json:"lane"`
@@ -30,9 +31,9 @@
 	DeadlineS           *float64  `json:"due_s"`
 }
 
-// ParseSubmission reads and checks a submission; the error is a *FieldError. Even when it
-// fails it returns the job's id, if a valid one could be read, so that a retry of an
-// accepted job can be recognised before it is refused.
+// ParseSubmission decodes and validates a submission. Its error is a *FieldError.
+// ParseSubmission also returns the job's id after an error if it could read a valid id,
+// so that the caller can recognise a retry of an accepted job before refusing it.
 func ParseSubmission(body []byte) (s Submission, id string, err error) {
 	var raw rawSubmission
 	if err := unmarshalObject(body, &raw); err != nil {
@@ -45,7 +46,7 @@
 	return s, id, err
 }
 
-// check checks all fields, and names the first one at fault.
+// check validates all fields and returns the error of the first invalid one.
 func (raw *rawSubmission) check() (Submission, error) {
 	var checker fieldChecker
 	submission := Submission{
@@ -67,7 +68,7 @@
 		CheckpointIntervalS: checker.amount("mark_every_s", raw.CheckpointIntervalS),
 		CheckpointSaveS:     checker.amount("stow_s", raw.CheckpointSaveS),
 	}
-	// The other fields may be missing.
+	// The other fields are optional.
 	if raw.Types != nil {
 		submission.Types = *raw.Types
 		checker.machineTypes("builds", submission.Types)
@@ -82,8 +83,8 @@
 	return submission, checker.err
 }
 
-// readJobID reads nothing but the job's id from a submission that is invalid otherwise;
-// it is empty unless there is a valid one.
+// readJobID reads only the job's id from a submission that is otherwise invalid. It
+// returns "" if there is no valid id.
 func readJobID(body []byte) string {
 	var submission struct {
 		ID any `json:"uid"`
@@ -97,8 +98,8 @@
 	return ""
 }
 
-// unmarshalObject reads a message of a user, who is told which field is at fault, in the
-// words of encoding/json.
+// unmarshalObject decodes a user's message. Its error names the invalid field as
+// encoding/json does.
 func unmarshalObject(body []byte, v any) error {
 	if !isObject(body) {
 		return &FieldError{"body", "is not a JSON object"}
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -45,7 +45,8 @@
 	return submission
 }
 
-// asMap is a submission as a user would write it, every field present.
+// asMap returns the JSON object of a submission. It adds the required booleans that the
+// encoding omits when they are false.
 func asMap(t *rapid.T, s Submission) map[string]any {
 	b, err := json.Marshal(s)
 	if err != nil {
@@ -71,8 +72,8 @@
 	return ParseSubmission(b)
 }
 
-// A submission survives the way over the wire; unknown fields are ignored and
-// a field that may be null may equally be missing.
+// An encoded submission is parsed to the same value. Unknown fields are ignored, and an
+// optional field may be null or missing.
 func TestSubmissionRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := drawSubmission(t)
@@ -90,8 +91,9 @@
 	})
 }
 
-// A missing or mistyped field is refused by its name, and the id is read all
-// the same, so that a repeat of an accepted job can be told.
+// A submission with a required field that is missing or of the wrong type is refused
+// with the field's name. The job's id is still returned, so that a retry of an accepted
+// job can be recognised.
 func TestSubmissionRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := asMap(t, drawSubmission(t))
@@ -125,17 +127,17 @@
 		`"sweep"`: `"heap"`, `"prod"`: `"top"`, `"cards":0`: `"cards":"0"`, `"pull_gb":1`: `"pull_gb":NaN`,
 	} {
 		if _, _, err := ParseSubmission([]byte(strings.Replace(valid, from, to, 1))); err == nil {
-			t.Errorf("%s was taken", to)
+			t.Errorf("%s was accepted", to)
 		}
 	}
 	for _, s := range []string{"", "null", "[]", "7", `"x"`, "{", valid + valid} {
 		if _, _, err := ParseSubmission([]byte(s)); err == nil {
-			t.Errorf("%q was taken", s)
+			t.Errorf("%q was accepted", s)
 		}
 	}
 }
 
-// A value that is none of those allowed is rejected with the list of them.
+// The error for a value that is not allowed lists the allowed values.
 func TestSubmissionNamesAllowedValues(t *testing.T) {
 	for body, want := range map[string]string{
 		`{"uid":"run-1","lane":"a","crew":"t","shape":"heap","rank":"prod"}`:    "shape: must be one of sweep, standing, ensemble",
@@ -160,7 +162,7 @@
 			t.Fatalf("%s/%d became %s/%d %v", job, i, j, n, ok)
 		}
 		if _, _, ok := ParseTaskName(rapid.StringMatching(`(run-1)?/?(-1|01|\+1|100000|x)?`).Draw(t, "bad")); ok {
-			t.Fatal("a malformed name was taken")
+			t.Fatal("a malformed name was accepted")
 		}
 	})
 }
