--- a/httpwire/body.go
+++ b/httpwire/body.go
@@ -7,14 +7,15 @@
 )
 
 const (
-	// maxChunkLine bounds the line with a chunk's size and extensions (bytes).
+	// maxChunkLine is the maximum length of the line with a chunk's size and extensions
+	// (bytes).
 	maxChunkLine = 256
-	// maxTrailerLine bounds a line of the trailers (bytes).
+	// maxTrailerLine is the maximum length of a trailer line (bytes).
 	maxTrailerLine = 4096
 )
 
 // parseBody parses a body from the start of buf and returns the number of bytes used.
-// limit is the largest body (bytes); 0: no limit.
+// limit is the maximum size of the body (bytes); 0 means no limit.
 func (f framing) parseBody(buf []byte, limit int) (body []byte, used int, complete bool, err error) {
 	if f.chunked {
 		return parseChunkedBody(buf, limit)
@@ -63,8 +64,8 @@
 	return body, offset + n, true, nil
 }
 
-// parseChunkSize parses the line before a chunk and returns the number of bytes used, 0
-// if the line is not complete yet.
+// parseChunkSize parses the line before a chunk and returns the chunk's size and the
+// number of bytes used, which is 0 while the line is incomplete.
 func parseChunkSize(buf []byte) (size, used int, err error) {
 	end := bytes.Index(buf, lineEnd)
 	if end < 0 {
@@ -81,8 +82,8 @@
 	return int(parsed), end + len(lineEnd), nil
 }
 
-// skipTrailers returns the number of bytes of the trailers and the empty line after them,
-// 0 if they are not complete yet.
+// skipTrailers returns the number of bytes of the trailers and the empty line after
+// them, or 0 while they are incomplete.
 func skipTrailers(buf []byte) (int, error) {
 	offset := 0
 	for {
--- a/httpwire/client.go
+++ b/httpwire/client.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// minReadBuffer is the least room for a read of a response (bytes).
+	// minReadBuffer is the minimum free buffer space for a read of a response (bytes).
 	minReadBuffer = 4 << 10
-	// maxIdleBuffer is the largest buffer that an idle connection keeps (bytes): one
-	// large response must not stay in memory.
+	// maxIdleBuffer is the largest buffer that an idle connection keeps (bytes), so
+	// that one large response does not stay in memory.
 	maxIdleBuffer = 64 << 10
 )
 
-// Client calls one server and keeps idle connections to it. It is safe for concurrent use:
-// idle connections are passed on through a channel.
+// Client sends requests to one server and keeps idle connections to it. A Client is
+// safe for concurrent use: goroutines pass on idle connections through a channel.
 type Client struct {
 	addr        string
 	limits      Limits
@@ -30,19 +30,22 @@
 
 type clientConn struct {
 	net.Conn
-	buf []byte // of the last request and response, to be used again
+	buf []byte // holds the last request and response; reused by the next call
 }
 
-// errIdleClosed says that the server had closed an idle connection before the request.
+// errIdleClosed reports that a connection failed before any byte of the response was
+// read. If the connection was idle before, the server may have closed it before the
+// request.
 var errIdleClosed = errors.New("httpwire: idle connection was closed")
 
-// NewClient makes a client of the server at addr that keeps up to maxIdle idle
-// connections and takes at most dialTimeout to set one up.
+// NewClient returns a client of the server at addr. The client keeps up to maxIdle idle
+// connections and takes at most dialTimeout to establish a connection.
 func NewClient(addr string, maxIdle int, dialTimeout time.Duration, limits Limits) *Client {
 	return &Client{addr: addr, limits: limits, dialTimeout: dialTimeout, idle: make(chan *clientConn, maxIdle)}
 }
 
-// UnsentError says that no connection could be set up, so that nothing was sent.
+// UnsentError reports that no connection could be established, so that nothing was
+// sent.
 type UnsentError struct{ Err error }
 
 func (e *UnsentError) Error() string { return "connect: " + e.Err.Error() }
@@ -50,14 +53,14 @@
 // Unwrap returns the error of the attempt to connect.
 func (e *UnsentError) Unwrap() error { return e.Err }
 
-// IsUnsent says whether err proves that a request was not sent.
+// IsUnsent reports whether err proves that a request was not sent.
 func IsUnsent(err error) bool {
 	var unsent *UnsentError
 	return errors.As(err, &unsent)
 }
 
 // Do sends a request and waits for its response until ctx ends. After an error it is
-// unknown whether the server carried out the request, unless IsUnsent(err).
+// unknown whether the server executed the request, unless IsUnsent(err).
 func (c *Client) Do(ctx context.Context, method, target string, body []byte) (*Message, error) {
 	for {
 		conn, reused, err := c.acquire(ctx)
@@ -69,8 +72,8 @@
 			return m, nil
 		}
 		conn.Close()
-		// A server may close an idle connection at any time, so the next one is tried.
-		// Requests are idempotent.
+		// A server may close an idle connection at any time, so the request is sent again
+		// on the next connection. That is safe because requests are idempotent.
 		if reused && errors.Is(err, errIdleClosed) && ctx.Err() == nil {
 			continue
 		}
@@ -78,7 +81,7 @@
 	}
 }
 
-// acquire takes an idle connection or sets up a new one.
+// acquire takes an idle connection or establishes a new one.
 func (c *Client) acquire(ctx context.Context) (conn *clientConn, reused bool, err error) {
 	select {
 	case conn = <-c.idle:
@@ -93,7 +96,7 @@
 	return &clientConn{Conn: netConn}, false, nil
 }
 
-// release keeps a connection for the next request, or closes it if enough are kept.
+// release keeps a connection for the next request, or closes it if maxIdle are kept.
 func (c *Client) release(conn *clientConn) {
 	select {
 	case c.idle <- conn:
@@ -108,7 +111,7 @@
 // exchange sends a request on conn and reads its response. On success it releases or
 // closes conn; after an error the caller closes it.
 func (c *Client) exchange(ctx context.Context, conn *clientConn, method, target string, body []byte) (*Message, error) {
-	deadline, _ := ctx.Deadline() // zero: none
+	deadline, _ := ctx.Deadline() // zero means no deadline
 	if err := conn.SetDeadline(deadline); err != nil {
 		return nil, err
 	}
@@ -136,11 +139,11 @@
 	return m, nil
 }
 
-// interrupt ends a read or write that is under way.
+// interrupt makes a read or write in progress fail.
 func (c *clientConn) interrupt() { c.SetDeadline(time.Unix(1, 0)) }
 
-// readResponse reads into buf until it holds a response. It returns the response, what
-// was read, and how many bytes of it the response used.
+// readResponse reads into buf until it holds a response. It returns the response, the
+// bytes read, and how many of these bytes the response used.
 func (c *clientConn) readResponse(buf []byte, limits Limits) (m *Message, read []byte, used int, err error) {
 	for {
 		if len(buf) == cap(buf) {
@@ -169,7 +172,7 @@
 	return errors.As(err, &netError) && netError.Timeout()
 }
 
-// Close closes the idle connections; one in use is closed after its call.
+// Close closes the idle connections. A connection in use is closed after its call.
 func (c *Client) Close() {
 	c.closed.Store(true)
 	c.closeIdle()
--- a/httpwire/header.go
+++ b/httpwire/header.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// framing is how a message's headers say where its body ends.
+// framing is the framing of a message's body according to the message's headers.
 type framing struct {
-	length    int // bytes of the body, if hasLength
+	length    int // size of the body (bytes), if hasLength
 	hasLength bool
 	chunked   bool
 }
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// parseHeaders parses the lines after the first one.
+// parseHeaders parses the header lines, which follow the first line.
 func (m *Message) parseHeaders(headers string) (framing, error) {
 	var f framing
 	for headers != "" {
@@ -81,14 +81,14 @@
 			return framing{}, err
 		}
 	}
-	// Two parsers could take a message with both for different ones.
+	// Two parsers could read a message with both headers as different messages.
 	if f.chunked && f.hasLength {
 		return framing{}, ErrMalformed
 	}
 	return f, nil
 }
 
-// applyHeader takes in one header; those that ravenport does not use are ignored.
+// applyHeader processes one header. Headers that ravenport does not use are ignored.
 func (m *Message) applyHeader(f *framing, name, value string) error {
 	switch {
 	case strings.EqualFold(name, "content-length"):
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// applyConnection takes in the options of a Connection header.
+// applyConnection processes the options of a Connection header.
 func (m *Message) applyConnection(value string) {
 	for _, option := range strings.Split(value, ",") {
 		option = strings.TrimSpace(option)
--- a/httpwire/message.go
+++ b/httpwire/message.go
@@ -1,5 +1,6 @@
-// Package httpwire is ravenport's own HTTP/1.1: an incremental parser and a writer for
-// both sides of a connection, and a small pooling client.
+// Package httpwire implements the part of HTTP/1.1 that ravenport uses: an incremental
+// parser and a writer for both sides of a connection, and a small client with a
+// connection pool.
 package httpwire
 
 import (
@@ -8,7 +9,7 @@
 	"strings"
 )
 
-// Errors of the parser. The caller closes the connection after either.
+// Errors of the parser. The caller closes the connection after either of them.
 var (
 	ErrMalformed = errors.New("httpwire: malformed message")
 	ErrTooLarge  = errors.New("httpwire: message too large")
@@ -16,21 +17,21 @@
 
 // Limits bound the size of one message.
 type Limits struct {
-	Header int // of the first line and all headers (bytes)
-	Body   int // of the body (bytes); 0: no limit
+	Header int // maximum size of the first line and all headers (bytes)
+	Body   int // maximum size of the body (bytes); 0 means no limit
 }
 
 // Message is a parsed request or response. Its fields do not alias the parser's input.
 type Message struct {
-	Method     string // of a request
-	Target     string // of a request
-	Status     int    // of a response
+	Method     string // only in a request
+	Target     string // only in a request
+	Status     int    // only in a response
 	Body       []byte
 	RetryAfter string
-	Close      bool // the sender will close the connection, or wants it closed
+	Close      bool // the sender will close the connection, or asks the receiver to close it
 }
 
-// messageKind says which first line a message has.
+// messageKind determines the format of a message's first line.
 type messageKind int
 
 const (
@@ -43,17 +44,17 @@
 	headerEnd = []byte("\r\n\r\n")
 )
 
-// maxLeadingBlankBytes is how many bytes of empty lines may precede a message.
+// maxLeadingBlankBytes is the maximum number of bytes of empty lines before a message.
 const maxLeadingBlankBytes = 4
 
-// ParseRequest parses one request from the start of buf. It returns the number of bytes
-// used, and 0 with a nil message if the request is not complete yet.
+// ParseRequest parses one request from the start of buf. It returns the request and the
+// number of bytes used, or nil and 0 while the request is incomplete.
 func ParseRequest(buf []byte, limits Limits) (*Message, int, error) {
 	return parse(buf, limits, requestKind)
 }
 
-// ParseResponse is like ParseRequest for responses whose body has a Content-Length or is
-// chunked.
+// ParseResponse is like ParseRequest, for responses whose body has a Content-Length or
+// is chunked.
 func ParseResponse(buf []byte, limits Limits) (*Message, int, error) {
 	return parse(buf, limits, responseKind)
 }
--- a/httpwire/message_test.go
+++ b/httpwire/message_test.go
@@ -12,7 +12,8 @@
 
 var limits = Limits{Header: 4 << 10, Body: 64 << 10}
 
-// However the bytes arrive, a request is parsed once, whole and the same.
+// A request is parsed only once all of its bytes have arrived, wherever it is split,
+// and the bytes that follow the request are not used.
 func TestRequestInAnySplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		method := rapid.SampledFrom([]string{"GET", "POST", "DELETE"}).Draw(t, "method")
@@ -57,7 +58,7 @@
 	})
 }
 
-// A chunked body is joined; it never exceeds the limit.
+// The chunks of a body are joined. A body over the limit is refused.
 func TestChunkedBody(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var raw, want bytes.Buffer
@@ -91,7 +92,7 @@
 	return hex(n/16) + digits[n%16:n%16+1]
 }
 
-// No bytes make the parser panic or read past its input.
+// Whatever its input, the parser neither panics nor uses more bytes than there are.
 func TestParserOnAnyBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		input := rapid.OneOf(
@@ -114,7 +115,7 @@
 		"unknown version":          "GET / HTTP/2.0\r\n\r\n",
 		"space in a header's name": "GET / HTTP/1.1\r\nA b: c\r\n\r\n",
 		"body over the limit":      "POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n",
-		"endless headers":          "GET / HTTP/1.1\r\n" + strings.Repeat("a: b\r\n", 2000),
+		"headers over the limit":   "GET / HTTP/1.1\r\n" + strings.Repeat("a: b\r\n", 2000),
 	} {
 		if _, _, err := ParseRequest([]byte(raw), limits); err == nil {
 			t.Errorf("%s was accepted", name)
--- a/httpwire/writer.go
+++ b/httpwire/writer.go
@@ -7,7 +7,8 @@
 
 const contentTypeJSON = "application/json"
 
-// AppendRequest appends a request to dst. A nil body sends no Content-Length.
+// AppendRequest appends a request to dst. If body is nil, the request has no
+// Content-Type and no Content-Length.
 func AppendRequest(dst []byte, method, target, host string, body []byte) []byte {
 	dst = append(dst, method...)
 	dst = append(dst, ' ')
@@ -22,14 +23,14 @@
 	return append(dst, body...)
 }
 
-// Response is a response to be sent.
+// Response is a response to send.
 type Response struct {
 	Status      int
 	Body        []byte
-	ContentType string // empty: application/json
-	RetryAfterS int    // 0: no such header
-	Allow       string // methods allowed, for status 405
-	Close       bool   // the connection ends with this response
+	ContentType string // application/json if empty
+	RetryAfterS int    // no Retry-After header if 0
+	Allow       string // allowed methods, for status 405
+	Close       bool   // the connection is closed after this response
 }
 
 // AppendResponse appends a response to dst.
@@ -61,7 +62,8 @@
 	return append(dst, r.Body...)
 }
 
-// reasonPhrase is the text after a status. The texts of net/http differ for 413 and 422.
+// reasonPhrase returns the text after a status code. The texts of net/http differ for
+// 413 and 422.
 func reasonPhrase(status int) string {
 	switch status {
 	case http.StatusOK:
