--- a/httpwire/body.go
+++ b/httpwire/body.go
@@ -7,14 +7,15 @@
 )
 
 const (
-	// maxChunkLine bounds the line with a chunk's size and extensions (bytes).
+	// maxChunkLine is the maximum length of the line with a chunk's size and extensions
+	// (bytes).
 	maxChunkLine = 256
-	// maxTrailerLine bounds a line of the trailers (bytes).
+	// maxTrailerLine is the maximum length of a trailer line (bytes).
 	maxTrailerLine = 4096
 )
 
 // parseBody parses a body from the start of buf and returns the number of bytes used.
-// limit is the largest body (bytes); 0: no limit.
+// limit is the maximum size of the body (bytes); 0 means no limit.
 func (f framing) parseBody(buf []byte, limit int) (body []byte, used int, complete bool, err error) {
 	if f.chunked {
 		return parseChunkedBody(buf, limit)
@@ -33,38 +34,38 @@
 
 // parseChunkedBody is parseBody for a chunked body.
 func parseChunkedBody(buf []byte, limit int) (body []byte, used int, complete bool, err error) {
-	at := 0
+	offset := 0
 	for {
-		size, n, err := parseChunkSize(buf[at:])
+		size, n, err := parseChunkSize(buf[offset:])
 		if err != nil || n == 0 {
 			return nil, 0, false, err
 		}
-		at += n
+		offset += n
 		if size == 0 {
 			break
 		}
 		if limit > 0 && len(body)+size > limit {
 			return nil, 0, false, ErrTooLarge
 		}
-		end := at + size
+		end := offset + size
 		if len(buf) < end+len(lineEnd) {
 			return nil, 0, false, nil
 		}
-		body = append(body, buf[at:end]...)
+		body = append(body, buf[offset:end]...)
 		if !bytes.HasPrefix(buf[end:], lineEnd) {
 			return nil, 0, false, ErrMalformed
 		}
-		at = end + len(lineEnd)
+		offset = end + len(lineEnd)
 	}
-	n, err := skipTrailers(buf[at:])
+	n, err := skipTrailers(buf[offset:])
 	if err != nil || n == 0 {
 		return nil, 0, false, err
 	}
-	return body, at + n, true, nil
+	return body, offset + n, true, nil
 }
 
-// parseChunkSize parses the line before a chunk and returns the number of bytes used, 0
-// if the line is not complete yet.
+// parseChunkSize parses the line before a chunk and returns the chunk's size and the
+// number of bytes used, which is 0 while the line is incomplete.
 func parseChunkSize(buf []byte) (size, used int, err error) {
 	end := bytes.Index(buf, lineEnd)
 	if end < 0 {
@@ -81,21 +82,21 @@
 	return int(parsed), end + len(lineEnd), nil
 }
 
-// skipTrailers returns the number of bytes of the trailers and the empty line after them,
-// 0 if they are not complete yet.
+// skipTrailers returns the number of bytes of the trailers and the empty line after
+// them, or 0 while they are incomplete.
 func skipTrailers(buf []byte) (int, error) {
-	at := 0
+	offset := 0
 	for {
-		length := bytes.Index(buf[at:], lineEnd)
+		length := bytes.Index(buf[offset:], lineEnd)
 		if length < 0 {
-			if len(buf)-at > maxTrailerLine {
+			if len(buf)-offset > maxTrailerLine {
 				return 0, ErrMalformed
 			}
 			return 0, nil
 		}
-		at += length + len(lineEnd)
+		offset += length + len(lineEnd)
 		if length == 0 {
-			return at, nil
+			return offset, nil
 		}
 	}
 }
