--- a/server/connections.go
+++ b/server/connections.go
@@ -29,19 +29,19 @@
 	state := &connState{lastEventAt: time.Now()}
 	s.conns[c] = state
 	c.SetContext(state)
-	s.updateCrowded()
+	s.updateNearlyFull()
 	return nil, gnet.None
 }
 
 // OnClose implements gnet.EventHandler.
 func (s *Server) OnClose(c gnet.Conn, _ error) gnet.Action {
 	delete(s.conns, c)
-	s.updateCrowded()
+	s.updateNearlyFull()
 	return gnet.None
 }
 
-func (s *Server) updateCrowded() {
-	s.crowded.Store(len(s.conns) > s.maxConns*constants.ServerCrowdedEighths/8+1)
+func (s *Server) updateNearlyFull() {
+	s.nearlyFull.Store(len(s.conns) > s.maxConns*constants.ServerCrowdedEighths/8+1)
 }
 
 // reclaimConn closes the connection that has idled longest, if it has idled so long that
--- a/server/request.go
+++ b/server/request.go
@@ -19,45 +19,45 @@
 // Request is a request and the connection to respond on.
 type Request struct {
 	*httpwire.Message
-	conn     gnet.Conn
-	srv      *Server
-	answered atomic.Bool
+	conn      gnet.Conn
+	srv       *Server
+	responded atomic.Bool
 }
 
 // OnTraffic implements gnet.EventHandler. Requests of one connection are handled one at a
 // time: clients do not pipeline, and responses must keep the order of the requests.
-func (s *Server) OnTraffic(c gnet.Conn) gnet.Action {
-	state, ok := c.Context().(*connState)
+func (s *Server) OnTraffic(conn gnet.Conn) gnet.Action {
+	state, ok := conn.Context().(*connState)
 	if !ok {
 		return gnet.Close
 	}
 	if state.busy {
-		if c.InboundBuffered() > constants.MaxRequestBody+constants.MaxHeaderBytes {
+		if conn.InboundBuffered() > constants.MaxRequestBody+constants.MaxHeaderBytes {
 			return gnet.Close
 		}
 		return gnet.None
 	}
-	if c.InboundBuffered() == 0 {
+	if conn.InboundBuffered() == 0 {
 		return gnet.None
 	}
-	buf, err := c.Peek(-1)
+	buf, err := conn.Peek(-1)
 	if err != nil {
 		return gnet.Close
 	}
 	message, used, err := httpwire.ParseRequest(buf, httpwire.Limits{Header: constants.MaxHeaderBytes, Body: constants.MaxRequestBody})
 	if err != nil {
-		refuseMalformed(c)
+		refuseMalformed(conn)
 		return gnet.Close
 	}
 	if used == 0 {
 		return gnet.None // the request is not complete yet
 	}
-	if _, err := c.Discard(used); err != nil {
+	if _, err := conn.Discard(used); err != nil {
 		return gnet.Close
 	}
 	state.busy = true
 	state.lastEventAt = time.Now()
-	s.handle(&Request{Message: message, conn: c, srv: s})
+	s.handle(&Request{Message: message, conn: conn, srv: s})
 	return gnet.None
 }
 
@@ -73,10 +73,10 @@
 // Respond sends the response. It may be called from any goroutine; only the first call
 // has an effect.
 func (r *Request) Respond(response *httpwire.Response) {
-	if r.answered.Swap(true) {
+	if r.responded.Swap(true) {
 		return
 	}
-	response.Close = response.Close || r.Close || r.srv.crowded.Load()
+	response.Close = response.Close || r.Close || r.srv.nearlyFull.Load()
 	closing := response.Close
 	buf := httpwire.AppendResponse(make([]byte, 0, responseHeaderBytes+len(response.Body)), response)
 	// The callback runs on the event loop, which owns the connection's state.
--- a/server/server.go
+++ b/server/server.go
@@ -30,9 +30,9 @@
 	conns              map[gnet.Conn]*connState
 	eventLoopPublished bool // the event loop is on eventLoops, or was
 
-	// crowded says that nearly all sockets are in use: responses end their connections.
+	// nearlyFull says that nearly all sockets are in use: responses end their connections.
 	// The event loop sets it, any goroutine reads it.
-	crowded atomic.Bool
+	nearlyFull atomic.Bool
 
 	// eventLoops carries the event loop, once, to the ticker's goroutine, which keeps it
 	// in tickerEventLoop.
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -122,8 +122,8 @@
 		t.Fatal(err)
 	}
 	expectResponse(t, in, "200", "GET /1")
-	_, over := dial(t, addr)
-	if _, err := over.ReadByte(); err == nil {
+	_, overLimit := dial(t, addr)
+	if _, err := overLimit.ReadByte(); err == nil {
 		t.Error("a connection over the limit was served")
 	}
 	if _, err := c.Write([]byte("GET /2 HTTP/1.1\r\n\r\n")); err != nil {
@@ -153,7 +153,7 @@
 
 // When nearly all sockets are in use, responses end their connections, so that clients
 // between two heartbeats or polls shut nobody out; with fewer in use connections stay open.
-func TestCrowdedServerClosesConnections(t *testing.T) {
+func TestNearlyFullServerClosesConnections(t *testing.T) {
 	addr := startServer(t, 20)
 	closesAfterRequest := func(c net.Conn, in *bufio.Reader) bool {
 		if _, err := c.Write([]byte("GET /x HTTP/1.1\r\nHost: h\r\n\r\n")); err != nil {
