--- a/apiserver/cancellations.go
+++ b/apiserver/cancellations.go
@@ -16,13 +16,13 @@
 // cancel answers at once if the job is known to have ended, and otherwise cancels it
 // on a goroutine of its own. Repeating a cancellation is idempotent: the response names
 // the state in which the job ended.
-func (s *Server) cancel(ctx context.Context, m Cancel) {
-	if job, ok := s.jobs[m.JobID]; ok && job.endState != "" {
-		respondEnded(m.Request, m.JobID, job.endState)
+func (s *Server) cancel(ctx context.Context, msg Cancel) {
+	if job, ok := s.jobs[msg.JobID]; ok && job.endState != "" {
+		respondEnded(msg.Request, msg.JobID, job.endState)
 		return
 	}
 	if s.pendingRequests >= constants.MaxPendingRequests {
-		rejectTooManyRequests.respond(m.Request)
+		rejectTooManyRequests.respond(msg.Request)
 		return
 	}
 	s.pendingRequests++
@@ -31,14 +31,14 @@
 		defer s.self.Tell(requestDone{})
 		ctx, cancel := context.WithTimeout(ctx, constants.UserRequestTimeout)
 		defer cancel()
-		endState, err := s.cancelJob(ctx, m.JobID, sizeLimits)
+		endState, err := s.cancelJob(ctx, msg.JobID, sizeLimits)
 		switch {
 		case err != nil:
-			rejectStoreUnavailable.respond(m.Request)
+			rejectStoreUnavailable.respond(msg.Request)
 		case endState == "":
-			rejectNoSuchID.respond(m.Request)
+			rejectNoSuchJob.respond(msg.Request)
 		default:
-			respondEnded(m.Request, m.JobID, endState)
+			respondEnded(msg.Request, msg.JobID, endState)
 		}
 	}()
 }
@@ -86,9 +86,9 @@
 // writeCancellation marks job as cancelled and writes its record, on the condition
 // that its key still has the given version. It returns the revision of the write.
 func (s *Server) writeCancellation(ctx context.Context, job *records.Job, version uint64, sizeLimits records.SizeLimits) (uint64, error) {
-	before := *job
+	previous := *job
 	job.End = wire.JobCancelled
-	value, ok := sizeLimits.Encode(job, &before)
+	value, ok := sizeLimits.Encode(job, &previous)
 	if !ok {
 		slog.Error("job's record does not fit", logkey.JobID, job.ID, "bytes", len(value))
 		return 0, kvstore.ErrRefused
--- a/apiserver/polls.go
+++ b/apiserver/polls.go
@@ -20,8 +20,8 @@
 	jobID     string
 	arrivedAt time.Time
 	revision  uint64 // that the feed must have reached; 0 before the read
-	// missing answers instead of "no such job" if the job does not exist; it may be nil.
-	missing *rejection
+	// ifNotFound answers instead of "no such job" if the job does not exist; it may be nil.
+	ifNotFound *rejection
 }
 
 // poll answers at once if the job has ended, and otherwise after a read of the store.
@@ -81,24 +81,24 @@
 	}()
 }
 
-func (s *Server) handleRevisionRead(ctx context.Context, m revisionRead) {
+func (s *Server) handleRevisionRead(ctx context.Context, result revisionRead) {
 	s.readPending = false
-	rateLimited := errors.Is(m.err, kvstore.ErrRateLimited)
-	if m.err != nil && !rateLimited {
+	rateLimited := errors.Is(result.err, kvstore.ErrRateLimited)
+	if result.err != nil && !rateLimited {
 		s.storeDownUntil = time.Now().Add(constants.StoreFailureBackoff)
 	}
-	for _, p := range m.polls {
+	for _, p := range result.polls {
 		switch {
 		case rateLimited && time.Since(p.arrivedAt) < constants.UserRequestTimeout/2:
 			// The next read serves it, with the polls that have arrived since.
 			s.pollsAwaitingRead = append(s.pollsAwaitingRead, p)
-		case m.err != nil:
+		case result.err != nil:
 			s.pendingRequests--
 			rejectStoreUnavailable.respond(p.request)
-		case m.revision <= s.appliedRevision:
+		case result.revision <= s.appliedRevision:
 			s.answerFromFeed(p)
 		default:
-			p.revision = m.revision
+			p.revision = result.revision
 			s.pollsAwaitingFeed = append(s.pollsAwaitingFeed, p)
 		}
 	}
@@ -130,18 +130,18 @@
 		// Its state is not known, but it exists.
 		rejectStoreUnavailable.respond(p.request)
 	case !known:
-		p.respondMissing()
+		p.respondNotFound()
 	default:
 		s.respondState(p, job)
 	}
 }
 
-func (p *pendingPoll) respondMissing() {
-	if p.missing != nil {
-		p.missing.respond(p.request)
+func (p *pendingPoll) respondNotFound() {
+	if p.ifNotFound != nil {
+		p.ifNotFound.respond(p.request)
 		return
 	}
-	rejectNoSuchID.respond(p.request)
+	rejectNoSuchJob.respond(p.request)
 }
 
 // respondState sends a job's state with the shards' latest counts of its tasks.
@@ -187,7 +187,7 @@
 	case err != nil:
 		rejectStoreUnavailable.respond(p.request)
 	case job == nil:
-		p.respondMissing()
+		p.respondNotFound()
 	default:
 		s.notifyIfCancelled(job, version)
 		respondJSON(p.request, http.StatusOK, summarize(job).state(p.jobID))
--- a/apiserver/relay.go
+++ b/apiserver/relay.go
@@ -20,14 +20,14 @@
 // storePath is what the API server knows of how to reach the store: directly, or
 // through relays.
 type storePath struct {
-	relays        []Relay
-	relaysNamedAt time.Time
-	directBlocked bool // the last direct write was unanswered or refused
+	relays          []Relay
+	relaysUpdatedAt time.Time
+	directBlocked   bool // the last direct write was unanswered or refused
 }
 
 // currentRelays lists the relays, if they were named recently.
 func (p *storePath) currentRelays(now time.Time) []Relay {
-	if now.Sub(p.relaysNamedAt) > constants.StoreSilenceTimeout {
+	if now.Sub(p.relaysUpdatedAt) > constants.StoreSilenceTimeout {
 		return nil
 	}
 	return p.relays
--- a/apiserver/relay_test.go
+++ b/apiserver/relay_test.go
@@ -115,7 +115,7 @@
 // The direct path is used again once the feed has brought something, and relays that
 // have not been named for a while are not used.
 func TestDirectPathIsTakenAgain(t *testing.T) {
-	r := storePath{relays: []Relay{&pathStub{}}, relaysNamedAt: time.Unix(100, 0), directBlocked: true}
+	r := storePath{relays: []Relay{&pathStub{}}, relaysUpdatedAt: time.Unix(100, 0), directBlocked: true}
 	if got := r.currentRelays(time.Unix(100, 0).Add(constants.StoreSilenceTimeout)); len(got) != 1 {
 		t.Error("a relay that was just named is not used")
 	}
--- a/apiserver/responses.go
+++ b/apiserver/responses.go
@@ -31,9 +31,9 @@
 	rejectStoreUnavailable = retryable(http.StatusServiceUnavailable, "state service away")
 	// rejectNotReady answers submissions before the machine types are known, and
 	// submissions of a job that is known but could not be found.
-	rejectNotReady = retryable(http.StatusServiceUnavailable, "not ready")
-	rejectTooLong  = permanent(http.StatusUnprocessableEntity, "too long to be stored")
-	rejectNoSuchID = permanent(http.StatusNotFound, "no such job")
+	rejectNotReady  = retryable(http.StatusServiceUnavailable, "not ready")
+	rejectTooLong   = permanent(http.StatusUnprocessableEntity, "too long to be stored")
+	rejectNoSuchJob = permanent(http.StatusNotFound, "no such job")
 )
 
 func retryable(status int, text string) rejection {
--- a/apiserver/server.go
+++ b/apiserver/server.go
@@ -74,35 +74,35 @@
 
 // Receive implements actor.Handler.
 func (s *Server) Receive(ctx context.Context, msg any) {
-	switch m := msg.(type) {
+	switch msg := msg.(type) {
 	case records.Update:
-		s.applyUpdate(m)
+		s.applyUpdate(msg)
 	case Submit:
-		s.submit(ctx, m)
+		s.submit(ctx, msg)
 	case Poll:
-		s.poll(ctx, &pendingPoll{request: m.Request, jobID: m.JobID})
+		s.poll(ctx, &pendingPoll{request: msg.Request, jobID: msg.JobID})
 	case Cancel:
-		s.cancel(ctx, m)
+		s.cancel(ctx, msg)
 	case GetMetrics:
-		s.respondMetrics(m.Request)
+		s.respondMetrics(msg.Request)
 	case MachineTypes:
-		s.machineTypes = m
+		s.machineTypes = msg
 	case ShardCounts:
-		s.countsByShard[m.Shard] = m.ByJob
+		s.countsByShard[msg.Shard] = msg.ByJob
 	case SetRelays:
-		s.path.relays = m.Relays
-		s.path.relaysNamedAt = time.Now()
+		s.path.relays = msg.Relays
+		s.path.relaysUpdatedAt = time.Now()
 	case PackingEnabled:
 		s.sizeLimits.PackingEnabled = true
 	case Tick:
-		s.readOverduePolls(ctx, time.Time(m))
+		s.readOverduePolls(ctx, time.Time(msg))
 	case revisionRead:
-		s.handleRevisionRead(ctx, m)
+		s.handleRevisionRead(ctx, msg)
 	case readDue:
 		s.readPending = false
 		s.readRevision(ctx)
 	case submissionWritten:
-		s.handleSubmissionWritten(ctx, m)
+		s.handleSubmissionWritten(ctx, msg)
 	case requestDone:
 		s.pendingRequests--
 	}
--- a/apiserver/submissions.go
+++ b/apiserver/submissions.go
@@ -17,10 +17,10 @@
 
 // submit accepts a job by creating its record. It is idempotent: a repeated submission
 // of a known job is answered with the job's state.
-func (s *Server) submit(ctx context.Context, m Submit) {
-	submission, jobID, err := wire.ParseSubmission(m.Body)
+func (s *Server) submit(ctx context.Context, msg Submit) {
+	submission, jobID, err := wire.ParseSubmission(msg.Body)
 	if err != nil && jobID == "" {
-		rejectMalformed(err).respond(m.Request)
+		rejectMalformed(err).respond(msg.Request)
 		return
 	}
 	var rejected *rejection
@@ -32,25 +32,25 @@
 	if rejected != nil {
 		// A job that was accepted before is answered with its state even if its
 		// submission would be rejected now.
-		s.poll(ctx, &pendingPoll{request: m.Request, jobID: jobID, missing: rejected})
+		s.poll(ctx, &pendingPoll{request: msg.Request, jobID: jobID, ifNotFound: rejected})
 		return
 	}
 	if _, known := s.jobs[jobID]; known {
-		s.poll(ctx, &pendingPoll{request: m.Request, jobID: jobID, missing: &rejectNotReady})
+		s.poll(ctx, &pendingPoll{request: msg.Request, jobID: jobID, ifNotFound: &rejectNotReady})
 		return
 	}
 	if s.pendingRequests >= constants.MaxPendingRequests {
-		rejectTooManyRequests.respond(m.Request)
+		rejectTooManyRequests.respond(msg.Request)
 		return
 	}
 	arrivedAt := time.Now()
 	relays := s.path.currentRelays(arrivedAt)
 	if arrivedAt.Before(s.storeDownUntil) && len(relays) == 0 {
-		rejectStoreUnavailable.respond(m.Request)
+		rejectStoreUnavailable.respond(msg.Request)
 		return
 	}
 	s.pendingRequests++
-	s.startSubmission(ctx, submissionWritten{submission: submission, request: m.Request, arrivedAt: arrivedAt}, relays)
+	s.startSubmission(ctx, submissionWritten{submission: submission, request: msg.Request, arrivedAt: arrivedAt}, relays)
 }
 
 // startSubmission writes the record of result's submission on a goroutine of its own,
@@ -73,27 +73,27 @@
 	}()
 }
 
-func (s *Server) handleSubmissionWritten(ctx context.Context, m submissionWritten) {
+func (s *Server) handleSubmissionWritten(ctx context.Context, result submissionWritten) {
 	s.pendingRequests--
-	if m.directBlocked {
+	if result.directBlocked {
 		s.path.directBlocked = true
 	}
-	jobID := m.submission.ID
-	elapsed := time.Since(m.arrivedAt)
+	jobID := result.submission.ID
+	elapsed := time.Since(result.arrivedAt)
 	switch {
-	case m.err == nil:
+	case result.err == nil:
 		s.stats.accepted++
 		s.stats.submit.observe(elapsed)
-		slog.Debug("job accepted", logkey.JobID, jobID, "class", m.submission.Class, "tasks", m.submission.Tasks, "took_ms", elapsed.Milliseconds())
-		respondJSON(m.request, http.StatusCreated, wire.JobReply{ID: jobID, Status: wire.JobQueued})
-	case isConflict(m.err):
+		slog.Debug("job accepted", logkey.JobID, jobID, "class", result.submission.Class, "tasks", result.submission.Tasks, "took_ms", elapsed.Milliseconds())
+		respondJSON(result.request, http.StatusCreated, wire.JobReply{ID: jobID, Status: wire.JobQueued})
+	case isConflict(result.err):
 		// The record exists already.
-		s.poll(ctx, &pendingPoll{request: m.request, jobID: jobID, missing: &rejectNotReady})
+		s.poll(ctx, &pendingPoll{request: result.request, jobID: jobID, ifNotFound: &rejectNotReady})
 	default:
 		// The record may have been written all the same; then the user's repeated
 		// submission finds it.
 		s.stats.refused++
-		s.rejectUnwritten(m, elapsed)
+		s.rejectUnwritten(result, elapsed)
 	}
 }
 
