--- a/apiserver/polls_test.go
+++ b/apiserver/polls_test.go
@@ -56,12 +56,12 @@
 		self.Tell(update)
 		go self.Run(ctx, server)
 		answeredAt := make([]time.Time, jobs)
-		began := time.Now()
+		start := time.Now()
 		for i := range answeredAt {
-			answeredAt[i] = began
+			answeredAt[i] = start
 		}
 		refused := 0
-		for time.Since(began) < 4*time.Minute {
+		for time.Since(start) < 4*time.Minute {
 			for i := range jobs {
 				self.Tell(Poll{Request: responder{func(r *httpwire.Response) {
 					if r.Status == 200 {
--- a/apiserver/relay_test.go
+++ b/apiserver/relay_test.go
@@ -42,8 +42,8 @@
 // A submission is written through another controller when only this one cannot reach
 // the store, and refused at once when none can.
 func TestRelayedSubmission(t *testing.T) {
-	limited := fmt.Errorf("%w: %w", kvstore.ErrRefused, kvstore.ErrRateLimited)
-	for _, c := range []struct {
+	rateLimited := fmt.Errorf("%w: %w", kvstore.ErrRefused, kvstore.ErrRateLimited)
+	for _, test := range []struct {
 		name         string
 		directErr    error
 		relayErrs    []error
@@ -57,54 +57,54 @@
 		{"first relay unreachable too", kvstore.ErrRefused, []error{kvstore.ErrOutcomeUnknown, nil}, 201, 1, []int{2, 2}},
 		{"no path works", kvstore.ErrRefused, []error{kvstore.ErrRefused, kvstore.ErrRefused}, 503, 1, []int{2, 2}},
 		{"no relay known", kvstore.ErrRefused, nil, 503, 1, nil}, // the second is refused without a write
-		{"rate limited only", limited, []error{nil}, 503, 2, []int{0}},
+		{"rate limited only", rateLimited, []error{nil}, 503, 2, []int{0}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				set := &settings.Settings{}
 				set.Deployment.Teams = []settings.Team{{Name: "team"}}
 				set.Deployment.Zones = []string{"a"}
-				direct := &pathStub{err: c.directErr}
+				direct := &pathStub{err: test.directErr}
 				self := actor.NewRef()
 				server := New(set, direct, self, actor.NewRef())
 				server.sizeLimits = records.SizeLimits{Current: 8192, Next: 8192}
 				var relays []*pathStub
-				var to []Relay
-				for _, err := range c.relayErrs {
+				var relayList []Relay
+				for _, err := range test.relayErrs {
 					w := &pathStub{err: err}
 					relays = append(relays, w)
-					to = append(to, w)
+					relayList = append(relayList, w)
 				}
 				self.Tell(MachineTypes{{Name: "box", CPUs: 8, MemoryGB: 32, Zones: []string{"a"}}})
-				self.Tell(SetRelays{Relays: to})
+				self.Tell(SetRelays{Relays: relayList})
 				go self.Run(ctx, server)
 				for i := range 2 {
 					answers := make(chan *httpwire.Response, 1)
-					began := time.Now()
+					start := time.Now()
 					self.Tell(Submit{Request: responder{func(r *httpwire.Response) { answers <- r }}, Body: submission(fmt.Sprintf("run-00000%d", i))})
 					got := <-answers // without an answer the test ends in a deadlock, which fails it
-					if got.Status != c.status {
-						t.Fatalf("submission %d: answered %+v, wanted %d", i, got, c.status)
+					if got.Status != test.status {
+						t.Fatalf("submission %d: answered %+v, wanted %d", i, got, test.status)
 					}
 					synctest.Wait()
-					if c.status != 201 && got.RetryAfterS == 0 {
+					if test.status != 201 && got.RetryAfterS == 0 {
 						t.Error("refused without Retry-After")
 					}
-					if took := time.Since(began); took > constants.RateLimitWait+constants.UserRequestTimeout/2 {
-						t.Errorf("answered after %s", took)
+					if elapsed := time.Since(start); elapsed > constants.RateLimitWait+constants.UserRequestTimeout/2 {
+						t.Errorf("answered after %s", elapsed)
 					}
 				}
-				if c.directErr == limited {
-					c.directWrites = direct.writes // it is retried for a short while, directly alone
+				if test.directErr == rateLimited {
+					test.directWrites = direct.writes // it is retried for a short while, directly alone
 				}
-				if direct.writes != c.directWrites {
-					t.Errorf("%d direct writes, wanted %d", direct.writes, c.directWrites)
+				if direct.writes != test.directWrites {
+					t.Errorf("%d direct writes, wanted %d", direct.writes, test.directWrites)
 				}
 				for i, w := range relays {
-					if w.writes != c.relayWrites[i] {
-						t.Errorf("relay %d got %d writes, wanted %d", i, w.writes, c.relayWrites[i])
+					if w.writes != test.relayWrites[i] {
+						t.Errorf("relay %d got %d writes, wanted %d", i, w.writes, test.relayWrites[i])
 					}
 				}
 			})
--- a/peer/detection_test.go
+++ b/peer/detection_test.go
@@ -17,7 +17,7 @@
 	sent := detector.Message{Controller: "n-0", Heartbeat: detector.Heartbeat{Incarnation: 7, Refutation: 1, Sequence: 3, Stalled: []string{"leader"}},
 		Accusations: []detector.Accusation{{Controller: "n-2", Incarnation: 9, Refutation: 2, Evidence: []detector.Evidence{detector.Unserved}}}}
 	reply := detector.Message{Controller: "n-1", Heartbeat: detector.Heartbeat{Incarnation: 8, Sequence: 1}}
-	on := serve(t, Handlers{Status: status, Detection: DetectionHandlers{
+	enabled := serve(t, Handlers{Status: status, Detection: DetectionHandlers{
 		Heartbeat: func(_ context.Context, m detector.Message) (detector.Message, error) {
 			if !reflect.DeepEqual(m, sent) {
 				t.Errorf("%+v became %+v", sent, m)
@@ -32,26 +32,26 @@
 		},
 	}})
 	ctx := t.Context()
-	if got, err := on.Heartbeat(ctx, sent); err != nil || !reflect.DeepEqual(got, reply) {
+	if got, err := enabled.Heartbeat(ctx, sent); err != nil || !reflect.DeepEqual(got, reply) {
 		t.Errorf("%+v, %v", got, err)
 	}
-	if got, err := on.Probe(ctx, ProbeRequest{Controller: "n-0", Target: "n-2"}); err != nil || got.Heartbeat != nil {
+	if got, err := enabled.Probe(ctx, ProbeRequest{Controller: "n-0", Target: "n-2"}); err != nil || got.Heartbeat != nil {
 		t.Errorf("%+v, %v", got, err)
 	}
-	off := serve(t, Handlers{Status: status})
-	if _, err := off.Heartbeat(ctx, sent); !errors.Is(err, ErrDetectionDisabled) {
+	disabled := serve(t, Handlers{Status: status})
+	if _, err := disabled.Heartbeat(ctx, sent); !errors.Is(err, ErrDetectionDisabled) {
 		t.Errorf("detection is off there: %v", err)
 	}
-	if _, err := off.Probe(ctx, ProbeRequest{}); !errors.Is(err, ErrDetectionDisabled) {
+	if _, err := disabled.Probe(ctx, ProbeRequest{}); !errors.Is(err, ErrDetectionDisabled) {
 		t.Errorf("detection is off there: %v", err)
 	}
 	unreachable, err := Dial("127.0.0.1:1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	short, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
+	shortCtx, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 	defer cancel()
-	if _, err := unreachable.Heartbeat(short, sent); err == nil || errors.Is(err, ErrDetectionDisabled) {
+	if _, err := unreachable.Heartbeat(shortCtx, sent); err == nil || errors.Is(err, ErrDetectionDisabled) {
 		t.Errorf("unreachable controller: %v", err)
 	}
 }
--- a/peer/relay_test.go
+++ b/peer/relay_test.go
@@ -17,7 +17,7 @@
 func TestRelayedOutcomes(t *testing.T) {
 	txn := wire.Txn{Conditions: []wire.Condition{{Key: "k"}}, Changes: []wire.Change{{Put: "k", Value: []byte(`{"a":1}`)}}}
 	results := make(chan error, 1)
-	c := serve(t, Handlers{
+	client := serve(t, Handlers{
 		Status: func(Status) StatusReply { return StatusReply{} },
 		Commit: func(_ context.Context, got wire.Txn) CommitReply {
 			if !reflect.DeepEqual(got, txn) {
@@ -30,20 +30,20 @@
 	for _, want := range []error{nil, kvstore.ErrRefused, fmt.Errorf("%w: %w", kvstore.ErrRefused, kvstore.ErrRateLimited), kvstore.ErrOutcomeUnknown, kvstore.ErrInvalidRequest,
 		&kvstore.ConflictError{Keys: []string{"k"}}, errors.New("something else")} {
 		results <- want
-		revision, err := c.Commit(t.Context(), txn)
+		revision, err := client.Commit(t.Context(), txn)
 		if want == nil {
 			if err != nil || revision != 7 {
 				t.Errorf("written became %d, %v", revision, err)
 			}
 			continue
 		}
-		var was, is *kvstore.ConflictError
-		if errors.As(want, &was) != errors.As(err, &is) || was != nil && !reflect.DeepEqual(was, is) {
+		var wantConflict, gotConflict *kvstore.ConflictError
+		if errors.As(want, &wantConflict) != errors.As(err, &gotConflict) || wantConflict != nil && !reflect.DeepEqual(wantConflict, gotConflict) {
 			t.Errorf("%v became %v", want, err)
 		}
 		for _, kind := range kinds {
-			known := errors.Is(want, kind) || kind == kvstore.ErrOutcomeUnknown && want.Error() == "something else"
-			if errors.Is(err, kind) != known {
+			wantMatch := errors.Is(want, kind) || kind == kvstore.ErrOutcomeUnknown && want.Error() == "something else"
+			if errors.Is(err, kind) != wantMatch {
 				t.Errorf("%v became %v", want, err)
 			}
 		}
--- a/peer/server.go
+++ b/peer/server.go
@@ -45,7 +45,7 @@
 // unaryMethod describes a method with one request and one reply. handlerOf returns the
 // method's handler, or the error that answers all calls where the method is off.
 func unaryMethod[Request, Reply any](name string, handlerOf func(Handlers) (methodHandler[Request, Reply], error)) grpc.MethodDesc {
-	answer := func(srv any, ctx context.Context, decode func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
+	handler := func(srv any, ctx context.Context, decode func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
 		handle, err := handlerOf(srv.(Handlers))
 		if err != nil {
 			return nil, err
@@ -57,7 +57,7 @@
 		reply, err := handle(ctx, request)
 		return &reply, err
 	}
-	return grpc.MethodDesc{MethodName: name, Handler: answer}
+	return grpc.MethodDesc{MethodName: name, Handler: handler}
 }
 
 // Serve answers other controllers on addr until ctx ends.
--- a/peer/status_test.go
+++ b/peer/status_test.go
@@ -16,14 +16,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var was struct {
+	var previous struct {
 		Status []json.RawMessage `json:"status"`
 		Reply  []json.RawMessage `json:"reply"`
 	}
-	if err := json.Unmarshal(text, &was); err != nil {
+	if err := json.Unmarshal(text, &previous); err != nil {
 		t.Fatal(err)
 	}
-	same := func(raw json.RawMessage, v any) {
+	expectRoundTrip := func(raw json.RawMessage, v any) {
 		t.Helper()
 		if err := (codec{}).Unmarshal(raw, v); err != nil {
 			t.Fatal(err)
@@ -38,9 +38,9 @@
 		}
 	}
 	aggregates := 0
-	for _, raw := range was.Status {
+	for _, raw := range previous.Status {
 		var s Status
-		same(raw, &s)
+		expectRoundTrip(raw, &s)
 		aggregates += len(s.Aggregates)
 		for _, a := range s.Aggregates {
 			if a.Shard == "" || a.Gangs != nil {
@@ -48,19 +48,19 @@
 			}
 		}
 	}
-	if aggregates == 0 || len(was.Reply) == 0 {
+	if aggregates == 0 || len(previous.Reply) == 0 {
 		t.Fatal("no messages to read")
 	}
-	same(was.Reply[0], &StatusReply{})
+	expectRoundTrip(previous.Reply[0], &StatusReply{})
 	// And the other way round: the version before ignores fields it does not know.
-	var frozen struct {
+	var previousStatus struct {
 		Aggregates []struct {
 			Shard string  `json:"part"`
 			Wait  float64 `json:"wait"`
 		} `json:"agg"`
 	}
 	b, err := codec{}.Marshal(Status{Aggregates: []leader.Aggregate{{Shard: "a", WaitingCPUs: 3, Gangs: map[string]leader.GangCapacity{"x": {Now: 1}}, ReservedForGangs: 2}}})
-	if err != nil || json.Unmarshal(b, &frozen) != nil || frozen.Aggregates[0].Shard != "a" || frozen.Aggregates[0].Wait != 3 {
+	if err != nil || json.Unmarshal(b, &previousStatus) != nil || previousStatus.Aggregates[0].Shard != "a" || previousStatus.Aggregates[0].Wait != 3 {
 		t.Fatalf("%s: %v", b, err)
 	}
 }
