--- a/worker/client.go
+++ b/worker/client.go
@@ -17,8 +17,8 @@
 // Client sends commands to workers and keeps connections to those that it called last.
 // It belongs to one actor and is not safe for concurrent use.
 type Client struct {
-	clients map[string]*httpwire.Client // by address
-	recent  []string                    // addresses with a client, the oldest first
+	clients   map[string]*httpwire.Client // by address
+	dialOrder []string                    // addresses with a client, the oldest first
 }
 
 // NewClient makes a client without connections.
@@ -50,9 +50,9 @@
 	client := httpwire.NewClient(addr, 1, constants.DialTimeout,
 		httpwire.Limits{Header: constants.MaxHeaderBytes, Body: constants.MaxResponseBody})
 	c.clients[addr] = client
-	c.recent = append(c.recent, addr)
-	for len(c.recent) > constants.MaxIdleWorkerConns {
-		c.Forget(c.recent[0])
+	c.dialOrder = append(c.dialOrder, addr)
+	for len(c.dialOrder) > constants.MaxIdleWorkerConns {
+		c.Forget(c.dialOrder[0])
 	}
 	return client
 }
@@ -99,8 +99,8 @@
 	}
 	client.Close()
 	delete(c.clients, addr)
-	if i := slices.Index(c.recent, addr); i >= 0 {
-		c.recent = slices.Delete(c.recent, i, i+1)
+	if i := slices.Index(c.dialOrder, addr); i >= 0 {
+		c.dialOrder = slices.Delete(c.dialOrder, i, i+1)
 	}
 }
 
--- a/worker/client_test.go
+++ b/worker/client_test.go
@@ -39,7 +39,7 @@
 				go func() {
 					defer open.Add(-1)
 					defer c.Close()
-					answer(c)
+					respondWithHeartbeats(c)
 				}()
 			}
 		}()
@@ -63,8 +63,8 @@
 	}
 }
 
-// answer answers every request with a worker's heartbeat.
-func answer(c net.Conn) {
+// respondWithHeartbeats answers every request with a worker's heartbeat.
+func respondWithHeartbeats(c net.Conn) {
 	body := `{"host":"m-1","shift":1,"tally":1,"baton":1}`
 	buf := make([]byte, 4096)
 	for {
