--- a/actor/actor.go
+++ b/actor/actor.go
@@ -16,21 +16,21 @@
 
 // Ref is an actor's address and mailbox. It is safe for concurrent use.
 type Ref struct {
-	mu     sync.Mutex // guards the queue alone; no actor's state is shared
+	mu     sync.Mutex // guards queue only; an actor's own state is not shared
 	queue  []any
 	signal chan struct{} // holds a value when the queue may have messages
 
-	// Messages over the actor's life.
+	// Counts of messages over the actor's lifetime.
 	sent    atomic.Uint64
 	handled atomic.Uint64
 }
 
-// NewRef makes an address whose actor starts with Run.
+// NewRef returns the address of an actor that starts when Run is called.
 func NewRef() *Ref { return &Ref{signal: make(chan struct{}, 1)} }
 
-// Tell sends a message to the actor. It never blocks, since the mailbox has no bound, so
-// actors may send to each other in circles. Whoever accepts requests from outside the
-// process bounds their number.
+// Tell sends a message to the actor. The mailbox is unbounded, so Tell never blocks, and
+// actors that send messages to each other in a cycle cannot deadlock. Actors that accept
+// requests from outside the process must limit the number of pending requests.
 func (r *Ref) Tell(msg any) {
 	r.mu.Lock()
 	r.queue = append(r.queue, msg)
@@ -42,8 +42,8 @@
 	}
 }
 
-// Run handles messages until ctx ends. A batch of messages that has been taken from the
-// mailbox is handled to its end.
+// Run handles messages until ctx is done. It checks ctx only when the mailbox is empty, so
+// every message that was taken from the mailbox is handled.
 func (r *Ref) Run(ctx context.Context, h Handler) {
 	for {
 		select {
--- a/actor/progress.go
+++ b/actor/progress.go
@@ -2,7 +2,7 @@
 
 // Progress counts an actor's messages.
 type Progress struct {
-	Handled uint64 // over the actor's life
+	Handled uint64 // over the actor's lifetime
 	Pending int    // in the mailbox or being handled
 }
 
--- a/cloud/client.go
+++ b/cloud/client.go
@@ -18,17 +18,17 @@
 
 // Errors of calls to the cloud; test for them with errors.Is.
 var (
-	// ErrNoCapacity: the cloud has no machine of the requested type at present.
+	// ErrNoCapacity means that the cloud currently has no machine of the requested type.
 	ErrNoCapacity = errors.New("cloud: no capacity")
-	// ErrTransient: the call failed or was not answered, and may be retried; a scale-out
-	// under the same request ID.
+	// ErrTransient means that the call failed or got no response. The call may be
+	// retried; a scale-out must be retried under the same request ID.
 	ErrTransient = errors.New("cloud: transient failure")
 )
 
 // noCapacityText is the cloud's error text for ErrNoCapacity.
 const noCapacityText = "no capacity"
 
-// maxIdleConns is how many idle connections to the cloud are kept.
+// maxIdleConns is the maximum number of idle connections to the cloud.
 const maxIdleConns = 2
 
 // Client calls the cloud within this controller's share of the rate limit. It is safe for
@@ -47,8 +47,9 @@
 	}
 }
 
-// call makes one call. request and response are encoded as JSON; a nil request has no
-// body, and with a nil response the body is not read.
+// call makes one call to the cloud, after waiting for the rate limit. request and response
+// are encoded as JSON. A nil request is sent without a body; with a nil response the
+// response's body is ignored.
 func (c *Client) call(ctx context.Context, method, path string, request, response any) error {
 	if err := c.limiter.Wait(ctx); err != nil {
 		return fmt.Errorf("%w: %w", ErrTransient, err)
@@ -86,7 +87,7 @@
 	return body, nil
 }
 
-// statusError is the error of a response with another status than OK.
+// statusError returns the error for a response whose status is not OK.
 func statusError(message *httpwire.Message) error {
 	var problem wire.Problem
 	isProblem := wire.Decode(message.Body, &problem) == nil
@@ -116,7 +117,8 @@
 	return response.Machines, err
 }
 
-// ScaleIn releases machines. When it succeeds, they and all that ran on them are gone.
+// ScaleIn terminates machines. On success, neither the machines nor the tasks that ran on
+// them exist any more.
 func (c *Client) ScaleIn(ctx context.Context, names []string) error {
 	return c.call(ctx, http.MethodPost, wire.PathScaleIn, wire.MachineNames{Machines: names}, nil)
 }
--- a/peer/client.go
+++ b/peer/client.go
@@ -14,7 +14,7 @@
 	"ravenport/constants"
 )
 
-// reconnectBackoff is the wait between attempts to connect.
+// reconnectBackoff is the delay between connection attempts.
 var reconnectBackoff = backoff.Config{
 	BaseDelay:  200 * time.Millisecond,
 	Multiplier: 1.5,
@@ -25,8 +25,8 @@
 // Client calls one other controller. It is safe for concurrent use.
 type Client struct{ conn *grpc.ClientConn }
 
-// Dial makes a client of the controller at addr. It does not wait: the connection is set
-// up in the background.
+// Dial returns a client of the controller at addr. It does not block: gRPC establishes the
+// connection in the background.
 func Dial(addr string) (*Client, error) {
 	conn, err := grpc.NewClient("passthrough:///"+addr,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
@@ -44,13 +44,13 @@
 	return &Client{conn}, nil
 }
 
-// Close ends the connection.
-func (c *Client) Close() { _ = c.conn.Close() } // there is nothing to do about an error
+// Close closes the connection.
+func (c *Client) Close() { _ = c.conn.Close() } // the caller cannot act on an error
 
 func (c *Client) invoke(ctx context.Context, method string, request, reply any) error {
 	return c.conn.Invoke(ctx, "/"+serviceName+"/"+method, request, reply)
 }
 
-// isUnimplemented says whether the other controller does not know a method or has
-// switched it off.
+// isUnimplemented reports whether a call failed because the other controller's version
+// does not have the method, or because the method is disabled there.
 func isUnimplemented(err error) bool { return status.Code(err) == codes.Unimplemented }
--- a/peer/codec.go
+++ b/peer/codec.go
@@ -8,7 +8,7 @@
 	"ravenport/wire"
 )
 
-// codec encodes gRPC messages as JSON, as all other interfaces of ravenport do.
+// codec encodes gRPC messages as JSON, like all other interfaces of ravenport.
 type codec struct{}
 
 func (codec) Name() string                       { return "json" }
--- a/peer/detection.go
+++ b/peer/detection.go
@@ -11,30 +11,31 @@
 	"ravenport/detector"
 )
 
-// ErrDetectionDisabled says that the other controller does not take part in failure
-// detection: it is switched off there, or its version does not support it.
+// ErrDetectionDisabled means that the other controller does not take part in failure
+// detection: detection is disabled there, or the controller's version does not support it.
 var ErrDetectionDisabled = errors.New("peer: failure detection is disabled there")
 
 // ProbeRequest requests a controller's heartbeat, directly or by an indirect probe.
 type ProbeRequest struct {
 	Controller string `json:"node"` // the sender
-	// Target is the controller that the receiver is to probe; empty: the receiver itself.
+	// Target is the controller that the receiver has to probe. If Target is empty, the
+	// receiver replies with its own heartbeat.
 	Target string `json:"target,omitempty"`
 }
 
 // ProbeReply is the reply to a probe.
 type ProbeReply struct {
-	// Heartbeat is the target's; nil if the target did not reply.
+	// Heartbeat is the target's heartbeat; nil if the target did not reply.
 	Heartbeat *detector.Heartbeat `json:"hb,omitempty"`
 }
 
-// DetectionHandlers take in the messages of failure detection. They are called on
-// goroutines of their own and may block until ctx ends; both are nil where failure
-// detection is off.
+// DetectionHandlers handle the messages of failure detection. Each call runs on its own
+// goroutine and may block until ctx is done. Both handlers are nil if failure detection is
+// disabled.
 type DetectionHandlers struct {
-	// Heartbeat takes in a message and replies with this controller's own.
+	// Heartbeat handles another controller's message and returns this controller's message.
 	Heartbeat func(ctx context.Context, m detector.Message) (detector.Message, error)
-	// Probe replies to a probe of this controller, or probes another one.
+	// Probe returns this controller's heartbeat, or probes the controller in r.Target.
 	Probe func(ctx context.Context, r ProbeRequest) (ProbeReply, error)
 }
 
@@ -43,7 +44,7 @@
 	probeMethod     = "Probe"
 )
 
-// Heartbeat sends a message and returns the other controller's own. The error is
+// Heartbeat sends a message and returns the other controller's message. The error is
 // ErrDetectionDisabled if that controller does not take part in failure detection.
 func (c *Client) Heartbeat(ctx context.Context, m detector.Message) (detector.Message, error) {
 	var reply detector.Message
@@ -51,8 +52,8 @@
 	return reply, err
 }
 
-// Probe requests the other controller's heartbeat, or has it probe a third one. Errors
-// are those of Heartbeat.
+// Probe requests the other controller's heartbeat, or requests that the other controller
+// probe a third one. Its errors are those of Heartbeat.
 func (c *Client) Probe(ctx context.Context, r ProbeRequest) (ProbeReply, error) {
 	var reply ProbeReply
 	err := wrapDetectionError(c.invoke(ctx, probeMethod, &r, &reply))
@@ -69,8 +70,8 @@
 	return fmt.Errorf("peer: %w", err)
 }
 
-// errDetectionOff is the reply of a controller without failure detection. It has the
-// code that gRPC itself replies with where a version does not know the method.
+// errDetectionOff is the reply of a controller that runs without failure detection. Its
+// code is the one that gRPC itself returns if a server does not have the method.
 var errDetectionOff = status.Error(codes.Unimplemented, "failure detection is off")
 
 var heartbeatMethodDesc = unaryMethod(heartbeatMethod, func(h Handlers) (methodHandler[detector.Message, detector.Message], error) {
--- a/peer/detection_test.go
+++ b/peer/detection_test.go
@@ -10,8 +10,8 @@
 	"ravenport/detector"
 )
 
-// Heartbeats and probes arrive as they were sent, and a controller without failure
-// detection is distinguished from one that does not reply.
+// Heartbeats and probes arrive as they were sent. A caller distinguishes a controller
+// without failure detection from one that does not reply.
 func TestHeartbeatsAndProbes(t *testing.T) {
 	status := func(Status) StatusReply { return StatusReply{} }
 	sent := detector.Message{Controller: "n-0", Heartbeat: detector.Heartbeat{Incarnation: 7, Refutation: 1, Sequence: 3, Stalled: []string{"leader"}},
@@ -20,13 +20,13 @@
 	enabled := serve(t, Handlers{Status: status, Detection: DetectionHandlers{
 		Heartbeat: func(_ context.Context, m detector.Message) (detector.Message, error) {
 			if !reflect.DeepEqual(m, sent) {
-				t.Errorf("%+v became %+v", sent, m)
+				t.Errorf("sent %+v, received %+v", sent, m)
 			}
 			return reply, nil
 		},
 		Probe: func(_ context.Context, r ProbeRequest) (ProbeReply, error) {
 			if r != (ProbeRequest{Controller: "n-0", Target: "n-2"}) {
-				t.Errorf("asked for %+v", r)
+				t.Errorf("received request %+v", r)
 			}
 			return ProbeReply{}, nil
 		},
@@ -40,10 +40,10 @@
 	}
 	disabled := serve(t, Handlers{Status: status})
 	if _, err := disabled.Heartbeat(ctx, sent); !errors.Is(err, ErrDetectionDisabled) {
-		t.Errorf("detection is off there: %v", err)
+		t.Errorf("failure detection is disabled, but the error is %v", err)
 	}
 	if _, err := disabled.Probe(ctx, ProbeRequest{}); !errors.Is(err, ErrDetectionDisabled) {
-		t.Errorf("detection is off there: %v", err)
+		t.Errorf("failure detection is disabled, but the error is %v", err)
 	}
 	unreachable, err := Dial("127.0.0.1:1")
 	if err != nil {
--- a/peer/drain.go
+++ b/peer/drain.go
@@ -13,14 +13,15 @@
 	"ravenport/records"
 )
 
-// ErrDrainingDisabled says that the other controller does not drain machines: draining is
-// switched off there, or its version does not support it. The text is for operators.
+// ErrDrainingDisabled means that the other controller does not drain machines: draining is
+// disabled there, or the controller's version does not support it. The text is shown to
+// operators.
 var ErrDrainingDisabled = errors.New("draining is off at this controller (start it with --draining), or its version does not know it")
 
-// DrainOp is the operation that a DrainRequest requests.
+// DrainOp is an operation on drains.
 type DrainOp string
 
-// Operations on drains. OpShardPlan is requested by controllers only.
+// Operations on drains. Only controllers request OpShardPlan.
 const (
 	OpPlan      DrainOp = "plan"
 	OpStart     DrainOp = "start"
@@ -36,16 +37,16 @@
 	Op        DrainOp           `json:"op"`
 	Number    int               `json:"number,omitempty"`
 	Selection records.Selection `json:"sel"`
-	// MatchAll confirms that a selection without any field is to match all machines.
+	// MatchAll confirms that an empty selection is meant to match all machines.
 	MatchAll bool `json:"all,omitempty"`
-	// MinAgeS restricts the selection to machines of at least this age (s); 0: any.
+	// MinAgeS restricts the selection to machines of at least this age (s); 0 means any age.
 	MinAgeS float64 `json:"rented_before_s,omitempty"`
 	Shard   string  `json:"shard,omitempty"` // for OpShardPlan
 }
 
 // DrainReply is the reply to a DrainRequest. Which fields are set depends on the operation.
 type DrainReply struct {
-	// Problem says why nothing was done; nil on success.
+	// Problem is the reason why the operation was not carried out; nil on success.
 	Problem   *drain.FieldError `json:"problem,omitempty"`
 	Number    int               `json:"number,omitempty"`
 	Plan      *drain.Plan       `json:"plan,omitempty"`
@@ -53,12 +54,12 @@
 	Status    *DrainStatus      `json:"status,omitempty"`
 }
 
-// DrainStatus is what a controller knows of all drains.
+// DrainStatus is a controller's view of all drains.
 type DrainStatus struct {
 	Controller string             `json:"node"`
 	Drains     []DrainView        `json:"drains"`
 	Budgets    []disruption.Usage `json:"budgets"`
-	// Unreadable are the numbers of the drains whose records cannot be read.
+	// Unreadable lists the numbers of the drains whose records cannot be read.
 	Unreadable []int `json:"damaged,omitempty"`
 }
 
@@ -68,14 +69,14 @@
 	State        records.DrainState    `json:"state"`
 	StopReason   string                `json:"why,omitempty"`
 	StartedS     int64                 `json:"started_s"`
-	Machines     int                   `json:"machines"` // at its start
-	Remaining    int                   `json:"left"`     // in the inventory
+	Machines     int                   `json:"machines"` // when the drain started
+	Remaining    int                   `json:"left"`     // still in the inventory
 	CanaryPassed bool                  `json:"proven"`
-	Shards       []drain.ShardProgress `json:"shards,omitempty"` // as their owners last reported
+	Shards       []drain.ShardProgress `json:"shards,omitempty"` // as last reported by the shards' owners
 }
 
-// DrainHandler carries out operations on drains. It is called on a goroutine of its own
-// and may block until ctx ends.
+// DrainHandler carries out operations on drains. Each call runs on its own goroutine and
+// may block until ctx is done.
 type DrainHandler func(ctx context.Context, r DrainRequest) (DrainReply, error)
 
 const drainMethod = "Drain"
--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -9,8 +9,9 @@
 	"ravenport/shard"
 )
 
-// Controllers of several versions exchange messages during an upgrade, so the encoded
-// forms are fixed to the byte, whatever the Go identifiers are called.
+// Controllers of different versions exchange messages during an upgrade. The encoded form
+// of each message must therefore stay the same byte for byte when Go identifiers are
+// renamed.
 func TestEncodedMessagesAreFixed(t *testing.T) {
 	for _, c := range []struct {
 		name, want string
@@ -28,10 +29,10 @@
 			detector.Message{Controller: "n-0", Heartbeat: detector.Heartbeat{Incarnation: 7, Refutation: 1, Sequence: 3, Stalled: []string{"leader"}},
 				Accusations: []detector.Accusation{{Controller: "n-2", Incarnation: 9, Refutation: 2, Evidence: []detector.Evidence{detector.Unserved}}}}},
 		{"probe", `{"node":"n-0","target":"n-2"}`, ProbeRequest{Controller: "n-0", Target: "n-2"}},
-		{"probe's answer", `{"hb":{"proc":7,"seq":3}}`, ProbeReply{Heartbeat: &detector.Heartbeat{Incarnation: 7, Sequence: 3}}},
+		{"probe's reply", `{"hb":{"proc":7,"seq":3}}`, ProbeReply{Heartbeat: &detector.Heartbeat{Incarnation: 7, Sequence: 3}}},
 	} {
 		if got := encoded(t, c.message); got != c.want {
-			t.Errorf("%s is sent as\n%s, not as\n%s", c.name, got, c.want)
+			t.Errorf("%s: got\n%s, want\n%s", c.name, got, c.want)
 		}
 	}
 }
--- a/peer/relay.go
+++ b/peer/relay.go
@@ -9,7 +9,7 @@
 	"ravenport/wire"
 )
 
-// Outcome is the result of a transaction that another controller carried out.
+// Outcome is the result of a transaction that another controller relayed to the store.
 type Outcome string
 
 // Outcomes of a relayed transaction.
@@ -17,9 +17,9 @@
 	OutcomeCommitted   Outcome = "written"
 	OutcomeConflict    Outcome = "conflict"
 	OutcomeInvalid     Outcome = "invalid"
-	OutcomeRateLimited Outcome = "limited" // refused for the rate limit alone
-	OutcomeRefused     Outcome = "refused" // surely not carried out
-	OutcomeUnknown     Outcome = "unknown" // it may have been carried out, or may be yet
+	OutcomeRateLimited Outcome = "limited" // refused only because of the rate limit
+	OutcomeRefused     Outcome = "refused" // certainly not carried out
+	OutcomeUnknown     Outcome = "unknown" // the transaction may have been carried out, or may still be
 )
 
 // CommitReply is the reply to a relayed transaction.
@@ -29,11 +29,11 @@
 	FailedKeys []string `json:"failed,omitempty"` // keys whose conditions did not hold
 }
 
-// CommitHandler carries out a transaction for another controller. It is called on a
-// goroutine of its own and may block until ctx ends.
+// CommitHandler carries out a transaction for another controller. Each call runs on its
+// own goroutine and may block until ctx is done.
 type CommitHandler func(ctx context.Context, t wire.Txn) CommitReply
 
-// NewCommitReply makes a reply of what the store's client returned.
+// NewCommitReply converts the result that the store's client returned into a reply.
 func NewCommitReply(revision uint64, err error) CommitReply {
 	var conflict *kvstore.ConflictError
 	switch {
@@ -51,8 +51,8 @@
 	return CommitReply{Outcome: OutcomeUnknown}
 }
 
-// Result is what the store's own client would have returned: a revision, or one of the
-// errors of package kvstore.
+// Result converts the reply back into a result as the store's client returns it: a
+// revision, or one of the errors of package kvstore.
 func (r CommitReply) Result() (revision uint64, err error) {
 	switch r.Outcome {
 	case OutcomeCommitted:
@@ -71,9 +71,10 @@
 
 const commitMethod = "Commit"
 
-// Commit has the other controller carry out a transaction and returns its revision.
-// Errors are those of package kvstore: ErrRefused if the other controller's version does
-// not know the method, and ErrOutcomeUnknown if it did not reply.
+// Commit requests that the other controller carry out a transaction, and returns the
+// transaction's revision. Errors are those of package kvstore: ErrRefused if the other
+// controller's version does not have the method, and ErrOutcomeUnknown if the other
+// controller did not reply.
 func (c *Client) Commit(ctx context.Context, t wire.Txn) (uint64, error) {
 	var reply CommitReply
 	err := c.invoke(ctx, commitMethod, &t, &reply)
--- a/peer/relay_test.go
+++ b/peer/relay_test.go
@@ -12,8 +12,9 @@
 	"ravenport/wire"
 )
 
-// Whatever the store returned, the controller that requested the relay gets the same
-// error over gRPC: what counts as refused must not have been written.
+// The controller that requested a relay gets the same error over gRPC as the store
+// returned to the relaying controller. In particular, a transaction that is reported as
+// refused must not have been written.
 func TestRelayedOutcomes(t *testing.T) {
 	txn := wire.Txn{Conditions: []wire.Condition{{Key: "k"}}, Changes: []wire.Change{{Put: "k", Value: []byte(`{"a":1}`)}}}
 	results := make(chan error, 1)
@@ -21,7 +22,7 @@
 		Status: func(Status) StatusReply { return StatusReply{} },
 		Commit: func(_ context.Context, got wire.Txn) CommitReply {
 			if !reflect.DeepEqual(got, txn) {
-				t.Errorf("asked for %+v", got)
+				t.Errorf("received transaction %+v", got)
 			}
 			return NewCommitReply(7, <-results)
 		},
@@ -33,18 +34,18 @@
 		revision, err := client.Commit(t.Context(), txn)
 		if want == nil {
 			if err != nil || revision != 7 {
-				t.Errorf("written became %d, %v", revision, err)
+				t.Errorf("committed transaction: got %d, %v", revision, err)
 			}
 			continue
 		}
 		var wantConflict, gotConflict *kvstore.ConflictError
 		if errors.As(want, &wantConflict) != errors.As(err, &gotConflict) || wantConflict != nil && !reflect.DeepEqual(wantConflict, gotConflict) {
-			t.Errorf("%v became %v", want, err)
+			t.Errorf("store returned %v, got %v", want, err)
 		}
 		for _, kind := range kinds {
 			wantMatch := errors.Is(want, kind) || kind == kvstore.ErrOutcomeUnknown && want.Error() == "something else"
 			if errors.Is(err, kind) != wantMatch {
-				t.Errorf("%v became %v", want, err)
+				t.Errorf("store returned %v, got %v", want, err)
 			}
 		}
 	}
@@ -59,6 +60,6 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
 	if _, err := c.Commit(ctx, wire.Txn{}); !errors.Is(err, kvstore.ErrOutcomeUnknown) {
-		t.Errorf("no answer became %v", err)
+		t.Errorf("no reply: got error %v", err)
 	}
 }
--- a/peer/server.go
+++ b/peer/server.go
@@ -1,7 +1,8 @@
 // Package peer carries messages between controllers over gRPC, encoded as JSON.
 //
-// Safety does not depend on them: they bring earlier what the records in the store bring
-// anyway, or have one controller write what another one cannot.
+// Safety does not depend on these messages. They deliver information earlier than the
+// records in the store do, or let one controller write to the store on behalf of another
+// one that cannot reach the store.
 package peer
 
 import (
@@ -14,15 +15,15 @@
 	"ravenport/constants"
 )
 
-// serviceName is the service's name on the wire.
+// serviceName is the service's name in gRPC requests.
 const serviceName = "ravenport.Peer"
 
-// Handlers take in what other controllers send.
+// Handlers handle the messages that other controllers send.
 type Handlers struct {
 	Status    StatusHandler
 	Commit    CommitHandler
 	Detection DetectionHandlers
-	Drain     DrainHandler // nil where draining is off
+	Drain     DrainHandler // nil if draining is disabled
 }
 
 // serviceDesc describes the service to gRPC. There is no generated code: methods are
@@ -39,11 +40,11 @@
 	},
 }
 
-// methodHandler answers the requests of one method.
+// methodHandler handles the requests of one method.
 type methodHandler[Request, Reply any] = func(context.Context, Request) (Reply, error)
 
 // unaryMethod describes a method with one request and one reply. handlerOf returns the
-// method's handler, or the error that answers all calls where the method is off.
+// method's handler or, if the method is disabled, the error to return for every call.
 func unaryMethod[Request, Reply any](name string, handlerOf func(Handlers) (methodHandler[Request, Reply], error)) grpc.MethodDesc {
 	handler := func(srv any, ctx context.Context, decode func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
 		handle, err := handlerOf(srv.(Handlers))
@@ -60,7 +61,7 @@
 	return grpc.MethodDesc{MethodName: name, Handler: handler}
 }
 
-// Serve answers other controllers on addr until ctx ends.
+// Serve handles requests from other controllers on addr until ctx is done.
 func Serve(ctx context.Context, addr string, h Handlers) error {
 	listener, err := net.Listen("tcp4", addr)
 	if err != nil {
--- a/peer/status.go
+++ b/peer/status.go
@@ -10,24 +10,25 @@
 	"ravenport/shard"
 )
 
-// Status is what a controller tells the others of itself.
+// Status is the state that a controller reports to the other controllers.
 type Status struct {
 	Controller     string             `json:"node"`
-	StoreReachable bool               `json:"state_ok"` // the sender reaches the store
+	StoreReachable bool               `json:"state_ok"` // the sender can reach the store
 	Aggregates     []leader.Aggregate `json:"agg,omitempty"`
-	// Forecast is what the sender, as the leader, will assign before long, by shard.
+	// Forecast is what the sender, if it is the leader, will assign soon, by shard.
 	Forecast map[string]leader.Forecast `json:"fc,omitempty"`
-	// MisroutedHeartbeats are from machines that lately sent heartbeats to the sender
-	// although another controller owns them: they are alive, and it is their owner that
-	// is cut off from them.
+	// MisroutedHeartbeats lists recent heartbeats that the sender received from machines
+	// owned by another controller. These machines are up; it is their owner that is
+	// partitioned from them.
 	MisroutedHeartbeats []shard.MisroutedHeartbeat `json:"strays,omitempty"`
 	// Revision is the revision that the sender's watch feed has reached.
 	Revision uint64 `json:"rev,omitempty"`
 	// ExtensionRequest lists the terms for which the sender requests an extension of their
-	// leases, so that it can keep its shards while no controller reaches the store
+	// leases, so that it can keep its shards while no controller can reach the store
 	// (docs/safety.md, point 12).
 	ExtensionRequest []HeldTerm `json:"ask,omitempty"`
-	// Counts are the tasks running, and those done in open assignments, by shard and job.
+	// Counts are the numbers of running tasks and of tasks done in open assignments, by
+	// shard and job.
 	Counts map[string]records.CountsByJob `json:"counts,omitempty"`
 	// Drains is the progress of all drains in the sender's shards.
 	Drains []drain.ShardStatus `json:"drains,omitempty"`
@@ -43,14 +44,14 @@
 // StatusReply is the reply to a status.
 type StatusReply struct {
 	Controller string `json:"node"`
-	// ExtensionGranted: for constants.ExtensionTTL from the request on, the replying controller
-	// acquires no term.
+	// ExtensionGranted says that the replying controller acquires no term for
+	// constants.ExtensionTTL from the request on.
 	ExtensionGranted bool `json:"promise,omitempty"`
-	// LatestCancellation is the revision of the latest cancellation that the replying
-	// controller knows of.
+	// LatestCancellation is the revision of the latest cancellation known to the replying
+	// controller.
 	LatestCancellation uint64 `json:"cancels,omitempty"`
-	// AllCancellationsListed: Cancellations lists every cancellation that it knows of beyond
-	// the revision in the status.
+	// AllCancellationsListed says that Cancellations lists every cancellation known to the
+	// replying controller whose revision is later than the one in the status.
 	AllCancellationsListed bool           `json:"named,omitempty"`
 	Cancellations          []Cancellation `json:"cancelled,omitempty"`
 }
@@ -61,7 +62,8 @@
 	Revision uint64 `json:"rev"`
 }
 
-// StatusHandler takes in another controller's status. It must not block.
+// StatusHandler handles another controller's status and returns the reply. It must not
+// block.
 type StatusHandler func(Status) StatusReply
 
 const pushMethod = "Push"
--- a/peer/status_test.go
+++ b/peer/status_test.go
@@ -9,8 +9,9 @@
 	"ravenport/leader"
 )
 
-// This version and the one before read each other's messages: every field that the
-// earlier one wrote is read, and fields that are new here may be missing.
+// This version and the previous one read each other's messages. This version reads every
+// field that the previous version wrote, and accepts messages without the fields that are
+// new in this version.
 func TestMessagesOfTheVersionBefore(t *testing.T) {
 	text, err := os.ReadFile("testdata/production.json")
 	if err != nil {
@@ -34,7 +35,7 @@
 		}
 		var a, z any
 		if json.Unmarshal(raw, &a) != nil || json.Unmarshal(b, &z) != nil || !reflect.DeepEqual(a, z) {
-			t.Errorf("%s became %s", raw, b)
+			t.Errorf("%s was encoded again as %s", raw, b)
 		}
 	}
 	aggregates := 0
@@ -49,10 +50,10 @@
 		}
 	}
 	if aggregates == 0 || len(previous.Reply) == 0 {
-		t.Fatal("no messages to read")
+		t.Fatal("testdata/production.json has no messages to read")
 	}
 	expectRoundTrip(previous.Reply[0], &StatusReply{})
-	// And the other way round: the version before ignores fields it does not know.
+	// Conversely, the previous version ignores fields that it does not know.
 	var previousStatus struct {
 		Aggregates []struct {
 			Shard string  `json:"part"`
--- a/worker/client.go
+++ b/worker/client.go
@@ -14,35 +14,36 @@
 	"ravenport/wire"
 )
 
-// Client sends commands to workers and keeps connections to those that it called last.
-// It belongs to one actor and is not safe for concurrent use.
+// Client sends commands to workers and keeps connections to a limited number of them. It
+// is used by one actor and is not safe for concurrent use.
 type Client struct {
 	clients   map[string]*httpwire.Client // by address
-	dialOrder []string                    // addresses with a client, the oldest first
+	dialOrder []string                    // addresses with a client, the oldest client first
 }
 
-// NewClient makes a client without connections.
+// NewClient returns a client without connections.
 func NewClient() *Client { return &Client{clients: map[string]*httpwire.Client{}} }
 
 // Result is the outcome of a direct command.
 type Result struct {
-	// Executed says whether the worker executed the commands.
+	// Executed reports whether the worker executed the commands.
 	Executed bool
-	// Heartbeat is the worker's response; nil without one, and then the commands may
-	// still be executed.
+	// Heartbeat is the worker's response; nil if no valid response arrived. The worker may
+	// then still execute the commands.
 	Heartbeat *wire.Heartbeat
 	Err       error
 }
 
-// Send sends a command request to the worker at addr. It does not wait: done is called
-// with the result on another goroutine.
+// Send sends a command request to the worker at addr. It does not block: done is
+// called with the result on another goroutine.
 func (c *Client) Send(ctx context.Context, addr string, request wire.CommandRequest, done func(Result)) {
 	client := c.clientOf(addr)
 	go func() { done(send(ctx, client, request)) }()
 }
 
-// clientOf returns the client of the worker at addr, and closes the oldest client when
-// there are too many: a fleet has more machines than this process has sockets to spare.
+// clientOf returns the client of the worker at addr. With more than
+// constants.MaxIdleWorkerConns clients, clientOf closes the oldest one: a fleet has more
+// machines than this process has sockets to spare.
 func (c *Client) clientOf(addr string) *httpwire.Client {
 	if client := c.clients[addr]; client != nil {
 		return client
@@ -57,8 +58,9 @@
 	return client
 }
 
-// timeoutOf bounds a request: a probe, which may carry stops, is repeated soon, while one with
-// starts leaves its worker time to carry them out.
+// timeoutOf returns the timeout of a request. A probe, which may carry stops, has a short
+// timeout, since it is repeated soon. A request that starts tasks has a longer one, so that
+// the worker has time to start them.
 func timeoutOf(request wire.CommandRequest) time.Duration {
 	for _, command := range request.Commands {
 		if command.Op != wire.OpStop {
--- a/worker/client_test.go
+++ b/worker/client_test.go
@@ -19,8 +19,8 @@
 	os.Exit(m.Run())
 }
 
-// A fleet has more machines than the process has sockets to spare: however many workers
-// were called, only MaxIdleWorkerConns connections stay open.
+// A fleet has more machines than the process has sockets to spare. However many workers
+// were called, at most MaxIdleWorkerConns connections stay open.
 func TestClientKeepsFewConnections(t *testing.T) {
 	var open atomic.Int64
 	listen := func() string {
@@ -63,7 +63,7 @@
 	}
 }
 
-// respondWithHeartbeats answers every request with a worker's heartbeat.
+// respondWithHeartbeats responds to every request with a worker's heartbeat.
 func respondWithHeartbeats(c net.Conn) {
 	body := `{"host":"m-1","shift":1,"tally":1,"baton":1}`
 	buf := make([]byte, 4096)
