--- a/apiserver/cancellations.go
+++ b/apiserver/cancellations.go
@@ -13,9 +13,9 @@
 	"ravenport/wire"
 )
 
-// cancel answers at once if the job is known to have ended, and otherwise cancels it
-// on a goroutine of its own. Repeating a cancellation is idempotent: the response names
-// the state in which the job ended.
+// cancel responds at once if the job is known to have ended. Otherwise it starts a
+// goroutine that cancels the job. Cancellation is idempotent: the response to a repeated
+// cancellation names the state in which the job ended.
 func (s *Server) cancel(ctx context.Context, msg Cancel) {
 	if job, ok := s.jobs[msg.JobID]; ok && job.endState != "" {
 		respondEnded(msg.Request, msg.JobID, job.endState)
@@ -47,8 +47,8 @@
 	respondJSON(request, http.StatusOK, wire.JobReply{ID: jobID, Status: endState})
 }
 
-// cancelJob cancels a job that has not ended and returns the state in which it ended;
-// empty if there is no such job. It runs on a goroutine of its own.
+// cancelJob cancels a job that has not ended, and returns the state in which the job ended;
+// empty if there is no such job. It runs on its own goroutine.
 func (s *Server) cancelJob(ctx context.Context, jobID string, sizeLimits records.SizeLimits) (endState wire.JobState, err error) {
 	for {
 		job, version, err := s.readJob(ctx, jobID)
@@ -68,12 +68,12 @@
 			s.notifyIfCancelled(job, revision)
 			return job.End, nil
 		case errors.Is(err, kvstore.ErrInvalidRequest) && !sizeLimits.PackingEnabled:
-			// The store's smaller size limits are in force, which they are only once
-			// every controller has this version and reads packed records.
+			// The store enforces its smaller size limits. It does so only once every
+			// controller has this version, and so can read packed records.
 			sizeLimits.PackingEnabled = true
 		case isConflict(err), errors.Is(err, kvstore.ErrOutcomeUnknown):
-			// Another change came first, or it is not known whether this one was
-			// made: reading the key again decides.
+			// Another write changed the key first, or the outcome of this write is
+			// unknown. Reading the key again shows which state is stored.
 			if ctx.Err() != nil {
 				return "", err
 			}
@@ -100,8 +100,9 @@
 	})
 }
 
-// notifyIfCancelled tells the controller of a stored cancellation before any user is
-// told of it (docs/safety.md, point 12). It may run on any goroutine.
+// notifyIfCancelled notifies the controller of a stored cancellation. It must be called
+// before any user is told of the cancellation (docs/safety.md, point 12). It may be called
+// from any goroutine.
 func (s *Server) notifyIfCancelled(job *records.Job, revision uint64) {
 	if job.End == wire.JobCancelled {
 		s.controller.Tell(JobCancelled{JobID: job.ID, Revision: revision})
--- a/apiserver/messages.go
+++ b/apiserver/messages.go
@@ -14,7 +14,7 @@
 	Respond(*httpwire.Response)
 }
 
-// Messages that the API server receives from others.
+// Messages that the API server receives from other components.
 type (
 	// Submit requests that a job be accepted.
 	Submit struct {
@@ -40,11 +40,12 @@
 		Shard string
 		ByJob records.CountsByJob
 	}
-	// SetRelays replaces the controllers that reach the store, as far as is known.
+	// SetRelays replaces the list of other controllers that are known to reach the store.
 	SetRelays struct{ Relays []Relay }
-	// PackingEnabled says that every controller reads packed records.
+	// PackingEnabled says that every controller can read packed records.
 	PackingEnabled struct{}
-	// Tick makes the API server check for polls that have waited too long.
+	// Tick makes the API server check for polls that have waited too long for the watch
+	// feed.
 	Tick time.Time
 )
 
@@ -70,9 +71,9 @@
 		submission    wire.Submission
 		request       Request
 		arrivedAt     time.Time
-		directBlocked bool // this controller itself could not reach the store
+		directBlocked bool // this controller could not reach the store directly
 		err           error
 	}
-	// requestDone says that a request was answered by its own goroutine.
+	// requestDone says that a goroutine has answered the request that it was started for.
 	requestDone struct{}
 )
--- a/apiserver/metrics.go
+++ b/apiserver/metrics.go
@@ -12,10 +12,10 @@
 	"ravenport/httpwire"
 )
 
-// metricsContentType is Prometheus' text format.
+// metricsContentType is the content type of Prometheus' text format.
 const metricsContentType = "text/plain; version=0.0.4"
 
-// stats are the API server's own counts and latencies since the process began.
+// stats are the API server's own counts and latencies since the process started.
 type stats struct {
 	accepted int64 // submissions
 	refused  int64 // submissions
--- a/apiserver/polls.go
+++ b/apiserver/polls.go
@@ -14,17 +14,18 @@
 	"ravenport/wire"
 )
 
-// pendingPoll is a request for a job's state.
+// pendingPoll is a request for a job's state that has not been answered yet.
 type pendingPoll struct {
 	request   Request
 	jobID     string
 	arrivedAt time.Time
-	revision  uint64 // that the feed must have reached; 0 before the read
-	// ifNotFound answers instead of "no such job" if the job does not exist; it may be nil.
+	revision  uint64 // that the watch feed must reach before the response; 0 before the read
+	// ifNotFound is the response if the job does not exist; nil stands for
+	// rejectNoSuchJob.
 	ifNotFound *rejection
 }
 
-// poll answers at once if the job has ended, and otherwise after a read of the store.
+// poll responds at once if the job has ended, and otherwise after a read of the store.
 func (s *Server) poll(ctx context.Context, p *pendingPoll) {
 	if job, ok := s.jobs[p.jobID]; ok && job.endState != "" {
 		s.respondState(p, job)
@@ -44,9 +45,10 @@
 	s.readRevision(ctx)
 }
 
-// admitsPoll says whether a poll may wait. Half of the capacity is open to all jobs;
-// the other half is open to one group of jobs at a time, each in its turn of a few
-// seconds. So no job's polls are starved, whatever order they arrive in.
+// admitsPoll reports whether a poll may wait for the store. Half of
+// constants.MaxPendingRequests is open to all jobs. The other half is open to one group of
+// jobs at a time; the groups take turns of constants.PollGroupTurn. No job's polls are
+// therefore starved, whatever order the polls arrive in.
 func (s *Server) admitsPoll(jobID string) bool {
 	if s.pendingRequests < constants.MaxPendingRequests/2 {
 		return true
@@ -58,8 +60,8 @@
 	return s.pendingRequests < constants.MaxPendingRequests && group == turn
 }
 
-// readRevision reads the current revision for all polls that wait for a read, now or
-// when readInterval has passed since the last read.
+// readRevision reads the current revision for all polls that wait for a read. It reads at
+// once or, if the last read is more recent than readInterval, when that time has passed.
 func (s *Server) readRevision(ctx context.Context) {
 	if s.readPending || len(s.pollsAwaitingRead) == 0 {
 		return
@@ -90,7 +92,7 @@
 	for _, p := range result.polls {
 		switch {
 		case rateLimited && time.Since(p.arrivedAt) < constants.UserRequestTimeout/2:
-			// The next read serves it, with the polls that have arrived since.
+			// The poll waits for the next read, with the polls that have arrived since.
 			s.pollsAwaitingRead = append(s.pollsAwaitingRead, p)
 		case result.err != nil:
 			s.pendingRequests--
@@ -105,7 +107,7 @@
 	s.readRevision(ctx)
 }
 
-// answerCaughtUpPolls answers the polls whose revision the feed has reached.
+// answerCaughtUpPolls answers the polls whose revision the watch feed has reached.
 func (s *Server) answerCaughtUpPolls() {
 	waiting := s.pollsAwaitingFeed[:0]
 	for _, p := range s.pollsAwaitingFeed {
@@ -119,15 +121,15 @@
 	s.pollsAwaitingFeed = waiting
 }
 
-// answerFromFeed answers a poll from the state that the feed has brought, which must
-// be recent enough for it.
+// answerFromFeed answers a poll from the state received from the watch feed. The feed must
+// have reached the poll's revision.
 func (s *Server) answerFromFeed(p *pendingPoll) {
 	s.pendingRequests--
 	s.stats.poll.observe(time.Since(p.arrivedAt))
 	job, known := s.jobs[p.jobID]
 	switch {
 	case s.damagedJobs[p.jobID]:
-		// Its state is not known, but it exists.
+		// The job exists, but its record cannot be read, so its state is unknown.
 		rejectStoreUnavailable.respond(p.request)
 	case !known:
 		p.respondNotFound()
@@ -161,8 +163,8 @@
 	respondJSON(p.request, http.StatusOK, state)
 }
 
-// readOverduePolls reads the jobs' keys for polls that have waited too long for the
-// feed.
+// readOverduePolls reads the jobs' records from the store for the polls that wait for the
+// watch feed and arrived at least constants.FeedCatchUpTimeout ago.
 func (s *Server) readOverduePolls(ctx context.Context, now time.Time) {
 	waiting := s.pollsAwaitingFeed[:0]
 	for _, p := range s.pollsAwaitingFeed {
@@ -176,8 +178,8 @@
 	s.pollsAwaitingFeed = waiting
 }
 
-// answerFromStore answers a poll from the job's key. It runs on a goroutine of its own
-// and touches none of the actor's state.
+// answerFromStore answers a poll from the job's record in the store. It runs on its own
+// goroutine and accesses none of the actor's state.
 func (s *Server) answerFromStore(ctx context.Context, p *pendingPoll) {
 	defer s.self.Tell(requestDone{})
 	ctx, cancel := context.WithTimeout(ctx, constants.UserRequestTimeout)
@@ -194,7 +196,8 @@
 	}
 }
 
-// readJob reads a job's record and its version; the job is nil if it does not exist.
+// readJob reads a job's record and the version of its key; the job is nil if it does not
+// exist.
 func (s *Server) readJob(ctx context.Context, jobID string) (*records.Job, uint64, error) {
 	key := records.KeyJob(jobID)
 	keyValue, found, err := s.store.Get(ctx, key)
--- a/apiserver/polls_test.go
+++ b/apiserver/polls_test.go
@@ -23,7 +23,8 @@
 	os.Exit(m.Run())
 }
 
-// slowStore is a store whose reads take readTime and that refuses everything else.
+// slowStore is a store whose reads of the revision take readTime. It refuses all other
+// calls.
 type slowStore struct{ readTime time.Duration }
 
 func (s slowStore) Commit(context.Context, wire.Txn) (uint64, error) { return 0, kvstore.ErrRefused }
@@ -35,13 +36,13 @@
 	return 1, nil
 }
 
-// responder hands responses to a function.
+// responder passes responses to a function.
 type responder struct{ deliver func(*httpwire.Response) }
 
 func (a responder) Respond(r *httpwire.Response) { a.deliver(r) }
 
-// When more polls arrive than can wait, every job's user is still answered within 75 s,
-// although they poll in the same order every time.
+// When more polls arrive than can wait, every job's user still gets a response within 75 s,
+// although the users poll in the same order every time.
 func TestNoPollIsStarvedUnderOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -75,7 +76,7 @@
 				}}, JobID: fmt.Sprintf("run-%d", i)})
 			}
 			time.Sleep(5 * time.Second)
-			synctest.Wait() // the actor is idle: what it wrote may be read
+			synctest.Wait() // the actor is idle, so its writes can be read without a race
 			for i := range answeredAt {
 				if since := time.Since(answeredAt[i]); since > 75*time.Second {
 					t.Fatalf("job %d of %d was not answered for %s", i, jobs, since)
--- a/apiserver/relay.go
+++ b/apiserver/relay.go
@@ -10,22 +10,23 @@
 	"ravenport/wire"
 )
 
-// Relay is another controller that writes for an API server that cannot reach the
-// store itself.
+// Relay is another controller, which writes to the store on behalf of an API server that
+// cannot reach the store itself.
 type Relay interface {
-	// Commit has the other controller carry out a transaction and returns its revision.
+	// Commit requests that the other controller carry out a transaction, and returns the
+	// transaction's revision.
 	Commit(ctx context.Context, t wire.Txn) (uint64, error)
 }
 
-// storePath is what the API server knows of how to reach the store: directly, or
-// through relays.
+// storePath records how the API server can reach the store: directly, or through relays.
 type storePath struct {
 	relays          []Relay
 	relaysUpdatedAt time.Time
-	directBlocked   bool // the last direct write was unanswered or refused
+	directBlocked   bool // the last direct write got no response or was refused
 }
 
-// currentRelays lists the relays, if they were named recently.
+// currentRelays returns the relays if SetRelays arrived within the last
+// constants.StoreSilenceTimeout, and nil otherwise.
 func (p *storePath) currentRelays(now time.Time) []Relay {
 	if now.Sub(p.relaysUpdatedAt) > constants.StoreSilenceTimeout {
 		return nil
@@ -33,8 +34,8 @@
 	return p.relays
 }
 
-// isStoreUnreachable says whether an error means that the store cannot be reached,
-// rather than that it decided on the call.
+// isStoreUnreachable reports whether an error means that the store cannot be reached.
+// Other errors, including that of the rate limit, mean that the store decided on the call.
 func isStoreUnreachable(err error) bool {
 	if errors.Is(err, kvstore.ErrOutcomeUnknown) {
 		return true
@@ -42,12 +43,14 @@
 	return errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrRateLimited)
 }
 
-// writeSubmission creates a submission's record: directly unless that is known to be
-// blocked, and otherwise through the relays, one after the other. It returns whether
-// the direct path is blocked. It runs on a goroutine of its own.
+// writeSubmission creates a submission's record. It writes directly, unless the direct path
+// is known to be blocked and there are relays. If the store is not reached directly, it
+// tries the relays one after the other. It returns whether the direct path is blocked. It
+// runs on its own goroutine.
 //
-// Without relays, a controller that alone is refused by the store would turn users away
-// for as long as the load balancer takes it for healthy.
+// The relays serve the case that the store is unreachable from this controller only.
+// Without them, this controller would refuse submissions for as long as the load balancer
+// considers it healthy.
 func (s *Server) writeSubmission(ctx context.Context, txn wire.Txn, directBlocked bool, relays []Relay) (nowBlocked bool, err error) {
 	if !directBlocked || len(relays) == 0 {
 		_, err = s.commit(ctx, txn)
--- a/apiserver/relay_test.go
+++ b/apiserver/relay_test.go
@@ -39,8 +39,8 @@
 	return body
 }
 
-// A submission is written through another controller when only this one cannot reach
-// the store, and refused at once when none can.
+// A submission is written through another controller if only this controller cannot reach
+// the store. The submission is refused at once if no controller can reach the store.
 func TestRelayedSubmission(t *testing.T) {
 	rateLimited := fmt.Errorf("%w: %w", kvstore.ErrRefused, kvstore.ErrRateLimited)
 	for _, test := range []struct {
@@ -84,20 +84,20 @@
 					answers := make(chan *httpwire.Response, 1)
 					start := time.Now()
 					self.Tell(Submit{Request: responder{func(r *httpwire.Response) { answers <- r }}, Body: submission(fmt.Sprintf("run-00000%d", i))})
-					got := <-answers // without an answer the test ends in a deadlock, which fails it
+					got := <-answers // without a response the test ends in a deadlock and fails
 					if got.Status != test.status {
-						t.Fatalf("submission %d: answered %+v, wanted %d", i, got, test.status)
+						t.Fatalf("submission %d: got response %+v, wanted %d", i, got, test.status)
 					}
 					synctest.Wait()
 					if test.status != 201 && got.RetryAfterS == 0 {
 						t.Error("refused without Retry-After")
 					}
 					if elapsed := time.Since(start); elapsed > constants.RateLimitWait+constants.UserRequestTimeout/2 {
-						t.Errorf("answered after %s", elapsed)
+						t.Errorf("got a response after %s", elapsed)
 					}
 				}
 				if test.directErr == rateLimited {
-					test.directWrites = direct.writes // it is retried for a short while, directly alone
+					test.directWrites = direct.writes // retried for a short while, on the direct path only
 				}
 				if direct.writes != test.directWrites {
 					t.Errorf("%d direct writes, wanted %d", direct.writes, test.directWrites)
@@ -112,20 +112,20 @@
 	}
 }
 
-// The direct path is used again once the feed has brought something, and relays that
-// have not been named for a while are not used.
+// The direct path is used again after an update from the watch feed. Relays are not used
+// once StoreSilenceTimeout has passed since the last SetRelays.
 func TestDirectPathIsTakenAgain(t *testing.T) {
 	r := storePath{relays: []Relay{&pathStub{}}, relaysUpdatedAt: time.Unix(100, 0), directBlocked: true}
 	if got := r.currentRelays(time.Unix(100, 0).Add(constants.StoreSilenceTimeout)); len(got) != 1 {
-		t.Error("a relay that was just named is not used")
+		t.Error("a relay is not used although it was set within StoreSilenceTimeout")
 	}
 	if got := r.currentRelays(time.Unix(101, 0).Add(constants.StoreSilenceTimeout)); len(got) != 0 {
-		t.Error("a relay named long ago is still used")
+		t.Error("a relay is still used after StoreSilenceTimeout")
 	}
 	server := New(&settings.Settings{}, slowStore{}, actor.NewRef(), actor.NewRef())
 	server.path = r
 	server.applyUpdate(records.Update{Revision: 1})
 	if server.path.directBlocked {
-		t.Error("after an update of the feed the direct path counts as blocked")
+		t.Error("after an update from the watch feed the direct path still counts as blocked")
 	}
 }
--- a/apiserver/responses.go
+++ b/apiserver/responses.go
@@ -15,7 +15,7 @@
 type rejection struct {
 	status      int
 	problem     wire.Problem
-	retryAfterS int // 0: repeating the request does not help
+	retryAfterS int // 0 if repeating the request does not help
 }
 
 // Rejections that do not depend on the request. Their texts are part of the protocol
@@ -29,8 +29,8 @@
 	// rejectStoreUnavailable answers requests that need the store while it cannot be
 	// reached.
 	rejectStoreUnavailable = retryable(http.StatusServiceUnavailable, "state service away")
-	// rejectNotReady answers submissions before the machine types are known, and
-	// submissions of a job that is known but could not be found.
+	// rejectNotReady answers submissions that arrive before the machine types are known,
+	// and submissions of a known job whose record could not be found.
 	rejectNotReady  = retryable(http.StatusServiceUnavailable, "not ready")
 	rejectTooLong   = permanent(http.StatusUnprocessableEntity, "too long to be stored")
 	rejectNoSuchJob = permanent(http.StatusNotFound, "no such job")
--- a/apiserver/server.go
+++ b/apiserver/server.go
@@ -1,9 +1,10 @@
 // Package apiserver answers users' requests: submissions, polls, cancellations and
 // metrics.
 //
-// Whatever a user is told has been stored first. A response about a job that has not
-// ended follows a read made for it: polls that arrive together share one read of the
-// store's current revision, and are answered once the watch feed has reached it.
+// A response reports only state that is already stored. The response about a job that has
+// not ended follows a read of the store that began after the request arrived. Polls that
+// arrive together share one read of the store's current revision, and are answered once
+// the watch feed has reached that revision.
 package apiserver
 
 import (
@@ -16,7 +17,7 @@
 	"ravenport/wire"
 )
 
-// Store is what the API server needs of the key-value store.
+// Store is the part of the key-value store's client that the API server uses.
 type Store interface {
 	// Commit carries out a compare-and-swap transaction and returns its revision.
 	Commit(ctx context.Context, t wire.Txn) (uint64, error)
@@ -26,8 +27,8 @@
 	Revision(ctx context.Context) (uint64, error)
 }
 
-// Server is the API server's actor. Its state belongs to the actor's goroutine; what
-// runs on goroutines of its own says so and reports back by message.
+// Server is the API server's actor. The actor's goroutine owns the state. Functions that
+// run on other goroutines say so, and report their results to the actor by message.
 type Server struct {
 	settings   *settings.Settings
 	sizeLimits records.SizeLimits
@@ -36,10 +37,10 @@
 	self       *actor.Ref
 	controller *actor.Ref // receives JobCancelled
 
-	// What the watch feed and other actors have sent.
+	// State received from the watch feed and from other actors.
 	jobs            map[string]jobSummary
 	damagedJobs     map[string]bool // ids of jobs whose records cannot be read
-	appliedRevision uint64          // of the feed
+	appliedRevision uint64          // the revision that the watch feed has reached
 	machineTypes    []wire.MachineType
 	countsByShard   map[string]records.CountsByJob
 
@@ -48,14 +49,14 @@
 	pollsAwaitingFeed []*pendingPoll
 	readPending       bool // a read is under way or scheduled
 	lastReadAt        time.Time
-	readInterval      time.Duration // the least time between two reads
+	readInterval      time.Duration // the minimum time between two reads
 
-	pendingRequests int       // that wait for the store
+	pendingRequests int       // requests that wait for the store
 	storeDownUntil  time.Time // until then the store counts as unavailable
 	stats           stats
 }
 
-// New makes an API server whose mailbox is self and that sends JobCancelled to
+// New returns an API server whose mailbox is self and that sends JobCancelled to
 // controller.
 func New(set *settings.Settings, store Store, self, controller *actor.Ref) *Server {
 	return &Server{
@@ -108,8 +109,8 @@
 	}
 }
 
-// applyUpdate takes in changes from the watch feed and answers the polls that waited
-// for them.
+// applyUpdate applies changes from the watch feed and answers the polls that waited for
+// them.
 func (s *Server) applyUpdate(update records.Update) {
 	for _, change := range update.Changes {
 		switch record := change.Record.(type) {
@@ -123,13 +124,13 @@
 		}
 	}
 	s.appliedRevision = update.Revision
-	// The feed brought something, so this controller reaches the store.
+	// An update from the watch feed shows that this controller can reach the store.
 	s.storeDownUntil = time.Time{}
 	s.path.directBlocked = false
 	s.answerCaughtUpPolls()
 }
 
-// jobSummary is what the API server remembers of a job.
+// jobSummary is the part of a job's record that the API server keeps in memory.
 type jobSummary struct {
 	endState    wire.JobState // empty while the job has not ended
 	taskCount   int
@@ -146,7 +147,8 @@
 	return summary
 }
 
-// state is the job's state as far as the record shows it, without running tasks.
+// state returns the job's state according to its record, which does not count running
+// tasks.
 func (j jobSummary) state(jobID string) wire.JobStatus {
 	state := wire.JobStatus{ID: jobID, Status: j.endState, Done: j.closedTasks}
 	if j.endState == "" {
--- a/apiserver/submissions.go
+++ b/apiserver/submissions.go
@@ -30,8 +30,8 @@
 		rejected = s.validate(&submission)
 	}
 	if rejected != nil {
-		// A job that was accepted before is answered with its state even if its
-		// submission would be rejected now.
+		// A repeated submission of an accepted job is answered with the job's state, even
+		// if the submission would be rejected now.
 		s.poll(ctx, &pendingPoll{request: msg.Request, jobID: jobID, ifNotFound: rejected})
 		return
 	}
@@ -53,8 +53,8 @@
 	s.startSubmission(ctx, submissionWritten{submission: submission, request: msg.Request, arrivedAt: arrivedAt}, relays)
 }
 
-// startSubmission writes the record of result's submission on a goroutine of its own,
-// which sends the completed result to the actor.
+// startSubmission starts a goroutine that writes the record of result.submission, sets the
+// outcome in result, and sends result to the actor.
 func (s *Server) startSubmission(ctx context.Context, result submissionWritten, relays []Relay) {
 	directBlocked := s.path.directBlocked
 	job := records.Job{Spec: result.submission, AcceptedMS: time.Now().UnixMilli()}
@@ -90,15 +90,15 @@
 		// The record exists already.
 		s.poll(ctx, &pendingPoll{request: result.request, jobID: jobID, ifNotFound: &rejectNotReady})
 	default:
-		// The record may have been written all the same; then the user's repeated
-		// submission finds it.
+		// The record may have been written despite the error. The user's repeated
+		// submission then finds the record.
 		s.stats.refused++
 		s.rejectUnwritten(result, elapsed)
 	}
 }
 
-// rejectUnwritten answers a submission whose record was not written, as far as is
-// known.
+// rejectUnwritten rejects a submission whose record was not written, or may not have been
+// written.
 func (s *Server) rejectUnwritten(m submissionWritten, elapsed time.Duration) {
 	jobID := m.submission.ID
 	if errors.Is(m.err, kvstore.ErrInvalidRequest) {
@@ -109,7 +109,7 @@
 	slog.Info("submission refused", logkey.JobID, jobID, "took_ms", elapsed.Milliseconds(), logkey.Err, m.err)
 	if errors.Is(m.err, kvstore.ErrRateLimited) {
 		rejected := retryable(http.StatusServiceUnavailable, "too many submissions")
-		// Many arrive at once; the jitter spreads their repeats.
+		// Many submissions arrive at once. The jitter spreads their retries.
 		rejected.retryAfterS += rand.IntN(constants.RetryAfterJitterS)
 		rejected.respond(m.request)
 		return
@@ -118,9 +118,10 @@
 	rejectStoreUnavailable.respond(m.request)
 }
 
-// commit carries out a transaction that a user waits for. A refusal for the rate limit
-// alone is retried for a short while. Any other error is returned at once, also when
-// the store is unavailable.
+// commit carries out a transaction on which a user's response depends. If the transaction
+// is refused only because of the rate limit, commit retries it for up to
+// constants.RateLimitWait. Any other error is returned at once, also when the store is
+// unavailable.
 func (s *Server) commit(ctx context.Context, txn wire.Txn) (revision uint64, err error) {
 	retry := kvstore.RateLimitRetry{
 		MaxElapsed: constants.RateLimitWait,
--- a/apiserver/validation.go
+++ b/apiserver/validation.go
@@ -11,7 +11,8 @@
 	"ravenport/wire"
 )
 
-// roundingTolerance is how far a sum of fractional CPUs or GPUs may exceed a limit.
+// roundingTolerance is how far an amount of fractional CPUs or GPUs may exceed a limit
+// because of rounding.
 const roundingTolerance = 1e-9
 
 // rejectMalformed is the rejection of a submission that could not be parsed.
@@ -41,8 +42,8 @@
 	return nil
 }
 
-// infeasible says why a job can never run; empty if it can. The texts are part of the
-// protocol with users.
+// infeasible returns the reason why a job can never run; empty if the job can run. The
+// texts are part of the protocol with users.
 func (s *Server) infeasible(submission *wire.Submission) string {
 	team := s.settings.Team(submission.Team)
 	if team == nil {
@@ -70,8 +71,8 @@
 	return ""
 }
 
-// exceedsQuota says whether what must run at once is more than the team's quota limit:
-// all tasks of a gang, one task of any other job.
+// exceedsQuota reports whether the tasks that must run at the same time need more than the
+// team's quota limit. These are all tasks of a gang, and one task of any other job.
 func exceedsQuota(submission *wire.Submission, team *settings.Team) bool {
 	tasks := 1.0
 	if submission.AllOrNothing() {
@@ -80,12 +81,12 @@
 	return exceeds(submission.CPUs*tasks, team.LimitCPUs) || exceeds(submission.GPUs*tasks, team.LimitGPUs)
 }
 
-// exceeds compares with a limit of which 0 means none.
+// exceeds reports whether amount exceeds limit; a limit of 0 means no limit.
 func exceeds(amount, limit float64) bool {
 	return limit > 0 && amount > limit+roundingTolerance
 }
 
-// feasibleZones are the zones with a machine type that fits a task.
+// feasibleZones returns the zones with a machine type that fits a task.
 func (s *Server) feasibleZones(submission *wire.Submission) map[string]bool {
 	feasible := map[string]bool{}
 	for _, machineType := range s.machineTypes {
@@ -94,7 +95,7 @@
 		}
 		zones := machineType.Zones
 		if len(zones) == 0 {
-			zones = s.settings.Deployment.Zones // the cloud does not name its zones
+			zones = s.settings.Deployment.Zones // the cloud does not list the type's zones
 		}
 		for _, zone := range zones {
 			if submission.Zone == "" || submission.Zone == zone {
@@ -105,7 +106,7 @@
 	return feasible
 }
 
-// fits says whether one task fits an empty machine of an allowed type.
+// fits reports whether one task fits an empty machine of an allowed type.
 func fits(submission *wire.Submission, machineType wire.MachineType) bool {
 	if len(submission.Types) > 0 && !slices.Contains(submission.Types, machineType.Name) {
 		return false
--- a/peer/drain.go
+++ b/peer/drain.go
@@ -72,7 +72,7 @@
 	Machines     int                   `json:"machines"` // when the drain started
 	Remaining    int                   `json:"left"`     // still in the inventory
 	CanaryPassed bool                  `json:"proven"`
-	Shards       []drain.ShardProgress `json:"shards,omitempty"` // as last reported by the shards' owners
+	Shards       []drain.ShardProgress `json:"shards,omitempty"` // as the owners last reported
 }
 
 // DrainHandler carries out operations on drains. Each call runs on its own goroutine and
--- a/peer/relay.go
+++ b/peer/relay.go
@@ -19,7 +19,7 @@
 	OutcomeInvalid     Outcome = "invalid"
 	OutcomeRateLimited Outcome = "limited" // refused only because of the rate limit
 	OutcomeRefused     Outcome = "refused" // certainly not carried out
-	OutcomeUnknown     Outcome = "unknown" // the transaction may have been carried out, or may still be
+	OutcomeUnknown     Outcome = "unknown" // perhaps carried out, perhaps still to be carried out
 )
 
 // CommitReply is the reply to a relayed transaction.
--- a/server/connections.go
+++ b/server/connections.go
@@ -11,7 +11,7 @@
 	"ravenport/logkey"
 )
 
-// connState is the event loop's record of one connection.
+// connState is the event loop's state of one connection.
 type connState struct {
 	busy        bool // a request waits for its response
 	lastEventAt time.Time
@@ -44,9 +44,9 @@
 	s.nearlyFull.Store(len(s.conns) > s.maxConns*constants.ServerCrowdedEighths/8+1)
 }
 
-// reclaimConn closes the connection that has idled longest, if it has idled so long that
-// its client cannot be using it: abandoned connections must not shut out users and health
-// checks. It returns whether there was one.
+// reclaimConn closes the connection that has been idle longest, provided that it has been
+// idle for so long (reclaimIdle) that its client cannot be using it. Otherwise abandoned
+// connections would shut out users and health checks. It reports whether it closed one.
 func (s *Server) reclaimConn() bool {
 	var longestIdle gnet.Conn
 	idleSince := time.Now().Add(-s.reclaimIdle)
@@ -70,9 +70,10 @@
 	}
 }
 
-// OnTick implements gnet.EventHandler. It runs on the ticker's goroutine, beside the event
-// loop that owns the connections, so it only has that loop check them: a check from here,
-// while connections open and close, would end the process.
+// OnTick implements gnet.EventHandler. It runs on the ticker's goroutine, concurrently with
+// the event loop that owns the connections. It therefore only schedules the idle check on
+// that event loop: a check on the ticker's goroutine, while connections open and close,
+// would crash the process.
 func (s *Server) OnTick() (time.Duration, gnet.Action) {
 	if s.tickerEventLoop == nil {
 		select {
@@ -91,8 +92,8 @@
 	return s.idleCheckInterval, gnet.None
 }
 
-// closeIdle closes connections that idle or send a request too slowly, so that slow or
-// abandoned clients cannot hold all sockets. It runs on the event loop.
+// closeIdle closes connections that are idle for too long or send a request too slowly, so
+// that slow or abandoned clients cannot use up all sockets. It runs on the event loop.
 func (s *Server) closeIdle(now time.Time) {
 	for c, state := range s.conns {
 		timeout := constants.ServerIdleTimeout
--- a/server/gnet_logger.go
+++ b/server/gnet_logger.go
@@ -2,7 +2,7 @@
 
 import "log/slog"
 
-// gnetLogger passes only gnet's errors on to the program's log.
+// gnetLogger forwards only gnet's errors to the program's log.
 type gnetLogger struct{}
 
 func (gnetLogger) Debugf(string, ...any) {}
--- a/server/request.go
+++ b/server/request.go
@@ -13,7 +13,7 @@
 	"ravenport/logkey"
 )
 
-// responseHeaderBytes is room for a response's status line and headers.
+// responseHeaderBytes is the buffer space for a response's status line and headers.
 const responseHeaderBytes = 192
 
 // Request is a request and the connection to respond on.
@@ -61,8 +61,8 @@
 	return gnet.None
 }
 
-// refuseMalformed responds to a message that is not a request. The protocol has no status
-// 413, so a body over the limit counts as malformed too.
+// refuseMalformed responds to data that cannot be parsed as a request. The protocol has no
+// status 413, so a request whose body exceeds the limit is refused as malformed too.
 func refuseMalformed(c gnet.Conn) {
 	response := httpwire.AppendResponse(nil, &httpwire.Response{Status: http.StatusBadRequest, Close: true, Body: []byte(`{"error":"malformed request"}`)})
 	if _, err := c.Write(response); err != nil {
@@ -89,7 +89,7 @@
 			return c.Close()
 		}
 		if c.InboundBuffered() > 0 {
-			return c.Wake(nil) // the next request has arrived meanwhile
+			return c.Wake(nil) // the next request has already arrived
 		}
 		return nil
 	})
--- a/server/server.go
+++ b/server/server.go
@@ -1,5 +1,5 @@
-// Package server serves HTTP requests of users, workers and health checks on an event
-// loop of gnet, and hands them to a handler.
+// Package server receives HTTP requests from users, workers and health checks on a gnet
+// event loop, and passes them to a handler.
 package server
 
 import (
@@ -12,35 +12,36 @@
 	"ravenport/constants"
 )
 
-// Handler answers a request. It is called on the event loop and must not block.
+// Handler handles a request. It is called on the event loop and must not block.
 type Handler func(*Request)
 
-// Server listens on one address.
+// Server is an HTTP server that listens on one address.
 type Server struct {
 	gnet.BuiltinEventEngine
 
 	addr              string
 	maxConns          int
-	reclaimIdle       time.Duration // a connection that idles longer may be closed for another
+	reclaimIdle       time.Duration // a connection idle for longer may be closed to accept a new one
 	idleCheckInterval time.Duration
 	handle            Handler
 	ready             chan struct{}
 
 	// Owned by the event loop.
 	conns              map[gnet.Conn]*connState
-	eventLoopPublished bool // the event loop is on eventLoops, or was
+	eventLoopPublished bool // the event loop has been sent to eventLoops
 
-	// nearlyFull says that nearly all sockets are in use: responses end their connections.
-	// The event loop sets it, any goroutine reads it.
+	// nearlyFull says that nearly all of the maxConns connections are open; connections
+	// are then closed after each response. Only the event loop writes nearlyFull; any
+	// goroutine may read it.
 	nearlyFull atomic.Bool
 
-	// eventLoops carries the event loop, once, to the ticker's goroutine, which keeps it
+	// eventLoops passes the event loop, once, to the ticker's goroutine, which stores it
 	// in tickerEventLoop.
 	eventLoops      chan gnet.EventLoop
 	tickerEventLoop gnet.EventLoop
 }
 
-// New makes a server for addr with at most maxConns open connections.
+// New returns a server for addr with at most maxConns open connections.
 func New(addr string, maxConns int, handle Handler) *Server {
 	return &Server{
 		addr:              addr,
@@ -71,5 +72,5 @@
 	return gnet.None
 }
 
-// Ready is closed once the server listens.
+// Ready returns a channel that is closed once the server listens.
 func (s *Server) Ready() <-chan struct{} { return s.ready }
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -13,7 +13,8 @@
 	"ravenport/httpwire"
 )
 
-// startServer serves on a free loopback port and echoes the method and target.
+// startServer starts a server on a free loopback port that echoes the request's method and
+// target.
 func startServer(t *testing.T, maxConns int) string {
 	t.Helper()
 	return startServerWith(t, maxConns, time.Hour, time.Second)
@@ -54,8 +55,8 @@
 	return c, bufio.NewReader(c)
 }
 
-// A connection serves one request after the other, also when they arrive in pieces or
-// before the last one is answered.
+// Requests on one connection are served one after the other, also when a request arrives
+// in pieces or before the response to the previous request.
 func TestRequestsOnOneConnection(t *testing.T) {
 	c, in := dial(t, startServer(t, 10))
 	for i := range 3 {
@@ -99,7 +100,7 @@
 	}
 }
 
-// A message that is not HTTP, or too large, is refused and the connection closed.
+// A request that is not HTTP or is too large is refused, and its connection is closed.
 func TestMalformedRequestIsRefused(t *testing.T) {
 	addr := startServer(t, 10)
 	for _, raw := range []string{"nonsense\r\n\r\n", "POST / HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n"} {
@@ -114,7 +115,7 @@
 	}
 }
 
-// Beyond the limit of connections new ones are closed, and open ones are still served.
+// At the connection limit, new connections are closed and open ones are still served.
 func TestConnectionsAreBounded(t *testing.T) {
 	addr := startServer(t, 1)
 	c, in := dial(t, addr)
@@ -132,10 +133,11 @@
 	expectResponse(t, in, "200", "GET /2")
 }
 
-// At the limit, idle connections are closed for those of users and health checks.
+// At the connection limit, idle connections are closed to make room for those of users and
+// health checks.
 func TestIdleConnectionsAreReclaimed(t *testing.T) {
 	addr := startServerWith(t, 3, 0, time.Second)
-	for range 3 { // whose clients send no further request
+	for range 3 { // these clients send no further request
 		c, in := dial(t, addr)
 		if _, err := c.Write([]byte("GET /1 HTTP/1.1\r\n\r\n")); err != nil {
 			t.Fatal(err)
@@ -151,8 +153,9 @@
 	}
 }
 
-// When nearly all sockets are in use, responses end their connections, so that clients
-// between two heartbeats or polls shut nobody out; with fewer in use connections stay open.
+// When nearly all allowed connections are open, the server closes a connection after its
+// response, so that clients between two heartbeats or polls do not shut out users and
+// health checks. With fewer open connections the server keeps them open.
 func TestNearlyFullServerClosesConnections(t *testing.T) {
 	addr := startServer(t, 20)
 	closesAfterRequest := func(c net.Conn, in *bufio.Reader) bool {
@@ -185,25 +188,25 @@
 	for i := range 18 {
 		c, in := dial(t, addr)
 		if closesAfterRequest(c, in) {
-			t.Fatalf("connection %d of 20 is ended", i+1)
+			t.Fatalf("connection %d of 20 is closed", i+1)
 		}
 		open = append(open, client{c, in})
 	}
 	c, in := dial(t, addr)
 	if !closesAfterRequest(c, in) {
-		t.Fatal("with 19 of 20 sockets in use the response keeps its connection")
+		t.Fatal("with 19 of 20 connections open, the response does not close its connection")
 	}
 	if _, err := in.ReadByte(); err == nil {
-		t.Fatal("the connection is not ended")
+		t.Fatal("the connection is not closed")
 	}
 	if closesAfterRequest(open[0].Conn, open[0].in) {
-		t.Fatal("with 18 in use again a connection is ended")
+		t.Fatal("with 18 of 20 connections open again, the response closes its connection")
 	}
 }
 
-// The check for idle connections does not run beside connections that open and close: on
-// real processors the process ended by itself when a fleet's workers turned from one
-// controller to another within the second.
+// The idle check does not run concurrently with connections that open and close. When it
+// did, the process crashed on real processors as a fleet's workers switched from one
+// controller to another within a second.
 func TestIdleCheckDuringConnectionChurn(t *testing.T) {
 	addr := startServerWith(t, 5000, time.Hour, 100*time.Microsecond)
 	for range 300 {
