--- a/peer/status_test.go
+++ b/peer/status_test.go
@@ -9,21 +9,22 @@
 	"ravenport/leader"
 )
 
-// This version and the one before read each other's messages: every field that the
-// earlier one wrote is read, and fields that are new here may be missing.
+// This version and the previous one read each other's messages. This version reads every
+// field that the previous version wrote, and accepts messages without the fields that are
+// new in this version.
 func TestMessagesOfTheVersionBefore(t *testing.T) {
 	text, err := os.ReadFile("testdata/production.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var was struct {
+	var previous struct {
 		Status []json.RawMessage `json:"status"`
 		Reply  []json.RawMessage `json:"reply"`
 	}
-	if err := json.Unmarshal(text, &was); err != nil {
+	if err := json.Unmarshal(text, &previous); err != nil {
 		t.Fatal(err)
 	}
-	same := func(raw json.RawMessage, v any) {
+	expectRoundTrip := func(raw json.RawMessage, v any) {
 		t.Helper()
 		if err := (codec{}).Unmarshal(raw, v); err != nil {
 			t.Fatal(err)
@@ -34,13 +35,13 @@
 		}
 		var a, z any
 		if json.Unmarshal(raw, &a) != nil || json.Unmarshal(b, &z) != nil || !reflect.DeepEqual(a, z) {
-			t.Errorf("%s became %s", raw, b)
+			t.Errorf("%s was encoded again as %s", raw, b)
 		}
 	}
 	aggregates := 0
-	for _, raw := range was.Status {
+	for _, raw := range previous.Status {
 		var s Status
-		same(raw, &s)
+		expectRoundTrip(raw, &s)
 		aggregates += len(s.Aggregates)
 		for _, a := range s.Aggregates {
 			if a.Shard == "" || a.Gangs != nil {
@@ -48,19 +49,19 @@
 			}
 		}
 	}
-	if aggregates == 0 || len(was.Reply) == 0 {
-		t.Fatal("no messages to read")
+	if aggregates == 0 || len(previous.Reply) == 0 {
+		t.Fatal("testdata/production.json has no messages to read")
 	}
-	same(was.Reply[0], &StatusReply{})
-	// And the other way round: the version before ignores fields it does not know.
-	var frozen struct {
+	expectRoundTrip(previous.Reply[0], &StatusReply{})
+	// Conversely, the previous version ignores fields that it does not know.
+	var previousStatus struct {
 		Aggregates []struct {
 			Shard string  `json:"part"`
 			Wait  float64 `json:"wait"`
 		} `json:"agg"`
 	}
 	b, err := codec{}.Marshal(Status{Aggregates: []leader.Aggregate{{Shard: "a", WaitingCPUs: 3, Gangs: map[string]leader.GangCapacity{"x": {Now: 1}}, ReservedForGangs: 2}}})
-	if err != nil || json.Unmarshal(b, &frozen) != nil || frozen.Aggregates[0].Shard != "a" || frozen.Aggregates[0].Wait != 3 {
+	if err != nil || json.Unmarshal(b, &previousStatus) != nil || previousStatus.Aggregates[0].Shard != "a" || previousStatus.Aggregates[0].Wait != 3 {
 		t.Fatalf("%s: %v", b, err)
 	}
 }
