--- a/controller/monitor.go
+++ b/controller/monitor.go
@@ -207,8 +207,8 @@
 			Evidence:       evidenceNames(v.Evidence),
 			Accusers:       v.Accusers,
 			Refutation:     v.Refutation,
-			SilentMS:       v.SilentFor.Milliseconds(),
-			SilenceLimitMS: v.SilenceLimit.Milliseconds(),
+			SilentMS:       v.SinceLastSeen.Milliseconds(),
+			SilenceLimitMS: v.SuspicionTimeout.Milliseconds(),
 		})
 	}
 	m.control.Tell(view)
--- a/detector/detector_test.go
+++ b/detector/detector_test.go
@@ -134,7 +134,7 @@
 func TestSuspicionTimeoutAdapts(t *testing.T) {
 	w := newNetwork(3)
 	w.run(20 * time.Second)
-	bound := func() time.Duration { return w.controllers[0].detector.PeerViews(w.now)[0].SilenceLimit }
+	bound := func() time.Duration { return w.controllers[0].detector.PeerViews(w.now)[0].SuspicionTimeout }
 	if usual := bound(); usual < 2500*time.Millisecond || usual >= 3*time.Second {
 		t.Errorf("%s where none is lost", usual)
 	}
@@ -154,7 +154,7 @@
 func TestIsolatedObserverExtendsItsTimeouts(t *testing.T) {
 	w := newNetwork(5)
 	w.run(5 * time.Second)
-	bound := func() time.Duration { return w.controllers[0].detector.PeerViews(w.now)[0].SilenceLimit }
+	bound := func() time.Duration { return w.controllers[0].detector.PeerViews(w.now)[0].SuspicionTimeout }
 	usual := bound()
 	w.delay = func(from, to string) (time.Duration, bool) {
 		return 5 * time.Millisecond, from != "n-0" && to != "n-0"
@@ -215,7 +215,7 @@
 	if w.controllers[0].reached("n-2", Suspect) || w.controllers[2].reached("n-0", Suspect) {
 		t.Errorf("suspected across a link that is down: %+v, %+v", w.controllers[0].stateChanges, w.controllers[2].stateChanges)
 	}
-	if v := w.controllers[0].detector.PeerViews(w.now); v[1].SilentFor > 8*time.Second {
+	if v := w.controllers[0].detector.PeerViews(w.now); v[1].SinceLastSeen > 8*time.Second {
 		t.Errorf("no probe proved it: %+v", v[1])
 	}
 }
@@ -313,7 +313,7 @@
 		}
 	}
 	copied := w.now.Add(2 * time.Second)
-	if err := d.HandleMessage(copied, old); err != nil || d.PeerViews(copied)[0].SilentFor < 2*time.Second {
+	if err := d.HandleMessage(copied, old); err != nil || d.PeerViews(copied)[0].SinceLastSeen < 2*time.Second {
 		t.Errorf("a copy counted as a heartbeat: %v, %+v", err, d.PeerViews(copied)[0])
 	}
 	d.SetLease(w.now, "n-1", 0)
