--- a/detector/detector.go
+++ b/detector/detector.go
@@ -71,11 +71,11 @@
 // SetLease records which incarnation of a controller holds its lease; 0: none does.
 func (d *Detector) SetLease(now time.Time, controller string, incarnation uint64) {
 	p := d.peer(controller)
-	if p == nil || incarnation == p.leaseHolder {
+	if p == nil || incarnation == p.leaseIncarnation {
 		return
 	}
-	previous := p.leaseHolder
-	p.leaseHolder = incarnation
+	previous := p.leaseIncarnation
+	p.leaseIncarnation = incarnation
 	p.leaseWasHeld = p.leaseWasHeld || incarnation != 0
 	switch {
 	case previous == 0:
@@ -91,7 +91,7 @@
 	d.updateLocalHealth(now)
 	var probes []Probe
 	for _, p := range d.peers {
-		probes = append(probes, d.probeIfSilent(now, p)...)
+		probes = append(probes, d.probeIfUnanswered(now, p)...)
 	}
 	for _, p := range d.peers {
 		d.updateState(now, p)
--- a/detector/evidence.go
+++ b/detector/evidence.go
@@ -42,6 +42,6 @@
 // isRefutable reports whether the accused controller's own heartbeat ends all of the
 // evidence.
 func (a Accusation) isRefutable() bool {
-	isFinal := func(e Evidence) bool { return !e.isRefutable() }
-	return !slices.ContainsFunc(a.Evidence, isFinal)
+	isNotRefutable := func(e Evidence) bool { return !e.isRefutable() }
+	return !slices.ContainsFunc(a.Evidence, isNotRefutable)
 }
--- a/detector/health.go
+++ b/detector/health.go
@@ -20,8 +20,8 @@
 	changedAt time.Time
 }
 
-// worsen raises the score, at most once in an interval.
-func (h *localHealth) worsen(now time.Time, interval time.Duration) {
+// raiseScore raises the score, at most once in an interval.
+func (h *localHealth) raiseScore(now time.Time, interval time.Duration) {
 	if now.Sub(h.changedAt) < interval {
 		return
 	}
@@ -29,8 +29,8 @@
 	h.changedAt = now
 }
 
-// recover lowers the score after some intervals without a cause for it.
-func (h *localHealth) recover(now time.Time, interval time.Duration) {
+// lowerScore lowers the score after some intervals without a cause for it.
+func (h *localHealth) lowerScore(now time.Time, interval time.Duration) {
 	if h.score == 0 || now.Sub(h.changedAt) < recoveryIntervals*interval {
 		return
 	}
@@ -56,30 +56,30 @@
 		}
 	}
 	if late > interval/2 || d.isIsolated(now) {
-		d.localHealth.worsen(now, interval)
+		d.localHealth.raiseScore(now, interval)
 		return
 	}
-	d.localHealth.recover(now, interval)
+	d.localHealth.lowerScore(now, interval)
 }
 
 // isIsolated reports whether every monitored controller with a lease is silent, and there
 // are at least two of them: it may well be this one that is cut off.
 func (d *Detector) isIsolated(now time.Time) bool {
-	silent := 0
+	overdue := 0
 	for _, p := range d.peers {
-		if !p.isMonitored() || p.leaseHolder == 0 {
+		if !p.isMonitored() || p.leaseIncarnation == 0 {
 			continue
 		}
 		if now.Sub(p.lastSeen) <= d.config.SuspectMin {
 			return false
 		}
-		silent++
+		overdue++
 	}
-	return silent >= minIsolationPeers
+	return overdue >= minIsolationPeers
 }
 
 // suspicionTimeout is the silence beyond which a controller is suspected.
 func (d *Detector) suspicionTimeout(p *peer) time.Duration {
-	adapted := min(max(p.intervalStats.silenceThreshold(), d.config.SuspectMin), d.config.SuspectMax)
+	adapted := min(max(p.intervalStats.suspicionThreshold(), d.config.SuspectMin), d.config.SuspectMax)
 	return d.localHealth.scale(adapted)
 }
--- a/detector/heartbeat.go
+++ b/detector/heartbeat.go
@@ -59,7 +59,7 @@
 		return nil, nil
 	}
 	sender.accusations = map[string]Accusation{}
-	sender.accusationsAt = now
+	sender.accusationsReceivedAt = now
 	for _, accusation := range m.Accusations {
 		sender.accusations[accusation.Controller] = accusation
 		d.refuteIfAccused(accusation)
--- a/detector/interval_stats.go
+++ b/detector/interval_stats.go
@@ -36,8 +36,8 @@
 	s.variance = (1 - sampleWeight) * (s.variance + sampleWeight*delta*delta)
 }
 
-// silenceThreshold returns the silence beyond which something may be wrong.
-func (s *intervalStats) silenceThreshold() time.Duration {
+// suspicionThreshold returns the silence beyond which something may be wrong.
+func (s *intervalStats) suspicionThreshold() time.Duration {
 	mean := s.expected.Seconds()
 	if s.observed {
 		mean = s.mean
--- a/detector/peer.go
+++ b/detector/peer.go
@@ -16,19 +16,19 @@
 	Failed      State = "failed"
 )
 
-// maxRetired is how many earlier incarnations of a controller are remembered, so
+// maxRetiredIncarnations is how many earlier incarnations of a controller are remembered, so
 // that late heartbeats of theirs are not taken for those of a new one.
-const maxRetired = 8
+const maxRetiredIncarnations = 8
 
 // peer is what is known of one other controller.
 type peer struct {
 	name  string
 	state State
 
-	leaseHolder  uint64 // incarnation that holds the lease, as the feed shows it; 0: none
-	leaseWasHeld bool   // by some incarnation, since this observer started
-	latest       Heartbeat
-	retired      []uint64 // incarnations before latest.Incarnation, oldest first
+	leaseIncarnation    uint64 // incarnation that holds the lease, as the feed shows it; 0: none
+	leaseWasHeld        bool   // by some incarnation, since this observer started
+	latest              Heartbeat
+	retiredIncarnations []uint64 // incarnations before latest.Incarnation, oldest first
 
 	lastSeen      time.Time // last heartbeat, or indirect probe that was answered
 	lastAnswer    time.Time // last reply to a call or a probe
@@ -42,8 +42,8 @@
 	unservedSince    time.Time
 	suspectSince     time.Time // when the state became Suspect
 
-	accusations   map[string]Accusation // by this controller, by the name of the accused one
-	accusationsAt time.Time
+	accusations           map[string]Accusation // by this controller, by the name of the accused one
+	accusationsReceivedAt time.Time
 }
 
 func newPeer(name string, heartbeatInterval time.Duration) *peer {
@@ -74,16 +74,16 @@
 	if p.latest.Incarnation != 0 {
 		return p.latest.Incarnation
 	}
-	return p.leaseHolder
+	return p.leaseIncarnation
 }
 
 // lastIncarnation returns the incarnation that evidence is about, or else the last one
 // there was.
 func (p *peer) lastIncarnation() uint64 {
-	if current := p.incarnation(); current != 0 || len(p.retired) == 0 {
+	if current := p.incarnation(); current != 0 || len(p.retiredIncarnations) == 0 {
 		return current
 	}
-	return p.retired[len(p.retired)-1]
+	return p.retiredIncarnations[len(p.retiredIncarnations)-1]
 }
 
 // evidence lists this observer's evidence against the controller.
@@ -144,7 +144,7 @@
 // accept makes a heartbeat the latest one, and reports whether it could: it must be newer
 // than all known of its incarnation, and not of an earlier incarnation.
 func (p *peer) accept(h Heartbeat) bool {
-	if slices.Contains(p.retired, h.Incarnation) {
+	if slices.Contains(p.retiredIncarnations, h.Incarnation) {
 		return false
 	}
 	if h.Incarnation != p.latest.Incarnation {
@@ -172,8 +172,8 @@
 
 // retireIncarnation records that an incarnation of the controller is over.
 func (p *peer) retireIncarnation(incarnation uint64) {
-	p.retired = append(p.retired, incarnation)
-	p.retired = p.retired[max(0, len(p.retired)-maxRetired):]
+	p.retiredIncarnations = append(p.retiredIncarnations, incarnation)
+	p.retiredIncarnations = p.retiredIncarnations[max(0, len(p.retiredIncarnations)-maxRetiredIncarnations):]
 }
 
 // clearEvidence drops all evidence.
@@ -192,7 +192,7 @@
 	for _, timestamp := range []*time.Time{
 		&p.lastSeen, &p.lastAnswer,
 		&p.unreachableSince, &p.unansweredSince, &p.stalledSince, &p.unservedSince, &p.suspectSince,
-		&p.accusationsAt, &p.probing.phaseStartedAt,
+		&p.accusationsReceivedAt, &p.probing.phaseStartedAt,
 	} {
 		if !timestamp.IsZero() {
 			*timestamp = timestamp.Add(pause)
--- a/detector/probing.go
+++ b/detector/probing.go
@@ -15,19 +15,19 @@
 	directSent     bool      // and not answered yet
 	directFailed   bool
 	indirectSent   bool
-	pendingVia     map[string]bool // controllers that were asked to probe and did not reply yet
+	pendingProbers map[string]bool // controllers that were asked to probe and did not reply yet
 }
 
 // isExhausted reports whether all probes of the round have failed.
 func (r *probeRound) isExhausted() bool {
-	return r.directFailed && r.indirectSent && len(r.pendingVia) == 0
+	return r.directFailed && r.indirectSent && len(r.pendingProbers) == 0
 }
 
-// probeIfSilent probes a controller that has answered nothing for half its suspicion
+// probeIfUnanswered probes a controller that has answered nothing for half its suspicion
 // timeout, first directly and then through others. Once the timeout has passed and no
 // probe was answered, that is recorded as evidence.
-func (d *Detector) probeIfSilent(now time.Time, p *peer) []Probe {
-	if !p.isMonitored() || p.leaseHolder == 0 {
+func (d *Detector) probeIfUnanswered(now time.Time, p *peer) []Probe {
+	if !p.isMonitored() || p.leaseIncarnation == 0 {
 		return nil
 	}
 	timeout := d.suspicionTimeout(p)
@@ -50,7 +50,7 @@
 		probes = append(probes, d.startIndirectProbes(now, p)...)
 	}
 	if round.isExhausted() && unansweredFor > timeout {
-		recordSilence(now, p, timeout)
+		recordProbeEvidence(now, p, timeout)
 	}
 	return probes
 }
@@ -61,7 +61,7 @@
 		return
 	}
 	if round.indirectSent {
-		clear(round.pendingVia)
+		clear(round.pendingProbers)
 		return
 	}
 	round.directFailed = true
@@ -73,26 +73,26 @@
 	round := &target.probing
 	round.indirectSent = true
 	round.phaseStartedAt = now
-	round.pendingVia = map[string]bool{}
+	round.pendingProbers = map[string]bool{}
 	var probes []Probe
 	for _, via := range d.peers {
 		if via == target || !via.isMonitored() || now.Sub(via.lastSeen) > d.suspicionTimeout(via) {
 			continue
 		}
-		round.pendingVia[via.name] = true
+		round.pendingProbers[via.name] = true
 		probes = append(probes, Probe{Target: target.name, Via: via.name})
 	}
 	return probes
 }
 
-// recordSilence records that a controller answered no probe: as unreachable if its own
+// recordProbeEvidence records that a controller answered no probe: as unreachable if its own
 // heartbeats have ceased as well, and as unanswered if they still come.
-func recordSilence(now time.Time, p *peer, timeout time.Duration) {
-	isSilent := now.Sub(p.lastSeen) > timeout
+func recordProbeEvidence(now time.Time, p *peer, timeout time.Duration) {
+	isHeartbeatMissing := now.Sub(p.lastSeen) > timeout
 	switch {
-	case isSilent && p.unreachableSince.IsZero():
+	case isHeartbeatMissing && p.unreachableSince.IsZero():
 		p.unreachableSince = p.lastSeen
-	case !isSilent && p.unansweredSince.IsZero():
+	case !isHeartbeatMissing && p.unansweredSince.IsZero():
 		p.unansweredSince = p.lastAnswer
 	}
 }
@@ -120,5 +120,5 @@
 		r.directFailed = r.directSent
 		return
 	}
-	delete(r.pendingVia, via)
+	delete(r.pendingProbers, via)
 }
--- a/detector/suspicion.go
+++ b/detector/suspicion.go
@@ -34,7 +34,7 @@
 func (d *Detector) Proposals(now time.Time) []RevocationProposal {
 	var proposals []RevocationProposal
 	for _, p := range d.peers {
-		if p.state != Failed || p.leaseHolder == 0 || p.leaseHolder != p.incarnation() {
+		if p.state != Failed || p.leaseIncarnation == 0 || p.leaseIncarnation != p.incarnation() {
 			continue
 		}
 		accusers := d.accusers(now, p)
@@ -74,7 +74,7 @@
 
 // evaluate returns the state that the evidence against a controller calls for.
 func (d *Detector) evaluate(now time.Time, p *peer) (State, []Evidence) {
-	if p.leaseHolder == 0 && p.leaseWasHeld {
+	if p.leaseIncarnation == 0 && p.leaseWasHeld {
 		return Failed, []Evidence{LeaseLost}
 	}
 	if !p.isMonitored() {
@@ -121,7 +121,7 @@
 		if !ok || accuser == p || accusation.Incarnation != p.incarnation() {
 			continue
 		}
-		if now.Sub(accuser.accusationsAt) > d.suspicionTimeout(accuser) {
+		if now.Sub(accuser.accusationsReceivedAt) > d.suspicionTimeout(accuser) {
 			continue
 		}
 		isRefuted := accusation.Refutation < p.latest.Refutation && accusation.isRefutable()
