--- a/detector/heartbeat.go
+++ b/detector/heartbeat.go
@@ -43,24 +43,24 @@
 }
 
 // handleMessage returns the sender if the message was new.
-func (d *Detector) handleMessage(now time.Time, m Message) (*peer, error) {
-	sender := d.peer(m.Controller)
+func (d *Detector) handleMessage(now time.Time, message Message) (*peer, error) {
+	sender := d.peer(message.Controller)
 	if sender == nil {
-		reason := fmt.Errorf("%w: %q", ErrUnknownController, m.Controller)
-		return nil, &DroppedMessageError{Sender: m.Controller, Reason: reason}
+		reason := fmt.Errorf("%w: %q", ErrUnknownController, message.Controller)
+		return nil, &DroppedMessageError{Sender: message.Controller, Reason: reason}
 	}
-	if err := m.validate(len(d.config.Controllers)); err != nil {
-		return nil, &DroppedMessageError{Sender: m.Controller, Reason: err}
+	if err := message.validate(len(d.config.Controllers)); err != nil {
+		return nil, &DroppedMessageError{Sender: message.Controller, Reason: err}
 	}
-	if m.Heartbeat.Incarnation == 0 {
+	if message.Heartbeat.Incarnation == 0 {
 		return nil, nil // it has no lease yet, so nothing depends on it
 	}
-	if !d.acceptHeartbeat(now, sender, m.Heartbeat) {
+	if !d.acceptHeartbeat(now, sender, message.Heartbeat) {
 		return nil, nil
 	}
 	sender.accusations = map[string]Accusation{}
 	sender.accusationsReceivedAt = now
-	for _, accusation := range m.Accusations {
+	for _, accusation := range message.Accusations {
 		sender.accusations[accusation.Controller] = accusation
 		d.refuteIfAccused(accusation)
 	}
--- a/detector/probing.go
+++ b/detector/probing.go
@@ -26,16 +26,16 @@
 // probeIfUnanswered probes a controller that has answered nothing for half its suspicion
 // timeout, first directly and then through others. Once the timeout has passed and no
 // probe was answered, that is recorded as evidence.
-func (d *Detector) probeIfUnanswered(now time.Time, p *peer) []Probe {
-	if !p.isMonitored() || p.leaseIncarnation == 0 {
+func (d *Detector) probeIfUnanswered(now time.Time, target *peer) []Probe {
+	if !target.isMonitored() || target.leaseIncarnation == 0 {
 		return nil
 	}
-	timeout := d.suspicionTimeout(p)
-	unansweredFor := now.Sub(p.lastAnswer)
+	timeout := d.suspicionTimeout(target)
+	unansweredFor := now.Sub(target.lastAnswer)
 	if unansweredFor <= timeout/2 {
 		return nil
 	}
-	round := &p.probing
+	round := &target.probing
 	if round.isExhausted() && now.Sub(round.phaseStartedAt) > timeout {
 		*round = probeRound{}
 	}
@@ -43,14 +43,14 @@
 	if !round.directSent {
 		round.phaseStartedAt = now
 		round.directSent = true
-		probes = append(probes, Probe{Target: p.name})
+		probes = append(probes, Probe{Target: target.name})
 	}
 	d.expireProbes(now, round)
 	if round.directFailed && !round.indirectSent {
-		probes = append(probes, d.startIndirectProbes(now, p)...)
+		probes = append(probes, d.startIndirectProbes(now, target)...)
 	}
 	if round.isExhausted() && unansweredFor > timeout {
-		recordProbeEvidence(now, p, timeout)
+		recordProbeEvidence(now, target, timeout)
 	}
 	return probes
 }
--- a/detector/suspicion.go
+++ b/detector/suspicion.go
@@ -110,21 +110,21 @@
 
 // accusers collects the valid accusations of a controller's present incarnation, this
 // controller's own among them.
-func (d *Detector) accusers(now time.Time, p *peer) accuserSet {
+func (d *Detector) accusers(now time.Time, accused *peer) accuserSet {
 	var found accuserSet
-	if own := p.ownAccusation(); len(own.Evidence) > 0 {
+	if own := accused.ownAccusation(); len(own.Evidence) > 0 {
 		found.names = append(found.names, d.config.Self)
 		found.isAboutWork = own.isAboutWork()
 	}
 	for _, accuser := range d.peers {
-		accusation, ok := accuser.accusations[p.name]
-		if !ok || accuser == p || accusation.Incarnation != p.incarnation() {
+		accusation, ok := accuser.accusations[accused.name]
+		if !ok || accuser == accused || accusation.Incarnation != accused.incarnation() {
 			continue
 		}
 		if now.Sub(accuser.accusationsReceivedAt) > d.suspicionTimeout(accuser) {
 			continue
 		}
-		isRefuted := accusation.Refutation < p.latest.Refutation && accusation.isRefutable()
+		isRefuted := accusation.Refutation < accused.latest.Refutation && accusation.isRefutable()
 		if isRefuted {
 			continue
 		}
