--- a/watchdog/watchdog.go
+++ b/watchdog/watchdog.go
@@ -16,8 +16,8 @@
 
 // progress is what an actor had handled when it last made progress or had nothing to do.
 type progress struct {
-	handled  uint64
-	lastMade time.Time
+	handled      uint64
+	lastProgress time.Time
 }
 
 // Watchdog watches the actors of one process. It is used by one goroutine.
@@ -33,9 +33,9 @@
 	return &Watchdog{stallTimeout: stallTimeout, progress: map[string]progress{}}
 }
 
-// pauseFraction is the fraction of the stall timeout, as its divisor, beyond which the
+// pauseDivisor is the fraction of the stall timeout, as its divisor, beyond which the
 // time between two observations counts as a pause of the whole process.
-const pauseFraction = 4
+const pauseDivisor = 4
 
 // Observe evaluates a sample of every actor and returns the names of those that are
 // stalled, sorted. A pause of the process as a whole, in which nothing could make
@@ -48,12 +48,12 @@
 	for _, sample := range samples {
 		current, known := w.progress[sample.Name]
 		if !known || sample.Pending == 0 || sample.Handled != current.handled {
-			current = progress{handled: sample.Handled, lastMade: now}
+			current = progress{handled: sample.Handled, lastProgress: now}
 		} else {
-			current.lastMade = current.lastMade.Add(pause)
+			current.lastProgress = current.lastProgress.Add(pause)
 		}
 		observed[sample.Name] = current
-		if now.Sub(current.lastMade) >= w.stallTimeout {
+		if now.Sub(current.lastProgress) >= w.stallTimeout {
 			stalled = append(stalled, sample.Name)
 		}
 	}
@@ -65,9 +65,9 @@
 // pauseSinceLast returns the time since the last observation if the process was paused
 // in it, and otherwise 0.
 func (w *Watchdog) pauseSinceLast(now time.Time) time.Duration {
-	gap := now.Sub(w.lastObserved)
-	if w.lastObserved.IsZero() || gap <= w.stallTimeout/pauseFraction {
+	interval := now.Sub(w.lastObserved)
+	if w.lastObserved.IsZero() || interval <= w.stallTimeout/pauseDivisor {
 		return 0
 	}
-	return gap
+	return interval
 }
