--- a/detector/detector_test.go
+++ b/detector/detector_test.go
@@ -245,7 +245,7 @@
 
 // Whatever the losses were, once messages come through again no suspicion of
 // silence stays, and a suspicion that was refuted is gone before.
-func TestRefutedSuspicionIsGone(t *testing.T) {
+func TestRefutedSuspicionIsRemoved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{3, 5}).Draw(t, "controllers")
 		w := newNetwork(n)
@@ -302,7 +302,7 @@
 
 // Heartbeats of an earlier incarnation, duplicates and late ones prove nothing, and the
 // end of a lease decides at once.
-func TestRetiredIncarnationProvesNothing(t *testing.T) {
+func TestRetiredIncarnationIsIgnored(t *testing.T) {
 	w := newNetwork(3)
 	w.run(3 * time.Second)
 	d := w.controllers[0].detector
--- a/member/core_test.go
+++ b/member/core_test.go
@@ -94,7 +94,7 @@
 // Through any run of failures and returns: terms only rise, nobody takes a
 // term from a live holder unless it was transferred, and once all is calm every
 // shard is held in its own zone.
-func TestTermsRiseAndSettle(t *testing.T) {
+func TestTermsIncreaseAndConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		s := &storeSim{keys: map[string]records.Change{}, incarnations: make([]uint64, 3)}
@@ -123,13 +123,13 @@
 			now = now.Add(100 * time.Millisecond)
 			s.acquireDue(t, now)
 		}
-		s.checkSettled(t)
+		s.checkConverged(t)
 	})
 }
 
-// checkSettled checks that there is a leader, and that every shard is held in its own
+// checkConverged checks that there is a leader, and that every shard is held in its own
 // zone.
-func (s *storeSim) checkSettled(t *rapid.T) {
+func (s *storeSim) checkConverged(t *rapid.T) {
 	t.Helper()
 	for _, shard := range []string{"a", "b"} {
 		holder, held := s.cores[0].Holder(records.KeyShard(shard))
@@ -162,7 +162,7 @@
 
 // A shard that was transferred away because its machines could not reach the owner does
 // not fail back at once.
-func TestCutShardStaysAway(t *testing.T) {
+func TestTransferredShardFailsBackAfterCooldown(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := newSim(now)
 	key := records.KeyShard("b")
@@ -188,7 +188,7 @@
 }
 
 // Where no controller reaches another, the leadership goes round once and stays.
-func TestLeadershipDoesNotGoRound(t *testing.T) {
+func TestIsolatedLeadersTransferOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := newSim(now)
 	s.apply(now, records.KeyLeader, &records.Term{Controller: "n-1", Incarnation: 2, Number: 4})
@@ -210,7 +210,7 @@
 
 // An owner leaves a second shard to its own controller for a while, and no longer;
 // one that owns nothing takes one at once, and of two vacant ones only one.
-func TestSecondShardIsLeftForAWhile(t *testing.T) {
+func TestSecondShardAcquisitionIsDelayed(t *testing.T) {
 	const wait = 4 * time.Second
 	now := time.Unix(1000, 0)
 	key := records.KeyShard("b")
--- a/member/revocation.go
+++ b/member/revocation.go
@@ -65,8 +65,8 @@
 	if !ok || target.incarnation != revocation.Incarnation {
 		return wire.Txn{}, false
 	}
-	heedsRevocations := target.leaseTTL != 0
-	if !heedsRevocations || c.IsRevoked(revocation.Controller) {
+	supportsRevocation := target.leaseTTL != 0
+	if !supportsRevocation || c.IsRevoked(revocation.Controller) {
 		return wire.Txn{}, false
 	}
 	self, ok := c.registrations[c.self]
--- a/member/revocation_test.go
+++ b/member/revocation_test.go
@@ -96,7 +96,7 @@
 
 // Only a registered process that heeds revocations is revoked, once, by one that is
 // registered itself; a revocation says nothing of the next process of its name.
-func TestWhoIsRevoked(t *testing.T) {
+func TestRevocationPreconditions(t *testing.T) {
 	now, none := time.Unix(1000, 0), make([]time.Duration, 3)
 	s := newSimWithDetection(now, 3*time.Second)
 	target := records.Revocation{Controller: "n-1", Incarnation: 2}
@@ -178,7 +178,7 @@
 }
 
 // Setting the time of day neither shortens nor lengthens the wait for a revoked holder.
-func TestWallClockJumpLeavesTheWait(t *testing.T) {
+func TestWallClockJumpKeepsRevocationWait(t *testing.T) {
 	const life = 3 * time.Second
 	now := time.Now()
 	s := newSimWithDetection(now, life)
@@ -198,7 +198,7 @@
 // all of them own one already and leave another vacant for as long as they may; alone
 // it takes it. Guards against a gray-failed owner of three that was revoked, and had its
 // shard back a second later: another took it only after the second revocation.
-func TestRevokedControllerLeavesItsShard(t *testing.T) {
+func TestRevokedControllerDoesNotReacquireItsShard(t *testing.T) {
 	for _, alone := range []bool{false, true} {
 		now := time.Unix(1000, 0)
 		s := newSimWithDetection(now, 3*time.Second)
@@ -238,7 +238,7 @@
 
 // A leader that took over from a revoked one transfers it at once if it is cut off itself,
 // and not to the revoked one.
-func TestLeaderAfterARevocationHandsOn(t *testing.T) {
+func TestLeaderAfterRevocationTransfersAtOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := newSimWithDetection(now, 3*time.Second)
 	s.apply(now, records.KeyLeader, &records.Term{Controller: "n-1", Incarnation: 2, Number: 4})
