--- a/detector/detector.go
+++ b/detector/detector.go
@@ -1,9 +1,9 @@
-// Package detector decides which controllers are suspected and which have failed,
-// from their heartbeats, from probes, from the evidence that other controllers hold
-// against them and from what workers show. It is pure: messages and a monotonic time go
-// in; changes of state, probes to be made and the next deadline come out. It decides
-// nothing about authority: a failed controller is a proposal, which only a
-// compare-and-swap transaction of the key-value store puts into effect.
+// Package detector decides which controllers are suspected and which have failed. It
+// evaluates their heartbeats, probe results, the accusations of other controllers and
+// the behaviour of workers. It is pure: its input is messages and a monotonic time; its
+// output is state changes, probes to be made and the next deadline. It has no authority:
+// a controller that is declared failed is only a proposal, which takes effect through a
+// compare-and-swap transaction of the key-value store.
 package detector
 
 import (
@@ -11,22 +11,22 @@
 	"time"
 )
 
-// ticksPerInterval is how often the detector checks its deadlines within a heartbeat
-// interval.
+// ticksPerInterval is the number of times that the detector checks its deadlines within
+// a heartbeat interval.
 const ticksPerInterval = 4
 
-// Detector watches the other controllers. It is used by one goroutine.
+// Detector monitors the other controllers. It must be used by a single goroutine.
 type Detector struct {
 	config            Config
 	peers             []*peer // by name
 	ownHeartbeat      Heartbeat
-	refutationPending bool // a refutation was not sent yet
+	refutationPending bool // the latest refutation has not been sent yet
 	localHealth       localHealth
 	nextTick          time.Time // when Tick is due
 	stateChanges      []StateChange
 }
 
-// New makes a detector. Its error is a *ConfigError.
+// New returns a detector, or a *ConfigError if the configuration is invalid.
 func New(config Config, now time.Time) (*Detector, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
@@ -40,7 +40,8 @@
 	return d, nil
 }
 
-// peer returns what is known of another controller; nil: it is not a configured one.
+// peer returns the state of another controller, or nil if no controller of that name is
+// configured.
 func (d *Detector) peer(name string) *peer {
 	for _, p := range d.peers {
 		if p.name == name {
@@ -50,7 +51,8 @@
 	return nil
 }
 
-// SetIncarnation sets the incarnation of this process; 0: it holds no lease.
+// SetIncarnation sets the incarnation of this process; 0 means that the process holds no
+// lease.
 func (d *Detector) SetIncarnation(incarnation uint64) {
 	if incarnation != d.ownHeartbeat.Incarnation {
 		d.ownHeartbeat = Heartbeat{Incarnation: incarnation, Sequence: d.ownHeartbeat.Sequence}
@@ -60,15 +62,16 @@
 // SetStalled sets the names of this process's actors that make no progress.
 func (d *Detector) SetStalled(actors []string) { d.ownHeartbeat.Stalled = actors }
 
-// SetUnserved records whether workers that were redirected to a controller come back to
-// this one.
+// SetUnserved records whether workers that were redirected to the given controller
+// return to this controller, which shows that the given controller does not serve them.
 func (d *Detector) SetUnserved(now time.Time, controller string, unserved bool) {
 	if p := d.peer(controller); p != nil {
 		setSince(&p.unservedSince, now, unserved)
 	}
 }
 
-// SetLease records which incarnation of a controller holds its lease; 0: none does.
+// SetLease records which incarnation of a controller holds its lease; 0 means that no
+// incarnation holds it.
 func (d *Detector) SetLease(now time.Time, controller string, incarnation uint64) {
 	p := d.peer(controller)
 	if p == nil || incarnation == p.leaseIncarnation {
@@ -81,7 +84,7 @@
 	case previous == 0:
 	case previous == p.latest.Incarnation:
 		p.startIncarnation(Heartbeat{}) // unmonitored until the next incarnation's heartbeat
-	default: // the next incarnation's heartbeat came before the feed showed its lease
+	default: // the next incarnation's heartbeat arrived before the feed showed its lease
 		p.retireIncarnation(previous)
 	}
 }
--- a/detector/evidence.go
+++ b/detector/evidence.go
@@ -7,30 +7,36 @@
 
 // Kinds of evidence.
 const (
-	// Unreachable: it was silent for longer than its suspicion timeout, and no probe was
-	// answered.
+	// Unreachable means that no heartbeat of the controller arrived within its suspicion
+	// timeout, and that no probe was answered.
 	Unreachable Evidence = "unreachable"
-	// Unanswered: its own heartbeats come, and it answers neither calls nor probes.
+	// Unanswered means that the controller's own heartbeats arrive, but that it answers
+	// neither calls nor probes.
 	Unanswered Evidence = "unanswered"
-	// Stalled: its own heartbeat names an actor that makes no progress.
+	// Stalled means that the controller's own heartbeat names an actor that makes no
+	// progress.
 	Stalled Evidence = "stalled"
-	// Unserved: workers that were redirected to it came back to the observer.
+	// Unserved means that workers that were redirected to the controller returned to the
+	// observer.
 	Unserved Evidence = "unserved"
-	// LeaseLost: its key in the key-value store is gone or another incarnation's.
+	// LeaseLost means that the controller's key in the key-value store was deleted or
+	// belongs to another incarnation.
 	LeaseLost Evidence = "lease ended"
 )
 
-// isAboutWork reports whether the evidence shows that work is not done.
+// isAboutWork reports whether the evidence shows that the controller does not do its
+// work.
 func (e Evidence) isAboutWork() bool { return e == Stalled || e == Unserved }
 
-// isRefutable reports whether a controller's own heartbeat ends the evidence.
+// isRefutable reports whether a heartbeat from the accused controller removes the
+// evidence.
 func (e Evidence) isRefutable() bool { return e == Unreachable }
 
 // Accusation is the sender's own evidence against an incarnation of a controller.
 type Accusation struct {
 	Controller  string     `json:"node"`
 	Incarnation uint64     `json:"proc"`
-	Refutation  uint64     `json:"ref,omitempty"` // the latest that the accuser knew
+	Refutation  uint64     `json:"ref,omitempty"` // the latest one that the accuser has received
 	Evidence    []Evidence `json:"ev"`
 }
 
@@ -39,7 +45,7 @@
 	return slices.ContainsFunc(a.Evidence, Evidence.isAboutWork)
 }
 
-// isRefutable reports whether the accused controller's own heartbeat ends all of the
+// isRefutable reports whether a heartbeat from the accused controller removes all of the
 // evidence.
 func (a Accusation) isRefutable() bool {
 	isNotRefutable := func(e Evidence) bool { return !e.isRefutable() }
--- a/detector/heartbeat.go
+++ b/detector/heartbeat.go
@@ -20,20 +20,20 @@
 	return m
 }
 
-// IsRefutationPending reports whether a heartbeat should be sent before the interval has
-// passed, because it refutes a suspicion.
+// IsRefutationPending reports whether the next heartbeat refutes a suspicion and should
+// therefore be sent before the interval has passed.
 func (d *Detector) IsRefutationPending() bool { return d.refutationPending }
 
-// HandleMessage evaluates a message that another controller sent, or drops it with a
-// *DroppedMessageError. Duplicates and late messages of an earlier incarnation are dropped
-// without an error.
+// HandleMessage evaluates a message from another controller. Messages from unknown
+// controllers and malformed messages are dropped with a *DroppedMessageError. Duplicates
+// and late messages of an earlier incarnation are dropped without an error.
 func (d *Detector) HandleMessage(now time.Time, m Message) error {
 	_, err := d.handleMessage(now, m)
 	return err
 }
 
-// HandleReply evaluates a message that replied to one of this controller's own. Its errors
-// are those of HandleMessage.
+// HandleReply evaluates a reply to a message of this controller. Its errors are those of
+// HandleMessage.
 func (d *Detector) HandleReply(now time.Time, m Message) error {
 	sender, err := d.handleMessage(now, m)
 	if sender != nil {
@@ -42,7 +42,8 @@
 	return err
 }
 
-// handleMessage returns the sender if the message was new.
+// handleMessage evaluates a message. It returns the sender if the message was new, and
+// otherwise nil.
 func (d *Detector) handleMessage(now time.Time, message Message) (*peer, error) {
 	sender := d.peer(message.Controller)
 	if sender == nil {
@@ -53,7 +54,7 @@
 		return nil, &DroppedMessageError{Sender: message.Controller, Reason: err}
 	}
 	if message.Heartbeat.Incarnation == 0 {
-		return nil, nil // it has no lease yet, so nothing depends on it
+		return nil, nil // no other process depends on a sender without a lease
 	}
 	if !d.acceptHeartbeat(now, sender, message.Heartbeat) {
 		return nil, nil
@@ -75,7 +76,7 @@
 	}
 	switch interval := now.Sub(p.lastSeen); {
 	case p.latest.Incarnation != previous:
-		p.lastAnswer = now // its silences begin here
+		p.lastAnswer = now // the time without an answer is measured from here
 	case interval <= d.config.SuspectMax:
 		p.intervalStats.observe(interval)
 	}
--- a/detector/interval_stats.go
+++ b/detector/interval_stats.go
@@ -7,17 +7,17 @@
 
 // Weights of the interval statistics.
 const (
-	// sampleWeight is the share of the newest interval in the running mean and
-	// variance: the last twenty or so intervals decide.
+	// sampleWeight is the weight of the newest interval in the running mean and
+	// variance, which are dominated by about the last twenty intervals.
 	sampleWeight = 0.1
-	// deviations is how many standard deviations beyond the mean a silence is
-	// unusual.
+	// deviations is the number of standard deviations above the mean at which the time
+	// since the last heartbeat becomes unusual.
 	deviations = 4
 )
 
 // intervalStats keeps the running mean and variance of the times between heartbeats.
 type intervalStats struct {
-	expected time.Duration // used until an interval was observed
+	expected time.Duration // used until an interval has been observed
 	observed bool
 	mean     float64 // seconds
 	variance float64 // seconds squared
@@ -36,7 +36,8 @@
 	s.variance = (1 - sampleWeight) * (s.variance + sampleWeight*delta*delta)
 }
 
-// suspicionThreshold returns the silence beyond which something may be wrong.
+// suspicionThreshold returns the time without a heartbeat after which the controller or
+// its link may have failed.
 func (s *intervalStats) suspicionThreshold() time.Duration {
 	mean := s.expected.Seconds()
 	if s.observed {
--- a/detector/peer.go
+++ b/detector/peer.go
@@ -5,44 +5,46 @@
 	"time"
 )
 
-// State is the state of a controller, as an observer sees it.
+// State is the state of a controller from the view of one observer.
 type State string
 
 // States of a controller.
 const (
-	Unmonitored State = "unmonitored" // it has sent no heartbeat: only its lease counts
+	Unmonitored State = "unmonitored" // no heartbeat has arrived; only its lease is evaluated
 	Alive       State = "alive"
 	Suspect     State = "suspect"
 	Failed      State = "failed"
 )
 
-// maxRetiredIncarnations is how many earlier incarnations of a controller are remembered, so
-// that late heartbeats of theirs are not taken for those of a new one.
+// maxRetiredIncarnations limits how many earlier incarnations of a controller are
+// remembered, so that their late heartbeats are not mistaken for heartbeats of a new
+// incarnation.
 const maxRetiredIncarnations = 8
 
-// peer is what is known of one other controller.
+// peer is this observer's state of one other controller.
 type peer struct {
 	name  string
 	state State
 
-	leaseIncarnation    uint64 // incarnation that holds the lease, as the feed shows it; 0: none
+	leaseIncarnation    uint64 // incarnation that holds the lease according to the feed; 0: none
 	leaseWasHeld        bool   // by some incarnation, since this observer started
 	latest              Heartbeat
 	retiredIncarnations []uint64 // incarnations before latest.Incarnation, oldest first
 
-	lastSeen      time.Time // last heartbeat, or indirect probe that was answered
+	lastSeen      time.Time // last heartbeat, sent by the controller or in answer to a probe
 	lastAnswer    time.Time // last reply to a call or a probe
 	intervalStats intervalStats
 	probing       probeRound
 
-	// When the evidence began that this observer holds; zero: it has none.
+	// Start of each kind of evidence that this observer holds; zero means that it holds
+	// none.
 	unreachableSince time.Time
 	unansweredSince  time.Time
 	stalledSince     time.Time
 	unservedSince    time.Time
 	suspectSince     time.Time // when the state became Suspect
 
-	accusations           map[string]Accusation // by this controller, by the name of the accused one
+	accusations           map[string]Accusation // made by this controller; the key is the accused controller's name
 	accusationsReceivedAt time.Time
 }
 
@@ -55,8 +57,8 @@
 	}
 }
 
-// setSince sets when a condition began: now if it did not hold before, zero if it does not
-// hold.
+// setSince records the start of a condition: now if the condition did not hold before,
+// zero if it does not hold now.
 func setSince(since *time.Time, now time.Time, holds bool) {
 	switch {
 	case !holds:
@@ -77,8 +79,8 @@
 	return p.leaseIncarnation
 }
 
-// lastIncarnation returns the incarnation that evidence is about, or else the last one
-// there was.
+// lastIncarnation returns the incarnation that evidence is about or, if there is none,
+// the latest retired incarnation.
 func (p *peer) lastIncarnation() uint64 {
 	if current := p.incarnation(); current != 0 || len(p.retiredIncarnations) == 0 {
 		return current
@@ -104,7 +106,7 @@
 	return evidence
 }
 
-// evidenceSince returns when the oldest of the evidence began.
+// evidenceSince returns the start of the oldest evidence.
 func (p *peer) evidenceSince() time.Time {
 	var oldest time.Time
 	for _, since := range []time.Time{p.unreachableSince, p.unansweredSince, p.stalledSince, p.unservedSince} {
@@ -115,8 +117,8 @@
 	return oldest
 }
 
-// ownAccusation returns this observer's evidence as an accusation, which counts only if
-// there is some.
+// ownAccusation returns this observer's evidence as an accusation. An accusation without
+// evidence does not count.
 func (p *peer) ownAccusation() Accusation {
 	return Accusation{
 		Controller:  p.name,
@@ -126,14 +128,15 @@
 	}
 }
 
-// markSeen records a sign of life.
+// markSeen records that the controller was seen, which removes the evidence that it is
+// unreachable.
 func (p *peer) markSeen(now time.Time) {
 	p.lastSeen = now
 	p.unreachableSince = time.Time{}
 }
 
-// markAnswered records that the controller answered this observer, or a probe on its
-// behalf.
+// markAnswered records that the controller answered this observer, or another controller
+// that probed it for this observer.
 func (p *peer) markAnswered(now time.Time) {
 	p.markSeen(now)
 	p.lastAnswer = now
@@ -141,8 +144,9 @@
 	p.probing = probeRound{}
 }
 
-// accept makes a heartbeat the latest one, and reports whether it could: it must be newer
-// than all known of its incarnation, and not of an earlier incarnation.
+// accept makes a heartbeat the latest one and reports whether it was accepted. It must
+// be newer than all known heartbeats of its incarnation, and must not belong to an
+// earlier incarnation.
 func (p *peer) accept(h Heartbeat) bool {
 	if slices.Contains(p.retiredIncarnations, h.Incarnation) {
 		return false
@@ -158,7 +162,7 @@
 	return true
 }
 
-// startIncarnation forgets what was observed of the incarnation before.
+// startIncarnation discards the observations of the previous incarnation.
 func (p *peer) startIncarnation(h Heartbeat) {
 	if p.latest.Incarnation != 0 {
 		p.retireIncarnation(p.latest.Incarnation)
@@ -170,13 +174,13 @@
 	p.clearEvidence()
 }
 
-// retireIncarnation records that an incarnation of the controller is over.
+// retireIncarnation records that an incarnation of the controller has ended.
 func (p *peer) retireIncarnation(incarnation uint64) {
 	p.retiredIncarnations = append(p.retiredIncarnations, incarnation)
 	p.retiredIncarnations = p.retiredIncarnations[max(0, len(p.retiredIncarnations)-maxRetiredIncarnations):]
 }
 
-// clearEvidence drops all evidence.
+// clearEvidence removes all evidence and ends the probe round.
 func (p *peer) clearEvidence() {
 	for _, since := range []*time.Time{
 		&p.unreachableSince, &p.unansweredSince, &p.stalledSince, &p.unservedSince, &p.suspectSince,
@@ -186,8 +190,8 @@
 	p.probing = probeRound{}
 }
 
-// shiftTimestamps moves everything that is measured from a time by a pause of the
-// observer, in which it could have received nothing.
+// shiftTimestamps moves all timestamps forward by a pause of the observer, because the
+// observer could receive no messages during the pause.
 func (p *peer) shiftTimestamps(pause time.Duration) {
 	for _, timestamp := range []*time.Time{
 		&p.lastSeen, &p.lastAnswer,
--- a/detector/probing.go
+++ b/detector/probing.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Probe is a request to the caller to find out whether a controller answers.
+// Probe is a request to the caller to check whether a controller answers.
 type Probe struct {
 	Target string
-	Via    string // the controller that is to probe it; empty: this one
+	Via    string // the controller that sends the probe; empty: this controller
 }
 
-// probeRound is the progress of probing a silent controller, first directly and then
-// through all others.
+// probeRound is the progress of probing a controller that does not answer, first
+// directly and then through the other controllers.
 type probeRound struct {
 	phaseStartedAt time.Time // when the latest probes were sent
-	directSent     bool      // and not answered yet
+	directSent     bool      // a direct probe was sent and is not answered yet
 	directFailed   bool
 	indirectSent   bool
-	pendingProbers map[string]bool // controllers that were asked to probe and did not reply yet
+	pendingProbers map[string]bool // controllers that were asked to probe and have not replied yet
 }
 
 // isExhausted reports whether all probes of the round have failed.
@@ -23,9 +23,9 @@
 	return r.directFailed && r.indirectSent && len(r.pendingProbers) == 0
 }
 
-// probeIfUnanswered probes a controller that has answered nothing for half its suspicion
-// timeout, first directly and then through others. Once the timeout has passed and no
-// probe was answered, that is recorded as evidence.
+// probeIfUnanswered probes a controller that has not answered for half its suspicion
+// timeout, first directly and then through other controllers. Once the whole timeout has
+// passed and no probe was answered, it records evidence.
 func (d *Detector) probeIfUnanswered(now time.Time, target *peer) []Probe {
 	if !target.isMonitored() || target.leaseIncarnation == 0 {
 		return nil
@@ -55,7 +55,7 @@
 	return probes
 }
 
-// expireProbes counts probes as failed that took too long.
+// expireProbes marks probes as failed when the probe timeout has passed.
 func (d *Detector) expireProbes(now time.Time, round *probeRound) {
 	if now.Sub(round.phaseStartedAt) < d.config.ProbeTimeout {
 		return
@@ -67,8 +67,8 @@
 	round.directFailed = true
 }
 
-// startIndirectProbes returns a probe of a controller through each other one whose
-// heartbeats come.
+// startIndirectProbes returns one probe of the target through each other controller that
+// has been seen within its suspicion timeout.
 func (d *Detector) startIndirectProbes(now time.Time, target *peer) []Probe {
 	round := &target.probing
 	round.indirectSent = true
@@ -85,8 +85,8 @@
 	return probes
 }
 
-// recordProbeEvidence records that a controller answered no probe: as unreachable if its own
-// heartbeats have ceased as well, and as unanswered if they still come.
+// recordProbeEvidence records that a controller answered no probe: as unreachable if its
+// own heartbeats are missing as well, and as unanswered if they still arrive.
 func recordProbeEvidence(now time.Time, p *peer, timeout time.Duration) {
 	isHeartbeatMissing := now.Sub(p.lastSeen) > timeout
 	switch {
@@ -113,8 +113,9 @@
 	}
 }
 
-// recordFailure records that a probe through another controller failed; empty: a direct
-// one. The result of a direct probe may come when its round is over.
+// recordFailure records that a probe through another controller failed, or a direct
+// probe if via is empty. The result of a direct probe may arrive after its round has
+// ended.
 func (r *probeRound) recordFailure(via string) {
 	if via == "" {
 		r.directFailed = r.directSent
--- a/detector/suspicion.go
+++ b/detector/suspicion.go
@@ -11,26 +11,28 @@
 	Incarnation uint64
 	From, To    State
 	Evidence    []Evidence
-	Accusers    []string // controllers with evidence of their own, this one included
+	Accusers    []string // controllers with evidence of their own, including this one if it has any
 }
 
-// RevocationProposal is a controller that was declared failed although its lease lives.
+// RevocationProposal proposes to revoke a controller that was declared failed although
+// its lease is valid.
 type RevocationProposal struct {
 	Controller  string
 	Incarnation uint64
 	Evidence    []Evidence
-	Accusers    []string // controllers with evidence of their own, this one included
+	Accusers    []string // controllers with evidence of their own, including this one if it has any
 }
 
-// TakeStateChanges returns the changes of state since it was last called.
+// TakeStateChanges returns the state changes since the previous call.
 func (d *Detector) TakeStateChanges() []StateChange {
 	changes := d.stateChanges
 	d.stateChanges = nil
 	return changes
 }
 
-// Proposals lists the controllers that are declared failed while their lease lives. One
-// whose accusers withdrew their evidence since is not among them.
+// Proposals lists the controllers that are declared failed although their lease is
+// valid. A controller is omitted if accusers have withdrawn their evidence and the
+// remaining ones are no quorum.
 func (d *Detector) Proposals(now time.Time) []RevocationProposal {
 	var proposals []RevocationProposal
 	for _, p := range d.peers {
@@ -51,7 +53,8 @@
 	return proposals
 }
 
-// updateState moves a controller to the state that the evidence calls for.
+// updateState sets a controller's state according to the current evidence, and records
+// the change.
 func (d *Detector) updateState(now time.Time, p *peer) {
 	state, evidence := d.evaluate(now, p)
 	if state == p.state {
@@ -72,7 +75,8 @@
 	}
 }
 
-// evaluate returns the state that the evidence against a controller calls for.
+// evaluate returns the state that follows from the evidence against a controller, and
+// that evidence.
 func (d *Detector) evaluate(now time.Time, p *peer) (State, []Evidence) {
 	if p.leaseIncarnation == 0 && p.leaseWasHeld {
 		return Failed, []Evidence{LeaseLost}
@@ -90,8 +94,9 @@
 	return Suspect, evidence
 }
 
-// shouldDeclareFailed reports whether a suspect is to be declared failed though its lease
-// lives: the evidence here is old enough, and a quorum has evidence of its own.
+// shouldDeclareFailed reports whether a suspect is to be declared failed although its
+// lease is valid. The suspicion must have lasted for a heartbeat interval, this
+// observer's evidence must be old enough, and a quorum must have evidence of its own.
 func (d *Detector) shouldDeclareFailed(now time.Time, p *peer) bool {
 	if p.state != Suspect || now.Sub(p.suspectSince) < d.config.HeartbeatInterval {
 		return false
@@ -102,14 +107,15 @@
 	return d.isQuorum(d.accusers(now, p))
 }
 
-// accuserSet are the controllers that hold evidence of their own against an incarnation.
+// accuserSet is the set of controllers that hold evidence of their own against an
+// incarnation.
 type accuserSet struct {
 	names       []string // sorted
-	isAboutWork bool     // some of their evidence shows that work is not done
+	isAboutWork bool     // some of their evidence shows that the controller does not do its work
 }
 
-// accusers collects the valid accusations of a controller's present incarnation, this
-// controller's own among them.
+// accusers collects the valid accusations against a controller's current incarnation,
+// including this controller's own.
 func (d *Detector) accusers(now time.Time, accused *peer) accuserSet {
 	var found accuserSet
 	if own := accused.ownAccusation(); len(own.Evidence) > 0 {
@@ -135,8 +141,9 @@
 	return found
 }
 
-// isQuorum reports whether accusers suffice to declare a controller failed: a majority of
-// all configured controllers, whether they live or not, with some evidence about work.
+// isQuorum reports whether the accusers suffice to declare a controller failed. They
+// must be a majority of all configured controllers, whether those are alive or not, and
+// some of the evidence must be about the controller's work.
 func (d *Detector) isQuorum(a accuserSet) bool {
 	majority := len(d.config.Controllers)/2 + 1
 	return a.isAboutWork && len(a.names) >= majority
--- a/detector/view.go
+++ b/detector/view.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// PeerView is what this controller makes of another one at present.
+// PeerView is this controller's current view of another controller.
 type PeerView struct {
 	Controller       string
 	State            State
 	Incarnation      uint64
 	Refutation       uint64
 	Evidence         []Evidence    // this controller's own
-	Accusers         []string      // controllers with evidence of their own, this one included
-	SinceLastSeen    time.Duration // 0: it is not monitored
-	SuspicionTimeout time.Duration // silence beyond which it is probed and suspected
+	Accusers         []string      // controllers with evidence of their own, including this one if it has any
+	SinceLastSeen    time.Duration // 0: the controller is not monitored
+	SuspicionTimeout time.Duration // time without an answer after which the controller is suspected
 }
 
-// PeerViews describes all other controllers, by name.
+// PeerViews returns the views of all other controllers, sorted by name.
 func (d *Detector) PeerViews(now time.Time) []PeerView {
 	var views []PeerView
 	for _, p := range d.peers {
