--- a/failover/pacer.go
+++ b/failover/pacer.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Pacer spaces out the shards that one controller takes over, so that it serves the
-// first of them before it takes the next, and others may come before it. The zero value
-// allows everything at once.
+// Pacer limits how often one controller takes over a shard, so that the controller
+// serves one shard before it takes over the next, and other controllers can take over
+// some of the shards. The zero value sets no limit.
 type Pacer struct {
 	MinInterval  time.Duration
 	lastTakeover time.Time
@@ -15,5 +15,5 @@
 	return p.MinInterval == 0 || p.lastTakeover.IsZero() || now.Sub(p.lastTakeover) >= p.MinInterval
 }
 
-// Record notes that a shard was taken over.
+// Record records that a shard was taken over.
 func (p *Pacer) Record(now time.Time) { p.lastTakeover = now }
--- a/failover/ranking.go
+++ b/failover/ranking.go
@@ -1,8 +1,9 @@
-// Package failover ranks the controllers for a term whose holder is gone, and spaces out
-// the shards that one controller takes over. It is pure, and all controllers compute the
-// same ranking from the same records: the first of them acquires the term at once, each
-// later one only after the one before had its time. Where their records differ, the
-// compare-and-swap of the acquisition decides.
+// Package failover ranks the controllers for a term that has no live holder, and limits
+// how often one controller takes over a shard. It is pure, and all controllers compute
+// the same ranking from the same records: the first controller acquires the term at
+// once, and each later controller only after the controllers before it had time to do
+// so. If the records of the controllers differ, the compare-and-swap transaction of the
+// acquisition decides.
 package failover
 
 import (
@@ -16,27 +17,29 @@
 	Zone string
 }
 
-// Role is what a term is about: leading, or owning a zone's shard.
+// Role is what a term grants: leadership, or ownership of a zone's shard.
 type Role struct {
 	Leader bool
 	Zone   string // of the shard; empty for the leader
 }
 
-// Candidates is what a ranking depends on.
+// Candidates is the input of a ranking.
 type Candidates struct {
 	Controllers []Controller // sorted by name
 	Zones       []string     // one shard each
-	// OwnedShards counts the shards that a controller owns. Nil: not considered.
+	// OwnedShards counts the shards that a controller owns. If it is nil, the ranking
+	// ignores owned shards.
 	OwnedShards func(controller string) int
 	// Deprioritized reports whether a controller should hold a term only if there is no
-	// other candidate. Nil: none is.
+	// other candidate. If it is nil, no controller is deprioritized.
 	Deprioritized func(controller string) bool
 }
 
-// Ranked lists the controllers by their preference as holders of a role's term: a shard's
-// own zone first; for the leader, if possible, a controller that is no shard's first
-// choice, so that one failure costs one role; then whoever owns fewer shards; the rest is
-// spread by name. Deprioritized controllers come last.
+// Ranked lists the controllers by their preference as holders of a role's term. For a
+// shard, the controllers of its own zone come first, then those that own fewer shards.
+// For the leader, controllers that are not the preferred owner of any shard come first,
+// so that one failure affects one role only. Ties are resolved by name, in an order that
+// differs between shards. Deprioritized controllers come last.
 func (c Candidates) Ranked(role Role) []Controller {
 	var ranked []Controller
 	if role.Leader {
@@ -63,7 +66,7 @@
 
 func (c Candidates) rankedForShard(zone string) []Controller {
 	preferred := c.preferredOwners()
-	// Rotated, so that two orphaned shards go to different controllers.
+	// Rotated by shard, so that two shards without an owner go to different controllers.
 	rotation := max(0, slices.Index(c.Zones, zone)) % len(c.Controllers)
 	ranked := slices.Concat(c.Controllers[rotation:], c.Controllers[:rotation])
 	slices.SortStableFunc(ranked, func(a, b Controller) int {
@@ -81,8 +84,8 @@
 	return ranked
 }
 
-// preferredOwners is the set of the controllers that come first for their own zone's
-// shard.
+// preferredOwners returns the set of controllers that are ranked first for their own
+// zone's shard.
 func (c Candidates) preferredOwners() map[string]bool {
 	preferred := map[string]bool{}
 	for _, zone := range c.Zones {
@@ -112,8 +115,8 @@
 	return 1
 }
 
-// Position returns a controller's place among the candidates of a ranking, and whether
-// one that is ranked before it is no candidate at present.
+// Position returns the number of candidates that are ranked before a controller, and
+// whether a controller that is ranked before it is currently not a candidate.
 func Position(ranked []Controller, self string, isCandidate func(string) bool) (position int, predecessorMissing bool) {
 	for _, controller := range ranked {
 		if controller.Name == self {
--- a/member/acquisition.go
+++ b/member/acquisition.go
@@ -9,18 +9,19 @@
 	"ravenport/wire"
 )
 
-// TermAcquisition is a compare-and-swap transaction that gives a term to a new holder,
-// which is this controller or, in a transfer, another one.
+// TermAcquisition is a compare-and-swap transaction that gives a term to a new holder:
+// to this controller or, in a transfer, to another one.
 type TermAcquisition struct {
 	Key       string // of the term
 	NewHolder string // the controller's name
 	Txn       wire.Txn
 }
 
-// DueAcquisitions returns the term acquisitions to be committed now: of vacant terms by
-// this controller, and of terms that it holds by a controller that is preferred for them.
-// There are none unless this process, by its incarnation, is registered and authorized.
-// It is authorized while it knows that its registration stands and holds authority.
+// DueAcquisitions returns the term acquisitions to be committed now: this controller
+// acquires vacant terms, and gives terms that it holds to a controller that is preferred
+// for them. There are none unless this process, identified by its incarnation, is
+// registered and authorized. The process is authorized while it knows that its
+// registration is valid and that it holds authority.
 func (c *Core) DueAcquisitions(now time.Time, incarnation uint64, authorized bool) []TermAcquisition {
 	registered, ok := c.registrations[c.self]
 	if !ok || registered.incarnation != incarnation || !authorized {
@@ -42,8 +43,9 @@
 		if !c.mayAcquire(now, key, ownsShard) {
 			continue
 		}
-		// A shard stays away from a revoked owner for a while. A leadership is not failed
-		// back at all, and the next leader must not keep it should that be cut off, too.
+		// A shard is not failed back to a revoked owner during the failback cooldown.
+		// Leadership is never failed back, and the cooldown must not prevent the next
+		// leader from transferring it if that leader is cut off as well.
 		previousUnreachable := isShardKey(key) && c.revokedAuthorityEnded(now, key)
 		due = append(due, c.acquisition(key, c.self, previousUnreachable))
 		if isShardKey(key) {
@@ -54,7 +56,7 @@
 	return due
 }
 
-// vacancy returns for how long a term has been seen without a holder.
+// vacancy returns how long this controller has seen a term without a holder.
 func (c *Core) vacancy(now time.Time, key string) time.Duration {
 	since, known := c.vacantSince[key]
 	if !known {
@@ -92,9 +94,9 @@
 	return c.acquisition(key, newHolder, false)
 }
 
-// acquisition makes the transaction that gives a term to a new holder. It holds only
-// while the term and the new holder's registration are as known here, and the previous
-// holder's lease has ended or its revocation stands.
+// acquisition returns the transaction that gives a term to a new holder. The transaction
+// succeeds only while the term and the new holder's registration are as known here, and
+// the previous holder's lease has ended or its revocation is as known here.
 func (c *Core) acquisition(key, newHolder string, previousUnreachable bool) TermAcquisition {
 	current := c.terms[key]
 	registered := c.registrations[newHolder]
--- a/member/candidates.go
+++ b/member/candidates.go
@@ -18,7 +18,8 @@
 
 func isShardKey(key string) bool { return key != records.KeyLeader }
 
-// rankedControllers lists the controllers by their preference as holders of key.
+// rankedControllers lists the controllers by their preference as holders of the term
+// under key.
 func (c *Core) rankedControllers(now time.Time, key string) []Controller {
 	candidates := failover.Candidates{Controllers: c.controllers, Zones: c.shards}
 	if c.detectionEnabled {
--- a/member/core.go
+++ b/member/core.go
@@ -1,7 +1,7 @@
-// Package member decides which controller leads and which one owns which shard. It is
-// pure: records of the store and monotonic time go in, compare-and-swap transactions that
-// acquire or transfer a term come out. The caller commits them; a transaction whose
-// conditions no longer hold changes nothing.
+// Package member decides which controller leads and which controller owns each shard. It
+// is pure: its input is records of the store and monotonic time, its output is
+// compare-and-swap transactions that acquire or transfer a term. The caller commits
+// them; a transaction whose conditions no longer hold changes nothing.
 package member
 
 import (
@@ -16,42 +16,42 @@
 // Controller is one of the deployment's controllers.
 type Controller = failover.Controller
 
-// Core mirrors the records of controllers, terms and revocations, as the feed of the
-// store shows them. It is used by one goroutine.
+// Core mirrors the records of controllers, terms and revocations that the store's feed
+// delivers. It must be used by a single goroutine.
 type Core struct {
 	self          string
 	controllers   []Controller // by name
 	shards        []string
 	startedAt     time.Time
-	registrations map[string]registration // by controller; without a lease there is none
+	registrations map[string]registration // by controller; a controller without a lease has none
 	terms         map[string]termState    // by key
 	vacantSince   map[string]time.Time    // by key of a term without a live holder
 	readsPacked   map[string]bool         // controllers seen to read packed records
 
-	secondShardDelay time.Duration // how long an owner leaves another shard vacant
+	secondShardDelay time.Duration // how long an owner waits before it acquires another shard
 
-	detectionEnabled bool // controllers may be revoked although their lease lives
+	detectionEnabled bool // controllers may be revoked although their lease is valid
 	revocations      map[string]revocationState
 	takeoverPacer    failover.Pacer
 }
 
-// registration is the record under a controller's key, which lives as long as the
+// registration is the record under a controller's key, which exists as long as the
 // controller's lease.
 type registration struct {
 	incarnation uint64
 	version     uint64        // of the key
-	leaseTTL    time.Duration // 0: the process does not heed revocations
+	leaseTTL    time.Duration // 0: the process does not support revocation
 	firstSeen   time.Time     // of this incarnation
 }
 
-// termState is a term's record as the feed last showed it.
+// termState is a term's record as last delivered by the feed.
 type termState struct {
 	records.Term
 	version   uint64 // of the key; 0: there is no record
 	firstSeen time.Time
 }
 
-// New makes the core of the controller named self.
+// New returns the core of the controller named self.
 func New(self string, controllers []Controller, shards []string, now time.Time) *Core {
 	c := &Core{
 		self:          self,
@@ -68,10 +68,10 @@
 	return c
 }
 
-// SetSecondShardDelay sets how long a controller that owns a shard leaves another one
-// vacant before it acquires that as well. The other shard's own controller may be back by
-// then. Guards against a small machine that takes over all shards at once and is behind
-// with everything, submissions included, for as long as that.
+// SetSecondShardDelay sets how long a controller that owns a shard waits before it
+// acquires another vacant shard. The other shard's own controller may have restarted by
+// then. Without the delay, a small machine that takes over all shards at once falls
+// behind with all its work, submissions included, for as long as that restart takes.
 func (c *Core) SetSecondShardDelay(d time.Duration) { c.secondShardDelay = d }
 
 // Apply updates the mirror with a change from the feed.
@@ -104,15 +104,16 @@
 	c.readsPacked[record.Name] = c.readsPacked[record.Name] || record.ReadsPacked
 }
 
-// Term returns the term under key and the key's version; 0: there is no record.
+// Term returns the term under key and the key's version, which is 0 if there is no
+// record.
 func (c *Core) Term(key string) (records.Term, uint64) {
 	t := c.terms[key]
 	return t.Term, t.version
 }
 
-// AllReadPacked reports whether every controller has been seen to read packed records:
-// each has then been started with this version of the program, and none returns with the
-// one before.
+// AllReadPacked reports whether every controller has been seen to read packed records.
+// Each controller has then been started with this version of the program, and none
+// returns with the previous version.
 func (c *Core) AllReadPacked() bool {
 	for _, controller := range c.controllers {
 		if !c.readsPacked[controller.Name] {
@@ -122,17 +123,19 @@
 	return true
 }
 
-// IsAlive reports whether a controller is registered, that is, whether its lease lives.
+// IsAlive reports whether a controller is registered, that is, whether its lease is
+// valid.
 func (c *Core) IsAlive(name string) bool {
 	_, ok := c.registrations[name]
 	return ok
 }
 
-// Incarnation returns the incarnation of a controller's registered process; 0: none is
-// registered.
+// Incarnation returns the incarnation of a controller's registered process, or 0 if no
+// process is registered.
 func (c *Core) Incarnation(name string) uint64 { return c.registrations[name].incarnation }
 
-// RegistrationVersion returns the version of a controller's key; 0: it is not registered.
+// RegistrationVersion returns the version of a controller's key, or 0 if the controller
+// is not registered.
 func (c *Core) RegistrationVersion(name string) uint64 { return c.registrations[name].version }
 
 // Holder returns the controller that holds the term under key, and whether the process
--- a/member/revocation.go
+++ b/member/revocation.go
@@ -12,11 +12,11 @@
 type revocationState struct {
 	records.Revocation
 	version   uint64    // of the key
-	firstSeen time.Time // by this controller, so after the record was written
+	firstSeen time.Time // by this controller, which is after the record was written
 }
 
 // EnableDetection makes the core treat revoked controllers as failed, rank candidates by
-// the shards that they own, and space out takeovers.
+// the shards that they own, and limit how often this controller takes over a shard.
 func (c *Core) EnableDetection() {
 	c.detectionEnabled = true
 	c.takeoverPacer.MinInterval = constants.MinFailoverInterval
@@ -36,9 +36,10 @@
 	return revoked, ok && revoked.Incarnation == term.Incarnation
 }
 
-// revokedAuthorityEnded reports whether the holder of a term was revoked and its authority
-// has surely ended since: its lease's TTL has passed, with drift and margin, since this
-// controller saw the revocation, which was after it was written.
+// revokedAuthorityEnded reports whether the holder of a term was revoked and its
+// authority has certainly ended. Its authority has ended once its lease's TTL, extended
+// by clock drift and a margin, has passed since this controller saw the revocation,
+// because the revocation was written before this controller saw it.
 func (c *Core) revokedAuthorityEnded(now time.Time, key string) bool {
 	revoked, ok := c.revocationOfHolder(c.terms[key].Term)
 	if !ok || !c.detectionEnabled {
@@ -49,17 +50,18 @@
 	return now.Sub(revoked.firstSeen) >= wait
 }
 
-// recentlyRevoked reports whether any process of a controller was revoked a short while
-// ago. The controller then gets terms only if there is no other candidate.
+// recentlyRevoked reports whether any process of a controller was revoked within the
+// failback cooldown. During that time the controller gets terms only if there is no
+// other candidate.
 func (c *Core) recentlyRevoked(now time.Time, name string) bool {
 	revoked, ok := c.revocations[name]
 	return ok && now.Sub(revoked.firstSeen) < constants.FailbackCooldown
 }
 
 // Revoke completes a revocation and returns the transaction that writes it. The
-// transaction holds only while the target's process and this one are registered as known
-// here. There is none for this controller itself, and none for a process that is not
-// registered, does not heed revocations or is revoked already.
+// transaction succeeds only while the target's process and this process are registered
+// as known here. There is no transaction for this controller itself, nor for a process
+// that is not registered, does not support revocation or is already revoked.
 func (c *Core) Revoke(revocation records.Revocation) (wire.Txn, bool) {
 	target, ok := c.registrations[revocation.Controller]
 	if !ok || target.incarnation != revocation.Incarnation {
--- a/member/transfer.go
+++ b/member/transfer.go
@@ -7,11 +7,12 @@
 	"ravenport/records"
 )
 
-// TransferAway gives a term that this controller holds to the most preferred other
-// candidate, because this controller is cut off from the machines or controllers that the
-// term is about. There is none where no other candidate lives, and for a leadership that
-// was transferred for the same reason a moment ago: where no controller reaches another,
-// it would go round for ever.
+// TransferAway returns the acquisition that gives a term of this controller to the most
+// preferred other candidate, for use when this controller is cut off from the machines
+// or controllers that the term is about. There is no acquisition if no other candidate
+// is alive. There is none either for a leadership that was transferred for the same
+// reason within the failback cooldown: if no controller can reach another, the
+// leadership would be transferred endlessly.
 func (c *Core) TransferAway(now time.Time, key string) (TermAcquisition, bool) {
 	if !isShardKey(key) && c.inFailbackCooldown(now, key) {
 		return TermAcquisition{}, false
@@ -24,10 +25,11 @@
 	return TermAcquisition{}, false
 }
 
-// failback gives a shard that this controller holds to the controller of the shard's own
-// zone, once that has been up for a while. The leader's term stays: its place matters
-// little, and moving it costs. A shard stays, too, where its own zone's controller is not
-// the most preferred one that is up: only its own zone is worth a second disturbance.
+// failback returns the acquisition that gives a shard of this controller to the
+// controller of the shard's own zone, once that controller has been up for long enough.
+// Leadership is not failed back: its location matters little, and a transfer has a cost.
+// A shard is also kept if the most preferred controller that is up is not in the shard's
+// own zone, because only a return to the own zone justifies a second interruption.
 func (c *Core) failback(now time.Time, key string) (TermAcquisition, bool) {
 	if !isShardKey(key) || c.inFailbackCooldown(now, key) || records.KeyShard(c.ownZone()) == key {
 		return TermAcquisition{}, false
@@ -56,8 +58,8 @@
 	return now.Sub(c.registrations[name].firstSeen) >= constants.FailbackMinUptime
 }
 
-// inFailbackCooldown reports whether a term was taken from an unreachable holder a short
-// while ago.
+// inFailbackCooldown reports whether a term was taken from an unreachable holder within
+// the failback cooldown.
 func (c *Core) inFailbackCooldown(now time.Time, key string) bool {
 	term := c.terms[key]
 	return term.PreviousUnreachable && now.Sub(term.firstSeen) < constants.FailbackCooldown
--- a/watchdog/watchdog.go
+++ b/watchdog/watchdog.go
@@ -1,5 +1,6 @@
-// Package watchdog finds actors that have messages and handle none. It is pure:
-// samples and monotonic time in, names out.
+// Package watchdog detects actors that have pending messages and handle none. It is
+// pure: its input is samples and monotonic time, its output is the names of stalled
+// actors.
 package watchdog
 
 import (
@@ -10,36 +11,38 @@
 // Sample is an actor's progress at one moment.
 type Sample struct {
 	Name    string
-	Handled uint64 // rises with each message that was handled
-	Pending int    // messages that wait or are being handled
+	Handled uint64 // increases with each handled message
+	Pending int    // messages that are queued or being handled
 }
 
-// progress is what an actor had handled when it last made progress or had nothing to do.
+// progress is the number of messages that an actor had handled when it last made
+// progress or had no pending messages.
 type progress struct {
 	handled      uint64
 	lastProgress time.Time
 }
 
-// Watchdog watches the actors of one process. It is used by one goroutine.
+// Watchdog monitors the actors of one process. It must be used by a single goroutine.
 type Watchdog struct {
 	stallTimeout time.Duration
 	progress     map[string]progress // by actor, as of the last observation
 	lastObserved time.Time
 }
 
-// New makes a watchdog that takes an actor for stalled once it has made no progress for
-// stallTimeout.
+// New returns a watchdog that considers an actor stalled once it has made no progress
+// for stallTimeout.
 func New(stallTimeout time.Duration) *Watchdog {
 	return &Watchdog{stallTimeout: stallTimeout, progress: map[string]progress{}}
 }
 
-// pauseDivisor is the fraction of the stall timeout, as its divisor, beyond which the
-// time between two observations counts as a pause of the whole process.
+// pauseDivisor sets the pause threshold as a fraction of the stall timeout. If the time
+// between two observations exceeds stallTimeout / pauseDivisor, it counts as a pause of
+// the whole process.
 const pauseDivisor = 4
 
-// Observe evaluates a sample of every actor and returns the names of those that are
-// stalled, sorted. A pause of the process as a whole, in which nothing could make
-// progress, does not count against any of them.
+// Observe evaluates a sample of every actor and returns the names of the stalled actors,
+// sorted. A pause of the whole process does not count as time without progress, because
+// no actor could make progress during the pause.
 func (w *Watchdog) Observe(now time.Time, samples []Sample) []string {
 	pause := w.pauseSinceLast(now)
 	w.lastObserved = now
@@ -63,7 +66,7 @@
 }
 
 // pauseSinceLast returns the time since the last observation if the process was paused
-// in it, and otherwise 0.
+// during that time, and otherwise 0.
 func (w *Watchdog) pauseSinceLast(now time.Time) time.Duration {
 	interval := now.Sub(w.lastObserved)
 	if w.lastObserved.IsZero() || interval <= w.stallTimeout/pauseDivisor {
