--- a/detector/detector_test.go
+++ b/detector/detector_test.go
@@ -16,25 +16,25 @@
 // for a while accuse nobody for it, either.
 func TestLiveControllerIsNeverSuspected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.SampledFrom([]int{3, 5, 9}).Draw(t, "controllers")
-		w := newNetwork(n)
-		w.delay = func(string, string) (time.Duration, bool) {
+		size := rapid.SampledFrom([]int{3, 5, 9}).Draw(t, "controllers")
+		network := newNetwork(size)
+		network.delay = func(string, string) (time.Duration, bool) {
 			return time.Duration(rapid.IntRange(1, 400).Draw(t, "delay")) * time.Millisecond, true
 		}
-		w.loseWhilePaused = rapid.Bool().Draw(t, "what comes in a pause is lost")
-		w.run(3 * time.Second)
-		observer := w.controllers[rapid.IntRange(0, n-1).Draw(t, "observer")]
+		network.loseWhilePaused = rapid.Bool().Draw(t, "what comes in a pause is lost")
+		network.run(3 * time.Second)
+		observer := network.controllers[rapid.IntRange(0, size-1).Draw(t, "observer")]
 		for range rapid.IntRange(0, 2).Draw(t, "pauses") {
 			pause := time.Duration(rapid.IntRange(200, 20000).Draw(t, "pause")) * time.Millisecond
-			observer.pausedUntil = w.now.Add(pause)
-			w.run(pause + 4*time.Second)
+			observer.pausedUntil = network.now.Add(pause)
+			network.run(pause + 4*time.Second)
 		}
-		w.run(10 * time.Second)
-		for _, node := range w.controllers {
+		network.run(10 * time.Second)
+		for _, node := range network.controllers {
 			if node != observer && observer.reached(node.name, Suspect) {
 				t.Errorf("%s, which was late itself, suspected %s: %+v", observer.name, node.name, observer.stateChanges)
 			}
-			for _, c := range w.controllers {
+			for _, c := range network.controllers {
 				if c == observer || c == node {
 					continue
 				}
@@ -54,31 +54,31 @@
 	// The silence may have begun an interval before the links went down.
 	const beforeDeclaration = 5*time.Second - testInterval - 200*time.Millisecond
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.SampledFrom([]int{3, 5, 9}).Draw(t, "controllers")
-		w := newNetwork(n)
-		w.run(5 * time.Second)
-		failed := w.controllers[rapid.IntRange(0, n-1).Draw(t, "failed")]
+		size := rapid.SampledFrom([]int{3, 5, 9}).Draw(t, "controllers")
+		network := newNetwork(size)
+		network.run(5 * time.Second)
+		failed := network.controllers[rapid.IntRange(0, size-1).Draw(t, "failed")]
 		kind := rapid.SampledFrom([]Evidence{Stalled, Unserved}).Draw(t, "kind")
 		if kind == Stalled {
 			failed.detector.SetStalled([]string{"owner of a"})
 		} else {
-			w.delay = func(from, to string) (time.Duration, bool) {
+			network.delay = func(from, to string) (time.Duration, bool) {
 				return 5 * time.Millisecond, from != failed.name && to != failed.name
 			}
-			for _, c := range w.controllers {
-				c.detector.SetUnserved(w.now, failed.name, rapid.Bool().Draw(t, "sees its workers") || c == w.controllers[0] || c == w.controllers[1])
+			for _, c := range network.controllers {
+				c.detector.SetUnserved(network.now, failed.name, rapid.Bool().Draw(t, "sees its workers") || c == network.controllers[0] || c == network.controllers[1])
 			}
 		}
-		w.run(beforeDeclaration)
-		for _, c := range w.controllers {
+		network.run(beforeDeclaration)
+		for _, c := range network.controllers {
 			if c.reached(failed.name, Failed) {
 				t.Errorf("%s: declared before its time by %s", kind, c.name)
 			}
 		}
-		w.run(bound - 4500*time.Millisecond)
-		for _, c := range w.controllers {
-			if c != failed && (c.state(w.now, failed.name) != Failed || len(c.detector.Proposals(w.now)) != 1) {
-				t.Errorf("%s: %s is %s for %s", kind, failed.name, c.state(w.now, failed.name), c.name)
+		network.run(bound - 4500*time.Millisecond)
+		for _, c := range network.controllers {
+			if c != failed && (c.state(network.now, failed.name) != Failed || len(c.detector.Proposals(network.now)) != 1) {
+				t.Errorf("%s: %s is %s for %s", kind, failed.name, c.state(network.now, failed.name), c.name)
 			}
 		}
 	})
@@ -87,63 +87,65 @@
 // Evidence that is gone counts no more, not even for a controller that was declared
 // failed on it: who returns before it was replaced is left alone.
 func TestRecoveryWithdrawsProposal(t *testing.T) {
-	w := newNetwork(3)
-	w.run(3 * time.Second)
+	network := newNetwork(3)
+	network.run(3 * time.Second)
 	unserved := func(is bool) {
-		for _, c := range w.controllers[:2] {
-			c.detector.SetUnserved(w.now, "n-2", is)
+		for _, c := range network.controllers[:2] {
+			c.detector.SetUnserved(network.now, "n-2", is)
 		}
-		w.run(9 * time.Second)
+		network.run(9 * time.Second)
 	}
 	unserved(true)
-	if d := w.controllers[0].detector; len(d.Proposals(w.now)) != 1 {
-		t.Fatalf("not proposed: %+v", d.PeerViews(w.now))
+	if d := network.controllers[0].detector; len(d.Proposals(network.now)) != 1 {
+		t.Fatalf("not proposed: %+v", d.PeerViews(network.now))
 	}
-	w.controllers[1].detector.SetUnserved(w.now, "n-2", false)
-	w.run(3 * time.Second)
-	if d := w.controllers[0].detector; len(d.Proposals(w.now)) != 0 {
-		t.Errorf("proposed without a majority: %+v", d.PeerViews(w.now))
+	network.controllers[1].detector.SetUnserved(network.now, "n-2", false)
+	network.run(3 * time.Second)
+	if d := network.controllers[0].detector; len(d.Proposals(network.now)) != 0 {
+		t.Errorf("proposed without a majority: %+v", d.PeerViews(network.now))
 	}
 	unserved(false)
-	if d := w.controllers[0].detector; len(d.Proposals(w.now)) != 0 || w.controllers[0].state(w.now, "n-2") != Alive {
-		t.Errorf("still held against it: %+v", d.PeerViews(w.now))
+	if d := network.controllers[0].detector; len(d.Proposals(network.now)) != 0 || network.controllers[0].state(network.now, "n-2") != Alive {
+		t.Errorf("still held against it: %+v", d.PeerViews(network.now))
 	}
 }
 
 // An observer that was paused does not count that time against others.
 func TestPauseDoesNotAgeEvidence(t *testing.T) {
-	w := newNetwork(3)
-	w.loseWhilePaused = true
-	w.run(3 * time.Second)
-	observer := w.controllers[0]
-	for _, c := range w.controllers[:2] {
-		c.detector.SetUnserved(w.now, "n-2", true)
-	}
-	w.run(2 * time.Second)
-	observer.pausedUntil = w.now.Add(8 * time.Second)
-	w.run(10 * time.Second)
+	network := newNetwork(3)
+	network.loseWhilePaused = true
+	network.run(3 * time.Second)
+	observer := network.controllers[0]
+	for _, c := range network.controllers[:2] {
+		c.detector.SetUnserved(network.now, "n-2", true)
+	}
+	network.run(2 * time.Second)
+	observer.pausedUntil = network.now.Add(8 * time.Second)
+	network.run(10 * time.Second)
 	if observer.reached("n-2", Failed) {
 		t.Errorf("declared on evidence that it had for 4 s: %+v", observer.stateChanges)
 	}
-	if other := w.controllers[1]; !other.reached("n-2", Suspect) {
+	if other := network.controllers[1]; !other.reached("n-2", Suspect) {
 		t.Errorf("the other one suspects nobody: %+v", other.stateChanges)
 	}
 }
 
 // The suspicion timeout follows the observed heartbeats, within its limits.
 func TestSuspicionTimeoutAdapts(t *testing.T) {
-	w := newNetwork(3)
-	w.run(20 * time.Second)
-	bound := func() time.Duration { return w.controllers[0].detector.PeerViews(w.now)[0].SuspicionTimeout }
+	network := newNetwork(3)
+	network.run(20 * time.Second)
+	bound := func() time.Duration {
+		return network.controllers[0].detector.PeerViews(network.now)[0].SuspicionTimeout
+	}
 	if usual := bound(); usual < 2500*time.Millisecond || usual >= 3*time.Second {
 		t.Errorf("%s where none is lost", usual)
 	}
 	irregular := 0
-	w.delay = func(string, string) (time.Duration, bool) {
+	network.delay = func(string, string) (time.Duration, bool) {
 		irregular++
 		return 5 * time.Millisecond, irregular%7 < 3
 	}
-	w.run(60 * time.Second)
+	network.run(60 * time.Second)
 	if adapted := bound(); adapted <= 3*time.Second || adapted > 8*time.Second {
 		t.Errorf("%s where more than half of them are lost", adapted)
 	}
@@ -152,19 +154,21 @@
 // An observer that receives no heartbeats extends its timeouts, and recovers when they
 // come again.
 func TestIsolatedObserverExtendsItsTimeouts(t *testing.T) {
-	w := newNetwork(5)
-	w.run(5 * time.Second)
-	bound := func() time.Duration { return w.controllers[0].detector.PeerViews(w.now)[0].SuspicionTimeout }
+	network := newNetwork(5)
+	network.run(5 * time.Second)
+	bound := func() time.Duration {
+		return network.controllers[0].detector.PeerViews(network.now)[0].SuspicionTimeout
+	}
 	usual := bound()
-	w.delay = func(from, to string) (time.Duration, bool) {
+	network.delay = func(from, to string) (time.Duration, bool) {
 		return 5 * time.Millisecond, from != "n-0" && to != "n-0"
 	}
-	w.run(20 * time.Second)
+	network.run(20 * time.Second)
 	if bound() < 4*usual {
 		t.Errorf("alone for 20 s it would suspect after %s, before after %s", bound(), usual)
 	}
-	w.delay = func(string, string) (time.Duration, bool) { return 5 * time.Millisecond, true }
-	w.run(20 * time.Second)
+	network.delay = func(string, string) (time.Duration, bool) { return 5 * time.Millisecond, true }
+	network.run(20 * time.Second)
 	if bound() > usual+usual/4 {
 		t.Errorf("among others again it suspects only after %s", bound())
 	}
@@ -175,27 +179,27 @@
 // has evidence about its work.
 func TestNobodyIsDeclaredWithoutMajorityAndWork(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.SampledFrom([]int{3, 5, 9}).Draw(t, "controllers")
-		w := newNetwork(n)
-		w.run(5 * time.Second)
-		target := w.controllers[n-1]
-		minority := n / 2
+		size := rapid.SampledFrom([]int{3, 5, 9}).Draw(t, "controllers")
+		network := newNetwork(size)
+		network.run(5 * time.Second)
+		target := network.controllers[size-1]
+		minority := size / 2
 		onlyLinks := rapid.Bool().Draw(t, "only links")
 		if onlyLinks { // everybody loses it, nobody has seen its work
-			w.delay = func(from, to string) (time.Duration, bool) {
+			network.delay = func(from, to string) (time.Duration, bool) {
 				return 5 * time.Millisecond, from != target.name && to != target.name
 			}
 		} else {
-			for _, c := range w.controllers[:minority] {
-				c.detector.SetUnserved(w.now, target.name, true)
+			for _, c := range network.controllers[:minority] {
+				c.detector.SetUnserved(network.now, target.name, true)
 			}
 		}
-		w.run(40 * time.Second)
-		for _, c := range w.controllers[:n-1] {
-			if c.reached(target.name, Failed) || len(c.detector.Proposals(w.now)) > 0 {
+		network.run(40 * time.Second)
+		for _, c := range network.controllers[:size-1] {
+			if c.reached(target.name, Failed) || len(c.detector.Proposals(network.now)) > 0 {
 				t.Errorf("only links %v: %s declared it: %+v", onlyLinks, c.name, c.stateChanges)
 			}
-			if onlyLinks && c.state(w.now, target.name) != Suspect {
+			if onlyLinks && c.state(network.now, target.name) != Suspect {
 				t.Errorf("%s does not suspect a controller that nobody reaches", c.name)
 			}
 		}
@@ -205,17 +209,17 @@
 // A link that is down while another controller still reaches the silent one raises
 // no suspicion.
 func TestIndirectProbePreventsSuspicion(t *testing.T) {
-	w := newNetwork(3)
-	w.run(5 * time.Second)
-	w.delay = func(from, to string) (time.Duration, bool) {
-		cut := from == "n-0" && to == "n-2" || from == "n-2" && to == "n-0"
-		return 5 * time.Millisecond, !cut
+	network := newNetwork(3)
+	network.run(5 * time.Second)
+	network.delay = func(from, to string) (time.Duration, bool) {
+		linkDown := from == "n-0" && to == "n-2" || from == "n-2" && to == "n-0"
+		return 5 * time.Millisecond, !linkDown
 	}
-	w.run(60 * time.Second)
-	if w.controllers[0].reached("n-2", Suspect) || w.controllers[2].reached("n-0", Suspect) {
-		t.Errorf("suspected across a link that is down: %+v, %+v", w.controllers[0].stateChanges, w.controllers[2].stateChanges)
+	network.run(60 * time.Second)
+	if network.controllers[0].reached("n-2", Suspect) || network.controllers[2].reached("n-0", Suspect) {
+		t.Errorf("suspected across a link that is down: %+v, %+v", network.controllers[0].stateChanges, network.controllers[2].stateChanges)
 	}
-	if v := w.controllers[0].detector.PeerViews(w.now); v[1].SinceLastSeen > 8*time.Second {
+	if v := network.controllers[0].detector.PeerViews(network.now); v[1].SinceLastSeen > 8*time.Second {
 		t.Errorf("no probe proved it: %+v", v[1])
 	}
 }
@@ -224,15 +228,15 @@
 // that by everybody, whatever its heartbeats refute; one that still answers another is not.
 func TestUnansweredCallsAreEvidence(t *testing.T) {
 	for _, answersOne := range []bool{false, true} {
-		w := newNetwork(3)
-		w.run(5 * time.Second)
-		w.delay = func(from, to string) (time.Duration, bool) {
+		network := newNetwork(3)
+		network.run(5 * time.Second)
+		network.delay = func(from, to string) (time.Duration, bool) {
 			lost := to == "n-2" && !(answersOne && from == "n-1")
 			return 5 * time.Millisecond, !lost
 		}
-		w.run(30 * time.Second)
-		for _, c := range w.controllers[:2] {
-			v := c.detector.PeerViews(w.now)[1]
+		network.run(30 * time.Second)
+		for _, c := range network.controllers[:2] {
+			v := c.detector.PeerViews(network.now)[1]
 			if answersOne != (v.State == Alive) || !answersOne && !slices.Equal(v.Evidence, []Evidence{Unanswered}) {
 				t.Errorf("it answers one: %v, and %s sees %+v", answersOne, c.name, v)
 			}
@@ -247,18 +251,18 @@
 // silence stays, and a suspicion that was refuted is gone before.
 func TestRefutedSuspicionIsRemoved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.SampledFrom([]int{3, 5}).Draw(t, "controllers")
-		w := newNetwork(n)
-		w.run(5 * time.Second)
+		size := rapid.SampledFrom([]int{3, 5}).Draw(t, "controllers")
+		network := newNetwork(size)
+		network.run(5 * time.Second)
 		loss := rapid.IntRange(10, 100).Draw(t, "loss")
-		w.delay = func(string, string) (time.Duration, bool) {
+		network.delay = func(string, string) (time.Duration, bool) {
 			return time.Duration(rapid.IntRange(1, 3000).Draw(t, "delay")) * time.Millisecond, rapid.IntRange(1, 100).Draw(t, "lost") > loss
 		}
-		w.run(time.Duration(rapid.IntRange(5, 30).Draw(t, "seconds")) * time.Second)
-		w.delay = func(string, string) (time.Duration, bool) { return 5 * time.Millisecond, true }
-		w.run(5 * time.Second)
-		for _, c := range w.controllers {
-			for _, v := range c.detector.PeerViews(w.now) {
+		network.run(time.Duration(rapid.IntRange(5, 30).Draw(t, "seconds")) * time.Second)
+		network.delay = func(string, string) (time.Duration, bool) { return 5 * time.Millisecond, true }
+		network.run(5 * time.Second)
+		for _, c := range network.controllers {
+			for _, v := range c.detector.PeerViews(network.now) {
 				if v.State != Alive || len(v.Accusers) > 0 {
 					t.Errorf("%s still holds against %s: %+v", c.name, v.Controller, v)
 				}
@@ -270,32 +274,32 @@
 // A suspect that learns of it raises its refutation, and an accusation from before
 // counts no more, even where it is repeated.
 func TestSuspectRefutes(t *testing.T) {
-	w := newNetwork(3)
-	w.run(3 * time.Second)
-	suspect, accuser, third := w.controllers[0].detector, w.controllers[1].detector, w.controllers[2].detector
+	network := newNetwork(3)
+	network.run(3 * time.Second)
+	suspect, accuser, third := network.controllers[0].detector, network.controllers[1].detector, network.controllers[2].detector
 	accusation := Accusation{Controller: "n-0", Incarnation: 1, Evidence: []Evidence{Unreachable}}
-	m := accuser.NextHeartbeat()
-	m.Accusations = []Accusation{accusation}
-	if err := suspect.HandleMessage(w.now, m); err != nil || !suspect.IsRefutationPending() {
+	message := accuser.NextHeartbeat()
+	message.Accusations = []Accusation{accusation}
+	if err := suspect.HandleMessage(network.now, message); err != nil || !suspect.IsRefutationPending() {
 		t.Fatalf("err %v, refutes at once: %v", err, suspect.IsRefutationPending())
 	}
-	if err := third.HandleMessage(w.now, suspect.NextHeartbeat()); err != nil {
+	if err := third.HandleMessage(network.now, suspect.NextHeartbeat()); err != nil {
 		t.Fatal(err)
 	}
-	m = accuser.NextHeartbeat()
-	m.Accusations = []Accusation{accusation}
-	if err := third.HandleMessage(w.now, m); err != nil {
+	message = accuser.NextHeartbeat()
+	message.Accusations = []Accusation{accusation}
+	if err := third.HandleMessage(network.now, message); err != nil {
 		t.Fatal(err)
 	}
-	if v := third.PeerViews(w.now)[0]; v.Refutation != 1 || len(v.Accusers) != 0 {
+	if v := third.PeerViews(network.now)[0]; v.Refutation != 1 || len(v.Accusers) != 0 {
 		t.Errorf("the refuted accusation counts: %+v", v)
 	}
-	m.Heartbeat.Sequence++
-	m.Accusations[0].Evidence = []Evidence{Unserved}
-	if err := third.HandleMessage(w.now, m); err != nil {
+	message.Heartbeat.Sequence++
+	message.Accusations[0].Evidence = []Evidence{Unserved}
+	if err := third.HandleMessage(network.now, message); err != nil {
 		t.Fatal(err)
 	}
-	if v := third.PeerViews(w.now)[0]; len(v.Accusers) != 1 {
+	if v := third.PeerViews(network.now)[0]; len(v.Accusers) != 1 {
 		t.Errorf("evidence about work was refuted by a word: %+v", v)
 	}
 }
@@ -303,42 +307,42 @@
 // Heartbeats of an earlier incarnation, duplicates and late ones prove nothing, and the
 // end of a lease decides at once.
 func TestRetiredIncarnationIsIgnored(t *testing.T) {
-	w := newNetwork(3)
-	w.run(3 * time.Second)
-	d := w.controllers[0].detector
-	old := w.controllers[1].detector.NextHeartbeat()
+	network := newNetwork(3)
+	network.run(3 * time.Second)
+	observer := network.controllers[0].detector
+	old := network.controllers[1].detector.NextHeartbeat()
 	for _, copies := range []int{1, 2} {
-		if err := d.HandleMessage(w.now, old); err != nil {
+		if err := observer.HandleMessage(network.now, old); err != nil {
 			t.Fatal(copies, err)
 		}
 	}
-	copied := w.now.Add(2 * time.Second)
-	if err := d.HandleMessage(copied, old); err != nil || d.PeerViews(copied)[0].SinceLastSeen < 2*time.Second {
-		t.Errorf("a copy counted as a heartbeat: %v, %+v", err, d.PeerViews(copied)[0])
+	copied := network.now.Add(2 * time.Second)
+	if err := observer.HandleMessage(copied, old); err != nil || observer.PeerViews(copied)[0].SinceLastSeen < 2*time.Second {
+		t.Errorf("a copy counted as a heartbeat: %v, %+v", err, observer.PeerViews(copied)[0])
 	}
-	d.SetLease(w.now, "n-1", 0)
-	d.Tick(w.now)
-	if s := w.controllers[0].state(w.now, "n-1"); s != Failed {
+	observer.SetLease(network.now, "n-1", 0)
+	observer.Tick(network.now)
+	if s := network.controllers[0].state(network.now, "n-1"); s != Failed {
 		t.Errorf("without its lease it is %s", s)
 	}
-	d.SetLease(w.now, "n-1", 77)
+	observer.SetLease(network.now, "n-1", 77)
 	old.Heartbeat.Sequence += 10
-	if err := d.HandleMessage(w.now, old); err != nil {
+	if err := observer.HandleMessage(network.now, old); err != nil {
 		t.Fatal(err)
 	}
-	d.Tick(w.now)
-	if v := d.PeerViews(w.now)[0]; v.State != Unmonitored || v.Incarnation != 77 {
+	observer.Tick(network.now)
+	if v := observer.PeerViews(network.now)[0]; v.State != Unmonitored || v.Incarnation != 77 {
 		t.Errorf("a late heartbeat of the old process counted: %+v", v)
 	}
 	fresh := Message{Controller: "n-1", Heartbeat: Heartbeat{Incarnation: 77, Sequence: 1}}
-	if err := d.HandleMessage(w.now, fresh); err != nil {
+	if err := observer.HandleMessage(network.now, fresh); err != nil {
 		t.Fatal(err)
 	}
-	if err := d.HandleMessage(w.now, old); err != nil {
+	if err := observer.HandleMessage(network.now, old); err != nil {
 		t.Fatal(err)
 	}
-	d.Tick(w.now)
-	if v := d.PeerViews(w.now)[0]; v.State != Alive || v.Incarnation != 77 {
+	observer.Tick(network.now)
+	if v := observer.PeerViews(network.now)[0]; v.State != Alive || v.Incarnation != 77 {
 		t.Errorf("the new process is %+v", v)
 	}
 }
@@ -346,18 +350,18 @@
 // An incarnation whose heartbeats come before the feed shows its lease, and again after
 // another one between them, is monitored.
 func TestHeartbeatBeforeItsLease(t *testing.T) {
-	w := newNetwork(3)
-	d := w.controllers[0].detector
-	if err := d.HandleMessage(w.now, Message{Controller: "n-1", Heartbeat: Heartbeat{Incarnation: 9, Sequence: 1}}); err != nil {
+	network := newNetwork(3)
+	observer := network.controllers[0].detector
+	if err := observer.HandleMessage(network.now, Message{Controller: "n-1", Heartbeat: Heartbeat{Incarnation: 9, Sequence: 1}}); err != nil {
 		t.Fatal(err)
 	}
-	d.SetLease(w.now, "n-1", 8)
-	d.SetLease(w.now, "n-1", 9)
-	if err := d.HandleMessage(w.now, Message{Controller: "n-1", Heartbeat: Heartbeat{Incarnation: 9, Sequence: 2}}); err != nil {
+	observer.SetLease(network.now, "n-1", 8)
+	observer.SetLease(network.now, "n-1", 9)
+	if err := observer.HandleMessage(network.now, Message{Controller: "n-1", Heartbeat: Heartbeat{Incarnation: 9, Sequence: 2}}); err != nil {
 		t.Fatal(err)
 	}
-	d.Tick(w.now)
-	if v := d.PeerViews(w.now)[0]; v.State != Alive || v.Incarnation != 9 {
+	observer.Tick(network.now)
+	if v := observer.PeerViews(network.now)[0]; v.State != Alive || v.Incarnation != 9 {
 		t.Errorf("%+v", v)
 	}
 }
@@ -365,7 +369,7 @@
 // Messages of unknown controllers and malformed ones are dropped with an error of their
 // kind.
 func TestInvalidMessagesAreDropped(t *testing.T) {
-	d := newNetwork(3).controllers[0].detector
+	observer := newNetwork(3).controllers[0].detector
 	now := time.Unix(1000, 0)
 	many := make([]Accusation, 4)
 	for name, c := range map[string]struct {
@@ -379,7 +383,7 @@
 		"many stalled actors":     {Message{Controller: "n-1", Heartbeat: Heartbeat{Incarnation: 1, Stalled: make([]string, 65)}}, ErrMalformedMessage},
 		"an actor's name is long": {Message{Controller: "n-1", Heartbeat: Heartbeat{Incarnation: 1, Stalled: []string{string(make([]byte, 129))}}}, ErrMalformedMessage},
 	} {
-		err := d.HandleMessage(now, c.m)
+		err := observer.HandleMessage(now, c.m)
 		if !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -388,15 +392,15 @@
 			t.Errorf("%s: dropped with %#v", name, err)
 		}
 	}
-	if v := d.PeerViews(now); v[0].Incarnation != 2 || v[0].State != Unmonitored {
+	if v := observer.PeerViews(now); v[0].Incarnation != 2 || v[0].State != Unmonitored {
 		t.Errorf("a dropped message left a trace: %+v", v[0])
 	}
 }
 
 // A configuration that cannot work is refused.
 func TestConfigIsChecked(t *testing.T) {
-	good := Config{Self: "a", Controllers: []string{"a", "b"}, HeartbeatInterval: 1, SuspectMin: 2, SuspectMax: 3, DeclareAfter: 4, ProbeTimeout: 1}
-	if err := good.Validate(); err != nil {
+	valid := Config{Self: "a", Controllers: []string{"a", "b"}, HeartbeatInterval: 1, SuspectMin: 2, SuspectMax: 3, DeclareAfter: 4, ProbeTimeout: 1}
+	if err := valid.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct {
@@ -410,7 +414,7 @@
 		"bounds crossed":                         {func(c *Config) { c.SuspectMax = 1 }, "SuspectMax"},
 		"declaration not later than a suspicion": {func(c *Config) { c.DeclareAfter = 2 }, "DeclareAfter"},
 	} {
-		config := good
+		config := valid
 		c.corrupt(&config)
 		_, err := New(config, time.Now())
 		if !errors.Is(err, ErrInvalidConfig) {
--- a/detector/simulation_test.go
+++ b/detector/simulation_test.go
@@ -24,8 +24,8 @@
 
 // delivery is a message or a probe's answer on its way.
 type delivery struct {
-	at  time.Time
-	act func(now time.Time)
+	at     time.Time
+	action func(now time.Time)
 }
 
 // simNetwork is a set of controllers on one virtual clock.
@@ -122,15 +122,15 @@
 }
 
 // probe carries out a probe; without an answer in time it fails.
-func (w *simNetwork) probe(c *simController, p Probe) {
+func (w *simNetwork) probe(observer *simController, probe Probe) {
 	answered := false
 	w.queue = append(w.queue, delivery{w.now.Add(testTimeout), func(time.Time) {
-		if !answered && !w.isStopped(c) {
-			c.detector.HandleProbeResult(w.clock(c), p, nil)
+		if !answered && !w.isStopped(observer) {
+			observer.detector.HandleProbeResult(w.clock(observer), probe, nil)
 		}
 	}})
 	forward := func(prober *simController, reply func(h Heartbeat)) {
-		target := w.find(p.Target)
+		target := w.find(probe.Target)
 		w.send(prober, target, func(time.Time) {
 			h := target.detector.NextHeartbeat().Heartbeat
 			w.send(target, prober, func(time.Time) { reply(h) })
@@ -138,15 +138,15 @@
 	}
 	done := func(h Heartbeat) {
 		answered = true
-		c.detector.HandleProbeResult(w.clock(c), p, &h)
+		observer.detector.HandleProbeResult(w.clock(observer), probe, &h)
 	}
-	if p.Via == "" {
-		forward(c, done)
+	if probe.Via == "" {
+		forward(observer, done)
 		return
 	}
-	via := w.find(p.Via)
-	w.send(c, via, func(time.Time) {
-		forward(via, func(h Heartbeat) { w.send(via, c, func(time.Time) { done(h) }) })
+	via := w.find(probe.Via)
+	w.send(observer, via, func(time.Time) {
+		forward(via, func(h Heartbeat) { w.send(via, observer, func(time.Time) { done(h) }) })
 	})
 }
 
@@ -166,7 +166,7 @@
 		})
 		w.queue = slices.DeleteFunc(w.queue, func(x delivery) bool { return !x.at.After(w.now) })
 		for _, x := range due {
-			x.act(w.now)
+			x.action(w.now)
 		}
 		for _, c := range w.controllers {
 			if w.isStopped(c) {
--- a/detector/wallclock_test.go
+++ b/detector/wallclock_test.go
@@ -13,26 +13,26 @@
 // are not suspected, and a failed one is declared in its time.
 func TestWallClockJumpsChangeNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newNetwork(3)
-		w.start(time.Now())
-		w.readClock = func(c *simController, now time.Time) time.Time {
+		network := newNetwork(3)
+		network.start(time.Now())
+		network.readClock = func(c *simController, now time.Time) time.Time {
 			return testclock.ShiftWallClock(now, int64(rapid.IntRange(-7200, 7200).Draw(t, "jump")))
 		}
-		w.run(10 * time.Second)
-		for _, c := range w.controllers {
+		network.run(10 * time.Second)
+		for _, c := range network.controllers {
 			if c.reached("n-0", Suspect) || c.reached("n-1", Suspect) || c.reached("n-2", Suspect) {
 				t.Fatalf("%s suspects a live controller: %+v", c.name, c.stateChanges)
 			}
 		}
-		for _, c := range w.controllers[:2] {
-			c.detector.SetUnserved(w.readClock(c, w.now), "n-2", true)
+		for _, c := range network.controllers[:2] {
+			c.detector.SetUnserved(network.readClock(c, network.now), "n-2", true)
 		}
-		w.run(4 * time.Second)
-		if w.controllers[0].reached("n-2", Failed) {
+		network.run(4 * time.Second)
+		if network.controllers[0].reached("n-2", Failed) {
 			t.Fatal("declared before its time")
 		}
-		w.run(10 * time.Second)
-		if !w.controllers[0].reached("n-2", Failed) {
+		network.run(10 * time.Second)
+		if !network.controllers[0].reached("n-2", Failed) {
 			t.Fatal("not declared in its time")
 		}
 	})
--- a/member/core_test.go
+++ b/member/core_test.go
@@ -23,16 +23,16 @@
 	lastIncarnation uint64 // of any controller's process
 }
 
-func (s *storeSim) apply(now time.Time, key string, rec records.Record) {
+func (s *storeSim) apply(now time.Time, key string, record records.Record) {
 	s.version++
-	ch := records.Change{Key: key, Version: s.version, Record: rec}
-	if rec == nil {
+	change := records.Change{Key: key, Version: s.version, Record: record}
+	if record == nil {
 		delete(s.keys, key)
 	} else {
-		s.keys[key] = ch
+		s.keys[key] = change
 	}
 	for _, c := range s.cores {
-		c.Apply(now, ch)
+		c.Apply(now, change)
 	}
 }
 
@@ -42,11 +42,11 @@
 			return false
 		}
 	}
-	rec, err := records.Decode(acquisition.Key, acquisition.Txn.Changes[0].Value)
+	record, err := records.Decode(acquisition.Key, acquisition.Txn.Changes[0].Value)
 	if err != nil {
 		panic(err)
 	}
-	s.apply(now, acquisition.Key, rec)
+	s.apply(now, acquisition.Key, record)
 	return true
 }
 
@@ -97,33 +97,33 @@
 func TestTermsIncreaseAndConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
-		s := &storeSim{keys: map[string]records.Change{}, incarnations: make([]uint64, 3)}
+		sim := &storeSim{keys: map[string]records.Change{}, incarnations: make([]uint64, 3)}
 		wait := time.Duration(rapid.IntRange(0, 5000).Draw(t, "second shard wait")) * time.Millisecond
 		for _, k := range testControllers {
 			c := New(k.Name, testControllers, []string{"a", "b"}, now)
 			c.SetSecondShardDelay(wait)
-			s.cores = append(s.cores, c)
+			sim.cores = append(sim.cores, c)
 		}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(50, 3000).Draw(t, "ms")) * time.Millisecond)
 			i := rapid.IntRange(0, 2).Draw(t, "node")
 			if rapid.Bool().Draw(t, "up") {
-				s.start(now, i)
+				sim.start(now, i)
 			} else {
-				s.stop(now, i)
+				sim.stop(now, i)
 			}
-			s.acquireDue(t, now)
+			sim.acquireDue(t, now)
 		}
 		for i := range testControllers {
-			if s.incarnations[i] == 0 {
-				s.start(now, i)
+			if sim.incarnations[i] == 0 {
+				sim.start(now, i)
 			}
 		}
 		for range 300 {
 			now = now.Add(100 * time.Millisecond)
-			s.acquireDue(t, now)
+			sim.acquireDue(t, now)
 		}
-		s.checkConverged(t)
+		sim.checkConverged(t)
 	})
 }
 
@@ -150,61 +150,61 @@
 
 // newSim makes three controllers that are up and know of each other.
 func newSim(now time.Time) *storeSim {
-	s := &storeSim{keys: map[string]records.Change{}, incarnations: []uint64{1, 2, 3}}
+	sim := &storeSim{keys: map[string]records.Change{}, incarnations: []uint64{1, 2, 3}}
 	for _, k := range testControllers {
-		s.cores = append(s.cores, New(k.Name, testControllers, []string{"a", "b"}, now))
+		sim.cores = append(sim.cores, New(k.Name, testControllers, []string{"a", "b"}, now))
 	}
 	for i, k := range testControllers {
-		s.apply(now, records.KeyController(k.Name), &records.Controller{Name: k.Name, Incarnation: uint64(i + 1)})
+		sim.apply(now, records.KeyController(k.Name), &records.Controller{Name: k.Name, Incarnation: uint64(i + 1)})
 	}
-	return s
+	return sim
 }
 
 // A shard that was transferred away because its machines could not reach the owner does
 // not fail back at once.
 func TestTransferredShardFailsBackAfterCooldown(t *testing.T) {
 	now := time.Unix(1000, 0)
-	s := newSim(now)
+	sim := newSim(now)
 	key := records.KeyShard("b")
-	s.apply(now, key, &records.Term{Shard: "b", Controller: "n-1", Incarnation: 2, Number: 4})
-	acquisition, ok := s.cores[1].TransferAway(now, key)
-	if !ok || acquisition.NewHolder == "n-1" || !s.commit(now, acquisition) {
+	sim.apply(now, key, &records.Term{Shard: "b", Controller: "n-1", Incarnation: 2, Number: 4})
+	acquisition, ok := sim.cores[1].TransferAway(now, key)
+	if !ok || acquisition.NewHolder == "n-1" || !sim.commit(now, acquisition) {
 		t.Fatalf("not transferred: %+v", acquisition)
 	}
-	back := time.Duration(0)
-	for at := time.Duration(0); at < 2*time.Minute && back == 0; at += time.Second {
-		for i, c := range s.cores {
-			for _, acquisition := range c.DueAcquisitions(now.Add(at), s.incarnations[i], true) {
-				if acquisition.Key == key && acquisition.NewHolder == "n-1" && s.commit(now.Add(at), acquisition) {
-					back = at
+	failedBackAfter := time.Duration(0)
+	for at := time.Duration(0); at < 2*time.Minute && failedBackAfter == 0; at += time.Second {
+		for i, c := range sim.cores {
+			for _, acquisition := range c.DueAcquisitions(now.Add(at), sim.incarnations[i], true) {
+				if acquisition.Key == key && acquisition.NewHolder == "n-1" && sim.commit(now.Add(at), acquisition) {
+					failedBackAfter = at
 				}
 			}
 		}
 	}
-	if back < 30*time.Second {
-		t.Fatalf("failed back after %s", back)
+	if failedBackAfter < 30*time.Second {
+		t.Fatalf("failed back after %s", failedBackAfter)
 	}
-	fmt.Fprintln(t.Output(), "failed back after", back)
+	fmt.Fprintln(t.Output(), "failed back after", failedBackAfter)
 }
 
 // Where no controller reaches another, the leadership goes round once and stays.
 func TestIsolatedLeadersTransferOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
-	s := newSim(now)
-	s.apply(now, records.KeyLeader, &records.Term{Controller: "n-1", Incarnation: 2, Number: 4})
-	moved := 0
+	sim := newSim(now)
+	sim.apply(now, records.KeyLeader, &records.Term{Controller: "n-1", Incarnation: 2, Number: 4})
+	transfers := 0
 	for at := time.Duration(0); at < constants.FailbackCooldown; at += time.Second {
 		for i, k := range testControllers {
-			if holder, _ := s.cores[0].Holder(records.KeyLeader); holder != k.Name {
+			if holder, _ := sim.cores[0].Holder(records.KeyLeader); holder != k.Name {
 				continue
 			}
-			if acquisition, ok := s.cores[i].TransferAway(now.Add(at), records.KeyLeader); ok && s.commit(now.Add(at), acquisition) {
-				moved++
+			if acquisition, ok := sim.cores[i].TransferAway(now.Add(at), records.KeyLeader); ok && sim.commit(now.Add(at), acquisition) {
+				transfers++
 			}
 		}
 	}
-	if moved != 1 {
-		t.Fatalf("transferred %d times", moved)
+	if transfers != 1 {
+		t.Fatalf("transferred %d times", transfers)
 	}
 }
 
@@ -214,33 +214,33 @@
 	const wait = 4 * time.Second
 	now := time.Unix(1000, 0)
 	key := records.KeyShard("b")
-	play := func(owns bool) (acquired map[string]time.Duration) {
-		s := newSim(now.Add(-constants.StartupAcquisitionDelay)) // not fresh any more
-		for _, c := range s.cores {
+	acquireShards := func(owns bool) (acquired map[string]time.Duration) {
+		sim := newSim(now.Add(-constants.StartupAcquisitionDelay)) // not fresh any more
+		for _, c := range sim.cores {
 			c.SetSecondShardDelay(wait)
 		}
 		holder := &records.Term{Shard: "a", Controller: "n-2", Incarnation: 3, Number: 4}
 		if !owns { // both shards were n-1's
 			holder = &records.Term{Shard: "a", Controller: "n-1", Incarnation: 2, Number: 4}
 		}
-		s.apply(now, records.KeyShard("a"), holder)
-		s.apply(now, key, &records.Term{Shard: "b", Controller: "n-1", Incarnation: 2, Number: 7})
-		s.apply(now, records.KeyController("n-0"), nil)
-		s.apply(now, records.KeyController("n-1"), nil)
+		sim.apply(now, records.KeyShard("a"), holder)
+		sim.apply(now, key, &records.Term{Shard: "b", Controller: "n-1", Incarnation: 2, Number: 7})
+		sim.apply(now, records.KeyController("n-0"), nil)
+		sim.apply(now, records.KeyController("n-1"), nil)
 		acquired = map[string]time.Duration{}
 		for at := time.Duration(0); at < 3*wait; at += 100 * time.Millisecond {
-			for _, acquisition := range s.cores[2].DueAcquisitions(now.Add(at), 3, true) {
-				if s.commit(now.Add(at), acquisition) && acquisition.Key != records.KeyLeader {
+			for _, acquisition := range sim.cores[2].DueAcquisitions(now.Add(at), 3, true) {
+				if sim.commit(now.Add(at), acquisition) && acquisition.Key != records.KeyLeader {
 					acquired[acquisition.Key] = at
 				}
 			}
 		}
 		return acquired
 	}
-	if acquired := play(true); len(acquired) != 1 || acquired[key] < wait || acquired[key] > wait+time.Second {
+	if acquired := acquireShards(true); len(acquired) != 1 || acquired[key] < wait || acquired[key] > wait+time.Second {
 		t.Errorf("an owner acquires %v, wanted the other shard after %s", acquired, wait)
 	}
-	acquired := play(false)
+	acquired := acquireShards(false)
 	first, second := min(acquired[records.KeyShard("a")], acquired[key]), max(acquired[records.KeyShard("a")], acquired[key])
 	if len(acquired) != 2 || first > 2*constants.AcquisitionRankDelay || second < wait || second > wait+time.Second {
 		t.Errorf("one that owns nothing acquires %v, wanted one at once and one after %s", acquired, wait)
--- a/member/revocation_test.go
+++ b/member/revocation_test.go
@@ -14,24 +14,24 @@
 // newSimWithDetection makes three controllers with failure detection that are up; n-1 owns the
 // shard of b, n-2 that of a.
 func newSimWithDetection(now time.Time, leaseTTL time.Duration) *storeSim {
-	s := &storeSim{keys: map[string]records.Change{}, incarnations: []uint64{1, 2, 3}}
+	sim := &storeSim{keys: map[string]records.Change{}, incarnations: []uint64{1, 2, 3}}
 	for _, k := range testControllers {
 		c := New(k.Name, testControllers, []string{"a", "b"}, now.Add(-time.Minute))
 		c.EnableDetection()
-		s.cores = append(s.cores, c)
+		sim.cores = append(sim.cores, c)
 	}
 	for i, k := range testControllers {
-		s.apply(now, records.KeyController(k.Name), &records.Controller{Name: k.Name, Incarnation: uint64(i + 1), LeaseTTLMS: leaseTTL.Milliseconds()})
+		sim.apply(now, records.KeyController(k.Name), &records.Controller{Name: k.Name, Incarnation: uint64(i + 1), LeaseTTLMS: leaseTTL.Milliseconds()})
 	}
-	s.apply(now, records.KeyShard("a"), &records.Term{Shard: "a", Controller: "n-2", Incarnation: 3, Number: 4})
-	s.apply(now, records.KeyShard("b"), &records.Term{Shard: "b", Controller: "n-1", Incarnation: 2, Number: 4})
-	s.apply(now, records.KeyLeader, &records.Term{Controller: "n-2", Incarnation: 3, Number: 4})
-	return s
+	sim.apply(now, records.KeyShard("a"), &records.Term{Shard: "a", Controller: "n-2", Incarnation: 3, Number: 4})
+	sim.apply(now, records.KeyShard("b"), &records.Term{Shard: "b", Controller: "n-1", Incarnation: 2, Number: 4})
+	sim.apply(now, records.KeyLeader, &records.Term{Controller: "n-2", Incarnation: 3, Number: 4})
+	return sim
 }
 
 // revoke commits the revocation of a core; each core sees it after its lag.
-func (s *storeSim) revoke(now time.Time, by int, r records.Revocation, lag []time.Duration) bool {
-	txn, ok := s.cores[by].Revoke(r)
+func (s *storeSim) revoke(now time.Time, by int, revocation records.Revocation, lag []time.Duration) bool {
+	txn, ok := s.cores[by].Revoke(revocation)
 	if !ok {
 		return false
 	}
@@ -40,15 +40,15 @@
 			return false
 		}
 	}
-	rec, err := records.Decode(txn.Changes[0].Put, txn.Changes[0].Value)
+	record, err := records.Decode(txn.Changes[0].Put, txn.Changes[0].Value)
 	if err != nil {
 		panic(err)
 	}
 	s.version++
-	ch := records.Change{Key: txn.Changes[0].Put, Version: s.version, Record: rec}
-	s.keys[ch.Key] = ch
+	change := records.Change{Key: txn.Changes[0].Put, Version: s.version, Record: record}
+	s.keys[change.Key] = change
 	for i, c := range s.cores {
-		c.Apply(now.Add(lag[i]), ch)
+		c.Apply(now.Add(lag[i]), change)
 	}
 	return true
 }
@@ -58,32 +58,32 @@
 // however its reads of the revision fell; and in bounded time somebody does.
 func TestRevokedTermIsTakenAfterAuthorityEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		life := time.Duration(rapid.IntRange(2000, 10000).Draw(t, "life ms")) * time.Millisecond
+		leaseTTL := time.Duration(rapid.IntRange(2000, 10000).Draw(t, "life ms")) * time.Millisecond
 		now := time.Unix(1000, 0)
-		s := newSimWithDetection(now, life)
+		sim := newSimWithDetection(now, leaseTTL)
 		lag := make([]time.Duration, 3)
 		for i := range lag {
 			lag[i] = time.Duration(rapid.IntRange(0, 2000).Draw(t, "lag ms")) * time.Millisecond
 		}
-		if !s.revoke(now, 0, records.Revocation{Controller: "n-1", Incarnation: 2}, lag) {
+		if !sim.revoke(now, 0, records.Revocation{Controller: "n-1", Incarnation: 2}, lag) {
 			t.Fatal("not revoked")
 		}
 		// The holder's last read of the revision that did not show the revocation was
 		// sent before it was written. Its clock may be slow by the protocol's bound.
 		drift := float64(rapid.IntRange(-5, 5).Draw(t, "drift")) / 10000
 		lastRead := now.Add(-time.Duration(rapid.IntRange(0, 1000).Draw(t, "last read ms")) * time.Millisecond)
-		authority := time.Duration(float64(life)*(1-constants.MaxClockDrift)) - constants.AuthorityMargin
-		ends := lastRead.Add(time.Duration(float64(authority) / (1 + drift)))
+		authority := time.Duration(float64(leaseTTL)*(1-constants.MaxClockDrift)) - constants.AuthorityMargin
+		authorityEnd := lastRead.Add(time.Duration(float64(authority) / (1 + drift)))
 		key, taken := records.KeyShard("b"), time.Duration(0)
-		for at := time.Duration(0); at < life+6*time.Second && taken == 0; at += 50 * time.Millisecond {
+		for at := time.Duration(0); at < leaseTTL+6*time.Second && taken == 0; at += 50 * time.Millisecond {
 			for _, i := range []int{0, 2} {
-				for _, acquisition := range s.cores[i].DueAcquisitions(now.Add(at), s.incarnations[i], true) {
-					if acquisition.Key != key || acquisition.NewHolder == "n-1" || !s.commit(now.Add(at), acquisition) {
+				for _, acquisition := range sim.cores[i].DueAcquisitions(now.Add(at), sim.incarnations[i], true) {
+					if acquisition.Key != key || acquisition.NewHolder == "n-1" || !sim.commit(now.Add(at), acquisition) {
 						continue
 					}
 					taken = at
-					if now.Add(at).Before(ends) {
-						t.Fatalf("taken after %s, %s before the holder's authority ended", at, ends.Sub(now.Add(at)))
+					if now.Add(at).Before(authorityEnd) {
+						t.Fatalf("taken after %s, %s before the holder's authority ended", at, authorityEnd.Sub(now.Add(at)))
 					}
 				}
 			}
@@ -98,41 +98,41 @@
 // registered itself; a revocation says nothing of the next process of its name.
 func TestRevocationPreconditions(t *testing.T) {
 	now, none := time.Unix(1000, 0), make([]time.Duration, 3)
-	s := newSimWithDetection(now, 3*time.Second)
+	sim := newSimWithDetection(now, 3*time.Second)
 	target := records.Revocation{Controller: "n-1", Incarnation: 2}
 	for name, r := range map[string]records.Revocation{
 		"another process": {Controller: "n-1", Incarnation: 9},
 		"a stranger":      {Controller: "n-7", Incarnation: 2},
 		"itself":          {Controller: "n-0", Incarnation: 1},
 	} {
-		if _, ok := s.cores[0].Revoke(r); ok {
+		if _, ok := sim.cores[0].Revoke(r); ok {
 			t.Errorf("%s is revoked", name)
 		}
 	}
-	s.apply(now, records.KeyController("n-2"), &records.Controller{Name: "n-2", Incarnation: 3})
-	if _, ok := s.cores[0].Revoke(records.Revocation{Controller: "n-2", Incarnation: 3}); ok {
+	sim.apply(now, records.KeyController("n-2"), &records.Controller{Name: "n-2", Incarnation: 3})
+	if _, ok := sim.cores[0].Revoke(records.Revocation{Controller: "n-2", Incarnation: 3}); ok {
 		t.Error("a process that does not heed revocations is revoked")
 	}
-	late, _ := s.cores[2].Revoke(target)
-	if !s.revoke(now, 0, target, none) || s.revoke(now, 0, target, none) {
+	late, _ := sim.cores[2].Revoke(target)
+	if !sim.revoke(now, 0, target, none) || sim.revoke(now, 0, target, none) {
 		t.Error("it is not revoked just once")
 	}
-	if late.Conditions[0].Version == s.keys[records.KeyRevocation("n-1")].Version {
+	if late.Conditions[0].Version == sim.keys[records.KeyRevocation("n-1")].Version {
 		t.Error("a second revocation, decided at the same time, would be written")
 	}
-	if c := s.cores[2]; !c.IsRevoked("n-1") || c.revokedAuthorityEnded(now.Add(2*time.Second), records.KeyShard("b")) {
+	if c := sim.cores[2]; !c.IsRevoked("n-1") || c.revokedAuthorityEnded(now.Add(2*time.Second), records.KeyShard("b")) {
 		t.Error("a revoked holder is outlived before its lease would have ended")
 	}
-	s.apply(now, records.KeyController("n-1"), &records.Controller{Name: "n-1", Incarnation: 5, LeaseTTLMS: 3000})
-	s.apply(now, records.KeyShard("b"), &records.Term{Shard: "b", Controller: "n-1", Incarnation: 5, Number: 6})
-	if c := s.cores[2]; c.IsRevoked("n-1") || c.revokedAuthorityEnded(now.Add(time.Hour), records.KeyShard("b")) {
+	sim.apply(now, records.KeyController("n-1"), &records.Controller{Name: "n-1", Incarnation: 5, LeaseTTLMS: 3000})
+	sim.apply(now, records.KeyShard("b"), &records.Term{Shard: "b", Controller: "n-1", Incarnation: 5, Number: 6})
+	if c := sim.cores[2]; c.IsRevoked("n-1") || c.revokedAuthorityEnded(now.Add(time.Hour), records.KeyShard("b")) {
 		t.Error("the revocation counts against the next process")
 	}
-	order := s.cores[0].rankedControllers(now.Add(time.Second), records.KeyShard("b"))
+	order := sim.cores[0].rankedControllers(now.Add(time.Second), records.KeyShard("b"))
 	if order[2].Name != "n-1" {
 		t.Errorf("a controller that was revoked a moment ago is ranked before others: %v", order)
 	}
-	if order = s.cores[0].rankedControllers(now.Add(constants.FailbackCooldown), records.KeyShard("b")); order[0].Name != "n-1" {
+	if order = sim.cores[0].rankedControllers(now.Add(constants.FailbackCooldown), records.KeyShard("b")); order[0].Name != "n-1" {
 		t.Errorf("its own zone's controller is not trusted again: %v", order)
 	}
 }
@@ -140,17 +140,17 @@
 // Without detection here the core is what it was: a revocation changes nothing.
 func TestRevocationWithoutDetectionChangesNothing(t *testing.T) {
 	now := time.Unix(1000, 0)
-	s := newSimWithDetection(now, 3*time.Second)
-	plain := New("n-0", testControllers, []string{"a", "b"}, now.Add(-time.Minute))
-	for _, ch := range s.keys {
-		plain.Apply(now, ch)
+	sim := newSimWithDetection(now, 3*time.Second)
+	withoutDetection := New("n-0", testControllers, []string{"a", "b"}, now.Add(-time.Minute))
+	for _, ch := range sim.keys {
+		withoutDetection.Apply(now, ch)
 	}
-	s.cores = append(s.cores, plain)
-	if !s.revoke(now, 0, records.Revocation{Controller: "n-1", Incarnation: 2}, make([]time.Duration, 4)) {
+	sim.cores = append(sim.cores, withoutDetection)
+	if !sim.revoke(now, 0, records.Revocation{Controller: "n-1", Incarnation: 2}, make([]time.Duration, 4)) {
 		t.Fatal("not revoked")
 	}
 	for at := time.Duration(0); at < time.Minute; at += time.Second {
-		for _, acquisition := range plain.DueAcquisitions(now.Add(at), 1, true) {
+		for _, acquisition := range withoutDetection.DueAcquisitions(now.Add(at), 1, true) {
 			if acquisition.Key != records.KeyLeader {
 				t.Fatalf("it acquired %s after %s", acquisition.Key, at)
 			}
@@ -161,13 +161,13 @@
 // Shards of controllers that fail together are taken one at a time.
 func TestOrphanedShardsAreSpacedOut(t *testing.T) {
 	now := time.Unix(1000, 0)
-	s := newSimWithDetection(now, 3*time.Second)
-	s.apply(now, records.KeyController("n-1"), nil)
-	s.apply(now, records.KeyController("n-2"), nil)
+	sim := newSimWithDetection(now, 3*time.Second)
+	sim.apply(now, records.KeyController("n-1"), nil)
+	sim.apply(now, records.KeyController("n-2"), nil)
 	var acquired []time.Duration
 	for at := time.Duration(0); at < 5*time.Second; at += 50 * time.Millisecond {
-		for _, acquisition := range s.cores[0].DueAcquisitions(now.Add(at), 1, true) {
-			if acquisition.Key != records.KeyLeader && s.commit(now.Add(at), acquisition) {
+		for _, acquisition := range sim.cores[0].DueAcquisitions(now.Add(at), 1, true) {
+			if acquisition.Key != records.KeyLeader && sim.commit(now.Add(at), acquisition) {
 				acquired = append(acquired, at)
 			}
 		}
@@ -179,16 +179,16 @@
 
 // Setting the time of day neither shortens nor lengthens the wait for a revoked holder.
 func TestWallClockJumpKeepsRevocationWait(t *testing.T) {
-	const life = 3 * time.Second
+	const leaseTTL = 3 * time.Second
 	now := time.Now()
-	s := newSimWithDetection(now, life)
-	if !s.revoke(now, 0, records.Revocation{Controller: "n-1", Incarnation: 2}, make([]time.Duration, 3)) {
+	sim := newSimWithDetection(now, leaseTTL)
+	if !sim.revoke(now, 0, records.Revocation{Controller: "n-1", Incarnation: 2}, make([]time.Duration, 3)) {
 		t.Fatal("not revoked")
 	}
 	key := records.KeyShard("b")
 	for _, seconds := range []int64{-86400, -3, 3, 86400} {
-		early, late := now.Add(life), now.Add(life+constants.AuthorityMargin+10*time.Millisecond)
-		if s.cores[0].revokedAuthorityEnded(testclock.ShiftWallClock(early, seconds), key) || !s.cores[0].revokedAuthorityEnded(testclock.ShiftWallClock(late, seconds), key) {
+		early, late := now.Add(leaseTTL), now.Add(leaseTTL+constants.AuthorityMargin+10*time.Millisecond)
+		if sim.cores[0].revokedAuthorityEnded(testclock.ShiftWallClock(early, seconds), key) || !sim.cores[0].revokedAuthorityEnded(testclock.ShiftWallClock(late, seconds), key) {
 			t.Errorf("a jump of %d s changes the wait", seconds)
 		}
 	}
@@ -201,37 +201,37 @@
 func TestRevokedControllerDoesNotReacquireItsShard(t *testing.T) {
 	for _, alone := range []bool{false, true} {
 		now := time.Unix(1000, 0)
-		s := newSimWithDetection(now, 3*time.Second)
-		for _, c := range s.cores {
+		sim := newSimWithDetection(now, 3*time.Second)
+		for _, c := range sim.cores {
 			c.SetSecondShardDelay(constants.MaxSecondShardDelay)
 		}
-		s.apply(now, records.KeyShard("a"), &records.Term{Shard: "a", Controller: "n-2", Incarnation: 3, Number: 4})
-		if !s.revoke(now, 2, records.Revocation{Controller: "n-1", Incarnation: 2}, make([]time.Duration, 3)) {
+		sim.apply(now, records.KeyShard("a"), &records.Term{Shard: "a", Controller: "n-2", Incarnation: 3, Number: 4})
+		if !sim.revoke(now, 2, records.Revocation{Controller: "n-1", Incarnation: 2}, make([]time.Duration, 3)) {
 			t.Fatal("not revoked")
 		}
-		s.incarnations[1] = 5
-		s.apply(now.Add(3*time.Second), records.KeyController("n-1"), &records.Controller{Name: "n-1", Incarnation: 5, LeaseTTLMS: 3000})
-		s.apply(now, records.KeyController("n-0"), nil)
-		s.incarnations[0] = 0
+		sim.incarnations[1] = 5
+		sim.apply(now.Add(3*time.Second), records.KeyController("n-1"), &records.Controller{Name: "n-1", Incarnation: 5, LeaseTTLMS: 3000})
+		sim.apply(now, records.KeyController("n-0"), nil)
+		sim.incarnations[0] = 0
 		if alone {
-			s.apply(now, records.KeyController("n-2"), nil)
-			s.incarnations[2] = 0
+			sim.apply(now, records.KeyController("n-2"), nil)
+			sim.incarnations[2] = 0
 		}
-		taker := ""
-		for at := 3 * time.Second; at < 20*time.Second && taker == ""; at += 50 * time.Millisecond {
-			for i, c := range s.cores {
-				if s.incarnations[i] == 0 {
+		newOwner := ""
+		for at := 3 * time.Second; at < 20*time.Second && newOwner == ""; at += 50 * time.Millisecond {
+			for i, c := range sim.cores {
+				if sim.incarnations[i] == 0 {
 					continue
 				}
-				for _, acquisition := range c.DueAcquisitions(now.Add(at), s.incarnations[i], true) {
-					if s.commit(now.Add(at), acquisition) && acquisition.Key == records.KeyShard("b") {
-						taker = acquisition.NewHolder
+				for _, acquisition := range c.DueAcquisitions(now.Add(at), sim.incarnations[i], true) {
+					if sim.commit(now.Add(at), acquisition) && acquisition.Key == records.KeyShard("b") {
+						newOwner = acquisition.NewHolder
 					}
 				}
 			}
 		}
-		if want := map[bool]string{false: "n-2", true: "n-1"}[alone]; taker != want {
-			t.Errorf("alone %v: %q took the shard", alone, taker)
+		if want := map[bool]string{false: "n-2", true: "n-1"}[alone]; newOwner != want {
+			t.Errorf("alone %v: %q took the shard", alone, newOwner)
 		}
 	}
 }
@@ -240,24 +240,24 @@
 // and not to the revoked one.
 func TestLeaderAfterRevocationTransfersAtOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
-	s := newSimWithDetection(now, 3*time.Second)
-	s.apply(now, records.KeyLeader, &records.Term{Controller: "n-1", Incarnation: 2, Number: 4})
-	if !s.revoke(now, 2, records.Revocation{Controller: "n-1", Incarnation: 2}, make([]time.Duration, 3)) {
+	sim := newSimWithDetection(now, 3*time.Second)
+	sim.apply(now, records.KeyLeader, &records.Term{Controller: "n-1", Incarnation: 2, Number: 4})
+	if !sim.revoke(now, 2, records.Revocation{Controller: "n-1", Incarnation: 2}, make([]time.Duration, 3)) {
 		t.Fatal("not revoked")
 	}
 	for at := time.Duration(0); at < 10*time.Second; at += 50 * time.Millisecond {
 		for _, i := range []int{0, 2} {
-			for _, acquisition := range s.cores[i].DueAcquisitions(now.Add(at), s.incarnations[i], true) {
-				s.commit(now.Add(at), acquisition)
+			for _, acquisition := range sim.cores[i].DueAcquisitions(now.Add(at), sim.incarnations[i], true) {
+				sim.commit(now.Add(at), acquisition)
 			}
 		}
 	}
-	leader, _ := s.cores[0].Holder(records.KeyLeader)
+	leader, _ := sim.cores[0].Holder(records.KeyLeader)
 	for i, k := range testControllers {
 		if k.Name != leader {
 			continue
 		}
-		acquisition, ok := s.cores[i].TransferAway(now.Add(12*time.Second), records.KeyLeader)
+		acquisition, ok := sim.cores[i].TransferAway(now.Add(12*time.Second), records.KeyLeader)
 		if !ok || acquisition.NewHolder == "n-1" || acquisition.NewHolder == leader {
 			t.Errorf("%s leads and transfers to %q", leader, acquisition.NewHolder)
 		}
