--- a/detector/peer.go
+++ b/detector/peer.go
@@ -10,7 +10,7 @@
 
 // States of a controller.
 const (
-	Unmonitored State = "unmonitored" // no heartbeat has arrived; only its lease is evaluated
+	Unmonitored State = "unmonitored" // no heartbeat has arrived; only the controller's lease is evaluated
 	Alive       State = "alive"
 	Suspect     State = "suspect"
 	Failed      State = "failed"
@@ -36,8 +36,8 @@
 	intervalStats intervalStats
 	probing       probeRound
 
-	// Start of each kind of evidence that this observer holds; zero means that it holds
-	// none.
+	// Start of each kind of evidence; zero means that this observer has no evidence of
+	// that kind.
 	unreachableSince time.Time
 	unansweredSince  time.Time
 	stalledSince     time.Time
@@ -128,8 +128,8 @@
 	}
 }
 
-// markSeen records that the controller was seen, which removes the evidence that it is
-// unreachable.
+// markSeen records a message from the controller, which removes the evidence that the
+// controller is unreachable.
 func (p *peer) markSeen(now time.Time) {
 	p.lastSeen = now
 	p.unreachableSince = time.Time{}
--- a/detector/suspicion.go
+++ b/detector/suspicion.go
@@ -32,7 +32,7 @@
 
 // Proposals lists the controllers that are declared failed although their lease is
 // valid. A controller is omitted if accusers have withdrawn their evidence and the
-// remaining ones are no quorum.
+// remaining accusers are no quorum.
 func (d *Detector) Proposals(now time.Time) []RevocationProposal {
 	var proposals []RevocationProposal
 	for _, p := range d.peers {
