--- a/detector/detector_test.go
+++ b/detector/detector_test.go
@@ -11,9 +11,9 @@
 	_ "ravenport/internal/testseed"
 )
 
-// A live controller whose messages are delayed within a bound is never suspected,
-// let alone declared failed, however the delays fall; observers that are paused
-// for a while accuse nobody for it, either.
+// A live controller whose messages are delayed within a bound is never suspected or
+// declared failed, whatever the single delays are. An observer that was paused for a
+// while does not accuse other controllers because of its own pause.
 func TestLiveControllerIsNeverSuspected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.SampledFrom([]int{3, 5, 9}).Draw(t, "controllers")
@@ -32,7 +32,7 @@
 		network.run(10 * time.Second)
 		for _, node := range network.controllers {
 			if node != observer && observer.reached(node.name, Suspect) {
-				t.Errorf("%s, which was late itself, suspected %s: %+v", observer.name, node.name, observer.stateChanges)
+				t.Errorf("%s, which was paused itself, suspected %s: %+v", observer.name, node.name, observer.stateChanges)
 			}
 			for _, c := range network.controllers {
 				if c == observer || c == node {
@@ -46,12 +46,12 @@
 	})
 }
 
-// A controller that makes no progress is declared failed by every other one within
-// a bounded time, whether or not its heartbeats still come, and never by fewer than
-// a majority.
+// A controller that makes no progress is declared failed by every other controller
+// within a bounded time, whether or not its heartbeats still arrive, and never by fewer
+// than a majority.
 func TestFailedControllerIsDeclaredInTime(t *testing.T) {
 	const bound = 25 * time.Second
-	// The silence may have begun an interval before the links went down.
+	// The last heartbeat may have arrived an interval before the links went down.
 	const beforeDeclaration = 5*time.Second - testInterval - 200*time.Millisecond
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.SampledFrom([]int{3, 5, 9}).Draw(t, "controllers")
@@ -72,7 +72,7 @@
 		network.run(beforeDeclaration)
 		for _, c := range network.controllers {
 			if c.reached(failed.name, Failed) {
-				t.Errorf("%s: declared before its time by %s", kind, c.name)
+				t.Errorf("%s: declared failed too early by %s", kind, c.name)
 			}
 		}
 		network.run(bound - 4500*time.Millisecond)
@@ -84,8 +84,9 @@
 	})
 }
 
-// Evidence that is gone counts no more, not even for a controller that was declared
-// failed on it: who returns before it was replaced is left alone.
+// Evidence that has ended no longer counts, not even against a controller that was
+// declared failed on it. A controller that recovers before it was replaced is not
+// proposed any more.
 func TestRecoveryWithdrawsProposal(t *testing.T) {
 	network := newNetwork(3)
 	network.run(3 * time.Second)
@@ -106,11 +107,11 @@
 	}
 	unserved(false)
 	if d := network.controllers[0].detector; len(d.Proposals(network.now)) != 0 || network.controllers[0].state(network.now, "n-2") != Alive {
-		t.Errorf("still held against it: %+v", d.PeerViews(network.now))
+		t.Errorf("still failed or proposed after its recovery: %+v", d.PeerViews(network.now))
 	}
 }
 
-// An observer that was paused does not count that time against others.
+// An observer does not count the time of its own pause towards the age of its evidence.
 func TestPauseDoesNotAgeEvidence(t *testing.T) {
 	network := newNetwork(3)
 	network.loseWhilePaused = true
@@ -123,14 +124,14 @@
 	observer.pausedUntil = network.now.Add(8 * time.Second)
 	network.run(10 * time.Second)
 	if observer.reached("n-2", Failed) {
-		t.Errorf("declared on evidence that it had for 4 s: %+v", observer.stateChanges)
+		t.Errorf("declared failed on evidence that was 4 s old: %+v", observer.stateChanges)
 	}
 	if other := network.controllers[1]; !other.reached("n-2", Suspect) {
-		t.Errorf("the other one suspects nobody: %+v", other.stateChanges)
+		t.Errorf("the other observer suspects no controller: %+v", other.stateChanges)
 	}
 }
 
-// The suspicion timeout follows the observed heartbeats, within its limits.
+// The suspicion timeout adapts to the observed heartbeat intervals within its bounds.
 func TestSuspicionTimeoutAdapts(t *testing.T) {
 	network := newNetwork(3)
 	network.run(20 * time.Second)
@@ -138,7 +139,7 @@
 		return network.controllers[0].detector.PeerViews(network.now)[0].SuspicionTimeout
 	}
 	if usual := bound(); usual < 2500*time.Millisecond || usual >= 3*time.Second {
-		t.Errorf("%s where none is lost", usual)
+		t.Errorf("suspicion timeout is %s without lost messages", usual)
 	}
 	irregular := 0
 	network.delay = func(string, string) (time.Duration, bool) {
@@ -147,12 +148,12 @@
 	}
 	network.run(60 * time.Second)
 	if adapted := bound(); adapted <= 3*time.Second || adapted > 8*time.Second {
-		t.Errorf("%s where more than half of them are lost", adapted)
+		t.Errorf("suspicion timeout is %s with more than half of the messages lost", adapted)
 	}
 }
 
-// An observer that receives no heartbeats extends its timeouts, and recovers when they
-// come again.
+// An observer that receives no heartbeats extends its timeouts, and shortens them after
+// heartbeats arrive again.
 func TestIsolatedObserverExtendsItsTimeouts(t *testing.T) {
 	network := newNetwork(5)
 	network.run(5 * time.Second)
@@ -165,18 +166,18 @@
 	}
 	network.run(20 * time.Second)
 	if bound() < 4*usual {
-		t.Errorf("alone for 20 s it would suspect after %s, before after %s", bound(), usual)
+		t.Errorf("suspicion timeout is %s after 20 s of isolation, and was %s before", bound(), usual)
 	}
 	network.delay = func(string, string) (time.Duration, bool) { return 5 * time.Millisecond, true }
 	network.run(20 * time.Second)
 	if bound() > usual+usual/4 {
-		t.Errorf("among others again it suspects only after %s", bound())
+		t.Errorf("suspicion timeout is still %s after the isolation", bound())
 	}
 }
 
-// However many controllers of a minority hold whatever evidence against a live one, and
-// however many cannot reach it, it is not declared failed without a majority that
-// has evidence about its work.
+// A live controller is not declared failed without a majority that has evidence about
+// its work, however many controllers of a minority have evidence against it, and however
+// many controllers cannot reach it.
 func TestNobodyIsDeclaredWithoutMajorityAndWork(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.SampledFrom([]int{3, 5, 9}).Draw(t, "controllers")
@@ -185,7 +186,7 @@
 		target := network.controllers[size-1]
 		minority := size / 2
 		onlyLinks := rapid.Bool().Draw(t, "only links")
-		if onlyLinks { // everybody loses it, nobody has seen its work
+		if onlyLinks { // no controller reaches it, and none has evidence about its work
 			network.delay = func(from, to string) (time.Duration, bool) {
 				return 5 * time.Millisecond, from != target.name && to != target.name
 			}
@@ -197,17 +198,17 @@
 		network.run(40 * time.Second)
 		for _, c := range network.controllers[:size-1] {
 			if c.reached(target.name, Failed) || len(c.detector.Proposals(network.now)) > 0 {
-				t.Errorf("only links %v: %s declared it: %+v", onlyLinks, c.name, c.stateChanges)
+				t.Errorf("only links %v: %s declared it failed: %+v", onlyLinks, c.name, c.stateChanges)
 			}
 			if onlyLinks && c.state(network.now, target.name) != Suspect {
-				t.Errorf("%s does not suspect a controller that nobody reaches", c.name)
+				t.Errorf("%s does not suspect a controller that no controller reaches", c.name)
 			}
 		}
 	})
 }
 
-// A link that is down while another controller still reaches the silent one raises
-// no suspicion.
+// A link that is down raises no suspicion while another controller still reaches the
+// controller whose heartbeats are missing.
 func TestIndirectProbePreventsSuspicion(t *testing.T) {
 	network := newNetwork(3)
 	network.run(5 * time.Second)
@@ -217,15 +218,16 @@
 	}
 	network.run(60 * time.Second)
 	if network.controllers[0].reached("n-2", Suspect) || network.controllers[2].reached("n-0", Suspect) {
-		t.Errorf("suspected across a link that is down: %+v, %+v", network.controllers[0].stateChanges, network.controllers[2].stateChanges)
+		t.Errorf("suspected because of one link that is down: %+v, %+v", network.controllers[0].stateChanges, network.controllers[2].stateChanges)
 	}
 	if v := network.controllers[0].detector.PeerViews(network.now); v[1].SinceLastSeen > 8*time.Second {
-		t.Errorf("no probe proved it: %+v", v[1])
+		t.Errorf("no indirect probe was answered: %+v", v[1])
 	}
 }
 
-// A controller whose own heartbeats come, while it answers nobody, is suspected for
-// that by everybody, whatever its heartbeats refute; one that still answers another is not.
+// A controller whose own heartbeats arrive, but that answers no other controller, is
+// suspected for that by all other controllers, whatever its heartbeats refute. A
+// controller that still answers one other controller is not suspected.
 func TestUnansweredCallsAreEvidence(t *testing.T) {
 	for _, answersOne := range []bool{false, true} {
 		network := newNetwork(3)
@@ -238,17 +240,17 @@
 		for _, c := range network.controllers[:2] {
 			v := c.detector.PeerViews(network.now)[1]
 			if answersOne != (v.State == Alive) || !answersOne && !slices.Equal(v.Evidence, []Evidence{Unanswered}) {
-				t.Errorf("it answers one: %v, and %s sees %+v", answersOne, c.name, v)
+				t.Errorf("answers one controller: %v, view of %s: %+v", answersOne, c.name, v)
 			}
 			if c.reached("n-2", Failed) {
-				t.Errorf("%s declared it failed for links alone", c.name)
+				t.Errorf("%s declared it failed without evidence about its work", c.name)
 			}
 		}
 	}
 }
 
-// Whatever the losses were, once messages come through again no suspicion of
-// silence stays, and a suspicion that was refuted is gone before.
+// Whatever messages were lost or delayed, no controller remains suspected as unreachable
+// once messages arrive again. A suspicion that was refuted ends before that.
 func TestRefutedSuspicionIsRemoved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.SampledFrom([]int{3, 5}).Draw(t, "controllers")
@@ -264,15 +266,15 @@
 		for _, c := range network.controllers {
 			for _, v := range c.detector.PeerViews(network.now) {
 				if v.State != Alive || len(v.Accusers) > 0 {
-					t.Errorf("%s still holds against %s: %+v", c.name, v.Controller, v)
+					t.Errorf("%s still has evidence against %s: %+v", c.name, v.Controller, v)
 				}
 			}
 		}
 	})
 }
 
-// A suspect that learns of it raises its refutation, and an accusation from before
-// counts no more, even where it is repeated.
+// A suspect that learns of the suspicion raises its refutation number. An accusation
+// from before the refutation no longer counts, even if it is repeated.
 func TestSuspectRefutes(t *testing.T) {
 	network := newNetwork(3)
 	network.run(3 * time.Second)
@@ -300,12 +302,12 @@
 		t.Fatal(err)
 	}
 	if v := third.PeerViews(network.now)[0]; len(v.Accusers) != 1 {
-		t.Errorf("evidence about work was refuted by a word: %+v", v)
+		t.Errorf("evidence about work was removed by a refutation: %+v", v)
 	}
 }
 
-// Heartbeats of an earlier incarnation, duplicates and late ones prove nothing, and the
-// end of a lease decides at once.
+// Heartbeats of an earlier incarnation, duplicates and late heartbeats are ignored. When
+// its lease ends, a controller has failed at once.
 func TestRetiredIncarnationIsIgnored(t *testing.T) {
 	network := newNetwork(3)
 	network.run(3 * time.Second)
@@ -318,12 +320,12 @@
 	}
 	copied := network.now.Add(2 * time.Second)
 	if err := observer.HandleMessage(copied, old); err != nil || observer.PeerViews(copied)[0].SinceLastSeen < 2*time.Second {
-		t.Errorf("a copy counted as a heartbeat: %v, %+v", err, observer.PeerViews(copied)[0])
+		t.Errorf("a duplicate counted as a heartbeat: %v, %+v", err, observer.PeerViews(copied)[0])
 	}
 	observer.SetLease(network.now, "n-1", 0)
 	observer.Tick(network.now)
 	if s := network.controllers[0].state(network.now, "n-1"); s != Failed {
-		t.Errorf("without its lease it is %s", s)
+		t.Errorf("state after its lease ended: %s", s)
 	}
 	observer.SetLease(network.now, "n-1", 77)
 	old.Heartbeat.Sequence += 10
@@ -343,12 +345,12 @@
 	}
 	observer.Tick(network.now)
 	if v := observer.PeerViews(network.now)[0]; v.State != Alive || v.Incarnation != 77 {
-		t.Errorf("the new process is %+v", v)
+		t.Errorf("view of the new process: %+v", v)
 	}
 }
 
-// An incarnation whose heartbeats come before the feed shows its lease, and again after
-// another one between them, is monitored.
+// An incarnation is monitored if its heartbeats arrive before and after the feed shows
+// its lease, even if the feed shows the lease of another incarnation in between.
 func TestHeartbeatBeforeItsLease(t *testing.T) {
 	network := newNetwork(3)
 	observer := network.controllers[0].detector
@@ -366,8 +368,8 @@
 	}
 }
 
-// Messages of unknown controllers and malformed ones are dropped with an error of their
-// kind.
+// Messages from unknown controllers and malformed messages are dropped with the error of
+// their kind.
 func TestInvalidMessagesAreDropped(t *testing.T) {
 	observer := newNetwork(3).controllers[0].detector
 	now := time.Unix(1000, 0)
@@ -393,11 +395,11 @@
 		}
 	}
 	if v := observer.PeerViews(now); v[0].Incarnation != 2 || v[0].State != Unmonitored {
-		t.Errorf("a dropped message left a trace: %+v", v[0])
+		t.Errorf("a dropped message changed the view: %+v", v[0])
 	}
 }
 
-// A configuration that cannot work is refused.
+// An invalid configuration is rejected.
 func TestConfigIsChecked(t *testing.T) {
 	valid := Config{Self: "a", Controllers: []string{"a", "b"}, HeartbeatInterval: 1, SuspectMin: 2, SuspectMax: 3, DeclareAfter: 4, ProbeTimeout: 1}
 	if err := valid.Validate(); err != nil {
@@ -422,7 +424,7 @@
 		}
 		var invalid *ConfigError
 		if !errors.As(err, &invalid) || invalid.Field != c.field {
-			t.Errorf("%s: refused with %#v", name, err)
+			t.Errorf("%s: rejected with %#v", name, err)
 		}
 	}
 }
--- a/detector/simulation_test.go
+++ b/detector/simulation_test.go
@@ -22,7 +22,8 @@
 	stateChanges  []StateChange
 }
 
-// delivery is a message or a probe's answer on its way.
+// delivery is an action at a later time, such as the arrival of a message or of a
+// probe's answer.
 type delivery struct {
 	at     time.Time
 	action func(now time.Time)
@@ -34,8 +35,8 @@
 	controllers     []*simController
 	queue           []delivery
 	delay           func(from, to string) (time.Duration, bool)     // false: lost
-	readClock       func(c *simController, now time.Time) time.Time // what a controller's clock shows; nil: the time
-	loseWhilePaused bool                                            // what comes to a paused controller is lost, as calls are that time out
+	readClock       func(c *simController, now time.Time) time.Time // the time that a controller's clock shows; nil: the virtual time
+	loseWhilePaused bool                                            // messages to a paused controller are lost, like calls that time out
 }
 
 func newNetwork(n int) *simNetwork {
@@ -60,7 +61,7 @@
 	return w
 }
 
-// start sets all clocks, before anything has happened.
+// start sets the clocks of all controllers, with new detectors. It is called before run.
 func (w *simNetwork) start(now time.Time) {
 	w.now = now
 	for i, c := range w.controllers {
@@ -87,8 +88,8 @@
 
 func (w *simNetwork) isStopped(c *simController) bool { return c.dead || w.now.Before(c.pausedUntil) }
 
-// send delivers something to another controller; what arrives while it is paused
-// happens when it goes on.
+// send delivers a message to another controller. A message that arrives while the
+// controller is paused is handled when the controller resumes.
 func (w *simNetwork) send(from, to *simController, act func(now time.Time)) {
 	d, arrives := w.delay(from.name, to.name)
 	if !arrives {
@@ -106,7 +107,8 @@
 	}})
 }
 
-// sendHeartbeats sends a heartbeat to everybody, whose answers are heartbeats as well.
+// sendHeartbeats sends a heartbeat to all other controllers, which reply with heartbeats
+// of their own.
 func (w *simNetwork) sendHeartbeats(c *simController) {
 	m := c.detector.NextHeartbeat()
 	for _, to := range w.controllers {
@@ -121,7 +123,7 @@
 	}
 }
 
-// probe carries out a probe; without an answer in time it fails.
+// probe carries out a probe, which fails if no answer arrives within testTimeout.
 func (w *simNetwork) probe(observer *simController, probe Probe) {
 	answered := false
 	w.queue = append(w.queue, delivery{w.now.Add(testTimeout), func(time.Time) {
@@ -154,7 +156,7 @@
 	return w.controllers[slices.IndexFunc(w.controllers, func(c *simController) bool { return c.name == name })]
 }
 
-// run lets time pass.
+// run advances the virtual time.
 func (w *simNetwork) run(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(testStep) {
 		due := slices.Collect(func(yield func(delivery) bool) {
@@ -186,7 +188,7 @@
 	}
 }
 
-// reached reports whether an observer ever took a controller to be in a state.
+// reached reports whether a controller was ever in a state in this observer's view.
 func (c *simController) reached(node string, to State) bool {
 	return slices.ContainsFunc(c.stateChanges, func(x StateChange) bool { return x.Controller == node && x.To == to })
 }
--- a/detector/wallclock_test.go
+++ b/detector/wallclock_test.go
@@ -9,8 +9,9 @@
 	"ravenport/internal/testclock"
 )
 
-// A wall clock that jumps by hours, forward and back, changes nothing: live controllers
-// are not suspected, and a failed one is declared in its time.
+// Jumps of the wall clock by hours, forward and back, change nothing: live controllers
+// are not suspected, and a failed controller is declared failed within the usual bounds
+// of time.
 func TestWallClockJumpsChangeNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		network := newNetwork(3)
@@ -29,11 +30,11 @@
 		}
 		network.run(4 * time.Second)
 		if network.controllers[0].reached("n-2", Failed) {
-			t.Fatal("declared before its time")
+			t.Fatal("declared failed too early")
 		}
 		network.run(10 * time.Second)
 		if !network.controllers[0].reached("n-2", Failed) {
-			t.Fatal("not declared in its time")
+			t.Fatal("not declared failed in time")
 		}
 	})
 }
--- a/failover/ranking_test.go
+++ b/failover/ranking_test.go
@@ -10,8 +10,8 @@
 	_ "ravenport/internal/testseed"
 )
 
-// Every order has each controller once, the shard's own zone first and whoever
-// is deprioritized at the end; it depends on nothing but the candidates.
+// Every ranking has each controller once, with the shard's own zone first and
+// deprioritized controllers last. The ranking depends on nothing but the candidates.
 func TestOrderIsCompleteAndRanked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := []string{"a", "b", "c"}[:rapid.IntRange(1, 3).Draw(t, "zones")]
@@ -28,10 +28,10 @@
 		for _, role := range []Role{{Leader: true}, {Zone: zones[0]}, {Zone: zones[len(zones)-1]}} {
 			order := candidates.Ranked(role)
 			if again := candidates.Ranked(role); !slices.Equal(order, again) {
-				t.Fatalf("two orders: %v, %v", order, again)
+				t.Fatalf("two rankings of the same candidates differ: %v, %v", order, again)
 			}
 			if len(order) != len(candidates.Controllers) {
-				t.Fatalf("%v of %v", order, candidates.Controllers)
+				t.Fatalf("%v has not all of %v", order, candidates.Controllers)
 			}
 			for i := 1; i < len(order); i++ {
 				a, b := order[i-1], order[i]
@@ -40,23 +40,23 @@
 					t.Fatalf("%s comes before %s: %v", a.Name, b.Name, order)
 				case role.Leader || deprioritized[a.Name] != deprioritized[b.Name]:
 				case a.Zone != role.Zone && b.Zone == role.Zone:
-					t.Fatalf("the own zone comes second: %v", order)
+					t.Fatalf("another zone comes before the shard's own zone: %v", order)
 				case a.Zone != role.Zone && shards[a.Name] > shards[b.Name]:
-					t.Fatalf("the one with more shards comes first: %v of %v", order, shards)
+					t.Fatalf("a controller with more shards comes first: %v, shards: %v", order, shards)
 				}
 			}
 		}
 	})
 }
 
-// The place among the candidates decides how long a controller waits.
+// A controller's position among the candidates determines how long it waits.
 func TestPosition(t *testing.T) {
 	order := []Controller{{"n-0", "a"}, {"n-1", "a"}, {"n-2", "a"}}
 	allButSecond := func(name string) bool { return name != "n-1" }
 	if at, missing := Position(order, "n-2", allButSecond); at != 1 || !missing {
-		t.Errorf("%d, %v", at, missing)
+		t.Errorf("position %d, predecessor missing: %v", at, missing)
 	}
 	if at, missing := Position(order, "n-0", allButSecond); at != 0 || missing {
-		t.Errorf("%d, %v", at, missing)
+		t.Errorf("position %d, predecessor missing: %v", at, missing)
 	}
 }
--- a/member/core_test.go
+++ b/member/core_test.go
@@ -14,7 +14,7 @@
 
 var testControllers = []Controller{{Name: "n-0", Zone: "a"}, {Name: "n-1", Zone: "b"}, {Name: "n-2", Zone: "a"}}
 
-// storeSim is a key-value store whose feed three cores apply.
+// storeSim simulates a key-value store whose feed is applied by three cores.
 type storeSim struct {
 	version         uint64
 	keys            map[string]records.Change
@@ -50,7 +50,7 @@
 	return true
 }
 
-// start registers the next process of a controller.
+// start registers a new process of a controller.
 func (s *storeSim) start(now time.Time, i int) {
 	s.lastIncarnation++
 	s.incarnations[i] = s.lastIncarnation
@@ -66,8 +66,8 @@
 	}
 }
 
-// acquireDue commits all due acquisitions. Each raises a term by one, and none takes a
-// term from another controller that lives.
+// acquireDue commits all due acquisitions. It checks that each acquisition increases the
+// term by one, and that none takes a term from another live controller.
 func (s *storeSim) acquireDue(t *rapid.T, now time.Time) {
 	t.Helper()
 	for i, c := range s.cores {
@@ -91,9 +91,9 @@
 	}
 }
 
-// Through any run of failures and returns: terms only rise, nobody takes a
-// term from a live holder unless it was transferred, and once all is calm every
-// shard is held in its own zone.
+// In any sequence of failures and restarts, terms only increase, and no controller takes
+// a term from a live holder unless the term was transferred. Once the failures end,
+// every shard is held in its own zone.
 func TestTermsIncreaseAndConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -144,11 +144,11 @@
 		}
 	}
 	if _, held := s.cores[0].Holder(records.KeyLeader); !held {
-		t.Fatal("nobody leads")
+		t.Fatal("no controller leads")
 	}
 }
 
-// newSim makes three controllers that are up and know of each other.
+// newSim returns a simulation of three controllers that are up and know of each other.
 func newSim(now time.Time) *storeSim {
 	sim := &storeSim{keys: map[string]records.Change{}, incarnations: []uint64{1, 2, 3}}
 	for _, k := range testControllers {
@@ -161,7 +161,7 @@
 }
 
 // A shard that was transferred away because its machines could not reach the owner does
-// not fail back at once.
+// not fail back to that owner at once.
 func TestTransferredShardFailsBackAfterCooldown(t *testing.T) {
 	now := time.Unix(1000, 0)
 	sim := newSim(now)
@@ -187,7 +187,8 @@
 	fmt.Fprintln(t.Output(), "failed back after", failedBackAfter)
 }
 
-// Where no controller reaches another, the leadership goes round once and stays.
+// If no controller reaches another, the leadership is transferred once and then stays
+// for the failback cooldown.
 func TestIsolatedLeadersTransferOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	sim := newSim(now)
@@ -208,19 +209,20 @@
 	}
 }
 
-// An owner leaves a second shard to its own controller for a while, and no longer;
-// one that owns nothing takes one at once, and of two vacant ones only one.
+// A controller that owns a shard leaves a second shard to that shard's own controller
+// for the configured delay, and no longer. A controller without a shard acquires one at
+// once, and only one of two vacant shards.
 func TestSecondShardAcquisitionIsDelayed(t *testing.T) {
 	const wait = 4 * time.Second
 	now := time.Unix(1000, 0)
 	key := records.KeyShard("b")
 	acquireShards := func(owns bool) (acquired map[string]time.Duration) {
-		sim := newSim(now.Add(-constants.StartupAcquisitionDelay)) // not fresh any more
+		sim := newSim(now.Add(-constants.StartupAcquisitionDelay)) // the startup delay is over
 		for _, c := range sim.cores {
 			c.SetSecondShardDelay(wait)
 		}
 		holder := &records.Term{Shard: "a", Controller: "n-2", Incarnation: 3, Number: 4}
-		if !owns { // both shards were n-1's
+		if !owns { // n-1 owned both shards
 			holder = &records.Term{Shard: "a", Controller: "n-1", Incarnation: 2, Number: 4}
 		}
 		sim.apply(now, records.KeyShard("a"), holder)
@@ -238,11 +240,11 @@
 		return acquired
 	}
 	if acquired := acquireShards(true); len(acquired) != 1 || acquired[key] < wait || acquired[key] > wait+time.Second {
-		t.Errorf("an owner acquires %v, wanted the other shard after %s", acquired, wait)
+		t.Errorf("a controller with a shard acquires %v, wanted the other shard after %s", acquired, wait)
 	}
 	acquired := acquireShards(false)
 	first, second := min(acquired[records.KeyShard("a")], acquired[key]), max(acquired[records.KeyShard("a")], acquired[key])
 	if len(acquired) != 2 || first > 2*constants.AcquisitionRankDelay || second < wait || second > wait+time.Second {
-		t.Errorf("one that owns nothing acquires %v, wanted one at once and one after %s", acquired, wait)
+		t.Errorf("a controller without a shard acquires %v, wanted one at once and one after %s", acquired, wait)
 	}
 }
--- a/member/revocation_test.go
+++ b/member/revocation_test.go
@@ -11,8 +11,9 @@
 	"ravenport/records"
 )
 
-// newSimWithDetection makes three controllers with failure detection that are up; n-1 owns the
-// shard of b, n-2 that of a.
+// newSimWithDetection returns a simulation of three controllers that are up and have
+// failure detection. n-1 owns the shard of zone b; n-2 owns the shard of zone a and
+// leads.
 func newSimWithDetection(now time.Time, leaseTTL time.Duration) *storeSim {
 	sim := &storeSim{keys: map[string]records.Change{}, incarnations: []uint64{1, 2, 3}}
 	for _, k := range testControllers {
@@ -29,7 +30,7 @@
 	return sim
 }
 
-// revoke commits the revocation of a core; each core sees it after its lag.
+// revoke commits a revocation that a core decides on; each core sees it after its lag.
 func (s *storeSim) revoke(now time.Time, by int, revocation records.Revocation, lag []time.Duration) bool {
 	txn, ok := s.cores[by].Revoke(revocation)
 	if !ok {
@@ -53,9 +54,10 @@
 	return true
 }
 
-// Nobody takes a revoked holder's term before its authority has ended, however late
-// the holder hears of the revocation, whatever its clock does within its bound and
-// however its reads of the revision fell; and in bounded time somebody does.
+// No controller takes a revoked holder's term before the holder's authority has ended,
+// however late the holder learns of the revocation, whatever its clock does within its
+// bound and whenever it reads the revision. Another controller takes the term within a
+// bounded time.
 func TestRevokedTermIsTakenAfterAuthorityEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leaseTTL := time.Duration(rapid.IntRange(2000, 10000).Draw(t, "life ms")) * time.Millisecond
@@ -69,7 +71,8 @@
 			t.Fatal("not revoked")
 		}
 		// The holder's last read of the revision that did not show the revocation was
-		// sent before it was written. Its clock may be slow by the protocol's bound.
+		// sent before the revocation was written. The holder's clock may be slow by the
+		// protocol's bound.
 		drift := float64(rapid.IntRange(-5, 5).Draw(t, "drift")) / 10000
 		lastRead := now.Add(-time.Duration(rapid.IntRange(0, 1000).Draw(t, "last read ms")) * time.Millisecond)
 		authority := time.Duration(float64(leaseTTL)*(1-constants.MaxClockDrift)) - constants.AuthorityMargin
@@ -89,21 +92,22 @@
 			}
 		}
 		if taken == 0 {
-			t.Fatal("nobody took the term over")
+			t.Fatal("no controller took the term over")
 		}
 	})
 }
 
-// Only a registered process that heeds revocations is revoked, once, by one that is
-// registered itself; a revocation says nothing of the next process of its name.
+// Only a registered process that supports revocation is revoked, only once, and only by
+// a process that is registered itself. A revocation does not apply to the next process
+// of the same controller.
 func TestRevocationPreconditions(t *testing.T) {
 	now, none := time.Unix(1000, 0), make([]time.Duration, 3)
 	sim := newSimWithDetection(now, 3*time.Second)
 	target := records.Revocation{Controller: "n-1", Incarnation: 2}
 	for name, r := range map[string]records.Revocation{
-		"another process": {Controller: "n-1", Incarnation: 9},
-		"a stranger":      {Controller: "n-7", Incarnation: 2},
-		"itself":          {Controller: "n-0", Incarnation: 1},
+		"another process":    {Controller: "n-1", Incarnation: 9},
+		"unknown controller": {Controller: "n-7", Incarnation: 2},
+		"itself":             {Controller: "n-0", Incarnation: 1},
 	} {
 		if _, ok := sim.cores[0].Revoke(r); ok {
 			t.Errorf("%s is revoked", name)
@@ -111,33 +115,33 @@
 	}
 	sim.apply(now, records.KeyController("n-2"), &records.Controller{Name: "n-2", Incarnation: 3})
 	if _, ok := sim.cores[0].Revoke(records.Revocation{Controller: "n-2", Incarnation: 3}); ok {
-		t.Error("a process that does not heed revocations is revoked")
+		t.Error("a process that does not support revocation is revoked")
 	}
 	late, _ := sim.cores[2].Revoke(target)
 	if !sim.revoke(now, 0, target, none) || sim.revoke(now, 0, target, none) {
-		t.Error("it is not revoked just once")
+		t.Error("the process is not revoked exactly once")
 	}
 	if late.Conditions[0].Version == sim.keys[records.KeyRevocation("n-1")].Version {
-		t.Error("a second revocation, decided at the same time, would be written")
+		t.Error("a second revocation, decided concurrently, would be written")
 	}
 	if c := sim.cores[2]; !c.IsRevoked("n-1") || c.revokedAuthorityEnded(now.Add(2*time.Second), records.KeyShard("b")) {
-		t.Error("a revoked holder is outlived before its lease would have ended")
+		t.Error("a revoked holder's authority counts as ended before its lease would have ended")
 	}
 	sim.apply(now, records.KeyController("n-1"), &records.Controller{Name: "n-1", Incarnation: 5, LeaseTTLMS: 3000})
 	sim.apply(now, records.KeyShard("b"), &records.Term{Shard: "b", Controller: "n-1", Incarnation: 5, Number: 6})
 	if c := sim.cores[2]; c.IsRevoked("n-1") || c.revokedAuthorityEnded(now.Add(time.Hour), records.KeyShard("b")) {
-		t.Error("the revocation counts against the next process")
+		t.Error("the revocation applies to the next process")
 	}
 	order := sim.cores[0].rankedControllers(now.Add(time.Second), records.KeyShard("b"))
 	if order[2].Name != "n-1" {
-		t.Errorf("a controller that was revoked a moment ago is ranked before others: %v", order)
+		t.Errorf("a recently revoked controller is ranked before others: %v", order)
 	}
 	if order = sim.cores[0].rankedControllers(now.Add(constants.FailbackCooldown), records.KeyShard("b")); order[0].Name != "n-1" {
-		t.Errorf("its own zone's controller is not trusted again: %v", order)
+		t.Errorf("the own zone's controller is not preferred again after the cooldown: %v", order)
 	}
 }
 
-// Without detection here the core is what it was: a revocation changes nothing.
+// A revocation has no effect on a core without failure detection.
 func TestRevocationWithoutDetectionChangesNothing(t *testing.T) {
 	now := time.Unix(1000, 0)
 	sim := newSimWithDetection(now, 3*time.Second)
@@ -152,13 +156,14 @@
 	for at := time.Duration(0); at < time.Minute; at += time.Second {
 		for _, acquisition := range withoutDetection.DueAcquisitions(now.Add(at), 1, true) {
 			if acquisition.Key != records.KeyLeader {
-				t.Fatalf("it acquired %s after %s", acquisition.Key, at)
+				t.Fatalf("a core without failure detection acquired %s after %s", acquisition.Key, at)
 			}
 		}
 	}
 }
 
-// Shards of controllers that fail together are taken one at a time.
+// Shards of controllers that fail at the same time are taken over one at a time, with
+// the minimum interval between them.
 func TestOrphanedShardsAreSpacedOut(t *testing.T) {
 	now := time.Unix(1000, 0)
 	sim := newSimWithDetection(now, 3*time.Second)
@@ -177,7 +182,8 @@
 	}
 }
 
-// Setting the time of day neither shortens nor lengthens the wait for a revoked holder.
+// Setting the wall clock neither shortens nor lengthens the wait for the end of a
+// revoked holder's authority.
 func TestWallClockJumpKeepsRevocationWait(t *testing.T) {
 	const leaseTTL = 3 * time.Second
 	now := time.Now()
@@ -194,10 +200,12 @@
 	}
 }
 
-// A revoked controller that is registered anew leaves its shard to the others even where
-// all of them own one already and leave another vacant for as long as they may; alone
-// it takes it. Guards against a gray-failed owner of three that was revoked, and had its
-// shard back a second later: another took it only after the second revocation.
+// A revoked controller that registers again leaves its shard to the other controllers,
+// even if all of them own a shard already and wait for the maximum delay before they
+// acquire a second one. If it is the only controller, it acquires the shard. Guards
+// against a fault with three controllers: an owner with a gray failure was revoked and
+// had its shard back a second later, and another controller took the shard over only
+// after the second revocation.
 func TestRevokedControllerDoesNotReacquireItsShard(t *testing.T) {
 	for _, alone := range []bool{false, true} {
 		now := time.Unix(1000, 0)
@@ -236,8 +244,8 @@
 	}
 }
 
-// A leader that took over from a revoked one transfers it at once if it is cut off itself,
-// and not to the revoked one.
+// A leader that took over from a revoked leader, and is then cut off itself, transfers
+// the leadership at once, and not to the revoked controller.
 func TestLeaderAfterRevocationTransfersAtOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	sim := newSimWithDetection(now, 3*time.Second)
--- a/watchdog/watchdog_test.go
+++ b/watchdog/watchdog_test.go
@@ -10,14 +10,14 @@
 	_ "ravenport/internal/testseed"
 )
 
-// An actor is stalled if, and only if, it had something to do for the stall timeout and did
-// nothing of it while the process as a whole went on.
+// An actor is stalled if, and only if, it had pending messages for the stall timeout and
+// handled none of them while the process as a whole was running.
 func TestStalledActorsAreFound(t *testing.T) {
 	const stallTimeout, step = 5 * time.Second, time.Second
 	rapid.Check(t, func(t *rapid.T) {
 		watchdog := New(stallTimeout)
 		now := time.Unix(0, 0)
-		idle := time.Duration(0) // for how long the actor was seen to do nothing, pauses left out
+		idle := time.Duration(0) // for how long the actor had messages and handled none, without pauses
 		sample := Sample{Name: "a"}
 		watchdog.Observe(now, []Sample{sample})
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
