--- a/detector/probing.go
+++ b/detector/probing.go
@@ -2,40 +2,40 @@
 
 import "time"
 
-// Probe is a request to the caller to find out whether a controller answers.
+// Probe is a request to the caller to check whether a controller answers.
 type Probe struct {
 	Target string
-	Via    string // the controller that is to probe it; empty: this one
+	Via    string // the controller that sends the probe; empty: this controller
 }
 
-// probeRound is the progress of probing a silent controller, first directly and then
-// through all others.
+// probeRound is the progress of probing a controller that does not answer, first
+// directly and then through the other controllers.
 type probeRound struct {
 	phaseStartedAt time.Time // when the latest probes were sent
-	directSent     bool      // and not answered yet
+	directSent     bool      // a direct probe was sent and is not answered yet
 	directFailed   bool
 	indirectSent   bool
-	pendingVia     map[string]bool // controllers that were asked to probe and did not reply yet
+	pendingProbers map[string]bool // controllers that were asked to probe and have not replied yet
 }
 
 // isExhausted reports whether all probes of the round have failed.
 func (r *probeRound) isExhausted() bool {
-	return r.directFailed && r.indirectSent && len(r.pendingVia) == 0
+	return r.directFailed && r.indirectSent && len(r.pendingProbers) == 0
 }
 
-// probeIfSilent probes a controller that has answered nothing for half its suspicion
-// timeout, first directly and then through others. Once the timeout has passed and no
-// probe was answered, that is recorded as evidence.
-func (d *Detector) probeIfSilent(now time.Time, p *peer) []Probe {
-	if !p.isMonitored() || p.leaseHolder == 0 {
+// probeIfUnanswered probes a controller that has not answered for half its suspicion
+// timeout, first directly and then through other controllers. Once the whole timeout has
+// passed and no probe was answered, it records evidence.
+func (d *Detector) probeIfUnanswered(now time.Time, target *peer) []Probe {
+	if !target.isMonitored() || target.leaseIncarnation == 0 {
 		return nil
 	}
-	timeout := d.suspicionTimeout(p)
-	unansweredFor := now.Sub(p.lastAnswer)
+	timeout := d.suspicionTimeout(target)
+	unansweredFor := now.Sub(target.lastAnswer)
 	if unansweredFor <= timeout/2 {
 		return nil
 	}
-	round := &p.probing
+	round := &target.probing
 	if round.isExhausted() && now.Sub(round.phaseStartedAt) > timeout {
 		*round = probeRound{}
 	}
@@ -43,56 +43,56 @@
 	if !round.directSent {
 		round.phaseStartedAt = now
 		round.directSent = true
-		probes = append(probes, Probe{Target: p.name})
+		probes = append(probes, Probe{Target: target.name})
 	}
 	d.expireProbes(now, round)
 	if round.directFailed && !round.indirectSent {
-		probes = append(probes, d.startIndirectProbes(now, p)...)
+		probes = append(probes, d.startIndirectProbes(now, target)...)
 	}
 	if round.isExhausted() && unansweredFor > timeout {
-		recordSilence(now, p, timeout)
+		recordProbeEvidence(now, target, timeout)
 	}
 	return probes
 }
 
-// expireProbes counts probes as failed that took too long.
+// expireProbes marks probes as failed when the probe timeout has passed.
 func (d *Detector) expireProbes(now time.Time, round *probeRound) {
 	if now.Sub(round.phaseStartedAt) < d.config.ProbeTimeout {
 		return
 	}
 	if round.indirectSent {
-		clear(round.pendingVia)
+		clear(round.pendingProbers)
 		return
 	}
 	round.directFailed = true
 }
 
-// startIndirectProbes returns a probe of a controller through each other one whose
-// heartbeats come.
+// startIndirectProbes returns one probe of the target through each other controller that
+// has been seen within its suspicion timeout.
 func (d *Detector) startIndirectProbes(now time.Time, target *peer) []Probe {
 	round := &target.probing
 	round.indirectSent = true
 	round.phaseStartedAt = now
-	round.pendingVia = map[string]bool{}
+	round.pendingProbers = map[string]bool{}
 	var probes []Probe
 	for _, via := range d.peers {
 		if via == target || !via.isMonitored() || now.Sub(via.lastSeen) > d.suspicionTimeout(via) {
 			continue
 		}
-		round.pendingVia[via.name] = true
+		round.pendingProbers[via.name] = true
 		probes = append(probes, Probe{Target: target.name, Via: via.name})
 	}
 	return probes
 }
 
-// recordSilence records that a controller answered no probe: as unreachable if its own
-// heartbeats have ceased as well, and as unanswered if they still come.
-func recordSilence(now time.Time, p *peer, timeout time.Duration) {
-	isSilent := now.Sub(p.lastSeen) > timeout
+// recordProbeEvidence records that a controller answered no probe: as unreachable if its
+// own heartbeats are missing as well, and as unanswered if they still arrive.
+func recordProbeEvidence(now time.Time, p *peer, timeout time.Duration) {
+	isHeartbeatMissing := now.Sub(p.lastSeen) > timeout
 	switch {
-	case isSilent && p.unreachableSince.IsZero():
+	case isHeartbeatMissing && p.unreachableSince.IsZero():
 		p.unreachableSince = p.lastSeen
-	case !isSilent && p.unansweredSince.IsZero():
+	case !isHeartbeatMissing && p.unansweredSince.IsZero():
 		p.unansweredSince = p.lastAnswer
 	}
 }
@@ -113,12 +113,13 @@
 	}
 }
 
-// recordFailure records that a probe through another controller failed; empty: a direct
-// one. The result of a direct probe may come when its round is over.
+// recordFailure records that a probe through another controller failed, or a direct
+// probe if via is empty. The result of a direct probe may arrive after its round has
+// ended.
 func (r *probeRound) recordFailure(via string) {
 	if via == "" {
 		r.directFailed = r.directSent
 		return
 	}
-	delete(r.pendingVia, via)
+	delete(r.pendingProbers, via)
 }
