--- a/apiserver/submissions.go
+++ b/apiserver/submissions.go
@@ -17,10 +17,10 @@
 
 // submit accepts a job by creating its record. It is idempotent: a repeated submission
 // of a known job is answered with the job's state.
-func (s *Server) submit(ctx context.Context, m Submit) {
-	submission, jobID, err := wire.ParseSubmission(m.Body)
+func (s *Server) submit(ctx context.Context, msg Submit) {
+	submission, jobID, err := wire.ParseSubmission(msg.Body)
 	if err != nil && jobID == "" {
-		rejectMalformed(err).respond(m.Request)
+		rejectMalformed(err).respond(msg.Request)
 		return
 	}
 	var rejected *rejection
@@ -30,31 +30,31 @@
 		rejected = s.validate(&submission)
 	}
 	if rejected != nil {
-		// A job that was accepted before is answered with its state even if its
-		// submission would be rejected now.
-		s.poll(ctx, &pendingPoll{request: m.Request, jobID: jobID, missing: rejected})
+		// A repeated submission of an accepted job is answered with the job's state, even
+		// if the submission would be rejected now.
+		s.poll(ctx, &pendingPoll{request: msg.Request, jobID: jobID, ifNotFound: rejected})
 		return
 	}
 	if _, known := s.jobs[jobID]; known {
-		s.poll(ctx, &pendingPoll{request: m.Request, jobID: jobID, missing: &rejectNotReady})
+		s.poll(ctx, &pendingPoll{request: msg.Request, jobID: jobID, ifNotFound: &rejectNotReady})
 		return
 	}
 	if s.pendingRequests >= constants.MaxPendingRequests {
-		rejectTooManyRequests.respond(m.Request)
+		rejectTooManyRequests.respond(msg.Request)
 		return
 	}
 	arrivedAt := time.Now()
 	relays := s.path.currentRelays(arrivedAt)
 	if arrivedAt.Before(s.storeDownUntil) && len(relays) == 0 {
-		rejectStoreUnavailable.respond(m.Request)
+		rejectStoreUnavailable.respond(msg.Request)
 		return
 	}
 	s.pendingRequests++
-	s.startSubmission(ctx, submissionWritten{submission: submission, request: m.Request, arrivedAt: arrivedAt}, relays)
+	s.startSubmission(ctx, submissionWritten{submission: submission, request: msg.Request, arrivedAt: arrivedAt}, relays)
 }
 
-// startSubmission writes the record of result's submission on a goroutine of its own,
-// which sends the completed result to the actor.
+// startSubmission starts a goroutine that writes the record of result.submission, sets the
+// outcome in result, and sends result to the actor.
 func (s *Server) startSubmission(ctx context.Context, result submissionWritten, relays []Relay) {
 	directBlocked := s.path.directBlocked
 	job := records.Job{Spec: result.submission, AcceptedMS: time.Now().UnixMilli()}
@@ -73,32 +73,32 @@
 	}()
 }
 
-func (s *Server) handleSubmissionWritten(ctx context.Context, m submissionWritten) {
+func (s *Server) handleSubmissionWritten(ctx context.Context, result submissionWritten) {
 	s.pendingRequests--
-	if m.directBlocked {
+	if result.directBlocked {
 		s.path.directBlocked = true
 	}
-	jobID := m.submission.ID
-	elapsed := time.Since(m.arrivedAt)
+	jobID := result.submission.ID
+	elapsed := time.Since(result.arrivedAt)
 	switch {
-	case m.err == nil:
+	case result.err == nil:
 		s.stats.accepted++
 		s.stats.submit.observe(elapsed)
-		slog.Debug("job accepted", logkey.JobID, jobID, "class", m.submission.Class, "tasks", m.submission.Tasks, "took_ms", elapsed.Milliseconds())
-		respondJSON(m.request, http.StatusCreated, wire.JobReply{ID: jobID, Status: wire.JobQueued})
-	case isConflict(m.err):
+		slog.Debug("job accepted", logkey.JobID, jobID, "class", result.submission.Class, "tasks", result.submission.Tasks, "took_ms", elapsed.Milliseconds())
+		respondJSON(result.request, http.StatusCreated, wire.JobReply{ID: jobID, Status: wire.JobQueued})
+	case isConflict(result.err):
 		// The record exists already.
-		s.poll(ctx, &pendingPoll{request: m.request, jobID: jobID, missing: &rejectNotReady})
+		s.poll(ctx, &pendingPoll{request: result.request, jobID: jobID, ifNotFound: &rejectNotReady})
 	default:
-		// The record may have been written all the same; then the user's repeated
-		// submission finds it.
+		// The record may have been written despite the error. The user's repeated
+		// submission then finds the record.
 		s.stats.refused++
-		s.rejectUnwritten(m, elapsed)
+		s.rejectUnwritten(result, elapsed)
 	}
 }
 
-// rejectUnwritten answers a submission whose record was not written, as far as is
-// known.
+// rejectUnwritten rejects a submission whose record was not written, or may not have been
+// written.
 func (s *Server) rejectUnwritten(m submissionWritten, elapsed time.Duration) {
 	jobID := m.submission.ID
 	if errors.Is(m.err, kvstore.ErrInvalidRequest) {
@@ -109,7 +109,7 @@
 	slog.Info("submission refused", logkey.JobID, jobID, "took_ms", elapsed.Milliseconds(), logkey.Err, m.err)
 	if errors.Is(m.err, kvstore.ErrRateLimited) {
 		rejected := retryable(http.StatusServiceUnavailable, "too many submissions")
-		// Many arrive at once; the jitter spreads their repeats.
+		// Many submissions arrive at once. The jitter spreads their retries.
 		rejected.retryAfterS += rand.IntN(constants.RetryAfterJitterS)
 		rejected.respond(m.request)
 		return
@@ -118,9 +118,10 @@
 	rejectStoreUnavailable.respond(m.request)
 }
 
-// commit carries out a transaction that a user waits for. A refusal for the rate limit
-// alone is retried for a short while. Any other error is returned at once, also when
-// the store is unavailable.
+// commit carries out a transaction on which a user's response depends. If the transaction
+// is refused only because of the rate limit, commit retries it for up to
+// constants.RateLimitWait. Any other error is returned at once, also when the store is
+// unavailable.
 func (s *Server) commit(ctx context.Context, txn wire.Txn) (revision uint64, err error) {
 	retry := kvstore.RateLimitRetry{
 		MaxElapsed: constants.RateLimitWait,
--- a/controller/drain_records.go
+++ b/controller/drain_records.go
@@ -26,7 +26,7 @@
 	case *records.Drain, *records.DisruptionClaim, *records.Term:
 		r.stored[change.Key] = change
 	case *records.DamagedRecord:
-		if record.ConcernsDraining() {
+		if record.IsDrainOrClaim() {
 			r.stored[change.Key] = change
 		}
 	case nil:
@@ -46,8 +46,8 @@
 		Budgets: c.settings.Draining.Budgets,
 		Policy:  c.settings.Draining.Policy,
 	}
-	if c.dependencies.drainingGuards != nil {
-		c.dependencies.drainingGuards(&config)
+	if c.dependencies.overrideDraining != nil {
+		c.dependencies.overrideDraining(&config)
 	}
 	return config
 }
--- a/disruption/damaged_claim_test.go
+++ b/disruption/damaged_claim_test.go
@@ -9,27 +9,28 @@
 	"ravenport/wire"
 )
 
-// A claim that cannot be read counted as 0 where a raise is computed: an owner that had asked
-// for a stop before the damage raised its claim "within the headroom", on the condition that
-// the damaged claim is still there, and the claims of all shards together passed the budget
-// ("a raise makes all claims 4, of 3 that may be", in the model). Nobody may raise a claim
-// while one is missing or damaged.
+// These tests guard against raising a claim while another shard's claim is missing or cannot
+// be decoded. Such a claim counted as 0 when a raise was computed. An owner that had requested
+// a stop before the damage raised its claim within the wrong headroom, on the condition that
+// the damaged record was unchanged. The claims of all shards then exceeded the budget (in the
+// model: "a raise makes all claims 4, of 3 that may be").
 
-// damageClaim replaces a shard's stored claim with one that cannot be read. What its owner
-// may have granted stays.
+// damageClaim replaces a shard's stored claim with a record that cannot be decoded. The
+// model's own copy of the claim stays, since the owner may still act on it.
 func (m *model) damageClaim(shard string) {
 	key := records.KeyDisruptionClaim(shard)
 	m.store(key, &records.DamagedRecord{Key: key})
 }
 
-// playDamaged is play, in which claims are damaged now and then. It returns how often.
-func (m *model) playDamaged(events int) (damaged int) {
+// runEventsWithDamage is runEvents, but damages a claim after about 1 in 25 events. It
+// returns the number of damaged claims.
+func (m *model) runEventsWithDamage(events int) (damaged int) {
 	for _, s := range m.shards {
 		m.startOwner(s)
 		m.owners[s].isRebuilt = true
 	}
 	for range events {
-		if m.event(); m.violation != "" {
+		if m.randomEvent(); m.violation != "" {
 			return damaged
 		}
 		if m.pick(25) == 0 {
@@ -41,40 +42,40 @@
 }
 
 func TestDamagedClaimsKeepWithinBudgets(t *testing.T) {
-	const days = 400
+	const runs = 400
 	damaged, stops := 0, 0
-	for seed := range uint64(days) {
+	for seed := range uint64(runs) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		m := newModel(rng.IntN)
-		damaged += m.playDamaged(400)
+		damaged += m.runEventsWithDamage(400)
 		stops += m.voluntaryStops
 		if m.violation != "" {
 			t.Fatalf("seed %d: %s", seed, m.violation)
 		}
 	}
-	if damaged < days || stops < days/20 { // without damage there is a stop on every third day
+	if damaged < runs || stops < runs/20 { // without damage there is a stop in every third run
 		t.Errorf("only %d damaged claims and %d stops", damaged, stops)
 	}
 }
 
-// The raise that was asked for before another shard's claim was damaged is not written.
+// A raise that was requested before another shard's claim was damaged is not written.
 func TestNoRaiseBesideADamagedClaim(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var budgets Budgets
 	budgets.SetServicesDefault(MaxUnavailable{Tasks: 1})
-	l := NewLedger(Config{Shard: "a", Shards: []string{"a", "b"}, Term: 1, Budgets: budgets, StableAfter: time.Second})
+	ledger := NewLedger(Config{Shard: "a", Shards: []string{"a", "b"}, Term: 1, Budgets: budgets, StableAfter: time.Second})
 	spec := wire.Submission{ID: "run-1", Team: modelTeam, Class: "c", Kind: wire.KindService, Tasks: 4}
-	l.ApplyJob(now, &records.Job{ID: "run-1", Spec: spec, Assignments: []records.Assignment{{From: 0, To: 2, Shard: "a"}, {From: 2, To: 4, Shard: "b"}}})
-	l.ApplyTerm(&records.Term{Shard: "b", Number: 1})
-	l.ApplyClaim(&records.DisruptionClaim{Shard: "b", Term: 1}, 5)
-	l.Observe(now, Counts{}, true)
+	ledger.ApplyJob(now, &records.Job{ID: "run-1", Spec: spec, Assignments: []records.Assignment{{From: 0, To: 2, Shard: "a"}, {From: 2, To: 4, Shard: "b"}}})
+	ledger.ApplyTerm(&records.Term{Shard: "b", Number: 1})
+	ledger.ApplyClaim(&records.DisruptionClaim{Shard: "b", Term: 1}, 5)
+	ledger.Observe(now, Counts{}, true)
 	now = now.Add(time.Minute)
-	if refusal := l.RequestStop(now, l.BudgetsOf(&spec)); refusal == nil || refusal.Reason != ReasonClaimPending {
+	if refusal := ledger.RequestStop(now, ledger.BudgetsOf(&spec)); refusal == nil || refusal.Reason != ReasonClaimPending {
 		t.Fatalf("refused as %v", refusal)
 	}
-	l.ApplyClaim(&records.DisruptionClaim{Shard: "b", Term: 1, Unavailable: map[string]int{modelTeam: 1}}, 6)
-	l.ApplyDamagedClaim("b", 7)
-	changes, _ := l.PrepareWrite(now, true)
+	ledger.ApplyClaim(&records.DisruptionClaim{Shard: "b", Term: 1, Unavailable: map[string]int{modelTeam: 1}}, 6)
+	ledger.ApplyDamagedClaim("b", 7)
+	changes, _ := ledger.PrepareWrite(now, true)
 	for _, change := range changes {
 		record, err := records.Decode(change.Put, change.Value)
 		if err != nil {
--- a/peer/relay_test.go
+++ b/peer/relay_test.go
@@ -12,16 +12,17 @@
 	"ravenport/wire"
 )
 
-// Whatever the store returned, the controller that requested the relay gets the same
-// error over gRPC: what counts as refused must not have been written.
+// The controller that requested a relay gets the same error over gRPC as the store
+// returned to the relaying controller. In particular, a transaction that is reported as
+// refused must not have been written.
 func TestRelayedOutcomes(t *testing.T) {
 	txn := wire.Txn{Conditions: []wire.Condition{{Key: "k"}}, Changes: []wire.Change{{Put: "k", Value: []byte(`{"a":1}`)}}}
 	results := make(chan error, 1)
-	c := serve(t, Handlers{
+	client := serve(t, Handlers{
 		Status: func(Status) StatusReply { return StatusReply{} },
 		Commit: func(_ context.Context, got wire.Txn) CommitReply {
 			if !reflect.DeepEqual(got, txn) {
-				t.Errorf("asked for %+v", got)
+				t.Errorf("received transaction %+v", got)
 			}
 			return NewCommitReply(7, <-results)
 		},
@@ -30,21 +31,21 @@
 	for _, want := range []error{nil, kvstore.ErrRefused, fmt.Errorf("%w: %w", kvstore.ErrRefused, kvstore.ErrRateLimited), kvstore.ErrOutcomeUnknown, kvstore.ErrInvalidRequest,
 		&kvstore.ConflictError{Keys: []string{"k"}}, errors.New("something else")} {
 		results <- want
-		revision, err := c.Commit(t.Context(), txn)
+		revision, err := client.Commit(t.Context(), txn)
 		if want == nil {
 			if err != nil || revision != 7 {
-				t.Errorf("written became %d, %v", revision, err)
+				t.Errorf("committed transaction: got %d, %v", revision, err)
 			}
 			continue
 		}
-		var was, is *kvstore.ConflictError
-		if errors.As(want, &was) != errors.As(err, &is) || was != nil && !reflect.DeepEqual(was, is) {
-			t.Errorf("%v became %v", want, err)
+		var wantConflict, gotConflict *kvstore.ConflictError
+		if errors.As(want, &wantConflict) != errors.As(err, &gotConflict) || wantConflict != nil && !reflect.DeepEqual(wantConflict, gotConflict) {
+			t.Errorf("store returned %v, got %v", want, err)
 		}
 		for _, kind := range kinds {
-			known := errors.Is(want, kind) || kind == kvstore.ErrOutcomeUnknown && want.Error() == "something else"
-			if errors.Is(err, kind) != known {
-				t.Errorf("%v became %v", want, err)
+			wantMatch := errors.Is(want, kind) || kind == kvstore.ErrOutcomeUnknown && want.Error() == "something else"
+			if errors.Is(err, kind) != wantMatch {
+				t.Errorf("store returned %v, got %v", want, err)
 			}
 		}
 	}
@@ -59,6 +60,6 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
 	if _, err := c.Commit(ctx, wire.Txn{}); !errors.Is(err, kvstore.ErrOutcomeUnknown) {
-		t.Errorf("no answer became %v", err)
+		t.Errorf("no reply: got error %v", err)
 	}
 }
--- a/server/request.go
+++ b/server/request.go
@@ -13,56 +13,56 @@
 	"ravenport/logkey"
 )
 
-// responseHeaderBytes is room for a response's status line and headers.
+// responseHeaderBytes is the buffer space for a response's status line and headers.
 const responseHeaderBytes = 192
 
 // Request is a request and the connection to respond on.
 type Request struct {
 	*httpwire.Message
-	conn     gnet.Conn
-	srv      *Server
-	answered atomic.Bool
+	conn      gnet.Conn
+	srv       *Server
+	responded atomic.Bool
 }
 
 // OnTraffic implements gnet.EventHandler. Requests of one connection are handled one at a
 // time: clients do not pipeline, and responses must keep the order of the requests.
-func (s *Server) OnTraffic(c gnet.Conn) gnet.Action {
-	state, ok := c.Context().(*connState)
+func (s *Server) OnTraffic(conn gnet.Conn) gnet.Action {
+	state, ok := conn.Context().(*connState)
 	if !ok {
 		return gnet.Close
 	}
 	if state.busy {
-		if c.InboundBuffered() > constants.MaxRequestBody+constants.MaxHeaderBytes {
+		if conn.InboundBuffered() > constants.MaxRequestBody+constants.MaxHeaderBytes {
 			return gnet.Close
 		}
 		return gnet.None
 	}
-	if c.InboundBuffered() == 0 {
+	if conn.InboundBuffered() == 0 {
 		return gnet.None
 	}
-	buf, err := c.Peek(-1)
+	buf, err := conn.Peek(-1)
 	if err != nil {
 		return gnet.Close
 	}
 	message, used, err := httpwire.ParseRequest(buf, httpwire.Limits{Header: constants.MaxHeaderBytes, Body: constants.MaxRequestBody})
 	if err != nil {
-		refuseMalformed(c)
+		refuseMalformed(conn)
 		return gnet.Close
 	}
 	if used == 0 {
 		return gnet.None // the request is not complete yet
 	}
-	if _, err := c.Discard(used); err != nil {
+	if _, err := conn.Discard(used); err != nil {
 		return gnet.Close
 	}
 	state.busy = true
 	state.lastEventAt = time.Now()
-	s.handle(&Request{Message: message, conn: c, srv: s})
+	s.handle(&Request{Message: message, conn: conn, srv: s})
 	return gnet.None
 }
 
-// refuseMalformed responds to a message that is not a request. The protocol has no status
-// 413, so a body over the limit counts as malformed too.
+// refuseMalformed responds to data that cannot be parsed as a request. The protocol has no
+// status 413, so a request whose body exceeds the limit is refused as malformed too.
 func refuseMalformed(c gnet.Conn) {
 	response := httpwire.AppendResponse(nil, &httpwire.Response{Status: http.StatusBadRequest, Close: true, Body: []byte(`{"error":"malformed request"}`)})
 	if _, err := c.Write(response); err != nil {
@@ -73,10 +73,10 @@
 // Respond sends the response. It may be called from any goroutine; only the first call
 // has an effect.
 func (r *Request) Respond(response *httpwire.Response) {
-	if r.answered.Swap(true) {
+	if r.responded.Swap(true) {
 		return
 	}
-	response.Close = response.Close || r.Close || r.srv.crowded.Load()
+	response.Close = response.Close || r.Close || r.srv.nearlyFull.Load()
 	closing := response.Close
 	buf := httpwire.AppendResponse(make([]byte, 0, responseHeaderBytes+len(response.Body)), response)
 	// The callback runs on the event loop, which owns the connection's state.
@@ -89,7 +89,7 @@
 			return c.Close()
 		}
 		if c.InboundBuffered() > 0 {
-			return c.Wake(nil) // the next request has arrived meanwhile
+			return c.Wake(nil) // the next request has already arrived
 		}
 		return nil
 	})
--- a/shard/core_test.go
+++ b/shard/core_test.go
@@ -16,18 +16,19 @@
 	"ravenport/wire"
 )
 
-const leaseEnd = 21 * time.Second
+const leaseTimeout = 21 * time.Second
 
-// rig is an owner under test with its clock; tests pass it messages by hand.
-type rig struct {
+// testOwner is a shard owner under test with its own clock. Tests pass messages to it
+// directly.
+type testOwner struct {
 	*Core
 	now     time.Time
 	version uint64
 	term    uint64
 }
 
-func newRig(jobs map[string]*records.Job, inventory ...records.Machine) *rig {
-	r := &rig{now: time.Unix(1000, 0), version: 100, term: 5}
+func newTestOwner(jobs map[string]*records.Job, inventory ...records.Machine) *testOwner {
+	r := &testOwner{now: time.Unix(1000, 0), version: 100, term: 5}
 	versions, pages, pageV := map[string]uint64{}, map[string]*records.InventoryPage{}, map[string]uint64{}
 	for id := range jobs {
 		versions[id] = 10
@@ -39,21 +40,21 @@
 			pages[k].Add(m)
 		}
 	}
-	cfg := Config{Shard: "a", HeartbeatPeriod: 3 * time.Second, LeaseTimeout: leaseEnd, SpotIdleTimeout: time.Hour, OnDemandIdleTimeout: time.Hour, UseSpot: true, CloudListLag: 5 * time.Second, SizeLimits: records.SizeLimits{Current: 8192, Next: 8192}, MaxDirectCommands: 200, MaxTxnOps: 12, MaxWritesPerSecond: 100, JobOrder: leader.NewJobOrder(nil)}
+	cfg := Config{Shard: "a", HeartbeatPeriod: 3 * time.Second, LeaseTimeout: leaseTimeout, SpotIdleTimeout: time.Hour, OnDemandIdleTimeout: time.Hour, UseSpot: true, CloudListLag: 5 * time.Second, SizeLimits: records.SizeLimits{Current: 8192, Next: 8192}, MaxDirectCommands: 200, MaxTxnOps: 12, MaxWritesPerSecond: 100, JobOrder: leader.NewJobOrder(nil)}
 	types := []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.4, BootS: 10, Zones: []string{"a"}}}
 	r.Core = New(cfg, r.now, Snapshot{Term: r.term, TermVersion: 50, MachineTypes: types, Jobs: jobs, JobVersions: versions, Inventory: pages, InventoryVersions: pageV})
 	r.SetAuthority(r.now.Add(time.Hour))
 	return r
 }
 
-func (r *rig) advance(d time.Duration) []Action {
+func (r *testOwner) advance(d time.Duration) []Action {
 	r.now = r.now.Add(d)
 	return r.Step(r.now)
 }
 
-// commitAll commits every transaction and applies its changes like the feed.
-func (r *rig) commitAll(acts []Action) {
-	for _, a := range acts {
+// commitAll commits every transaction and applies its changes as the feed does.
+func (r *testOwner) commitAll(actions []Action) {
+	for _, a := range actions {
 		cm, ok := a.(Commit)
 		if !ok {
 			continue
@@ -70,7 +71,7 @@
 	}
 }
 
-// token is the n-th fencing token of a term.
+// token returns the n-th fencing token of a term.
 func token(term, n uint64) uint64 { return term<<constants.TokenCounterBits | n }
 
 func newHeartbeat(name string, epoch, seq, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
@@ -82,9 +83,9 @@
 		Assignments: []records.Assignment{{From: 0, To: tasks, Shard: shard, KeepWaiting: true}}}
 }
 
-// bringUp has a machine send heartbeats until it is in the durable inventory and has shown a
-// token of the term.
-func (r *rig) bringUp(name string) {
+// bringUp sends heartbeats of a machine until the machine is in the durable inventory
+// and has reported a token of the term.
+func (r *testOwner) bringUp(name string) {
 	if _, err := r.Heartbeat(r.now, newHeartbeat(name, 1, 1, 0)); err != nil {
 		panic("heartbeat refused")
 	}
@@ -93,13 +94,13 @@
 	r.Heartbeat(r.now, newHeartbeat(name, 1, 2, r.latestToken(name)))
 }
 
-// latestToken is the token that a worker shows after the last reply.
-func (r *rig) latestToken(name string) uint64 { return r.fencingToken(r.machines[name]) }
+// latestToken returns the token that a worker reports after the owner's last reply.
+func (r *testOwner) latestToken(name string) uint64 { return r.fencingToken(r.machines[name]) }
 
-// directStarts lists the starts sent to a machine by direct commands.
-func directStarts(acts []Action, name string) []wire.Command {
+// directStarts returns the starts sent to a machine by direct commands.
+func directStarts(actions []Action, name string) []wire.Command {
 	var out []wire.Command
-	for _, a := range acts {
+	for _, a := range actions {
 		if s, ok := a.(SendCommands); ok && s.Machine == name {
 			for _, c := range s.Request.Commands {
 				if c.Op == wire.OpStart {
@@ -111,9 +112,10 @@
 	return out
 }
 
-// advanceUnanswered advances the time while no machine answers a direct command and the cloud
-// confirms every scale in, and returns the machines that were terminated.
-func (r *rig) advanceUnanswered(d time.Duration, each func()) (terminated []string) {
+// advanceUnanswered advances the time while no machine answers a direct command and the
+// cloud confirms every scale in. It calls each before every step and returns the
+// machines that were terminated.
+func (r *testOwner) advanceUnanswered(d time.Duration, each func()) (terminated []string) {
 	for end := r.now.Add(d); r.now.Before(end); {
 		each()
 		for _, a := range r.advance(100 * time.Millisecond) {
@@ -129,28 +131,28 @@
 	return terminated
 }
 
-func (r *rig) submit(j *records.Job) {
+func (r *testOwner) submit(j *records.Job) {
 	r.version++
 	r.Apply(r.now, records.Change{Key: records.KeyJob(j.ID), Version: r.version, Record: j})
 }
 
-// A task that existed before the term is placed only when every inherited
-// machine has shown the owner's token or its lease has surely expired; a task
-// assigned later starts at once.
+// A task that existed before the term is placed only after every inherited machine has
+// reported a token of the owner or the machine's lease has surely expired. A task
+// assigned during the term starts at once.
 func TestFailoverWaitsForInheritedMachines(t *testing.T) {
 	old := arrayJob("run-1", 1, "a")
-	r := newRig(map[string]*records.Job{"run-1": old}, records.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"})
+	r := newTestOwner(map[string]*records.Job{"run-1": old}, records.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"})
 	r.bringUp("m-2")
-	acts := r.advance(time.Second)
-	if n := len(directStarts(acts, "m-2")); n != 0 {
-		t.Fatalf("%d tasks of before the term started while m-1 may run them", n)
+	actions := r.advance(time.Second)
+	if n := len(directStarts(actions, "m-2")); n != 0 {
+		t.Fatalf("%d tasks from before the term started although m-1 may still run them", n)
 	}
 	r.submit(arrayJob("run-2", 1, "a"))
-	acts = r.advance(time.Second)
-	if s := directStarts(acts, "m-2"); len(s) != 1 || s[0].Task != "run-2/0" {
-		t.Fatalf("started %v, wanted the new task alone", s)
+	actions = r.advance(time.Second)
+	if s := directStarts(actions, "m-2"); len(s) != 1 || s[0].Task != "run-2/0" {
+		t.Fatalf("started %v, wanted only the new task", s)
 	}
-	for d := 2 * time.Second; d < leaseEnd; d += time.Second {
+	for d := 2 * time.Second; d < leaseTimeout; d += time.Second {
 		if s := directStarts(r.advance(time.Second), "m-2"); len(s) > 0 && s[0].Task == "run-1/0" {
 			t.Fatalf("started after %s, within the lease", d)
 		}
@@ -169,15 +171,15 @@
 		}
 	}
 	if !found {
-		t.Fatal("not started after the lease had ended")
+		t.Fatal("run-1/0 not started after the lease had expired")
 	}
 }
 
-// A start sent by a direct command without a reply may be carried out much
-// later: the task must not be placed elsewhere just because heartbeats of its
-// machine do not show it.
+// A start that was sent by a direct command and got no reply may be executed much later.
+// The task must not be placed elsewhere merely because heartbeats of its machine do not
+// list the task.
 func TestUnansweredDirectStartIsNotPlacedAgain(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	r.bringUp("m-1")
 	r.submit(arrayJob("run-1", 1, "a"))
 	if s := directStarts(r.advance(time.Millisecond), "m-1"); len(s) != 1 {
@@ -192,17 +194,18 @@
 			t.Fatalf("placed a second time: %v", s)
 		}
 	}
-	// The end of the epoch proves that it has ended.
+	// A new epoch of the machine proves that the attempt has ended.
 	r.Heartbeat(r.now, newHeartbeat("m-1", 2, 20, token(r.term, 0)))
 	if h := len(r.machines["m-1"].attempts); h > 1 {
 		t.Fatalf("%d attempts after the epoch ended", h)
 	}
 }
 
-// An exited attempt that a direct command started is forgotten only under a
-// higher token: a late copy of the command would start it again.
+// The owner has a worker forget an exited attempt that a direct command started only
+// under a higher token. Otherwise a late copy of the start command would start the
+// attempt again.
 func TestDirectStartIsForgottenOnlyUnderHigherToken(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	r.bringUp("m-1")
 	r.submit(arrayJob("run-1", 1, "a"))
 	s := directStarts(r.advance(time.Millisecond), "m-1")
@@ -210,7 +213,7 @@
 	reply, _ := r.Heartbeat(r.now, newHeartbeat("m-1", 1, 5, token(r.term, 0), failed))
 	for _, c := range reply.Commands {
 		if c.Op == wire.OpForget {
-			t.Fatal("forgotten while a late copy could start it again")
+			t.Fatal("attempt forgotten while a late copy of the start command could start it again")
 		}
 	}
 	r.machines["m-1"].tokenCount++
@@ -220,38 +223,39 @@
 		forgot = forgot || c.Op == wire.OpForget && c.Attempt == s[0].Attempt
 	}
 	if !forgot {
-		t.Fatal("not forgotten although the higher token makes the old command harmless")
+		t.Fatal("attempt not forgotten although the higher token invalidates the old start command")
 	}
 }
 
-// Two failures found by the generated days: a machine whose termination was
-// requested, and an epoch learned from the reply to a direct command, renewed a
-// lease that the owner did not count.
+// Guards against two failures that generated days found: a reply renewed a lease, and
+// the owner did not count the renewal. The first was for a machine whose termination was
+// requested, the second for an epoch that the owner learned from the reply to a direct
+// command.
 func TestLeaseIsCountedFromEveryReply(t *testing.T) {
 	t.Run("returning", func(t *testing.T) {
-		r := newRig(nil)
+		r := newTestOwner(nil)
 		r.bringUp("m-1")
 		r.machines["m-1"].scalingIn = true
 		r.advance(10 * time.Second)
-		if _, err := r.Heartbeat(r.now, newHeartbeat("m-1", 1, 9, token(r.term, 0))); err == nil && r.machines["m-1"].leaseExpiresAt.Before(r.now.Add(leaseEnd)) {
+		if _, err := r.Heartbeat(r.now, newHeartbeat("m-1", 1, 9, token(r.term, 0))); err == nil && r.machines["m-1"].leaseExpiresAt.Before(r.now.Add(leaseTimeout)) {
 			t.Fatal("a reply renewed the lease without being counted")
 		}
 	})
 	t.Run("epoch by command", func(t *testing.T) {
-		r := newRig(nil, records.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"})
+		r := newTestOwner(nil, records.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"})
 		r.advance(15 * time.Second)
 		r.CommandResult(r.now, "m-1", newHeartbeat("m-1", 2, 1, token(r.term, 0)))
-		if r.machines["m-1"].leaseExpiresAt.Before(r.now.Add(leaseEnd)) {
-			t.Fatal("the new epoch is held to the old one's lease")
+		if r.machines["m-1"].leaseExpiresAt.Before(r.now.Add(leaseTimeout)) {
+			t.Fatal("the owner counts the old epoch's lease for the new epoch")
 		}
 	})
 }
 
-// Late and duplicate heartbeats change nothing, whatever they say; a newer one
-// always does.
+// Late and duplicate heartbeats change nothing, whatever their content. A newer
+// heartbeat is always accepted.
 func TestLateHeartbeatsChangeNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newRig(nil)
+		r := newTestOwner(nil)
 		r.bringUp("m-1")
 		epoch, seq := uint64(1), uint64(2)
 		for range rapid.IntRange(1, 20).Draw(t, "n") {
@@ -269,10 +273,11 @@
 	})
 }
 
-// In whatever order tasks are placed, they never need more than their machine has.
+// In whatever order tasks are placed, the tasks on a machine never need more than the
+// machine has.
 func TestBestFitNeverOverfills(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newRig(nil)
+		r := newTestOwner(nil)
 		for i := range rapid.IntRange(1, 4).Draw(t, "machines") {
 			r.bringUp(fmt.Sprintf("m-%d", i))
 		}
@@ -285,31 +290,31 @@
 			r.advance(100 * time.Millisecond)
 		}
 		for _, m := range r.machines {
-			if u := r.usageOf(m).used; !u.fits(m.capacity) {
-				t.Fatalf("%s: %+v of %+v", m.name, u, m.capacity)
+			if usage := r.usageOf(m).used; !usage.fits(m.capacity) {
+				t.Fatalf("%s: %+v of %+v", m.name, usage, m.capacity)
 			}
 		}
 	})
 }
 
-// Without authority nothing is started, written or answered.
+// Without authority the owner starts nothing, writes nothing and answers no heartbeat.
 func TestNothingWithoutAuthority(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	r.bringUp("m-1")
 	r.SetAuthority(r.now)
 	r.submit(arrayJob("run-1", 3, "a"))
-	if acts := r.advance(time.Second); len(acts) != 0 {
-		t.Fatalf("acted without authority: %v", acts)
+	if actions := r.advance(time.Second); len(actions) != 0 {
+		t.Fatalf("acted without authority: %v", actions)
 	}
 	if _, err := r.Heartbeat(r.now, newHeartbeat("m-1", 1, 9, token(r.term, 0))); err == nil {
 		t.Fatal("answered a heartbeat without authority")
 	}
 }
 
-// A machine that alone is unreachable is terminated; when most are unreachable and send
-// heartbeats to others, the owner is isolated.
+// A single unreachable machine is terminated. If most machines are unreachable and send
+// heartbeats to other controllers, the owner is isolated and terminates none of them.
 func TestUnreachableMachineOrIsolatedOwner(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	for i := range 4 {
 		r.bringUp(fmt.Sprintf("m-%d", i))
 	}
@@ -320,7 +325,7 @@
 		seq++
 		for i := 1; i < 4; i++ {
 			rep := newHeartbeat(fmt.Sprintf("m-%d", i), 1, seq, r.latestToken(fmt.Sprintf("m-%d", i)))
-			rep.Spot = true // idle on-demand ones would be terminated
+			rep.Spot = true // idle on-demand machines would be terminated
 			r.Heartbeat(r.now, rep)
 		}
 		for _, a := range r.Step(r.now) {
@@ -348,11 +353,11 @@
 	}
 	r.ApplyMisroutedHeartbeats(r.now, []MisroutedHeartbeat{{"m-1", 1, 900}, {"m-2", 1, 900}, {"m-3", 1, 900}}, true)
 	if isolated, misrouted := r.IsIsolated(r.now); !isolated || !misrouted {
-		t.Fatalf("isolated %v, misrouted %v: the owner does not see that it is isolated", isolated, misrouted)
+		t.Fatalf("isolated %v, misrouted %v: the owner does not detect its isolation", isolated, misrouted)
 	}
 	for _, a := range r.Step(r.now) {
 		if ret, ok := a.(ScaleIn); ok {
-			t.Fatalf("terminated %v although they send heartbeats to others", ret.Names)
+			t.Fatalf("terminated %v although they send heartbeats to other controllers", ret.Names)
 		}
 	}
 }
@@ -362,10 +367,10 @@
 	os.Exit(m.Run())
 }
 
-// On a spot notice a task that can save a checkpoint is stopped early enough to finish
-// saving, and no earlier than it must.
+// After a spot notice, a task that can save a checkpoint is stopped early enough to
+// finish saving, and no earlier than necessary.
 func TestSpotNoticeLeavesTimeForCheckpoint(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	r.bringUp("m-1")
 	j := arrayJob("run-1", 1, "a")
 	j.Spec.CheckpointIntervalS, j.Spec.CheckpointSaveS, j.Spec.EstimateS = 30, 5, 500
@@ -388,18 +393,18 @@
 				continue
 			}
 			if left < *c.GraceS || *c.GraceS < j.Spec.CheckpointSaveS || left > 12 {
-				t.Fatalf("told to stop %g s before the end, with %g s to save in", left, *c.GraceS)
+				t.Fatalf("stop sent %g s before the reclaim, with a grace period of %g s", left, *c.GraceS)
 			}
 			return
 		}
 	}
-	t.Fatal("never told to save")
+	t.Fatal("no stop sent before the reclaim")
 }
 
-// Work that can save a checkpoint is preempted with time to save, and only once; the task that
-// preempts it starts when it has ended.
+// Work that can save a checkpoint is preempted only once, with time to save. The
+// preempting task starts after that work has ended.
 func TestPreemptedWorkSavesCheckpointFirst(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	r.bringUp("m-1")
 	low := arrayJob("run-1", 1, "a")
 	low.Spec.CPUs, low.Spec.CheckpointIntervalS, low.Spec.CheckpointSaveS = 8, 30, 5
@@ -423,7 +428,7 @@
 				case wire.OpStop:
 					stops++
 					if *c.GraceS < low.Spec.CheckpointSaveS {
-						t.Fatalf("%g s to save in", *c.GraceS)
+						t.Fatalf("grace period of %g s is shorter than the checkpoint save", *c.GraceS)
 					}
 				}
 			}
@@ -439,12 +444,13 @@
 	}
 }
 
-// A late copy of a heartbeat reaches a new owner that knows nothing newer: it names a
-// machine that the task has left since. When that machine's own heartbeat no longer
-// shows it, the task is not free: it runs on another that has sent none yet.
+// A late copy of a heartbeat reaches a new owner that knows no newer heartbeat of the
+// machine. The copy lists a task that has since moved to another machine, which has sent
+// no heartbeat to the new owner yet. When a current heartbeat of the first machine no
+// longer lists the task, the owner must not place the task.
 func TestLateHeartbeatToNewOwnerFreesNothing(t *testing.T) {
 	old := arrayJob("run-1", 1, "a")
-	r := newRig(map[string]*records.Job{"run-1": old},
+	r := newTestOwner(map[string]*records.Job{"run-1": old},
 		records.Machine{Name: "m-1", Type: "box", Addr: "m-1:1"}, records.Machine{Name: "m-2", Type: "box", Addr: "m-2:1"})
 	r.bringUp("m-3")
 	running := func(attempt uint64) wire.TaskStatus {
@@ -454,7 +460,7 @@
 	r.Heartbeat(r.now, newHeartbeat("m-1", 1, 5, before, running(7))) // the late copy
 	r.Step(r.now)
 	r.now = r.now.Add(100 * time.Millisecond)
-	r.Heartbeat(r.now, newHeartbeat("m-1", 1, 90, before)) // its own heartbeat, now
+	r.Heartbeat(r.now, newHeartbeat("m-1", 1, 90, before)) // a current heartbeat of m-1
 	r.now = r.now.Add(100 * time.Millisecond)
 	r.Heartbeat(r.now, newHeartbeat("m-1", 1, 91, r.latestToken("m-1")))
 	r.Heartbeat(r.now, newHeartbeat("m-3", 1, 3, r.latestToken("m-3")))
@@ -473,20 +479,21 @@
 	}
 }
 
-// Without authority an owner extends its machines' leases for the lease extension, and gives
-// no command; its successor counts a machine's lease from the end of that, unless the
-// machine has shown the new token and so drops old replies.
+// Without authority an owner extends its machines' leases for the lease extension and
+// sends no commands. Its successor counts a machine's lease from the end of that
+// extension, unless the machine has reported the successor's token and so drops old
+// replies.
 func TestLeaseExtensionIsCountedByTheNextOwner(t *testing.T) {
 	const leaseExtension = 15 * time.Second
-	old := newRig(map[string]*records.Job{"run-1": arrayJob("run-1", 2, "a")})
+	old := newTestOwner(map[string]*records.Job{"run-1": arrayJob("run-1", 2, "a")})
 	old.cfg.LeaseExtension = leaseExtension
 	old.bringUp("m-0")
 	old.commitAll(old.advance(time.Second))
-	over := old.now
-	old.SetAuthority(over)
+	authorityEnd := old.now
+	old.SetAuthority(authorityEnd)
 	seq := uint64(10)
 	last := time.Time{}
-	for ; old.now.Before(over.Add(2 * leaseExtension)); old.now = old.now.Add(time.Second) {
+	for ; old.now.Before(authorityEnd.Add(2 * leaseExtension)); old.now = old.now.Add(time.Second) {
 		seq++
 		reply, err := old.Heartbeat(old.now, newHeartbeat("m-0", 1, seq, old.latestToken("m-0")))
 		if err != nil {
@@ -497,25 +504,25 @@
 		}
 		last = old.now
 	}
-	if d := last.Sub(over); d < leaseExtension-3*time.Second || d > leaseExtension {
+	if d := last.Sub(authorityEnd); d < leaseExtension-3*time.Second || d > leaseExtension {
 		t.Fatalf("leases extended for %s, wanted about %s", d, leaseExtension)
 	}
-	for name, shows := range map[string]bool{"unreachable": false, "shows the new token": true} {
+	for name, showsNewToken := range map[string]bool{"unreachable": false, "shows the new token": true} {
 		t.Run(name, func(t *testing.T) {
-			next := newRig(map[string]*records.Job{"run-1": arrayJob("run-1", 2, "a")}, records.Machine{Name: "m-0", Type: "box", Addr: "m-0:1"})
-			next.Core = New(Config{Shard: "a", HeartbeatPeriod: 3 * time.Second, LeaseTimeout: leaseEnd, LeaseExtension: leaseExtension, SizeLimits: records.SizeLimits{Current: 8192, Next: 8192}, MaxDirectCommands: 200, MaxTxnOps: 12, MaxWritesPerSecond: 100, JobOrder: leader.NewJobOrder(nil)},
-				over, Snapshot{Term: 6, TermVersion: 51})
-			next.SetAuthority(over.Add(time.Hour))
-			// It sends one heartbeat, but the reply may be lost, and then it sends the
-			// next one to the old owner.
-			tok := token(5, 0)
-			if shows {
-				tok = token(6, 0)
+			next := newTestOwner(map[string]*records.Job{"run-1": arrayJob("run-1", 2, "a")}, records.Machine{Name: "m-0", Type: "box", Addr: "m-0:1"})
+			next.Core = New(Config{Shard: "a", HeartbeatPeriod: 3 * time.Second, LeaseTimeout: leaseTimeout, LeaseExtension: leaseExtension, SizeLimits: records.SizeLimits{Current: 8192, Next: 8192}, MaxDirectCommands: 200, MaxTxnOps: 12, MaxWritesPerSecond: 100, JobOrder: leader.NewJobOrder(nil)},
+				authorityEnd, Snapshot{Term: 6, TermVersion: 51})
+			next.SetAuthority(authorityEnd.Add(time.Hour))
+			// The machine sends one heartbeat to the new owner, whose reply may be lost.
+			// The machine then sends the next heartbeat to the old owner.
+			reportedToken := token(5, 0)
+			if showsNewToken {
+				reportedToken = token(6, 0)
 			}
-			next.Heartbeat(over, newHeartbeat("m-0", 1, 50, tok))
+			next.Heartbeat(authorityEnd, newHeartbeat("m-0", 1, 50, reportedToken))
 			m := next.machines["m-0"]
-			ends := m.leaseExpiresAt.Sub(over)
-			if shows && ends != leaseEnd || !shows && (ends < leaseExtension+leaseEnd || m.leaseExpiresAt.Before(last.Add(leaseEnd))) {
+			ends := m.leaseExpiresAt.Sub(authorityEnd)
+			if showsNewToken && ends != leaseTimeout || !showsNewToken && (ends < leaseExtension+leaseTimeout || m.leaseExpiresAt.Before(last.Add(leaseTimeout))) {
 				t.Fatalf("its lease counts as expired %s after the term was acquired", ends)
 			}
 		})
@@ -525,24 +532,24 @@
 // After the owner's process was paused, or the shard was partitioned, no machine is
 // terminated for heartbeats that the owner could not have received.
 func TestPausedProcessTerminatesNoMachine(t *testing.T) {
-	r := newRig(nil)
-	r.fleet(40)
+	r := newTestOwner(nil)
+	r.bringUpFleet(40)
 	for _, m := range r.machines {
-		m.spot = true // on-demand ones would be consolidated
+		m.spot = true // on-demand machines would be consolidated
 	}
 	var terminated []string
-	look := func(d time.Duration) { terminated = append(terminated, r.advanceUnanswered(d, func() {})...) }
-	look(time.Second)
+	advanceFor := func(d time.Duration) { terminated = append(terminated, r.advanceUnanswered(d, func() {})...) }
+	advanceFor(time.Second)
 	r.now = r.now.Add(7 * time.Second) // the process is paused; heartbeats sent meanwhile are not read yet
-	look(2 * time.Second)
+	advanceFor(2 * time.Second)
 	if len(terminated) > 0 {
 		t.Fatalf("terminated %d machines whose heartbeats were not read yet", len(terminated))
 	}
-	// In a partition the shard requests no machines; then they come back one after the
-	// other.
-	look(4 * time.Second)
+	// During a partition the shard requests no machines. Afterwards the machines become
+	// reachable one after the other.
+	advanceFor(4 * time.Second)
 	r.submit(arrayJob("run-2", 400, "a"))
-	look(4 * time.Second)
+	advanceFor(4 * time.Second)
 	if !r.partitioned || len(terminated) > 0 || len(r.pendingScaleOuts) > 0 {
 		t.Fatalf("partitioned %v, terminated %d, scale-out requests %d", r.partitioned, len(terminated), len(r.pendingScaleOuts))
 	}
@@ -555,18 +562,19 @@
 		rep.Spot = true
 		r.Heartbeat(r.now, rep)
 	}
-	look(2 * time.Second)
+	advanceFor(2 * time.Second)
 	if r.partitioned || len(terminated) > 0 {
 		t.Fatalf("partitioned %v, terminated %d machines that were about to send heartbeats", r.partitioned, len(terminated))
 	}
 }
 
-// A shard that is unreachable as a whole counts as partitioned, and no machine is
-// terminated, until the cloud stops listing them: those have ended, and the
-// shard must not wait for their leases, or request no machines for ever.
+// A shard whose machines are all unreachable counts as partitioned, and no machine is
+// terminated until the cloud stops listing the machines. Machines that are no longer
+// listed have ended: the shard must stop waiting for their leases and may request
+// machines again.
 func TestPartitionedShardOrTerminatedMachines(t *testing.T) {
-	r := newRig(nil)
-	r.fleet(5)
+	r := newTestOwner(nil)
+	r.bringUpFleet(5)
 	var list []wire.CloudMachine
 	for _, m := range r.machines {
 		m.spot = true
@@ -574,60 +582,62 @@
 	}
 	r.ApplyMachineList(r.now, list)
 	terminated := 0
-	look := func(d time.Duration) { terminated += len(r.advanceUnanswered(d, func() { r.peersReportedAt = r.now })) }
-	look(9 * time.Second)
+	advanceFor := func(d time.Duration) { terminated += len(r.advanceUnanswered(d, func() { r.peersReportedAt = r.now })) }
+	advanceFor(9 * time.Second)
 	r.ApplyMachineList(r.now, list)
-	r.ApplyMachineList(r.now, nil) // one list may be older than the one before
-	look(time.Second)
+	r.ApplyMachineList(r.now, nil) // a list may be older than the list before it
+	advanceFor(time.Second)
 	if terminated > 0 || !r.partitioned {
 		t.Fatalf("terminated %d machines that are listed, partitioned %v", terminated, r.partitioned)
 	}
 	r.ApplyMachineList(r.now, nil)
-	look(7 * time.Second)
+	advanceFor(7 * time.Second)
 	if terminated != 5 || r.partitioned {
 		t.Fatalf("terminated %d of 5 machines that have ended, partitioned %v", terminated, r.partitioned)
 	}
 }
 
-// A task that was kept because no shard had capacity goes back to the leader once it
-// has waited for long and another shard has capacity for a single one, though the shard may
-// still scale out: the cloud may refuse machines for ever.
+// A task was kept in its shard because no shard had capacity. Once the task has waited
+// for long and another shard has capacity for a single task, the owner offloads the task
+// to the leader. That holds even if the shard may still scale out, because the cloud may
+// refuse machines for ever.
 func TestLongWaitGoesToShardWithCapacity(t *testing.T) {
-	for _, room := range []float64{0, 4} {
+	for _, freeCPUs := range []float64{0, 4} {
 		j := arrayJob("run-1", 2, "a")
 		j.AcceptedMS = time.Unix(1000, 0).UnixMilli()
-		r := newRig(map[string]*records.Job{"run-1": j})
-		left := 0
+		r := newTestOwner(map[string]*records.Job{"run-1": j})
+		offloaded := 0
 		for range 120 {
 			for _, a := range r.advance(500 * time.Millisecond) {
 				switch a := a.(type) {
-				case ScaleOut: // refused each time
+				case ScaleOut: // the cloud refuses each request
 					r.ScaleOutResult(r.now, a.Request.RequestID, nil, true)
 				case Commit:
 					if rec, err := records.Decode(a.Txn.Changes[0].Put, a.Txn.Changes[0].Value); err == nil {
 						if j, ok := rec.(*records.Job); ok {
-							left += len(j.Unassigned())
+							offloaded += len(j.Unassigned())
 						}
 					}
 				}
 			}
 			agg := leader.Aggregate{Shard: "b", Term: 1, OnDemand: leader.FreeCapacity{Machines: 1}}
 			for _, m := range []*leader.Moments{&agg.OnDemand.CPUs, &agg.OnDemand.Memory} {
-				m.Add(room)
+				m.Add(freeCPUs)
 				m.Finish(1)
 			}
 			r.ApplyOtherShards(r.now, []leader.Aggregate{agg, {Shard: "c", Term: 1}})
 		}
-		if (left > 0) != (room > 0) {
-			t.Errorf("%g CPUs in another shard, and %d ranges were sent back", room, left)
+		if (offloaded > 0) != (freeCPUs > 0) {
+			t.Errorf("%g CPUs are free in another shard, and %d ranges were offloaded", freeCPUs, offloaded)
 		}
 	}
 }
 
-// Another controller's message that a job is cancelled stops its tasks and starts none,
-// before the feed brings the record; nothing is written of it meanwhile.
+// Another controller's message that a job is cancelled stops the job's tasks and
+// prevents starts before the feed delivers the record. Until then the owner writes
+// nothing to the job's record.
 func TestCancellationFromPeerStopsTasks(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	r.bringUp("m-1")
 	j := arrayJob("run-1", 2, "a")
 	j.AcceptedMS = r.now.UnixMilli()
@@ -640,22 +650,22 @@
 	if j.End != "" {
 		t.Error("the feed's record was changed")
 	}
-	names := []wire.TaskStatus{}
+	statuses := []wire.TaskStatus{}
 	for _, att := range r.machines["m-1"].attempts {
-		names = append(names, wire.TaskStatus{Task: att.key.task, Attempt: att.key.number, State: wire.TaskRunning})
+		statuses = append(statuses, wire.TaskStatus{Task: att.key.task, Attempt: att.key.number, State: wire.TaskRunning})
 	}
-	reply, err := r.Heartbeat(r.now, newHeartbeat("m-1", 1, 3, r.latestToken("m-1"), names...))
+	reply, err := r.Heartbeat(r.now, newHeartbeat("m-1", 1, 3, r.latestToken("m-1"), statuses...))
 	if err != nil || len(reply.Commands) != 2 || reply.Commands[0].Op != wire.OpStop {
 		t.Fatalf("answered %+v, wanted two stops", reply.Commands)
 	}
-	for i := range names {
-		names[i].State, names[i].Cause = wire.TaskExited, wire.CauseStopped
+	for i := range statuses {
+		statuses[i].State, statuses[i].Cause = wire.TaskExited, wire.CauseStopped
 	}
-	r.Heartbeat(r.now, newHeartbeat("m-1", 1, 4, r.latestToken("m-1"), names...))
+	r.Heartbeat(r.now, newHeartbeat("m-1", 1, 4, r.latestToken("m-1"), statuses...))
 	for range 20 {
 		for _, a := range r.advance(time.Second) {
 			if cm, ok := a.(Commit); ok && cm.ID == (CommitID{kind: commitJob, jobID: "run-1"}) {
-				t.Fatal("a record is written that the key-value store does not have yet")
+				t.Fatal("the job's record was written before the feed delivered the cancellation")
 			}
 		}
 		if len(directStarts(r.advance(time.Second), "m-1")) > 0 {
@@ -675,9 +685,9 @@
 	}
 }
 
-// A late copy of a heartbeat, of which a new owner knows nothing newer, is not proof
-// that it receives heartbeats: the other machines of a small partitioned shard would count as
-// failed by themselves and be terminated.
+// A late copy of a heartbeat is no proof that a new owner receives heartbeats, even if
+// the owner knows no newer heartbeat of the machine. Otherwise the other machines of a
+// small partitioned shard would count as failed individually and would be terminated.
 func TestLateHeartbeatIsNoEvidenceAtFailover(t *testing.T) {
 	var inventory []records.Machine
 	for i := range 3 {
@@ -685,10 +695,10 @@
 		inventory = append(inventory, records.Machine{Name: name, Type: "box", Addr: name + ":1"})
 	}
 	for _, copied := range []bool{true, false} {
-		r := newRig(nil, inventory...)
+		r := newTestOwner(nil, inventory...)
 		seen := token(r.term-1, 3)
 		if !copied {
-			seen = token(r.term, 0) // it does receive heartbeats of one: the others have failed by themselves
+			seen = token(r.term, 0) // the owner does receive m-0's heartbeats: the others have failed individually
 		}
 		seq := uint64(50)
 		r.advanceUnanswered(time.Second, func() {})
--- a/shard/directcommands_test.go
+++ b/shard/directcommands_test.go
@@ -12,7 +12,7 @@
 
 // A start is sent in the step that decides it, also between two scans of the fleet.
 func TestStartIsSentAtOnce(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	for i := range 3 {
 		r.bringUp(fmt.Sprintf("m-%d", i))
 	}
@@ -36,7 +36,7 @@
 func TestDirectCommandsInFlightAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const machines = 12
-		r := newRig(nil)
+		r := newTestOwner(nil)
 		for i := range machines {
 			r.bringUp(fmt.Sprintf("m-%d", i))
 		}
@@ -106,7 +106,7 @@
 
 // A machine whose epoch is not known is probed before commands are sent to it.
 func TestUnknownEpochIsProbedFirst(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	m := r.ensureMachine("m-new")
 	m.addr, m.requestedAt = "m-new:1", r.now
 	r.requestCommand(m)
@@ -123,9 +123,9 @@
 
 // The probes of one step are bounded, however many machines are unreachable.
 func TestProbesPerStepAreBounded(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	const machines = 3 * constants.MaxProbesPerStep
-	r.fleet(machines)
+	r.bringUpFleet(machines)
 	r.Step(r.now)
 	probed := 0
 	for end := r.now.Add(2 * r.cfg.HeartbeatPeriod); probed == 0 && r.now.Before(end); {
--- a/shard/state_test.go
+++ b/shard/state_test.go
@@ -58,11 +58,11 @@
 		up, confirmed int
 		want          bool
 	}{{unconfirmed, 1, 0, true}, {unconfirmed, 2, 1, true}, {unconfirmed, 2, 0, false}, {longUnconfirmed, 2, 0, true}, {longUnconfirmed, 3, 0, false}} {
-		if got := l.isNotReceivingOfFew(now, c.m, c.up, c.confirmed); got != c.want {
+		if got := l.isNotReceivingInSmallShard(now, c.m, c.up, c.confirmed); got != c.want {
 			t.Errorf("of %d up, %d confirmed: not receiving %v, not %v", c.up, c.confirmed, got, c.want)
 		}
 	}
-	if l.peersReportedAt = now.Add(-time.Hour); l.isNotReceivingOfFew(now, longUnconfirmed, 2, 1) {
+	if l.peersReportedAt = now.Add(-time.Hour); l.isNotReceivingInSmallShard(now, longUnconfirmed, 2, 1) {
 		t.Error("a machine counts as not receiving although the other controllers have not reported")
 	}
 }
@@ -112,7 +112,7 @@
 
 // Pages get smaller once the key-value store has refused a page as too large.
 func TestRefusedPagesGetSmaller(t *testing.T) {
-	r := newRig(nil)
+	r := newTestOwner(nil)
 	r.bringUp("m-1")
 	for _, p := range r.pages {
 		p.inFlight = []records.Machine{{Name: "m-1"}}
--- a/shard/termcounters_test.go
+++ b/shard/termcounters_test.go
@@ -14,8 +14,8 @@
 // an owner of a large fleet that starts sixteen million tasks in one term.
 func TestAttemptNumbersNeverReachTheNextTerm(t *testing.T) {
 	const attempts = 2048
-	r := newRig(nil)
-	r.fleet(4)
+	r := newTestOwner(nil)
+	r.bringUpFleet(4)
 	r.LimitTermCounters(attempts, 1<<constants.TokenCounterBits)
 	requestedAt, started := 0, 0
 	for i := range 2 * attempts / 8 {
@@ -47,8 +47,8 @@
 // The fencing tokens of a machine never reach those of the next term.
 func TestTokensNeverReachTheNextTerm(t *testing.T) {
 	const epochs = 512
-	r := newRig(nil)
-	r.fleet(1)
+	r := newTestOwner(nil)
+	r.bringUpFleet(1)
 	r.LimitTermCounters(1<<constants.AttemptBits, epochs)
 	m := r.machines["m-00000"]
 	requestedAt := uint64(0)
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -14,7 +14,7 @@
 func drawSubmission(t *rapid.T) Submission {
 	amount := rapid.Float64Range(0, 1e6)
 	name := rapid.StringMatching(`[a-z0-9-]{1,20}`)
-	s := Submission{
+	submission := Submission{
 		ID:                  "run-" + rapid.StringMatching(`[0-9]{1,9}`).Draw(t, "id"),
 		Class:               name.Draw(t, "class"),
 		Team:                name.Draw(t, "team"),
@@ -35,17 +35,18 @@
 		CheckpointIntervalS: amount.Draw(t, "cp"),
 		CheckpointSaveS:     amount.Draw(t, "save"),
 	}
-	if len(s.Types) == 0 {
-		s.Types = nil
+	if len(submission.Types) == 0 {
+		submission.Types = nil
 	}
 	if rapid.Bool().Draw(t, "due") {
 		d := amount.Draw(t, "deadline")
-		s.DeadlineS = &d
+		submission.DeadlineS = &d
 	}
-	return s
+	return submission
 }
 
-// asMap is a submission as a user would write it, every field present.
+// asMap returns the JSON object of a submission. It adds the required booleans that the
+// encoding omits when they are false.
 func asMap(t *rapid.T, s Submission) map[string]any {
 	b, err := json.Marshal(s)
 	if err != nil {
@@ -71,8 +72,8 @@
 	return ParseSubmission(b)
 }
 
-// A submission survives the way over the wire; unknown fields are ignored and
-// a field that may be null may equally be missing.
+// An encoded submission is parsed to the same value. Unknown fields are ignored, and an
+// optional field may be null or missing.
 func TestSubmissionRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := drawSubmission(t)
@@ -90,15 +91,16 @@
 	})
 }
 
-// A missing or mistyped field is refused by its name, and the id is read all
-// the same, so that a repeat of an accepted job can be told.
+// A submission with a required field that is missing or of the wrong type is refused
+// with the field's name. The job's id is still returned, so that a retry of an accepted
+// job can be recognised.
 func TestSubmissionRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := asMap(t, drawSubmission(t))
 		id := m["uid"].(string)
-		must := []string{"lane", "crew", "shape", "rank", "pieces", "cpus", "cards", "mem_gb", "kit",
+		required := []string{"lane", "crew", "shape", "rank", "pieces", "cpus", "cards", "mem_gb", "kit",
 			"pull_gb", "one_zone", "scatter", "loaners", "guess_s", "mark_every_s", "stow_s"}
-		f := rapid.SampledFrom(must).Draw(t, "field")
+		f := rapid.SampledFrom(required).Draw(t, "field")
 		switch rapid.IntRange(0, 2).Draw(t, "how") {
 		case 0:
 			delete(m, f)
@@ -116,26 +118,26 @@
 }
 
 func TestBadSubmissions(t *testing.T) {
-	good := `{"uid":"run-1","lane":"a","crew":"t","shape":"sweep","rank":"prod","pieces":1,"cpus":1,"cards":0,"mem_gb":1,"kit":"i","pull_gb":1,"one_zone":false,"scatter":false,"loaners":true,"guess_s":1,"mark_every_s":0,"stow_s":0}`
-	if _, _, err := ParseSubmission([]byte(good)); err != nil {
+	valid := `{"uid":"run-1","lane":"a","crew":"t","shape":"sweep","rank":"prod","pieces":1,"cpus":1,"cards":0,"mem_gb":1,"kit":"i","pull_gb":1,"one_zone":false,"scatter":false,"loaners":true,"guess_s":1,"mark_every_s":0,"stow_s":0}`
+	if _, _, err := ParseSubmission([]byte(valid)); err != nil {
 		t.Fatal(err)
 	}
 	for from, to := range map[string]string{
 		`"pieces":1`: `"pieces":0`, `"cpus":1`: `"cpus":-1`, `"mem_gb":1`: `"mem_gb":1e999`, `"run-1"`: `"job-1"`,
 		`"sweep"`: `"heap"`, `"prod"`: `"top"`, `"cards":0`: `"cards":"0"`, `"pull_gb":1`: `"pull_gb":NaN`,
 	} {
-		if _, _, err := ParseSubmission([]byte(strings.Replace(good, from, to, 1))); err == nil {
-			t.Errorf("%s was taken", to)
+		if _, _, err := ParseSubmission([]byte(strings.Replace(valid, from, to, 1))); err == nil {
+			t.Errorf("%s was accepted", to)
 		}
 	}
-	for _, s := range []string{"", "null", "[]", "7", `"x"`, "{", good + good} {
+	for _, s := range []string{"", "null", "[]", "7", `"x"`, "{", valid + valid} {
 		if _, _, err := ParseSubmission([]byte(s)); err == nil {
-			t.Errorf("%q was taken", s)
+			t.Errorf("%q was accepted", s)
 		}
 	}
 }
 
-// A value that is none of those allowed is rejected with the list of them.
+// The error for a value that is not allowed lists the allowed values.
 func TestSubmissionNamesAllowedValues(t *testing.T) {
 	for body, want := range map[string]string{
 		`{"uid":"run-1","lane":"a","crew":"t","shape":"heap","rank":"prod"}`:    "shape: must be one of sweep, standing, ensemble",
@@ -160,7 +162,7 @@
 			t.Fatalf("%s/%d became %s/%d %v", job, i, j, n, ok)
 		}
 		if _, _, ok := ParseTaskName(rapid.StringMatching(`(run-1)?/?(-1|01|\+1|100000|x)?`).Draw(t, "bad")); ok {
-			t.Fatal("a malformed name was taken")
+			t.Fatal("a malformed name was accepted")
 		}
 	})
 }
