--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -40,7 +40,7 @@
 		owner.ref.Tell(m)
 		return
 	}
-	if _, known := c.settings.Deployment.Zone(zone); known {
+	if _, known := c.settings.Deployment.ZoneIndex(zone); known {
 		c.heartbeats.misrouted[m.heartbeat.Machine] = misroutedHeartbeat{
 			MisroutedHeartbeat: shard.MisroutedHeartbeat{Machine: m.heartbeat.Machine, Epoch: m.heartbeat.Epoch, Seq: m.heartbeat.Seq},
 			receivedAt:         now,
--- a/controller/monitor.go
+++ b/controller/monitor.go
@@ -123,7 +123,7 @@
 		}
 	}
 	if m.detector.IsRefutationPending() || !now.Before(m.nextHeartbeat) {
-		m.nextHeartbeat = now.Add(m.set.Interval)
+		m.nextHeartbeat = now.Add(m.set.HeartbeatInterval)
 		m.sendHeartbeats(ctx)
 	}
 	if !now.Before(m.nextPublish) {
--- a/settings/check.go
+++ b/settings/check.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// longestName bounds the name of a controller or zone (bytes).
-const longestName = 64
+// maxNameBytes bounds the name of a controller or zone (bytes).
+const maxNameBytes = 64
 
 // Check checks the fields of the platform's settings file and returns a FieldError for
 // the first one that is invalid.
 func (s *Settings) Check() error {
 	checks := []func() error{
 		s.checkSelf, s.checkPeers,
-		s.Deployment.checkAmounts, s.Deployment.checkNextLimits, s.Deployment.checkTeams,
+		s.Deployment.checkPositiveAmounts, s.Deployment.checkNextLimits, s.Deployment.checkTeams,
 	}
 	for _, check := range checks {
 		if err := check(); err != nil {
@@ -44,7 +44,7 @@
 			return err
 		}
 	}
-	if _, known := s.Deployment.Zone(s.Zone); !known {
+	if _, known := s.Deployment.ZoneIndex(s.Zone); !known {
 		return Invalid("domain", "%q is not one of facts.zones", s.Zone)
 	}
 	return checkName("node", s.Controller)
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// checkAmounts checks the amounts that must be set, and so be positive.
-func (d *Deployment) checkAmounts() error {
+// checkPositiveAmounts checks the amounts that must be set, and so be positive.
+func (d *Deployment) checkPositiveAmounts() error {
 	for _, f := range []struct {
 		field  string
 		amount float64
@@ -154,8 +154,8 @@
 
 // checkName accepts what can be part of a key of the key-value store.
 func checkName(field, name string) error {
-	if name == "" || len(name) > longestName {
-		return Invalid(field, "must have 1 to %d bytes", longestName)
+	if name == "" || len(name) > maxNameBytes {
+		return Invalid(field, "must have 1 to %d bytes", maxNameBytes)
 	}
 	for _, r := range name {
 		if !isNameRune(r) {
--- a/settings/detection.go
+++ b/settings/detection.go
@@ -9,35 +9,35 @@
 // Detection holds the settings of failure detection; see
 // docs/operators-failure-detection.md. Beside each field stands its properties key.
 type Detection struct {
-	Interval     time.Duration // detection.heartbeat.ms
-	SuspectMin   time.Duration // detection.suspect.min.ms
-	SuspectMax   time.Duration // detection.suspect.max.ms
-	DeclareAfter time.Duration // detection.declare.ms
-	ProbeTimeout time.Duration // detection.probe.timeout.ms
-	StallAfter   time.Duration // detection.stall.ms
-	Revoke       bool          // detection.revoke: whether a declared controller is replaced, or only reported
-	HistoryPath  string        // detection.history.path; empty: no file
-	HistorySize  int           // detection.history.events
+	HeartbeatInterval time.Duration // detection.heartbeat.ms
+	SuspectMin        time.Duration // detection.suspect.min.ms
+	SuspectMax        time.Duration // detection.suspect.max.ms
+	DeclareAfter      time.Duration // detection.declare.ms
+	ProbeTimeout      time.Duration // detection.probe.timeout.ms
+	StallAfter        time.Duration // detection.stall.ms
+	Revoke            bool          // detection.revoke: whether a declared controller is replaced, or only reported
+	HistoryPath       string        // detection.history.path; empty: no file
+	HistorySize       int           // detection.history.events
 }
 
 // DefaultDetection returns what applies where the file of failure detection sets nothing.
 func DefaultDetection() Detection {
 	return Detection{
-		Interval:     time.Second,
-		SuspectMin:   2500 * time.Millisecond,
-		SuspectMax:   8 * time.Second,
-		DeclareAfter: 6 * time.Second,
-		ProbeTimeout: time.Second,
-		StallAfter:   5 * time.Second,
-		Revoke:       true,
-		HistorySize:  1000,
+		HeartbeatInterval: time.Second,
+		SuspectMin:        2500 * time.Millisecond,
+		SuspectMax:        8 * time.Second,
+		DeclareAfter:      6 * time.Second,
+		ProbeTimeout:      time.Second,
+		StallAfter:        5 * time.Second,
+		Revoke:            true,
+		HistorySize:       1000,
 	}
 }
 
 // Check checks how the fields go together.
 func (d *Detection) Check() error {
 	switch {
-	case d.SuspectMin <= d.Interval:
+	case d.SuspectMin <= d.HeartbeatInterval:
 		return Invalid("detection.suspect.min.ms", "must be larger than detection.heartbeat.ms")
 	case d.SuspectMax < d.SuspectMin:
 		return Invalid("detection.suspect.max.ms", "must not be smaller than detection.suspect.min.ms")
@@ -53,7 +53,7 @@
 	d := s.Detection
 	config := detector.Config{
 		Self:              s.Controller,
-		HeartbeatInterval: d.Interval,
+		HeartbeatInterval: d.HeartbeatInterval,
 		SuspectMin:        d.SuspectMin,
 		SuspectMax:        d.SuspectMax,
 		DeclareAfter:      d.DeclareAfter,
--- a/settings/draining.go
+++ b/settings/draining.go
@@ -54,11 +54,11 @@
 		interruptionsBytes := len(disruption.InterruptionsPrefix) + len(team.Name) + claimNumberBytes
 		bytes += servicesBytes + interruptionsBytes
 	}
-	if most := int(limits.ValueKB * 1024); bytes > most {
-		return Invalid(BudgetPrefix+"…", "%d budgets take %d bytes of the state service, which has %d for a value", len(d.Budgets.Keys()), bytes, most)
+	if maxBytes := int(limits.ValueKB * 1024); bytes > maxBytes {
+		return Invalid(BudgetPrefix+"…", "%d budgets take %d bytes of the state service, which has %d for a value", len(d.Budgets.Keys()), bytes, maxBytes)
 	}
-	if most := limits.TxnOps*conditionsPerTxnOp - claimConditions + 1; len(s.Deployment.Zones) > most {
-		return Invalid("facts.zones", "draining serves at most %d zones with these limits of the state service", most)
+	if maxZones := limits.TxnOps*conditionsPerTxnOp - claimConditions + 1; len(s.Deployment.Zones) > maxZones {
+		return Invalid("facts.zones", "draining serves at most %d zones with these limits of the state service", maxZones)
 	}
 	return nil
 }
--- a/settings/limits.go
+++ b/settings/limits.go
@@ -70,8 +70,8 @@
 // reads of the revision: together they use up to their share of the store's requests,
 // which all controllers have together.
 func (s *Settings) WatchInterval() time.Duration {
-	rps := max(s.StoreLimits().RPS, 1) * constants.ReadRateShare / s.controllerCount()
-	return min(max(Seconds(1/rps), constants.ReadIntervalMin), constants.ReadIntervalMax)
+	readRate := max(s.StoreLimits().RPS, 1) * constants.ReadRateShare / s.controllerCount()
+	return min(max(Seconds(1/readRate), constants.ReadIntervalMin), constants.ReadIntervalMax)
 }
 
 // CloudCallRate is how many calls a second this controller may make to the cloud.
@@ -98,7 +98,7 @@
 	if s.Deployment.Limits.CPU <= 0 {
 		return 0
 	}
-	return s.processorTime(constants.FailoverCPUTime, constants.MaxSecondShardDelay)
+	return s.elapsedTime(constants.FailoverCPUTime, constants.MaxSecondShardDelay)
 }
 
 // RoundBudget is how long a round of decisions may take: as much processor time as the
@@ -107,11 +107,11 @@
 	if share := s.Deployment.Limits.CPU; share <= 0 || share >= 1 {
 		return constants.RoundBudget
 	}
-	return s.processorTime(constants.RoundBudget, constants.MaxRoundBudget)
+	return s.elapsedTime(constants.RoundBudget, constants.MaxRoundBudget)
 }
 
-// processorTime is how long an amount of processor time takes on this machine's share of
+// elapsedTime is how long an amount of processor time takes on this machine's share of
 // a processor, and at most the bound.
-func (s *Settings) processorTime(work, most time.Duration) time.Duration {
-	return min(time.Duration(float64(work)/s.Deployment.Limits.CPU), most)
+func (s *Settings) elapsedTime(cpuTime, limit time.Duration) time.Duration {
+	return min(time.Duration(float64(cpuTime)/s.Deployment.Limits.CPU), limit)
 }
--- a/settings/limits_test.go
+++ b/settings/limits_test.go
@@ -22,8 +22,8 @@
 		if server < s.Deployment.Limits.MaxConnections/2 || commands < 1 {
 			t.Fatalf("server %d, commands %d", server, commands)
 		}
-		all := server + commands*len(s.Deployment.Zones)
-		if commands > constants.MinConcurrentCommands && all > s.Deployment.Limits.MaxConnections-constants.NonCommandSockets {
+		total := server + commands*len(s.Deployment.Zones)
+		if commands > constants.MinConcurrentCommands && total > s.Deployment.Limits.MaxConnections-constants.NonCommandSockets {
 			t.Fatalf("server %d and %d commands for each of %d shards: more than %d", server, commands, len(s.Deployment.Zones), s.Deployment.Limits.MaxConnections)
 		}
 	})
@@ -36,7 +36,7 @@
 
 // A controller keeps as many processors busy as it has a share of, and no share
 // is none at all.
-func TestProcessorsOfAShare(t *testing.T) {
+func TestProcessorCountRoundsUp(t *testing.T) {
 	for share, want := range map[float64]int{0: 0, 0.072: 1, 0.5: 1, 1: 1, 1.5: 2, 8: 8} {
 		var s Settings
 		s.Deployment.Limits.CPU = share
@@ -48,7 +48,7 @@
 
 // The smaller the machine, the longer it leaves a second shard to that one's own
 // controller, within bounds; one whose share is not known does not wait.
-func TestSecondShardDelayFollowsTheShare(t *testing.T) {
+func TestSecondShardDelayDependsOnCPU(t *testing.T) {
 	var s Settings
 	for share, want := range map[float64]time.Duration{0: 0, 8: 50 * time.Millisecond, 1: 400 * time.Millisecond, 0.1: 4 * time.Second, 0.01: constants.MaxSecondShardDelay} {
 		s.Deployment.Limits.CPU = share
@@ -59,7 +59,7 @@
 }
 
 // A round may have the same processor time on a part of a processor, within bounds.
-func TestRoundBudgetFollowsTheShare(t *testing.T) {
+func TestRoundBudgetDependsOnCPU(t *testing.T) {
 	var s Settings
 	for share, want := range map[float64]time.Duration{0: 5 * time.Millisecond, 4: 5 * time.Millisecond, 1: 5 * time.Millisecond, 0.5: 10 * time.Millisecond, 0.01: constants.MaxRoundBudget} {
 		s.Deployment.Limits.CPU = share
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// Zone returns the index of a zone, and whether there is a zone of that name.
-func (d *Deployment) Zone(name string) (int, bool) {
+// ZoneIndex returns the index of a zone, and whether there is a zone of that name.
+func (d *Deployment) ZoneIndex(name string) (int, bool) {
 	i := slices.Index(d.Zones, name)
 	return i, i >= 0
 }
--- a/settings/timing.go
+++ b/settings/timing.go
@@ -25,11 +25,11 @@
 // Authority is how long a controller may act after it last heard from the key-value
 // store. It is shortened where a cancellation might otherwise come too late; short is
 // true when it was.
-func (s *Settings) Authority() (authority time.Duration, short bool) {
+func (s *Settings) Authority() (authority time.Duration, shortened bool) {
 	authority = time.Duration(float64(s.Operator.LeaseTTL)*(1-constants.MaxClockDrift)) - constants.AuthorityMargin
-	most := s.maxAuthority()
-	if authority > most {
-		return max(most, minAuthority), true
+	limit := s.maxAuthority()
+	if authority > limit {
+		return max(limit, minAuthority), true
 	}
 	return authority, false
 }
--- a/settings/timing_test.go
+++ b/settings/timing_test.go
@@ -9,14 +9,14 @@
 		s := Settings{Operator: DefaultOperator()}
 		s.Deployment.Workers.LeaseS = 26
 		s.Deployment.Workers.CancelTimeoutS = cancelS
-		authority, short := s.Authority()
+		authority, shortened := s.Authority()
 		if authority <= 0 {
 			t.Errorf("cancel_s %g: authority %s", cancelS, authority)
 		}
-		if end := authority + s.WorkerLeaseExpiry(); !short && end >= Seconds(cancelS) {
+		if end := authority + s.WorkerLeaseExpiry(); !shortened && end >= Seconds(cancelS) {
 			t.Errorf("cancel_s %g: a task may run for %s", cancelS, end)
 		}
-		if !short && cancelS == 20 {
+		if !shortened && cancelS == 20 {
 			t.Error("no warning although cancel_s is shorter than the lease")
 		}
 	}
