--- a/cmd/ravenport/check_test.go
+++ b/cmd/ravenport/check_test.go
@@ -47,8 +47,8 @@
 	for content, wanted := range map[string]string{"": "detection on", "detection.declare.ms = 700": "detection.declare.ms"} {
 		write(detection, content)
 		out, err := execute(t, "check", "--config", config, "--failure-detection", detection)
-		var bad *settings.FieldError
-		if errors.As(err, &bad) {
+		var invalid *settings.FieldError
+		if errors.As(err, &invalid) {
 			out = err.Error()
 		}
 		if !strings.Contains(out, wanted) || strings.Contains(out, "\n") != (err == nil) {
--- a/cmd/ravenport/drainprint.go
+++ b/cmd/ravenport/drainprint.go
@@ -87,7 +87,7 @@
 		if i > 0 {
 			wholeDrain = "\t\t\t"
 		}
-		waits := strings.TrimSpace(d.StopReason + " " + shard.WaitingFor)
-		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%s\n", wholeDrain, shard.Shard, shard.Remaining, len(shard.Cordoned), shard.MovingTasks, shard.ConsecutiveFailures, waits)
+		reason := strings.TrimSpace(d.StopReason + " " + shard.WaitingFor)
+		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%s\n", wholeDrain, shard.Shard, shard.Remaining, len(shard.Cordoned), shard.MovingTasks, shard.ConsecutiveFailures, reason)
 	}
 }
--- a/settings/load/detection.go
+++ b/settings/load/detection.go
@@ -8,8 +8,8 @@
 	"ravenport/settings"
 )
 
-// historyBounds bounds the events in the history file.
-var historyBounds = intBounds{1, 100_000}
+// historySizeBounds bounds the events in the history file.
+var historySizeBounds = intBounds{1, 100_000}
 
 // Detection reads and checks the file of failure detection. The directory of the history
 // file must exist.
@@ -42,7 +42,7 @@
 		return nil, err
 	}
 	d.HistoryPath = p.GetString("detection.history.path", "")
-	if d.HistorySize, err = readInt(p, "detection.history.events", d.HistorySize, historyBounds); err != nil {
+	if d.HistorySize, err = readInt(p, "detection.history.events", d.HistorySize, historySizeBounds); err != nil {
 		return nil, err
 	}
 	if err := d.Check(); err != nil {
@@ -51,9 +51,9 @@
 	return &d, nil
 }
 
-func detectionDurations(d *settings.Detection) []durationField {
-	return []durationField{
-		{"detection.heartbeat.ms", &d.Interval, 100 * time.Millisecond, 10 * time.Second},
+func detectionDurations(d *settings.Detection) []durationSetting {
+	return []durationSetting{
+		{"detection.heartbeat.ms", &d.HeartbeatInterval, 100 * time.Millisecond, 10 * time.Second},
 		{"detection.suspect.min.ms", &d.SuspectMin, 200 * time.Millisecond, time.Minute},
 		{"detection.suspect.max.ms", &d.SuspectMax, 200 * time.Millisecond, 5 * time.Minute},
 		{"detection.declare.ms", &d.DeclareAfter, 500 * time.Millisecond, 10 * time.Minute},
--- a/settings/load/draining.go
+++ b/settings/load/draining.go
@@ -20,11 +20,11 @@
 
 // Bounds of the settings of drains.
 const (
-	longestDrainWait   = 24 * time.Hour
+	maxDrainWait       = 24 * time.Hour
 	maxParallelPercent = 100
 )
 
-var failureBounds = intBounds{1, 1000}
+var consecutiveFailureBounds = intBounds{1, 1000}
 
 // Draining reads the file of drains and checks it against the deployment of s.
 func Draining(path string, s *settings.Settings) (*settings.Draining, error) {
@@ -58,10 +58,10 @@
 
 // readDrainPolicy reads everything but the budgets.
 func readDrainPolicy(p *properties.Properties, policy *drain.Policy) error {
-	err := readDurations(p, []durationField{
-		{"disruption.stable.ms", &policy.StableAfter, time.Second, longestDrainWait},
-		{"drain.array.wait.ms", &policy.ArrayGracePeriod, 0, longestDrainWait},
-		{"drain.replace.within.ms", &policy.ReplacementTimeout, time.Second, longestDrainWait},
+	err := readDurations(p, []durationSetting{
+		{"disruption.stable.ms", &policy.StableAfter, time.Second, maxDrainWait},
+		{"drain.array.wait.ms", &policy.ArrayGracePeriod, 0, maxDrainWait},
+		{"drain.replace.within.ms", &policy.ReplacementTimeout, time.Second, maxDrainWait},
 	})
 	if err != nil {
 		return err
@@ -69,7 +69,7 @@
 	if policy.ReplacementTimeout <= policy.StableAfter {
 		return settings.Invalid("drain.replace.within.ms", "must be larger than disruption.stable.ms")
 	}
-	if policy.MaxConsecutiveFailures, err = readInt(p, "drain.failures.most", policy.MaxConsecutiveFailures, failureBounds); err != nil {
+	if policy.MaxConsecutiveFailures, err = readInt(p, "drain.failures.most", policy.MaxConsecutiveFailures, consecutiveFailureBounds); err != nil {
 		return err
 	}
 	if policy.ParallelPercent, err = readPercent(p, "drain.parallel.percent", policy.ParallelPercent); err != nil {
--- a/settings/load/duties.go
+++ b/settings/load/duties.go
@@ -17,6 +17,6 @@
 	if err != nil {
 		return settings.Duties{}, err
 	}
-	closeFirst, err := readBool(p, "duties.close.before.return", true)
-	return settings.Duties{CloseBeforeScaleIn: closeFirst}, err
+	closeBeforeScaleIn, err := readBool(p, "duties.close.before.return", true)
+	return settings.Duties{CloseBeforeScaleIn: closeBeforeScaleIn}, err
 }
--- a/settings/load/load.go
+++ b/settings/load/load.go
@@ -15,11 +15,11 @@
 	"ravenport/settings"
 )
 
-// PropertiesName is the name of the operators' own settings beside the settings file.
-const PropertiesName = "ravenport.properties"
+// DefaultPropertiesFile is the name of the operators' own settings beside the settings file.
+const DefaultPropertiesFile = "ravenport.properties"
 
 // Settings reads and checks the platform's settings file and the operators' own settings.
-// An empty propertiesPath is PropertiesName beside the settings file, which may be
+// An empty propertiesPath is DefaultPropertiesFile beside the settings file, which may be
 // missing.
 func Settings(path, propertiesPath string) (*settings.Settings, error) {
 	text, err := readFile(path)
@@ -65,7 +65,7 @@
 	if propertiesPath != "" {
 		return readFile(propertiesPath)
 	}
-	text, err := os.ReadFile(filepath.Join(filepath.Dir(settingsPath), PropertiesName))
+	text, err := os.ReadFile(filepath.Join(filepath.Dir(settingsPath), DefaultPropertiesFile))
 	if err != nil {
 		return nil, nil
 	}
--- a/settings/load/load_test.go
+++ b/settings/load/load_test.go
@@ -95,7 +95,7 @@
 // must be there, and so must the settings file.
 func TestSettingsFiles(t *testing.T) {
 	dir := t.TempDir()
-	path, beside, named := filepath.Join(dir, "settings.toml"), filepath.Join(dir, PropertiesName), filepath.Join(dir, "named")
+	path, defaultFile, missing := filepath.Join(dir, "settings.toml"), filepath.Join(dir, DefaultPropertiesFile), filepath.Join(dir, "named")
 	write := func(path, text string) {
 		t.Helper()
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -112,13 +112,13 @@
 	if err != nil || s.Operator != settings.DefaultOperator() {
 		t.Errorf("without operators' settings: %+v, %v", s, err)
 	}
-	write(beside, "rent.spot = false")
+	write(defaultFile, "rent.spot = false")
 	if s, err = Settings(path, ""); err != nil || s.Operator.UseSpot {
 		t.Errorf("with operators' settings: %+v, %v", s, err)
 	}
-	write(beside, "rent.spot = maybe")
+	write(defaultFile, "rent.spot = maybe")
 	_, err = Settings(path, "")
 	wantFieldError(t, err, "rent.spot", "rent.spot = maybe")
-	_, err = Settings(path, named)
-	wantFieldError(t, err, named, "no operators' settings")
+	_, err = Settings(path, missing)
+	wantFieldError(t, err, missing, "no operators' settings")
 }
--- a/settings/load/properties.go
+++ b/settings/load/properties.go
@@ -20,16 +20,16 @@
 	return parsed, nil
 }
 
-// durationField is a duration in milliseconds with its bounds. target holds the default
+// durationSetting is a duration in milliseconds with its bounds. target holds the default
 // until the field is read.
-type durationField struct {
+type durationSetting struct {
 	key      string
 	target   *time.Duration
 	min, max time.Duration
 }
 
 // readDurations reads fields that are whole numbers of milliseconds.
-func readDurations(p *properties.Properties, fields []durationField) error {
+func readDurations(p *properties.Properties, fields []durationSetting) error {
 	for _, f := range fields {
 		bounds := intBounds{int(f.min.Milliseconds()), int(f.max.Milliseconds())}
 		ms, err := readInt(p, f.key, int(f.target.Milliseconds()), bounds)
