--- a/history/file.go
+++ b/history/file.go
@@ -100,9 +100,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("history: %w", err)
 	}
-	events, intact, cause := f.codec.parse(data)
+	events, intactBytes, cause := f.codec.parse(data)
 	if cause != nil {
-		return events, &DamageError{Path: f.path, Offset: intact, Events: len(events), Cause: cause}
+		return events, &DamageError{Path: f.path, Offset: intactBytes, Events: len(events), Cause: cause}
 	}
 	return events, nil
 }
--- a/history/frame.go
+++ b/history/frame.go
@@ -14,15 +14,15 @@
 // A file is its magic line and then frames: the payload's length and checksum, four
 // bytes each, and the payload, which is a compressed list of events in JSON.
 const (
-	magic          = "ravenport membership history 1\n"
-	checksumOffset = 4
-	frameHeader    = 8
-	// maxPayload bounds a frame (bytes), so that a damaged length allocates no memory.
-	maxPayload = 1 << 20
-	// maxDecompressed bounds a payload's decompressed size (bytes).
-	maxDecompressed = 16 << 20
-	// encoderWindow is the compressor's window (bytes).
-	encoderWindow = zstd.MinWindowSize << 6
+	magic            = "ravenport membership history 1\n"
+	checksumOffset   = 4
+	frameHeaderBytes = 8
+	// maxPayloadBytes bounds a frame (bytes), so that a damaged length allocates no memory.
+	maxPayloadBytes = 1 << 20
+	// maxDecompressedBytes bounds a payload's decompressed size (bytes).
+	maxDecompressedBytes = 16 << 20
+	// encoderWindowBytes is the compressor's window (bytes).
+	encoderWindowBytes = zstd.MinWindowSize << 6
 )
 
 var checksumTable = crc32.MakeTable(crc32.Castagnoli)
@@ -42,11 +42,11 @@
 }
 
 func newCodec() (*codec, error) {
-	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(encoderWindow))
+	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(encoderWindowBytes))
 	if err != nil {
 		return nil, fmt.Errorf("history: %w", err)
 	}
-	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecompressed))
+	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecompressedBytes))
 	if err != nil {
 		return nil, fmt.Errorf("history: %w", err)
 	}
@@ -72,39 +72,39 @@
 
 // parse decodes a file's bytes up to the first damage. intact is how many of them are
 // sound.
-func (c *codec) parse(data []byte) (events []Event, intact int, damage error) {
+func (c *codec) parse(data []byte) (events []Event, intactBytes int, damage error) {
 	if len(data) == 0 {
 		return nil, 0, nil
 	}
 	if !bytes.HasPrefix(data, []byte(magic)) {
 		return nil, 0, errNotHistory
 	}
-	intact = len(magic)
-	for intact < len(data) {
-		frameEvents, size, err := c.parseFrame(data[intact:])
+	intactBytes = len(magic)
+	for intactBytes < len(data) {
+		frameEvents, size, err := c.parseFrame(data[intactBytes:])
 		if err != nil {
-			return events, intact, err
+			return events, intactBytes, err
 		}
 		events = append(events, frameEvents...)
-		intact += size
+		intactBytes += size
 	}
-	return events, intact, nil
+	return events, intactBytes, nil
 }
 
 // parseFrame decodes the first frame of data. size is its length in bytes.
 func (c *codec) parseFrame(data []byte) (events []Event, size int, err error) {
-	if len(data) < frameHeader {
+	if len(data) < frameHeaderBytes {
 		return nil, 0, errTruncated
 	}
 	length := int(binary.BigEndian.Uint32(data))
-	if length > maxPayload {
+	if length > maxPayloadBytes {
 		return nil, 0, errFrameLength
 	}
-	size = frameHeader + length
+	size = frameHeaderBytes + length
 	if len(data) < size {
 		return nil, 0, errTruncated
 	}
-	payload := data[frameHeader:size]
+	payload := data[frameHeaderBytes:size]
 	if crc32.Checksum(payload, checksumTable) != binary.BigEndian.Uint32(data[checksumOffset:]) {
 		return nil, 0, errChecksumMismatch
 	}
--- a/history/fuzz_test.go
+++ b/history/fuzz_test.go
@@ -14,23 +14,23 @@
 		f.Fatal(err)
 	}
 	f.Cleanup(c.close)
-	whole, err := c.appendFrame([]byte(magic), []Event{{At: time.Unix(1000, 0).UTC(), Observer: "n-0", Controller: "n-1", To: "failed"}})
+	original, err := c.appendFrame([]byte(magic), []Event{{At: time.Unix(1000, 0).UTC(), Observer: "n-0", Controller: "n-1", To: "failed"}})
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(whole)
-	f.Add(whole[:len(whole)-1])
+	f.Add(original)
+	f.Add(original[:len(original)-1])
 	f.Add([]byte(magic))
-	f.Add(append(bytes.Clone(whole), 0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0))
+	f.Add(append(bytes.Clone(original), 0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0))
 	f.Add([]byte(`[{}]`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		events, intact, damage := c.parse(data)
-		if intact < 0 || intact > len(data) || damage == nil && intact != len(data) {
-			t.Fatalf("%d of %d bytes count as sound, damage %v", intact, len(data), damage)
+		events, intactBytes, damage := c.parse(data)
+		if intactBytes < 0 || intactBytes > len(data) || damage == nil && intactBytes != len(data) {
+			t.Fatalf("%d of %d bytes count as sound, damage %v", intactBytes, len(data), damage)
 		}
-		again, _, damage := c.parse(data[:intact])
-		if damage != nil || len(again) != len(events) {
-			t.Errorf("%d events, and %d of the sound part, damage %v", len(events), len(again), damage)
+		reparsed, _, damage := c.parse(data[:intactBytes])
+		if damage != nil || len(reparsed) != len(events) {
+			t.Errorf("%d events, and %d of the sound part, damage %v", len(events), len(reparsed), damage)
 		}
 	})
 }
--- a/history/history_test.go
+++ b/history/history_test.go
@@ -88,14 +88,14 @@
 // renamed, and goes on to be written.
 func TestDamagedHistoryIsReadUpToTheDamage(t *testing.T) {
 	dir := t.TempDir()
-	whole := filepath.Join(dir, "whole")
+	originalPath := filepath.Join(dir, "whole")
 	const n = 20
-	writeEvents(t, whole, n, n)
-	data, err := os.ReadFile(whole)
+	writeEvents(t, originalPath, n, n)
+	data, err := os.ReadFile(originalPath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	found := map[error]bool{}
+	foundCauses := map[error]bool{}
 	rapid.Check(t, func(t *rapid.T) {
 		path := filepath.Join(dir, "damaged")
 		damaged := corrupted(t, data)
@@ -116,7 +116,7 @@
 			t.Fatal("a changed byte was not noticed")
 		}
 		if damage != nil {
-			found[damage.Cause] = true
+			foundCauses[damage.Cause] = true
 			if damage.Events != len(events) || damage.Offset > len(damaged) {
 				t.Fatalf("%+v with %d events", damage, len(events))
 			}
@@ -132,13 +132,13 @@
 		if err := f.Append(testEvent(len(events))); err != nil {
 			t.Fatal(err)
 		}
-		again, err := Read(path)
-		if err != nil || len(again) != min(len(events), n)+1 {
-			t.Fatalf("%d events after %d, %v", len(again), len(events), err)
+		reread, err := Read(path)
+		if err != nil || len(reread) != min(len(events), n)+1 {
+			t.Fatalf("%d events after %d, %v", len(reread), len(events), err)
 		}
 	})
 	for _, cause := range []error{errNotHistory, errTruncated, errChecksumMismatch} {
-		if !found[cause] {
+		if !foundCauses[cause] {
 			t.Errorf("never brought about: %v", cause)
 		}
 	}
