--- a/settings/check.go
+++ b/settings/check.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// maxNameBytes bounds the name of a controller or zone (bytes).
+// maxNameBytes is the maximum length of the name of a controller or a zone.
 const maxNameBytes = 64
 
 // Check checks the fields of the platform's settings file and returns a FieldError for
@@ -68,7 +68,8 @@
 	return nil
 }
 
-// checkPositiveAmounts checks the amounts that must be set, and so be positive.
+// checkPositiveAmounts checks the amounts that are required: each must be
+// larger than 0.
 func (d *Deployment) checkPositiveAmounts() error {
 	for _, f := range []struct {
 		field  string
@@ -92,8 +93,8 @@
 	return nil
 }
 
-// checkNextLimits checks the store's later limits, which may be absent, and the lag of
-// the cloud's list, which may be 0.
+// checkNextLimits checks the store's later limits, each of which is optional, and the lag
+// of the cloud's list, which may be 0.
 func (d *Deployment) checkNextLimits() error {
 	next := &d.Store.Next
 	for _, f := range []struct {
@@ -152,7 +153,7 @@
 	return nil
 }
 
-// checkName accepts what can be part of a key of the key-value store.
+// checkName accepts a name that can be part of a key in the key-value store.
 func checkName(field, name string) error {
 	if name == "" || len(name) > maxNameBytes {
 		return Invalid(field, "must have 1 to %d bytes", maxNameBytes)
--- a/settings/detection.go
+++ b/settings/detection.go
@@ -7,7 +7,7 @@
 )
 
 // Detection holds the settings of failure detection; see
-// docs/operators-failure-detection.md. Beside each field stands its properties key.
+// docs/operators-failure-detection.md. The comment on each field names its properties key.
 type Detection struct {
 	HeartbeatInterval time.Duration // detection.heartbeat.ms
 	SuspectMin        time.Duration // detection.suspect.min.ms
@@ -15,12 +15,13 @@
 	DeclareAfter      time.Duration // detection.declare.ms
 	ProbeTimeout      time.Duration // detection.probe.timeout.ms
 	StallAfter        time.Duration // detection.stall.ms
-	Revoke            bool          // detection.revoke: whether a declared controller is replaced, or only reported
-	HistoryPath       string        // detection.history.path; empty: no file
-	HistorySize       int           // detection.history.events
+	Revoke            bool          // detection.revoke: whether a controller declared failed is replaced, or only reported
+	HistoryPath       string        // detection.history.path; empty: no history file
+	HistorySize       int           // detection.history.events: number of events kept at least
 }
 
-// DefaultDetection returns what applies where the file of failure detection sets nothing.
+// DefaultDetection returns the defaults of the settings that the failure detection file
+// does not set.
 func DefaultDetection() Detection {
 	return Detection{
 		HeartbeatInterval: time.Second,
@@ -34,7 +35,7 @@
 	}
 }
 
-// Check checks how the fields go together.
+// Check returns a FieldError if the values of two fields are inconsistent.
 func (d *Detection) Check() error {
 	switch {
 	case d.SuspectMin <= d.HeartbeatInterval:
@@ -47,8 +48,8 @@
 	return nil
 }
 
-// DetectorConfig returns the configuration of this controller's failure detector. It must
-// not be called where failure detection is off.
+// DetectorConfig returns the configuration of this controller's failure detector. Callers
+// must check first that failure detection is on (s.Detection is not nil).
 func (s *Settings) DetectorConfig() detector.Config {
 	d := s.Detection
 	config := detector.Config{
--- a/settings/draining.go
+++ b/settings/draining.go
@@ -11,26 +11,29 @@
 // docs/operators-draining.md.
 type Draining struct {
 	Budgets disruption.Budgets // disruption.budget.TEAM[/CLASS], disruption.interruptions.TEAM[/CLASS]
-	Policy  drain.Policy       // with drain.window.rule, .zone and .minutes
+	Policy  drain.Policy       // includes drain.window.rule, .zone and .minutes
 }
 
-// BudgetPrefix and InterruptionsPrefix stand before a team, or a team and a class, in the
-// properties keys of disruption budgets. AnyTeam is for each team that is not named.
+// BudgetPrefix and InterruptionsPrefix precede TEAM or TEAM/CLASS in the properties keys of
+// disruption budgets. AnyTeam in place of a team sets the default for all teams without a
+// budget of their own.
 const (
 	BudgetPrefix        = "disruption.budget."
 	InterruptionsPrefix = "disruption.interruptions."
 	AnyTeam             = "*"
 )
 
-// What a shard's claim on the disruption budgets takes of the key-value store.
+// Estimates of how much of a value and of a transaction in the key-value store a shard's
+// claim on the disruption budgets takes.
 const (
-	claimNumberBytes   = 16 // a number in a claim, with its quotes and comma
-	claimBaseBytes     = 64 // a claim beside its budgets
-	conditionsPerTxnOp = 4  // conditions of a transaction for each of its changes
-	claimConditions    = 2  // conditions on the owner's term and on its own claim
+	claimNumberBytes   = 16 // a number in a claim, including quotes and comma
+	claimBaseBytes     = 64 // a claim without its budgets
+	conditionsPerTxnOp = 4  // conditions that a transaction may have per allowed change
+	claimConditions    = 2  // conditions on the owner's term and on the owner's own claim
 )
 
-// DefaultDrainPolicy returns what applies where the file of drains sets nothing.
+// DefaultDrainPolicy returns the defaults of the settings that the draining file does not
+// set.
 func DefaultDrainPolicy() drain.Policy {
 	return drain.Policy{
 		StableAfter:            10 * time.Second,
@@ -41,8 +44,9 @@
 	}
 }
 
-// CheckDraining checks that a shard's claim on the disruption budgets fits into a value
-// of the key-value store, and the conditions of its write into a transaction.
+// CheckDraining checks that a shard's claim on the disruption budgets fits into a value of
+// the key-value store, and that the conditions of the write that stores the claim fit into
+// a transaction.
 func (s *Settings) CheckDraining(d *Draining) error {
 	limits := s.StoreLimits()
 	bytes := claimBaseBytes
--- a/settings/fielderror_test.go
+++ b/settings/fielderror_test.go
@@ -7,13 +7,14 @@
 	"testing"
 )
 
-// A FieldError is found in a chain of errors, keeps its cause, and names field and problem.
+// A FieldError can be found in a chain of errors, wraps its cause, and its message names the
+// field and the problem.
 func TestFieldError(t *testing.T) {
 	cause := fmt.Errorf("open: %w", fs.ErrNotExist)
 	err := fmt.Errorf("loading: %w", Invalid("some.field", "%w", cause))
 	var invalid *FieldError
 	if !errors.As(err, &invalid) || invalid.Field != "some.field" || invalid.Problem != cause.Error() {
-		t.Errorf("%v is no error of the field", err)
+		t.Errorf("%v is not an error about the field", err)
 	}
 	if !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("%v does not wrap its cause", err)
--- a/settings/limits_test.go
+++ b/settings/limits_test.go
@@ -10,8 +10,9 @@
 	_ "ravenport/internal/testseed"
 )
 
-// All sockets together stay within the machine's limit for any number of shards,
-// and a fleet half as large again as any seen is served by one controller.
+// The sockets of the server and of all shards' commands stay within the machine's limit for
+// any number of shards. One controller has enough server sockets for 2600 workers, 1.5 times
+// the largest fleet seen.
 func TestSocketLimitsStayWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Settings
@@ -34,8 +35,7 @@
 	}
 }
 
-// A controller keeps as many processors busy as it has a share of, and no share
-// is none at all.
+// The CPU share is rounded up to whole processors. The count is 0 if the share is unknown.
 func TestProcessorCountRoundsUp(t *testing.T) {
 	for share, want := range map[float64]int{0: 0, 0.072: 1, 0.5: 1, 1: 1, 1.5: 2, 8: 8} {
 		var s Settings
@@ -46,8 +46,9 @@
 	}
 }
 
-// The smaller the machine, the longer it leaves a second shard to that one's own
-// controller, within bounds; one whose share is not known does not wait.
+// The smaller the machine's CPU share, the longer a controller leaves a second shard to the
+// shard's own controller, up to a bound. If the share is unknown, the controller does not
+// wait.
 func TestSecondShardDelayDependsOnCPU(t *testing.T) {
 	var s Settings
 	for share, want := range map[float64]time.Duration{0: 0, 8: 50 * time.Millisecond, 1: 400 * time.Millisecond, 0.1: 4 * time.Second, 0.01: constants.MaxSecondShardDelay} {
@@ -58,7 +59,8 @@
 	}
 }
 
-// A round may have the same processor time on a part of a processor, within bounds.
+// A round gets the same processor time on a part of a processor as on a whole one, up to a
+// bound on its duration.
 func TestRoundBudgetDependsOnCPU(t *testing.T) {
 	var s Settings
 	for share, want := range map[float64]time.Duration{0: 5 * time.Millisecond, 4: 5 * time.Millisecond, 1: 5 * time.Millisecond, 0.5: 10 * time.Millisecond, 0.01: constants.MaxRoundBudget} {
--- a/settings/load/detection.go
+++ b/settings/load/detection.go
@@ -8,11 +8,11 @@
 	"ravenport/settings"
 )
 
-// historySizeBounds bounds the events in the history file.
+// historySizeBounds bounds the number of events to be kept in the history file.
 var historySizeBounds = intBounds{1, 100_000}
 
-// Detection reads and checks the file of failure detection. The directory of the history
-// file must exist.
+// Detection reads and checks the failure detection file. The directory of the history file
+// must exist.
 func Detection(path string) (*settings.Detection, error) {
 	text, err := readFile(path)
 	if err != nil {
@@ -28,7 +28,7 @@
 	return d, nil
 }
 
-// ParseDetection parses and checks the settings of failure detection.
+// ParseDetection parses and checks the text of the failure detection file.
 func ParseDetection(text []byte) (*settings.Detection, error) {
 	p, err := parseProperties("detection", text)
 	if err != nil {
--- a/settings/load/detection_test.go
+++ b/settings/load/detection_test.go
@@ -9,7 +9,7 @@
 	"ravenport/settings"
 )
 
-// The file that is shipped says what the defaults are.
+// The shipped file sets each field to its default.
 func TestShippedDetectionFile(t *testing.T) {
 	d, err := Detection("../../deploy/failure-detection.properties")
 	if err != nil {
@@ -20,8 +20,8 @@
 	}
 }
 
-// A setting out of its bounds, or that does not go with another, is refused by its
-// name; an unknown one is ignored.
+// A setting that is out of bounds or inconsistent with another one is refused with an error
+// that names the field. An unknown setting is ignored.
 func TestDetectionSettingsAreChecked(t *testing.T) {
 	d, err := ParseDetection([]byte("detection.declare.ms = 9000\ndetection.revoke = false\nsomething.else = 1"))
 	if err != nil || d.DeclareAfter != 9*time.Second || d.Revoke {
--- a/settings/load/draining.go
+++ b/settings/load/draining.go
@@ -15,10 +15,10 @@
 	"ravenport/window"
 )
 
-// unlimited stands in place of a number where there is no budget.
+// unlimited in place of an amount means that there is no budget.
 const unlimited = "unlimited"
 
-// Bounds of the settings of drains.
+// Upper bounds of the draining settings.
 const (
 	maxDrainWait       = 24 * time.Hour
 	maxParallelPercent = 100
@@ -26,7 +26,7 @@
 
 var consecutiveFailureBounds = intBounds{1, 1000}
 
-// Draining reads the file of drains and checks it against the deployment of s.
+// Draining reads the draining file and checks it against the deployment of s.
 func Draining(path string, s *settings.Settings) (*settings.Draining, error) {
 	text, err := readFile(path)
 	if err != nil {
@@ -35,7 +35,7 @@
 	return ParseDraining(text, s)
 }
 
-// ParseDraining parses the settings of drains and checks them against the deployment of
+// ParseDraining parses the text of the draining file and checks it against the deployment of
 // s. Unknown teams and classes are refused.
 func ParseDraining(text []byte, s *settings.Settings) (*settings.Draining, error) {
 	loader := properties.Loader{Encoding: properties.UTF8, DisableExpansion: true}
@@ -56,7 +56,7 @@
 	return d, nil
 }
 
-// readDrainPolicy reads everything but the budgets.
+// readDrainPolicy reads all draining settings except the budgets.
 func readDrainPolicy(p *properties.Properties, policy *drain.Policy) error {
 	err := readDurations(p, []durationSetting{
 		{"disruption.stable.ms", &policy.StableAfter, time.Second, maxDrainWait},
@@ -79,7 +79,7 @@
 	return err
 }
 
-// readPercent reads a share in percent; a missing one is the default.
+// readPercent reads a share in percent. It returns defaultValue if the key is missing.
 func readPercent(p *properties.Properties, key string, defaultValue float64) (float64, error) {
 	text, ok := p.Get(key)
 	if !ok {
@@ -92,7 +92,7 @@
 	return percent, nil
 }
 
-// readWindow reads the maintenance window; nil if there is none.
+// readWindow reads the maintenance window. It returns nil if none is set.
 func readWindow(p *properties.Properties) (*window.Schedule, error) {
 	rule := p.GetString("drain.window.rule", "")
 	if rule == "" {
@@ -115,8 +115,9 @@
 	return schedule, nil
 }
 
-// readBudgets reads the budgets. A file without any is refused: it may have been read
-// while it was written, and drains would take everything down at once.
+// readBudgets reads the budgets. A file without a budget for services is refused: the file
+// may have been read while it was being written, and without budgets a drain could stop all
+// tasks at once.
 func readBudgets(p *properties.Properties, budgets *disruption.Budgets, s *settings.Settings) error {
 	hasServiceBudget := false
 	for _, key := range p.Keys() {
@@ -138,16 +139,16 @@
 	return nil
 }
 
-// budgetLine is one budget as it stands in the file.
+// budgetLine is one budget as written in the file.
 type budgetLine struct {
-	key             string // the whole properties key
+	key             string // the complete properties key
 	name            string // TEAM, TEAM/CLASS or settings.AnyTeam
 	text            string // the amount, or unlimited
-	isInterruptions bool   // a budget of interruptions of job arrays and gangs, not of services
+	isInterruptions bool   // whether it limits interruptions of job arrays and gangs, not unavailable tasks of services
 }
 
-// newBudgetLine returns the budget of a properties key, and false for a key that is not
-// one of a budget.
+// newBudgetLine returns the budget that a properties key sets. It returns false if the key
+// does not set a budget.
 func newBudgetLine(key, text string) (budgetLine, bool) {
 	line := budgetLine{key: key, text: strings.TrimSpace(text)}
 	var found bool
@@ -159,7 +160,7 @@
 	return line, found
 }
 
-// addTo checks the budget and adds it to those that were read before.
+// addTo checks the budget and adds it to budgets.
 func (l budgetLine) addTo(budgets *disruption.Budgets, s *settings.Settings) error {
 	if l.text == unlimited && l.name == settings.AnyTeam {
 		return nil
@@ -169,7 +170,7 @@
 		return settings.Invalid(l.key, "%w", err)
 	}
 	if l.isInterruptions && amount.IsPercent {
-		return settings.Invalid(l.key, "must be a number: a share is of services, whose tasks should all be up")
+		return settings.Invalid(l.key, "must be a number: only a budget of services can be a share")
 	}
 	switch {
 	case l.name == settings.AnyTeam && l.isInterruptions:
--- a/settings/load/draining_test.go
+++ b/settings/load/draining_test.go
@@ -8,8 +8,8 @@
 	"ravenport/disruption"
 )
 
-// The shipped file gives every team a budget; a bad field is named, whatever is wrong
-// with it, and an unknown one ignored.
+// The shipped file sets a budget for every team. An error names the invalid field for every
+// kind of error, and an unknown field is ignored.
 func TestDrainingSettings(t *testing.T) {
 	s, err := ParseSettings([]byte(strings.Replace(validSettings(t), "[facts.workers]", "[[facts.objectives]]\nkind = \"wait\"\nclass = \"train\"\nwithin_s = 1.0\nshare = 0.9\n[facts.workers]", 1)))
 	if err != nil {
--- a/settings/load/duties.go
+++ b/settings/load/duties.go
@@ -2,7 +2,7 @@
 
 import "ravenport/settings"
 
-// Duties reads and checks the file of duties.
+// Duties reads and checks the duties file.
 func Duties(path string) (settings.Duties, error) {
 	text, err := readFile(path)
 	if err != nil {
@@ -11,7 +11,7 @@
 	return ParseDuties(text)
 }
 
-// ParseDuties parses and checks the settings of duties.
+// ParseDuties parses and checks the text of the duties file.
 func ParseDuties(text []byte) (settings.Duties, error) {
 	p, err := parseProperties("duties", text)
 	if err != nil {
--- a/settings/load/duties_test.go
+++ b/settings/load/duties_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// The shipped file switches everything on; a bad field is named, an unknown one
-// ignored.
+// The shipped file enables all duties settings. An error names the invalid field, and an
+// unknown field is ignored.
 func TestDutiesSettings(t *testing.T) {
 	if d, err := Duties("../../deploy/duties.properties"); err != nil || !d.CloseBeforeScaleIn {
 		t.Errorf("%+v, %v", d, err)
--- a/settings/load/load.go
+++ b/settings/load/load.go
@@ -1,7 +1,7 @@
-// Package load reads and parses the files of package settings: the platform's settings
-// file (TOML) and the operators' files (Java-style properties). Every error about a file's
-// content, and about a file that cannot be read, is a *settings.FieldError. Unknown
-// fields are ignored everywhere.
+// Package load reads and parses the files that package settings describes: the platform's
+// settings file (TOML) and the operators' files (Java-style properties). It returns a
+// *settings.FieldError for each invalid content and for each file that cannot be read.
+// Unknown fields are ignored in all files.
 package load
 
 import (
@@ -15,12 +15,13 @@
 	"ravenport/settings"
 )
 
-// DefaultPropertiesFile is the name of the operators' own settings beside the settings file.
+// DefaultPropertiesFile is the default name of the file with the operators' own settings. It
+// is in the directory of the platform's settings file.
 const DefaultPropertiesFile = "ravenport.properties"
 
 // Settings reads and checks the platform's settings file and the operators' own settings.
-// An empty propertiesPath is DefaultPropertiesFile beside the settings file, which may be
-// missing.
+// If propertiesPath is empty, the operators' settings are read from DefaultPropertiesFile in
+// the directory of the settings file, if that file exists.
 func Settings(path, propertiesPath string) (*settings.Settings, error) {
 	text, err := readFile(path)
 	if err != nil {
@@ -41,8 +42,8 @@
 	return s, nil
 }
 
-// ParseSettings parses and checks the text of the platform's settings file. The operators'
-// own settings are their defaults.
+// ParseSettings parses and checks the text of the platform's settings file. It sets the
+// operators' own settings to their defaults.
 func ParseSettings(text []byte) (*settings.Settings, error) {
 	var s settings.Settings
 	if err := toml.Unmarshal(text, &s); err != nil {
@@ -59,8 +60,8 @@
 	return &s, nil
 }
 
-// readProperties reads the file of the operators' own settings. One that is not named and
-// cannot be read counts as empty.
+// readProperties reads the file of the operators' own settings. The default file counts as
+// empty if it cannot be read.
 func readProperties(settingsPath, propertiesPath string) ([]byte, error) {
 	if propertiesPath != "" {
 		return readFile(propertiesPath)
@@ -72,7 +73,7 @@
 	return text, nil
 }
 
-// readFile reads a file; the error names its path.
+// readFile reads a file. If this fails, it returns a FieldError that names the path.
 func readFile(path string) ([]byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/settings/load/load_test.go
+++ b/settings/load/load_test.go
@@ -11,7 +11,7 @@
 	"ravenport/settings"
 )
 
-// validSettings is the text of a valid settings file, which tests change in places.
+// validSettings returns the text of a valid settings file. Tests replace parts of it.
 func validSettings(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile("testdata/settings.toml")
@@ -40,7 +40,7 @@
 	}
 }
 
-// An invalid setting is refused by its name.
+// An invalid setting is refused with an error that names the field.
 func TestInvalidSettings(t *testing.T) {
 	valid := validSettings(t)
 	for _, c := range []struct{ from, to, field string }{
@@ -62,14 +62,15 @@
 	} {
 		text := strings.Replace(valid, c.from, c.to, 1)
 		if text == valid {
-			t.Fatalf("%q is not in the text", c.from)
+			t.Fatalf("the valid settings do not contain %q", c.from)
 		}
 		_, err := ParseSettings([]byte(text))
 		wantFieldError(t, err, c.field, c.to)
 	}
 }
 
-// The smaller of present and later limits counts, and a limit without a later one stays.
+// The smaller of a present and a later limit applies. A limit without a later value does not
+// change.
 func TestNextLimits(t *testing.T) {
 	valid := validSettings(t)
 	for _, c := range []struct {
@@ -91,8 +92,8 @@
 	}
 }
 
-// The operators' file beside the settings file is read if it is there; one that is named
-// must be there, and so must the settings file.
+// The operators' file in the directory of the settings file is optional. An operators' file
+// that is named explicitly must exist, and so must the settings file.
 func TestSettingsFiles(t *testing.T) {
 	dir := t.TempDir()
 	path, defaultFile, missing := filepath.Join(dir, "settings.toml"), filepath.Join(dir, DefaultPropertiesFile), filepath.Join(dir, "named")
--- a/settings/load/operator.go
+++ b/settings/load/operator.go
@@ -9,7 +9,7 @@
 // Bounds of the operators' own settings.
 var (
 	leaseMillisecondBounds = floatBounds{2000, 60_000}
-	idleSecondBounds       = floatBounds{0, 86_400} // at most a day
+	idleSecondBounds       = floatBounds{0, 86_400} // up to one day
 )
 
 // ParseOperator parses and checks the text of the operators' own settings.
--- a/settings/load/properties.go
+++ b/settings/load/properties.go
@@ -10,8 +10,8 @@
 	"ravenport/settings"
 )
 
-// parseProperties parses the text of a properties file. The file's name stands for the
-// field in an error.
+// parseProperties parses the text of a properties file. If the text is invalid, the error
+// gives name in place of a field.
 func parseProperties(name string, text []byte) (*properties.Properties, error) {
 	parsed, err := properties.Load(text, properties.UTF8)
 	if err != nil {
@@ -20,15 +20,15 @@
 	return parsed, nil
 }
 
-// durationSetting is a duration in milliseconds with its bounds. target holds the default
-// until the field is read.
+// durationSetting is a setting in milliseconds with its bounds. Its target holds the default
+// until the setting is read.
 type durationSetting struct {
 	key      string
 	target   *time.Duration
 	min, max time.Duration
 }
 
-// readDurations reads fields that are whole numbers of milliseconds.
+// readDurations reads settings that are whole numbers of milliseconds.
 func readDurations(p *properties.Properties, fields []durationSetting) error {
 	for _, f := range fields {
 		bounds := intBounds{int(f.min.Milliseconds()), int(f.max.Milliseconds())}
@@ -41,10 +41,10 @@
 	return nil
 }
 
-// intBounds are the smallest and the largest value of a field.
+// intBounds holds the smallest and the largest valid value of a field.
 type intBounds struct{ min, max int }
 
-// readInt reads a whole number; a missing one is the default.
+// readInt reads a whole number. It returns defaultValue if the key is missing.
 func readInt(p *properties.Properties, key string, defaultValue int, bounds intBounds) (int, error) {
 	text, ok := p.Get(key)
 	if !ok {
@@ -57,11 +57,11 @@
 	return n, nil
 }
 
-// floatBounds are the smallest and the largest value of a field.
+// floatBounds holds the smallest and the largest valid value of a field.
 type floatBounds struct{ min, max float64 }
 
-// readFloat reads a number; a missing one is the default. Text after the number is
-// ignored.
+// readFloat reads a number. It returns defaultValue if the key is missing. Text after the
+// number is ignored.
 func readFloat(p *properties.Properties, key string, defaultValue float64, bounds floatBounds) (float64, error) {
 	text, ok := p.Get(key)
 	if !ok {
@@ -74,7 +74,7 @@
 	return value, nil
 }
 
-// readBool reads true or false; a missing value is the default.
+// readBool reads true or false. It returns defaultValue if the key is missing.
 func readBool(p *properties.Properties, key string, defaultValue bool) (bool, error) {
 	text, ok := p.Get(key)
 	if !ok {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,7 +1,7 @@
-// Package settings holds what a controller is configured with: the platform's settings,
-// the operators' own settings and those of the optional features, their defaults and
-// checks, and what the program derives from them (times, limits and shares). It reads no
-// files; package settings/load does.
+// Package settings holds the configuration of a controller: the platform's settings, the
+// operators' own settings and the settings of optional features, with their defaults and
+// checks. It also derives times, limits and shares from them. Package settings/load reads
+// the files; this package reads none.
 package settings
 
 import (
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// Settings are all settings of one controller. The fields with TOML keys come from the
+// Settings holds all settings of one controller. The fields with TOML keys come from the
 // platform's settings file, the others from the operators' files.
 type Settings struct {
-	// Controller is this controller's name, and Zone the zone that it runs in.
+	// Controller is this controller's name. Zone is the zone in which this controller runs.
 	Controller string `toml:"node"`
 	Zone       string `toml:"domain"`
-	// Listen is the address for users, workers and health checks, and PeerAddr the one
-	// for the other controllers; both are IP addresses with a port.
+	// Listen is the address that serves users, workers and health checks. PeerAddr is the
+	// address that serves the other controllers. Both are IP addresses with a port.
 	Listen     string     `toml:"bind"`
 	PeerAddr   string     `toml:"back"`
 	Peers      []Peer     `toml:"siblings"`
@@ -38,7 +38,7 @@
 	Addr       string `toml:"peer_addr"`
 }
 
-// Services are the addresses of the services that the controllers use.
+// Services holds the addresses of the services that the controllers call.
 type Services struct {
 	Cloud string `toml:"cloud"`
 	Store string `toml:"state"`
@@ -57,37 +57,38 @@
 	Limits        MachineLimits `toml:"machine_limits"`
 }
 
-// WorkerTimes are the times that workers keep to, in seconds.
+// WorkerTimes holds the periods and timeouts that workers apply, in seconds.
 type WorkerTimes struct {
 	// HeartbeatS is the time between two heartbeats of a worker.
 	HeartbeatS float64 `toml:"report_s"`
-	// LeaseS is how long a worker runs its tasks on without a reply to its heartbeats.
+	// LeaseS is how long a worker keeps running its tasks without a reply to its heartbeats.
 	LeaseS float64 `toml:"lease_s"`
-	// CancelTimeoutS is within which time all tasks of a canceled job must have ended.
+	// CancelTimeoutS is the time within which all tasks of a canceled job must have ended.
 	CancelTimeoutS float64 `toml:"cancel_s"`
-	// GangWaitTimeoutS is after which time a gang task that waits for the others gives up.
+	// GangWaitTimeoutS is the time after which a gang task stops waiting for the other tasks
+	// of its gang.
 	GangWaitTimeoutS float64 `toml:"gang_wait_s"`
-	// GangPeerTimeoutS is within which time the tasks of a gang notice that another one is gone
-	// or is being stopped.
+	// GangPeerTimeoutS is the time within which the tasks of a gang detect that another task
+	// of the gang has ended or is being stopped.
 	GangPeerTimeoutS float64 `toml:"gang_peer_s"`
 }
 
-// Store are the limits of the key-value store.
+// Store holds the present and later limits of the key-value store.
 type Store struct {
 	StoreLimits
-	// Next are the limits that come into force at some later moment, unannounced.
+	// Next holds the limits that come into force later, at a time that is not announced.
 	Next NextLimits `toml:"next"`
 }
 
-// StoreLimits are limits of the key-value store, which all controllers share.
+// StoreLimits holds limits of the key-value store, which all controllers share.
 type StoreLimits struct {
-	RPS      float64 `toml:"rps"`       // requests a second
-	WriteRPS float64 `toml:"write_rps"` // of those, writes a second
-	ValueKB  float64 `toml:"value_kb"`  // size of a value (KiB)
-	TxnOps   int     `toml:"txn_ops"`   // changes in one transaction
+	RPS      float64 `toml:"rps"`       // requests per second
+	WriteRPS float64 `toml:"write_rps"` // of those requests, writes per second
+	ValueKB  float64 `toml:"value_kb"`  // maximum size of a value (KiB)
+	TxnOps   int     `toml:"txn_ops"`   // maximum number of changes in one transaction
 }
 
-// NextLimits are later limits of the key-value store; one that is nil stays as it is.
+// NextLimits holds later limits of the key-value store. A nil limit does not change.
 type NextLimits struct {
 	RPS      *float64 `toml:"rps"`
 	WriteRPS *float64 `toml:"write_rps"`
@@ -95,23 +96,23 @@
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
-// Cloud describes the cloud's interface.
+// Cloud describes the limits of the cloud's API.
 type Cloud struct {
-	// RPS is how many calls a second all controllers may make together.
+	// RPS is how many calls per second all controllers may make together.
 	RPS float64 `toml:"rps"`
 	// ListLagS is how many seconds the cloud's list of machines may be out of date.
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
-// MachineLimits are the limits of the machine that a controller runs on; 0 is unknown.
+// MachineLimits holds the limits of the machine that a controller runs on; 0 means unknown.
 type MachineLimits struct {
-	CPU            float64 `toml:"cpu"` // processors, or a share of one
+	CPU            float64 `toml:"cpu"` // number of processors; may be a fraction
 	MemoryMB       float64 `toml:"memory_mb"`
-	MaxConnections int     `toml:"max_connections"` // open sockets
+	MaxConnections int     `toml:"max_connections"` // maximum number of open sockets
 }
 
-// Team is a team with its guaranteed quota and its quota limit, as amounts of CPUs and GPUs
-// that its tasks take together; a limit of 0 is none.
+// Team is a team with its guaranteed quota and its quota limit: amounts of CPUs and GPUs that
+// the team's tasks use together. A limit of 0 means that there is no limit.
 type Team struct {
 	Name           string  `toml:"name"`
 	GuaranteedCPUs float64 `toml:"cpus"`
@@ -120,8 +121,8 @@
 	LimitGPUs      float64 `toml:"gpus_max"`
 }
 
-// Objective is a service-level objective: a share of the jobs of a class has started
-// (kind "wait") or finished (kind "finished") within a time.
+// Objective is a service-level objective: the given share of the jobs of a class must have
+// started (kind "wait") or finished (kind "finished") within the given time.
 type Objective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
@@ -129,7 +130,7 @@
 	Share   float64 `toml:"share"`
 }
 
-// Team returns the team of a name, or nil.
+// Team returns the team with the given name, or nil if there is none.
 func (s *Settings) Team(name string) *Team {
 	for i := range s.Deployment.Teams {
 		if s.Deployment.Teams[i].Name == name {
@@ -139,7 +140,7 @@
 	return nil
 }
 
-// ZoneIndex returns the index of a zone, and whether there is a zone of that name.
+// ZoneIndex returns the index of a zone, and whether there is a zone with that name.
 func (d *Deployment) ZoneIndex(name string) (int, bool) {
 	i := slices.Index(d.Zones, name)
 	return i, i >= 0
--- a/settings/timing_test.go
+++ b/settings/timing_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Cancellation: an owner that no longer hears of one must have stopped answering, and its
-// workers' leases expired, before cancel_s is over.
+// An owner that is cut off does not learn of cancellations. Before cancel_s has passed, the
+// owner must have stopped answering heartbeats, and its workers' leases must have expired.
 func TestAuthorityLeavesTimeForCancellation(t *testing.T) {
 	for _, cancelS := range []float64{56, 30, 20} {
 		s := Settings{Operator: DefaultOperator()}
