--- a/cmd/ravenport/check.go
+++ b/cmd/ravenport/check.go
@@ -28,7 +28,7 @@
 	return check
 }
 
-// printSettings prints what follows from valid settings.
+// printSettings prints a summary of valid settings and the values derived from them.
 func printSettings(out io.Writer, s *settings.Settings) {
 	authority, shortened := s.Authority()
 	fmt.Fprintf(out, "settings are good: node %s in %s, %d controllers, authority %s, failure detection %s, draining %s\n",
--- a/cmd/ravenport/check_test.go
+++ b/cmd/ravenport/check_test.go
@@ -10,7 +10,7 @@
 	"ravenport/settings"
 )
 
-// A bad file of failure detection is refused with the field's name.
+// An invalid failure detection file is refused with an error that names the field.
 func TestDetectionFileIsChecked(t *testing.T) {
 	dir := t.TempDir()
 	config, detection := filepath.Join(dir, "settings.toml"), filepath.Join(dir, "detection.properties")
--- a/cmd/ravenport/drain.go
+++ b/cmd/ravenport/drain.go
@@ -14,8 +14,8 @@
 	"ravenport/settings"
 )
 
-// drainCommand returns the command that holds the drain subcommands. Each of them sends
-// one request to a controller and prints its reply.
+// drainCommand returns the parent command of the drain subcommands. Each subcommand sends a
+// request to a controller and prints the controller's reply.
 func drainCommand() *cobra.Command {
 	var target drainTarget
 	root := &cobra.Command{
@@ -71,8 +71,8 @@
 	}
 }
 
-// statusCommand returns the subcommand that prints drains and budgets, once or, with
-// --watch, until it is interrupted.
+// statusCommand returns the subcommand that prints drains and budgets: once, or repeatedly
+// with --watch until the user interrupts it.
 func statusCommand(target *drainTarget) *cobra.Command {
 	var watch bool
 	cmd := &cobra.Command{
@@ -91,8 +91,8 @@
 	return cmd
 }
 
-// watchStatus prints the status again and again until it is interrupted. An error does
-// not end it: the controller may be away for a moment.
+// watchStatus prints the status repeatedly until the user interrupts it. It prints an error
+// and continues, because the controller may be unreachable for only a moment.
 func watchStatus(cmd *cobra.Command, target *drainTarget) {
 	ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt)
 	defer stop()
--- a/cmd/ravenport/drain_test.go
+++ b/cmd/ravenport/drain_test.go
@@ -9,7 +9,8 @@
 	"ravenport/settings"
 )
 
-// An invalid flag or argument is refused by its name before any controller is called.
+// An invalid flag or argument is refused, with an error that names it, before any controller
+// is called.
 func TestInvalidDrainFlags(t *testing.T) {
 	for _, c := range []struct {
 		field string
@@ -33,7 +34,8 @@
 	}
 }
 
-// The age of machines is a duration, or counted back from now to a time.
+// The minimum age of machines is given as a duration, or as a time from which the age is
+// computed.
 func TestDrainSelection(t *testing.T) {
 	now := time.Date(2026, 5, 4, 12, 0, 0, 0, time.UTC)
 	for _, rentedBefore := range []string{"72h", "2026-05-01T12:00:00Z"} {
--- a/cmd/ravenport/drainprint.go
+++ b/cmd/ravenport/drainprint.go
@@ -13,7 +13,7 @@
 // columnGap is the number of spaces between two columns of a table.
 const columnGap = 2
 
-// printReply prints a reply for people.
+// printReply prints a reply as text for people to read.
 func printReply(out io.Writer, op peer.DrainOp, reply *peer.DrainReply) {
 	if reply.Status != nil {
 		printStatus(out, reply.Status)
@@ -27,7 +27,7 @@
 	}
 }
 
-// newTable returns a writer that aligns columns which are separated by tabs.
+// newTable returns a writer that aligns tab-separated columns.
 func newTable(out io.Writer) *tabwriter.Writer {
 	return tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)
 }
@@ -76,8 +76,8 @@
 	table.Flush()
 }
 
-// printDrain prints the rows of one drain: one for each shard, of which the first shows
-// the drain as a whole.
+// printDrain prints the rows of one drain, one for each shard. The first row also shows the
+// figures of the whole drain.
 func printDrain(table io.Writer, d peer.DrainView) {
 	wholeDrain := fmt.Sprintf("%d\t%s\t%d\t%d", d.Number, d.State, d.Machines, d.Remaining)
 	if len(d.Shards) == 0 {
--- a/cmd/ravenport/drainselection.go
+++ b/cmd/ravenport/drainselection.go
@@ -10,7 +10,8 @@
 	"ravenport/settings"
 )
 
-// selectionFlags select machines; a machine must match all that are set.
+// selectionFlags holds the flags that select machines. A machine must match all flags that
+// are set.
 type selectionFlags struct {
 	machines []string
 	zones    []string
@@ -58,8 +59,7 @@
 	return request, nil
 }
 
-// parseAge returns how long before now a time was, or the duration that is given in its
-// place.
+// parseAge parses an age: a duration, or a time, whose age at now it returns.
 func parseAge(text string, now time.Time) (time.Duration, error) {
 	age, err := time.ParseDuration(text)
 	if err != nil {
--- a/cmd/ravenport/draintarget.go
+++ b/cmd/ravenport/draintarget.go
@@ -14,11 +14,11 @@
 	"ravenport/settings/load"
 )
 
-// drainTarget is the controller that requests about drains go to, and the form in which
-// its replies are printed.
+// drainTarget is the controller to which requests about drains are sent, and the format in
+// which its replies are printed.
 type drainTarget struct {
 	controller string // an address
-	config     string // path of the settings file with the address, instead of controller
+	config     string // path of a settings file that contains the address; alternative to controller
 	json       bool
 }
 
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// callDrain sends a request to the controller at an address. A refused request is an
-// error.
+// callDrain sends a request to the controller at an address. It returns an error if the
+// controller refuses the request.
 func callDrain(ctx context.Context, address string, request peer.DrainRequest) (*peer.DrainReply, error) {
 	client, err := peer.Dial(address)
 	if err != nil {
--- a/cmd/ravenport/main.go
+++ b/cmd/ravenport/main.go
@@ -1,14 +1,14 @@
-// Command ravenport runs one controller of the cluster scheduler, and has the tools that
-// an operator needs beside it.
+// Command ravenport runs one controller of the cluster scheduler and contains tools for its
+// operators.
 //
-//	ravenport --config PATH         run a controller until it is ended
-//	ravenport check --config PATH   check the settings files and print what follows from them
-//	ravenport members HISTORY       print the membership events of a history file
+//	ravenport --config PATH         run a controller until it is stopped
+//	ravenport check --config PATH   check the settings files and print values derived from them
+//	ravenport members HISTORY       print the membership events in a history file
 //	ravenport drain SUBCOMMAND      plan, start, watch, pause, resume or cancel drains
 //
-// It logs to standard error. The exit code is 0 for success, 2 for an invalid setting,
-// flag value or environment variable, and 1 for every other failure; one line on standard
-// error says what is wrong.
+// It logs to standard error. The exit code is 0 for success, 2 for an invalid setting, flag
+// value or environment variable, and 1 for every other failure. On failure, one line on standard
+// error describes the error.
 package main
 
 import (
@@ -22,7 +22,7 @@
 	"ravenport/settings"
 )
 
-// version is the release; a build may set it.
+// version is the release version. A build can override it with -ldflags -X.
 var version = "0.1.0"
 
 // Exit codes.
--- a/cmd/ravenport/main_test.go
+++ b/cmd/ravenport/main_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// execute executes a command line and returns what it printed.
+// execute runs a command line and returns its output.
 func execute(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	var output bytes.Buffer
--- a/cmd/ravenport/members.go
+++ b/cmd/ravenport/members.go
@@ -9,8 +9,8 @@
 	"ravenport/history"
 )
 
-// membersCommand prints the membership events in a history file. If the file is damaged
-// it prints the events before the damage, and then fails.
+// membersCommand returns the subcommand that prints the membership events in a history file.
+// If the file is damaged, the subcommand prints the events before the damage and then fails.
 func membersCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "members HISTORY",
--- a/cmd/ravenport/members_test.go
+++ b/cmd/ravenport/members_test.go
@@ -11,7 +11,7 @@
 	"ravenport/history"
 )
 
-// The history is printed without any settings, up to its damage if there is one.
+// The command needs no settings files. It prints a damaged history up to the damage.
 func TestMembersCommand(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "history")
 	f, err := history.Open(path, 10)
--- a/cmd/ravenport/run.go
+++ b/cmd/ravenport/run.go
@@ -16,7 +16,7 @@
 	"ravenport/settings"
 )
 
-// bytesPerMB converts the memory limit of the settings.
+// bytesPerMB converts the memory limit in the settings to bytes.
 const bytesPerMB = 1 << 20
 
 func runCommand() *cobra.Command {
@@ -36,7 +36,7 @@
 	return run
 }
 
-// runController runs a controller until it is ended or fails.
+// runController runs a controller until a signal stops it or it fails.
 func runController(ctx context.Context, files *settingsFiles) error {
 	s, err := files.load()
 	if err != nil {
@@ -52,7 +52,8 @@
 	return controller.Run(ctx, s)
 }
 
-// setUpLogging logs to standard error at the level of the environment variable LOG_LEVEL.
+// setUpLogging sets up logging to standard error at the level that the environment variable
+// LOG_LEVEL sets.
 func setUpLogging() error {
 	level := slog.LevelInfo
 	switch name := os.Getenv("LOG_LEVEL"); name {
@@ -71,23 +72,24 @@
 	return nil
 }
 
-// limitProcessors runs as many goroutines at once as the machine's share of its
-// processors keeps busy. On a small share of one, more only wake each other up and look
-// for work in vain. Whoever sets GOMAXPROCS has decided otherwise.
+// limitProcessors limits the number of goroutines that run at once to the machine's CPU
+// share, rounded up to whole processors. On a small share of one processor, more threads
+// would only wake each other and search for work without finding any. An explicit
+// GOMAXPROCS takes precedence.
 func limitProcessors(s *settings.Settings) {
 	if n := s.ProcessorCount(); n > 0 && os.Getenv("GOMAXPROCS") == "" {
 		runtime.GOMAXPROCS(min(n, runtime.GOMAXPROCS(0)))
 	}
 }
 
-// limitMemory keeps the heap well within the machine's memory.
+// limitMemory limits the heap to a share of the machine's memory.
 func limitMemory(s *settings.Settings) {
 	memoryMB := s.Deployment.Limits.MemoryMB
 	if memoryMB <= 0 {
 		return
 	}
 	debug.SetMemoryLimit(int64(memoryMB * constants.HeapMemoryShare * bytesPerMB))
-	// Collections cost processor time, of which there is little, while the limit keeps
-	// the heap in bounds.
+	// Collections are made less often to save processor time, which is scarce. The memory
+	// limit still bounds the heap.
 	debug.SetGCPercent(constants.GCPercent)
 }
--- a/cmd/ravenport/settingsfiles.go
+++ b/cmd/ravenport/settingsfiles.go
@@ -7,8 +7,8 @@
 	"ravenport/settings/load"
 )
 
-// settingsFiles are the paths of a controller's settings files; all but config may be
-// empty.
+// settingsFiles holds the paths of a controller's settings files. All paths except config
+// are optional.
 type settingsFiles struct {
 	config     string
 	properties string
@@ -30,7 +30,7 @@
 	}
 }
 
-// load reads and checks the files.
+// load reads and checks the settings files.
 func (f *settingsFiles) load() (*settings.Settings, error) {
 	s, err := load.Settings(f.config, f.properties)
 	if err != nil {
