--- a/history/event.go
+++ b/history/event.go
@@ -1,5 +1,5 @@
-// Package history keeps a bounded record of membership events in a compressed file.
-// A truncated or damaged file is read up to the damage and never keeps a program from
+// Package history stores a bounded number of recent membership events in a compressed file.
+// A truncated or damaged file is read up to the damage. It never prevents a program from
 // starting.
 package history
 
@@ -9,9 +9,10 @@
 	"time"
 )
 
-// Event is one change of a controller's state as an observer saw it, with its evidence.
+// Event is one change of a controller's state as seen by an observer, with the evidence for
+// the change.
 type Event struct {
-	At          time.Time `json:"at"` // time of day of the observer
+	At          time.Time `json:"at"` // wall clock time at the observer
 	Observer    string    `json:"by"`
 	Controller  string    `json:"node"`
 	Incarnation uint64    `json:"proc"`
--- a/history/file.go
+++ b/history/file.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// damagedSuffix is added to the name of a damaged file, which is kept beside the
-	// new one.
+	// damagedSuffix is appended to the name of a damaged file, which is kept in the same
+	// directory as the new file.
 	damagedSuffix = ".damaged"
-	// temporarySuffix is added to the name of a file until it replaces the present one.
+	// temporarySuffix is appended to the name of a new file until it replaces the present
+	// file.
 	temporarySuffix = ".new"
 	fileMode        = 0o600
 )
 
-// DamageError says up to where a file could be read, and why no further.
+// DamageError reports the position up to which a damaged file could be read, and the cause.
 type DamageError struct {
 	Path   string
-	Offset int // bytes that are sound
-	Events int // events read from them
+	Offset int // number of intact bytes before the damage
+	Events int // number of events in the intact bytes
 	Cause  error
 }
 
@@ -32,17 +33,17 @@
 // Unwrap returns the cause.
 func (d *DamageError) Unwrap() error { return d.Cause }
 
-// File appends events to a history. It is used by one goroutine.
+// File appends events to a history file. It is not safe for concurrent use.
 type File struct {
 	path      string
-	minEvents int // events that are kept at least, once there are so many
+	minEvents int // minimum number of events to keep, once as many were appended
 	codec     *codec
 	events    []Event // the latest, at most twice minEvents
 }
 
-// Open opens or creates a history that keeps at least the latest minEvents events. If
-// the file is damaged, its sound part is kept, the file itself is renamed, and the
-// error is a *DamageError beside a File that can be used.
+// Open opens or creates a history file that keeps at least the latest minEvents events. If
+// the file is damaged, Open renames it and creates a new file with the latest events from
+// before the damage. Open then returns both a usable File and a *DamageError.
 func Open(path string, minEvents int) (*File, error) {
 	c, err := newCodec()
 	if err != nil {
@@ -60,7 +61,7 @@
 	return f, nil
 }
 
-// load reads the file, renames it if it is damaged, and writes it anew with the latest
+// load reads the file, renames it if it is damaged, and writes a new file with the latest
 // events.
 func (f *File) load() (*DamageError, error) {
 	events, err := f.read()
@@ -71,14 +72,14 @@
 	f.events = latest(events, f.minEvents)
 	if damage != nil {
 		if err := os.Rename(f.path, f.path+damagedSuffix); err != nil {
-			return nil, fmt.Errorf("history: putting a damaged file aside: %w", err)
+			return nil, fmt.Errorf("history: renaming a damaged file: %w", err)
 		}
 	}
 	return damage, f.rewrite()
 }
 
-// Read reads the events of a history. A damaged one gives those before the damage
-// and a *DamageError.
+// Read reads the events in a history file. If the file is damaged, Read returns the events
+// before the damage and a *DamageError.
 func Read(path string) ([]Event, error) {
 	c, err := newCodec()
 	if err != nil {
@@ -91,7 +92,7 @@
 	return (&File{path: path, codec: c}).read()
 }
 
-// read reads the file; a missing one is empty.
+// read reads the file. A missing file has no events.
 func (f *File) read() ([]Event, error) {
 	data, err := os.ReadFile(f.path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -107,8 +108,8 @@
 	return events, nil
 }
 
-// Append adds events to the file. Once it holds more than twice the events to be kept, it
-// is written anew with the latest.
+// Append appends events to the file. When the number of events exceeds twice the minimum to
+// be kept, Append rewrites the file with only the latest events.
 func (f *File) Append(events ...Event) error {
 	f.events = append(f.events, events...)
 	if len(f.events) > 2*f.minEvents {
@@ -133,11 +134,11 @@
 // Latest returns up to n of the latest events, oldest first.
 func (f *File) Latest(n int) []Event { return slices.Clone(latest(f.events, n)) }
 
-// Close frees what the file uses.
+// Close releases the resources of the File.
 func (f *File) Close() { f.codec.close() }
 
-// rewrite replaces the file by one with the events that are kept. A concurrent reader
-// sees the one or the other.
+// rewrite atomically replaces the file by one with the events that are kept. A concurrent
+// reader sees either the old file or the new one.
 func (f *File) rewrite() error {
 	data := []byte(magic)
 	if len(f.events) > 0 {
--- a/history/frame.go
+++ b/history/frame.go
@@ -11,31 +11,32 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// A file is its magic line and then frames: the payload's length and checksum, four
-// bytes each, and the payload, which is a compressed list of events in JSON.
+// A file consists of a magic line followed by frames. A frame consists of the payload's
+// length and checksum (four bytes each) and the payload, a compressed JSON list of events.
 const (
 	magic            = "ravenport membership history 1\n"
 	checksumOffset   = 4
 	frameHeaderBytes = 8
-	// maxPayloadBytes bounds a frame (bytes), so that a damaged length allocates no memory.
+	// maxPayloadBytes bounds a payload's length, so that a damaged length field does not
+	// cause a large allocation.
 	maxPayloadBytes = 1 << 20
-	// maxDecompressedBytes bounds a payload's decompressed size (bytes).
+	// maxDecompressedBytes bounds a payload's decompressed size.
 	maxDecompressedBytes = 16 << 20
-	// encoderWindowBytes is the compressor's window (bytes).
+	// encoderWindowBytes is the size of the compressor's window.
 	encoderWindowBytes = zstd.MinWindowSize << 6
 )
 
 var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
-// Causes of damage. DamageError adds the package's prefix.
+// Causes in a DamageError. The DamageError's message adds the prefix "history: ".
 var (
 	errNotHistory       = errors.New("not a membership history")
 	errTruncated        = errors.New("the last frame is incomplete")
-	errFrameLength      = errors.New("a frame's length is impossible")
+	errFrameLength      = errors.New("a frame's length exceeds the maximum")
 	errChecksumMismatch = errors.New("a frame's checksum does not match")
 )
 
-// codec compresses and decompresses payloads. It is used by one goroutine.
+// codec compresses and decompresses payloads. It is not safe for concurrent use.
 type codec struct {
 	encoder *zstd.Encoder
 	decoder *zstd.Decoder
@@ -54,11 +55,11 @@
 }
 
 func (c *codec) close() {
-	_ = c.encoder.Close() // it has no writer, so there is nothing to flush
+	_ = c.encoder.Close() // the encoder has no writer, so there is nothing to flush
 	c.decoder.Close()
 }
 
-// appendFrame appends a frame with the events to a file's bytes.
+// appendFrame appends a frame with the events to data, the bytes of a file.
 func (c *codec) appendFrame(data []byte, events []Event) ([]byte, error) {
 	text, err := json.Marshal(events)
 	if err != nil {
@@ -70,8 +71,8 @@
 	return append(data, payload...), nil
 }
 
-// parse decodes a file's bytes up to the first damage. intact is how many of them are
-// sound.
+// parse decodes the bytes of a file up to the first damage. intactBytes is the number of
+// bytes before the damage.
 func (c *codec) parse(data []byte) (events []Event, intactBytes int, damage error) {
 	if len(data) == 0 {
 		return nil, 0, nil
@@ -91,7 +92,7 @@
 	return events, intactBytes, nil
 }
 
-// parseFrame decodes the first frame of data. size is its length in bytes.
+// parseFrame decodes the first frame of data. size is the frame's length in bytes.
 func (c *codec) parseFrame(data []byte) (events []Event, size int, err error) {
 	if len(data) < frameHeaderBytes {
 		return nil, 0, errTruncated
--- a/history/fuzz_test.go
+++ b/history/fuzz_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// FuzzParseFile: whatever a file holds, reading it does not panic, and what it counts as
-// sound is read again without damage.
+// FuzzParseFile checks that parsing arbitrary bytes does not panic, and that the bytes
+// reported as intact parse again without damage.
 func FuzzParseFile(f *testing.F) {
 	c, err := newCodec()
 	if err != nil {
@@ -26,11 +26,11 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		events, intactBytes, damage := c.parse(data)
 		if intactBytes < 0 || intactBytes > len(data) || damage == nil && intactBytes != len(data) {
-			t.Fatalf("%d of %d bytes count as sound, damage %v", intactBytes, len(data), damage)
+			t.Fatalf("%d of %d bytes are reported as intact, damage %v", intactBytes, len(data), damage)
 		}
 		reparsed, _, damage := c.parse(data[:intactBytes])
 		if damage != nil || len(reparsed) != len(events) {
-			t.Errorf("%d events, and %d of the sound part, damage %v", len(events), len(reparsed), damage)
+			t.Errorf("%d events, but %d after parsing the intact bytes again, damage %v", len(events), len(reparsed), damage)
 		}
 	})
 }
--- a/history/history_test.go
+++ b/history/history_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// Everything that was appended is read again in order, over restarts; only the
-// latest are kept, in a file whose size has a bound.
+// Appended events are read back in order after restarts. Only the latest events are kept, and
+// the size of the file is bounded.
 func TestHistoryIsKeptWithinItsLimit(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "members")
 	const limit = 50
@@ -84,8 +84,8 @@
 	return damaged
 }
 
-// A truncated file, and one with any byte changed, is read up to the damage, reported,
-// renamed, and goes on to be written.
+// A file that is truncated or has one byte changed is read up to the damage. The damage is
+// reported, the file is renamed, and appending to the history continues in a new file.
 func TestDamagedHistoryIsReadUpToTheDamage(t *testing.T) {
 	dir := t.TempDir()
 	originalPath := filepath.Join(dir, "whole")
@@ -139,12 +139,12 @@
 	})
 	for _, cause := range []error{errNotHistory, errTruncated, errChecksumMismatch} {
 		if !foundCauses[cause] {
-			t.Errorf("never brought about: %v", cause)
+			t.Errorf("no input caused: %v", cause)
 		}
 	}
 }
 
-// A frame length beyond the bound is damage.
+// A frame length above the maximum is reported as damage.
 func TestImpossibleFrameLengthIsDamage(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "members")
 	huge := append([]byte(magic), 0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0)
@@ -152,11 +152,11 @@
 		t.Fatal(err)
 	}
 	if _, err := Read(path); !errors.Is(err, errFrameLength) {
-		t.Errorf("an impossible length: %v", err)
+		t.Errorf("a frame length above the maximum: %v", err)
 	}
 }
 
-// Reading what is not there is an error; opening it makes it.
+// Reading a missing file is an error; opening a missing file creates it.
 func TestMissingHistory(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "members")
 	if _, err := Read(path); !errors.Is(err, os.ErrNotExist) {
@@ -174,7 +174,7 @@
 	}
 }
 
-// Events keep the names of their stored fields.
+// The names of the fields in stored events do not change.
 func TestStoredFormOfEvents(t *testing.T) {
 	const want = `{"at":"1970-01-01T00:00:03Z","by":"n-0","node":"n-3","proc":4,"from":"alive","to":"suspect","ev":["unserved"],"acc":["n-0","n-1"]}`
 	stored, err := json.Marshal(testEvent(3))
