--- a/settings/limits.go
+++ b/settings/limits.go
@@ -107,7 +107,8 @@
 }
 
 // RoundBudget is the maximum duration of a round of decisions. On less than one processor
-// it is longer, so that a round gets the same processor time as on a whole processor.
+// it is longer, up to constants.MaxRoundBudget, so that a round gets the same processor time
+// as on a whole processor.
 func (s *Settings) RoundBudget() time.Duration {
 	if share := s.Deployment.Limits.CPU; share <= 0 || share >= 1 {
 		return constants.RoundBudget
--- a/settings/load/draining.go
+++ b/settings/load/draining.go
@@ -169,6 +169,8 @@
 	if err != nil {
 		return settings.Invalid(l.key, "%w", err)
 	}
+	// A share is of the tasks of services, all of which should be available. The tasks of arrays
+	// and gangs are not meant to be available at all times.
 	if l.isInterruptions && amount.IsPercent {
 		return settings.Invalid(l.key, "must be a number: only a budget of services can be a share")
 	}
