--- a/history/frame.go
+++ b/history/frame.go
@@ -11,42 +11,43 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// A file is its magic line and then frames: the payload's length and checksum, four
-// bytes each, and the payload, which is a compressed list of events in JSON.
+// A file consists of a magic line followed by frames. A frame consists of the payload's
+// length and checksum (four bytes each) and the payload, a compressed JSON list of events.
 const (
-	magic          = "ravenport membership history 1\n"
-	checksumOffset = 4
-	frameHeader    = 8
-	// maxPayload bounds a frame (bytes), so that a damaged length allocates no memory.
-	maxPayload = 1 << 20
-	// maxDecompressed bounds a payload's decompressed size (bytes).
-	maxDecompressed = 16 << 20
-	// encoderWindow is the compressor's window (bytes).
-	encoderWindow = zstd.MinWindowSize << 6
+	magic            = "ravenport membership history 1\n"
+	checksumOffset   = 4
+	frameHeaderBytes = 8
+	// maxPayloadBytes bounds a payload's length, so that a damaged length field does not
+	// cause a large allocation.
+	maxPayloadBytes = 1 << 20
+	// maxDecompressedBytes bounds a payload's decompressed size.
+	maxDecompressedBytes = 16 << 20
+	// encoderWindowBytes is the size of the compressor's window.
+	encoderWindowBytes = zstd.MinWindowSize << 6
 )
 
 var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
-// Causes of damage. DamageError adds the package's prefix.
+// Causes in a DamageError. The DamageError's message adds the prefix "history: ".
 var (
 	errNotHistory       = errors.New("not a membership history")
 	errTruncated        = errors.New("the last frame is incomplete")
-	errFrameLength      = errors.New("a frame's length is impossible")
+	errFrameLength      = errors.New("a frame's length exceeds the maximum")
 	errChecksumMismatch = errors.New("a frame's checksum does not match")
 )
 
-// codec compresses and decompresses payloads. It is used by one goroutine.
+// codec compresses and decompresses payloads. It is not safe for concurrent use.
 type codec struct {
 	encoder *zstd.Encoder
 	decoder *zstd.Decoder
 }
 
 func newCodec() (*codec, error) {
-	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(encoderWindow))
+	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(encoderWindowBytes))
 	if err != nil {
 		return nil, fmt.Errorf("history: %w", err)
 	}
-	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecompressed))
+	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecompressedBytes))
 	if err != nil {
 		return nil, fmt.Errorf("history: %w", err)
 	}
@@ -54,11 +55,11 @@
 }
 
 func (c *codec) close() {
-	_ = c.encoder.Close() // it has no writer, so there is nothing to flush
+	_ = c.encoder.Close() // the encoder has no writer, so there is nothing to flush
 	c.decoder.Close()
 }
 
-// appendFrame appends a frame with the events to a file's bytes.
+// appendFrame appends a frame with the events to data, the bytes of a file.
 func (c *codec) appendFrame(data []byte, events []Event) ([]byte, error) {
 	text, err := json.Marshal(events)
 	if err != nil {
@@ -70,41 +71,41 @@
 	return append(data, payload...), nil
 }
 
-// parse decodes a file's bytes up to the first damage. intact is how many of them are
-// sound.
-func (c *codec) parse(data []byte) (events []Event, intact int, damage error) {
+// parse decodes the bytes of a file up to the first damage. intactBytes is the number of
+// bytes before the damage.
+func (c *codec) parse(data []byte) (events []Event, intactBytes int, damage error) {
 	if len(data) == 0 {
 		return nil, 0, nil
 	}
 	if !bytes.HasPrefix(data, []byte(magic)) {
 		return nil, 0, errNotHistory
 	}
-	intact = len(magic)
-	for intact < len(data) {
-		frameEvents, size, err := c.parseFrame(data[intact:])
+	intactBytes = len(magic)
+	for intactBytes < len(data) {
+		frameEvents, size, err := c.parseFrame(data[intactBytes:])
 		if err != nil {
-			return events, intact, err
+			return events, intactBytes, err
 		}
 		events = append(events, frameEvents...)
-		intact += size
+		intactBytes += size
 	}
-	return events, intact, nil
+	return events, intactBytes, nil
 }
 
-// parseFrame decodes the first frame of data. size is its length in bytes.
+// parseFrame decodes the first frame of data. size is the frame's length in bytes.
 func (c *codec) parseFrame(data []byte) (events []Event, size int, err error) {
-	if len(data) < frameHeader {
+	if len(data) < frameHeaderBytes {
 		return nil, 0, errTruncated
 	}
 	length := int(binary.BigEndian.Uint32(data))
-	if length > maxPayload {
+	if length > maxPayloadBytes {
 		return nil, 0, errFrameLength
 	}
-	size = frameHeader + length
+	size = frameHeaderBytes + length
 	if len(data) < size {
 		return nil, 0, errTruncated
 	}
-	payload := data[frameHeader:size]
+	payload := data[frameHeaderBytes:size]
 	if crc32.Checksum(payload, checksumTable) != binary.BigEndian.Uint32(data[checksumOffset:]) {
 		return nil, 0, errChecksumMismatch
 	}
--- a/settings/limits_test.go
+++ b/settings/limits_test.go
@@ -10,8 +10,9 @@
 	_ "ravenport/internal/testseed"
 )
 
-// All sockets together stay within the machine's limit for any number of shards,
-// and a fleet half as large again as any seen is served by one controller.
+// The sockets of the server and of all shards' commands stay within the machine's limit for
+// any number of shards. One controller has enough server sockets for 2600 workers, 1.5 times
+// the largest fleet seen.
 func TestSocketLimitsStayWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Settings
@@ -22,8 +23,8 @@
 		if server < s.Deployment.Limits.MaxConnections/2 || commands < 1 {
 			t.Fatalf("server %d, commands %d", server, commands)
 		}
-		all := server + commands*len(s.Deployment.Zones)
-		if commands > constants.MinConcurrentCommands && all > s.Deployment.Limits.MaxConnections-constants.NonCommandSockets {
+		total := server + commands*len(s.Deployment.Zones)
+		if commands > constants.MinConcurrentCommands && total > s.Deployment.Limits.MaxConnections-constants.NonCommandSockets {
 			t.Fatalf("server %d and %d commands for each of %d shards: more than %d", server, commands, len(s.Deployment.Zones), s.Deployment.Limits.MaxConnections)
 		}
 	})
@@ -34,9 +35,8 @@
 	}
 }
 
-// A controller keeps as many processors busy as it has a share of, and no share
-// is none at all.
-func TestProcessorsOfAShare(t *testing.T) {
+// The CPU share is rounded up to whole processors. The count is 0 if the share is unknown.
+func TestProcessorCountRoundsUp(t *testing.T) {
 	for share, want := range map[float64]int{0: 0, 0.072: 1, 0.5: 1, 1: 1, 1.5: 2, 8: 8} {
 		var s Settings
 		s.Deployment.Limits.CPU = share
@@ -46,9 +46,10 @@
 	}
 }
 
-// The smaller the machine, the longer it leaves a second shard to that one's own
-// controller, within bounds; one whose share is not known does not wait.
-func TestSecondShardDelayFollowsTheShare(t *testing.T) {
+// The smaller the machine's CPU share, the longer a controller leaves a second shard to the
+// shard's own controller, up to a bound. If the share is unknown, the controller does not
+// wait.
+func TestSecondShardDelayDependsOnCPU(t *testing.T) {
 	var s Settings
 	for share, want := range map[float64]time.Duration{0: 0, 8: 50 * time.Millisecond, 1: 400 * time.Millisecond, 0.1: 4 * time.Second, 0.01: constants.MaxSecondShardDelay} {
 		s.Deployment.Limits.CPU = share
@@ -58,8 +59,9 @@
 	}
 }
 
-// A round may have the same processor time on a part of a processor, within bounds.
-func TestRoundBudgetFollowsTheShare(t *testing.T) {
+// A round gets the same processor time on a part of a processor as on a whole one, up to a
+// bound on its duration.
+func TestRoundBudgetDependsOnCPU(t *testing.T) {
 	var s Settings
 	for share, want := range map[float64]time.Duration{0: 5 * time.Millisecond, 4: 5 * time.Millisecond, 1: 5 * time.Millisecond, 0.5: 10 * time.Millisecond, 0.01: constants.MaxRoundBudget} {
 		s.Deployment.Limits.CPU = share
