--- a/constants/http_server.go
+++ b/constants/http_server.go
@@ -32,9 +32,9 @@
 	// NonCommandSockets of the reserved ones are for anything but direct commands
 	// (sockets).
 	NonCommandSockets = 64
-	// ServerCrowdedEighths: with more than this many eighths of the server's sockets in
+	// ServerNearlyFullEighths: with more than this many eighths of the server's sockets in
 	// use, responses end their connections. All workers of a large fleet may turn to one
 	// controller; between two heartbeats they must not shut out users and health checks
 	// (eighths).
-	ServerCrowdedEighths = 7
+	ServerNearlyFullEighths = 7
 )
--- a/server/connections.go
+++ b/server/connections.go
@@ -41,7 +41,7 @@
 }
 
 func (s *Server) updateCrowded() {
-	s.crowded.Store(len(s.conns) > s.maxConns*constants.ServerCrowdedEighths/8+1)
+	s.crowded.Store(len(s.conns) > s.maxConns*constants.ServerNearlyFullEighths/8+1)
 }
 
 // reclaimConn closes the connection that has idled longest, if it has idled so long that
