--- a/constants/shard_liveness.go
+++ b/constants/shard_liveness.go
@@ -12,11 +12,11 @@
 	// periods gets no tasks (periods).
 	UnreachablePeriods = 2.2
 	// RecentHeartbeatPeriods is the window in which an owner of many machines looks for
-	// heartbeats to know that it receives any, and RecentHeartbeatShare the part of its
+	// heartbeats to know that it receives any, and RecentHeartbeatDivisor the part of its
 	// machines of which one must have come: a quarter of those that were due
 	// (periods, part).
 	RecentHeartbeatPeriods = 0.5
-	RecentHeartbeatShare   = 8
+	RecentHeartbeatDivisor = 8
 	// SmallFleet: of fewer machines, the heartbeats of so short a window prove nothing
 	// (machines).
 	SmallFleet = 16
--- a/controller/unserved.go
+++ b/controller/unserved.go
@@ -23,9 +23,9 @@
 }
 
 // unservedThreshold is how many of a controller's machines must come back here to count
-// against it: one in RecentHeartbeatShare, rounded up, and never fewer than MinUnservedMachines.
+// against it: one in RecentHeartbeatDivisor, rounded up, and never fewer than MinUnservedMachines.
 func (c *controlActor) unservedThreshold(controller string) int {
-	share := (c.machinesOf(controller) + constants.RecentHeartbeatShare - 1) / constants.RecentHeartbeatShare
+	share := (c.machinesOf(controller) + constants.RecentHeartbeatDivisor - 1) / constants.RecentHeartbeatDivisor
 	return max(constants.MinUnservedMachines, share)
 }
 
--- a/shard/partition.go
+++ b/shard/partition.go
@@ -53,7 +53,7 @@
 		s.receiving = current*2 > s.expected
 		s.noneHeard = s.expected > constants.MaxCoincidentFailures && current == 0
 	} else {
-		s.receiving = recent*constants.RecentHeartbeatShare >= s.expected
+		s.receiving = recent*constants.RecentHeartbeatDivisor >= s.expected
 	}
 	return s
 }
@@ -101,7 +101,7 @@
 	if now.Sub(v.acquiredAt) < v.periods(constants.MaxHeartbeatDelayPeriods) {
 		return false, false // not all heartbeats can have come yet
 	}
-	misrouted = s.misrouted*constants.RecentHeartbeatShare > s.expected
+	misrouted = s.misrouted*constants.RecentHeartbeatDivisor > s.expected
 	// If no controller ever heard from the machines, it is not known which side has failed.
 	return !s.receiving && (s.reporting > 0 || misrouted), misrouted
 }
