--- a/constants/shard_liveness.go
+++ b/constants/shard_liveness.go
@@ -17,9 +17,9 @@
 	// (periods, part).
 	RecentHeartbeatPeriods = 0.5
 	RecentHeartbeatDivisor = 8
-	// SmallFleet: of fewer machines, the heartbeats of so short a window prove nothing
+	// SmallShardMachines: of fewer machines, the heartbeats of so short a window prove nothing
 	// (machines).
-	SmallFleet = 16
+	SmallShardMachines = 16
 	// MaxCoincidentFailures: of more machines than that, one does not fail by chance just
 	// when all others do (machines).
 	MaxCoincidentFailures = 2
--- a/shard/partition.go
+++ b/shard/partition.go
@@ -12,7 +12,7 @@
 	reporting   int  // those that have, in this term and epoch
 	unreachable int  // those of them that are unreachable now
 	misrouted   int  // machines that have sent heartbeats to another controller lately
-	small       bool // fewer than constants.SmallFleet are expected
+	small       bool // fewer than constants.SmallShardMachines are expected
 	noneHeard   bool // the fleet is small, but of more than two, and no heartbeat has come lately
 	receiving   bool // enough heartbeats have come lately
 }
@@ -48,7 +48,7 @@
 			s.unreachable++
 		}
 	}
-	s.small = s.expected < constants.SmallFleet
+	s.small = s.expected < constants.SmallShardMachines
 	if s.small {
 		s.receiving = current*2 > s.expected
 		s.noneHeard = s.expected > constants.MaxCoincidentFailures && current == 0
