--- a/constants/draining.go
+++ b/constants/draining.go
@@ -7,11 +7,11 @@
 	// DrainInterval is how often an owner counts the unavailable tasks of its shard and
 	// continues its drains: a few thousand tasks are counted within a millisecond.
 	DrainInterval = 250 * time.Millisecond
-	// ClaimWriteGap is the least time between two writes of a shard's disruption claim
-	// while a drain runs, and ClaimWriteGapIdle while none does: the claims of all shards
+	// MinClaimWriteInterval is the least time between two writes of a shard's disruption claim
+	// while a drain runs, and MinIdleClaimWriteInterval while none does: the claims of all shards
 	// together then take a small part of the smallest write allowance that is in use.
-	ClaimWriteGap     = time.Second
-	ClaimWriteGapIdle = 5 * time.Second
+	MinClaimWriteInterval     = time.Second
+	MinIdleClaimWriteInterval = 5 * time.Second
 	// AssignmentHandoverTime is how long the owners of all other shards count a task as
 	// unavailable that was just assigned to a shard: the shard's owner needs to read the
 	// record, to count and to write its claim.
--- a/constants/leader.go
+++ b/constants/leader.go
@@ -6,9 +6,9 @@
 const (
 	// LeaderTick is the interval of the leader's rounds when no events arrive.
 	LeaderTick = 200 * time.Millisecond
-	// LeaderRoundGap is the least time between two of the leader's rounds: events in
+	// MinLeaderRoundInterval is the least time between two of the leader's rounds: events in
 	// between are decided together.
-	LeaderRoundGap = 10 * time.Millisecond
+	MinLeaderRoundInterval = 10 * time.Millisecond
 	// AggregateStaleAfter is the age at which a shard's aggregate no longer counts: the
 	// shard is ranked last.
 	AggregateStaleAfter = 4 * time.Second
@@ -22,9 +22,9 @@
 	// provisioned for it (CPUs): several of the cloud's largest scale-outs, of 50
 	// machines.
 	MaxQueuedCPUs = 8000.0
-	// PartialAssignmentGap is the least time between two assignments of a job of which
+	// MinPartialAssignmentInterval is the least time between two assignments of a job of which
 	// some tasks fit nowhere yet: fewer, larger writes.
-	PartialAssignmentGap = 500 * time.Millisecond
+	MinPartialAssignmentInterval = 500 * time.Millisecond
 	// ForecastInterval is how often the leader sends owners the forecast of what it will
 	// assign to them once the key-value store's request allowance permits.
 	ForecastInterval = 300 * time.Millisecond
--- a/controller/leader_actor.go
+++ b/controller/leader_actor.go
@@ -55,7 +55,7 @@
 	}
 	now := time.Now()
 	a.apply(now, msg)
-	if a.pacer.startStep(now, constants.LeaderRoundGap) {
+	if a.pacer.startStep(now, constants.MinLeaderRoundInterval) {
 		a.step(ctx, now)
 	}
 }
--- a/disruption/claim.go
+++ b/disruption/claim.go
@@ -117,9 +117,9 @@
 	l.inFlightClaim = next
 	l.inFlightRaises = raises
 	l.capGrants(next) // the transaction may be applied whatever its result says
-	l.nextWriteAt = now.Add(constants.ClaimWriteGapIdle)
+	l.nextWriteAt = now.Add(constants.MinIdleClaimWriteInterval)
 	if isDraining {
-		l.nextWriteAt = now.Add(constants.ClaimWriteGap)
+		l.nextWriteAt = now.Add(constants.MinClaimWriteInterval)
 	}
 	return changes, conditions
 }
--- a/leader/assign.go
+++ b/leader/assign.go
@@ -57,7 +57,7 @@
 		return Commit{}, notAssigned
 	}
 	if d.tasks < unassigned {
-		job.retryAt = now.Add(constants.PartialAssignmentGap)
+		job.retryAt = now.Add(constants.MinPartialAssignmentInterval)
 	}
 	value, fitsStore := c.sizes.EncodeWithHeadroom(d.record, job.record)
 	if !fitsStore {
