--- a/constants/leader.go
+++ b/constants/leader.go
@@ -4,8 +4,8 @@
 
 // Leader.
 const (
-	// LeaderTick is the interval of the leader's rounds when no events arrive.
-	LeaderTick = 200 * time.Millisecond
+	// LeaderTickInterval is the interval of the leader's rounds when no events arrive.
+	LeaderTickInterval = 200 * time.Millisecond
 	// MinLeaderRoundInterval is the least time between two of the leader's rounds: events in
 	// between are decided together.
 	MinLeaderRoundInterval = 10 * time.Millisecond
--- a/controller/leader_actor.go
+++ b/controller/leader_actor.go
@@ -95,7 +95,7 @@
 		a.forecastAt = now
 		a.control.Tell(shardForecasts(a.core.BuildForecasts(now, a.revision)))
 	}
-	a.pacer.scheduleTick(constants.LeaderTick)
+	a.pacer.scheduleTick(constants.LeaderTickInterval)
 }
 
 // commit writes an assignment. It runs beside the actor.
--- a/leader/apply.go
+++ b/leader/apply.go
@@ -117,7 +117,7 @@
 	// decides; if not, the same is tried again. The quota stays reserved until then,
 	// since a late transaction may still be applied.
 	job.isInFlight = false
-	job.retryAt = now.Add(constants.LeaderTick)
+	job.retryAt = now.Add(constants.LeaderTickInterval)
 }
 
 // settleReservations dates a job's in-flight reservations by the revision at which they
--- a/leader/assign.go
+++ b/leader/assign.go
@@ -53,7 +53,7 @@
 	plan, guaranteed := c.planJob(now, job, admitted, unassigned)
 	d := assignRanges(job.record, plan, guaranteed)
 	if d.tasks == 0 {
-		job.retryAt = now.Add(constants.LeaderTick)
+		job.retryAt = now.Add(constants.LeaderTickInterval)
 		return Commit{}, notAssigned
 	}
 	if d.tasks < unassigned {
