--- a/constants/shard_liveness.go
+++ b/constants/shard_liveness.go
@@ -45,8 +45,8 @@
 	// terminates those that did not answer: heartbeats of all live machines come within
 	// two seconds or so, and much of the shard's work waits for the last one.
 	FailoverProbeTimeout = 3500 * time.Millisecond
-	// TerminatedMemory is how long late heartbeats of a terminated machine are refused.
-	TerminatedMemory = 15 * time.Minute
+	// TerminatedMachineRetention is how long late heartbeats of a terminated machine are refused.
+	TerminatedMachineRetention = 15 * time.Minute
 	// FailoverUnreachablePeriods is UnreachablePeriods for a new owner, which probes at
 	// once (periods).
 	FailoverUnreachablePeriods = 2.0
--- a/shard/cloudlist.go
+++ b/shard/cloudlist.go
@@ -49,7 +49,7 @@
 // forgetTerminated drops machines that were terminated long ago.
 func (l *liveness) forgetTerminated(now time.Time) {
 	for name, at := range l.terminated {
-		if now.Sub(at) > constants.TerminatedMemory {
+		if now.Sub(at) > constants.TerminatedMachineRetention {
 			delete(l.terminated, name)
 		}
 	}
--- a/shard/liveness.go
+++ b/shard/liveness.go
@@ -19,7 +19,7 @@
 	livenessResetAt time.Time            // missing heartbeats are counted from here at the earliest
 	partitioned     bool                 // the shard's machines as a whole are unreachable
 	peersHeardAt    time.Time            // when all live controllers had last been heard from
-	terminated      map[string]time.Time // by machine: when it was terminated, for constants.TerminatedMemory
+	terminated      map[string]time.Time // by machine: when it was terminated, for constants.TerminatedMachineRetention
 	scaleInScans    pace                 // checks for machines to terminate
 	lastScaleInAt   time.Time            // when machines were last terminated
 }
