--- a/apiserver/relay.go
+++ b/apiserver/relay.go
@@ -27,7 +27,7 @@
 
 // currentRelays lists the relays, if they were named recently.
 func (p *storePath) currentRelays(now time.Time) []Relay {
-	if now.Sub(p.relaysNamedAt) > constants.StoreSilenceTimeout {
+	if now.Sub(p.relaysNamedAt) > constants.StoreContactTimeout {
 		return nil
 	}
 	return p.relays
--- a/apiserver/relay_test.go
+++ b/apiserver/relay_test.go
@@ -116,10 +116,10 @@
 // have not been named for a while are not used.
 func TestDirectPathIsTakenAgain(t *testing.T) {
 	r := storePath{relays: []Relay{&pathStub{}}, relaysNamedAt: time.Unix(100, 0), directBlocked: true}
-	if got := r.currentRelays(time.Unix(100, 0).Add(constants.StoreSilenceTimeout)); len(got) != 1 {
+	if got := r.currentRelays(time.Unix(100, 0).Add(constants.StoreContactTimeout)); len(got) != 1 {
 		t.Error("a relay that was just named is not used")
 	}
-	if got := r.currentRelays(time.Unix(101, 0).Add(constants.StoreSilenceTimeout)); len(got) != 0 {
+	if got := r.currentRelays(time.Unix(101, 0).Add(constants.StoreContactTimeout)); len(got) != 0 {
 		t.Error("a relay named long ago is still used")
 	}
 	server := New(&settings.Settings{}, slowStore{}, actor.NewRef(), actor.NewRef())
--- a/constants/failure_detection.go
+++ b/constants/failure_detection.go
@@ -14,7 +14,7 @@
 	// StatusEventCount is how many of the latest membership events the status shows
 	// (events).
 	StatusEventCount = 20
-	// PeerSilenceTimeout is when a controller that received nothing from any other one,
+	// PeerContactTimeout is when a controller that received nothing from any other one,
 	// though some are alive, considers itself cut off.
-	PeerSilenceTimeout = 3 * time.Second
+	PeerContactTimeout = 3 * time.Second
 )
--- a/constants/lease_extension.go
+++ b/constants/lease_extension.go
@@ -11,8 +11,8 @@
 	ExtensionTTL = 1500 * time.Millisecond
 	// ExtensionRequestInterval is how often lease extensions are requested.
 	ExtensionRequestInterval = 400 * time.Millisecond
-	// ExtensionStoreSilence is how long nothing must have come from the key-value store
+	// ExtensionStoreContactTimeout is how long nothing must have come from the key-value store
 	// before lease extensions are requested or granted: the reply to a renewal comes
 	// sooner.
-	ExtensionStoreSilence = time.Second
+	ExtensionStoreContactTimeout = time.Second
 )
--- a/constants/peers.go
+++ b/constants/peers.go
@@ -14,7 +14,7 @@
 	// be listed to a controller whose watch feed is behind (jobs): at several a second,
 	// those of minutes, where a feed is behind by the life of a lease.
 	MinCancellationsKept = 512
-	// StoreSilenceTimeout is the time without a response of the store after which a
+	// StoreContactTimeout is the time without a response of the store after which a
 	// controller counts as cut off from it.
-	StoreSilenceTimeout = 3 * time.Second
+	StoreContactTimeout = 3 * time.Second
 )
--- a/controller/extension.go
+++ b/controller/extension.go
@@ -14,7 +14,7 @@
 
 // isStoreSilent says whether nothing has come from the key-value store for a moment.
 func (c *controlActor) isStoreSilent(now time.Time) bool {
-	return c.feed.synced && now.Sub(c.lastStoreContact) > constants.ExtensionStoreSilence
+	return c.feed.synced && now.Sub(c.lastStoreContact) > constants.ExtensionStoreContactTimeout
 }
 
 // termsToExtend lists the terms for which lease extensions are requested now.
--- a/controller/health.go
+++ b/controller/health.go
@@ -9,7 +9,7 @@
 
 // isStoreReachable says whether the key-value store answered a short while ago.
 func (c *controlActor) isStoreReachable(now time.Time) bool {
-	return now.Sub(c.lastStoreContact) < constants.StoreSilenceTimeout
+	return now.Sub(c.lastStoreContact) < constants.StoreContactTimeout
 }
 
 // answerHealth answers whether this controller can serve users. While the key-value
@@ -32,7 +32,7 @@
 // isAloneWithoutStore says whether the key-value store is silent here while another
 // controller reaches it.
 func (c *controlActor) isAloneWithoutStore(now time.Time) bool {
-	if now.Sub(c.lastStoreContact) <= constants.StoreSilenceTimeout+constants.WatchTimeout/2 {
+	if now.Sub(c.lastStoreContact) <= constants.StoreContactTimeout+constants.WatchTimeout/2 {
 		return false
 	}
 	for _, view := range c.peers {
--- a/controller/peer_status.go
+++ b/controller/peer_status.go
@@ -22,7 +22,7 @@
 
 // reachesStore says whether the controller reached the key-value store a short while ago.
 func (v peerView) reachesStore(now time.Time) bool {
-	return v.storeReachable && now.Sub(v.lastContact) < constants.StoreSilenceTimeout
+	return v.storeReachable && now.Sub(v.lastContact) < constants.StoreContactTimeout
 }
 
 // pushState is when this controller's status was pushed to the others.
--- a/controller/roles.go
+++ b/controller/roles.go
@@ -199,7 +199,7 @@
 func (c *controlActor) isEveryPeerSilent(now time.Time, lastSign func(peerView) time.Time) bool {
 	someAlive := false
 	for _, p := range c.settings.Peers {
-		if now.Sub(lastSign(c.peers[p.Controller])) < constants.PeerSilenceTimeout {
+		if now.Sub(lastSign(c.peers[p.Controller])) < constants.PeerContactTimeout {
 			return false
 		}
 		someAlive = someAlive || c.member.IsAlive(p.Controller)
--- a/controller/transfer.go
+++ b/controller/transfer.go
@@ -13,7 +13,7 @@
 // transferCutOffLeadership transfers the leadership if no other controller's status
 // arrives here.
 func (c *controlActor) transferCutOffLeadership(now time.Time) {
-	settled := now.Sub(c.roles.leaderSince) > 2*constants.PeerSilenceTimeout
+	settled := now.Sub(c.roles.leaderSince) > 2*constants.PeerContactTimeout
 	if c.roles.leader != nil && settled && c.lacksPeerStatus(now) {
 		c.transferUnusableTerm(now, records.KeyLeader)
 	}
--- a/controller/transfer_test.go
+++ b/controller/transfer_test.go
@@ -30,7 +30,7 @@
 		leader := w.holder(records.KeyLeader)
 		w.locked(func() { w.controllers[leader].peerCallsLost, w.controllers[leader].heartbeatsLost = true, true })
 		cut := time.Now()
-		w.waitUntil(t, "another leader", 3*constants.PeerSilenceTimeout, func() bool { return w.holder(records.KeyLeader) != leader })
+		w.waitUntil(t, "another leader", 3*constants.PeerContactTimeout, func() bool { return w.holder(records.KeyLeader) != leader })
 		t.Logf("another one leads after %s", time.Since(cut))
 		j := w.newArray("run-000100", 4, 2, 5)
 		go w.runUser(j, 0, 0)
