--- a/constants/shard_liveness.go
+++ b/constants/shard_liveness.go
@@ -26,14 +26,14 @@
 	// DelistedAfterLists is how many of the cloud's lists in a row a machine must be
 	// absent from to count as terminated: one may be older than the one before (lists).
 	DelistedAfterLists = 2
-	// MaxHeartbeatDelayPeriods is how long after the one before a heartbeat may come
+	// MaxHeartbeatIntervalPeriods is how long after the one before a heartbeat may come
 	// (periods), and ControllerSwitchTime when a worker without a reply has turned to
 	// another controller: after 4 s and one more.
-	MaxHeartbeatDelayPeriods = 1.25
-	ControllerSwitchTime     = 5 * time.Second
-	// MisroutedPeriods is how long a heartbeat to another controller counts for the
+	MaxHeartbeatIntervalPeriods = 1.25
+	ControllerSwitchTime        = 5 * time.Second
+	// MisroutedHeartbeatPeriods is how long a heartbeat to another controller counts for the
 	// machine's owner (periods).
-	MisroutedPeriods = 2.0
+	MisroutedHeartbeatPeriods = 2.0
 	// NoHeartbeatPeriods is when a machine that answers commands but sends no heartbeats
 	// is terminated: its lease expires soon (periods).
 	NoHeartbeatPeriods = 3.0
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -89,7 +89,7 @@
 
 // misroutedWindow is how long a misrouted heartbeat counts.
 func (c *controlActor) misroutedWindow() time.Duration {
-	return time.Duration(constants.MisroutedPeriods * float64(c.settings.HeartbeatPeriod()))
+	return time.Duration(constants.MisroutedHeartbeatPeriods * float64(c.settings.HeartbeatPeriod()))
 }
 
 // recentMisrouted lists the misrouted heartbeats that still count, and drops the others.
--- a/shard/partition.go
+++ b/shard/partition.go
@@ -74,7 +74,7 @@
 	if last.Before(l.startedAt) {
 		last = l.startedAt
 	}
-	otherControllers := l.periods(constants.MaxHeartbeatDelayPeriods) + constants.ControllerSwitchTime + 2*constants.MaxPushInterval
+	otherControllers := l.periods(constants.MaxHeartbeatIntervalPeriods) + constants.ControllerSwitchTime + 2*constants.MaxPushInterval
 	if s.receiving {
 		return true
 	}
@@ -87,7 +87,9 @@
 }
 
 // misroutedWindow is how long a heartbeat to another controller counts.
-func (l *liveness) misroutedWindow() time.Duration { return l.periods(constants.MisroutedPeriods) }
+func (l *liveness) misroutedWindow() time.Duration {
+	return l.periods(constants.MisroutedHeartbeatPeriods)
+}
 
 // IsIsolated reports whether the owner no longer receives its machines' heartbeats, and
 // whether they have been sending them to other controllers: then it is the owner that they
@@ -98,7 +100,7 @@
 	if s.small {
 		return s.unreachable*2 > s.expected, s.misrouted*2 > s.expected
 	}
-	if now.Sub(v.acquiredAt) < v.periods(constants.MaxHeartbeatDelayPeriods) {
+	if now.Sub(v.acquiredAt) < v.periods(constants.MaxHeartbeatIntervalPeriods) {
 		return false, false // not all heartbeats can have come yet
 	}
 	misrouted = s.misrouted*constants.RecentHeartbeatDivisor > s.expected
@@ -114,7 +116,7 @@
 // owner requests no more, which would be unreachable as well, and the leader assigns nothing
 // to the shard that may go to another.
 func (l *liveness) detectPartition(now time.Time, s fleetHealth) bool {
-	delay := l.periods(constants.MaxHeartbeatDelayPeriods)
+	delay := l.periods(constants.MaxHeartbeatIntervalPeriods)
 	// Where all controllers had ended, a worker may come back to this one only
 	// after it has tried the others and its next heartbeat is due.
 	return (!s.small && !s.receiving || s.noneHeard) &&
