--- a/constants/failover.go
+++ b/constants/failover.go
@@ -25,8 +25,8 @@
 	// FailbackMinUptime is how long a preferred controller must have been up before it
 	// gets its shard back.
 	FailbackMinUptime = 5 * time.Second
-	// FailbackSettleTime is how long a shard must have been rebuilt and reachable before
+	// FailbackStabilizationTime is how long a shard must have been rebuilt and reachable before
 	// it is given back: machines that were unreachable come back within a period or so,
 	// and what they lost is placed meanwhile.
-	FailbackSettleTime = 12 * time.Second
+	FailbackStabilizationTime = 12 * time.Second
 )
--- a/controller/acquisition.go
+++ b/controller/acquisition.go
@@ -39,7 +39,7 @@
 			c.startAcquisition(ctx, now, acquisition)
 			continue
 		}
-		if now.Sub(c.terms.unstableAt[acquisition.Key]) < constants.FailbackSettleTime {
+		if now.Sub(c.terms.unstableAt[acquisition.Key]) < constants.FailbackStabilizationTime {
 			continue // a second rebuild right after the first would keep more work waiting
 		}
 		slog.Info("transferring term", "key", acquisition.Key, logkey.Controller, acquisition.NewHolder)
