--- a/constants/leader.go
+++ b/constants/leader.go
@@ -37,9 +37,9 @@
 	// before all others of its priority: users expect even the largest job to begin
 	// within four minutes, and the capacity for it may have to be collected first.
 	OverdueAfter = 150 * time.Second
-	// OverdueDivisor: an eighth of an overdue array comes before all other jobs; under
+	// OverdueArrayDivisor: an eighth of an overdue array comes before all other jobs; under
 	// three times the load that is still less than half of the capacity.
-	OverdueDivisor = 8
+	OverdueArrayDivisor = 8
 	// CapacityHoldTime is how long capacity or quota is held for one job at the cost of
 	// others.
 	CapacityHoldTime = 60 * time.Second
--- a/constants/shard_inventory.go
+++ b/constants/shard_inventory.go
@@ -19,8 +19,8 @@
 	// MinInventoryValueBytes is the smallest value that the inventory's pages are sized
 	// for when the key-value store refuses one (bytes): a few machines.
 	MinInventoryValueBytes = 512
-	// CloseDelay is how long finished assignments wait for the job's others in
+	// AssignmentCloseDelay is how long finished assignments wait for the job's others in
 	// the shard, to be recorded with them. Capacity within a team's limit is free
 	// that much later.
-	CloseDelay = 3 * time.Second
+	AssignmentCloseDelay = 3 * time.Second
 )
--- a/leader/order.go
+++ b/leader/order.go
@@ -103,7 +103,7 @@
 
 // OverdueBatch is how many of an overdue array's tasks come before all others: enough for
 // it to begin, but not so many that the others cannot.
-func OverdueBatch(tasks int) int { return max(1, tasks/constants.OverdueDivisor) }
+func OverdueBatch(tasks int) int { return max(1, tasks/constants.OverdueArrayDivisor) }
 
 // jobAge is the time since a job was accepted.
 func jobAge(now time.Time, record *records.Job) time.Duration {
--- a/shard/assignments.go
+++ b/shard/assignments.go
@@ -111,7 +111,7 @@
 		return false
 	}
 	if j.closeAt.IsZero() {
-		j.closeAt = now.Add(constants.CloseDelay)
+		j.closeAt = now.Add(constants.AssignmentCloseDelay)
 	}
 	if !now.Before(j.closeAt) {
 		return false
--- a/shard/forecast.go
+++ b/shard/forecast.go
@@ -23,7 +23,7 @@
 		}
 	}
 	c.assignedSinceForecast = newer
-	if len(f.TeamsAtLimit) > 0 && now.Sub(c.limitsCheckedAt) >= constants.CloseDelay {
+	if len(f.TeamsAtLimit) > 0 && now.Sub(c.limitsCheckedAt) >= constants.AssignmentCloseDelay {
 		c.limitsCheckedAt = now
 		for _, j := range c.jobs {
 			if c.blocksTeamAtLimit(now, j) {
