--- a/constants/shard_scaling.go
+++ b/constants/shard_scaling.go
@@ -45,7 +45,7 @@
 	// MachinesPerMigration: for each so many on-demand machines, one more service is
 	// migrated at once (machines).
 	MachinesPerMigration = 40
-	// RedundantFor is how long a machine must have been redundant before services are
+	// MinRedundantTime is how long a machine must have been redundant before services are
 	// migrated off it, so that a lull between two jobs has no effect.
-	RedundantFor = 10 * time.Second
+	MinRedundantTime = 10 * time.Second
 )
--- a/shard/consolidation.go
+++ b/shard/consolidation.go
@@ -97,7 +97,7 @@
 		}
 	case m.redundantSince.IsZero():
 		m.redundantSince = now
-	case now.Sub(m.redundantSince) > constants.RedundantFor && r.consolidating < r.limit:
+	case now.Sub(m.redundantSince) > constants.MinRedundantTime && r.consolidating < r.limit:
 		slog.Info("consolidating machine", logkey.Machine, m.name, "cpus", c.usageOf(m).used.cpus)
 		m.consolidating = true
 		r.consolidating++
