--- a/constants/shard_placement.go
+++ b/constants/shard_placement.go
@@ -28,10 +28,10 @@
 	// FaultyJobMachines: a job that failed on that many machines is itself at fault
 	// (machines).
 	FaultyJobMachines = 3
-	// RefusedStartRetry is when a task whose start was refused is tried again.
-	RefusedStartRetry = 500 * time.Millisecond
-	// MaxFailedTaskRetry is the longest wait before a failing task is tried again.
-	MaxFailedTaskRetry = 30 * time.Second
+	// RefusedStartRetryDelay is when a task whose start was refused is tried again.
+	RefusedStartRetryDelay = 500 * time.Millisecond
+	// MaxFailedTaskRetryDelay is the longest wait before a failing task is tried again.
+	MaxFailedTaskRetryDelay = 30 * time.Second
 	// Best fit scores a machine with the share of it that would stay free, from 0 to 2
 	// (share of its CPUs plus share of its memory); less is better. The following are
 	// added, or subtracted, in the same unit. Those above 2 outweigh any difference in
--- a/shard/attempt.go
+++ b/shard/attempt.go
@@ -138,10 +138,10 @@
 			a.machine.avoidUntil = now.Add(constants.FaultyMachinePause)
 		}
 		wait := time.Second << min(t.failures, 5)
-		t.notBefore = now.Add(min(wait, constants.MaxFailedTaskRetry))
+		t.notBefore = now.Add(min(wait, constants.MaxFailedTaskRetryDelay))
 		c.draining.migrationFailed(t, a.machine.name)
 	default: // refused for lack of resources, or as busy
 		slog.Warn("start refused", logkey.TaskID, a.key.task, logkey.Machine, a.machine.name, "cause", a.cause)
-		t.notBefore = now.Add(constants.RefusedStartRetry)
+		t.notBefore = now.Add(constants.RefusedStartRetryDelay)
 	}
 }
