--- a/constants/apiserver.go
+++ b/constants/apiserver.go
@@ -4,26 +4,26 @@
 
 // API server.
 const (
-	// FeedCatchUpTimeout is how long a poll waits for the watch feed to reach the
-	// revision that was read for it, before the job's key itself is read.
+	// FeedCatchUpTimeout is how long a poll waits for the watch feed to reach the revision
+	// that was read for it. After that the API server reads the job's key itself.
 	FeedCatchUpTimeout = 150 * time.Millisecond
-	// UserRequestTimeout is when a request without a result from the store is refused.
-	// Users allow 2 s for polls and 5 s for submissions.
+	// UserRequestTimeout is how long a request waits for a result from the store before it
+	// is refused. Users allow 2 s for polls and 5 s for submissions.
 	UserRequestTimeout = 1500 * time.Millisecond
-	// StoreFailureBackoff is how long after a failed call to the store requests that
-	// need it are refused without another call.
+	// StoreFailureBackoff is how long after a failed call to the store the API server
+	// refuses requests that need the store without calling it again.
 	StoreFailureBackoff = 300 * time.Millisecond
 	// MaxPendingRequests bounds the requests that wait for the store (requests).
 	MaxPendingRequests = 512
-	// PollGroups is the number of groups into which jobs are divided under overload, and
-	// PollGroupTurn is how long each group's polls are admitted in turn: longer than the
-	// 5 s between two polls of a user, and all turns together within the 75 s after
-	// which users take a job for lost (groups).
+	// PollGroups is the number of groups into which jobs are divided under overload
+	// (groups). PollGroupTurn is how long the polls of each group are admitted in turn. A
+	// turn is longer than the 5 s between two polls of a user, and all turns together are
+	// within the 75 s after which users consider a job lost.
 	PollGroups    = 8
 	PollGroupTurn = 7 * time.Second
-	// RetryAfterS is the Retry-After of a refused request (s).
+	// RetryAfterS is the Retry-After value of a refused request (s).
 	RetryAfterS = 1
-	// RetryAfterJitterS is added to it at random, up to this much, for submissions that
-	// are refused for the store's rate limit, so that their repeats spread out (s).
+	// RetryAfterJitterS bounds the random addition to RetryAfterS for submissions that are
+	// refused because of the store's rate limit, so that their retries spread out (s).
 	RetryAfterJitterS = 3
 )
--- a/constants/doc.go
+++ b/constants/doc.go
@@ -1,4 +1,4 @@
-// Package constants holds every constant of ravenport, each with its unit and
-// reason. What belongs to a deployment comes from its settings file instead,
-// and what operators may wish to change is a default of package settings.
+// Package constants holds every constant of ravenport, each with its unit and reason.
+// Values that depend on the deployment come from its settings file instead, and values
+// that operators may change are defaults of package settings.
 package constants
--- a/constants/failover.go
+++ b/constants/failover.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// Failover, and the failback of a shard to the controller of its own zone.
+// Failover, and failback of a shard to the controller of its own zone.
 const (
 	// FailoverCPUTime is the processor time that taking over a shard of some hundreds of
-	// machines costs: their heartbeats, queries to them and the rebuild. For as long as
-	// that takes on its share of a processor a controller that owns a shard leaves another
-	// one vacant, but no longer than MaxSecondShardDelay: a process that ended is usually
-	// back sooner.
+	// machines costs: their heartbeats, probes of them and the rebuild. A controller that
+	// already owns a shard leaves another one vacant for as long as this work takes on its
+	// share of a processor, but no longer than MaxSecondShardDelay: a process that ended has
+	// usually restarted by then.
 	FailoverCPUTime     = 400 * time.Millisecond
 	MaxSecondShardDelay = 5 * time.Second
-	// MinFailoverInterval is the least time between two orphaned shards that one controller
-	// takes over where failure detection is on: the first one's acquisition is known to
-	// all by then, and ranks it behind others for the next.
+	// MinFailoverInterval is the least time between two takeovers of orphaned shards by one
+	// controller when failure detection is on. All controllers know of the first acquisition
+	// by then and rank the controller behind others for the next shard.
 	MinFailoverInterval = 500 * time.Millisecond
-	// RevokedAcquisitionDelay is how long a controller that was revoked a short while ago
-	// leaves a vacant term to others: longer than an owner leaves another shard vacant, so
-	// that its shard does not come straight back to it.
+	// RevokedAcquisitionDelay is how long a recently revoked controller leaves a vacant term
+	// to others. It is longer than an owner leaves another shard vacant, so that the revoked
+	// controller does not reacquire its shard at once.
 	RevokedAcquisitionDelay = MaxSecondShardDelay + 2*time.Second
-	// FailbackCooldown is how long a controller that gave a shard up because its
-	// machines could not reach it does not get it back.
+	// FailbackCooldown is how long a controller that lost a shard because the shard's
+	// machines could not reach the controller does not get the shard back.
 	FailbackCooldown = 45 * time.Second
-	// FailbackMinUptime is how long a preferred controller must have been up before it
-	// gets its shard back.
+	// FailbackMinUptime is how long a preferred controller must have been up before its
+	// shard is transferred back to it.
 	FailbackMinUptime = 5 * time.Second
-	// FailbackStabilizationTime is how long a shard must have been rebuilt and reachable before
-	// it is given back: machines that were unreachable come back within a period or so,
-	// and what they lost is placed meanwhile.
+	// FailbackStabilizationTime is how long a shard must have been rebuilt and reachable
+	// before it is transferred back: unreachable machines usually send heartbeats again
+	// within about one period, and their lost tasks are placed meanwhile.
 	FailbackStabilizationTime = 12 * time.Second
 )
--- a/constants/machine_types.go
+++ b/constants/machine_types.go
@@ -2,6 +2,6 @@
 
 import "time"
 
-// MachineTypesInterval is how often the cloud's machine types, and with them the spot
-// prices, are read.
+// MachineTypesInterval is how often controllers read the cloud's machine types and their
+// spot prices.
 const MachineTypesInterval = 60 * time.Second
--- a/constants/shard_commands.go
+++ b/constants/shard_commands.go
@@ -4,21 +4,23 @@
 
 // Direct commands and probes of machines.
 const (
-	// CommandRetryInterval is when a direct command without effect is sent again.
+	// CommandRetryInterval is the time after which a direct command that had no effect is
+	// sent again.
 	CommandRetryInterval = time.Second
-	// FailoverProbeDelay is how long a new owner of many machines waits for their own
-	// heartbeats, which come within a second or two, before it probes them.
+	// FailoverProbeDelay is how long a new owner of many machines waits for their
+	// heartbeats, which arrive within a second or two, before it probes the machines.
 	FailoverProbeDelay = 1500 * time.Millisecond
-	// ProbeTimeout bounds a probe of a machine, which carries no commands but stops.
+	// ProbeTimeout bounds a probe of a machine. A probe carries no commands other than
+	// stops.
 	ProbeTimeout = time.Second
 	// MaxCommandsWhilePartitioned bounds the direct commands in flight to a partitioned
-	// shard (commands): enough to notice the end of the partition.
+	// shard (commands): enough to detect the end of the partition.
 	MaxCommandsWhilePartitioned = 32
-	// MaxProbesPerStep bounds the machines that are probed in one step: each probe costs
-	// a connection (machines).
+	// MaxProbesPerStep bounds the machines that are probed in one step (machines): each
+	// probe needs a connection.
 	MaxProbesPerStep = 32
-	// ExitsBeforeTokenRaise is how many exited attempts that must not be forgotten yet
-	// a machine may hold before it is sent a higher token, under which they
-	// can be: each makes its every heartbeat longer (attempts).
+	// ExitsBeforeTokenRaise is how many exited attempts that must not be dropped yet a
+	// machine may have before the owner sends it a higher token, under which they can be
+	// dropped (attempts): each of them makes every heartbeat of the machine longer.
 	ExitsBeforeTokenRaise = 4
 )
--- a/constants/shard_inventory.go
+++ b/constants/shard_inventory.go
@@ -5,22 +5,22 @@
 // Pages of the durable inventory, and writes of assignments.
 const (
 	// MinInventoryWriteInterval is the least time between two writes of the inventory, and
-	// InventoryWriteShare the part of the key-value store's writes that one shard's pages
-	// may use: a new machine waits for its page.
+	// InventoryWriteShare is the part of the key-value store's write rate limit that the
+	// pages of one shard may use. A new machine waits until its page is written.
 	MinInventoryWriteInterval = 250 * time.Millisecond
 	InventoryWriteShare       = 0.1
-	// MaxPagesPerWrite bounds the pages in one such write (pages).
+	// MaxPagesPerWrite bounds the pages in one write of the inventory (pages).
 	MaxPagesPerWrite = 3
-	// InventoryEntryBytes is what a machine takes of a page beside its name: an
-	// address and punctuation (bytes).
+	// InventoryEntryBytes is the space that a machine takes in a page in addition to its
+	// name: an address and punctuation (bytes).
 	InventoryEntryBytes = 30
-	// PageFillPercent is how much of a value a page may take (percent).
+	// PageFillPercent is the part of a value's size limit that a page may fill (percent).
 	PageFillPercent = 90
-	// MinInventoryValueBytes is the smallest value that the inventory's pages are sized
-	// for when the key-value store refuses one (bytes): a few machines.
+	// MinInventoryValueBytes is the smallest value size for which the inventory's pages are
+	// planned when the key-value store refuses a page (bytes): it fits a few machines.
 	MinInventoryValueBytes = 512
-	// AssignmentCloseDelay is how long finished assignments wait for the job's others in
-	// the shard, to be recorded with them. Capacity within a team's limit is free
-	// that much later.
+	// AssignmentCloseDelay is how long finished assignments wait for the job's others in the
+	// shard, so that all are recorded in one write. Capacity within a team's limit becomes
+	// free that much later.
 	AssignmentCloseDelay = 3 * time.Second
 )
--- a/constants/shard_liveness.go
+++ b/constants/shard_liveness.go
@@ -4,53 +4,57 @@
 
 // Liveness of machines: overdue heartbeats, unconfirmed machines, partitions and failover.
 const (
-	// HeartbeatOverduePeriods: a machine without a heartbeat for that many heartbeat
-	// periods is probed directly; heartbeats come a quarter of a period late at most.
-	// After MaxUnansweredCommands without an answer it has failed (periods).
+	// HeartbeatOverduePeriods is the time without a heartbeat after which a machine is
+	// probed directly (periods): heartbeats are at most a quarter of a period late. After
+	// MaxUnansweredCommands without a response the machine is considered failed.
 	HeartbeatOverduePeriods = 1.3
-	// UnreachablePeriods: a machine without a heartbeat for that many heartbeat
-	// periods gets no tasks (periods).
+	// UnreachablePeriods is the time without a heartbeat after which a machine gets no tasks
+	// (periods).
 	UnreachablePeriods = 2.2
-	// RecentHeartbeatPeriods is the window in which an owner of many machines looks for
-	// heartbeats to know that it receives any, and RecentHeartbeatDivisor the part of its
-	// machines of which one must have come: a quarter of those that were due
-	// (periods, part).
+	// RecentHeartbeatPeriods is the window in which an owner of many machines checks whether
+	// it receives heartbeats (periods). Within it, one in RecentHeartbeatDivisor of its
+	// machines must have sent one (divisor): a quarter of those that were due.
 	RecentHeartbeatPeriods = 0.5
 	RecentHeartbeatDivisor = 8
-	// SmallShardMachines: of fewer machines, the heartbeats of so short a window prove nothing
-	// (machines).
+	// SmallShardMachines is the number of machines below which the heartbeats of so short a
+	// window are no evidence (machines).
 	SmallShardMachines = 16
-	// MaxCoincidentFailures: of more machines than that, one does not fail by chance just
-	// when all others do (machines).
+	// MaxCoincidentFailures is the largest number of machines that may all be unreachable at
+	// once because of independent failures (machines). If all of more machines are, the
+	// shard or the owner is partitioned.
 	MaxCoincidentFailures = 2
-	// DelistedAfterLists is how many of the cloud's lists in a row a machine must be
-	// absent from to count as terminated: one may be older than the one before (lists).
+	// DelistedAfterLists is the number of successive lists of the cloud from which a machine
+	// must be absent to be considered terminated (lists): a single list may be older than
+	// the previous one.
 	DelistedAfterLists = 2
-	// MaxHeartbeatIntervalPeriods is how long after the one before a heartbeat may come
-	// (periods), and ControllerSwitchTime when a worker without a reply has turned to
-	// another controller: after 4 s and one more.
+	// MaxHeartbeatIntervalPeriods is the longest time between two heartbeats of a machine
+	// (periods). ControllerSwitchTime is the time by which a worker that gets no reply has
+	// switched to another controller: a worker switches after 4 s, and one second is added.
 	MaxHeartbeatIntervalPeriods = 1.25
 	ControllerSwitchTime        = 5 * time.Second
-	// MisroutedHeartbeatPeriods is how long a heartbeat to another controller counts for the
-	// machine's owner (periods).
+	// MisroutedHeartbeatPeriods is how long the owner of a machine takes into account a
+	// heartbeat that the machine sent to another controller (periods).
 	MisroutedHeartbeatPeriods = 2.0
-	// NoHeartbeatPeriods is when a machine that answers commands but sends no heartbeats
-	// is terminated: its lease expires soon (periods).
+	// NoHeartbeatPeriods is the time after which a machine that answers commands but sends
+	// no heartbeats is terminated (periods): its lease expires soon.
 	NoHeartbeatPeriods = 3.0
-	// MaxUnansweredCommands is how many direct commands in a row a machine leaves
-	// unanswered before it is terminated: one without heartbeats as failed, and an
-	// unconfirmed one however many heartbeats it sends (commands).
+	// MaxUnansweredCommands is how many direct commands in a row a machine may leave
+	// unanswered before it is terminated (commands). A machine without heartbeats is then
+	// considered failed; an unconfirmed machine is terminated however many heartbeats it
+	// sends.
 	MaxUnansweredCommands = 3
-	// FailoverProbeTimeout is when a new owner that has heard from most machines
-	// terminates those that did not answer: heartbeats of all live machines come within
-	// two seconds or so, and much of the shard's work waits for the last one.
+	// FailoverProbeTimeout is the time after which a new owner that has received heartbeats
+	// from most machines terminates those that did not answer. Heartbeats of all live
+	// machines arrive within about two seconds, and much of the shard's work waits for the
+	// last machine.
 	FailoverProbeTimeout = 3500 * time.Millisecond
-	// TerminatedMachineRetention is how long late heartbeats of a terminated machine are refused.
+	// TerminatedMachineRetention is how long a terminated machine is remembered, so that its
+	// late heartbeats are refused.
 	TerminatedMachineRetention = 15 * time.Minute
-	// FailoverUnreachablePeriods is UnreachablePeriods for a new owner, which probes at
-	// once (periods).
+	// FailoverUnreachablePeriods replaces UnreachablePeriods for a new owner, which probes
+	// at once (periods).
 	FailoverUnreachablePeriods = 2.0
-	// CloudListInterval is how often an owner reads the cloud's list, for each page
-	// of machines that it has: a longer list takes more of the allowance.
+	// CloudListInterval is how often an owner reads the cloud's list, per page of machines
+	// in the list: a longer list uses more of the rate limit.
 	CloudListInterval = 10 * time.Second
 )
