--- a/constants/shard_liveness.go
+++ b/constants/shard_liveness.go
@@ -13,11 +13,11 @@
 	UnreachablePeriods = 2.2
 	// RecentHeartbeatPeriods is the window in which an owner of many machines checks whether
 	// it receives heartbeats (periods). Within it, one in RecentHeartbeatDivisor of its
-	// machines must have sent one (divisor): a quarter of those that were due.
+	// machines must have sent a heartbeat (divisor): a quarter of those that were due.
 	RecentHeartbeatPeriods = 0.5
 	RecentHeartbeatDivisor = 8
-	// SmallShardMachines is the number of machines below which the heartbeats of so short a
-	// window are no evidence (machines).
+	// SmallShardMachines is the number of machines below which a shard is small (machines):
+	// the heartbeats of so few machines within RecentHeartbeatPeriods are no evidence.
 	SmallShardMachines = 16
 	// MaxCoincidentFailures is the largest number of machines that may all be unreachable at
 	// once because of independent failures (machines). If all of more machines are, the
@@ -54,7 +54,8 @@
 	// FailoverUnreachablePeriods replaces UnreachablePeriods for a new owner, which probes
 	// at once (periods).
 	FailoverUnreachablePeriods = 2.0
-	// CloudListInterval is how often an owner reads the cloud's list, per page of machines
-	// in the list: a longer list uses more of the rate limit.
+	// CloudListInterval is how often an owner reads a list of the cloud that has one page.
+	// The interval grows in proportion to the pages, since a longer list uses more of the
+	// rate limit.
 	CloudListInterval = 10 * time.Second
 )
