--- a/apiserver/relay.go
+++ b/apiserver/relay.go
@@ -26,9 +26,9 @@
 }
 
 // currentRelays returns the relays if SetRelays arrived within the last
-// constants.StoreSilenceTimeout, and nil otherwise.
+// constants.StoreContactTimeout, and nil otherwise.
 func (p *storePath) currentRelays(now time.Time) []Relay {
-	if now.Sub(p.relaysUpdatedAt) > constants.StoreSilenceTimeout {
+	if now.Sub(p.relaysUpdatedAt) > constants.StoreContactTimeout {
 		return nil
 	}
 	return p.relays
--- a/apiserver/relay_test.go
+++ b/apiserver/relay_test.go
@@ -113,14 +113,14 @@
 }
 
 // The direct path is used again after an update from the watch feed. Relays are not used
-// once StoreSilenceTimeout has passed since the last SetRelays.
+// once StoreContactTimeout has passed since the last SetRelays.
 func TestDirectPathIsTakenAgain(t *testing.T) {
 	r := storePath{relays: []Relay{&pathStub{}}, relaysUpdatedAt: time.Unix(100, 0), directBlocked: true}
-	if got := r.currentRelays(time.Unix(100, 0).Add(constants.StoreSilenceTimeout)); len(got) != 1 {
-		t.Error("a relay is not used although it was set within StoreSilenceTimeout")
+	if got := r.currentRelays(time.Unix(100, 0).Add(constants.StoreContactTimeout)); len(got) != 1 {
+		t.Error("a relay is not used although it was set within StoreContactTimeout")
 	}
-	if got := r.currentRelays(time.Unix(101, 0).Add(constants.StoreSilenceTimeout)); len(got) != 0 {
-		t.Error("a relay is still used after StoreSilenceTimeout")
+	if got := r.currentRelays(time.Unix(101, 0).Add(constants.StoreContactTimeout)); len(got) != 0 {
+		t.Error("a relay is still used after StoreContactTimeout")
 	}
 	server := New(&settings.Settings{}, slowStore{}, actor.NewRef(), actor.NewRef())
 	server.path = r
--- a/controller/extension.go
+++ b/controller/extension.go
@@ -14,9 +14,9 @@
 // why this is safe.
 
 // isStoreSilent reports whether the key-value store has sent nothing for longer than
-// ExtensionStoreSilence.
+// ExtensionStoreContactTimeout.
 func (c *controlActor) isStoreSilent(now time.Time) bool {
-	return c.feed.synced && now.Sub(c.lastStoreContact) > constants.ExtensionStoreSilence
+	return c.feed.synced && now.Sub(c.lastStoreContact) > constants.ExtensionStoreContactTimeout
 }
 
 // termsToExtend returns the terms for which lease extensions are to be requested now.
--- a/controller/health.go
+++ b/controller/health.go
@@ -8,9 +8,9 @@
 )
 
 // isStoreReachable reports whether the key-value store answered within
-// StoreSilenceTimeout.
+// StoreContactTimeout.
 func (c *controlActor) isStoreReachable(now time.Time) bool {
-	return now.Sub(c.lastStoreContact) < constants.StoreSilenceTimeout
+	return now.Sub(c.lastStoreContact) < constants.StoreContactTimeout
 }
 
 // answerHealth answers whether this controller can serve users. While no controller
@@ -34,7 +34,7 @@
 // isStoreUnreachableOnlyHere reports whether the key-value store does not answer this
 // controller while at least one other controller reaches it.
 func (c *controlActor) isStoreUnreachableOnlyHere(now time.Time) bool {
-	if now.Sub(c.lastStoreContact) <= constants.StoreSilenceTimeout+constants.WatchTimeout/2 {
+	if now.Sub(c.lastStoreContact) <= constants.StoreContactTimeout+constants.WatchTimeout/2 {
 		return false
 	}
 	for _, view := range c.peers {
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -91,7 +91,7 @@
 
 // misroutedWindow returns how long a misrouted heartbeat is taken into account.
 func (c *controlActor) misroutedWindow() time.Duration {
-	return time.Duration(constants.MisroutedPeriods * float64(c.settings.HeartbeatPeriod()))
+	return time.Duration(constants.MisroutedHeartbeatPeriods * float64(c.settings.HeartbeatPeriod()))
 }
 
 // recentMisrouted returns the misrouted heartbeats within the window, and discards the
--- a/controller/leader_actor.go
+++ b/controller/leader_actor.go
@@ -55,7 +55,7 @@
 	}
 	now := time.Now()
 	a.apply(now, msg)
-	if a.pacer.startStep(now, constants.LeaderRoundGap) {
+	if a.pacer.startStep(now, constants.MinLeaderRoundInterval) {
 		a.step(ctx, now)
 	}
 }
@@ -95,7 +95,7 @@
 		a.forecastAt = now
 		a.control.Tell(shardForecasts(a.core.BuildForecasts(now, a.revision)))
 	}
-	a.pacer.scheduleTick(constants.LeaderTick)
+	a.pacer.scheduleTick(constants.LeaderTickInterval)
 }
 
 // commit writes an assignment. It runs beside the actor.
--- a/controller/roles.go
+++ b/controller/roles.go
@@ -189,13 +189,13 @@
 }
 
 // lacksPeerContact reports whether no other controller made contact within
-// PeerSilenceTimeout although at least one is alive.
+// PeerContactTimeout although at least one is alive.
 func (c *controlActor) lacksPeerContact(now time.Time) bool {
 	return c.havePeersTimedOut(now, func(v peerView) time.Time { return v.lastContact })
 }
 
 // lacksPeerStatus reports whether no other controller sent its status within
-// PeerSilenceTimeout although at least one is alive. The others may still answer this
+// PeerContactTimeout although at least one is alive. The others may still answer this
 // controller's status. The check guards against a leader that other controllers cannot
 // call: the leader would have the aggregates of its own shards only, and would assign
 // all work to those shards.
@@ -204,12 +204,12 @@
 }
 
 // havePeersTimedOut reports whether at least one other controller is alive, and the time
-// that lastReceived returns is longer ago than PeerSilenceTimeout for every other
+// that lastReceived returns is longer ago than PeerContactTimeout for every other
 // controller.
 func (c *controlActor) havePeersTimedOut(now time.Time, lastReceived func(peerView) time.Time) bool {
 	someAlive := false
 	for _, p := range c.settings.Peers {
-		if now.Sub(lastReceived(c.peers[p.Controller])) < constants.PeerSilenceTimeout {
+		if now.Sub(lastReceived(c.peers[p.Controller])) < constants.PeerContactTimeout {
 			return false
 		}
 		someAlive = someAlive || c.member.IsAlive(p.Controller)
--- a/leader/assign.go
+++ b/leader/assign.go
@@ -54,11 +54,11 @@
 	plan, guaranteed := c.planJob(now, job, admitted, unassigned)
 	update := assignRanges(job.record, plan, guaranteed)
 	if update.tasks == 0 {
-		job.retryAt = now.Add(constants.LeaderTick)
+		job.retryAt = now.Add(constants.LeaderTickInterval)
 		return Commit{}, notAssigned
 	}
 	if update.tasks < unassigned {
-		job.retryAt = now.Add(constants.PartialAssignmentGap)
+		job.retryAt = now.Add(constants.MinPartialAssignmentInterval)
 	}
 	value, fitsStore := c.sizeLimits.EncodeWithHeadroom(update.record, job.record)
 	if !fitsStore {
--- a/shard/cloudlist.go
+++ b/shard/cloudlist.go
@@ -47,11 +47,11 @@
 	c.countMissedLists(now, listed)
 }
 
-// forgetTerminated removes machines that were terminated more than constants.TerminatedMemory
+// forgetTerminated removes machines that were terminated more than constants.TerminatedMachineRetention
 // ago.
 func (l *liveness) forgetTerminated(now time.Time) {
 	for name, at := range l.terminated {
-		if now.Sub(at) > constants.TerminatedMemory {
+		if now.Sub(at) > constants.TerminatedMachineRetention {
 			delete(l.terminated, name)
 		}
 	}
--- a/shard/liveness.go
+++ b/shard/liveness.go
@@ -19,7 +19,7 @@
 	livenessResetAt time.Time            // missing heartbeats are not counted before this time
 	partitioned     bool                 // the shard's machines as a whole are unreachable
 	peersReportedAt time.Time            // last time at which every live controller had reported
-	terminated      map[string]time.Time // time of termination by machine, kept for constants.TerminatedMemory
+	terminated      map[string]time.Time // time of termination by machine, kept for constants.TerminatedMachineRetention
 	scaleInScans    pace                 // limits how often machines are checked for termination
 	lastScaleInAt   time.Time            // time at which machines were last terminated
 }
--- a/shard/partition.go
+++ b/shard/partition.go
@@ -12,7 +12,7 @@
 	reporting          int  // expected machines that have sent a heartbeat or a reply in this term and epoch
 	unreachable        int  // reporting machines that are unreachable now
 	misrouted          int  // expected machines that have recently sent heartbeats to another controller
-	small              bool // fewer than constants.SmallFleet machines are expected
+	small              bool // fewer than constants.SmallShardMachines machines are expected
 	noRecentHeartbeats bool // a small shard of more than two machines from which no recent heartbeat was received
 	receiving          bool // the owner has received enough recent heartbeats
 }
@@ -49,12 +49,12 @@
 			health.unreachable++
 		}
 	}
-	health.small = health.expected < constants.SmallFleet
+	health.small = health.expected < constants.SmallShardMachines
 	if health.small {
 		health.receiving = current*2 > health.expected
 		health.noRecentHeartbeats = health.expected > constants.MaxCoincidentFailures && current == 0
 	} else {
-		health.receiving = recent*constants.RecentHeartbeatShare >= health.expected
+		health.receiving = recent*constants.RecentHeartbeatDivisor >= health.expected
 	}
 	return health
 }
@@ -76,7 +76,7 @@
 	if last.Before(l.startedAt) {
 		last = l.startedAt
 	}
-	peerReportDelay := l.periods(constants.MaxHeartbeatDelayPeriods) + constants.ControllerSwitchTime + 2*constants.MaxPushInterval
+	peerReportDelay := l.periods(constants.MaxHeartbeatIntervalPeriods) + constants.ControllerSwitchTime + 2*constants.MaxPushInterval
 	if health.receiving {
 		return true
 	}
@@ -89,7 +89,9 @@
 }
 
 // misroutedWindow returns for how long a heartbeat to another controller counts.
-func (l *liveness) misroutedWindow() time.Duration { return l.periods(constants.MisroutedPeriods) }
+func (l *liveness) misroutedWindow() time.Duration {
+	return l.periods(constants.MisroutedHeartbeatPeriods)
+}
 
 // IsIsolated reports whether the owner no longer receives the heartbeats of its machines, and
 // whether the machines have sent them to other controllers. If both are true, the machines
@@ -101,10 +103,10 @@
 	if health.small {
 		return health.unreachable*2 > health.expected, health.misrouted*2 > health.expected
 	}
-	if now.Sub(v.acquiredAt) < v.periods(constants.MaxHeartbeatDelayPeriods) {
+	if now.Sub(v.acquiredAt) < v.periods(constants.MaxHeartbeatIntervalPeriods) {
 		return false, false // some heartbeats may still be on their way
 	}
-	misrouted = health.misrouted*constants.RecentHeartbeatShare > health.expected
+	misrouted = health.misrouted*constants.RecentHeartbeatDivisor > health.expected
 	// If no controller ever received a heartbeat of the machines, the side that has failed is
 	// unknown.
 	return !health.receiving && (health.reporting > 0 || misrouted), misrouted
@@ -118,7 +120,7 @@
 // case the owner requests no more machines, because they would be unreachable too, and the
 // leader assigns no task to the shard that may run in another shard.
 func (l *liveness) detectPartition(now time.Time, health fleetHealth) bool {
-	delay := l.periods(constants.MaxHeartbeatDelayPeriods)
+	delay := l.periods(constants.MaxHeartbeatIntervalPeriods)
 	// If all controllers had ended, a worker may return to this controller only after it has
 	// tried the others and its next heartbeat is due.
 	return (!health.small && !health.receiving || health.noRecentHeartbeats) &&
