--- a/controller/drain_records.go
+++ b/controller/drain_records.go
@@ -12,12 +12,12 @@
 // drainRecords is what a controller knows of drains: the stored records, and the progress
 // that owners report.
 type drainRecords struct {
-	stored map[string]records.Change    // drains, disruption claims and terms of shards, by key
-	views  map[string]drain.ShardStatus // by shard
+	stored        map[string]records.Change    // drains, disruption claims and terms of shards, by key
+	shardStatuses map[string]drain.ShardStatus // by shard
 }
 
 func newDrainRecords() drainRecords {
-	return drainRecords{stored: map[string]records.Change{}, views: map[string]drain.ShardStatus{}}
+	return drainRecords{stored: map[string]records.Change{}, shardStatuses: map[string]drain.ShardStatus{}}
 }
 
 // apply applies a change from the feed.
--- a/controller/drain_service.go
+++ b/controller/drain_service.go
@@ -164,7 +164,7 @@
 	var plans []drain.ShardPlan
 	var missing []string
 	for _, zone := range drain.SelectedZones(&selection, snapshot.inventory.Zones) {
-		plan := s.planOfOwner(ctx, snapshot.holders[zone], zone, selection)
+		plan := s.planOfOwner(ctx, snapshot.ownerNames[zone], zone, selection)
 		if plan == nil {
 			missing = append(missing, zone)
 			continue
--- a/controller/drain_snapshot.go
+++ b/controller/drain_snapshot.go
@@ -53,20 +53,20 @@
 
 // drainSnapshot is what a request about drains is answered from.
 type drainSnapshot struct {
-	inventory  drain.Inventory
-	drains     map[int]records.Change // readable ones, by number
-	unreadable []int                  // numbers of damaged ones
-	views      map[string]drain.ShardStatus
-	holders    map[string]string // by shard: its owner, if that is alive
+	inventory     drain.Inventory
+	drains        map[int]records.Change // readable ones, by number
+	unreadable    []int                  // numbers of damaged ones
+	shardStatuses map[string]drain.ShardStatus
+	ownerNames    map[string]string // by shard: its owner, if that is alive
 }
 
 // drainSnapshot makes a snapshot of what is known here now.
 func (c *controlActor) drainSnapshot() drainSnapshot {
 	s := drainSnapshot{
-		inventory: drain.Inventory{Zones: c.settings.Deployment.Zones},
-		drains:    map[int]records.Change{},
-		views:     maps.Clone(c.drains.views),
-		holders:   map[string]string{},
+		inventory:     drain.Inventory{Zones: c.settings.Deployment.Zones},
+		drains:        map[int]records.Change{},
+		shardStatuses: maps.Clone(c.drains.shardStatuses),
+		ownerNames:    map[string]string{},
 	}
 	for _, t := range c.machineTypes.known {
 		s.inventory.Types = append(s.inventory.Types, t.Name)
@@ -82,7 +82,7 @@
 	slices.Sort(s.unreadable)
 	for _, zone := range c.settings.Deployment.Zones {
 		if name, alive := c.member.Holder(records.KeyShard(zone)); alive {
-			s.holders[zone] = name
+			s.ownerNames[zone] = name
 		}
 	}
 	return s
@@ -131,7 +131,7 @@
 		view.Remaining = len(s.inventory.Select(&r.Selection))
 	}
 	for _, zone := range s.inventory.Zones {
-		for _, progress := range s.views[zone].Drains {
+		for _, progress := range s.shardStatuses[zone].Drains {
 			if progress.Drain == r.Number {
 				view.Shards = append(view.Shards, progress)
 			}
@@ -144,7 +144,7 @@
 func (s *drainSnapshot) budgetUsage() []disruption.Usage {
 	var budgets []disruption.Usage
 	for _, zone := range s.inventory.Zones {
-		for _, usage := range s.views[zone].BudgetUsage {
+		for _, usage := range s.shardStatuses[zone].BudgetUsage {
 			at := slices.IndexFunc(budgets, func(x disruption.Usage) bool { return x.Budget == usage.Budget })
 			switch {
 			case at < 0:
--- a/controller/peer_status.go
+++ b/controller/peer_status.go
@@ -135,9 +135,9 @@
 		owner.ref.Tell(s.Aggregates)
 		owner.ref.Tell(misrouted)
 	}
-	for _, view := range s.Drains {
-		if c.roles.owners[view.Shard] == nil {
-			c.drains.views[view.Shard] = view
+	for _, drainStatus := range s.Drains {
+		if c.roles.owners[drainStatus.Shard] == nil {
+			c.drains.shardStatuses[drainStatus.Shard] = drainStatus
 		}
 	}
 	for shard, jobs := range s.Counts {
--- a/controller/roles.go
+++ b/controller/roles.go
@@ -129,7 +129,7 @@
 	owner.cancel()
 	delete(c.roles.owners, shard)
 	delete(c.roles.shardStatuses, shard)
-	delete(c.drains.views, shard)
+	delete(c.drains.shardStatuses, shard)
 }
 
 // tellOwners sends a message to every owner here.
@@ -176,7 +176,7 @@
 		m.summary = previous.summary
 		m.drains = previous.drains
 	}
-	c.drains.views[m.shard] = m.drains
+	c.drains.shardStatuses[m.shard] = m.drains
 	c.roles.shardStatuses[m.shard] = m
 	c.tellLeader(m.aggregate)
 	c.tellOwners([]leader.Aggregate{m.aggregate})
