--- a/controller/drain_service.go
+++ b/controller/drain_service.go
@@ -59,7 +59,7 @@
 	defer cancel()
 	switch r.Op {
 	case peer.OpShardPlan:
-		plan, err := s.planShard(ctx, r.Shard, r.Selection)
+		plan, err := s.localShardPlan(ctx, r.Shard, r.Selection)
 		return peer.DrainReply{ShardPlan: plan}, err
 	case peer.OpPlan, peer.OpStart:
 		return s.planOrStart(ctx, r)
@@ -72,8 +72,8 @@
 	return refusal("op", "%q is nothing that can be asked of a drain", r.Op), nil
 }
 
-// planShard asks the owner of a shard here for its plan; nil if there is no owner here.
-func (s *drainService) planShard(ctx context.Context, shard string, selection records.Selection) (*drain.ShardPlan, error) {
+// localShardPlan asks the owner of a shard here for its plan; nil if there is no owner here.
+func (s *drainService) localShardPlan(ctx context.Context, shard string, selection records.Selection) (*drain.ShardPlan, error) {
 	owner, err := request(ctx, s.control, func(answer chan<- *actor.Ref) any { return ownerRequest{shard, answer} })
 	if err != nil || owner == nil {
 		return nil, err
@@ -101,11 +101,11 @@
 	}
 	plan := s.plan(ctx, &snapshot, selection)
 	reply := peer.DrainReply{Plan: &plan}
-	isWhole := len(plan.MissingShards) == 0
-	if r.Op == peer.OpPlan && (isWhole || len(plan.Shards) > 0) {
+	isComplete := len(plan.MissingShards) == 0
+	if r.Op == peer.OpPlan && (isComplete || len(plan.Shards) > 0) {
 		return reply, nil
 	}
-	if !isWhole {
+	if !isComplete {
 		return refusal("zone", "the owner of shard %s cannot be asked, or does not drain", plan.MissingShards[0]), nil
 	}
 	if obstacle := plan.FirstPermanentObstacle(); obstacle != nil {
@@ -123,8 +123,8 @@
 // now, so that machines of later scale-outs are no part of it.
 func (s *drainService) resolve(ctx context.Context, r peer.DrainRequest, snapshot *drainSnapshot) (records.Selection, *drain.FieldError) {
 	selection := r.Selection
-	namesNothing := len(selection.Machines)+len(selection.Zones)+len(selection.Types) == 0 && selection.Spot == nil && r.MinAgeS == 0
-	if namesNothing && !r.MatchAll {
+	hasNoCriteria := len(selection.Machines)+len(selection.Zones)+len(selection.Types) == 0 && selection.Spot == nil && r.MinAgeS == 0
+	if hasNoCriteria && !r.MatchAll {
 		return selection, &drain.FieldError{Field: "selection", Problem: "names no machine, zone, type, kind or age; say so if all machines are meant"}
 	}
 	if r.MinAgeS < 0 {
@@ -164,7 +164,7 @@
 	var plans []drain.ShardPlan
 	var missing []string
 	for _, zone := range drain.SelectedZones(&selection, snapshot.inventory.Zones) {
-		plan := s.planOfOwner(ctx, snapshot.ownerNames[zone], zone, selection)
+		plan := s.shardPlan(ctx, snapshot.ownerNames[zone], zone, selection)
 		if plan == nil {
 			missing = append(missing, zone)
 			continue
@@ -174,11 +174,11 @@
 	return drain.MergePlans(plans, missing, s.stableAfter)
 }
 
-// planOfOwner asks the owner of a shard, here or at another controller, for its plan; nil
+// shardPlan asks the owner of a shard, here or at another controller, for its plan; nil
 // if it does not answer.
-func (s *drainService) planOfOwner(ctx context.Context, owner, shard string, selection records.Selection) *drain.ShardPlan {
+func (s *drainService) shardPlan(ctx context.Context, owner, shard string, selection records.Selection) *drain.ShardPlan {
 	if owner == s.name {
-		plan, _ := s.planShard(ctx, shard, selection)
+		plan, _ := s.localShardPlan(ctx, shard, selection)
 		return plan
 	}
 	p := s.peers[owner]
