--- a/controller/leader_actor.go
+++ b/controller/leader_actor.go
@@ -20,8 +20,8 @@
 	pacer       stepPacer
 	stopped     bool // by a transfer of its term: nothing is done any more
 
-	revision   uint64
-	forecastAt time.Time
+	revision       uint64
+	forecastSentAt time.Time
 }
 
 // newLeaderActor returns the leader's actor under the term of the given version.
@@ -91,8 +91,8 @@
 	for _, assignment := range a.core.Step(now) {
 		go a.commit(ctx, assignment)
 	}
-	if now.Sub(a.forecastAt) >= constants.ForecastInterval {
-		a.forecastAt = now
+	if now.Sub(a.forecastSentAt) >= constants.ForecastInterval {
+		a.forecastSentAt = now
 		a.control.Tell(shardForecasts(a.core.BuildForecasts(now, a.revision)))
 	}
 	a.pacer.scheduleTick(constants.LeaderTick)
--- a/controller/peer_status.go
+++ b/controller/peer_status.go
@@ -29,7 +29,7 @@
 type pushState struct {
 	lastAt     time.Time // to anybody
 	lastFullAt time.Time // to everybody
-	pending    bool      // figures have changed since
+	changed    bool      // figures have changed since
 	inFlight   map[string]bool
 }
 
@@ -57,12 +57,12 @@
 	extend := c.termsToExtend(now)
 	full := now.Sub(c.push.lastFullAt) > constants.MaxPushInterval ||
 		len(extend) > 0 && now.Sub(c.push.lastFullAt) > constants.ExtensionRequestInterval
-	soon := c.push.pending && now.Sub(c.push.lastAt) >= constants.MinPushInterval
-	if !full && !soon {
+	changesDue := c.push.changed && now.Sub(c.push.lastAt) >= constants.MinPushInterval
+	if !full && !changesDue {
 		return
 	}
 	c.push.lastAt = now
-	c.push.pending = false
+	c.push.changed = false
 	if full {
 		c.push.lastFullAt = now
 	}
@@ -165,8 +165,8 @@
 // a machine that none of them has seen does not just miss its owner.
 func (c *controlActor) isInContactWithAllPeers(now time.Time) bool {
 	for _, p := range c.settings.Peers {
-		silence := now.Sub(c.peers[p.Controller].lastContact)
-		if c.member.IsAlive(p.Controller) && silence > constants.MaxPushInterval*2 {
+		sinceContact := now.Sub(c.peers[p.Controller].lastContact)
+		if c.member.IsAlive(p.Controller) && sinceContact > constants.MaxPushInterval*2 {
 			return false
 		}
 	}
@@ -176,7 +176,7 @@
 // handleForecasts keeps the forecasts of the leader here and passes them on.
 func (c *controlActor) handleForecasts(forecasts shardForecasts) {
 	c.roles.forecasts = forecasts
-	c.push.pending = c.push.pending || forecasts != nil
+	c.push.changed = c.push.changed || forecasts != nil
 	c.forwardForecasts(forecasts)
 }
 
--- a/controller/peer_status_test.go
+++ b/controller/peer_status_test.go
@@ -38,7 +38,7 @@
 		}
 		c := newControlActor(w.controllers[0].set, out, actor.NewRef(), actor.NewRef(), nil)
 		for range 100 {
-			c.push.pending = true
+			c.push.changed = true
 			c.pushStatus(t.Context(), time.Now())
 			time.Sleep(200 * time.Millisecond)
 			synctest.Wait()
--- a/controller/roles.go
+++ b/controller/roles.go
@@ -164,7 +164,7 @@
 
 // handleShardStatus keeps an owner's figures and passes them on.
 func (c *controlActor) handleShardStatus(now time.Time, m shardStatus) {
-	c.push.pending = true
+	c.push.changed = true
 	if m.counts != nil {
 		if m.summary.Partitioned || !m.summary.Rebuilt {
 			c.terms.unstableAt[records.KeyShard(m.shard)] = now
--- a/controller/shard_actor.go
+++ b/controller/shard_actor.go
@@ -30,11 +30,11 @@
 	pacer   stepPacer
 	stopped bool // by a transfer of its term: heartbeats are refused, and nothing else is done
 
-	revision       uint64
-	statusAt       time.Time // when the status was last sent,
-	summaryAt      time.Time // and when with counts and summary
-	reachabilityAt time.Time // when it was last checked whether the machines are reachable
-	list           machineListState
+	revision              uint64
+	statusSentAt          time.Time // when the status was last sent,
+	summarySentAt         time.Time // and when with counts and summary
+	reachabilityCheckedAt time.Time // when it was last checked whether the machines are reachable
+	machineList           machineListState
 }
 
 // machineListState is when the cloud's list of machines was last read.
@@ -182,9 +182,9 @@
 	case scaleInDone:
 		a.core.ScaleInResult(now, m.machines)
 	case machinesListed:
-		a.list.reading = false
+		a.machineList.reading = false
 		if m.err == nil {
-			a.list.size = len(m.machines)
+			a.machineList.size = len(m.machines)
 			a.core.ApplyMachineList(now, m.machines)
 		}
 	}
@@ -213,15 +213,15 @@
 
 // sendStatus sends the control actor this shard's figures when they are due.
 func (a *shardActor) sendStatus(now time.Time) {
-	age := now.Sub(a.statusAt)
+	age := now.Sub(a.statusSentAt)
 	due := age > constants.MaxPushInterval || age > a.core.PushInterval() && a.core.PushDue()
 	if !due {
 		return
 	}
-	a.statusAt = now
+	a.statusSentAt = now
 	status := shardStatus{shard: a.shard, aggregate: a.core.Aggregate(now, a.revision)}
-	if now.Sub(a.summaryAt) >= constants.MaxPushInterval {
-		a.summaryAt = now
+	if now.Sub(a.summarySentAt) >= constants.MaxPushInterval {
+		a.summarySentAt = now
 		status.counts = a.core.TaskCounts()
 		status.summary = a.core.Summary(now)
 		status.drains = drain.ShardStatus{Shard: a.shard, Drains: a.core.DrainProgress(), BudgetUsage: a.core.Usage(now)}
@@ -235,11 +235,11 @@
 // checkReachability tells the control actor if all machines are silent. It looks at the
 // whole fleet, so it is not done at each step.
 func (a *shardActor) checkReachability(now time.Time) {
-	if now.Sub(a.reachabilityAt) < constants.ScaleInScanInterval {
+	if now.Sub(a.reachabilityCheckedAt) < constants.ScaleInScanInterval {
 		return
 	}
-	a.reachabilityAt = now
-	if silent, misrouted := a.core.IsIsolated(now); silent {
+	a.reachabilityCheckedAt = now
+	if unreachable, misrouted := a.core.IsIsolated(now); unreachable {
 		a.control.Tell(shardUnreachable{shard: a.shard, heartbeatsMisrouted: misrouted})
 	}
 }
@@ -250,13 +250,13 @@
 func (a *shardActor) readMachineList(ctx context.Context, now time.Time) {
 	interval := constants.CloudListInterval
 	if !a.core.IsPartitioned() {
-		interval *= time.Duration(1 + a.list.size/wire.MaxMachinesListed)
+		interval *= time.Duration(1 + a.machineList.size/wire.MaxMachinesListed)
 	}
-	if a.list.reading || now.Sub(a.list.readAt) <= interval {
+	if a.machineList.reading || now.Sub(a.machineList.readAt) <= interval {
 		return
 	}
-	a.list.reading = true
-	a.list.readAt = now
+	a.machineList.reading = true
+	a.machineList.readAt = now
 	go func() {
 		machines, err := a.cloud.Machines(ctx)
 		a.self.Tell(machinesListed{machines, err})
