--- a/controller/monitor.go
+++ b/controller/monitor.go
@@ -21,7 +21,7 @@
 // may act on it.
 type monitorActor struct {
 	name     string // of this controller
-	set      *settings.Detection
+	settings *settings.Detection
 	leaseTTL time.Duration // of this controller's lease
 	detector *detector.Detector
 	watchdog *watchdog.Watchdog
@@ -55,7 +55,7 @@
 	}
 	return &monitorActor{
 		name:              set.Controller,
-		set:               set.Detection,
+		settings:          set.Detection,
 		leaseTTL:          set.Operator.LeaseTTL,
 		detector:          d,
 		watchdog:          watchdog.New(set.Detection.StallAfter),
@@ -87,7 +87,7 @@
 		msg.answer <- m.detector.NextHeartbeat().Heartbeat
 	case probeDone:
 		m.detector.HandleProbeResult(now, msg.probe, msg.heartbeat)
-	case revocationSeen:
+	case revocationEvent:
 		m.events.add(history.Event(msg))
 	}
 }
@@ -123,7 +123,7 @@
 		}
 	}
 	if m.detector.IsRefutationPending() || !now.Before(m.nextHeartbeat) {
-		m.nextHeartbeat = now.Add(m.set.Interval)
+		m.nextHeartbeat = now.Add(m.settings.Interval)
 		m.sendHeartbeats(ctx)
 	}
 	if !now.Before(m.nextPublish) {
@@ -180,7 +180,7 @@
 // probe carries out one probe, directly or through another controller. It runs beside the
 // actor.
 func (m *monitorActor) probe(ctx context.Context, p detector.Probe) {
-	ctx, cancel := context.WithTimeout(ctx, m.set.ProbeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, m.settings.ProbeTimeout)
 	defer cancel()
 	called := p.Target
 	request := peer.ProbeRequest{Controller: m.name}
@@ -202,17 +202,17 @@
 	view := membershipView{dropped: m.dropped, events: m.events.lines()}
 	for _, v := range m.detector.PeerViews(now) {
 		view.members = append(view.members, MemberStatus{
-			Controller:     v.Controller,
-			State:          string(v.State),
-			Evidence:       evidenceNames(v.Evidence),
-			Accusers:       v.Accusers,
-			Refutation:     v.Refutation,
-			SilentMS:       v.SilentFor.Milliseconds(),
-			SilenceLimitMS: v.SilenceLimit.Milliseconds(),
+			Controller:         v.Controller,
+			State:              string(v.State),
+			Evidence:           evidenceNames(v.Evidence),
+			Accusers:           v.Accusers,
+			Refutation:         v.Refutation,
+			SinceHeartbeatMS:   v.SilentFor.Milliseconds(),
+			SuspicionTimeoutMS: v.SilenceLimit.Milliseconds(),
 		})
 	}
 	m.control.Tell(view)
-	if proposals := m.detector.Proposals(now); m.set.Revoke && len(proposals) > 0 {
+	if proposals := m.detector.Proposals(now); m.settings.Revoke && len(proposals) > 0 {
 		m.control.Tell(proposals)
 	}
 }
--- a/controller/monitor_messages.go
+++ b/controller/monitor_messages.go
@@ -43,6 +43,6 @@
 		actors       map[string]*actor.Ref
 		feed         watchdog.Sample
 	}
-	// revocationSeen is a stored revocation, as an event for the history.
-	revocationSeen history.Event
+	// revocationEvent is a stored revocation, as an event for the history.
+	revocationEvent history.Event
 )
--- a/controller/revocation.go
+++ b/controller/revocation.go
@@ -53,7 +53,7 @@
 	if c.detection.monitor == nil {
 		return
 	}
-	c.detection.monitor.Tell(revocationSeen(history.Event{
+	c.detection.monitor.Tell(revocationEvent(history.Event{
 		At: now, Observer: r.RevokedBy, Controller: r.Controller, Incarnation: r.Incarnation,
 		To: "revoked", Evidence: r.Evidence, Accusers: r.Accusers,
 	}))
--- a/controller/status.go
+++ b/controller/status.go
@@ -31,13 +31,13 @@
 
 // MemberStatus is another controller as failure detection sees it.
 type MemberStatus struct {
-	Controller     string   `json:"node"`
-	State          string   `json:"state"`
-	Evidence       []string `json:"evidence,omitempty"`
-	Accusers       []string `json:"accusers,omitempty"` // controllers with evidence of their own
-	Refutation     uint64   `json:"refutation,omitempty"`
-	SilentMS       int64    `json:"silent_ms"` // since its last heartbeat (ms)
-	SilenceLimitMS int64    `json:"bound_ms"`  // silence beyond which it is suspected (ms)
+	Controller         string   `json:"node"`
+	State              string   `json:"state"`
+	Evidence           []string `json:"evidence,omitempty"`
+	Accusers           []string `json:"accusers,omitempty"` // controllers with evidence of their own
+	Refutation         uint64   `json:"refutation,omitempty"`
+	SinceHeartbeatMS   int64    `json:"silent_ms"` // since its last heartbeat (ms)
+	SuspicionTimeoutMS int64    `json:"bound_ms"`  // silence beyond which it is suspected (ms)
 }
 
 // TermHolder is who holds the term of the leader or of a shard's owner.
