--- a/controller/drain_service.go
+++ b/controller/drain_service.go
@@ -54,22 +54,22 @@
 
 // Answer answers a request about drains. An error means that it is not known whether
 // anything was done; a refusal is a reply.
-func (s *drainService) Answer(ctx context.Context, r peer.DrainRequest) (peer.DrainReply, error) {
+func (s *drainService) Answer(ctx context.Context, req peer.DrainRequest) (peer.DrainReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, constants.DrainCallTimeout)
 	defer cancel()
-	switch r.Op {
+	switch req.Op {
 	case peer.OpShardPlan:
-		plan, err := s.localShardPlan(ctx, r.Shard, r.Selection)
+		plan, err := s.localShardPlan(ctx, req.Shard, req.Selection)
 		return peer.DrainReply{ShardPlan: plan}, err
 	case peer.OpPlan, peer.OpStart:
-		return s.planOrStart(ctx, r)
+		return s.planOrStart(ctx, req)
 	case peer.OpStatus:
 		snapshot, err := s.snapshot(ctx)
 		return peer.DrainReply{Status: snapshot.status(s.name)}, err
 	case peer.OpPause, peer.OpResume, peer.OpCancel:
-		return s.changeState(ctx, r)
+		return s.changeState(ctx, req)
 	}
-	return refusal("op", "%q is nothing that can be asked of a drain", r.Op), nil
+	return refusal("op", "%q is nothing that can be asked of a drain", req.Op), nil
 }
 
 // localShardPlan asks the owner of a shard here for its plan; nil if there is no owner here.
@@ -87,12 +87,12 @@
 
 // planOrStart checks a selection and plans its drain; with OpStart the drain is then
 // written.
-func (s *drainService) planOrStart(ctx context.Context, r peer.DrainRequest) (peer.DrainReply, error) {
+func (s *drainService) planOrStart(ctx context.Context, req peer.DrainRequest) (peer.DrainReply, error) {
 	snapshot, err := s.snapshot(ctx)
 	if err != nil {
 		return peer.DrainReply{}, err
 	}
-	selection, problem := s.resolve(ctx, r, &snapshot)
+	selection, problem := s.resolve(ctx, req, &snapshot)
 	if problem == nil {
 		problem = snapshot.inventory.Validate(&selection)
 	}
@@ -102,7 +102,7 @@
 	plan := s.plan(ctx, &snapshot, selection)
 	reply := peer.DrainReply{Plan: &plan}
 	isComplete := len(plan.MissingShards) == 0
-	if r.Op == peer.OpPlan && (isComplete || len(plan.Shards) > 0) {
+	if req.Op == peer.OpPlan && (isComplete || len(plan.Shards) > 0) {
 		return reply, nil
 	}
 	if !isComplete {
@@ -121,22 +121,22 @@
 
 // resolve turns a request into a selection. It ends with the last machine that is known
 // now, so that machines of later scale-outs are no part of it.
-func (s *drainService) resolve(ctx context.Context, r peer.DrainRequest, snapshot *drainSnapshot) (records.Selection, *drain.FieldError) {
-	selection := r.Selection
-	hasNoCriteria := len(selection.Machines)+len(selection.Zones)+len(selection.Types) == 0 && selection.Spot == nil && r.MinAgeS == 0
-	if hasNoCriteria && !r.MatchAll {
+func (s *drainService) resolve(ctx context.Context, req peer.DrainRequest, snapshot *drainSnapshot) (records.Selection, *drain.FieldError) {
+	selection := req.Selection
+	hasNoCriteria := len(selection.Machines)+len(selection.Zones)+len(selection.Types) == 0 && selection.Spot == nil && req.MinAgeS == 0
+	if hasNoCriteria && !req.MatchAll {
 		return selection, &drain.FieldError{Field: "selection", Problem: "names no machine, zone, type, kind or age; say so if all machines are meant"}
 	}
-	if r.MinAgeS < 0 {
+	if req.MinAgeS < 0 {
 		return selection, &drain.FieldError{Field: "rented-before", Problem: "must not be negative"}
 	}
-	if r.MinAgeS == 0 {
+	if req.MinAgeS == 0 {
 		if n := len(snapshot.inventory.Machines); n > 0 {
 			selection.LastMachine = snapshot.inventory.Machines[n-1].Name
 		}
 		return selection, nil
 	}
-	last, problem := s.lastMachineOfAge(ctx, r.MinAgeS)
+	last, problem := s.lastMachineOfAge(ctx, req.MinAgeS)
 	selection.LastMachine = last
 	return selection, problem
 }
@@ -241,27 +241,27 @@
 }
 
 // changeState pauses, resumes or cancels a drain.
-func (s *drainService) changeState(ctx context.Context, r peer.DrainRequest) (peer.DrainReply, error) {
+func (s *drainService) changeState(ctx context.Context, req peer.DrainRequest) (peer.DrainReply, error) {
 	snapshot, err := s.snapshot(ctx)
 	if err != nil {
 		return peer.DrainReply{}, err
 	}
-	if slices.Contains(snapshot.unreadable, r.Number) {
-		return refusal("drain", "the record of drain %d cannot be read; it does nothing, and is not written over", r.Number), nil
+	if slices.Contains(snapshot.unreadable, req.Number) {
+		return refusal("drain", "the record of drain %d cannot be read; it does nothing, and is not written over", req.Number), nil
 	}
-	stored, ok := snapshot.drains[r.Number]
+	stored, ok := snapshot.drains[req.Number]
 	if !ok {
-		return refusal("drain", "there is no drain %d", r.Number), nil
+		return refusal("drain", "there is no drain %d", req.Number), nil
 	}
 	next := stored.Record.(*records.Drain).Clone()
-	if !applyOperation(next, r.Op) {
-		return refusal("drain", "drain %d is %s already", r.Number, next.State), nil
+	if !applyOperation(next, req.Op) {
+		return refusal("drain", "drain %d is %s already", req.Number, next.State), nil
 	}
 	problem, err := s.commit(ctx, wire.Txn{
 		Conditions: []wire.Condition{{Key: stored.Key, Version: stored.Version}},
 		Changes:    []wire.Change{{Put: stored.Key, Value: records.Encode(next)}},
 	})
-	return peer.DrainReply{Number: r.Number, Problem: problem}, err
+	return peer.DrainReply{Number: req.Number, Problem: problem}, err
 }
 
 // applyOperation changes a drain's state as an operator requested, and returns whether
--- a/controller/drain_snapshot.go
+++ b/controller/drain_snapshot.go
@@ -62,30 +62,30 @@
 
 // drainSnapshot makes a snapshot of what is known here now.
 func (c *controlActor) drainSnapshot() drainSnapshot {
-	s := drainSnapshot{
+	snapshot := drainSnapshot{
 		inventory:     drain.Inventory{Zones: c.settings.Deployment.Zones},
 		drains:        map[int]records.Change{},
 		shardStatuses: maps.Clone(c.drains.shardStatuses),
 		ownerNames:    map[string]string{},
 	}
 	for _, t := range c.machineTypes.known {
-		s.inventory.Types = append(s.inventory.Types, t.Name)
+		snapshot.inventory.Types = append(snapshot.inventory.Types, t.Name)
 	}
 	for _, page := range c.feed.inventory {
-		s.addMachines(page)
+		snapshot.addMachines(page)
 	}
 	for _, change := range c.drains.stored {
-		s.addRecord(change)
+		snapshot.addRecord(change)
 	}
-	slices.SortFunc(s.inventory.Machines, func(a, b drain.Machine) int { return strings.Compare(a.Name, b.Name) })
-	slices.SortFunc(s.inventory.RunningDrains, func(a, b *records.Drain) int { return a.Number - b.Number })
-	slices.Sort(s.unreadable)
+	slices.SortFunc(snapshot.inventory.Machines, func(a, b drain.Machine) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(snapshot.inventory.RunningDrains, func(a, b *records.Drain) int { return a.Number - b.Number })
+	slices.Sort(snapshot.unreadable)
 	for _, zone := range c.settings.Deployment.Zones {
 		if name, alive := c.member.Holder(records.KeyShard(zone)); alive {
-			s.ownerNames[zone] = name
+			snapshot.ownerNames[zone] = name
 		}
 	}
-	return s
+	return snapshot
 }
 
 func (s *drainSnapshot) addMachines(page *records.InventoryPage) {
@@ -118,21 +118,21 @@
 }
 
 // drainView returns a drain with its progress in each shard.
-func (s *drainSnapshot) drainView(r *records.Drain) peer.DrainView {
+func (s *drainSnapshot) drainView(record *records.Drain) peer.DrainView {
 	view := peer.DrainView{
-		Number:       r.Number,
-		State:        r.State,
-		StopReason:   r.StopReason,
-		StartedS:     r.StartedS,
-		Machines:     r.MachineCount,
-		CanaryPassed: r.CanaryPassed,
+		Number:       record.Number,
+		State:        record.State,
+		StopReason:   record.StopReason,
+		StartedS:     record.StartedS,
+		Machines:     record.MachineCount,
+		CanaryPassed: record.CanaryPassed,
 	}
-	if !r.State.IsTerminal() {
-		view.Remaining = len(s.inventory.Select(&r.Selection))
+	if !record.State.IsTerminal() {
+		view.Remaining = len(s.inventory.Select(&record.Selection))
 	}
 	for _, zone := range s.inventory.Zones {
 		for _, progress := range s.shardStatuses[zone].Drains {
-			if progress.Drain == r.Number {
+			if progress.Drain == record.Number {
 				view.Shards = append(view.Shards, progress)
 			}
 		}
--- a/controller/peer_status.go
+++ b/controller/peer_status.go
@@ -122,25 +122,25 @@
 }
 
 // applyPeerStatus takes over another controller's status.
-func (c *controlActor) applyPeerStatus(now time.Time, s peer.Status) {
-	c.forwardForecasts(s.Forecast)
-	c.peers[s.Controller] = peerView{storeReachable: s.StoreReachable, lastContact: now, lastStatus: now}
+func (c *controlActor) applyPeerStatus(now time.Time, status peer.Status) {
+	c.forwardForecasts(status.Forecast)
+	c.peers[status.Controller] = peerView{storeReachable: status.StoreReachable, lastContact: now, lastStatus: now}
 	c.updateRelays(now)
-	for _, aggregate := range s.Aggregates {
-		c.stopReplacedOwner(aggregate, s.Controller)
+	for _, aggregate := range status.Aggregates {
+		c.stopReplacedOwner(aggregate, status.Controller)
 		c.tellLeader(aggregate)
 	}
-	misrouted := misroutedHeartbeats{s.MisroutedHeartbeats, c.isInContactWithAllPeers(now)}
+	misrouted := misroutedHeartbeats{status.MisroutedHeartbeats, c.isInContactWithAllPeers(now)}
 	for _, owner := range c.roles.owners {
-		owner.ref.Tell(s.Aggregates)
+		owner.ref.Tell(status.Aggregates)
 		owner.ref.Tell(misrouted)
 	}
-	for _, drainStatus := range s.Drains {
+	for _, drainStatus := range status.Drains {
 		if c.roles.owners[drainStatus.Shard] == nil {
 			c.drains.shardStatuses[drainStatus.Shard] = drainStatus
 		}
 	}
-	for shard, jobs := range s.Counts {
+	for shard, jobs := range status.Counts {
 		if c.roles.owners[shard] == nil {
 			c.apiServer.Tell(apiserver.ShardCounts{Shard: shard, ByJob: jobs})
 		}
--- a/controller/routes.go
+++ b/controller/routes.go
@@ -17,85 +17,85 @@
 
 // route passes a request to the actor that answers it. It runs on the server's event loop
 // and does not block.
-func (c *Controller) route(r *server.Request) {
-	path, _, _ := strings.Cut(r.Target, "?")
+func (c *Controller) route(req *server.Request) {
+	path, _, _ := strings.Cut(req.Target, "?")
 	switch path {
 	case wire.PathHeartbeat:
-		c.routeHeartbeat(r)
+		c.routeHeartbeat(req)
 	case wire.PathHealth:
-		if allowMethod(r, "GET") {
-			c.control.Tell(healthRequest{r})
+		if allowMethod(req, "GET") {
+			c.control.Tell(healthRequest{req})
 		}
 	case wire.PathJobs:
-		if allowMethod(r, "POST") {
-			c.apiServer.Tell(apiserver.Submit{Request: r, Body: r.Body})
+		if allowMethod(req, "POST") {
+			c.apiServer.Tell(apiserver.Submit{Request: req, Body: req.Body})
 		}
 	case PathStatus:
-		if allowMethod(r, "GET") {
-			c.control.Tell(statusRequest{r})
+		if allowMethod(req, "GET") {
+			c.control.Tell(statusRequest{req})
 		}
 	case PathMetrics:
-		if allowMethod(r, "GET") {
-			c.apiServer.Tell(apiserver.GetMetrics{Request: r})
+		if allowMethod(req, "GET") {
+			c.apiServer.Tell(apiserver.GetMetrics{Request: req})
 		}
 	default:
-		c.routeJob(r, path)
+		c.routeJob(req, path)
 	}
 }
 
 // routeHeartbeat passes a worker's heartbeat to the control actor.
-func (c *Controller) routeHeartbeat(r *server.Request) {
-	if !allowMethod(r, "POST") {
+func (c *Controller) routeHeartbeat(req *server.Request) {
+	if !allowMethod(req, "POST") {
 		return
 	}
-	heartbeat, err := wire.ParseHeartbeat(r.Body)
+	heartbeat, err := wire.ParseHeartbeat(req.Body)
 	if err != nil {
-		r.Respond(&httpwire.Response{Status: 400, Body: []byte(`{"error":"malformed report"}`)})
+		req.Respond(&httpwire.Response{Status: 400, Body: []byte(`{"error":"malformed report"}`)})
 		return
 	}
-	c.control.Tell(workerHeartbeat{r, heartbeat})
+	c.control.Tell(workerHeartbeat{req, heartbeat})
 }
 
 // routeJob passes a request about one job to the API server.
-func (c *Controller) routeJob(r *server.Request, path string) {
+func (c *Controller) routeJob(req *server.Request, path string) {
 	job, ok := strings.CutPrefix(path, wire.PathJobs+"/")
 	if !ok {
-		respondNotFound(r)
+		respondNotFound(req)
 		return
 	}
 	id, operation, hasOperation := strings.Cut(job, "/")
 	switch {
 	case !hasOperation:
-		if allowMethod(r, "GET") && allowJobID(r, id) {
-			c.apiServer.Tell(apiserver.Poll{Request: r, JobID: id})
+		if allowMethod(req, "GET") && allowJobID(req, id) {
+			c.apiServer.Tell(apiserver.Poll{Request: req, JobID: id})
 		}
 	case operation == wire.CancelSuffix:
-		if allowMethod(r, "POST") && allowJobID(r, id) {
-			c.apiServer.Tell(apiserver.Cancel{Request: r, JobID: id})
+		if allowMethod(req, "POST") && allowJobID(req, id) {
+			c.apiServer.Tell(apiserver.Cancel{Request: req, JobID: id})
 		}
 	default:
-		respondNotFound(r)
+		respondNotFound(req)
 	}
 }
 
 // allowMethod returns whether a request has a method, and refuses it if not.
-func allowMethod(r *server.Request, method string) bool {
-	if r.Method == method {
+func allowMethod(req *server.Request, method string) bool {
+	if req.Method == method {
 		return true
 	}
-	r.Respond(&httpwire.Response{Status: 405, Allow: method, Body: []byte(`{"error":"method not allowed"}`)})
+	req.Respond(&httpwire.Response{Status: 405, Allow: method, Body: []byte(`{"error":"method not allowed"}`)})
 	return false
 }
 
 // allowJobID returns whether an id may be a job's, and refuses the request if not.
-func allowJobID(r *server.Request, id string) bool {
+func allowJobID(req *server.Request, id string) bool {
 	if wire.ValidJobID(id) {
 		return true
 	}
-	respondNotFound(r)
+	respondNotFound(req)
 	return false
 }
 
-func respondNotFound(r *server.Request) {
-	r.Respond(&httpwire.Response{Status: 404, Body: []byte(`{"error":"not found"}`)})
+func respondNotFound(req *server.Request) {
+	req.Respond(&httpwire.Response{Status: 404, Body: []byte(`{"error":"not found"}`)})
 }
--- a/controller/shard_actor.go
+++ b/controller/shard_actor.go
@@ -47,7 +47,7 @@
 // newShardActor returns the actor of a shard's owner in a term.
 func newShardActor(c *controlActor, name string, term heldTerm, now time.Time) *shardActor {
 	self := actor.NewRef()
-	a := &shardActor{
+	owner := &shardActor{
 		shard:    name,
 		store:    c.dependencies.Background,
 		cloud:    c.dependencies.Cloud,
@@ -58,7 +58,7 @@
 		revision: c.feed.revision,
 	}
 	inventory, inventoryVersions := c.feed.inventoryOf(name)
-	a.core = shard.New(shardConfig(c.settings, name), now, shard.Snapshot{
+	owner.core = shard.New(shardConfig(c.settings, name), now, shard.Snapshot{
 		Term:              term.number,
 		TermVersion:       term.version,
 		MachineTypes:      c.machineTypes.known,
@@ -67,15 +67,15 @@
 		Inventory:         inventory,
 		InventoryVersions: inventoryVersions,
 	})
-	a.core.SetAuthority(c.authorityEnd())
+	owner.core.SetAuthority(c.authorityEnd())
 	if c.feed.packing {
-		a.core.EnablePacking()
+		owner.core.EnablePacking()
 	}
 	if c.settings.Draining != nil {
-		a.core.StartDraining(now, c.drainingConfig(), c.feed.jobs, c.drains.changes())
+		owner.core.StartDraining(now, c.drainingConfig(), c.feed.jobs, c.drains.changes())
 	}
-	a.self.Tell(wake{})
-	return a
+	owner.self.Tell(wake{})
+	return owner
 }
 
 // shardConfig derives the configuration of a shard's owner from the settings.
