--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -9,16 +9,18 @@
 	"ravenport/peer"
 )
 
-// recentCancellations holds the latest cancellations, by revision, that this process
-// knows of: from its feed, from what its API server confirmed or read, and from other
-// controllers. They are listed for a controller whose feed is behind.
+// recentCancellations holds the cancellations with the highest store revisions that this
+// process has learned of: from its watch feed, from its API server, which confirmed or
+// read them, and from other controllers. They are listed to a controller whose feed is
+// behind.
 type recentCancellations struct {
-	revisions   map[string]uint64 // by job
+	revisions   map[string]uint64 // store revision of the cancellation, by job
 	latest      uint64
-	droppedUpTo uint64 // those up to this revision may be missing
+	droppedUpTo uint64 // cancellations up to this revision may have been dropped
 }
 
-// add keeps a cancellation and returns whether it is new.
+// add stores a cancellation. It returns false if the job's cancellation is already known
+// with the same or a lower revision.
 func (c *recentCancellations) add(job string, revision uint64) bool {
 	if known, ok := c.revisions[job]; ok && known <= revision {
 		return false
@@ -34,7 +36,7 @@
 	return true
 }
 
-// dropOlderHalf drops the half with the lower revisions.
+// dropOlderHalf drops the half of the cancellations that has the lower revisions.
 func (c *recentCancellations) dropOlderHalf() {
 	all := c.since(0)
 	for _, cancellation := range all[:len(all)/2] {
@@ -43,7 +45,7 @@
 	}
 }
 
-// since lists those after a revision, the oldest first.
+// since lists the cancellations after a revision, in ascending order of revision.
 func (c *recentCancellations) since(revision uint64) []peer.Cancellation {
 	if c.latest <= revision {
 		return nil
@@ -58,13 +60,14 @@
 	return later
 }
 
-// isCompleteSince says whether since lists all that were ever added after a revision.
+// isCompleteSince reports whether since returns every cancellation after a revision that
+// was ever added, that is, none of them has been dropped.
 func (c *recentCancellations) isCompleteSince(revision uint64) bool {
 	return revision >= c.droppedUpTo
 }
 
-// applyCancellation applies that a job is stored as cancelled, which the feed may not have
-// shown yet: the owners here stop its tasks at once.
+// applyCancellation applies a cancellation that is stored but that the feed may not have
+// delivered yet: the shard owners in this process stop the job's tasks at once.
 func (c *controlActor) applyCancellation(cancellation peer.Cancellation) {
 	isNew := c.cancellations.add(cancellation.JobID, cancellation.Revision)
 	if !isNew || cancellation.Revision <= c.feed.revision {
--- a/controller/detection.go
+++ b/controller/detection.go
@@ -10,13 +10,13 @@
 	"ravenport/watchdog"
 )
 
-// detectionState is what the control actor keeps for failure detection.
+// detectionState is the control actor's state for failure detection.
 type detectionState struct {
 	monitor    *actor.Ref // nil: failure detection is off
 	membership membershipView
 	redirects  *redirectTracker
-	revoking   bool // a revocation is being written
-	resigned   bool // this process ends its lease because an actor is stalled
+	revoking   bool // a write of a revocation is in flight
+	resigned   bool // this process is ending its lease because an actor is stalled
 }
 
 // receiveDetectionMessage handles a message about failure detection.
@@ -33,7 +33,7 @@
 	}
 }
 
-// updateMonitor sends the monitor what it needs to know of the cluster.
+// updateMonitor sends the monitor the control actor's current view of the cluster.
 func (c *controlActor) updateMonitor(now time.Time) {
 	if c.detection.monitor == nil || !c.feed.synced {
 		return
@@ -57,7 +57,8 @@
 	c.detection.monitor.Tell(view)
 }
 
-// overdueReads counts the revisions that the feed should have reached by now and has not.
+// overdueReads counts the pending revision reads that were sent more than WatchTimeout
+// ago: the feed should have reached their revisions by now.
 func (c *controlActor) overdueReads(now time.Time) int {
 	overdue := 0
 	for _, read := range c.authority.revisionReads {
--- a/controller/drain_records.go
+++ b/controller/drain_records.go
@@ -9,10 +9,10 @@
 	"ravenport/shard"
 )
 
-// drainRecords is what a controller knows of drains: the stored records, and the progress
-// that owners report.
+// drainRecords holds a controller's knowledge of drains: the stored records, and the
+// progress that shard owners report.
 type drainRecords struct {
-	stored        map[string]records.Change    // drains, disruption claims and terms of shards, by key
+	stored        map[string]records.Change    // drains, disruption claims (both also damaged) and terms of shards, by key
 	shardStatuses map[string]drain.ShardStatus // by shard
 }
 
@@ -34,12 +34,12 @@
 	}
 }
 
-// changes lists the stored records, for an owner that starts.
+// changes lists the stored records, for a shard owner that is starting.
 func (r *drainRecords) changes() []records.Change {
 	return slices.Collect(maps.Values(r.stored))
 }
 
-// drainingConfig is what an owner here needs to drain machines.
+// drainingConfig returns the draining configuration of the shard owners in this process.
 func (c *controlActor) drainingConfig() shard.DrainingConfig {
 	config := shard.DrainingConfig{
 		Shards:  c.settings.Deployment.Zones,
--- a/controller/drain_service.go
+++ b/controller/drain_service.go
@@ -17,9 +17,9 @@
 	"ravenport/wire"
 )
 
-// drainService answers operators' requests about drains. It runs beside the actors.
+// drainService answers operators' requests about drains. It runs outside the actors.
 type drainService struct {
-	name        string // of this controller
+	name        string // this controller's name
 	control     *actor.Ref
 	store       Store
 	cloud       Cloud
@@ -27,10 +27,11 @@
 	stableAfter time.Duration
 }
 
-// errActorTimeout says that an actor did not answer in time. Operators see its text.
+// errActorTimeout is returned if an actor does not answer in time. Its text is shown to
+// operators.
 var errActorTimeout = errors.New("the controller is busy and did not answer in time")
 
-// request sends an actor a request and waits for its answer.
+// request sends an actor a request and waits for the answer until ctx ends.
 func request[T any](ctx context.Context, to *actor.Ref, message func(answer chan<- T) any) (T, error) {
 	answer := make(chan T, 1)
 	to.Tell(message(answer))
@@ -47,13 +48,15 @@
 	return request(ctx, s.control, func(answer chan<- drainSnapshot) any { return drainSnapshotRequest{answer} })
 }
 
-// refusal returns a reply that says that nothing was done, and why.
+// refusal returns a reply that names the reason why the request was refused. Nothing has
+// been changed then.
 func refusal(field, format string, args ...any) peer.DrainReply {
 	return peer.DrainReply{Problem: &drain.FieldError{Field: field, Problem: fmt.Sprintf(format, args...)}}
 }
 
-// Answer answers a request about drains. An error means that it is not known whether
-// anything was done; a refusal is a reply.
+// Answer answers a request about drains. A refused request is answered with a reply that
+// has a Problem. An error means that the outcome is unknown: the change may or may not
+// have been written.
 func (s *drainService) Answer(ctx context.Context, req peer.DrainRequest) (peer.DrainReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, constants.DrainCallTimeout)
 	defer cancel()
@@ -72,7 +75,8 @@
 	return refusal("op", "%q is nothing that can be asked of a drain", req.Op), nil
 }
 
-// localShardPlan asks the owner of a shard here for its plan; nil if there is no owner here.
+// localShardPlan returns the plan of a shard's owner in this process, or nil if the owner
+// does not run here.
 func (s *drainService) localShardPlan(ctx context.Context, shard string, selection records.Selection) (*drain.ShardPlan, error) {
 	owner, err := request(ctx, s.control, func(answer chan<- *actor.Ref) any { return ownerRequest{shard, answer} })
 	if err != nil || owner == nil {
@@ -85,8 +89,8 @@
 	return &answer.plan, nil
 }
 
-// planOrStart checks a selection and plans its drain; with OpStart the drain is then
-// written.
+// planOrStart validates a selection and plans its drain. With OpStart it then writes the
+// drain's record, unless a shard's plan is missing or a task can never be moved.
 func (s *drainService) planOrStart(ctx context.Context, req peer.DrainRequest) (peer.DrainReply, error) {
 	snapshot, err := s.snapshot(ctx)
 	if err != nil {
@@ -119,8 +123,8 @@
 	return reply, nil
 }
 
-// resolve turns a request into a selection. It ends with the last machine that is known
-// now, so that machines of later scale-outs are no part of it.
+// resolve turns a request into a selection. The selection ends with the last machine that
+// is known now, so that machines of later scale-outs are not selected.
 func (s *drainService) resolve(ctx context.Context, req peer.DrainRequest, snapshot *drainSnapshot) (records.Selection, *drain.FieldError) {
 	selection := req.Selection
 	hasNoCriteria := len(selection.Machines)+len(selection.Zones)+len(selection.Types) == 0 && selection.Spot == nil && req.MinAgeS == 0
@@ -141,7 +145,8 @@
 	return selection, problem
 }
 
-// lastMachineOfAge returns the last machine, by name, that is at least as old.
+// lastMachineOfAge returns the name of the last machine, in the order of names, whose age
+// is at least minAgeS.
 func (s *drainService) lastMachineOfAge(ctx context.Context, minAgeS float64) (string, *drain.FieldError) {
 	machines, err := s.cloud.Machines(ctx)
 	if err != nil {
@@ -159,7 +164,8 @@
 	return last, nil
 }
 
-// plan asks the owners of all shards that a selection may touch for their plans.
+// plan requests the plans of the owners of all shards in which a selection may select
+// machines, and merges them. Shards without a plan are listed as missing.
 func (s *drainService) plan(ctx context.Context, snapshot *drainSnapshot, selection records.Selection) drain.Plan {
 	var plans []drain.ShardPlan
 	var missing []string
@@ -174,8 +180,8 @@
 	return drain.MergePlans(plans, missing, s.stableAfter)
 }
 
-// shardPlan asks the owner of a shard, here or at another controller, for its plan; nil
-// if it does not answer.
+// shardPlan returns the plan of a shard's owner, which runs in this process or at another
+// controller. The result is nil if the owner does not answer or has no plan.
 func (s *drainService) shardPlan(ctx context.Context, owner, shard string, selection records.Selection) *drain.ShardPlan {
 	if owner == s.name {
 		plan, _ := s.localShardPlan(ctx, shard, selection)
@@ -192,8 +198,8 @@
 	return reply.ShardPlan
 }
 
-// start writes a new drain under the next number, and deletes the oldest one if too many
-// are kept and it is over.
+// start writes a new drain under the next number. If MaxFinishedDrains or more drains are
+// stored and the oldest of them has ended, the same transaction deletes the oldest.
 func (s *drainService) start(ctx context.Context, snapshot *drainSnapshot, selection records.Selection) (int, *drain.FieldError, error) {
 	numbers := slices.Sorted(maps.Keys(snapshot.drains))
 	next := 1
@@ -222,7 +228,8 @@
 	return next, problem, err
 }
 
-// commit writes what an operator requested.
+// commit writes the transaction of an operator's request. If a record that it is
+// conditional on has changed meanwhile, the request is refused.
 func (s *drainService) commit(ctx context.Context, txn wire.Txn) (*drain.FieldError, error) {
 	retry := kvstore.RateLimitRetry{
 		MaxElapsed: constants.DrainCallTimeout,
@@ -240,7 +247,7 @@
 	return nil, err
 }
 
-// changeState pauses, resumes or cancels a drain.
+// changeState pauses, resumes or cancels a stored drain.
 func (s *drainService) changeState(ctx context.Context, req peer.DrainRequest) (peer.DrainReply, error) {
 	snapshot, err := s.snapshot(ctx)
 	if err != nil {
@@ -264,8 +271,8 @@
 	return peer.DrainReply{Number: req.Number, Problem: problem}, err
 }
 
-// applyOperation changes a drain's state as an operator requested, and returns whether
-// there was anything to change.
+// applyOperation changes a drain's state as an operator requested. It returns false if
+// the operation does not apply to the drain's current state.
 func applyOperation(d *records.Drain, op peer.DrainOp) bool {
 	switch {
 	case d.State.IsTerminal():
--- a/controller/drain_snapshot.go
+++ b/controller/drain_snapshot.go
@@ -12,29 +12,30 @@
 	"ravenport/records"
 )
 
-// Messages about drains, to the control actor and to owners. Their answer channels are
-// buffered.
+// Messages about drains to the control actor and to shard owners. Their answer channels
+// are buffered.
 type (
 	drainSnapshotRequest struct{ answer chan<- drainSnapshot }
-	// ownerRequest asks for the owner of a shard here; nil if there is none.
+	// ownerRequest requests a shard's owner in this process; the answer is nil if the
+	// owner does not run here.
 	ownerRequest struct {
 		shard  string
 		answer chan<- *actor.Ref
 	}
-	// shardPlanRequest asks an owner how it would drain the machines of a selection.
+	// shardPlanRequest requests an owner's plan for draining the machines of a selection.
 	shardPlanRequest struct {
 		selection records.Selection
 		answer    chan<- shardPlanAnswer
 	}
-	// shardPlanAnswer is an owner's plan, or why it has none.
+	// shardPlanAnswer is an owner's plan, or the error why there is none.
 	shardPlanAnswer struct {
 		plan drain.ShardPlan
 		err  error
 	}
 )
 
-// receiveDrainMessage answers a request about drains, and returns whether a message is
-// one.
+// receiveDrainMessage answers msg if it is a request about drains, and returns whether it
+// is one.
 func (c *controlActor) receiveDrainMessage(msg any) bool {
 	switch m := msg.(type) {
 	case drainSnapshotRequest:
@@ -51,16 +52,16 @@
 	return true
 }
 
-// drainSnapshot is what a request about drains is answered from.
+// drainSnapshot is a copy of the state from which requests about drains are answered.
 type drainSnapshot struct {
 	inventory     drain.Inventory
-	drains        map[int]records.Change // readable ones, by number
-	unreadable    []int                  // numbers of damaged ones
+	drains        map[int]records.Change // drains whose record could be decoded, by number
+	unreadable    []int                  // numbers of the drains whose record is damaged
 	shardStatuses map[string]drain.ShardStatus
-	ownerNames    map[string]string // by shard: its owner, if that is alive
+	ownerNames    map[string]string // names of the live controllers that own the shards, by shard
 }
 
-// drainSnapshot makes a snapshot of what is known here now.
+// drainSnapshot returns a snapshot of the control actor's current state.
 func (c *controlActor) drainSnapshot() drainSnapshot {
 	snapshot := drainSnapshot{
 		inventory:     drain.Inventory{Zones: c.settings.Deployment.Zones},
@@ -108,7 +109,8 @@
 	}
 }
 
-// status returns the status of all drains, as seen by a controller.
+// status returns the status of all drains, as this snapshot of the named controller has
+// them.
 func (s *drainSnapshot) status(controller string) *peer.DrainStatus {
 	status := &peer.DrainStatus{Controller: controller, Drains: []peer.DrainView{}, Unreadable: s.unreadable, Budgets: s.budgetUsage()}
 	for _, number := range slices.Sorted(maps.Keys(s.drains)) {
@@ -140,7 +142,7 @@
 	return view
 }
 
-// budgetUsage returns each budget's usage once: the highest that any owner reports.
+// budgetUsage returns each budget's usage once: the highest that a shard owner reports.
 func (s *drainSnapshot) budgetUsage() []disruption.Usage {
 	var budgets []disruption.Usage
 	for _, zone := range s.inventory.Zones {
--- a/controller/leader_actor.go
+++ b/controller/leader_actor.go
@@ -10,21 +10,22 @@
 	"ravenport/records"
 )
 
-// leaderActor runs the leader's decisions in one term and carries them out.
+// leaderActor runs the leader's core in one term and carries out its decisions.
 type leaderActor struct {
 	core        *leader.Core
 	store       Store
-	urgentStore Store // for assignments that users wait for by the second
+	urgentStore Store // for urgent assignments, where users notice a delay of a second
 	self        *actor.Ref
 	control     *actor.Ref
 	pacer       stepPacer
-	stopped     bool // by a transfer of its term: nothing is done any more
+	stopped     bool // for a transfer of the term; all later messages are ignored
 
 	revision       uint64
 	forecastSentAt time.Time
 }
 
-// newLeaderActor returns the leader's actor under the term of the given version.
+// newLeaderActor returns the leader's actor under the term that is stored with the given
+// version.
 func newLeaderActor(c *controlActor, termVersion uint64, now time.Time) *leaderActor {
 	self := actor.NewRef()
 	a := &leaderActor{
@@ -60,7 +61,7 @@
 	}
 }
 
-// apply gives a message's content to the core.
+// apply passes the content of a message to the core.
 func (a *leaderActor) apply(now time.Time, msg any) {
 	switch m := msg.(type) {
 	case records.Update:
@@ -86,7 +87,8 @@
 	}
 }
 
-// step decides what is to be assigned and starts writing it.
+// step runs a step of the core and starts to write the assignments that it decided. It
+// also sends the control actor the forecasts when these are due.
 func (a *leaderActor) step(ctx context.Context, now time.Time) {
 	for _, assignment := range a.core.Step(now) {
 		go a.commit(ctx, assignment)
@@ -98,7 +100,7 @@
 	a.pacer.scheduleTick(constants.LeaderTick)
 }
 
-// commit writes an assignment. It runs beside the actor.
+// commit writes an assignment. It runs on its own goroutine, outside the actor.
 func (a *leaderActor) commit(ctx context.Context, assignment leader.Commit) {
 	store := a.store
 	if assignment.Urgent {
--- a/controller/machine_types.go
+++ b/controller/machine_types.go
@@ -11,14 +11,15 @@
 	"ravenport/wire"
 )
 
-// machineTypeState is the cloud's machine types as last read.
+// machineTypeState holds the cloud's machine types as last read, and when they are read
+// again.
 type machineTypeState struct {
 	known    []wire.MachineType
 	nextRead time.Time
 	reading  bool
 }
 
-// readMachineTypes reads the machine types from the cloud when that is due.
+// readMachineTypes starts to read the machine types from the cloud if a read is due.
 func (c *controlActor) readMachineTypes(ctx context.Context, now time.Time) {
 	if c.machineTypes.reading || now.Before(c.machineTypes.nextRead) {
 		return
@@ -30,8 +31,8 @@
 	}()
 }
 
-// handleMachineTypes keeps the machine types and passes them on; a failed read is
-// repeated soon.
+// handleMachineTypes stores the machine types and sends them to the API server and the
+// shard owners. A failed read is repeated after half of RetryBackoffMax.
 func (c *controlActor) handleMachineTypes(now time.Time, m machineTypesRead) {
 	c.machineTypes.reading = false
 	if m.err != nil {
--- a/controller/membership_events.go
+++ b/controller/membership_events.go
@@ -13,14 +13,14 @@
 	"ravenport/logkey"
 )
 
-// eventLog keeps the latest membership events in memory, and all of them in the history
-// if there is one.
+// eventLog holds the latest membership events in memory, and appends all events to the
+// history if there is one.
 type eventLog struct {
 	recent []history.Event
-	writer *actor.Ref // nil: events are kept in memory alone
+	writer *actor.Ref // nil: there is no history, events are kept in memory only
 }
 
-// add keeps an event.
+// add adds an event. The memory holds the latest StatusEventCount events.
 func (l *eventLog) add(e history.Event) {
 	l.recent = append(l.recent, e)
 	l.recent = l.recent[max(0, len(l.recent)-constants.StatusEventCount):]
@@ -29,7 +29,7 @@
 	}
 }
 
-// lines returns the latest events, one a line.
+// lines returns the latest events as text, one line for each.
 func (l *eventLog) lines() []string {
 	var lines []string
 	for _, e := range l.recent {
@@ -38,8 +38,8 @@
 	return lines
 }
 
-// historyWriter is the actor that writes events to the history, so that a slow disk keeps
-// no other actor waiting.
+// historyWriter is the actor that appends events to the history. It is an actor of its own
+// so that a slow disk does not block the monitor.
 type historyWriter struct{ history History }
 
 // Receive implements actor.Handler.
@@ -53,7 +53,7 @@
 	}
 }
 
-// recordChange logs a change of a controller's state and keeps it as an event.
+// recordChange logs a change of a controller's state and adds it to the events.
 func (m *monitorActor) recordChange(now time.Time, change detector.StateChange) {
 	e := history.Event{
 		At:          now,
--- a/controller/monitor.go
+++ b/controller/monitor.go
@@ -16,13 +16,14 @@
 	"ravenport/watchdog"
 )
 
-// monitorActor runs failure detection: it exchanges heartbeats, makes probes, watches the
-// other actors, and sends what the detector proposes to the control actor, which alone
-// may act on it.
+// monitorActor runs failure detection: it exchanges heartbeats with the other controllers,
+// probes them, and checks the progress of the actors in this process. It sends the
+// detector's proposals to the control actor. Only the control actor may revoke a
+// controller.
 type monitorActor struct {
-	name     string // of this controller
+	name     string // this controller's name
 	settings *settings.Detection
-	leaseTTL time.Duration // of this controller's lease
+	leaseTTL time.Duration // this controller's lease TTL
 	detector *detector.Detector
 	watchdog *watchdog.Watchdog
 	peers    map[string]MonitorPeer
@@ -31,23 +32,24 @@
 
 	view              clusterView
 	nextHeartbeat     time.Time
-	heartbeatInFlight map[string]bool // by controller
+	heartbeatInFlight map[string]bool // whether a heartbeat call is in flight, by controller
 	nextPublish       time.Time
 	dropped           DroppedHeartbeats
 	events            eventLog
 	stall             stallState
 }
 
-// stallState is what follows from a stalled actor: this process ends its lease at once,
-// and itself once the lease has expired.
+// stallState tracks the handling of a stalled actor: this process ends its lease at once,
+// and exits after the TTL of the lease.
 type stallState struct {
 	actors   []string
 	exitAt   time.Time // zero: no actor is stalled
 	reported bool
-	failures chan<- error // buffered; ends the process
+	failures chan<- error // buffered; an error on it ends the process
 }
 
-// newMonitorActor returns the monitor.
+// newMonitorActor returns the monitor's actor, or an error if the detector rejects its
+// configuration.
 func newMonitorActor(set *settings.Settings, dependencies Dependencies, self, control *actor.Ref, failures chan<- error) (*monitorActor, error) {
 	d, err := detector.New(set.DetectorConfig(), time.Now())
 	if err != nil {
@@ -101,7 +103,7 @@
 	return err
 }
 
-// setView takes over what the control actor knows.
+// setView stores the control actor's view of the cluster and passes it to the detector.
 func (m *monitorActor) setView(now time.Time, view clusterView) {
 	m.view = view
 	m.detector.SetIncarnation(view.incarnation)
@@ -111,7 +113,8 @@
 	}
 }
 
-// tick does what is due by time.
+// tick runs the periodic work that is due: checking the actors, the detector's tick,
+// heartbeats, and publishing the detector's view.
 func (m *monitorActor) tick(ctx context.Context, now time.Time) {
 	m.checkActors(now)
 	if !now.Before(m.detector.NextTick()) {
@@ -132,8 +135,8 @@
 	}
 }
 
-// checkActors looks for stalled actors. With one, this process gives up its lease, and
-// ends once that has expired.
+// checkActors looks for stalled actors. If there is one, this process ends its lease, and
+// exits after the TTL of the lease.
 func (m *monitorActor) checkActors(now time.Time) {
 	samples := []watchdog.Sample{m.view.feed}
 	for name, ref := range m.view.actors {
@@ -151,7 +154,8 @@
 	m.stall.reportIfDue(now)
 }
 
-// reportIfDue ends the process, once, when its lease has expired.
+// reportIfDue reports ErrStalled, which ends the process, once exitAt has passed. It
+// reports it only once.
 func (s *stallState) reportIfDue(now time.Time) {
 	if s.reported || s.exitAt.IsZero() || now.Before(s.exitAt) {
 		return
@@ -160,7 +164,8 @@
 	s.failures <- fmt.Errorf("%w: %v", ErrStalled, s.actors)
 }
 
-// sendHeartbeats sends a heartbeat to every controller that has answered the one before.
+// sendHeartbeats sends a heartbeat to every other controller, except those whose call for
+// the previous heartbeat is still in flight.
 func (m *monitorActor) sendHeartbeats(ctx context.Context) {
 	message := m.detector.NextHeartbeat()
 	for controller, p := range m.peers {
@@ -177,8 +182,8 @@
 	}
 }
 
-// probe carries out one probe, directly or through another controller. It runs beside the
-// actor.
+// probe performs one probe of a controller, directly or through another controller. It
+// runs on its own goroutine, outside the actor.
 func (m *monitorActor) probe(ctx context.Context, p detector.Probe) {
 	ctx, cancel := context.WithTimeout(ctx, m.settings.ProbeTimeout)
 	defer cancel()
@@ -197,7 +202,8 @@
 	m.self.Tell(done)
 }
 
-// publish sends the control actor what failure detection sees and proposes.
+// publish sends the control actor the detector's view of the controllers and, if
+// revocation is enabled, its proposals.
 func (m *monitorActor) publish(now time.Time) {
 	view := membershipView{dropped: m.dropped, events: m.events.lines()}
 	for _, v := range m.detector.PeerViews(now) {
--- a/controller/monitor_messages.go
+++ b/controller/monitor_messages.go
@@ -12,7 +12,8 @@
 // Messages to the monitor.
 type (
 	monitorTick time.Time
-	// peerHeartbeat is another controller's heartbeat, to be answered with this one's.
+	// peerHeartbeat is another controller's heartbeat. The answer is this controller's
+	// heartbeat.
 	peerHeartbeat struct {
 		message detector.Message
 		answer  chan<- peerHeartbeatAnswer // buffered
@@ -21,28 +22,28 @@
 		message detector.Message
 		err     error
 	}
-	// peerHeartbeatResult is another controller's answer to a heartbeat of this one.
+	// peerHeartbeatResult is another controller's answer to this controller's heartbeat.
 	peerHeartbeatResult struct {
 		controller string
 		message    detector.Message
 		err        error
 	}
-	// ownHeartbeatRequest asks for this controller's heartbeat, for a probe.
+	// ownHeartbeatRequest requests this controller's heartbeat, to answer a probe.
 	ownHeartbeatRequest struct {
 		answer chan<- detector.Heartbeat // buffered
 	}
 	probeDone struct {
 		probe     detector.Probe
-		heartbeat *detector.Heartbeat // nil: it failed
+		heartbeat *detector.Heartbeat // nil: the probe failed
 	}
-	// clusterView is what the control actor knows and the monitor needs.
+	// clusterView is the part of the control actor's state that the monitor needs.
 	clusterView struct {
-		incarnation  uint64            // of this process; 0: it holds no lease
-		incarnations map[string]uint64 // of the processes that hold the others' leases, by controller
-		unserved     map[string]bool   // controllers whose workers come back to this one
+		incarnation  uint64            // of this process; 0: this process holds no lease
+		incarnations map[string]uint64 // of the processes that hold the other controllers' leases, by controller
+		unserved     map[string]bool   // whether too many of a controller's workers return here after a redirect
 		actors       map[string]*actor.Ref
 		feed         watchdog.Sample
 	}
-	// revocationEvent is a stored revocation, as an event for the history.
+	// revocationEvent is a stored revocation as a membership event.
 	revocationEvent history.Event
 )
--- a/controller/peer_handlers.go
+++ b/controller/peer_handlers.go
@@ -12,8 +12,8 @@
 	"ravenport/wire"
 )
 
-// HandlePeerStatus takes over another controller's status, and answers whether the lease
-// extension is granted that it may request.
+// HandlePeerStatus passes another controller's status to the control actor. If the status
+// requests a lease extension, the reply says whether this controller grants it.
 func (c *Controller) HandlePeerStatus(s peer.Status) peer.StatusReply {
 	if len(s.ExtensionRequest) == 0 {
 		c.control.Tell(peerStatusReceived(s))
@@ -42,8 +42,9 @@
 	return peer.NewCommitReply(c.store.Commit(ctx, txn))
 }
 
-// HandlePeerHeartbeat handles another controller's heartbeat and answers with this one's.
-// The error is that of a heartbeat that the detector dropped, or of ctx.
+// HandlePeerHeartbeat passes another controller's heartbeat to the monitor and returns
+// this controller's heartbeat. The error says why the detector dropped the heartbeat, or
+// is that of ctx.
 func (c *Controller) HandlePeerHeartbeat(ctx context.Context, m detector.Message) (detector.Message, error) {
 	answer := make(chan peerHeartbeatAnswer, 1)
 	c.monitor.Tell(peerHeartbeat{m, answer})
@@ -55,9 +56,9 @@
 	}
 }
 
-// HandlePeerProbe answers with this controller's heartbeat, or with that of the controller
-// that it is to probe in turn. The error is detector.ErrUnknownController if there is no
-// such one.
+// HandlePeerProbe answers a probe with this controller's heartbeat. If the request names
+// another controller as its target, this controller probes the target and returns the
+// target's reply. The error is detector.ErrUnknownController if the target is unknown.
 func (c *Controller) HandlePeerProbe(ctx context.Context, r peer.ProbeRequest) (peer.ProbeReply, error) {
 	if target := c.monitorPeers[r.Target]; target != nil {
 		return target.Probe(ctx, peer.ProbeRequest{Controller: c.name})
--- a/controller/peer_status.go
+++ b/controller/peer_status.go
@@ -13,28 +13,29 @@
 	"ravenport/records"
 )
 
-// peerView is what is known of another controller.
+// peerView is this controller's knowledge of another controller.
 type peerView struct {
-	storeReachable bool      // as it said in its last status
-	lastContact    time.Time // of its own status, or of an answer to this one's
-	lastStatus     time.Time // of its own status, which has the figures of its shards
+	storeReachable bool      // according to the controller's last status
+	lastContact    time.Time // when its last status arrived, or its last answer to a status of this controller
+	lastStatus     time.Time // when its last status arrived, which has the aggregates of its shards
 }
 
-// reachesStore says whether the controller reached the key-value store a short while ago.
+// reachesStore reports whether the controller could reach the key-value store, according
+// to its last status, and was in contact within StoreSilenceTimeout.
 func (v peerView) reachesStore(now time.Time) bool {
 	return v.storeReachable && now.Sub(v.lastContact) < constants.StoreSilenceTimeout
 }
 
-// pushState is when this controller's status was pushed to the others.
+// pushState is the state of the pushes of this controller's status to the others.
 type pushState struct {
-	lastAt     time.Time // to anybody
-	lastFullAt time.Time // to everybody
-	changed    bool      // figures have changed since
-	inFlight   map[string]bool
+	lastAt     time.Time       // last push to any controller
+	lastFullAt time.Time       // last push to all controllers
+	changed    bool            // the status has changed since the last push
+	inFlight   map[string]bool // whether a push is in flight, by controller
 }
 
-// receivePeerMessage handles a message that comes from another controller, and returns
-// whether it is one.
+// receivePeerMessage handles msg if it comes from another controller, and returns whether
+// it does.
 func (c *controlActor) receivePeerMessage(now time.Time, msg any) bool {
 	switch m := msg.(type) {
 	case peerStatusReceived:
@@ -50,9 +51,10 @@
 	return true
 }
 
-// pushStatus sends the other controllers this one's status: the leader soon after a
-// change, everybody at a fixed interval. A busy shard's changes must not put the second
-// off: by it owners learn that they are unreachable, and users' counts are kept current.
+// pushStatus sends this controller's status to the other controllers: to the leader soon
+// after a change, and to all of them at a fixed interval. The changes of a busy shard must
+// not delay the push to all: owners learn from it that they are unreachable, and it keeps
+// users' counts current.
 func (c *controlActor) pushStatus(ctx context.Context, now time.Time) {
 	extend := c.termsToExtend(now)
 	full := now.Sub(c.push.lastFullAt) > constants.MaxPushInterval ||
@@ -82,8 +84,8 @@
 	}
 }
 
-// buildStatus makes this controller's status; counts of jobs and the progress of drains
-// are in a full one alone.
+// buildStatus returns this controller's status. Only a full status has the counts of jobs
+// and the progress of drains.
 func (c *controlActor) buildStatus(now time.Time, full bool) peer.Status {
 	status := peer.Status{
 		Controller:          c.settings.Controller,
@@ -108,20 +110,21 @@
 	return status
 }
 
-// handlePeerStatusReply handles the answer to a status of this controller's.
+// handlePeerStatusReply handles another controller's answer to this controller's status.
 func (c *controlActor) handlePeerStatusReply(now time.Time, m peerStatusReply) {
 	c.push.inFlight[m.controller] = false
 	c.applyExtensionReply(m)
 	if m.err != nil {
 		return
 	}
-	// What it can reach, it says in its own status.
+	// The answer shows contact only; storeReachable comes from the controller's own status.
 	view := c.peers[m.controller]
 	view.lastContact = now
 	c.peers[m.controller] = view
 }
 
-// applyPeerStatus takes over another controller's status.
+// applyPeerStatus stores another controller's status and passes its parts to the leader,
+// the shard owners and the API server in this process.
 func (c *controlActor) applyPeerStatus(now time.Time, status peer.Status) {
 	c.forwardForecasts(status.Forecast)
 	c.peers[status.Controller] = peerView{storeReachable: status.StoreReachable, lastContact: now, lastStatus: now}
@@ -147,9 +150,9 @@
 	}
 }
 
-// stopReplacedOwner stops the owner of a shard here if another controller owns it under a
-// later term: this one is cut off from the key-value store and has been replaced, and its
-// lease extension must not keep machines from the next owner.
+// stopReplacedOwner stops a shard's owner in this process if another controller owns the
+// shard under a later term. The owner here is cut off from the key-value store and has
+// been replaced: its lease extension must not keep machines from the next owner.
 func (c *controlActor) stopReplacedOwner(aggregate leader.Aggregate, by string) {
 	owner := c.roles.owners[aggregate.Shard]
 	if owner == nil || aggregate.Term <= owner.term {
@@ -161,8 +164,9 @@
 	c.stopOwner(aggregate.Shard)
 }
 
-// isInContactWithAllPeers says whether every other live controller made contact lately. If so,
-// a machine that none of them has seen does not just miss its owner.
+// isInContactWithAllPeers reports whether every other live controller was in contact
+// within twice MaxPushInterval. If so, a machine whose heartbeats none of them reports is not
+// merely cut off from its owner.
 func (c *controlActor) isInContactWithAllPeers(now time.Time) bool {
 	for _, p := range c.settings.Peers {
 		sinceContact := now.Sub(c.peers[p.Controller].lastContact)
@@ -173,14 +177,15 @@
 	return true
 }
 
-// handleForecasts keeps the forecasts of the leader here and passes them on.
+// handleForecasts stores the forecasts of the leader in this process and passes them on to
+// the owners here. A push of the status takes them to the other controllers.
 func (c *controlActor) handleForecasts(forecasts shardForecasts) {
 	c.roles.forecasts = forecasts
 	c.push.changed = c.push.changed || forecasts != nil
 	c.forwardForecasts(forecasts)
 }
 
-// forwardForecasts passes the owners here what the leader will assign to them.
+// forwardForecasts sends the shard owners in this process the leader's forecasts for them.
 func (c *controlActor) forwardForecasts(forecasts map[string]leader.Forecast) {
 	for shard, f := range forecasts {
 		if owner := c.roles.owners[shard]; owner != nil {
@@ -189,8 +194,8 @@
 	}
 }
 
-// updateRelays tells the API server which controllers reach the key-value store, for the
-// case that this one alone cannot.
+// updateRelays tells the API server which other controllers reach the key-value store. The
+// API server uses them as relays while this controller cannot reach the store.
 func (c *controlActor) updateRelays(now time.Time) {
 	var relays []apiserver.Relay
 	for name, view := range c.peers {
--- a/controller/routes.go
+++ b/controller/routes.go
@@ -9,14 +9,14 @@
 	"ravenport/wire"
 )
 
-// Read-only paths for operators, beside the protocol's own.
+// Read-only paths for operators, in addition to the paths of the wire protocol.
 const (
 	PathStatus  = "/status"
 	PathMetrics = "/metrics"
 )
 
 // route passes a request to the actor that answers it. It runs on the server's event loop
-// and does not block.
+// and must not block.
 func (c *Controller) route(req *server.Request) {
 	path, _, _ := strings.Cut(req.Target, "?")
 	switch path {
@@ -56,7 +56,7 @@
 	c.control.Tell(workerHeartbeat{req, heartbeat})
 }
 
-// routeJob passes a request about one job to the API server.
+// routeJob passes a request about a single job to the API server.
 func (c *Controller) routeJob(req *server.Request, path string) {
 	job, ok := strings.CutPrefix(path, wire.PathJobs+"/")
 	if !ok {
@@ -78,7 +78,8 @@
 	}
 }
 
-// allowMethod returns whether a request has a method, and refuses it if not.
+// allowMethod returns whether a request has the given method, and answers the request with
+// status 405 if it does not.
 func allowMethod(req *server.Request, method string) bool {
 	if req.Method == method {
 		return true
@@ -87,7 +88,8 @@
 	return false
 }
 
-// allowJobID returns whether an id may be a job's, and refuses the request if not.
+// allowJobID returns whether id is a valid job id, and answers the request with status 404
+// if it is not.
 func allowJobID(req *server.Request, id string) bool {
 	if wire.ValidJobID(id) {
 		return true
--- a/controller/shard_actor.go
+++ b/controller/shard_actor.go
@@ -18,7 +18,7 @@
 	"ravenport/wire"
 )
 
-// shardActor runs the decisions of a shard's owner in one term and carries them out.
+// shardActor runs the core of a shard's owner in one term and carries out its decisions.
 type shardActor struct {
 	core    *shard.Core
 	shard   string
@@ -28,23 +28,24 @@
 	self    *actor.Ref
 	control *actor.Ref
 	pacer   stepPacer
-	stopped bool // by a transfer of its term: heartbeats are refused, and nothing else is done
+	stopped bool // for a transfer of the term; heartbeats are refused, other messages ignored
 
 	revision              uint64
-	statusSentAt          time.Time // when the status was last sent,
-	summarySentAt         time.Time // and when with counts and summary
-	reachabilityCheckedAt time.Time // when it was last checked whether the machines are reachable
+	statusSentAt          time.Time // when the status was last sent
+	summarySentAt         time.Time // when a status with counts, summary and drains was last sent
+	reachabilityCheckedAt time.Time // when the reachability of the machines was last checked
 	machineList           machineListState
 }
 
-// machineListState is when the cloud's list of machines was last read.
+// machineListState is the state of the reads of the cloud's list of machines.
 type machineListState struct {
 	readAt  time.Time
 	reading bool
-	size    int // machines on the last list
+	size    int // number of machines on the last list
 }
 
-// newShardActor returns the actor of a shard's owner in a term.
+// newShardActor returns the actor of a shard's owner in a term. A wake message for its
+// first step is in its mailbox.
 func newShardActor(c *controlActor, name string, term heldTerm, now time.Time) *shardActor {
 	self := actor.NewRef()
 	owner := &shardActor{
@@ -78,7 +79,7 @@
 	return owner
 }
 
-// shardConfig derives the configuration of a shard's owner from the settings.
+// shardConfig returns the configuration of a shard's owner according to the settings.
 func shardConfig(set *settings.Settings, name string) shard.Config {
 	limits := set.StoreLimits()
 	workers := set.Deployment.Workers
@@ -126,7 +127,7 @@
 	}
 }
 
-// apply gives a message's content to the core, and returns whether a step may follow.
+// apply passes the content of a message to the core, and returns whether a step may follow.
 func (a *shardActor) apply(now time.Time, msg any) bool {
 	switch m := msg.(type) {
 	case records.Update:
@@ -164,7 +165,7 @@
 	return true
 }
 
-// applyResult gives the result of a call to the core.
+// applyResult passes the result of a call to the core.
 func (a *shardActor) applyResult(now time.Time, msg any) {
 	switch m := msg.(type) {
 	case shardCommitDone:
@@ -174,7 +175,7 @@
 		a.core.CommitResult(now, m.id, m.result.revision)
 	case commandDone:
 		if m.result.Err != nil {
-			slog.Debug("direct command unanswered", logkey.Machine, m.machine, logkey.Err, m.result.Err)
+			slog.Debug("worker did not answer a direct command", logkey.Machine, m.machine, logkey.Err, m.result.Err)
 		}
 		a.core.CommandResult(now, m.machine, m.result.Heartbeat)
 	case scaleOutDone:
@@ -190,7 +191,8 @@
 	}
 }
 
-// handleHeartbeat answers a worker's heartbeat, if the owner may.
+// handleHeartbeat answers a worker's heartbeat, or refuses it if the core does not accept
+// it.
 func (a *shardActor) handleHeartbeat(now time.Time, m workerHeartbeat) {
 	reply, err := a.core.Heartbeat(now, m.heartbeat)
 	if err != nil {
@@ -200,7 +202,8 @@
 	m.req.Respond(&httpwire.Response{Status: 200, Body: records.Encode(reply)})
 }
 
-// step decides what is to be done, and starts it.
+// step runs a step of the core, starts the actions that it decided, and does the periodic
+// work that is due.
 func (a *shardActor) step(ctx context.Context, now time.Time) {
 	for _, action := range a.core.Step(now) {
 		a.perform(ctx, action)
@@ -211,7 +214,8 @@
 	a.pacer.scheduleTick(constants.MaxOwnerStepInterval)
 }
 
-// sendStatus sends the control actor this shard's figures when they are due.
+// sendStatus sends the control actor this shard's status if it is due, and requests a new
+// term if the numbers of the current term are nearly used up.
 func (a *shardActor) sendStatus(now time.Time) {
 	age := now.Sub(a.statusSentAt)
 	due := age > constants.MaxPushInterval || age > a.core.PushInterval() && a.core.PushDue()
@@ -232,8 +236,9 @@
 	}
 }
 
-// checkReachability tells the control actor if all machines are silent. It looks at the
-// whole fleet, so it is not done at each step.
+// checkReachability tells the control actor if this owner no longer receives the
+// heartbeats of its machines. The check scans the whole fleet of the shard, so it runs
+// once per ScaleInScanInterval and not at each step.
 func (a *shardActor) checkReachability(now time.Time) {
 	if now.Sub(a.reachabilityCheckedAt) < constants.ScaleInScanInterval {
 		return
@@ -244,9 +249,9 @@
 	}
 }
 
-// readMachineList reads the cloud's list of machines when that is due. A long list is read
-// less often, except while the shard is unreachable: the list tells whether its machines
-// are cut off or gone.
+// readMachineList starts to read the cloud's list of machines if a read is due. A long list
+// is read less often, except while the shard is unreachable: the list then shows whether
+// its machines are cut off or have been terminated.
 func (a *shardActor) readMachineList(ctx context.Context, now time.Time) {
 	interval := constants.CloudListInterval
 	if !a.core.IsPartitioned() {
--- a/controller/shard_calls.go
+++ b/controller/shard_calls.go
@@ -15,7 +15,7 @@
 	"ravenport/worker"
 )
 
-// perform starts what the core decided. Its results come back as messages.
+// perform starts an action that the core decided. Its result arrives as a message.
 func (a *shardActor) perform(ctx context.Context, action shard.Action) {
 	switch action := action.(type) {
 	case shard.SendCommands:
@@ -33,7 +33,8 @@
 	}
 }
 
-// commit writes a record. It runs beside the actor, as scaleOut and scaleIn do.
+// commit writes a transaction of the core. Like scaleOut and scaleIn it runs on its own
+// goroutine, outside the actor.
 func (a *shardActor) commit(ctx context.Context, c shard.Commit) {
 	result := commit(ctx, a.store, write{txn: c.Txn, description: c.ID.String()})
 	a.self.Tell(shardCommitDone{c.ID, result})
@@ -50,7 +51,7 @@
 	a.self.Tell(scaleOutDone{request.RequestID, machines, err})
 }
 
-// scaleIn gives machines back to the cloud.
+// scaleIn returns machines to the cloud. Only a success is reported to the actor.
 func (a *shardActor) scaleIn(ctx context.Context, machines []string) {
 	err := retryCloudCall(ctx, "scale in", func() error { return a.cloud.ScaleIn(ctx, machines) })
 	if err == nil {
@@ -58,7 +59,8 @@
 	}
 }
 
-// retryCloudCall repeats a call to the cloud until it is answered or ctx ends.
+// retryCloudCall repeats a call to the cloud, with jittered exponential backoff, until it
+// succeeds, fails with an error that is not cloud.ErrTransient, or ctx ends.
 func retryCloudCall(ctx context.Context, call string, do func() error) error {
 	backoff := constants.RetryBackoffMin
 	for {
--- a/controller/status.go
+++ b/controller/status.go
@@ -12,57 +12,58 @@
 	"ravenport/shard"
 )
 
-// Status is what /status answers: this controller's view, for operators.
+// Status is the response body of /status: this controller's view of the cluster, for
+// operators.
 type Status struct {
 	Controller     string        `json:"node"`
 	Zone           string        `json:"zone"`
 	StoreReachable bool          `json:"state_ok"`
-	AuthorityMS    int64         `json:"authority_ms"` // how long it may still act without an answer of the key-value store (ms)
+	AuthorityMS    int64         `json:"authority_ms"` // how long this controller may still act without a response of the key-value store (ms)
 	Revision       uint64        `json:"revision"`
 	OpenJobs       int           `json:"open_jobs"`
-	Unassigned     int           `json:"unassigned_jobs"` // with tasks that wait for the leader
+	Unassigned     int           `json:"unassigned_jobs"` // jobs with tasks that the leader has not assigned yet
 	Leader         TermHolder    `json:"leader"`
 	Shards         []ShardStatus `json:"parts"`
-	// What failure detection sees, where it is on.
+	// The view of failure detection; absent if failure detection is off.
 	Members []MemberStatus     `json:"members,omitempty"`
 	Dropped *DroppedHeartbeats `json:"heartbeats_dropped,omitempty"`
-	Events  []string           `json:"membership_events,omitempty"` // the latest
+	Events  []string           `json:"membership_events,omitempty"` // the latest, oldest first
 }
 
-// MemberStatus is another controller as failure detection sees it.
+// MemberStatus is the state of another controller according to failure detection.
 type MemberStatus struct {
 	Controller         string   `json:"node"`
 	State              string   `json:"state"`
 	Evidence           []string `json:"evidence,omitempty"`
-	Accusers           []string `json:"accusers,omitempty"` // controllers with evidence of their own
+	Accusers           []string `json:"accusers,omitempty"` // controllers with evidence of a failure, this one included
 	Refutation         uint64   `json:"refutation,omitempty"`
-	SinceHeartbeatMS   int64    `json:"silent_ms"` // since its last heartbeat (ms)
-	SuspicionTimeoutMS int64    `json:"bound_ms"`  // silence beyond which it is suspected (ms)
+	SinceHeartbeatMS   int64    `json:"silent_ms"` // time since the controller's last heartbeat (ms)
+	SuspicionTimeoutMS int64    `json:"bound_ms"`  // time without a heartbeat after which the controller is probed and suspected (ms)
 }
 
-// TermHolder is who holds the term of the leader or of a shard's owner.
+// TermHolder is the controller that holds the term of the leader or of a shard's owner.
 type TermHolder struct {
 	Controller string `json:"node"`
 	Term       uint64 `json:"term"`
 	Alive      bool   `json:"alive"`
 }
 
-// ShardStatus is one shard; only its owner has the summary.
+// ShardStatus is the status of one shard. Only the owner's controller has its summary.
 type ShardStatus struct {
 	Shard     string         `json:"part"`
 	Owner     TermHolder     `json:"owner"`
-	Inventory int            `json:"roster"` // machines in the durable inventory
+	Inventory int            `json:"roster"` // machines in the stored inventory
 	Summary   *shard.Summary `json:"summary,omitempty"`
 }
 
-// termHolder returns who holds the term under key.
+// termHolder returns the holder of the term under key.
 func (c *controlActor) termHolder(key string) TermHolder {
 	term, _ := c.member.Term(key)
 	_, alive := c.member.Holder(key)
 	return TermHolder{Controller: term.Controller, Term: term.Number, Alive: alive}
 }
 
-// answerStatus answers with this controller's view.
+// answerStatus answers a request for /status with this controller's view.
 func (c *controlActor) answerStatus(now time.Time, req apiserver.Request) {
 	body, err := json.MarshalIndent(c.statusView(now), "", "  ")
 	if err != nil {
