--- a/controller/drain_snapshot.go
+++ b/controller/drain_snapshot.go
@@ -12,29 +12,30 @@
 	"ravenport/records"
 )
 
-// Messages about drains, to the control actor and to owners. Their answer channels are
-// buffered.
+// Messages about drains to the control actor and to shard owners. Their answer channels
+// are buffered.
 type (
 	drainSnapshotRequest struct{ answer chan<- drainSnapshot }
-	// ownerRequest asks for the owner of a shard here; nil if there is none.
+	// ownerRequest requests a shard's owner in this process; the answer is nil if the
+	// owner does not run here.
 	ownerRequest struct {
 		shard  string
 		answer chan<- *actor.Ref
 	}
-	// shardPlanRequest asks an owner how it would drain the machines of a selection.
+	// shardPlanRequest requests an owner's plan for draining the machines of a selection.
 	shardPlanRequest struct {
 		selection records.Selection
 		answer    chan<- shardPlanAnswer
 	}
-	// shardPlanAnswer is an owner's plan, or why it has none.
+	// shardPlanAnswer is an owner's plan, or the error why there is none.
 	shardPlanAnswer struct {
 		plan drain.ShardPlan
 		err  error
 	}
 )
 
-// receiveDrainMessage answers a request about drains, and returns whether a message is
-// one.
+// receiveDrainMessage answers msg if it is a request about drains, and returns whether it
+// is one.
 func (c *controlActor) receiveDrainMessage(msg any) bool {
 	switch m := msg.(type) {
 	case drainSnapshotRequest:
@@ -51,41 +52,41 @@
 	return true
 }
 
-// drainSnapshot is what a request about drains is answered from.
+// drainSnapshot is a copy of the state from which requests about drains are answered.
 type drainSnapshot struct {
-	inventory  drain.Inventory
-	drains     map[int]records.Change // readable ones, by number
-	unreadable []int                  // numbers of damaged ones
-	views      map[string]drain.ShardStatus
-	holders    map[string]string // by shard: its owner, if that is alive
+	inventory     drain.Inventory
+	drains        map[int]records.Change // drains whose record could be decoded, by number
+	unreadable    []int                  // numbers of the drains whose record is damaged
+	shardStatuses map[string]drain.ShardStatus
+	ownerNames    map[string]string // names of the live controllers that own the shards, by shard
 }
 
-// drainSnapshot makes a snapshot of what is known here now.
+// drainSnapshot returns a snapshot of the control actor's current state.
 func (c *controlActor) drainSnapshot() drainSnapshot {
-	s := drainSnapshot{
-		inventory: drain.Inventory{Zones: c.settings.Deployment.Zones},
-		drains:    map[int]records.Change{},
-		views:     maps.Clone(c.drains.views),
-		holders:   map[string]string{},
+	snapshot := drainSnapshot{
+		inventory:     drain.Inventory{Zones: c.settings.Deployment.Zones},
+		drains:        map[int]records.Change{},
+		shardStatuses: maps.Clone(c.drains.shardStatuses),
+		ownerNames:    map[string]string{},
 	}
 	for _, t := range c.machineTypes.known {
-		s.inventory.Types = append(s.inventory.Types, t.Name)
+		snapshot.inventory.Types = append(snapshot.inventory.Types, t.Name)
 	}
 	for _, page := range c.feed.inventory {
-		s.addMachines(page)
+		snapshot.addMachines(page)
 	}
 	for _, change := range c.drains.stored {
-		s.addRecord(change)
+		snapshot.addRecord(change)
 	}
-	slices.SortFunc(s.inventory.Machines, func(a, b drain.Machine) int { return strings.Compare(a.Name, b.Name) })
-	slices.SortFunc(s.inventory.RunningDrains, func(a, b *records.Drain) int { return a.Number - b.Number })
-	slices.Sort(s.unreadable)
+	slices.SortFunc(snapshot.inventory.Machines, func(a, b drain.Machine) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(snapshot.inventory.RunningDrains, func(a, b *records.Drain) int { return a.Number - b.Number })
+	slices.Sort(snapshot.unreadable)
 	for _, zone := range c.settings.Deployment.Zones {
 		if name, alive := c.member.Holder(records.KeyShard(zone)); alive {
-			s.holders[zone] = name
+			snapshot.ownerNames[zone] = name
 		}
 	}
-	return s
+	return snapshot
 }
 
 func (s *drainSnapshot) addMachines(page *records.InventoryPage) {
@@ -108,7 +109,8 @@
 	}
 }
 
-// status returns the status of all drains, as seen by a controller.
+// status returns the status of all drains, as this snapshot of the named controller has
+// them.
 func (s *drainSnapshot) status(controller string) *peer.DrainStatus {
 	status := &peer.DrainStatus{Controller: controller, Drains: []peer.DrainView{}, Unreadable: s.unreadable, Budgets: s.budgetUsage()}
 	for _, number := range slices.Sorted(maps.Keys(s.drains)) {
@@ -118,21 +120,21 @@
 }
 
 // drainView returns a drain with its progress in each shard.
-func (s *drainSnapshot) drainView(r *records.Drain) peer.DrainView {
+func (s *drainSnapshot) drainView(record *records.Drain) peer.DrainView {
 	view := peer.DrainView{
-		Number:       r.Number,
-		State:        r.State,
-		StopReason:   r.StopReason,
-		StartedS:     r.StartedS,
-		Machines:     r.MachineCount,
-		CanaryPassed: r.CanaryPassed,
+		Number:       record.Number,
+		State:        record.State,
+		StopReason:   record.StopReason,
+		StartedS:     record.StartedS,
+		Machines:     record.MachineCount,
+		CanaryPassed: record.CanaryPassed,
 	}
-	if !r.State.IsTerminal() {
-		view.Remaining = len(s.inventory.Select(&r.Selection))
+	if !record.State.IsTerminal() {
+		view.Remaining = len(s.inventory.Select(&record.Selection))
 	}
 	for _, zone := range s.inventory.Zones {
-		for _, progress := range s.views[zone].Drains {
-			if progress.Drain == r.Number {
+		for _, progress := range s.shardStatuses[zone].Drains {
+			if progress.Drain == record.Number {
 				view.Shards = append(view.Shards, progress)
 			}
 		}
@@ -140,11 +142,11 @@
 	return view
 }
 
-// budgetUsage returns each budget's usage once: the highest that any owner reports.
+// budgetUsage returns each budget's usage once: the highest that a shard owner reports.
 func (s *drainSnapshot) budgetUsage() []disruption.Usage {
 	var budgets []disruption.Usage
 	for _, zone := range s.inventory.Zones {
-		for _, usage := range s.views[zone].BudgetUsage {
+		for _, usage := range s.shardStatuses[zone].BudgetUsage {
 			at := slices.IndexFunc(budgets, func(x disruption.Usage) bool { return x.Budget == usage.Budget })
 			switch {
 			case at < 0:
--- a/controller/roles.go
+++ b/controller/roles.go
@@ -134,7 +134,7 @@
 	owner.cancel()
 	delete(c.roles.owners, shard)
 	delete(c.roles.shardStatuses, shard)
-	delete(c.drains.views, shard)
+	delete(c.drains.shardStatuses, shard)
 }
 
 // tellOwners sends a message to every owner on this controller.
@@ -170,7 +170,7 @@
 // handleShardStatus stores an owner's status and passes it on to the API server, the
 // leader and the other owners on this controller.
 func (c *controlActor) handleShardStatus(now time.Time, m shardStatus) {
-	c.push.pending = true
+	c.push.changed = true
 	if m.counts != nil {
 		if m.summary.Partitioned || !m.summary.Rebuilt {
 			c.terms.unstableAt[records.KeyShard(m.shard)] = now
@@ -182,7 +182,7 @@
 		m.summary = previous.summary
 		m.drains = previous.drains
 	}
-	c.drains.views[m.shard] = m.drains
+	c.drains.shardStatuses[m.shard] = m.drains
 	c.roles.shardStatuses[m.shard] = m
 	c.tellLeader(m.aggregate)
 	c.tellOwners([]leader.Aggregate{m.aggregate})
