--- a/controller/sim_draining_test.go
+++ b/controller/sim_draining_test.go
@@ -56,11 +56,11 @@
 			name := wire.TaskName(id, i)
 			switch {
 			case j.cancelRequested:
-				w.disruption.Forget(name)
+				w.disruption.Remove(name)
 			case running[name]:
-				w.disruption.TaskUp(name, time.Now())
+				w.disruption.TaskRunning(name, time.Now())
 			default:
-				w.disruption.TaskDown(name, time.Now())
+				w.disruption.TaskNotRunning(name, time.Now())
 			}
 		}
 	}
@@ -83,12 +83,12 @@
 	for unit := range runs {
 		switch {
 		case over[unit]:
-			w.interruptions.Forget(unit)
+			w.interruptions.Remove(unit)
 		case runs[unit]:
-			w.interruptions.TaskUp(unit, time.Now())
+			w.interruptions.TaskRunning(unit, time.Now())
 			w.unitsEverRunning[unit] = true
 		case w.unitsEverRunning[unit]:
-			w.interruptions.TaskDown(unit, time.Now())
+			w.interruptions.TaskNotRunning(unit, time.Now())
 		}
 	}
 }
--- a/internal/disruptioncheck/check.go
+++ b/internal/disruptioncheck/check.go
@@ -14,10 +14,10 @@
 	stableAfter  time.Duration // a task that has run for so long is up
 	reactionTime time.Duration // a failure this old is known to every controller
 
-	upSince   map[string]time.Time
-	downSince map[string]time.Time
-	voluntary map[string]bool // stopped voluntarily, and not known to be up again since
-	figures   Figures
+	runningSince map[string]time.Time
+	downSince    map[string]time.Time
+	voluntary    map[string]bool // stopped voluntarily, and not known to be up again since
+	figures      Figures
 }
 
 // Figures count what was seen.
@@ -36,7 +36,7 @@
 		limit:        limit,
 		stableAfter:  stableAfter,
 		reactionTime: reactionTime,
-		upSince:      map[string]time.Time{},
+		runningSince: map[string]time.Time{},
 		downSince:    map[string]time.Time{},
 		voluntary:    map[string]bool{},
 	}
@@ -48,38 +48,38 @@
 // Figures returns what was seen so far.
 func (c *Check) Figures() Figures { return c.figures }
 
-// DownCount returns the number of tasks that do not run now.
-func (c *Check) DownCount() int { return len(c.downSince) }
+// NotRunningCount returns the number of tasks that do not run now.
+func (c *Check) NotRunningCount() int { return len(c.downSince) }
 
-// TaskUp records that a task runs.
-func (c *Check) TaskUp(task string, now time.Time) {
-	if _, wasUp := c.upSince[task]; wasUp {
+// TaskRunning records that a task runs.
+func (c *Check) TaskRunning(task string, now time.Time) {
+	if _, wasRunning := c.runningSince[task]; wasRunning {
 		return
 	}
-	c.upSince[task] = now
+	c.runningSince[task] = now
 	delete(c.downSince, task)
 	if c.voluntary[task] {
 		c.figures.Replaced++
 	}
 }
 
-// TaskDown records that a task does not run, for whatever reason.
-func (c *Check) TaskDown(task string, now time.Time) {
-	if _, wasDown := c.downSince[task]; wasDown {
+// TaskNotRunning records that a task does not run, for whatever reason.
+func (c *Check) TaskNotRunning(task string, now time.Time) {
+	if _, wasNotRunning := c.downSince[task]; wasNotRunning {
 		return
 	}
-	_, wasUp := c.upSince[task]
+	_, wasRunning := c.runningSince[task]
 	c.downSince[task] = now
-	delete(c.upSince, task)
-	if wasUp { // it was not stopped: TaskStopped would have marked it as down
+	delete(c.runningSince, task)
+	if wasRunning { // it was not stopped: TaskStopped would have marked it as down
 		c.figures.Failed++
 		delete(c.voluntary, task)
 	}
 }
 
-// Forget records that a task need not be up any more.
-func (c *Check) Forget(task string) {
-	delete(c.upSince, task)
+// Remove records that a task need not be up any more.
+func (c *Check) Remove(task string) {
+	delete(c.runningSince, task)
 	delete(c.downSince, task)
 	delete(c.voluntary, task)
 }
@@ -89,9 +89,9 @@
 func (c *Check) TaskStopped(task string, now time.Time) error {
 	c.figures.Stops++
 	c.voluntary[task] = true
-	delete(c.upSince, task)
+	delete(c.runningSince, task)
 	c.downSince[task] = now
-	c.forgetStable(now)
+	c.removeStable(now)
 	voluntary := len(c.voluntary)
 	overdue := c.overdueFailures(now)
 	c.figures.MaxVoluntary = max(c.figures.MaxVoluntary, voluntary)
@@ -101,12 +101,12 @@
 	return nil
 }
 
-// forgetStable takes the stopped tasks that are up again out of those that are down
+// removeStable takes the stopped tasks that are up again out of those that are down
 // voluntarily.
-func (c *Check) forgetStable(now time.Time) {
+func (c *Check) removeStable(now time.Time) {
 	for task := range c.voluntary {
-		up, runs := c.upSince[task]
-		if runs && now.Sub(up) >= c.stableAfter {
+		startedAt, isRunning := c.runningSince[task]
+		if isRunning && now.Sub(startedAt) >= c.stableAfter {
 			delete(c.voluntary, task)
 		}
 	}
@@ -114,11 +114,11 @@
 
 // overdueFailures counts the tasks whose failure every controller knows by now.
 func (c *Check) overdueFailures(now time.Time) int {
-	n := 0
+	count := 0
 	for task, since := range c.downSince {
 		if !c.voluntary[task] && now.Sub(since) > c.reactionTime {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
--- a/internal/disruptioncheck/check_test.go
+++ b/internal/disruptioncheck/check_test.go
@@ -14,8 +14,8 @@
 // for long.
 func newCheck(start time.Time) *Check {
 	c := New(1, stableAfter, reactionTime)
-	c.TaskUp("a", start.Add(-time.Hour))
-	c.TaskUp("b", start.Add(-time.Hour))
+	c.TaskRunning("a", start.Add(-time.Hour))
+	c.TaskRunning("b", start.Add(-time.Hour))
 	return c
 }
 
@@ -34,21 +34,21 @@
 		}, true},
 		"another task was stopped and is not stable": {func(c *Check) {
 			_ = c.TaskStopped("b", start)
-			c.TaskUp("b", after(2*time.Minute-stableAfter+time.Second))
+			c.TaskRunning("b", after(2*time.Minute-stableAfter+time.Second))
 		}, true},
 		"another task was stopped and is stable": {func(c *Check) {
 			_ = c.TaskStopped("b", start)
-			c.TaskUp("b", after(2*time.Minute-stableAfter))
+			c.TaskRunning("b", after(2*time.Minute-stableAfter))
 		}, false},
 		"another task failed long ago": {func(c *Check) {
-			c.TaskDown("b", after(2*time.Minute-reactionTime-time.Second))
+			c.TaskNotRunning("b", after(2*time.Minute-reactionTime-time.Second))
 		}, true},
 		"another task failed just now": {func(c *Check) {
-			c.TaskDown("b", after(2*time.Minute-reactionTime))
+			c.TaskNotRunning("b", after(2*time.Minute-reactionTime))
 		}, false},
 		"another task was stopped and need not be up any more": {func(c *Check) {
 			_ = c.TaskStopped("b", start)
-			c.Forget("b")
+			c.Remove("b")
 		}, false},
 	} {
 		check := newCheck(start)
@@ -66,13 +66,13 @@
 	if err := c.TaskStopped("a", start); err != nil {
 		t.Fatal(err)
 	}
-	c.TaskDown("a", start) // the worker's view of the same stop
-	c.TaskUp("a", start.Add(time.Second))
-	c.TaskDown("b", start.Add(2*time.Second))
+	c.TaskNotRunning("a", start) // the worker's view of the same stop
+	c.TaskRunning("a", start.Add(time.Second))
+	c.TaskNotRunning("b", start.Add(2*time.Second))
 	if want := (Figures{Stops: 1, Replaced: 1, Failed: 1, MaxVoluntary: 1}); c.Figures() != want {
 		t.Errorf("%+v, wanted %+v", c.Figures(), want)
 	}
-	if c.DownCount() != 1 {
-		t.Errorf("%d tasks are down, wanted 1", c.DownCount())
+	if c.NotRunningCount() != 1 {
+		t.Errorf("%d tasks are down, wanted 1", c.NotRunningCount())
 	}
 }
--- a/internal/loopback/observer_test.go
+++ b/internal/loopback/observer_test.go
@@ -65,7 +65,7 @@
 	o.executions[task] = append(o.executions[task], &execution{machine: machine, started: now})
 	if o.checksDisruptionOf(task) {
 		o.lastStartMachine = machine
-		o.disruptions.TaskUp(task, now)
+		o.disruptions.TaskRunning(task, now)
 	}
 }
 
@@ -93,7 +93,7 @@
 		}
 		e.ended = time.Now()
 		if o.checksDisruptionOf(task) {
-			o.disruptions.TaskDown(task, e.ended)
+			o.disruptions.TaskNotRunning(task, e.ended)
 		}
 	}
 }
