--- a/internal/knownred/entry.go
+++ b/internal/knownred/entry.go
@@ -12,16 +12,16 @@
 
 // Entry describes one known failure of one test.
 type Entry struct {
-	Test    string // the top-level test function
-	Package string // its import path
-	Command string // reproduces the failure, seed included
-	Seen    string // what was seen, and how often
-	Issue   int    // the open issue that the failure belongs to
+	Test     string // the top-level test function
+	Package  string // its import path
+	Command  string // reproduces the failure, seed included
+	Observed string // what was seen, and how often
+	Issue    int    // the open issue that the failure belongs to
 
 	// Failure matches the message of the listed failure.
 	Failure *regexp.Regexp
-	// Beside match what the test may print beside it: logs, and what follows from it.
-	Beside []*regexp.Regexp
+	// AllowedMessages match what the test may print beside it: logs, and what follows from it.
+	AllowedMessages []*regexp.Regexp
 }
 
 // EntryError reports an entry that cannot be read.
@@ -43,7 +43,7 @@
 	var entries []Entry
 	var block []string
 	blockLine, line := 0, 0
-	finish := func() error {
+	finishBlock := func() error {
 		if len(block) == 0 {
 			return nil
 		}
@@ -63,7 +63,7 @@
 			continue
 		}
 		if text == "" {
-			if err := finish(); err != nil {
+			if err := finishBlock(); err != nil {
 				return nil, err
 			}
 			continue
@@ -76,7 +76,7 @@
 	if err := scanner.Err(); err != nil {
 		return nil, err
 	}
-	if err := finish(); err != nil {
+	if err := finishBlock(); err != nil {
 		return nil, err
 	}
 	return entries, nil
@@ -91,7 +91,7 @@
 			return Entry{}, &EntryError{line, reason}
 		}
 	}
-	if entry.Test == "" || entry.Package == "" || entry.Command == "" || entry.Seen == "" || entry.Issue == 0 || entry.Failure == nil {
+	if entry.Test == "" || entry.Package == "" || entry.Command == "" || entry.Observed == "" || entry.Issue == 0 || entry.Failure == nil {
 		return Entry{}, &EntryError{line, "it needs test, package, command, failure, seen and issue"}
 	}
 	return entry, nil
@@ -111,15 +111,15 @@
 	case "command":
 		e.Command = value
 	case "seen":
-		e.Seen = value
+		e.Observed = value
 	case "issue":
 		e.Issue, err = strconv.Atoi(value)
 	case "failure":
-		e.Failure, err = compileNarrow(value)
+		e.Failure, err = compileSpecificPattern(value)
 	case "beside":
-		var beside *regexp.Regexp
-		beside, err = compileNarrow(value)
-		e.Beside = append(e.Beside, beside)
+		var allowed *regexp.Regexp
+		allowed, err = compileSpecificPattern(value)
+		e.AllowedMessages = append(e.AllowedMessages, allowed)
 	default:
 		return fmt.Sprintf("unknown field %q", name)
 	}
@@ -132,8 +132,8 @@
 // unrelatedMessage is no failure of any test: a pattern that matches it matches anything.
 const unrelatedMessage = "1 unrelated message of 2 words"
 
-// compileNarrow compiles a pattern that has to match a whole message, and not any.
-func compileNarrow(pattern string) (*regexp.Regexp, error) {
+// compileSpecificPattern compiles a pattern that has to match a whole message, and not any.
+func compileSpecificPattern(pattern string) (*regexp.Regexp, error) {
 	compiled, err := regexp.Compile("^(?:" + pattern + ")$")
 	if err != nil {
 		return nil, err
--- a/internal/knownred/knownred_test.go
+++ b/internal/knownred/knownred_test.go
@@ -19,7 +19,7 @@
 // packageEnd ends a package's output as go test does.
 const packageEnd = "FAIL\nFAIL\travenport/controller\t3.1s\n"
 
-func entriesOf(t *testing.T, list string) []Entry {
+func mustParseEntries(t *testing.T, list string) []Entry {
 	t.Helper()
 	entries, err := ParseEntries(strings.NewReader(list))
 	if err != nil {
@@ -57,19 +57,19 @@
 		{"an empty log", "", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			verdict, err := Judge(strings.NewReader(c.output), entriesOf(t, list))
+			result, err := CheckOutput(strings.NewReader(c.output), mustParseEntries(t, list))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if excused := len(verdict.Faults) == 0; excused != c.excused {
-				t.Errorf("excused %v; faults %q, passed over %q", excused, verdict.Faults, verdict.Excused)
+			if excused := len(result.Unexcused) == 0; excused != c.excused {
+				t.Errorf("excused %v; faults %q, passed over %q", excused, result.Unexcused, result.Excused)
 			}
 		})
 	}
 }
 
 func TestDamagedEntriesAreRefused(t *testing.T) {
-	for name, damaged := range map[string]string{
+	for name, invalid := range map[string]string{
 		"no test":                   strings.Replace(list, "test: TestListed\n", "", 1),
 		"no command":                strings.Replace(list, "command: go", "# go", 1),
 		"no failure":                strings.Replace(list, "failure:", "beside:", 1),
@@ -82,7 +82,7 @@
 		"the form before":           "TestListed: fails at times; issue 34\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := ParseEntries(strings.NewReader(list + "\n" + damaged))
+			_, err := ParseEntries(strings.NewReader(list + "\n" + invalid))
 			var entryError *EntryError
 			if !errors.As(err, &entryError) || entryError.Line < 10 {
 				t.Errorf("error %v", err)
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -14,34 +14,34 @@
 		fmt.Fprintln(os.Stderr, "usage: knownred LIST LOG")
 		os.Exit(2)
 	}
-	verdict, err := judgeFiles(os.Args[1], os.Args[2])
+	result, err := checkFiles(os.Args[1], os.Args[2])
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "knownred:", err)
 		os.Exit(1)
 	}
-	for _, test := range verdict.Excused {
+	for _, test := range result.Excused {
 		fmt.Println("failed as listed in KNOWN-RED.txt:", test)
 	}
-	for _, fault := range verdict.Faults {
-		fmt.Println("failed, not excused:", fault)
+	for _, reason := range result.Unexcused {
+		fmt.Println("failed, not excused:", reason)
 	}
-	if len(verdict.Faults) > 0 {
+	if len(result.Unexcused) > 0 {
 		os.Exit(1)
 	}
 }
 
-// judgeFiles judges the run whose output is in the file log by the list in the file list.
-func judgeFiles(list, log string) (Verdict, error) {
+// checkFiles judges the run whose output is in the file log by the list in the file list.
+func checkFiles(list, log string) (Result, error) {
 	entries, err := readEntries(list)
 	if err != nil {
-		return Verdict{}, err
+		return Result{}, err
 	}
 	output, err := os.Open(log)
 	if err != nil {
-		return Verdict{}, err
+		return Result{}, err
 	}
 	defer output.Close()
-	return Judge(output, entries)
+	return CheckOutput(output, entries)
 }
 
 // readEntries reads the entries of a file; none if there is no such file.
--- a/internal/knownred/verdict.go
+++ b/internal/knownred/verdict.go
@@ -27,37 +27,37 @@
 	messageLine = regexp.MustCompile(`^\s+[A-Za-z0-9_]+\.go:\d+: (.*)$`)
 )
 
-// Verdict is what a failed run of the tests amounts to.
-type Verdict struct {
-	Excused []string // tests that failed as listed
-	Faults  []string // why the run is not excused; none: it is
+// Result is what a failed run of the tests amounts to.
+type Result struct {
+	Excused   []string // tests that failed as listed
+	Unexcused []string // why the run is not excused; none: it is
 }
 
-// Judge reads the output of a failed run of go test. The run is excused only if each test
+// CheckOutput reads the output of a failed run of go test. The run is excused only if each test
 // that failed is listed, and each message of it is that of the listed failure, or one that
 // its entry allows beside it.
-func Judge(output io.Reader, entries []Entry) (Verdict, error) {
-	var verdict Verdict
+func CheckOutput(output io.Reader, entries []Entry) (Result, error) {
+	var result Result
 	var failed []*failedTest
-	var current *failedTest // the test whose messages are being read
-	unassigned := 0         // the first failed test whose package's end was not read
+	var current *failedTest  // the test whose messages are being read
+	firstWithoutPackage := 0 // the first failed test whose package's end was not read
 	scanner := bufio.NewScanner(output)
 	scanner.Buffer(nil, 16<<20)
 	for scanner.Scan() {
 		line := scanner.Text()
 		switch {
 		case fatalLine.MatchString(line):
-			verdict.Faults = append(verdict.Faults, line)
+			result.Unexcused = append(result.Unexcused, line)
 		case failedTestLine.MatchString(line):
 			current = &failedTest{name: failedTestLine.FindStringSubmatch(line)[1]}
 			failed = append(failed, current)
 		case failedPkgLine.MatchString(line):
 			pkg := failedPkgLine.FindStringSubmatch(line)[1]
-			if unassigned == len(failed) {
-				verdict.Faults = append(verdict.Faults, pkg+" failed without a failed test")
+			if firstWithoutPackage == len(failed) {
+				result.Unexcused = append(result.Unexcused, pkg+" failed without a failed test")
 			}
-			for ; unassigned < len(failed); unassigned++ {
-				failed[unassigned].pkg = pkg
+			for ; firstWithoutPackage < len(failed); firstWithoutPackage++ {
+				failed[firstWithoutPackage].pkg = pkg
 			}
 			current = nil
 		case passedPkgLine.MatchString(line):
@@ -67,19 +67,19 @@
 		}
 	}
 	if err := scanner.Err(); err != nil {
-		return verdict, err
+		return result, err
 	}
 	for _, test := range failed {
-		if fault := test.unexcused(entries); fault != "" {
-			verdict.Faults = append(verdict.Faults, fault)
+		if reason := test.unexcused(entries); reason != "" {
+			result.Unexcused = append(result.Unexcused, reason)
 		} else {
-			verdict.Excused = append(verdict.Excused, test.name)
+			result.Excused = append(result.Excused, test.name)
 		}
 	}
-	if len(failed) == 0 && len(verdict.Faults) == 0 {
-		verdict.Faults = append(verdict.Faults, "no failed test is named")
+	if len(failed) == 0 && len(result.Unexcused) == 0 {
+		result.Unexcused = append(result.Unexcused, "no failed test is named")
 	}
-	return verdict, nil
+	return result, nil
 }
 
 // addLine adds one line that was printed after the test's result: a message, or a further
@@ -101,7 +101,7 @@
 }
 
 // unexcused says why a failed test is not excused; "" if it is.
-func (f *failedTest) unexcused(entries []Entry) (fault string) {
+func (f *failedTest) unexcused(entries []Entry) (reason string) {
 	listed := false
 	for i := range entries {
 		entry := &entries[i]
@@ -109,7 +109,7 @@
 			continue
 		}
 		listed = true
-		if entry.describes(f.messages) {
+		if entry.matches(f.messages) {
 			return ""
 		}
 	}
@@ -119,27 +119,27 @@
 	return fmt.Sprintf("%s failed otherwise than listed: %s", f.name, strings.Join(f.messages, "; "))
 }
 
-// describes reports whether the messages are those of the entry's failure, with nothing
+// matches reports whether the messages are those of the entry's failure, with nothing
 // but what it allows beside. Only the first line of a message counts: event records may
 // follow it.
-func (e *Entry) describes(messages []string) bool {
+func (e *Entry) matches(messages []string) bool {
 	failures := 0
 	for _, message := range messages {
 		first, _, _ := strings.Cut(message, "\n")
 		switch {
 		case e.Failure.MatchString(first):
 			failures++
-		case !e.allowsBeside(first):
+		case !e.allowsMessage(first):
 			return false
 		}
 	}
 	return failures > 0
 }
 
-// allowsBeside reports whether the test may print a message beside the listed failure.
-func (e *Entry) allowsBeside(message string) bool {
-	for _, beside := range e.Beside {
-		if beside.MatchString(message) {
+// allowsMessage reports whether the test may print a message beside the listed failure.
+func (e *Entry) allowsMessage(message string) bool {
+	for _, allowed := range e.AllowedMessages {
+		if allowed.MatchString(message) {
 			return true
 		}
 	}
