--- a/internal/loopback/addresses_test.go
+++ b/internal/loopback/addresses_test.go
@@ -30,51 +30,51 @@
 
 // Ports. Those below portsPerSite count from the first port of the site.
 const (
-	firstPort    = 23700
-	portsPerSite = 100
-	serverPort   = 0  // of the first controller
-	peerPort     = 20 // of the first controller
-	storePort    = 90
-	cloudPort    = 91
-	holdPort     = 99   // open for as long as a process holds the site
-	workerPort   = 9000 // of every worker, on an address of its own
+	firstPort       = 23700
+	portsPerSite    = 100
+	serverPort      = 0  // of the first controller
+	peerPort        = 20 // of the first controller
+	storePort       = 90
+	cloudPort       = 91
+	reservationPort = 99   // open for as long as a process holds the site
+	workerPort      = 9000 // of every worker, on an address of its own
 )
 
 // workersPerSubnet is the number of workers in one /24 subnet of 127.0.0.0/8.
 const workersPerSubnet = 250
 
-// heldSite is the site that this process holds, and the open port by which others see that.
-type heldSite struct {
+// reservedSite is the site that this process holds, and the open port by which others see that.
+type reservedSite struct {
 	number   int
 	listener net.Listener
 }
 
-// holdSite takes a site and keeps it until release is called or the process ends. wanted is
+// reserveSite takes a site and keeps it until release is called or the process ends. wanted is
 // its number, or anySite.
-func holdSite(wanted int) (heldSite, error) {
+func reserveSite(wanted int) (reservedSite, error) {
 	first, last := wanted, wanted
 	if wanted == anySite {
 		first, last = 0, siteCount-1
 	}
 	for number := first; number <= last; number++ {
-		listener, err := net.Listen("tcp4", siteAddress(number, holdPort))
+		listener, err := net.Listen("tcp4", siteAddress(number, reservationPort))
 		if err == nil {
-			return heldSite{number, listener}, nil
+			return reservedSite{number, listener}, nil
 		}
 		if !errors.Is(err, syscall.EADDRINUSE) {
-			return heldSite{}, err
+			return reservedSite{}, err
 		}
 	}
-	return heldSite{}, fmt.Errorf("other processes hold the sites %d to %d", first, last)
+	return reservedSite{}, fmt.Errorf("other processes hold the sites %d to %d", first, last)
 }
 
-func (h heldSite) release() { _ = h.listener.Close() }
+func (h reservedSite) release() { _ = h.listener.Close() }
 
 // processSite is the site of this process, which it takes at the first fleet.
-var processSite = sync.OnceValues(func() (heldSite, error) { return holdSite(*site) })
+var processSite = sync.OnceValues(func() (reservedSite, error) { return reserveSite(*site) })
 
-// takeSite gives the next fleet of this process its addresses.
-func takeSite(tb testing.TB) {
+// nextSite gives the next fleet of this process its addresses.
+func nextSite(tb testing.TB) {
 	tb.Helper()
 	if _, err := processSite(); err != nil {
 		tb.Fatal(err)
@@ -84,11 +84,11 @@
 
 // currentSite returns the site of the latest fleet.
 func currentSite() int {
-	held, err := processSite()
+	reserved, err := processSite()
 	if err != nil {
 		panic(err) // takeSite comes first
 	}
-	return held.number + siteCount*(fleetCount-1)
+	return reserved.number + siteCount*(fleetCount-1)
 }
 
 func siteAddress(site, port int) string {
@@ -115,11 +115,11 @@
 // A site is one process's until it is released: nobody else gets it meanwhile, and whoever
 // asks for any gets another one.
 func TestSiteIsHeldByOne(t *testing.T) {
-	first, err := holdSite(anySite)
+	first, err := reserveSite(anySite)
 	if err != nil {
 		t.Fatal(err)
 	}
-	second, err := holdSite(anySite)
+	second, err := reserveSite(anySite)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -127,14 +127,14 @@
 	if first.number == second.number {
 		t.Errorf("both hold site %d", first.number)
 	}
-	if third, err := holdSite(first.number); err == nil {
+	if third, err := reserveSite(first.number); err == nil {
 		third.release()
 		t.Errorf("site %d is taken a second time", first.number)
 	}
 	first.release()
-	again, err := holdSite(first.number)
+	reacquired, err := reserveSite(first.number)
 	if err != nil {
 		t.Fatalf("site %d was released, and cannot be taken: %v", first.number, err)
 	}
-	again.release()
+	reacquired.release()
 }
--- a/internal/loopback/fleet_test.go
+++ b/internal/loopback/fleet_test.go
@@ -55,7 +55,7 @@
 // controllers and workers end with the test.
 func newFleet(tb testing.TB, d deployment) *fleet {
 	tb.Helper()
-	takeSite(tb)
+	nextSite(tb)
 	observer := newObserver()
 	f := &fleet{
 		deployment:     d,
