--- a/internal/loopback/cloud_test.go
+++ b/internal/loopback/cloud_test.go
@@ -223,8 +223,8 @@
 	return c.lastScaleInZone
 }
 
-// forgetScaleIn empties lastScaleIn until a controller returns another machine.
-func (c *cloud) forgetScaleIn() {
+// clearLastScaleIn empties lastScaleIn until a controller returns another machine.
+func (c *cloud) clearLastScaleIn() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastScaleInZone = ""
--- a/internal/loopback/disruption_test.go
+++ b/internal/loopback/disruption_test.go
@@ -22,7 +22,7 @@
 		}
 	}
 	stableAfter := 2 * time.Second
-	if *drainShippedTimes {
+	if *drainDefaultTimes {
 		stableAfter = 10 * time.Second
 	}
 	reactionTime := time.Duration(f.workerLeaseS)*time.Second + 20*time.Second
--- a/internal/loopback/drain_failures_test.go
+++ b/internal/loopback/drain_failures_test.go
@@ -27,8 +27,8 @@
 	return func(_ int, since time.Duration, _ disruptioncheck.Figures) bool { return since > d }
 }
 
-// usualDrainFailures returns the failures of each replacement in TestDrainOfRealProcesses.
-func (f *fleet) usualDrainFailures() []drainFailure {
+// defaultDrainFailures returns the failures of each replacement in TestDrainOfRealProcesses.
+func (f *fleet) defaultDrainFailures() []drainFailure {
 	ttl := f.controllerLeaseTTL
 	return []drainFailure{
 		{"an owner is killed", afterDrainStart(ttl), func() { f.killForLeaseTTL(f.ownerIndex("a")) }},
@@ -57,11 +57,11 @@
 	f.awaitServiceTasks(t, replicas, time.Minute)
 	for _, failure := range f.chosenDrainFailures(t) {
 		time.Sleep(4 * time.Second) // until all tasks are stable
-		f.cloud.forgetScaleIn()
+		f.cloud.clearLastScaleIn()
 		replacement := f.replaceFleet(t, []drainFailure{failure})
 		f.awaitServiceTasks(t, replicas, time.Minute)
 		t.Logf("%s: %+v, %+v", failure.name, replacement, f.disruptionFigures())
-		if n := f.cloud.breaksLeft(); n > 0 {
+		if n := f.cloud.pendingMachineFailures(); n > 0 {
 			t.Errorf("%s: %d machines that were to break were never created", failure.name, n)
 		}
 	}
@@ -119,8 +119,8 @@
 				t.Error("there was no spot machine")
 			}
 		}},
-		{"two replacements never boot", midway, func() { f.cloud.breakNext(2, 0) }},
-		{"two replacements never become healthy", midway, func() { f.cloud.breakNext(0, 2) }},
+		{"two replacements never boot", midway, func() { f.cloud.failNextMachines(2, 0) }},
+		{"two replacements never become healthy", midway, func() { f.cloud.failNextMachines(0, 2) }},
 		{"a replacement turns unhealthy just after its step closed", afterReturn, func() { f.failServiceTask(f.observer.lastStart()) }},
 	}
 }
--- a/internal/loopback/drain_points_test.go
+++ b/internal/loopback/drain_points_test.go
@@ -42,7 +42,7 @@
 		return f.machineZone(f.observer.lastStart())
 	}},
 	{"after the close", func(_ *testing.T, f *fleet, _ int, _ disruptioncheck.Figures) string {
-		return f.store.zoneWithClosedMachine()
+		return f.store.zoneWithTerminatingMachine()
 	}},
 	{"at the return", func(_ *testing.T, f *fleet, _ int, _ disruptioncheck.Figures) string { return f.cloud.lastScaleIn() }},
 }
--- a/internal/loopback/drain_test.go
+++ b/internal/loopback/drain_test.go
@@ -17,7 +17,7 @@
 //	go test ./internal/loopback -run TestDrainOfRealProcesses -v -timeout 0 -drain.rounds 5 -drain.slow
 var (
 	drainRounds          = flag.Int("drain.rounds", 1, "how often the whole fleet is replaced")
-	drainShippedTimes    = flag.Bool("drain.slow", false, "the default times instead of short ones")
+	drainDefaultTimes    = flag.Bool("drain.slow", false, "the default times instead of short ones")
 	drainBudget          = flag.String("drain.budget", "2", "tasks of the team that may be unavailable")
 	drainWithoutFailures = flag.Bool("drain.quiet", false, "nothing fails: measure the time that a drain takes")
 	drainUnlimited       = flag.Bool("drain.naive", false, "no budget: machines are emptied as fast as they can be")
@@ -54,7 +54,7 @@
 		controllerLeaseTTL: 2 * time.Second,
 		canPartition:       true,
 	}
-	if *drainShippedTimes {
+	if *drainDefaultTimes {
 		d.useDefaultTimes()
 		d.drainingProperties = "drain.parallel.percent = 34\n"
 	}
@@ -81,7 +81,7 @@
 	for round := range *drainRounds {
 		var failures []drainFailure
 		if !*drainWithoutFailures {
-			failures = f.usualDrainFailures()
+			failures = f.defaultDrainFailures()
 		}
 		replacement := f.replaceFleet(t, failures)
 		t.Logf("round %d: %+v", round, replacement)
--- a/internal/loopback/failover_test.go
+++ b/internal/loopback/failover_test.go
@@ -19,7 +19,7 @@
 	failoverRounds         = flag.Int("takeover.rounds", 1, "failures of each kind")
 	failoverControllers    = flag.Int("takeover.controllers", 3, "controllers")
 	failoverMachines       = flag.Int("takeover.machines", 24, "machines that the cloud has at most")
-	failoverShippedTimes   = flag.Bool("takeover.slow", false, "the default times instead of short ones")
+	failoverDefaultTimes   = flag.Bool("takeover.slow", false, "the default times instead of short ones")
 	failoverPattern        = flag.String("takeover.only", "", "inject only failures whose names match this expression")
 	failoverEarlierProgram = flag.String("takeover.earlier", "", "a program of an earlier version, without failure detection, that the first controller runs")
 	evidenceDir            = flag.String("takeover.keep", "", "directory in which logs and the second-by-second table are kept also if nothing fails")
@@ -69,7 +69,7 @@
 		d.services = *failoverMachines * 7 / largeServiceReplicas
 		d.replicas = largeServiceReplicas
 	}
-	if *failoverShippedTimes {
+	if *failoverDefaultTimes {
 		d.useDefaultTimes()
 		d.detectionProperties = "detection.revoke = true"
 	}
@@ -213,21 +213,21 @@
 	}
 }
 
-var restDuration = flag.Duration("takeover.rest", 0, "how long controllers at rest are measured")
+var idleDuration = flag.Duration("takeover.rest", 0, "how long controllers at rest are measured")
 
 // TestRestingControllers measures the processor time that controllers take while nothing
 // happens, with and without failure detection:
 //
 //	go test ./internal/loopback -run TestRestingControllers -v -takeover.rest 60s
 func TestRestingControllers(t *testing.T) {
-	if *restDuration == 0 {
+	if *idleDuration == 0 {
 		t.Skip("a measurement: -takeover.rest says for how long")
 	}
 	f := newFleet(t, failoverDeployment())
 	time.Sleep(10 * time.Second)
 	before := f.processorTime()
-	time.Sleep(*restDuration)
+	time.Sleep(*idleDuration)
 	processorTime := f.processorTime() - before
 	t.Logf("%d controllers, detection %v: %.2f ms of processor time a second each", len(f.controllers), *failoverDetection,
-		1000*processorTime.Seconds()/restDuration.Seconds()/float64(len(f.controllers)))
+		1000*processorTime.Seconds()/idleDuration.Seconds()/float64(len(f.controllers)))
 }
--- a/internal/loopback/failures_test.go
+++ b/internal/loopback/failures_test.go
@@ -35,19 +35,19 @@
 	}
 	isolate := func(f *fleet, owner int) { f.links.setIsolated(owner, true) }
 	rejoin := func(f *fleet, owner int) { f.links.setIsolated(owner, false) }
-	long := 3 * d.controllerLeaseTTL
-	flap := func(f *fleet, owner int) { go f.flapLinks(owner, long) }
-	pauseAll := func(f *fleet, _ int) { go f.pauseAtRandom(long) }
-	endsByItself := func(*fleet, int) {}
+	harmlessDuration := 3 * d.controllerLeaseTTL
+	flap := func(f *fleet, owner int) { go f.flapLinks(owner, harmlessDuration) }
+	pauseAll := func(f *fleet, _ int) { go f.pauseAtRandom(harmlessDuration) }
+	noRepair := func(*fleet, int) {}
 	return []failure{
 		{name: "killed", inject: kill, repair: (*fleet).restartController},
 		{name: "frozen", inject: pause, repair: resume},
 		{name: "cut from the state service", inject: cutStore, repair: repairStore},
 		{name: "gray: unreachable for workers and controllers", needsDetection: true, inject: setUnreachable(true), repair: setUnreachable(false)},
 		{name: "pause of half a lease", harmless: true, duration: d.controllerLeaseTTL / 2, inject: pause, repair: resume},
-		{name: "cut from all controllers", harmless: true, duration: long, inject: isolate, repair: rejoin},
-		{name: "links flap", harmless: true, duration: long, inject: flap, repair: endsByItself},
-		{name: "pauses of everybody", harmless: true, duration: long, inject: pauseAll, repair: endsByItself},
+		{name: "cut from all controllers", harmless: true, duration: harmlessDuration, inject: isolate, repair: rejoin},
+		{name: "links flap", harmless: true, duration: harmlessDuration, inject: flap, repair: noRepair},
+		{name: "pauses of everybody", harmless: true, duration: harmlessDuration, inject: pauseAll, repair: noRepair},
 	}
 }
 
--- a/internal/loopback/machine_failures_test.go
+++ b/internal/loopback/machine_failures_test.go
@@ -6,17 +6,17 @@
 	"ravenport/wire"
 )
 
-// breakNext makes some of the next machines never boot, and some after them fail all their
+// failNextMachines makes some of the next machines never boot, and some after them fail all their
 // tasks.
-func (c *cloud) breakNext(neverBoot, failTasks int) {
+func (c *cloud) failNextMachines(neverBoot, failTasks int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.neverBootNext = neverBoot
 	c.failTasksNext = failTasks
 }
 
-// breaksLeft returns the number of machines of breakNext that were not created yet.
-func (c *cloud) breaksLeft() int {
+// pendingMachineFailures returns the number of machines of breakNext that were not created yet.
+func (c *cloud) pendingMachineFailures() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.neverBootNext + c.failTasksNext
--- a/internal/loopback/store_records_test.go
+++ b/internal/loopback/store_records_test.go
@@ -88,9 +88,9 @@
 	return ""
 }
 
-// zoneWithClosedMachine returns a zone with a machine that is durably marked for its
+// zoneWithTerminatingMachine returns a zone with a machine that is durably marked for its
 // return; empty if there is none.
-func (s *store) zoneWithClosedMachine() string {
+func (s *store) zoneWithTerminatingMachine() string {
 	for _, record := range s.recordsUnder(records.KeyPrefix) {
 		page, ok := record.(*records.InventoryPage)
 		if ok && slices.ContainsFunc(page.Machines(), func(m records.Machine) bool { return m.Terminating }) {
