--- a/internal/loopback/links_test.go
+++ b/internal/loopback/links_test.go
@@ -49,26 +49,26 @@
 }
 
 // proxy connects an accepted connection to the target and copies both ways.
-func (l *link) proxy(near net.Conn) {
-	if !l.register(near) {
+func (l *link) proxy(client net.Conn) {
+	if !l.register(client) {
 		return
 	}
-	far, err := net.Dial("tcp4", l.target)
+	upstream, err := net.Dial("tcp4", l.target)
 	if err != nil {
-		l.closeConn(near)
+		l.closeConn(client)
 		return
 	}
-	if !l.register(far) {
-		l.closeConn(near)
+	if !l.register(upstream) {
+		l.closeConn(client)
 		return
 	}
 	copyOneWay := func(to, from net.Conn) {
 		_, _ = io.Copy(linkWriter{l, to}, from) // either side's end ends both
-		l.closeConn(near)
-		l.closeConn(far)
+		l.closeConn(client)
+		l.closeConn(upstream)
 	}
-	go copyOneWay(far, near)
-	copyOneWay(near, far)
+	go copyOneWay(upstream, client)
+	copyOneWay(client, upstream)
 }
 
 // register remembers an open connection, and reports whether it may be used: on a cut link
--- a/internal/loopback/machine_commands_test.go
+++ b/internal/loopback/machine_commands_test.go
@@ -23,7 +23,7 @@
 		return err
 	}
 	go func() {
-		<-m.stopped
+		<-m.done
 		listener.Close()
 	}()
 	go func() {
@@ -45,7 +45,7 @@
 	buffer := make([]byte, readBufferSize)
 	for {
 		n, err := conn.Read(buffer)
-		if err != nil || m.ended.Load() {
+		if err != nil || m.terminated.Load() {
 			return
 		}
 		received = append(received, buffer[:n]...)
@@ -75,7 +75,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	status := 409
-	if request.FencingToken >= m.fencingToken && request.Epoch == m.epoch && !m.ended.Load() {
+	if request.FencingToken >= m.fencingToken && request.Epoch == m.epoch && !m.terminated.Load() {
 		status = 200
 		m.executeUnderToken(f, request.FencingToken, request.Commands, time.Now())
 	}
@@ -84,11 +84,11 @@
 
 // executeUnderToken executes commands under a fencing token, in a request or an exchange
 // that began at a time. The caller holds the lock.
-func (m *machine) executeUnderToken(f *fleet, token uint64, commands []wire.Command, began time.Time) {
+func (m *machine) executeUnderToken(f *fleet, token uint64, commands []wire.Command, startedAt time.Time) {
 	isHigher := token > m.fencingToken
 	m.fencingToken = token
 	if isHigher || len(commands) > 0 {
-		m.observer.commandsExecuted(m.zone, m.name, token, began, time.Now())
+		m.observer.commandsExecuted(m.zone, m.name, token, startedAt, time.Now())
 	}
 	m.execute(f, commands)
 }
--- a/internal/loopback/machine_heartbeats_test.go
+++ b/internal/loopback/machine_heartbeats_test.go
@@ -14,45 +14,45 @@
 	// replyTimeout is after which time without a reply a worker turns to the next
 	// controller.
 	replyTimeout = 4 * time.Second
-	// minHeartbeatGap is the least time between two heartbeats of a worker.
-	minHeartbeatGap = 500 * time.Millisecond
-	// errorPause is how long a worker waits after a failed heartbeat.
-	errorPause = time.Second
+	// minHeartbeatInterval is the least time between two heartbeats of a worker.
+	minHeartbeatInterval = 500 * time.Millisecond
+	// retryDelay is how long a worker waits after a failed heartbeat.
+	retryDelay = time.Second
 )
 
 // run sends heartbeats, to one controller at a time, until the machine ends.
-func (m *machine) run(f *fleet) {
-	if err := m.listen(f); err != nil {
+func (m *machine) run(fleet *fleet) {
+	if err := m.listen(fleet); err != nil {
 		panic(fmt.Sprintf("listening on %s: %v", m.addr, err))
 	}
 	m.mu.Lock()
 	m.leaseRenewedAt = time.Now()
 	m.mu.Unlock()
-	go m.advanceUntilStopped()
-	target := rand.IntN(len(f.controllers))
+	go m.advanceUntilTerminated()
+	target := rand.IntN(len(fleet.controllers))
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	var nextAt, sentAt time.Time
 	changed := true
 	for {
 		select {
-		case <-m.stopped:
+		case <-m.done:
 			return
 		case <-m.heartbeatDue:
 			changed = true
 		case <-ticker.C:
 		}
 		now := time.Now()
-		early := changed && now.Sub(sentAt) >= minHeartbeatGap
+		early := changed && now.Sub(sentAt) >= minHeartbeatInterval
 		if now.Before(nextAt) && !early {
 			continue
 		}
 		changed = false
 		sentAt = time.Now()
-		nextAt = sentAt.Add(time.Duration(float64(f.heartbeatPeriod) * (0.75 + rand.Float64()/2)))
-		var atOnce bool
-		target, atOnce = m.sendHeartbeat(f, target)
-		if atOnce {
+		nextAt = sentAt.Add(time.Duration(float64(fleet.heartbeatPeriod) * (0.75 + rand.Float64()/2)))
+		var immediately bool
+		target, immediately = m.sendHeartbeat(fleet, target)
+		if immediately {
 			nextAt = time.Now()
 		}
 	}
@@ -60,10 +60,10 @@
 
 // sendHeartbeat sends one heartbeat to a controller. It returns the controller for the
 // next one, and whether that one is due at once.
-func (m *machine) sendHeartbeat(f *fleet, target int) (next int, atOnce bool) {
-	if f.cutFromWorkers[target].Load() {
+func (m *machine) sendHeartbeat(fleet *fleet, target int) (next int, immediately bool) {
+	if fleet.cutFromWorkers[target].Load() {
 		time.Sleep(replyTimeout)
-		return f.nextController(target), true
+		return fleet.nextController(target), true
 	}
 	m.mu.Lock()
 	sentAt, epoch := time.Now(), m.epoch
@@ -71,22 +71,22 @@
 	m.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), replyTimeout)
 	defer cancel()
-	response, err := f.workerClient(m, target).Do(ctx, "POST", wire.PathHeartbeat, body)
-	f.heartbeats.Add(1)
+	response, err := fleet.workerClient(m, target).Do(ctx, "POST", wire.PathHeartbeat, body)
+	fleet.heartbeats.Add(1)
 	switch {
 	case err == nil && response.Status == 200:
-		m.handleReply(f, response.Body, sentAt, epoch)
+		m.handleReply(fleet, response.Body, sentAt, epoch)
 		return target, false
 	case err == nil && response.Status == 421:
 		var redirect wire.Redirect
 		if err := json.Unmarshal(response.Body, &redirect); err == nil {
-			if to := f.controllerIndex(redirect.Controller); to >= 0 && to != target {
+			if to := fleet.controllerIndex(redirect.Controller); to >= 0 && to != target {
 				return to, true
 			}
 		}
 	}
-	time.Sleep(errorPause)
-	return f.nextController(target), true
+	time.Sleep(retryDelay)
+	return fleet.nextController(target), true
 }
 
 // nextController returns the index of the controller that a worker turns to after one.
@@ -101,7 +101,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if reply.FencingToken < m.fencingToken || epoch != m.epoch || m.ended.Load() {
+	if reply.FencingToken < m.fencingToken || epoch != m.epoch || m.terminated.Load() {
 		return
 	}
 	if reply.FencingToken > m.fencingToken {
@@ -127,8 +127,8 @@
 		Tasks:        []wire.TaskStatus{},
 	}
 	if !m.reclaimedAt.IsZero() {
-		left := max(0, time.Until(m.reclaimedAt).Seconds())
-		heartbeat.NoticeS = &left
+		remaining := max(0, time.Until(m.reclaimedAt).Seconds())
+		heartbeat.NoticeS = &remaining
 	}
 	for _, t := range m.tasks {
 		heartbeat.Tasks = append(heartbeat.Tasks, t.TaskStatus)
--- a/internal/loopback/machine_test.go
+++ b/internal/loopback/machine_test.go
@@ -19,8 +19,8 @@
 	failsTasks bool // every task that starts on it fails
 	lease      time.Duration
 	observer   *observer
-	stopped    chan struct{} // closed when the machine is terminated
-	ended      atomic.Bool
+	done       chan struct{} // closed when the machine is terminated
+	terminated atomic.Bool
 	// heartbeatDue has the next heartbeat sent before its time.
 	heartbeatDue chan struct{}
 
@@ -41,17 +41,17 @@
 		spot:         spot,
 		createdAt:    time.Now(),
 		epoch:        1,
-		stopped:      make(chan struct{}),
+		done:         make(chan struct{}),
 		heartbeatDue: make(chan struct{}, 1),
 	}
 }
 
 // terminate ends the machine and all its tasks.
 func (m *machine) terminate() {
-	if m.ended.Swap(true) {
+	if m.terminated.Swap(true) {
 		return
 	}
-	close(m.stopped)
+	close(m.done)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.killTasks()
@@ -76,7 +76,7 @@
 			cpus += f.taskCPUs(t.Task)
 		}
 	}
-	return cpus, m.fencingToken > 0 && !m.ended.Load()
+	return cpus, m.fencingToken > 0 && !m.terminated.Load()
 }
 
 // task is one attempt of a task on a machine.
@@ -99,14 +99,14 @@
 // imageFetchTime is how long a task waits for its image.
 const imageFetchTime = 200 * time.Millisecond
 
-// advanceUntilStopped changes the states of tasks until the machine ends, also while a
+// advanceUntilTerminated changes the states of tasks until the machine ends, also while a
 // heartbeat waits for its reply.
-func (m *machine) advanceUntilStopped() {
+func (m *machine) advanceUntilTerminated() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-m.stopped:
+		case <-m.done:
 			return
 		case <-ticker.C:
 		}
