--- a/internal/loopback/drain_test.go
+++ b/internal/loopback/drain_test.go
@@ -127,10 +127,10 @@
 	processorTimeBefore := f.processorTime()
 	figuresBefore := f.disruptionFigures()
 	number := f.startDrain(t)
-	began := time.Now()
-	nextSample, nextStatus := began, began
+	startedAt := time.Now()
+	nextSample, nextStatus := startedAt, startedAt
 	for ; ; time.Sleep(pointPollInterval) {
-		if len(failures) > 0 && failures[0].isDue(number, time.Since(began), figuresBefore) {
+		if len(failures) > 0 && failures[0].isDue(number, time.Since(startedAt), figuresBefore) {
 			t.Logf("%s", failures[0].name)
 			failures[0].inject()
 			failures = failures[1:]
@@ -149,11 +149,11 @@
 		if view.State == records.DrainFinished {
 			break
 		}
-		if time.Since(began) > replacementTimeout || view.State == records.DrainStopped {
+		if time.Since(startedAt) > replacementTimeout || view.State == records.DrainStopped {
 			t.Fatalf("the drain does not come to its end: %+v", view)
 		}
 	}
-	replacement.duration = time.Since(began)
+	replacement.duration = time.Since(startedAt)
 	_, revision := f.store.unassignedTasks()
 	replacement.storeChanges = int(revision - revisionBefore)
 	replacement.processorTime = f.processorTime() - processorTimeBefore
--- a/internal/loopback/failover_figures_test.go
+++ b/internal/loopback/failover_figures_test.go
@@ -28,8 +28,8 @@
 
 // readStateChanges reads from the controllers' logs when they suspected a failed controller
 // and declared it failed.
-func (f *fleet) readStateChanges(began time.Time, failed string, harmless bool) failover {
-	var seen failover
+func (f *fleet) readStateChanges(startedAt time.Time, failed string, harmless bool) failover {
+	var figures failover
 	for _, c := range f.controllers {
 		text, err := os.ReadFile(c.log.Name())
 		if err != nil || c.name == failed {
@@ -41,14 +41,14 @@
 				continue
 			}
 			at, err := time.Parse(time.RFC3339Nano, fields[1])
-			if err != nil || at.Before(began) {
+			if err != nil || at.Before(startedAt) {
 				continue
 			}
 			hasFailed := fields[2] == failed && !harmless
-			seen.addStateChange(hasFailed, fields[3], at.Sub(began))
+			figures.addStateChange(hasFailed, fields[3], at.Sub(startedAt))
 		}
 	}
-	return seen
+	return figures
 }
 
 // addStateChange adds a change of a controller's state to the figures.
@@ -95,12 +95,12 @@
 // summarize returns the median, 95th percentile and maximum (s) of the durations that are
 // not 0, and their number.
 func summarize(durations []time.Duration) string {
-	seen := slices.DeleteFunc(durations, func(d time.Duration) bool { return d <= 0 })
-	if len(seen) == 0 {
+	measured := slices.DeleteFunc(durations, func(d time.Duration) bool { return d <= 0 })
+	if len(measured) == 0 {
 		return "-"
 	}
-	slices.Sort(seen)
-	last := len(seen) - 1
-	percentile := func(share float64) float64 { return seen[min(last, int(share*float64(len(seen))))].Seconds() }
-	return fmt.Sprintf("%.1f / %.1f / %.1f (%d)", percentile(0.5), percentile(0.95), seen[last].Seconds(), len(seen))
+	slices.Sort(measured)
+	last := len(measured) - 1
+	percentile := func(share float64) float64 { return measured[min(last, int(share*float64(len(measured))))].Seconds() }
+	return fmt.Sprintf("%.1f / %.1f / %.1f (%d)", percentile(0.5), percentile(0.95), measured[last].Seconds(), len(measured))
 }
--- a/internal/loopback/failover_test.go
+++ b/internal/loopback/failover_test.go
@@ -126,10 +126,10 @@
 	if failure.harmless {
 		limit = failure.duration
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	failure.inject(f, owner)
 	newName, newTerm := name, term
-	for time.Since(began) < limit && (newName == name || failure.harmless) {
+	for time.Since(startedAt) < limit && (newName == name || failure.harmless) {
 		time.Sleep(20 * time.Millisecond)
 		newName, newTerm = f.store.shardOwner(zone)
 	}
@@ -137,27 +137,27 @@
 		f.awaitFirstCommand(zone, newTerm)
 	}
 	failure.repair(f, owner)
-	seen := f.readStateChanges(began, name, failure.harmless)
-	seen.moved = newTerm != term
-	if seen.moved {
-		seen.acquired = f.observer.acquisition(zone, newTerm).Sub(began)
+	figures := f.readStateChanges(startedAt, name, failure.harmless)
+	figures.moved = newTerm != term
+	if figures.moved {
+		figures.acquired = f.observer.acquisition(zone, newTerm).Sub(startedAt)
 		if at := f.observer.firstCommand(zone, newTerm); !at.IsZero() {
-			seen.firstCommand = at.Sub(began)
+			figures.firstCommand = at.Sub(startedAt)
 		}
 	}
-	if failure.harmless && seen.moved {
+	if failure.harmless && figures.moved {
 		t.Errorf("%s: the shard of %s went from %s, term %d, to %s, term %d", failure.name, zone, name, term, newName, newTerm)
 	}
-	if !failure.harmless && !seen.moved && (*failoverDetection || !failure.needsDetection) {
+	if !failure.harmless && !figures.moved && (*failoverDetection || !failure.needsDetection) {
 		t.Errorf("%s: nobody took the shard of %s over within %s", failure.name, zone, limit)
 	}
-	if failure.needsDetection && seen.moved && seen.declared == 0 {
+	if failure.needsDetection && figures.moved && figures.declared == 0 {
 		t.Errorf("%s: it moved, and nobody declared it failed", failure.name)
 	}
-	if seen.falseDeclarations > 0 {
-		t.Errorf("%s: %d controllers that had not failed were declared failed", failure.name, seen.falseDeclarations)
+	if figures.falseDeclarations > 0 {
+		t.Errorf("%s: %d controllers that had not failed were declared failed", failure.name, figures.falseDeclarations)
 	}
-	return seen
+	return figures
 }
 
 // awaitFirstCommand waits until a worker executes a command of a new term, or for too long.
@@ -197,7 +197,7 @@
 	if !*failoverDetection {
 		return
 	}
-	kept := 0
+	eventCount := 0
 	for _, c := range f.controllers {
 		if c.program != f.program {
 			continue // an earlier version keeps none
@@ -206,9 +206,9 @@
 		if err != nil {
 			t.Errorf("%s: %v", c.name, err)
 		}
-		kept += len(events)
+		eventCount += len(events)
 	}
-	if kept == 0 {
+	if eventCount == 0 {
 		t.Error("no membership event was kept")
 	}
 }
--- a/internal/loopback/observer_test.go
+++ b/internal/loopback/observer_test.go
@@ -21,7 +21,7 @@
 // observer keeps what the workers and the store saw, as they saw it: where each task was
 // and when, which terms were acquired, and under which terms workers executed commands.
 type observer struct {
-	began time.Time
+	startedAt time.Time
 
 	mu             sync.Mutex
 	executions     map[string][]*execution // by task
@@ -42,7 +42,7 @@
 
 func newObserver() *observer {
 	return &observer{
-		began:            time.Now(),
+		startedAt:        time.Now(),
 		executions:       map[string][]*execution{},
 		completed:        map[string]bool{},
 		ownershipHistory: map[string][]porcupine.Operation{},
--- a/internal/loopback/ownership_check_test.go
+++ b/internal/loopback/ownership_check_test.go
@@ -16,8 +16,8 @@
 	at := func(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
 	token := func(term uint64) uint64 { return term << constants.TokenCounterBits }
 	for name, c := range map[string]struct {
-		play func(o *observer)
-		want porcupine.CheckResult
+		record func(o *observer)
+		want   porcupine.CheckResult
 	}{
 		"two owners in turn": {func(o *observer) {
 			o.termAcquired("a", 1, at(0), at(10))
@@ -39,8 +39,8 @@
 		}, porcupine.Illegal},
 	} {
 		o := newObserver()
-		o.began = at(0)
-		c.play(o)
+		o.startedAt = at(0)
+		c.record(o)
 		if got := o.checkOwnership()["a"]; got != c.want {
 			t.Errorf("%s: %s", name, got)
 		}
--- a/internal/loopback/ownership_test.go
+++ b/internal/loopback/ownership_test.go
@@ -55,8 +55,8 @@
 	o.ownershipHistory[zone] = append(history, porcupine.Operation{
 		ClientId: len(history),
 		Input:    input,
-		Call:     from.Sub(o.began).Nanoseconds(),
-		Return:   to.Sub(o.began).Nanoseconds(),
+		Call:     from.Sub(o.startedAt).Nanoseconds(),
+		Return:   to.Sub(o.startedAt).Nanoseconds(),
 	})
 }
 
--- a/internal/loopback/sampler_test.go
+++ b/internal/loopback/sampler_test.go
@@ -47,7 +47,7 @@
 // run takes samples until the sampler is stopped.
 func (s *sampler) run(f *fleet, w *workload) {
 	defer s.done.Done()
-	began := time.Now()
+	startedAt := time.Now()
 	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	for {
@@ -56,7 +56,7 @@
 			return
 		case now := <-ticker.C:
 			taken := s.take(f, w, now)
-			taken.elapsed = now.Sub(began)
+			taken.elapsed = now.Sub(startedAt)
 			s.samples = append(s.samples, taken)
 		}
 	}
--- a/internal/loopback/workload_test.go
+++ b/internal/loopback/workload_test.go
@@ -16,7 +16,7 @@
 
 	mu     sync.Mutex
 	arrays []string // ids of job arrays
-	all    []string // ids of all jobs
+	jobs   []string // ids of all jobs
 }
 
 // startWorkload submits the services at once, and job arrays from then on.
@@ -55,7 +55,7 @@
 	f.request("POST", wire.PathJobs, submissionBody(s))
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.all = append(w.all, s.ID)
+	w.jobs = append(w.jobs, s.ID)
 	if s.Kind == wire.KindArray {
 		w.arrays = append(w.arrays, s.ID)
 	}
@@ -82,16 +82,16 @@
 	close(w.stop)
 	w.done.Wait()
 	w.mu.Lock()
-	arrays, all := slices.Clone(w.arrays), len(w.all)
+	arrays, jobCount := slices.Clone(w.arrays), len(w.jobs)
 	w.mu.Unlock()
 	waiting := len(arrays)*f.tasksPerArray - f.observer.startedArrayTasks(f.isArrayTask)
-	least := f.minBacklogTime(waiting)
-	limit := time.Now().Add(time.Duration(backlogFactor*float64(least)) + backlogMargin)
-	t.Logf("%d tasks wait at the end of the load: %s at least", waiting, least.Round(time.Second))
+	minTime := f.minBacklogTime(waiting)
+	deadline := time.Now().Add(time.Duration(backlogFactor*float64(minTime)) + backlogMargin)
+	t.Logf("%d tasks wait at the end of the load: %s at least", waiting, minTime.Round(time.Second))
 	var late []string
 	for _, id := range arrays {
 		for !f.isJobDone(t, id) {
-			if time.Now().After(limit) {
+			if time.Now().After(deadline) {
 				late = append(late, id)
 				break
 			}
@@ -99,9 +99,9 @@
 		}
 	}
 	if len(late) > 0 {
-		t.Errorf("%d accepted arrays are not done %s after the load's end, the first is %s", len(late), time.Since(limit.Add(-backlogMargin)).Round(time.Second), late[0])
+		t.Errorf("%d accepted arrays are not done %s after the load's end, the first is %s", len(late), time.Since(deadline.Add(-backlogMargin)).Round(time.Second), late[0])
 	}
-	t.Logf("%d jobs accepted, %d arrays done, %d tasks started", all, len(arrays)-len(late), f.observer.startedTasks())
+	t.Logf("%d jobs accepted, %d arrays done, %d tasks started", jobCount, len(arrays)-len(late), f.observer.startedTasks())
 }
 
 // minBacklogTime returns how long the whole fleet takes at least for a number of tasks of
@@ -117,11 +117,11 @@
 	if f.machines <= largeFleet {
 		return
 	}
-	began := time.Now()
-	for end := began.Add(5 * time.Minute); f.observer.runningTasks() < f.services*f.replicas; time.Sleep(time.Second) {
+	startedAt := time.Now()
+	for end := startedAt.Add(5 * time.Minute); f.observer.runningTasks() < f.services*f.replicas; time.Sleep(time.Second) {
 		if time.Now().After(end) {
 			t.Fatalf("%d of %d replicas run on %d machines", f.observer.runningTasks(), f.services*f.replicas, f.cloud.machineCount())
 		}
 	}
-	t.Logf("%d replicas run on %d machines after %s", f.observer.runningTasks(), f.cloud.machineCount(), time.Since(began).Round(time.Second))
+	t.Logf("%d replicas run on %d machines after %s", f.observer.runningTasks(), f.cloud.machineCount(), time.Since(startedAt).Round(time.Second))
 }
