--- a/internal/loopback/benchmark_test.go
+++ b/internal/loopback/benchmark_test.go
@@ -21,14 +21,14 @@
 
 // measureFleet measures a cold start, steady operation, the failover of all shards to one
 // controller, and the return of the others.
-func measureFleet(b *testing.B, d deployment) {
-	f := newFleet(b, d)
+func measureFleet(b *testing.B, deployment deployment) {
+	fleet := newFleet(b, deployment)
 	time.Sleep(3 * time.Second)
-	for range d.services {
-		f.submitAndPoll(f.nextService())
+	for range deployment.services {
+		fleet.submitAndPoll(fleet.nextService())
 	}
-	for range d.initialArrays {
-		f.submitAndPoll(f.nextArray())
+	for range deployment.initialArrays {
+		fleet.submitAndPoll(fleet.nextArray())
 	}
 	stop := make(chan struct{})
 	defer close(stop)
@@ -37,23 +37,23 @@
 			select {
 			case <-stop:
 				return
-			case <-time.After(d.arrayInterval):
-				f.submitAndPoll(f.nextArray())
+			case <-time.After(deployment.arrayInterval):
+				fleet.submitAndPoll(fleet.nextArray())
 			}
 		}
 	}()
-	f.measurePhase(b, "start", 25*time.Second)
-	f.measurePhase(b, "steady", 30*time.Second)
-	others := f.controllers[1:]
+	fleet.measurePhase(b, "start", 25*time.Second)
+	fleet.measurePhase(b, "steady", 30*time.Second)
+	others := fleet.controllers[1:]
 	for _, c := range others {
 		c.kill()
 	}
-	f.measurePhase(b, "takeover", 10*time.Second)
-	f.measurePhase(b, "alone", 20*time.Second)
+	fleet.measurePhase(b, "takeover", 10*time.Second)
+	fleet.measurePhase(b, "alone", 20*time.Second)
 	for _, c := range others {
 		c.start(b)
 	}
-	f.measurePhase(b, "back", 10*time.Second)
+	fleet.measurePhase(b, "back", 10*time.Second)
 }
 
 // measurePhase lets time pass and reports the processor time that all controllers took in
--- a/internal/loopback/drain_failures_test.go
+++ b/internal/loopback/drain_failures_test.go
@@ -50,24 +50,24 @@
 	if *drainFailurePattern == "" {
 		t.Skip("a long run: no failure is chosen by -drain.failing")
 	}
-	f := newFleet(t, drainDeployment())
-	f.checkDisruptions(t)
-	jobs := f.startWorkload(t)
-	replicas := f.services * f.replicas
-	f.awaitServiceTasks(t, replicas, time.Minute)
-	for _, failure := range f.chosenDrainFailures(t) {
+	fleet := newFleet(t, drainDeployment())
+	fleet.checkDisruptions(t)
+	jobs := fleet.startWorkload(t)
+	replicas := fleet.services * fleet.replicas
+	fleet.awaitServiceTasks(t, replicas, time.Minute)
+	for _, failure := range fleet.chosenDrainFailures(t) {
 		time.Sleep(4 * time.Second) // until all tasks are stable
-		f.cloud.clearLastScaleIn()
-		replacement := f.replaceFleet(t, []drainFailure{failure})
-		f.awaitServiceTasks(t, replicas, time.Minute)
-		t.Logf("%s: %+v, %+v", failure.name, replacement, f.disruptionFigures())
-		if n := f.cloud.pendingMachineFailures(); n > 0 {
+		fleet.cloud.clearLastScaleIn()
+		replacement := fleet.replaceFleet(t, []drainFailure{failure})
+		fleet.awaitServiceTasks(t, replicas, time.Minute)
+		t.Logf("%s: %+v, %+v", failure.name, replacement, fleet.disruptionFigures())
+		if n := fleet.cloud.pendingMachineFailures(); n > 0 {
 			t.Errorf("%s: %d machines that were to break were never created", failure.name, n)
 		}
 	}
-	jobs.awaitArrays(t, f)
-	f.checkNoViolations(t)
-	f.saveEvidence(t, nil)
+	jobs.awaitArrays(t, fleet)
+	fleet.checkNoViolations(t)
+	fleet.saveEvidence(t, nil)
 }
 
 // chosenDrainFailures returns the failures that the flag chooses, by name.
--- a/internal/loopback/drain_test.go
+++ b/internal/loopback/drain_test.go
@@ -33,7 +33,7 @@
 
 // drainDeployment returns a deployment that can spare a third of its machines.
 func drainDeployment() deployment {
-	d := deployment{
+	deployment := deployment{
 		zones:           []string{"a", "b", "c"},
 		machines:        36,
 		cpu:             0.5,
@@ -55,50 +55,50 @@
 		canPartition:       true,
 	}
 	if *drainDefaultTimes {
-		d.useDefaultTimes()
-		d.drainingProperties = "drain.parallel.percent = 34\n"
+		deployment.useDefaultTimes()
+		deployment.drainingProperties = "drain.parallel.percent = 34\n"
 	}
 	budget := *drainBudget
 	if *drainUnlimited {
 		budget = "unlimited"
 	}
-	d.drainingProperties += "disruption.budget.* = " + budget + "\n"
-	return d
+	deployment.drainingProperties += "disruption.budget.* = " + budget + "\n"
+	return deployment
 }
 
 // TestDrainOfRealProcesses replaces the whole fleet of a deployment at work through the
 // command line, while controllers and machines fail. By what the workers see, no voluntary
 // stop exceeds the disruption budget, no task runs twice and none is lost.
 func TestDrainOfRealProcesses(t *testing.T) {
-	f := newFleet(t, drainDeployment())
-	stableAfter := f.checkDisruptions(t)
-	jobs := f.startWorkload(t)
-	replicas := f.services * f.replicas
-	f.awaitServiceTasks(t, replicas, time.Minute)
+	fleet := newFleet(t, drainDeployment())
+	stableAfter := fleet.checkDisruptions(t)
+	jobs := fleet.startWorkload(t)
+	replicas := fleet.services * fleet.replicas
+	fleet.awaitServiceTasks(t, replicas, time.Minute)
 	time.Sleep(2 * stableAfter)
-	f.checkRefusals(t)
-	before := f.disruptionFigures()
+	fleet.checkRefusals(t)
+	before := fleet.disruptionFigures()
 	for round := range *drainRounds {
 		var failures []drainFailure
 		if !*drainWithoutFailures {
-			failures = f.defaultDrainFailures()
+			failures = fleet.defaultDrainFailures()
 		}
-		replacement := f.replaceFleet(t, failures)
+		replacement := fleet.replaceFleet(t, failures)
 		t.Logf("round %d: %+v", round, replacement)
-		f.awaitServiceTasks(t, replicas, time.Minute)
+		fleet.awaitServiceTasks(t, replicas, time.Minute)
 		if !replacement.waitedForBudget && !*drainUnlimited {
 			t.Errorf("round %d never waited for its budget", round)
 		}
 	}
-	after := f.disruptionFigures()
+	after := fleet.disruptionFigures()
 	t.Logf("%d stops by choice, %d replaced, %d tasks failed, at most %d down by choice",
 		after.Stops-before.Stops, after.Replaced-before.Replaced, after.Failed-before.Failed, after.MaxVoluntary)
 	if after.Replaced == before.Replaced || !*drainWithoutFailures && after.Failed == before.Failed {
 		t.Error("nothing was moved, or nothing failed")
 	}
-	jobs.awaitArrays(t, f)
-	f.checkNoViolations(t)
-	f.saveEvidence(t, nil)
+	jobs.awaitArrays(t, fleet)
+	fleet.checkNoViolations(t)
+	fleet.saveEvidence(t, nil)
 }
 
 // fleetReplacement holds the figures of one replacement of the whole fleet.
--- a/internal/loopback/failover_test.go
+++ b/internal/loopback/failover_test.go
@@ -44,7 +44,7 @@
 // failoverDeployment returns a deployment with short times, so that a failover takes
 // seconds, or with the default ones.
 func failoverDeployment() deployment {
-	d := deployment{
+	deployment := deployment{
 		zones:           []string{"a", "b", "c"},
 		machines:        *failoverMachines,
 		cpu:             0.5,
@@ -66,17 +66,17 @@
 		canPartition:        true,
 	}
 	if *failoverMachines > largeFleet { // a replica takes an eighth of a machine; the rest is for job arrays
-		d.services = *failoverMachines * 7 / largeServiceReplicas
-		d.replicas = largeServiceReplicas
+		deployment.services = *failoverMachines * 7 / largeServiceReplicas
+		deployment.replicas = largeServiceReplicas
 	}
 	if *failoverDefaultTimes {
-		d.useDefaultTimes()
-		d.detectionProperties = "detection.revoke = true"
+		deployment.useDefaultTimes()
+		deployment.detectionProperties = "detection.revoke = true"
 	}
 	if !*failoverDetection {
-		d.detectionProperties = ""
+		deployment.detectionProperties = ""
 	}
-	return d
+	return deployment
 }
 
 // TestTakeoverOfRealProcesses lets real controllers on loopback fail while jobs are
@@ -84,29 +84,29 @@
 // fail is not; no task runs twice, none is lost, and term acquisitions and executed commands
 // are linearizable.
 func TestTakeoverOfRealProcesses(t *testing.T) {
-	d := failoverDeployment()
-	d.earlierProgram = *failoverEarlierProgram
-	f := newFleet(t, d)
-	jobs := f.startWorkload(t)
+	deployment := failoverDeployment()
+	deployment.earlierProgram = *failoverEarlierProgram
+	fleet := newFleet(t, deployment)
+	jobs := fleet.startWorkload(t)
 	time.Sleep(8 * time.Second) // machines boot, shards are rebuilt
-	f.awaitLargeServices(t)
-	sampler := f.startSampling(jobs)
+	fleet.awaitLargeServices(t)
+	sampler := fleet.startSampling(jobs)
 	pattern := regexp.MustCompile(*failoverPattern)
-	for _, failure := range controllerFailures(d) {
+	for _, failure := range controllerFailures(deployment) {
 		if !pattern.MatchString(failure.name) {
 			continue
 		}
 		var failovers []failover
 		for round := range *failoverRounds {
-			zone := d.zones[round%len(d.zones)]
-			failovers = append(failovers, f.failOwner(t, failure, zone))
-			time.Sleep(d.controllerLeaseTTL + time.Second)
+			zone := deployment.zones[round%len(deployment.zones)]
+			failovers = append(failovers, fleet.failOwner(t, failure, zone))
+			time.Sleep(deployment.controllerLeaseTTL + time.Second)
 		}
 		logSummary(t, failure, failovers)
 	}
-	jobs.awaitArrays(t, f)
-	f.checkRules(t)
-	f.saveEvidence(t, sampler.finish())
+	jobs.awaitArrays(t, fleet)
+	fleet.checkRules(t)
+	fleet.saveEvidence(t, sampler.finish())
 }
 
 // failOwner injects a failure into the owner of a zone's shard, waits for the failover and
--- a/internal/loopback/failures_test.go
+++ b/internal/loopback/failures_test.go
@@ -21,7 +21,7 @@
 
 // controllerFailures returns all kinds of failures. Their names are those of the figures in
 // docs/failure-detection.md.
-func controllerFailures(d deployment) []failure {
+func controllerFailures(deployment deployment) []failure {
 	kill := func(f *fleet, owner int) { f.controllers[owner].kill() }
 	pause := func(f *fleet, owner int) { f.signalController(owner, syscall.SIGSTOP) }
 	resume := func(f *fleet, owner int) { f.signalController(owner, syscall.SIGCONT) }
@@ -35,7 +35,7 @@
 	}
 	isolate := func(f *fleet, owner int) { f.links.setIsolated(owner, true) }
 	rejoin := func(f *fleet, owner int) { f.links.setIsolated(owner, false) }
-	harmlessDuration := 3 * d.controllerLeaseTTL
+	harmlessDuration := 3 * deployment.controllerLeaseTTL
 	flap := func(f *fleet, owner int) { go f.flapLinks(owner, harmlessDuration) }
 	pauseAll := func(f *fleet, _ int) { go f.pauseAtRandom(harmlessDuration) }
 	noRepair := func(*fleet, int) {}
@@ -44,7 +44,7 @@
 		{name: "frozen", inject: pause, repair: resume},
 		{name: "cut from the state service", inject: cutStore, repair: repairStore},
 		{name: "gray: unreachable for workers and controllers", needsDetection: true, inject: setUnreachable(true), repair: setUnreachable(false)},
-		{name: "pause of half a lease", harmless: true, duration: d.controllerLeaseTTL / 2, inject: pause, repair: resume},
+		{name: "pause of half a lease", harmless: true, duration: deployment.controllerLeaseTTL / 2, inject: pause, repair: resume},
 		{name: "cut from all controllers", harmless: true, duration: harmlessDuration, inject: isolate, repair: rejoin},
 		{name: "links flap", harmless: true, duration: harmlessDuration, inject: flap, repair: noRepair},
 		{name: "pauses of everybody", harmless: true, duration: harmlessDuration, inject: pauseAll, repair: noRepair},
--- a/internal/loopback/fleet_test.go
+++ b/internal/loopback/fleet_test.go
@@ -53,42 +53,42 @@
 
 // newFleet builds the program, and starts the stand-ins and the controllers. The
 // controllers and workers end with the test.
-func newFleet(tb testing.TB, d deployment) *fleet {
+func newFleet(tb testing.TB, deployment deployment) *fleet {
 	tb.Helper()
 	nextSite(tb)
 	observer := newObserver()
-	f := &fleet{
-		deployment:     d,
+	fleet := &fleet{
+		deployment:     deployment,
 		dir:            tb.TempDir(),
 		store:          newStore(observer),
 		observer:       observer,
-		cutFromWorkers: make([]atomic.Bool, d.numControllers()),
+		cutFromWorkers: make([]atomic.Bool, deployment.numControllers()),
 		taskDurations:  map[string]time.Duration{},
 		clients:        map[string]*httpwire.Client{},
 	}
-	f.cloud = newCloud(d.zones, d.machines, func(m *machine) { go m.run(f) })
-	f.cloud.lease = time.Duration(d.workerLeaseS * float64(time.Second))
-	f.cloud.observer = observer
-	serveStandIns(tb, f)
-	f.program = filepath.Join(f.dir, "ravenport")
-	if output, err := exec.Command("go", "build", "-o", f.program, "ravenport/cmd/ravenport").CombinedOutput(); err != nil {
+	fleet.cloud = newCloud(deployment.zones, deployment.machines, func(m *machine) { go m.run(fleet) })
+	fleet.cloud.lease = time.Duration(deployment.workerLeaseS * float64(time.Second))
+	fleet.cloud.observer = observer
+	serveStandIns(tb, fleet)
+	fleet.program = filepath.Join(fleet.dir, "ravenport")
+	if output, err := exec.Command("go", "build", "-o", fleet.program, "ravenport/cmd/ravenport").CombinedOutput(); err != nil {
 		tb.Fatalf("building: %v\n%s", err, output)
 	}
-	if d.canPartition {
-		f.links = newLinks(tb, d.numControllers())
+	if deployment.canPartition {
+		fleet.links = newLinks(tb, deployment.numControllers())
 	}
-	for i := range d.numControllers() {
-		c := f.configureController(tb, i)
-		f.controllers = append(f.controllers, c)
+	for i := range deployment.numControllers() {
+		c := fleet.configureController(tb, i)
+		fleet.controllers = append(fleet.controllers, c)
 		c.start(tb)
 	}
 	tb.Cleanup(func() {
-		for _, c := range f.controllers {
+		for _, c := range fleet.controllers {
 			c.kill()
 		}
-		f.cloud.remove(f.cloud.names)
+		fleet.cloud.remove(fleet.cloud.names)
 	})
-	return f
+	return fleet
 }
 
 // serveStandIns serves the store and the cloud until the process ends.
--- a/internal/loopback/sampler_test.go
+++ b/internal/loopback/sampler_test.go
@@ -71,23 +71,23 @@
 
 // take takes one sample. The machines of a shard whose owner is cut from its workers cannot
 // be given tasks, and do not count as free.
-func (s *sampler) take(f *fleet, w *workload, now time.Time) sample {
+func (s *sampler) take(fleet *fleet, jobs *workload, now time.Time) sample {
 	taken := sample{
-		waitingTasks: w.acceptedArrays()*f.tasksPerArray - f.observer.startedArrayTasks(f.isArrayTask),
+		waitingTasks: jobs.acceptedArrays()*fleet.tasksPerArray - fleet.observer.startedArrayTasks(fleet.isArrayTask),
 		owners:       map[string]string{},
-		leader:       f.store.leader(),
+		leader:       fleet.store.leader(),
 	}
-	taken.unassignedTasks, taken.revision = f.store.unassignedTasks()
+	taken.unassignedTasks, taken.revision = fleet.store.unassignedTasks()
 	isUnserved := map[string]bool{}
-	for _, zone := range f.zones {
-		name, _ := f.store.shardOwner(zone)
-		owner := f.controllerIndex(name)
+	for _, zone := range fleet.zones {
+		name, _ := fleet.store.shardOwner(zone)
+		owner := fleet.controllerIndex(name)
 		taken.owners[zone] = name
-		isUnserved[zone] = owner < 0 || f.cutFromWorkers[owner].Load()
+		isUnserved[zone] = owner < 0 || fleet.cutFromWorkers[owner].Load()
 	}
 	var free []string
-	for _, m := range f.cloud.allMachines() {
-		cpus, isUp := m.usedCPUs(f)
+	for _, m := range fleet.cloud.allMachines() {
+		cpus, isUp := m.usedCPUs(fleet)
 		if !isUp {
 			continue
 		}
--- a/internal/loopback/workload_test.go
+++ b/internal/loopback/workload_test.go
@@ -77,20 +77,20 @@
 
 // awaitArrays stops the workload and checks that every accepted job array is done within
 // the least time that the fleet needs for what waits then, and a margin.
-func (w *workload) awaitArrays(t *testing.T, f *fleet) {
+func (w *workload) awaitArrays(t *testing.T, fleet *fleet) {
 	t.Helper()
 	close(w.stop)
 	w.done.Wait()
 	w.mu.Lock()
 	arrays, jobCount := slices.Clone(w.arrays), len(w.jobs)
 	w.mu.Unlock()
-	waiting := len(arrays)*f.tasksPerArray - f.observer.startedArrayTasks(f.isArrayTask)
-	minTime := f.minBacklogTime(waiting)
+	waiting := len(arrays)*fleet.tasksPerArray - fleet.observer.startedArrayTasks(fleet.isArrayTask)
+	minTime := fleet.minBacklogTime(waiting)
 	deadline := time.Now().Add(time.Duration(backlogFactor*float64(minTime)) + backlogMargin)
 	t.Logf("%d tasks wait at the end of the load: %s at least", waiting, minTime.Round(time.Second))
 	var late []string
 	for _, id := range arrays {
-		for !f.isJobDone(t, id) {
+		for !fleet.isJobDone(t, id) {
 			if time.Now().After(deadline) {
 				late = append(late, id)
 				break
@@ -101,7 +101,7 @@
 	if len(late) > 0 {
 		t.Errorf("%d accepted arrays are not done %s after the load's end, the first is %s", len(late), time.Since(deadline.Add(-backlogMargin)).Round(time.Second), late[0])
 	}
-	t.Logf("%d jobs accepted, %d arrays done, %d tasks started", jobCount, len(arrays)-len(late), f.observer.startedTasks())
+	t.Logf("%d jobs accepted, %d arrays done, %d tasks started", jobCount, len(arrays)-len(late), fleet.observer.startedTasks())
 }
 
 // minBacklogTime returns how long the whole fleet takes at least for a number of tasks of
