--- a/internal/disruptioncheck/check.go
+++ b/internal/disruptioncheck/check.go
@@ -14,10 +14,10 @@
 	stableAfter  time.Duration // a task that has run for so long is up
 	reactionTime time.Duration // a failure this old is known to every controller
 
-	runningSince map[string]time.Time
-	downSince    map[string]time.Time
-	voluntary    map[string]bool // stopped voluntarily, and not known to be up again since
-	figures      Figures
+	runningSince    map[string]time.Time
+	notRunningSince map[string]time.Time
+	voluntary       map[string]bool // stopped voluntarily, and not known to be up again since
+	figures         Figures
 }
 
 // Figures count what was seen.
@@ -33,12 +33,12 @@
 // reactionTime counts against the budget too.
 func New(limit int, stableAfter, reactionTime time.Duration) *Check {
 	return &Check{
-		limit:        limit,
-		stableAfter:  stableAfter,
-		reactionTime: reactionTime,
-		runningSince: map[string]time.Time{},
-		downSince:    map[string]time.Time{},
-		voluntary:    map[string]bool{},
+		limit:           limit,
+		stableAfter:     stableAfter,
+		reactionTime:    reactionTime,
+		runningSince:    map[string]time.Time{},
+		notRunningSince: map[string]time.Time{},
+		voluntary:       map[string]bool{},
 	}
 }
 
@@ -49,7 +49,7 @@
 func (c *Check) Figures() Figures { return c.figures }
 
 // NotRunningCount returns the number of tasks that do not run now.
-func (c *Check) NotRunningCount() int { return len(c.downSince) }
+func (c *Check) NotRunningCount() int { return len(c.notRunningSince) }
 
 // TaskRunning records that a task runs.
 func (c *Check) TaskRunning(task string, now time.Time) {
@@ -57,7 +57,7 @@
 		return
 	}
 	c.runningSince[task] = now
-	delete(c.downSince, task)
+	delete(c.notRunningSince, task)
 	if c.voluntary[task] {
 		c.figures.Replaced++
 	}
@@ -65,11 +65,11 @@
 
 // TaskNotRunning records that a task does not run, for whatever reason.
 func (c *Check) TaskNotRunning(task string, now time.Time) {
-	if _, wasNotRunning := c.downSince[task]; wasNotRunning {
+	if _, wasNotRunning := c.notRunningSince[task]; wasNotRunning {
 		return
 	}
 	_, wasRunning := c.runningSince[task]
-	c.downSince[task] = now
+	c.notRunningSince[task] = now
 	delete(c.runningSince, task)
 	if wasRunning { // it was not stopped: TaskStopped would have marked it as down
 		c.figures.Failed++
@@ -80,7 +80,7 @@
 // Remove records that a task need not be up any more.
 func (c *Check) Remove(task string) {
 	delete(c.runningSince, task)
-	delete(c.downSince, task)
+	delete(c.notRunningSince, task)
 	delete(c.voluntary, task)
 }
 
@@ -90,7 +90,7 @@
 	c.figures.Stops++
 	c.voluntary[task] = true
 	delete(c.runningSince, task)
-	c.downSince[task] = now
+	c.notRunningSince[task] = now
 	c.removeStable(now)
 	voluntary := len(c.voluntary)
 	overdue := c.overdueFailures(now)
@@ -115,7 +115,7 @@
 // overdueFailures counts the tasks whose failure every controller knows by now.
 func (c *Check) overdueFailures(now time.Time) int {
 	count := 0
-	for task, since := range c.downSince {
+	for task, since := range c.notRunningSince {
 		if !c.voluntary[task] && now.Sub(since) > c.reactionTime {
 			count++
 		}
