--- a/internal/loopback/fleet_test.go
+++ b/internal/loopback/fleet_test.go
@@ -22,8 +22,8 @@
 // leaseCheckInterval is how often the stand-in store looks for expired leases.
 const leaseCheckInterval = 50 * time.Millisecond
 
-// maxStandInConnections bounds the connections of one stand-in.
-const maxStandInConnections = 10_000
+// maxFakeServerConnections bounds the connections of one stand-in.
+const maxFakeServerConnections = 10_000
 
 // clientLimits bound the replies that the stand-ins of workers and users read.
 var clientLimits = httpwire.Limits{Header: 8 << 10, Body: 1 << 20}
@@ -69,7 +69,7 @@
 	fleet.cloud = newCloud(deployment.zones, deployment.machines, func(m *machine) { go m.run(fleet) })
 	fleet.cloud.lease = time.Duration(deployment.workerLeaseS * float64(time.Second))
 	fleet.cloud.observer = observer
-	serveStandIns(tb, fleet)
+	serveFakes(tb, fleet)
 	fleet.program = filepath.Join(fleet.dir, "ravenport")
 	if output, err := exec.Command("go", "build", "-o", fleet.program, "ravenport/cmd/ravenport").CombinedOutput(); err != nil {
 		tb.Fatalf("building: %v\n%s", err, output)
@@ -91,12 +91,12 @@
 	return fleet
 }
 
-// serveStandIns serves the store and the cloud until the process ends.
-func serveStandIns(tb testing.TB, f *fleet) {
+// serveFakes serves the store and the cloud until the process ends.
+func serveFakes(tb testing.TB, f *fleet) {
 	tb.Helper()
 	handlers := map[string]server.Handler{storeAddr(): f.store.handle, cloudAddr(): f.cloud.handle}
 	for addr, handle := range handlers {
-		s := server.New(addr, maxStandInConnections, handle)
+		s := server.New(addr, maxFakeServerConnections, handle)
 		ended := make(chan error, 1)
 		go func() { ended <- s.Run() }()
 		select {
