--- a/internal/dependencies/pure_test.go
+++ b/internal/dependencies/pure_test.go
@@ -1,4 +1,4 @@
-// Package dependencies checks which packages the parts of ravenport depend on.
+// Package dependencies tests the dependencies between the packages of ravenport.
 package dependencies
 
 import (
@@ -8,9 +8,10 @@
 	"testing"
 )
 
-// The decision packages are pure: they take state and time and return actions. None of
-// them depends on package net, itself or through another package, so that no decision
-// can wait for input or output. net/netip, which only parses addresses, is allowed.
+// The decision packages are pure: their functions take state and the current time and
+// return actions. No decision package may depend on package net, directly or indirectly,
+// so that no decision can wait for I/O. They may depend on net/netip, which only parses
+// addresses.
 func TestDecisionPackagesDoNotDependOnNet(t *testing.T) {
 	for _, name := range []string{"member", "failover", "leader", "shard", "detector", "disruption", "drain"} {
 		t.Run(name, func(t *testing.T) {
@@ -22,8 +23,8 @@
 	}
 }
 
-// listDependencies returns the import paths of a package and of all packages that it
-// depends on, without those that only its tests need.
+// listDependencies returns the import paths of a package and of its direct and indirect
+// dependencies, without the dependencies of its tests.
 func listDependencies(t *testing.T, importPath string) []string {
 	t.Helper()
 	output, err := exec.Command("go", "list", "-deps", importPath).Output()
--- a/internal/disruptioncheck/check.go
+++ b/internal/disruptioncheck/check.go
@@ -1,6 +1,6 @@
-// Package disruptioncheck checks, by what the workers see alone, that voluntary stops of
-// tasks keep within a disruption budget. Tests report to it when tasks start to run, end
-// or are stopped.
+// Package disruptioncheck checks that voluntary stops of tasks do not exceed a disruption
+// budget. The check uses only the workers' view: tests report to it when a task starts to
+// run, ends or is stopped.
 package disruptioncheck
 
 import (
@@ -8,29 +8,30 @@
 	"time"
 )
 
-// Check follows the tasks that should be up. It is not safe for concurrent use.
+// Check tracks the tasks that should run. It is not safe for concurrent use.
 type Check struct {
-	limit        int           // tasks that may be down
-	stableAfter  time.Duration // a task that has run for so long is up
-	reactionTime time.Duration // a failure this old is known to every controller
+	limit        int           // tasks that may be unavailable
+	stableAfter  time.Duration // a task is stable once it has run this long
+	reactionTime time.Duration // every controller knows of a failure that is older than this
 
 	runningSince    map[string]time.Time
 	notRunningSince map[string]time.Time
-	voluntary       map[string]bool // stopped voluntarily, and not known to be up again since
+	voluntary       map[string]bool // stopped voluntarily, and not known to be stable again
 	figures         Figures
 }
 
-// Figures count what was seen.
+// Figures counts stops, replacements and failures of tasks.
 type Figures struct {
 	Stops        int // voluntary stops
-	Replaced     int // of the stopped tasks, those that run again
-	Failed       int // tasks that went down involuntarily
-	MaxVoluntary int // most tasks that were down voluntarily at once
+	Replaced     int // voluntarily stopped tasks that run again
+	Failed       int // running tasks that ended without a voluntary stop
+	MaxVoluntary int // maximum number of tasks that were voluntarily unavailable at once
 }
 
-// New returns a check of a budget that lets limit tasks be down. A task is up once it has
-// run for stableAfter; a task that has been down involuntarily for longer than
-// reactionTime counts against the budget too.
+// New returns a check of a disruption budget under which limit tasks may be unavailable.
+// A voluntarily stopped task counts against the budget until it has run again for
+// stableAfter. A task that has not run for longer than reactionTime because of a failure
+// counts against the budget too.
 func New(limit int, stableAfter, reactionTime time.Duration) *Check {
 	return &Check{
 		limit:           limit,
@@ -42,16 +43,16 @@
 	}
 }
 
-// SetLimit changes the budget.
+// SetLimit changes the number of tasks that may be unavailable.
 func (c *Check) SetLimit(limit int) { c.limit = limit }
 
-// Figures returns what was seen so far.
+// Figures returns the figures so far.
 func (c *Check) Figures() Figures { return c.figures }
 
-// NotRunningCount returns the number of tasks that do not run now.
+// NotRunningCount returns the number of tasks that currently do not run.
 func (c *Check) NotRunningCount() int { return len(c.notRunningSince) }
 
-// TaskRunning records that a task runs.
+// TaskRunning records that a task runs. It has no effect if that is recorded already.
 func (c *Check) TaskRunning(task string, now time.Time) {
 	if _, wasRunning := c.runningSince[task]; wasRunning {
 		return
@@ -63,7 +64,8 @@
 	}
 }
 
-// TaskNotRunning records that a task does not run, for whatever reason.
+// TaskNotRunning records that a task does not run, whatever the reason. It has no effect
+// if that is recorded already.
 func (c *Check) TaskNotRunning(task string, now time.Time) {
 	if _, wasNotRunning := c.notRunningSince[task]; wasNotRunning {
 		return
@@ -71,21 +73,21 @@
 	_, wasRunning := c.runningSince[task]
 	c.notRunningSince[task] = now
 	delete(c.runningSince, task)
-	if wasRunning { // it was not stopped: TaskStopped would have marked it as down
+	if wasRunning { // a failure: TaskStopped removes a stopped task from runningSince
 		c.figures.Failed++
 		delete(c.voluntary, task)
 	}
 }
 
-// Remove records that a task need not be up any more.
+// Remove records that a task no longer has to run.
 func (c *Check) Remove(task string) {
 	delete(c.runningSince, task)
 	delete(c.notRunningSince, task)
 	delete(c.voluntary, task)
 }
 
-// TaskStopped records the voluntary stop of a task that runs. The error says by how much
-// it exceeds the budget.
+// TaskStopped records the voluntary stop of a running task. If the stop exceeds the
+// budget, the error has the number of unavailable tasks and the limit.
 func (c *Check) TaskStopped(task string, now time.Time) error {
 	c.figures.Stops++
 	c.voluntary[task] = true
@@ -101,8 +103,7 @@
 	return nil
 }
 
-// removeStable takes the stopped tasks that are up again out of those that are down
-// voluntarily.
+// removeStable removes the tasks that are stable again from the voluntarily stopped tasks.
 func (c *Check) removeStable(now time.Time) {
 	for task := range c.voluntary {
 		startedAt, isRunning := c.runningSince[task]
@@ -112,7 +113,7 @@
 	}
 }
 
-// overdueFailures counts the tasks whose failure every controller knows by now.
+// overdueFailures counts the failed tasks whose failure every controller knows by now.
 func (c *Check) overdueFailures(now time.Time) int {
 	count := 0
 	for task, since := range c.notRunningSince {
--- a/internal/disruptioncheck/check_test.go
+++ b/internal/disruptioncheck/check_test.go
@@ -10,8 +10,8 @@
 	reactionTime = time.Minute
 )
 
-// newCheck returns a check with a budget of one task, and tasks a and b that have been up
-// for long.
+// newCheck returns a check with a budget of one task, and tasks a and b that have been
+// stable for a long time.
 func newCheck(start time.Time) *Check {
 	c := New(1, stableAfter, reactionTime)
 	c.TaskRunning("a", start.Add(-time.Hour))
@@ -19,8 +19,8 @@
 	return c
 }
 
-// A stop exceeds the budget while another stopped task is not up again, or has not run for
-// long enough, and while a failure is known that was not repaired.
+// A stop exceeds the budget while another stopped task does not run again or is not stable
+// yet, and while a failed task that every controller knows of has not been replaced.
 func TestStopsAgainstBudget(t *testing.T) {
 	start := time.Unix(1000, 0)
 	after := func(d time.Duration) time.Time { return start.Add(d) }
@@ -46,7 +46,7 @@
 		"another task failed just now": {func(c *Check) {
 			c.TaskNotRunning("b", after(2*time.Minute-reactionTime))
 		}, false},
-		"another task was stopped and need not be up any more": {func(c *Check) {
+		"another task was stopped and no longer has to run": {func(c *Check) {
 			_ = c.TaskStopped("b", start)
 			c.Remove("b")
 		}, false},
@@ -59,20 +59,20 @@
 	}
 }
 
-// Stops, replacements and failures are counted apart.
+// Stops, replacements and failures are counted separately.
 func TestFigures(t *testing.T) {
 	start := time.Unix(1000, 0)
 	c := newCheck(start)
 	if err := c.TaskStopped("a", start); err != nil {
 		t.Fatal(err)
 	}
-	c.TaskNotRunning("a", start) // the worker's view of the same stop
+	c.TaskNotRunning("a", start) // the worker reports the same stop; this is no failure
 	c.TaskRunning("a", start.Add(time.Second))
 	c.TaskNotRunning("b", start.Add(2*time.Second))
 	if want := (Figures{Stops: 1, Replaced: 1, Failed: 1, MaxVoluntary: 1}); c.Figures() != want {
-		t.Errorf("%+v, wanted %+v", c.Figures(), want)
+		t.Errorf("figures %+v, want %+v", c.Figures(), want)
 	}
 	if c.NotRunningCount() != 1 {
-		t.Errorf("%d tasks are down, wanted 1", c.NotRunningCount())
+		t.Errorf("%d tasks do not run, want 1", c.NotRunningCount())
 	}
 }
