--- a/internal/knownred/entry.go
+++ b/internal/knownred/entry.go
@@ -15,18 +15,19 @@
 	Test     string // the top-level test function
 	Package  string // its import path
 	Command  string // reproduces the failure, seed included
-	Observed string // what was seen, and how often
-	Issue    int    // the open issue that the failure belongs to
+	Observed string // what was observed, and how often
+	Issue    int    // number of the open issue for the failure
 
-	// Failure matches the message of the listed failure.
+	// Failure matches the first line of the listed failure's message.
 	Failure *regexp.Regexp
-	// AllowedMessages match what the test may print beside it: logs, and what follows from it.
+	// AllowedMessages match other messages that the test may print in addition: logs, and
+	// consequences of the failure.
 	AllowedMessages []*regexp.Regexp
 }
 
-// EntryError reports an entry that cannot be read.
+// EntryError reports an invalid entry.
 type EntryError struct {
-	Line   int // where the entry begins
+	Line   int // first line of the entry
 	Reason string
 }
 
@@ -34,11 +35,11 @@
 	return fmt.Sprintf("entry in line %d: %s", e.Line, e.Reason)
 }
 
-// fieldSeparator stands between a field's name and its value.
+// fieldSeparator separates the name of a field from its value.
 const fieldSeparator = ": "
 
-// ParseEntries reads the entries of a list. Entries are blocks of "field: value" lines
-// with empty lines between them; a line that begins with # is a comment.
+// ParseEntries parses a list of known failures. An entry is a block of "field: value"
+// lines. Empty lines separate the entries. A line that begins with # is a comment.
 func ParseEntries(list io.Reader) ([]Entry, error) {
 	var entries []Entry
 	var block []string
@@ -82,7 +83,7 @@
 	return entries, nil
 }
 
-// parseEntry reads one entry, whose fields are all required but beside.
+// parseEntry parses one entry. All fields except "beside" are required.
 func parseEntry(block []string, line int) (Entry, error) {
 	var entry Entry
 	for _, text := range block {
@@ -92,12 +93,13 @@
 		}
 	}
 	if entry.Test == "" || entry.Package == "" || entry.Command == "" || entry.Observed == "" || entry.Issue == 0 || entry.Failure == nil {
-		return Entry{}, &EntryError{line, "it needs test, package, command, failure, seen and issue"}
+		return Entry{}, &EntryError{line, "the fields test, package, command, failure, seen and issue are required"}
 	}
 	return entry, nil
 }
 
-// setField sets one field and returns why it cannot; "" if it can.
+// setField sets one field. If the field is invalid, setField returns the reason, and ""
+// otherwise.
 func (e *Entry) setField(name, value string) (reason string) {
 	if value == "" {
 		return fmt.Sprintf("field %q has no value", name)
@@ -129,17 +131,19 @@
 	return ""
 }
 
-// unrelatedMessage is no failure of any test: a pattern that matches it matches anything.
+// unrelatedMessage is a message that no test prints. A pattern that matches it is too
+// general.
 const unrelatedMessage = "1 unrelated message of 2 words"
 
-// compileSpecificPattern compiles a pattern that has to match a whole message, and not any.
+// compileSpecificPattern compiles a pattern that has to match the whole of a line. It
+// rejects a pattern that matches any message.
 func compileSpecificPattern(pattern string) (*regexp.Regexp, error) {
 	compiled, err := regexp.Compile("^(?:" + pattern + ")$")
 	if err != nil {
 		return nil, err
 	}
 	if compiled.MatchString(unrelatedMessage) {
-		return nil, errors.New("it matches any message")
+		return nil, errors.New("the pattern matches any message")
 	}
 	return compiled, nil
 }
--- a/internal/knownred/knownred_test.go
+++ b/internal/knownred/knownred_test.go
@@ -16,7 +16,7 @@
 issue: 37
 `
 
-// packageEnd ends a package's output as go test does.
+// packageEnd is the end of go test's output for a failed package.
 const packageEnd = "FAIL\nFAIL\travenport/controller\t3.1s\n"
 
 func mustParseEntries(t *testing.T, list string) []Entry {
@@ -28,8 +28,8 @@
 	return entries
 }
 
-// Only the listed failure is excused: nothing else that the same run, or the same test,
-// may show.
+// Only the listed failure is excused. Any other failure of the same run, and any other
+// message of the same test, is not excused.
 func TestOnlyTheListedFailureIsExcused(t *testing.T) {
 	const listed = "--- FAIL: TestListed (0.45s)\n" +
 		"    --- FAIL: TestListed (0.45s)\n" +
@@ -62,7 +62,7 @@
 				t.Fatal(err)
 			}
 			if excused := len(result.Unexcused) == 0; excused != c.excused {
-				t.Errorf("excused %v; faults %q, passed over %q", excused, result.Unexcused, result.Excused)
+				t.Errorf("excused: %v; not excused: %q; excused tests: %q", excused, result.Unexcused, result.Excused)
 			}
 		})
 	}
@@ -70,16 +70,16 @@
 
 func TestDamagedEntriesAreRefused(t *testing.T) {
 	for name, invalid := range map[string]string{
-		"no test":                   strings.Replace(list, "test: TestListed\n", "", 1),
-		"no command":                strings.Replace(list, "command: go", "# go", 1),
-		"no failure":                strings.Replace(list, "failure:", "beside:", 1),
-		"no issue":                  strings.Replace(list, "issue: 37", "", 1),
-		"an issue without a number": strings.Replace(list, "issue: 37", "issue: known", 1),
-		"an unknown field":          list + "until: tomorrow\n",
-		"an empty field":            strings.Replace(list, "seen: once", "seen:", 1),
-		"a broken pattern":          strings.Replace(list, `\d+ broken`, `(\d+ broken`, 1),
-		"a pattern for anything":    strings.Replace(list, `seed 1: \d+ broken rules, first: ran_cancelled: .*`, `.*`, 1),
-		"the form before":           "TestListed: fails at times; issue 34\n",
+		"no test":                            strings.Replace(list, "test: TestListed\n", "", 1),
+		"no command":                         strings.Replace(list, "command: go", "# go", 1),
+		"no failure":                         strings.Replace(list, "failure:", "beside:", 1),
+		"no issue":                           strings.Replace(list, "issue: 37", "", 1),
+		"an issue without a number":          strings.Replace(list, "issue: 37", "issue: known", 1),
+		"an unknown field":                   list + "until: tomorrow\n",
+		"an empty field":                     strings.Replace(list, "seen: once", "seen:", 1),
+		"a broken pattern":                   strings.Replace(list, `\d+ broken`, `(\d+ broken`, 1),
+		"a pattern that matches any message": strings.Replace(list, `seed 1: \d+ broken rules, first: ran_cancelled: .*`, `.*`, 1),
+		"the former format":                  "TestListed: fails at times; issue 34\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := ParseEntries(strings.NewReader(list + "\n" + invalid))
@@ -91,7 +91,7 @@
 	}
 }
 
-// The project's own list can be read.
+// The list of this repository is valid.
 func TestProjectsListIsReadable(t *testing.T) {
 	if _, err := readEntries("../../KNOWN-RED.txt"); err != nil {
 		t.Error(err)
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -1,5 +1,6 @@
-// Command knownred says whether a failed run of the tests failed in nothing but the ways
-// that a list of known failures describes, and prints the tests that did.
+// Command knownred checks whether all failures in the output of a failed test run are in
+// a list of known failures. It prints the tests that failed as listed, and the failures
+// that are not excused. Its exit status is 0 only if all failures are listed.
 //
 //	go run ./internal/knownred LIST LOG
 package main
@@ -30,7 +31,7 @@
 	}
 }
 
-// checkFiles judges the run whose output is in the file log by the list in the file list.
+// checkFiles checks the test output in the file log against the entries in the file list.
 func checkFiles(list, log string) (Result, error) {
 	entries, err := readEntries(list)
 	if err != nil {
@@ -44,7 +45,8 @@
 	return CheckOutput(output, entries)
 }
 
-// readEntries reads the entries of a file; none if there is no such file.
+// readEntries reads the entries of a file. If the file does not exist, there are no
+// entries.
 func readEntries(list string) ([]Entry, error) {
 	file, err := os.Open(list)
 	if os.IsNotExist(err) {
--- a/internal/knownred/verdict.go
+++ b/internal/knownred/verdict.go
@@ -8,39 +8,40 @@
 	"strings"
 )
 
-// failedTest is a top-level test that failed, with the messages that it and its subtests
+// failedTest is a failed top-level test, with the messages that the test and its subtests
 // printed.
 type failedTest struct {
 	name     string
-	pkg      string // known once the end of its package was read
+	pkg      string // import path; set when the last line of the package has been read
 	messages []string
 }
 
-// Lines of go test's output.
+// Patterns for the lines of go test's output.
 var (
 	fatalLine      = regexp.MustCompile(`^panic:|^fatal error:|\[(build|setup) failed\]|^WARNING: DATA RACE`)
 	failedTestLine = regexp.MustCompile(`^--- FAIL: ([A-Za-z0-9_]+)`)
 	failedPkgLine  = regexp.MustCompile(`^FAIL\t(\S+)`)
 	passedPkgLine  = regexp.MustCompile(`^(?:ok  |\?   )\t`)
-	// resultLine is that of a subtest, or of the bubble of a test on the virtual clock.
+	// resultLine matches the result of a subtest, or of the synctest bubble of a test that
+	// runs on a virtual clock.
 	resultLine  = regexp.MustCompile(`^\s+--- (?:FAIL|PASS|SKIP): `)
 	messageLine = regexp.MustCompile(`^\s+[A-Za-z0-9_]+\.go:\d+: (.*)$`)
 )
 
-// Result is what a failed run of the tests amounts to.
+// Result says whether the failures of a test run are excused.
 type Result struct {
-	Excused   []string // tests that failed as listed
-	Unexcused []string // why the run is not excused; none: it is
+	Excused   []string // names of the tests that failed as listed
+	Unexcused []string // reasons why the run is not excused; empty: the run is excused
 }
 
-// CheckOutput reads the output of a failed run of go test. The run is excused only if each test
-// that failed is listed, and each message of it is that of the listed failure, or one that
-// its entry allows beside it.
+// CheckOutput reads the output of a failed run of go test and compares the failures with
+// the entries. The run is excused only if each failed test is listed, and each message of
+// the test matches either the failure or an allowed message of its entry.
 func CheckOutput(output io.Reader, entries []Entry) (Result, error) {
 	var result Result
 	var failed []*failedTest
-	var current *failedTest  // the test whose messages are being read
-	firstWithoutPackage := 0 // the first failed test whose package's end was not read
+	var current *failedTest  // test whose messages are being read
+	firstWithoutPackage := 0 // index of the first failed test whose package is not known yet
 	scanner := bufio.NewScanner(output)
 	scanner.Buffer(nil, 16<<20)
 	for scanner.Scan() {
@@ -54,7 +55,7 @@
 		case failedPkgLine.MatchString(line):
 			pkg := failedPkgLine.FindStringSubmatch(line)[1]
 			if firstWithoutPackage == len(failed) {
-				result.Unexcused = append(result.Unexcused, pkg+" failed without a failed test")
+				result.Unexcused = append(result.Unexcused, pkg+" failed, but none of its tests did")
 			}
 			for ; firstWithoutPackage < len(failed); firstWithoutPackage++ {
 				failed[firstWithoutPackage].pkg = pkg
@@ -77,13 +78,13 @@
 		}
 	}
 	if len(failed) == 0 && len(result.Unexcused) == 0 {
-		result.Unexcused = append(result.Unexcused, "no failed test is named")
+		result.Unexcused = append(result.Unexcused, "the output names no failed test")
 	}
 	return result, nil
 }
 
-// addLine adds one line that was printed after the test's result: a message, or a further
-// line of the last one.
+// addLine adds a line that was printed after the test's result. The line either begins a
+// message or continues the last message.
 func (f *failedTest) addLine(line string) {
 	if resultLine.MatchString(line) || !strings.HasPrefix(line, " ") {
 		return
@@ -100,7 +101,7 @@
 	f.messages[len(f.messages)-1] += "\n" + text
 }
 
-// unexcused says why a failed test is not excused; "" if it is.
+// unexcused returns the reason why a failed test is not excused, or "" if it is excused.
 func (f *failedTest) unexcused(entries []Entry) (reason string) {
 	listed := false
 	for i := range entries {
@@ -116,12 +117,12 @@
 	if !listed {
 		return fmt.Sprintf("%s of %s is not listed", f.name, f.pkg)
 	}
-	return fmt.Sprintf("%s failed otherwise than listed: %s", f.name, strings.Join(f.messages, "; "))
+	return fmt.Sprintf("%s failed differently than listed: %s", f.name, strings.Join(f.messages, "; "))
 }
 
-// matches reports whether the messages are those of the entry's failure, with nothing
-// but what it allows beside. Only the first line of a message counts: event records may
-// follow it.
+// matches reports whether the messages include the entry's failure and, apart from that,
+// only messages that the entry allows. Only the first line of each message is compared,
+// because event records may follow it.
 func (e *Entry) matches(messages []string) bool {
 	failures := 0
 	for _, message := range messages {
@@ -136,7 +137,8 @@
 	return failures > 0
 }
 
-// allowsMessage reports whether the test may print a message beside the listed failure.
+// allowsMessage reports whether the test may print a message in addition to the listed
+// failure.
 func (e *Entry) allowsMessage(message string) bool {
 	for _, allowed := range e.AllowedMessages {
 		if allowed.MatchString(message) {
