--- a/internal/testseed/testseed.go
+++ b/internal/testseed/testseed.go
@@ -1,6 +1,6 @@
-// Package testseed pins the seed of generated test inputs, so that a test run can be
-// repeated. Tests import it for its side effect alone; -rapid.seed on the command line
-// overrides it.
+// Package testseed sets a fixed default seed for generated test inputs, so that test runs
+// are reproducible. Tests import the package only for this side effect. The flag
+// -rapid.seed on the command line overrides the seed.
 package testseed
 
 import (
@@ -9,7 +9,7 @@
 	_ "pgregory.net/rapid" // registers the flag
 )
 
-// seed is the value that -rapid.seed has by default.
+// seed is the default value of the flag -rapid.seed.
 const seed = "20261"
 
 func init() {
