--- a/internal/knownred/entry.go
+++ b/internal/knownred/entry.go
@@ -13,8 +13,8 @@
 // Entry describes one known failure of one test.
 type Entry struct {
 	Test     string // the top-level test function
-	Package  string // its import path
-	Command  string // reproduces the failure, seed included
+	Package  string // import path of the test's package
+	Command  string // command that reproduces the failure, with the seed
 	Observed string // what was observed, and how often
 	Issue    int    // number of the open issue for the failure
 
--- a/internal/loopback/addresses_test.go
+++ b/internal/loopback/addresses_test.go
@@ -10,25 +10,26 @@
 	"testing"
 )
 
-// Loopback tests of two runs on one machine failed on each other's ports ("a stand-in at
-// 127.0.0.1:23790: bind: address already in use", at once when two runs were started
-// together): each used the addresses of site 0. Each process now takes a site that no other
-// one holds, and keeps it until it ends.
+// A site is a set of addresses. Each test process reserves a site of its own until it ends,
+// so that several test processes can run on one machine. Without that, two test runs that
+// were started together used the same addresses, and one of them failed at once
+// ("127.0.0.1:23790: bind: address already in use").
 
-// site lets several test processes run on one machine: each site has addresses of its own.
-var site = flag.Int("loopback.site", anySite, "which of the machine's deployments this is, 0 to 9; -1: the first one that no other process holds")
+// site is the number of the site that this process uses.
+var site = flag.Int("loopback.site", anySite, "number of the site whose addresses are used, 0 to 9; -1: the first site that no other process has reserved")
 
-// anySite stands for the first site that no other process holds.
+// anySite selects the first site that no other process has reserved.
 const anySite = -1
 
-// fleetCount is the number of fleets that this process has started. Stand-ins serve until
-// the process ends, so each further fleet has the addresses of a site that no process holds.
+// fleetCount is the number of fleets that this process has started. The fake servers of a
+// fleet run until the process ends. Each further fleet therefore uses the addresses of a
+// site whose number is too high for any process to reserve.
 var fleetCount int
 
-// siteCount is the number of sites that processes can hold.
+// siteCount is the number of sites that processes can reserve.
 const siteCount = 10
 
-// Ports. Those below portsPerSite count from the first port of the site.
+// Ports. Those below portsPerSite are offsets from the first port of the site.
 const (
 	firstPort       = 23700
 	portsPerSite    = 100
@@ -36,21 +37,22 @@
 	peerPort        = 20 // of the first controller
 	storePort       = 90
 	cloudPort       = 91
-	reservationPort = 99   // open for as long as a process holds the site
-	workerPort      = 9000 // of every worker, on an address of its own
+	reservationPort = 99   // open while a process has the site reserved
+	workerPort      = 9000 // of every worker; each worker has its own IP address
 )
 
 // workersPerSubnet is the number of workers in one /24 subnet of 127.0.0.0/8.
 const workersPerSubnet = 250
 
-// reservedSite is the site that this process holds, and the open port by which others see that.
+// reservedSite is the site that this process has reserved. Other processes cannot listen on
+// the site's reservation port while the listener is open.
 type reservedSite struct {
 	number   int
 	listener net.Listener
 }
 
-// reserveSite takes a site and keeps it until release is called or the process ends. wanted is
-// its number, or anySite.
+// reserveSite reserves a site until release is called or the process ends. wanted is the
+// number of the site, or anySite.
 func reserveSite(wanted int) (reservedSite, error) {
 	first, last := wanted, wanted
 	if wanted == anySite {
@@ -65,15 +67,15 @@
 			return reservedSite{}, err
 		}
 	}
-	return reservedSite{}, fmt.Errorf("other processes hold the sites %d to %d", first, last)
+	return reservedSite{}, fmt.Errorf("other processes have reserved the sites %d to %d", first, last)
 }
 
 func (h reservedSite) release() { _ = h.listener.Close() }
 
-// processSite is the site of this process, which it takes at the first fleet.
+// processSite returns the site of this process, which is reserved for the first fleet.
 var processSite = sync.OnceValues(func() (reservedSite, error) { return reserveSite(*site) })
 
-// nextSite gives the next fleet of this process its addresses.
+// nextSite selects the site of the next fleet of this process.
 func nextSite(tb testing.TB) {
 	tb.Helper()
 	if _, err := processSite(); err != nil {
@@ -82,11 +84,11 @@
 	fleetCount++
 }
 
-// currentSite returns the site of the latest fleet.
+// currentSite returns the number of the latest fleet's site.
 func currentSite() int {
 	reserved, err := processSite()
 	if err != nil {
-		panic(err) // takeSite comes first
+		panic(err) // newFleet has called nextSite before
 	}
 	return reserved.number + siteCount*(fleetCount-1)
 }
@@ -101,10 +103,10 @@
 
 func cloudAddr() string { return localAddress(cloudPort) }
 
-// serverAddress returns the address for users and workers of a controller, by its index.
+// serverAddress returns the address at which a controller serves users and workers.
 func serverAddress(controller int) string { return localAddress(serverPort + controller) }
 
-// peerAddress returns the address for other controllers of a controller, by its index.
+// peerAddress returns the address at which a controller serves other controllers.
 func peerAddress(controller int) string { return localAddress(peerPort + controller) }
 
 // workerAddress returns the address of the n-th worker.
@@ -112,8 +114,8 @@
 	return fmt.Sprintf("127.%d.%d.%d:%d", 1+currentSite(), n/workersPerSubnet, n%workersPerSubnet+1, workerPort)
 }
 
-// A site is one process's until it is released: nobody else gets it meanwhile, and whoever
-// asks for any gets another one.
+// A reserved site cannot be reserved a second time until it is released. A process that
+// asks for any site gets another one.
 func TestSiteIsHeldByOne(t *testing.T) {
 	first, err := reserveSite(anySite)
 	if err != nil {
@@ -125,16 +127,16 @@
 	}
 	defer second.release()
 	if first.number == second.number {
-		t.Errorf("both hold site %d", first.number)
+		t.Errorf("site %d was reserved twice", first.number)
 	}
 	if third, err := reserveSite(first.number); err == nil {
 		third.release()
-		t.Errorf("site %d is taken a second time", first.number)
+		t.Errorf("site %d was reserved a second time before its release", first.number)
 	}
 	first.release()
 	reacquired, err := reserveSite(first.number)
 	if err != nil {
-		t.Fatalf("site %d was released, and cannot be taken: %v", first.number, err)
+		t.Fatalf("site %d cannot be reserved after its release: %v", first.number, err)
 	}
 	reacquired.release()
 }
--- a/internal/loopback/benchmark_test.go
+++ b/internal/loopback/benchmark_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// BenchmarkManyHeartbeats has workers that send heartbeats often and tasks that end soon.
+// BenchmarkManyHeartbeats measures a fleet with frequent heartbeats and short tasks.
 func BenchmarkManyHeartbeats(b *testing.B) {
 	for range b.N {
 		measureFleet(b, manyHeartbeats)
 	}
 }
 
-// BenchmarkManyMachines has more machines and longer tasks.
+// BenchmarkManyMachines measures a fleet with more machines and longer tasks.
 func BenchmarkManyMachines(b *testing.B) {
 	for range b.N {
 		measureFleet(b, manyMachines)
@@ -20,7 +20,7 @@
 }
 
 // measureFleet measures a cold start, steady operation, the failover of all shards to one
-// controller, and the return of the others.
+// controller, operation by that controller alone, and the restart of the other controllers.
 func measureFleet(b *testing.B, deployment deployment) {
 	fleet := newFleet(b, deployment)
 	time.Sleep(3 * time.Second)
@@ -56,8 +56,8 @@
 	fleet.measurePhase(b, "back", 10*time.Second)
 }
 
-// measurePhase lets time pass and reports the processor time that all controllers took in
-// it, as a whole and for each heartbeat.
+// measurePhase waits for a duration and reports the processor time that all controllers
+// used meanwhile, in total and per heartbeat.
 func (f *fleet) measurePhase(b *testing.B, name string, d time.Duration) {
 	processorTimeBefore := f.processorTime()
 	heartbeatsBefore := f.heartbeats.Load()
--- a/internal/loopback/cloud_test.go
+++ b/internal/loopback/cloud_test.go
@@ -14,7 +14,7 @@
 	"ravenport/wire"
 )
 
-// machineType is the only machine type of the stand-in cloud.
+// machineType is the only machine type of the fake cloud.
 var machineType = wire.MachineType{
 	Name:        "box",
 	CPUs:        16,
@@ -26,8 +26,8 @@
 	BootS:       5,
 }
 
-// cloud stands in for the cloud: machines come up after their boot time, and none is
-// refused before the fleet has its size.
+// cloud is a fake cloud. Its machines run once their boot time has passed. It creates every
+// requested machine until the zone's capacity is used up.
 type cloud struct {
 	zones    []string
 	start    func(*machine) // called when a machine has booted
@@ -36,12 +36,12 @@
 
 	mu                sync.Mutex
 	capacity          map[string]int      // machines that can still be created, by zone
-	machinesByRequest map[string][]string // names by the idempotency key of their request
+	machinesByRequest map[string][]string // machine names, by the idempotency key of the request
 	machines          map[string]*machine // by name
-	names             []string            // of all machines that ever were, in the order of their creation
+	names             []string            // of all machines ever created, in the order of their creation
 
-	neverBootNext   int    // this many of the next machines never boot
-	failTasksNext   int    // this many of those after them fail all their tasks
+	neverBootNext   int    // number of the next machines that never boot
+	failTasksNext   int    // number of machines after those that fail all their tasks
 	lastScaleInZone string // zone of the last machine that a controller returned; empty: none
 }
 
@@ -92,7 +92,7 @@
 	}
 }
 
-// scaleOut creates machines. A repeated request gets the machines of the first one.
+// scaleOut creates machines. A repeated request gets the machines of the first request.
 func (c *cloud) scaleOut(r *server.Request, req wire.ScaleOutRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -133,7 +133,7 @@
 	return m.name
 }
 
-// recordScaleIn remembers the zone of machines that a controller returns.
+// recordScaleIn records the zone of machines that a controller returns.
 func (c *cloud) recordScaleIn(names []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -144,7 +144,7 @@
 	}
 }
 
-// remove terminates machines; a name that is unknown, or removed already, is ignored.
+// remove terminates machines. It ignores names of unknown or already removed machines.
 func (c *cloud) remove(names []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -198,14 +198,14 @@
 	respond(r, 200, page)
 }
 
-// machineCount returns the number of machines that there are now.
+// machineCount returns the current number of machines.
 func (c *cloud) machineCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.machines)
 }
 
-// allMachines returns the machines that there are now, in no order.
+// allMachines returns the current machines in no particular order.
 func (c *cloud) allMachines() []*machine {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -223,7 +223,8 @@
 	return c.lastScaleInZone
 }
 
-// clearLastScaleIn empties lastScaleIn until a controller returns another machine.
+// clearLastScaleIn makes lastScaleIn return an empty zone until a controller returns another
+// machine.
 func (c *cloud) clearLastScaleIn() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
