--- a/internal/loopback/configuration_test.go
+++ b/internal/loopback/configuration_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// configureController writes a controller's settings files and returns the controller, which
-// is not started yet. Each controller has files of its own: an earlier one may be reading
-// its files at this moment.
+// configureController writes a controller's settings files and returns the controller
+// without starting it. Each controller has its own files, because a controller that was
+// started before may be reading its files at this moment.
 func (f *fleet) configureController(tb testing.TB, i int) *controller {
 	tb.Helper()
 	write := func(name, text string) string {
@@ -48,7 +48,7 @@
 // controllerName returns the name of a controller by its index.
 func controllerName(i int) string { return fmt.Sprintf("n-%d", i) }
 
-// historyPath returns the path of the membership events that a controller keeps.
+// historyPath returns the path of the file in which a controller stores membership events.
 func (f *fleet) historyPath(c *controller) string { return filepath.Join(f.dir, c.name+".history") }
 
 // settingsText returns the text of a controller's settings file.
@@ -102,7 +102,7 @@
 	return text.String()
 }
 
-// peerAddressFrom returns the address at which a controller reaches another one.
+// peerAddressFrom returns the address at which one controller reaches another controller.
 func (f *fleet) peerAddressFrom(from, to int) string {
 	if f.links == nil {
 		return peerAddress(to)
--- a/internal/loopback/controller_test.go
+++ b/internal/loopback/controller_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// controller is one controller, which runs as a process of its own.
+// controller is a controller that runs as a separate process.
 type controller struct {
 	name              string
 	serverAddr        string // for users and workers
@@ -21,9 +21,9 @@
 	program           string
 	arguments         []string
 	log               *os.File      // nil: the test's own standard error
-	process           *exec.Cmd     // nil: it does not run
-	paused            atomic.Bool   // by a signal, so that it does not respond
-	pastProcessorTime time.Duration // of its earlier processes
+	process           *exec.Cmd     // nil: the controller does not run
+	paused            atomic.Bool   // paused by a signal, so that the controller does not respond
+	pastProcessorTime time.Duration // processor time of the controller's earlier processes
 }
 
 // start starts the process, and fails the test if it cannot be started.
@@ -35,7 +35,8 @@
 	tb.Logf("%s is process %d", c.name, c.process.Process.Pid)
 }
 
-// launch starts the process. It logs everything where the test reads its log.
+// launch starts the process. The log level is info if the test reads the log, and error
+// otherwise.
 func (c *controller) launch() error {
 	c.process = exec.Command(c.program, c.arguments...)
 	c.process.Env = append(os.Environ(), "LOG_LEVEL=error")
@@ -47,19 +48,19 @@
 	return c.process.Start()
 }
 
-// kill ends the process, as a crash would.
+// kill kills the process without a shutdown, as in a crash.
 func (c *controller) kill() {
 	if c.process == nil {
 		return
 	}
 	if err := c.process.Process.Kill(); err == nil {
-		_ = c.process.Wait() // it returns the kill as an error
+		_ = c.process.Wait() // the error only says that the process was killed
 		c.pastProcessorTime += c.process.ProcessState.UserTime() + c.process.ProcessState.SystemTime()
 	}
 	c.process = nil
 }
 
-// restartController kills a controller, if it runs, and starts it again.
+// restartController kills a controller if it is running, and then starts it.
 func (f *fleet) restartController(i int) {
 	c := f.controllers[i]
 	c.kill()
@@ -68,14 +69,15 @@
 	}
 }
 
-// signalController sends a signal to a controller that runs.
+// signalController sends a signal to a controller if it is running.
 func (f *fleet) signalController(i int, s syscall.Signal) {
 	if p := f.controllers[i].process; p != nil {
-		_ = p.Process.Signal(s) // it may have ended by itself
+		_ = p.Process.Signal(s) // the process may have ended by itself
 	}
 }
 
-// ownerIndex returns the index of the controller that owns a shard; 0 if there is none.
+// ownerIndex returns the index of the controller that owns a zone's shard; 0 if the shard
+// has no owner.
 func (f *fleet) ownerIndex(zone string) int {
 	name, _ := f.store.shardOwner(zone)
 	return max(0, f.controllerIndex(name))
@@ -91,10 +93,10 @@
 	statResidentPages = 21
 )
 
-// usage is what a controller takes of its machine.
+// usage is a controller's use of its machine.
 type usage struct {
-	processorTime time.Duration // so far, of all its processes
-	memoryMB      float64       // resident now
+	processorTime time.Duration // total of all processes of the controller so far
+	memoryMB      float64       // current resident memory
 }
 
 func (c *controller) usage() usage {
@@ -105,7 +107,7 @@
 	if err != nil {
 		return usage{processorTime: c.pastProcessorTime}
 	}
-	nameEnd := bytes.LastIndexByte(stat, ')') // the name itself may have any character
+	nameEnd := bytes.LastIndexByte(stat, ')') // the name may contain any character, even a parenthesis
 	fields := strings.Fields(string(stat[nameEnd+1:]))
 	user, _ := strconv.ParseInt(fields[statUserTime], 10, 64)
 	system, _ := strconv.ParseInt(fields[statSystemTime], 10, 64)
--- a/internal/loopback/deployment_test.go
+++ b/internal/loopback/deployment_test.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// defaultControllers is the number of controllers of a deployment that names none.
+// defaultControllers is the number of controllers of a deployment that does not set it.
 const defaultControllers = 3
 
 // deployment describes the controllers, the machines and the jobs of a test or benchmark.
 type deployment struct {
 	zones           []string
-	machines        int     // that the cloud has at most
-	cpu             float64 // share of a core in the settings; it is not enforced here
+	machines        int     // maximum number of machines of the cloud
+	cpu             float64 // cores of a controller in the settings; the tests do not enforce this limit
 	memoryMB        float64
-	heartbeatPeriod time.Duration // between two heartbeats of a worker
+	heartbeatPeriod time.Duration // time between two heartbeats of a worker
 	workerLeaseS    float64
 	cancelTimeoutS  float64
 	writeRPS        float64       // the store's limit on writes
 	initialArrays   int           // job arrays that are submitted at the start
-	tasksPerArray   int           // of each job array
-	arrayInterval   time.Duration // between two further job arrays
-	taskDuration    time.Duration // mean time that a task of a job array runs
+	tasksPerArray   int           // number of tasks of each job array
+	arrayInterval   time.Duration // time between submissions of further job arrays
+	taskDuration    time.Duration // mean run time of a task of a job array
 	services        int           // services that are submitted at the start
-	replicas        int           // of each service
+	replicas        int           // number of replicas of each service
 
 	controllerCount     int           // 0: defaultControllers
-	operatorProperties  string        // operators' own settings; empty: none
+	operatorProperties  string        // settings of the operator; empty: none
 	detectionProperties string        // settings of failure detection; empty: off
 	drainingProperties  string        // settings of drains and disruption budgets; empty: off
-	controllerLeaseTTL  time.Duration // life of a controller's lease; 0: the test does not need it
+	controllerLeaseTTL  time.Duration // duration of a controller's lease; 0: the test does not use it
 	canPartition        bool          // links between controllers and to the store can be cut
-	earlierProgram      string        // program that the first controller runs instead; empty: none
+	earlierProgram      string        // program of an earlier version that the first controller runs; empty: none
 }
 
 // numControllers returns the number of controllers.
@@ -39,7 +39,7 @@
 	return d.controllerCount
 }
 
-// useDefaultTimes replaces the short times of a test by those of the shipped settings.
+// useDefaultTimes replaces the short times of a test by those of the default settings.
 func (d *deployment) useDefaultTimes() {
 	d.heartbeatPeriod = 3 * time.Second
 	d.workerLeaseS = 26
@@ -48,7 +48,8 @@
 	d.operatorProperties = ""
 }
 
-// The deployments that are measured: many heartbeats and short tasks, and more machines.
+// The deployments of the benchmarks: one with many heartbeats and short tasks, one with
+// more machines.
 var (
 	manyHeartbeats = deployment{
 		zones: []string{"a", "b", "c"}, machines: 1200, cpu: 0.1, memoryMB: 150,
--- a/internal/loopback/disruption_test.go
+++ b/internal/loopback/disruption_test.go
@@ -8,11 +8,11 @@
 	"ravenport/internal/disruptioncheck"
 )
 
-// noLimit is a disruption budget that nothing exceeds.
+// noLimit is a disruption budget that no test exceeds.
 const noLimit = 1 << 30
 
-// checkDisruptions checks voluntary stops of services against the disruption budget from
-// now on, and returns for how long a task must have run to be up.
+// checkDisruptions starts to check voluntary stops of services against the disruption
+// budget. It returns the time after which a running task is stable.
 func (f *fleet) checkDisruptions(t *testing.T) time.Duration {
 	t.Helper()
 	limit := noLimit
@@ -33,19 +33,20 @@
 	return stableAfter
 }
 
-// checksDisruptionOf reports whether stops of a task are checked. The caller holds the lock.
+// checksDisruptionOf reports whether stops of a task are checked. The caller must hold the
+// lock.
 func (o *observer) checksDisruptionOf(task string) bool {
 	return o.disruptions != nil && o.isService(task)
 }
 
-// disruptionFigures returns the figures of the check so far.
+// disruptionFigures returns the figures of the disruption check so far.
 func (f *fleet) disruptionFigures() disruptioncheck.Figures {
 	f.observer.mu.Lock()
 	defer f.observer.mu.Unlock()
 	return f.observer.disruptions.Figures()
 }
 
-// runningServiceTasks counts the tasks of services that are on a machine.
+// runningServiceTasks returns the number of tasks of services that are on a machine.
 func (f *fleet) runningServiceTasks() int {
 	f.observer.mu.Lock()
 	defer f.observer.mu.Unlock()
@@ -58,8 +59,8 @@
 	return n
 }
 
-// serviceMachine returns a machine on which a task of a service runs; empty if there is
-// none.
+// serviceMachine returns a machine on which a task of a service runs, or "" if there is no
+// such machine.
 func (f *fleet) serviceMachine() string {
 	f.observer.mu.Lock()
 	defer f.observer.mu.Unlock()
@@ -71,7 +72,7 @@
 	return ""
 }
 
-// awaitServiceTasks waits until a number of tasks of services run.
+// awaitServiceTasks waits until at least a number of tasks of services run.
 func (f *fleet) awaitServiceTasks(t *testing.T, replicas int, limit time.Duration) {
 	t.Helper()
 	for end := time.Now().Add(limit); f.runningServiceTasks() < replicas; time.Sleep(100 * time.Millisecond) {
@@ -81,21 +82,21 @@
 	}
 }
 
-// lastStop returns the machine on which a task of a service was stopped last.
+// lastStop returns the machine of the latest voluntary stop of a service's task.
 func (o *observer) lastStop() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.lastStopMachine
 }
 
-// lastStart returns the machine on which a task of a service started last.
+// lastStart returns the machine of the latest start of a service's task.
 func (o *observer) lastStart() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.lastStartMachine
 }
 
-// checkNoViolations fails the test for each violation of a rule that was seen.
+// checkNoViolations fails the test if the observer has recorded a violation.
 func (f *fleet) checkNoViolations(t *testing.T) {
 	t.Helper()
 	for _, violation := range f.observer.violations() {
--- a/internal/loopback/doc.go
+++ b/internal/loopback/doc.go
@@ -1,9 +1,11 @@
-// Package loopback tests and measures real controller processes on this machine's
-// loopback interface. The key-value store, the cloud, the workers and the users are
-// stand-ins. Everything is in test files: failover tests let controllers fail while jobs
-// run (flags -takeover.*), drain tests replace all machines of a fleet at work (flags
-// -drain.*), and benchmarks, which the tests do not run, measure the processor time and
-// the memory that the controllers take for a fleet of workers, by kind of work:
+// Package loopback tests and measures real controller processes on the loopback interface
+// of one machine. The key-value store, the cloud, the workers and the users are fakes. The
+// package has only test files:
+//
+//   - Failover tests inject failures of controllers while jobs run (flags -takeover.*).
+//   - Drain tests replace all machines of a fleet while jobs run (flags -drain.*).
+//   - Benchmarks measure the controllers' processor time and memory for a fleet of workers,
+//     in each phase of operation. The tests do not run them; the command is:
 //
 //	go test ./internal/loopback -run '^$' -bench . -benchtime 1x -v
 package loopback
