--- a/internal/loopback/doc.go
+++ b/internal/loopback/doc.go
@@ -5,7 +5,9 @@
 //   - Failover tests inject failures of controllers while jobs run (flags -takeover.*).
 //   - Drain tests replace all machines of a fleet while jobs run (flags -drain.*).
 //   - Benchmarks measure the controllers' processor time and memory for a fleet of workers,
-//     in each phase of operation. The tests do not run them; the command is:
+//     in each phase of operation.
+//
+// The tests do not run the benchmarks. This command does:
 //
 //	go test ./internal/loopback -run '^$' -bench . -benchtime 1x -v
 package loopback
--- a/internal/loopback/drain_command_test.go
+++ b/internal/loopback/drain_command_test.go
@@ -12,8 +12,8 @@
 	"ravenport/peer"
 )
 
-// runDrainCommand runs the program's drain command against a controller and returns what it
-// prints. The error has what it prints to standard error.
+// runDrainCommand runs the program's drain command against a controller and returns the
+// command's standard output. The error includes the command's standard error.
 func (f *fleet) runDrainCommand(controller int, args ...string) (string, error) {
 	command := exec.Command(f.program, "drain")
 	command.Args = append(command.Args, args...)
@@ -27,7 +27,8 @@
 	return stdout.String(), nil
 }
 
-// drainCommandReply runs the drain command and decodes the reply that it prints as JSON.
+// drainCommandReply runs the drain command and decodes the JSON reply that the command
+// prints.
 func (f *fleet) drainCommandReply(controller int, args ...string) (*peer.DrainReply, error) {
 	output, err := f.runDrainCommand(controller, append(args, "--json")...)
 	if err != nil {
@@ -61,7 +62,8 @@
 	return nil
 }
 
-// drainView returns the status of one drain; zero if the controllers do not know it yet.
+// drainView returns the status of one drain, or the zero value if the controllers do not
+// know the drain yet.
 func (f *fleet) drainView(t *testing.T, number int) peer.DrainView {
 	t.Helper()
 	for _, view := range f.drainStatus(t).Drains {
@@ -72,7 +74,8 @@
 	return peer.DrainView{}
 }
 
-// startDrain starts a drain of all machines through the command line and returns its number.
+// startDrain starts a drain of all machines with the drain command and returns the drain's
+// number.
 func (f *fleet) startDrain(t *testing.T) int {
 	t.Helper()
 	var lastErr error
@@ -88,8 +91,8 @@
 	return 0
 }
 
-// checkRefusals checks that invalid requests are refused with the field's name and an exit
-// code, and that a valid one is not.
+// checkRefusals checks that the drain command refuses invalid requests with a non-zero exit
+// code and the name of the invalid field, and that it accepts a valid request.
 func (f *fleet) checkRefusals(t *testing.T) {
 	t.Helper()
 	for field, args := range map[string][]string{
--- a/internal/loopback/drain_failures_test.go
+++ b/internal/loopback/drain_failures_test.go
@@ -11,23 +11,25 @@
 	"ravenport/internal/disruptioncheck"
 )
 
-// drainFailure is a failure that is injected in the middle of a drain.
+// drainFailure is a failure that is injected during a drain.
 type drainFailure struct {
 	name   string
 	isDue  drainCondition
 	inject func()
 }
 
-// drainCondition reports whether it is time for a failure: by the drain's number, the time
-// since the drain was started, and the figures at that time.
+// drainCondition reports whether a failure is due. The parameters are the drain's number,
+// the time since the start of the drain, and the figures at the start of the drain.
 type drainCondition func(number int, since time.Duration, before disruptioncheck.Figures) bool
 
-// afterDrainStart is true a time after the drain was started.
+// afterDrainStart returns a condition that is true once a duration has passed since the
+// start of the drain.
 func afterDrainStart(d time.Duration) drainCondition {
 	return func(_ int, since time.Duration, _ disruptioncheck.Figures) bool { return since > d }
 }
 
-// defaultDrainFailures returns the failures of each replacement in TestDrainOfRealProcesses.
+// defaultDrainFailures returns the failures that TestDrainOfRealProcesses injects in each
+// replacement of the fleet.
 func (f *fleet) defaultDrainFailures() []drainFailure {
 	ttl := f.controllerLeaseTTL
 	return []drainFailure{
@@ -38,17 +40,18 @@
 	}
 }
 
-// drainFailurePattern chooses the failures of TestDrainFailuresOfRealProcesses: those whose
-// names match, one in each replacement of the fleet. All of them take half an hour:
+// drainFailurePattern selects the failures of TestDrainFailuresOfRealProcesses by their
+// names. The test injects one failure in each replacement of the fleet. A run of all
+// failures takes half an hour:
 //
 //	go test ./internal/loopback -run TestDrainFailuresOfRealProcesses -v -timeout 0 -drain.failing killed
-var drainFailurePattern = flag.String("drain.failing", "", "failures to inject: an expression that their names match; empty: none")
+var drainFailurePattern = flag.String("drain.failing", "", "inject only failures whose names match this expression; empty: none")
 
-// TestDrainFailuresOfRealProcesses replaces the fleet once for each failure that is chosen.
-// It checks the same as TestDrainOfRealProcesses.
+// TestDrainFailuresOfRealProcesses replaces the fleet once for each selected failure. It
+// checks the same rules as TestDrainOfRealProcesses.
 func TestDrainFailuresOfRealProcesses(t *testing.T) {
 	if *drainFailurePattern == "" {
-		t.Skip("a long run: no failure is chosen by -drain.failing")
+		t.Skip("takes long: -drain.failing selects no failure")
 	}
 	fleet := newFleet(t, drainDeployment())
 	fleet.checkDisruptions(t)
@@ -62,7 +65,7 @@
 		fleet.awaitServiceTasks(t, replicas, time.Minute)
 		t.Logf("%s: %+v, %+v", failure.name, replacement, fleet.disruptionFigures())
 		if n := fleet.cloud.pendingMachineFailures(); n > 0 {
-			t.Errorf("%s: %d machines that were to break were never created", failure.name, n)
+			t.Errorf("%s: %d machines that were to fail were never created", failure.name, n)
 		}
 	}
 	jobs.awaitArrays(t, fleet)
@@ -70,7 +73,8 @@
 	fleet.saveEvidence(t, nil)
 }
 
-// chosenDrainFailures returns the failures that the flag chooses, by name.
+// chosenDrainFailures returns the failures that -drain.failing selects, in the order of
+// their names.
 func (f *fleet) chosenDrainFailures(t *testing.T) []drainFailure {
 	t.Helper()
 	chosen := regexp.MustCompile(*drainFailurePattern)
@@ -79,8 +83,8 @@
 	return slices.DeleteFunc(all, func(failure drainFailure) bool { return !chosen.MatchString(failure.name) })
 }
 
-// ownerFailures returns a failure for each way in which a shard's owner can fail, and each
-// point of a step at which it can.
+// ownerFailures returns one failure for each combination of a way in which a shard's owner
+// can fail and a point of a drain's step.
 func (f *fleet) ownerFailures(t *testing.T) []drainFailure {
 	var failures []drainFailure
 	for how, inject := range map[string]func(controller int){
@@ -103,7 +107,7 @@
 	return failures
 }
 
-// midwayFailures returns the failures that are injected once some tasks are replaced.
+// midwayFailures returns the failures that are injected after some tasks were replaced.
 func (f *fleet) midwayFailures(t *testing.T) []drainFailure {
 	midway := func(_ int, _ time.Duration, before disruptioncheck.Figures) bool {
 		return f.disruptionFigures().Replaced > before.Replaced+1
@@ -116,7 +120,7 @@
 		{"a zone is lost with what runs on it", midway, func() { f.loseZone("b") }},
 		{"a wave of spot machines is taken back", midway, func() {
 			if n := f.cloud.reclaimSpot(5 * time.Second); n == 0 {
-				t.Error("there was no spot machine")
+				t.Error("there was no spot instance to reclaim")
 			}
 		}},
 		{"two replacements never boot", midway, func() { f.cloud.failNextMachines(2, 0) }},
@@ -125,15 +129,15 @@
 	}
 }
 
-// restartAllControllers kills all controllers at once, and starts them again after the life
-// of a lease.
+// restartAllControllers kills all controllers at once and starts them again after the
+// duration of a lease.
 func (f *fleet) restartAllControllers() {
 	for i := range f.controllers {
 		f.killForLeaseTTL(i)
 	}
 }
 
-// loseZone ends all machines of a zone.
+// loseZone terminates all machines of a zone.
 func (f *fleet) loseZone(zone string) {
 	for _, m := range f.cloud.allMachines() {
 		if m.zone == zone {
--- a/internal/loopback/drain_points_test.go
+++ b/internal/loopback/drain_points_test.go
@@ -7,18 +7,19 @@
 	"ravenport/internal/disruptioncheck"
 )
 
-// pointPollInterval is the time between two checks whether a point of a step is reached.
+// pointPollInterval is the interval at which tests check whether a drain has reached a
+// point of a step.
 const pointPollInterval = 5 * time.Millisecond
 
-// drainPoint is a point of a drain's step, as it is seen from outside the controllers.
+// drainPoint is a point of a drain's step. Tests detect it from outside the controllers.
 type drainPoint struct {
 	name string
-	// zoneAt returns a zone in which a drain has come to the point since the figures were
-	// taken; empty: there is none.
+	// zoneAt returns a zone in which a drain has reached the point since the figures were
+	// read, or "" if there is no such zone.
 	zoneAt func(t *testing.T, f *fleet, number int, before disruptioncheck.Figures) string
 }
 
-// drainPoints are the points of a step in their order.
+// drainPoints are the points of a step, in the order in which a drain reaches them.
 var drainPoints = []drainPoint{
 	{"before the grant", func(t *testing.T, f *fleet, number int, _ disruptioncheck.Figures) string {
 		for _, progress := range f.drainView(t, number).Shards {
--- a/internal/loopback/drain_test.go
+++ b/internal/loopback/drain_test.go
@@ -11,27 +11,27 @@
 	"ravenport/records"
 )
 
-// Flags of the drain tests. The defaults are the short form that CI runs; the long one
-// replaces the fleet again and again, with the default times:
+// Flags of the drain tests. Their defaults give the short run of CI. A long run replaces the
+// fleet repeatedly, with the default times:
 //
 //	go test ./internal/loopback -run TestDrainOfRealProcesses -v -timeout 0 -drain.rounds 5 -drain.slow
 var (
-	drainRounds          = flag.Int("drain.rounds", 1, "how often the whole fleet is replaced")
-	drainDefaultTimes    = flag.Bool("drain.slow", false, "the default times instead of short ones")
+	drainRounds          = flag.Int("drain.rounds", 1, "number of replacements of the whole fleet")
+	drainDefaultTimes    = flag.Bool("drain.slow", false, "use the default times instead of short ones")
 	drainBudget          = flag.String("drain.budget", "2", "tasks of the team that may be unavailable")
-	drainWithoutFailures = flag.Bool("drain.quiet", false, "nothing fails: measure the time that a drain takes")
-	drainUnlimited       = flag.Bool("drain.naive", false, "no budget: machines are emptied as fast as they can be")
-	drainServices        = flag.Int("drain.services", 8, "services of three replicas")
+	drainWithoutFailures = flag.Bool("drain.quiet", false, "inject no failures, to measure the time that a drain takes")
+	drainUnlimited       = flag.Bool("drain.naive", false, "use no disruption budget: machines are drained as fast as possible")
+	drainServices        = flag.Int("drain.services", 8, "number of services, each with three replicas")
 )
 
-// shortDraining are settings of drains under which steps take seconds.
+// shortDraining has settings of drains with which each step takes seconds.
 const shortDraining = `disruption.stable.ms = 2000
 drain.parallel.percent = 34
 drain.array.wait.ms = 5000
 drain.replace.within.ms = 30000
 `
 
-// drainDeployment returns a deployment that can spare a third of its machines.
+// drainDeployment returns a deployment whose jobs need only two thirds of its machines.
 func drainDeployment() deployment {
 	deployment := deployment{
 		zones:           []string{"a", "b", "c"},
@@ -66,9 +66,9 @@
 	return deployment
 }
 
-// TestDrainOfRealProcesses replaces the whole fleet of a deployment at work through the
-// command line, while controllers and machines fail. By what the workers see, no voluntary
-// stop exceeds the disruption budget, no task runs twice and none is lost.
+// TestDrainOfRealProcesses replaces the whole fleet with the drain command while jobs run
+// and controllers and machines fail. The test checks the workers' view: no voluntary stop
+// exceeds the disruption budget, no task runs twice and no task is lost.
 func TestDrainOfRealProcesses(t *testing.T) {
 	fleet := newFleet(t, drainDeployment())
 	stableAfter := fleet.checkDisruptions(t)
@@ -87,14 +87,14 @@
 		t.Logf("round %d: %+v", round, replacement)
 		fleet.awaitServiceTasks(t, replicas, time.Minute)
 		if !replacement.waitedForBudget && !*drainUnlimited {
-			t.Errorf("round %d never waited for its budget", round)
+			t.Errorf("round %d: the drain never waited for the disruption budget", round)
 		}
 	}
 	after := fleet.disruptionFigures()
-	t.Logf("%d stops by choice, %d replaced, %d tasks failed, at most %d down by choice",
+	t.Logf("%d voluntary stops, %d tasks replaced, %d tasks failed, at most %d tasks voluntarily unavailable",
 		after.Stops-before.Stops, after.Replaced-before.Replaced, after.Failed-before.Failed, after.MaxVoluntary)
 	if after.Replaced == before.Replaced || !*drainWithoutFailures && after.Failed == before.Failed {
-		t.Error("nothing was moved, or nothing failed")
+		t.Error("no task was replaced, or no task failed")
 	}
 	jobs.awaitArrays(t, fleet)
 	fleet.checkNoViolations(t)
@@ -105,17 +105,18 @@
 type fleetReplacement struct {
 	machines        int
 	duration        time.Duration
-	waitedForBudget bool          // a step waited because a disruption budget was used up
-	maxDown         int           // most tasks of services that did not run, in any second
-	downTaskSeconds int           // sum of those tasks over all seconds
-	storeChanges    int           // revisions of the store, also for the job arrays
+	waitedForBudget bool          // a step waited for a disruption budget that was used up
+	maxDown         int           // maximum number of tasks of services that did not run, over all seconds
+	downTaskSeconds int           // sum of the tasks of services that did not run, over all seconds
+	storeChanges    int           // number of store revisions, including those for job arrays
 	processorTime   time.Duration // of all controllers
 }
 
-// replacementTimeout bounds one replacement of the whole fleet.
+// replacementTimeout is the time limit for one replacement of the whole fleet.
 const replacementTimeout = 10 * time.Minute
 
-// replaceFleet drains all machines that there are, while failures are injected.
+// replaceFleet drains all current machines and injects the failures meanwhile. It checks
+// that each machine was replaced.
 func (f *fleet) replaceFleet(t *testing.T, failures []drainFailure) fleetReplacement {
 	t.Helper()
 	isOld := map[string]bool{}
@@ -150,7 +151,7 @@
 			break
 		}
 		if time.Since(startedAt) > replacementTimeout || view.State == records.DrainStopped {
-			t.Fatalf("the drain does not come to its end: %+v", view)
+			t.Fatalf("the drain did not finish: %+v", view)
 		}
 	}
 	replacement.duration = time.Since(startedAt)
@@ -159,22 +160,23 @@
 	replacement.processorTime = f.processorTime() - processorTimeBefore
 	for _, m := range f.cloud.allMachines() {
 		if isOld[m.name] {
-			t.Errorf("%s is still there", m.name)
+			t.Errorf("machine %s was not terminated", m.name)
 		}
 	}
 	if len(failures) > 0 {
-		t.Errorf("it ended before %s", failures[0].name)
+		t.Errorf("the drain finished before this failure was due: %s", failures[0].name)
 	}
 	return replacement
 }
 
-// addDown adds the number of tasks of services that do not run in one second.
+// addDown adds the number of tasks of services that did not run in one second.
 func (r *fleetReplacement) addDown(down int) {
 	r.maxDown = max(r.maxDown, down)
 	r.downTaskSeconds += down
 }
 
-// waitsForBudget reports whether a drain waits in a shard for a disruption budget.
+// waitsForBudget reports whether a drain waits in a shard because a disruption budget is
+// used up.
 func waitsForBudget(progress drain.ShardProgress) bool {
 	return strings.Contains(progress.WaitingFor, "used up")
 }
