--- a/internal/loopback/evidence_test.go
+++ b/internal/loopback/evidence_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// saveEvidence saves the samples and the controllers' logs if the test has failed or the
-// flag names a directory for them, and logs where they are.
+// saveEvidence saves the samples and the controllers' logs if the test has failed or
+// -takeover.keep names a directory, and logs the path of the files.
 func (f *fleet) saveEvidence(t *testing.T, samples []sample) {
 	t.Helper()
 	if !t.Failed() && *evidenceDir == "" {
@@ -35,7 +35,7 @@
 	}
 }
 
-// sampleTable returns samples as a table, one a line.
+// sampleTable returns a table with one line for each sample.
 func sampleTable(samples []sample) string {
 	var text strings.Builder
 	fmt.Fprintln(&text, "second waiting unassigned changes cpus machines free longest_s machine owners leader")
--- a/internal/loopback/failover_figures_test.go
+++ b/internal/loopback/failover_figures_test.go
@@ -10,30 +10,33 @@
 	"time"
 )
 
-// failover holds the figures of one failover. Durations count from the start of the
-// failure; 0: it was not seen.
+// failover has the figures of one failover. Durations count from the injection of the
+// failure. A duration of 0 means that the event was not observed.
 type failover struct {
-	moved        bool          // the shard has another term
+	moved        bool          // the shard's term has changed
 	suspected    time.Duration // until another controller suspected the failed one
 	declared     time.Duration // until another controller declared it failed
 	acquired     time.Duration // until another controller acquired the shard's term
 	firstCommand time.Duration // until a worker executed the new owner's first command
-	// Of controllers that did not fail.
+	// Number of times that a controller that had not failed was suspected or declared
+	// failed.
 	falseSuspicions   int
 	falseDeclarations int
 }
 
-// stateChangeLine matches a line of a controller's log about another controller's state.
+// stateChangeLine matches a line of a controller's log on a change of another controller's
+// state.
 var stateChangeLine = regexp.MustCompile(`^time=(\S+) .*msg="controller's state changed" controller=(\S+) from=\S+ to=(\S+) evidence=(\[.*?\]|"\[.*?\]")`)
 
-// readStateChanges reads from the controllers' logs when they suspected a failed controller
-// and declared it failed.
+// readStateChanges reads from the controllers' logs when other controllers suspected the
+// failed controller and declared it failed. If the failure is harmless, every suspicion and
+// declaration counts as false.
 func (f *fleet) readStateChanges(startedAt time.Time, failed string, harmless bool) failover {
 	var figures failover
 	for _, c := range f.controllers {
 		text, err := os.ReadFile(c.log.Name())
 		if err != nil || c.name == failed {
-			continue // a failed controller's own view of the others does not count
+			continue // the failed controller's view of the others does not count
 		}
 		for line := range strings.Lines(string(text)) {
 			fields := stateChangeLine.FindStringSubmatch(line)
@@ -51,7 +54,8 @@
 	return figures
 }
 
-// addStateChange adds a change of a controller's state to the figures.
+// addStateChange adds a change of a controller's state to the figures. hasFailed says
+// whether that controller has failed.
 func (x *failover) addStateChange(hasFailed bool, state string, after time.Duration) {
 	switch {
 	case state == "suspect" && hasFailed:
@@ -65,14 +69,14 @@
 	}
 }
 
-// setEarliest sets a duration that is 0, or lowers it to an earlier one.
+// setEarliest sets *earliest to d if *earliest is 0 or later than d.
 func setEarliest(earliest *time.Duration, d time.Duration) {
 	if *earliest == 0 || d < *earliest {
 		*earliest = d
 	}
 }
 
-// logSummary logs the figures of a kind of failure as a row of a table.
+// logSummary logs the figures of one kind of failure as a table row.
 func logSummary(t *testing.T, failure failure, failovers []failover) {
 	t.Helper()
 	var suspected, declared, acquired, firstCommand []time.Duration
@@ -92,8 +96,8 @@
 		summarize(suspected), summarize(declared), summarize(acquired), summarize(firstCommand), falseSuspicions, falseDeclarations)
 }
 
-// summarize returns the median, 95th percentile and maximum (s) of the durations that are
-// not 0, and their number.
+// summarize returns the median, the 95th percentile and the maximum (s) of the durations
+// above 0, and the number of these durations.
 func summarize(durations []time.Duration) string {
 	measured := slices.DeleteFunc(durations, func(d time.Duration) bool { return d <= 0 })
 	if len(measured) == 0 {
--- a/internal/loopback/failover_test.go
+++ b/internal/loopback/failover_test.go
@@ -11,29 +11,29 @@
 	"ravenport/history"
 )
 
-// Flags of the failover tests. The defaults are the short form that CI runs; the long one
-// is, for one size of deployment:
+// Flags of the failover tests. Their defaults give the short run of CI. A long run, for one
+// size of deployment, is:
 //
 //	go test ./internal/loopback -run TestTakeoverOfRealProcesses -v -timeout 0 -takeover.rounds 30 -takeover.slow -takeover.controllers 5
 var (
-	failoverRounds         = flag.Int("takeover.rounds", 1, "failures of each kind")
+	failoverRounds         = flag.Int("takeover.rounds", 1, "number of failures of each kind")
 	failoverControllers    = flag.Int("takeover.controllers", 3, "controllers")
-	failoverMachines       = flag.Int("takeover.machines", 24, "machines that the cloud has at most")
-	failoverDefaultTimes   = flag.Bool("takeover.slow", false, "the default times instead of short ones")
+	failoverMachines       = flag.Int("takeover.machines", 24, "maximum number of machines of the cloud")
+	failoverDefaultTimes   = flag.Bool("takeover.slow", false, "use the default times instead of short ones")
 	failoverPattern        = flag.String("takeover.only", "", "inject only failures whose names match this expression")
 	failoverEarlierProgram = flag.String("takeover.earlier", "", "a program of an earlier version, without failure detection, that the first controller runs")
-	evidenceDir            = flag.String("takeover.keep", "", "directory in which logs and the second-by-second table are kept also if nothing fails")
+	evidenceDir            = flag.String("takeover.keep", "", "directory in which logs and the second-by-second table are saved even if the test passes")
 	failoverDetection      = flag.Bool("takeover.detection", true, "failure detection is on")
 )
 
 const (
-	// largeFleet is a number of machines; a fleet of more is filled with services of
-	// largeServiceReplicas each.
+	// largeFleet is a number of machines. A fleet with more machines is filled with services
+	// of largeServiceReplicas replicas each.
 	largeFleet           = 100
 	largeServiceReplicas = 400
 )
 
-// shortDetection are settings of failure detection under which it takes seconds.
+// shortDetection has settings with which failure detection takes seconds.
 const shortDetection = `detection.heartbeat.ms = 250
 detection.suspect.min.ms = 700
 detection.suspect.max.ms = 2000
@@ -41,8 +41,8 @@
 detection.probe.timeout.ms = 250
 detection.stall.ms = 2000`
 
-// failoverDeployment returns a deployment with short times, so that a failover takes
-// seconds, or with the default ones.
+// failoverDeployment returns a deployment with the default times, or with short times so
+// that a failover takes seconds.
 func failoverDeployment() deployment {
 	deployment := deployment{
 		zones:           []string{"a", "b", "c"},
@@ -65,7 +65,7 @@
 		controllerLeaseTTL:  2 * time.Second,
 		canPartition:        true,
 	}
-	if *failoverMachines > largeFleet { // a replica takes an eighth of a machine; the rest is for job arrays
+	if *failoverMachines > largeFleet { // a replica uses an eighth of a machine; the remaining capacity is for job arrays
 		deployment.services = *failoverMachines * 7 / largeServiceReplicas
 		deployment.replicas = largeServiceReplicas
 	}
@@ -79,10 +79,10 @@
 	return deployment
 }
 
-// TestTakeoverOfRealProcesses lets real controllers on loopback fail while jobs are
-// submitted and run. A controller that fails is replaced automatically, one that does not
-// fail is not; no task runs twice, none is lost, and term acquisitions and executed commands
-// are linearizable.
+// TestTakeoverOfRealProcesses injects failures into real controller processes while jobs
+// are submitted and run. It checks that another controller takes over from a failed owner,
+// that an owner that did not fail keeps its shard, that no task runs twice and no task is
+// lost, and that term acquisitions and executed commands are linearizable.
 func TestTakeoverOfRealProcesses(t *testing.T) {
 	deployment := failoverDeployment()
 	deployment.earlierProgram = *failoverEarlierProgram
@@ -114,13 +114,14 @@
 func (f *fleet) failOwner(t *testing.T, failure failure, zone string) failover {
 	t.Helper()
 	if failure.harmless || failure.needsDetection {
-		// A shard whose owner is in another zone may move for that reason alone.
+		// A shard whose owner is in another zone may move only because of that, without any
+		// failure.
 		zone = f.awaitLocalOwner(t)
 	}
 	name, term := f.store.shardOwner(zone)
 	owner := f.controllerIndex(name)
 	if owner < 0 {
-		t.Fatalf("nobody owns the shard of %s", zone)
+		t.Fatalf("the shard of zone %s has no owner", zone)
 	}
 	limit := 8*f.controllerLeaseTTL + 10*time.Second
 	if failure.harmless {
@@ -146,13 +147,13 @@
 		}
 	}
 	if failure.harmless && figures.moved {
-		t.Errorf("%s: the shard of %s went from %s, term %d, to %s, term %d", failure.name, zone, name, term, newName, newTerm)
+		t.Errorf("%s: the shard of zone %s moved from %s, term %d, to %s, term %d", failure.name, zone, name, term, newName, newTerm)
 	}
 	if !failure.harmless && !figures.moved && (*failoverDetection || !failure.needsDetection) {
-		t.Errorf("%s: nobody took the shard of %s over within %s", failure.name, zone, limit)
+		t.Errorf("%s: no controller took over the shard of zone %s within %s", failure.name, zone, limit)
 	}
 	if failure.needsDetection && figures.moved && figures.declared == 0 {
-		t.Errorf("%s: it moved, and nobody declared it failed", failure.name)
+		t.Errorf("%s: the shard moved, but no controller declared its owner failed", failure.name)
 	}
 	if figures.falseDeclarations > 0 {
 		t.Errorf("%s: %d controllers that had not failed were declared failed", failure.name, figures.falseDeclarations)
@@ -160,7 +161,8 @@
 	return figures
 }
 
-// awaitFirstCommand waits until a worker executes a command of a new term, or for too long.
+// awaitFirstCommand waits until a worker has executed a command of a new term, or until the
+// duration of a lease and 3 s have passed.
 func (f *fleet) awaitFirstCommand(zone string, term uint64) {
 	end := time.Now().Add(f.controllerLeaseTTL + 3*time.Second)
 	for time.Now().Before(end) && f.observer.firstCommand(zone, term).IsZero() {
@@ -168,8 +170,8 @@
 	}
 }
 
-// awaitLocalOwner waits for a zone whose shard is owned by a controller in it, and returns
-// the zone.
+// awaitLocalOwner waits until a controller owns the shard of its own zone, and returns the
+// zone.
 func (f *fleet) awaitLocalOwner(t *testing.T) string {
 	t.Helper()
 	for end := time.Now().Add(2 * time.Minute); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
@@ -179,12 +181,12 @@
 			}
 		}
 	}
-	t.Fatal("no shard is at home")
+	t.Fatal("no shard is owned by a controller of its zone")
 	return ""
 }
 
-// checkRules checks what workers and store saw over the whole test: no rule is violated,
-// ownership is linearizable, and membership events were kept.
+// checkRules checks the observations of the workers and the store over the whole test: no
+// rule was violated, ownership is linearizable, and membership events were stored.
 func (f *fleet) checkRules(t *testing.T) {
 	t.Helper()
 	f.checkNoViolations(t)
@@ -200,7 +202,7 @@
 	eventCount := 0
 	for _, c := range f.controllers {
 		if c.program != f.program {
-			continue // an earlier version keeps none
+			continue // the earlier version stores no membership events
 		}
 		events, err := history.Read(f.historyPath(c))
 		if err != nil {
@@ -209,19 +211,19 @@
 		eventCount += len(events)
 	}
 	if eventCount == 0 {
-		t.Error("no membership event was kept")
+		t.Error("no membership event was stored")
 	}
 }
 
-var idleDuration = flag.Duration("takeover.rest", 0, "how long controllers at rest are measured")
+var idleDuration = flag.Duration("takeover.rest", 0, "how long idle controllers are measured")
 
-// TestRestingControllers measures the processor time that controllers take while nothing
-// happens, with and without failure detection:
+// TestRestingControllers measures the processor time of idle controllers, with or without
+// failure detection (-takeover.detection):
 //
 //	go test ./internal/loopback -run TestRestingControllers -v -takeover.rest 60s
 func TestRestingControllers(t *testing.T) {
 	if *idleDuration == 0 {
-		t.Skip("a measurement: -takeover.rest says for how long")
+		t.Skip("nothing to measure: -takeover.rest is not set")
 	}
 	f := newFleet(t, failoverDeployment())
 	time.Sleep(10 * time.Second)
--- a/internal/loopback/failures_test.go
+++ b/internal/loopback/failures_test.go
@@ -9,18 +9,18 @@
 // failure is a kind of failure of a shard's owner.
 type failure struct {
 	name string
-	// inject makes the owner fail, and repair ends the failure once the shard has moved.
+	// inject makes the owner fail. repair ends the failure after the shard has moved.
 	inject func(f *fleet, owner int)
 	repair func(f *fleet, owner int)
-	// harmless: the shard must keep its owner, for as long as duration.
+	// harmless means that the shard must keep its owner for the duration.
 	harmless bool
 	duration time.Duration
-	// needsDetection: nothing but failure detection notices the failure.
+	// needsDetection means that only failure detection notices the failure.
 	needsDetection bool
 }
 
-// controllerFailures returns all kinds of failures. Their names are those of the figures in
-// docs/failure-detection.md.
+// controllerFailures returns all kinds of failures. The figures in
+// docs/failure-detection.md use the same names.
 func controllerFailures(deployment deployment) []failure {
 	kill := func(f *fleet, owner int) { f.controllers[owner].kill() }
 	pause := func(f *fleet, owner int) { f.signalController(owner, syscall.SIGSTOP) }
@@ -51,7 +51,7 @@
 	}
 }
 
-// flapLinks cuts and repairs a controller's links to the others again and again.
+// flapLinks repeatedly cuts and repairs the links between a controller and the others.
 func (f *fleet) flapLinks(controller int, d time.Duration) {
 	isCut := true
 	for end := time.Now().Add(d); time.Now().Before(end); {
@@ -62,7 +62,7 @@
 	f.links.setIsolated(controller, false)
 }
 
-// pauseAtRandom pauses every process for a part of the time, as on a machine with too
+// pauseAtRandom repeatedly pauses a randomly chosen controller, as on a machine with too
 // little processor time.
 func (f *fleet) pauseAtRandom(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); {
@@ -74,24 +74,25 @@
 	}
 }
 
-// killForLeaseTTL kills a controller, and starts it again after the life of its lease.
+// killForLeaseTTL kills a controller and starts it again after the duration of its lease.
 func (f *fleet) killForLeaseTTL(controller int) {
 	f.controllers[controller].kill()
 	time.AfterFunc(f.controllerLeaseTTL, func() { f.restartController(controller) })
 }
 
-// pausePastLease pauses a controller for twice the life of its lease.
+// pausePastLease pauses a controller for twice the duration of its lease.
 func (f *fleet) pausePastLease(controller int) {
 	c := f.controllers[controller]
 	c.paused.Store(true)
-	_ = c.process.Process.Signal(syscall.SIGSTOP) // it may have ended by itself
+	_ = c.process.Process.Signal(syscall.SIGSTOP) // the process may have ended by itself
 	time.AfterFunc(2*f.controllerLeaseTTL, func() {
 		_ = c.process.Process.Signal(syscall.SIGCONT)
 		c.paused.Store(false)
 	})
 }
 
-// partitionPastLease cuts a controller from the store for twice the life of its lease.
+// partitionPastLease cuts a controller off from the store for twice the duration of its
+// lease.
 func (f *fleet) partitionPastLease(controller int) {
 	link := f.links.store[controller]
 	link.setCut(true)
