--- a/internal/loopback/drain_test.go
+++ b/internal/loopback/drain_test.go
@@ -31,7 +31,8 @@
 drain.replace.within.ms = 30000
 `
 
-// drainDeployment returns a deployment whose jobs need only two thirds of its machines.
+// drainDeployment returns a deployment that can run its jobs while a third of its machines
+// are drained.
 func drainDeployment() deployment {
 	deployment := deployment{
 		zones:           []string{"a", "b", "c"},
--- a/internal/loopback/fleet_test.go
+++ b/internal/loopback/fleet_test.go
@@ -16,29 +16,29 @@
 	"ravenport/server"
 )
 
-// requestTimeout is how long a user waits for a reply.
+// requestTimeout is the time that a user waits for a reply.
 const requestTimeout = 5 * time.Second
 
-// leaseCheckInterval is how often the stand-in store looks for expired leases.
+// leaseCheckInterval is the interval at which the fake store checks for expired leases.
 const leaseCheckInterval = 50 * time.Millisecond
 
-// maxFakeServerConnections bounds the connections of one stand-in.
+// maxFakeServerConnections limits the connections of one fake server.
 const maxFakeServerConnections = 10_000
 
-// clientLimits bound the replies that the stand-ins of workers and users read.
+// clientLimits limits the size of the replies that the fake workers and users read.
 var clientLimits = httpwire.Limits{Header: 8 << 10, Body: 1 << 20}
 
-// fleet is a running deployment: the controllers' processes and the stand-ins.
+// fleet is a running deployment: the controllers' processes and the fakes around them.
 type fleet struct {
 	deployment
-	dir            string // settings, logs and histories of the controllers
-	program        string // path of the built controller
+	dir            string // directory of the controllers' settings, logs and histories
+	program        string // path of the controller program
 	controllers    []*controller
 	store          *store
 	cloud          *cloud
 	observer       *observer
-	cutFromWorkers []atomic.Bool // by controller: workers' heartbeats do not reach it
-	links          *links        // nil: no link can be cut
+	cutFromWorkers []atomic.Bool // by controller: whether workers' heartbeats do not reach the controller
+	links          *links        // nil: links cannot be cut
 
 	// Counters of what workers sent and received.
 	heartbeats     atomic.Int64
@@ -46,13 +46,13 @@
 	taskStarts     atomic.Int64
 
 	mu            sync.Mutex
-	taskDurations map[string]time.Duration    // by job; absent: its tasks run until stopped
+	taskDurations map[string]time.Duration    // by job; absent: the job's tasks run until stopped
 	clients       map[string]*httpwire.Client // by worker and controller
 	jobSeq        int                         // number of the latest job
 }
 
-// newFleet builds the program, and starts the stand-ins and the controllers. The
-// controllers and workers end with the test.
+// newFleet builds the program and starts the fakes and the controllers. The controllers and
+// workers are terminated at the end of the test.
 func newFleet(tb testing.TB, deployment deployment) *fleet {
 	tb.Helper()
 	nextSite(tb)
@@ -72,7 +72,7 @@
 	serveFakes(tb, fleet)
 	fleet.program = filepath.Join(fleet.dir, "ravenport")
 	if output, err := exec.Command("go", "build", "-o", fleet.program, "ravenport/cmd/ravenport").CombinedOutput(); err != nil {
-		tb.Fatalf("building: %v\n%s", err, output)
+		tb.Fatalf("cannot build ravenport: %v\n%s", err, output)
 	}
 	if deployment.canPartition {
 		fleet.links = newLinks(tb, deployment.numControllers())
@@ -91,7 +91,7 @@
 	return fleet
 }
 
-// serveFakes serves the store and the cloud until the process ends.
+// serveFakes serves the fake store and the fake cloud until the process ends.
 func serveFakes(tb testing.TB, f *fleet) {
 	tb.Helper()
 	handlers := map[string]server.Handler{storeAddr(): f.store.handle, cloudAddr(): f.cloud.handle}
@@ -102,7 +102,7 @@
 		select {
 		case <-s.Ready():
 		case err := <-ended:
-			tb.Fatalf("a stand-in at %s: %v", addr, err)
+			tb.Fatalf("fake server at %s: %v", addr, err)
 		}
 	}
 	go func() {
@@ -112,7 +112,7 @@
 	}()
 }
 
-// controllerIndex returns the index of a controller by its name, or -1.
+// controllerIndex returns the index of the controller with a name, or -1 if there is none.
 func (f *fleet) controllerIndex(name string) int {
 	for i, c := range f.controllers {
 		if c.name == name {
--- a/internal/loopback/jobs_test.go
+++ b/internal/loopback/jobs_test.go
@@ -10,13 +10,13 @@
 	"ravenport/wire"
 )
 
-// CPUs that a task takes, by the kind of its job.
+// CPUs of one task, by the kind of its job.
 const (
 	arrayTaskCPUs   = 4.0
 	serviceTaskCPUs = 2.0
 )
 
-// imageCount is the number of images that the jobs use in turn.
+// imageCount is the number of different images. The jobs use the images in turn.
 const imageCount = 12
 
 // nextService returns the next service to be submitted.
@@ -49,7 +49,7 @@
 	return s
 }
 
-// nextJob returns what all jobs have in common.
+// nextJob returns a submission with a new job id and the fields that all jobs share.
 func (f *fleet) nextJob() wire.Submission {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -62,8 +62,9 @@
 	}
 }
 
-// submissionBody encodes a submission. The flags are always written: the protocol requires
-// them, and wire omits those that are false.
+// submissionBody encodes a submission. It adds the fields of type bool to the encoded
+// submission, because the protocol requires them and package wire omits those that are
+// false.
 func submissionBody(s wire.Submission) []byte {
 	body, err := json.Marshal(struct {
 		wire.Submission
@@ -72,19 +73,19 @@
 		Spot    bool `json:"loaners"`
 	}{s, s.OneZone, s.Spread, s.Spot})
 	if err != nil {
-		panic(err) // a type of wire
+		panic(err) // cannot occur: wire.Submission can be encoded
 	}
 	return body
 }
 
-// pollInterval is the time between two polls of a job, and pollDuration how long it is
-// polled.
+// pollInterval is the time between two polls of a job. pollDuration is the time during which
+// the job is polled.
 const (
 	pollInterval = 5 * time.Second
 	pollDuration = time.Minute
 )
 
-// submitAndPoll submits a job in the background and polls it from then on.
+// submitAndPoll submits a job in the background and then polls the job for pollDuration.
 func (f *fleet) submitAndPoll(s wire.Submission) {
 	body := submissionBody(s)
 	go func() {
@@ -96,7 +97,7 @@
 	}()
 }
 
-// isJobDone polls a job and reports whether it is done.
+// isJobDone polls a job and reports whether the job is done.
 func (f *fleet) isJobDone(t *testing.T, id string) bool {
 	t.Helper()
 	var s wire.JobStatus
@@ -106,7 +107,8 @@
 	return s.Status == wire.JobDone
 }
 
-// isArrayTask reports whether a task belongs to a job array: only those end by themselves.
+// isArrayTask reports whether a task belongs to a job array. Only tasks of job arrays end
+// by themselves.
 func (f *fleet) isArrayTask(task string) bool {
 	job, _, _ := wire.ParseTaskName(task)
 	f.mu.Lock()
@@ -114,7 +116,7 @@
 	return f.taskDurations[job] > 0
 }
 
-// taskCPUs returns the CPUs that a task takes.
+// taskCPUs returns the number of CPUs of a task.
 func (f *fleet) taskCPUs(task string) float64 {
 	if f.isArrayTask(task) {
 		return arrayTaskCPUs
@@ -122,8 +124,8 @@
 	return serviceTaskCPUs
 }
 
-// randomTaskDuration returns how long a task runs: half to one and a half times its job's
-// duration; 0 for a task that runs until it is stopped.
+// randomTaskDuration returns the run time of a task: between half and one and a half times
+// the duration of its job, or 0 for a task that runs until it is stopped.
 func (f *fleet) randomTaskDuration(task string) time.Duration {
 	job, _, _ := wire.ParseTaskName(task)
 	f.mu.Lock()
--- a/internal/loopback/links_test.go
+++ b/internal/loopback/links_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// link is a TCP proxy that stands in for the network between two processes. While it is
-// cut, connections hang: nothing is forwarded, and nothing is refused.
+// link is a TCP proxy that simulates the network between two processes. While a link is
+// cut, its connections hang: the proxy accepts connections but forwards no data.
 type link struct {
 	listener net.Listener
 	target   string // address
@@ -21,7 +21,7 @@
 	conns map[net.Conn]struct{}
 }
 
-// newLink opens a link to a target on a free port.
+// newLink opens a link to a target. The link listens on a free port.
 func newLink(target string) (*link, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -48,7 +48,7 @@
 	}
 }
 
-// proxy connects an accepted connection to the target and copies both ways.
+// proxy connects an accepted connection to the target and copies data in both directions.
 func (l *link) proxy(client net.Conn) {
 	if !l.register(client) {
 		return
@@ -63,7 +63,7 @@
 		return
 	}
 	copyOneWay := func(to, from net.Conn) {
-		_, _ = io.Copy(linkWriter{l, to}, from) // either side's end ends both
+		_, _ = io.Copy(linkWriter{l, to}, from) // an error or the end of one connection closes both
 		l.closeConn(client)
 		l.closeConn(upstream)
 	}
@@ -71,8 +71,8 @@
 	copyOneWay(client, upstream)
 }
 
-// register remembers an open connection, and reports whether it may be used: on a cut link
-// it stays open and hangs.
+// register records an open connection and reports whether the connection may be used. On a
+// cut link, the connection stays open without being used, so that it hangs.
 func (l *link) register(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,7 +80,7 @@
 	return !l.isCut
 }
 
-// closeConn closes a connection and forgets it.
+// closeConn closes a connection and removes it from the open connections.
 func (l *link) closeConn(c net.Conn) {
 	l.mu.Lock()
 	delete(l.conns, c)
@@ -88,7 +88,7 @@
 	c.Close()
 }
 
-// setCut cuts the link, or repairs it. Repairing it closes the connections that hang.
+// setCut cuts or repairs the link. A repair closes all connections, since they hang.
 func (l *link) setCut(isCut bool) {
 	l.mu.Lock()
 	wasCut := l.isCut
@@ -110,8 +110,8 @@
 	l.setCut(false)
 }
 
-// linkWriter writes to a connection as long as the link is not cut, and discards what is
-// written while it is.
+// linkWriter writes to a connection while the link is not cut. It discards the data while
+// the link is cut.
 type linkWriter struct {
 	link *link
 	conn net.Conn
@@ -129,11 +129,12 @@
 
 // links are the links of a deployment's controllers.
 type links struct {
-	peers [][]*link // from one controller to another, by index; nil to itself
-	store []*link   // from a controller to the store, by index
+	peers [][]*link // by index of the calling and the called controller; nil if they are the same
+	store []*link   // by index of the controller that calls the store
 }
 
-// newLinks opens the links of a number of controllers until the test ends.
+// newLinks opens the links of a number of controllers. The links are closed at the end of
+// the test.
 func newLinks(tb testing.TB, controllers int) *links {
 	tb.Helper()
 	l := &links{}
@@ -157,7 +158,7 @@
 	return l
 }
 
-// setInboundCut cuts the calls of other controllers to one, or repairs them.
+// setInboundCut cuts or repairs the links from the other controllers to one controller.
 func (l *links) setInboundCut(to int, isCut bool) {
 	for from := range l.peers {
 		if from != to {
@@ -166,7 +167,7 @@
 	}
 }
 
-// setOutboundCut cuts the calls of a controller to the others, or repairs them.
+// setOutboundCut cuts or repairs the links from one controller to the other controllers.
 func (l *links) setOutboundCut(from int, isCut bool) {
 	for to, link := range l.peers[from] {
 		if to != from {
@@ -175,7 +176,8 @@
 	}
 }
 
-// setIsolated cuts the calls between a controller and the others, or repairs them.
+// setIsolated cuts or repairs the links between one controller and the others, in both
+// directions.
 func (l *links) setIsolated(controller int, isCut bool) {
 	l.setInboundCut(controller, isCut)
 	l.setOutboundCut(controller, isCut)
