--- a/internal/loopback/machine_commands_test.go
+++ b/internal/loopback/machine_commands_test.go
@@ -10,13 +10,13 @@
 	"ravenport/wire"
 )
 
-// commandLimits bound the requests that a worker reads.
+// commandLimits limits the size of the requests that a worker reads.
 var commandLimits = httpwire.Limits{Header: 8 << 10, Body: 64 << 10}
 
-// readBufferSize is what a worker reads of a connection at once (bytes).
+// readBufferSize is the size of a worker's read buffer (bytes).
 const readBufferSize = 8 << 10
 
-// listen serves direct commands until the machine ends.
+// listen serves direct commands until the machine is terminated.
 func (m *machine) listen(f *fleet) error {
 	listener, err := net.Listen("tcp4", m.addr)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// serveConnection responds to the requests of one connection, one after another.
+// serveConnection responds to the requests of one connection in sequence.
 func (m *machine) serveConnection(f *fleet, conn net.Conn) {
 	defer conn.Close()
 	var received []byte
@@ -64,8 +64,8 @@
 	}
 }
 
-// handleCommands executes the direct commands of a request, unless they are fenced or of
-// another epoch.
+// handleCommands executes the direct commands of a request. It rejects the commands if their
+// fencing token is lower than the worker's, or if they are for another epoch of the worker.
 func (m *machine) handleCommands(f *fleet, body []byte) *httpwire.Response {
 	var request wire.CommandRequest
 	if err := json.Unmarshal(body, &request); err != nil {
@@ -82,8 +82,9 @@
 	return &httpwire.Response{Status: status, Body: m.nextHeartbeat()}
 }
 
-// executeUnderToken executes commands under a fencing token, in a request or an exchange
-// that began at a time. The caller holds the lock.
+// executeUnderToken executes commands under a fencing token. startedAt is the start of the
+// request or the heartbeat exchange that contained the commands. The caller must hold the
+// lock.
 func (m *machine) executeUnderToken(f *fleet, token uint64, commands []wire.Command, startedAt time.Time) {
 	isHigher := token > m.fencingToken
 	m.fencingToken = token
@@ -93,8 +94,8 @@
 	m.execute(f, commands)
 }
 
-// execute executes commands in order. A command that was executed before changes nothing.
-// The caller holds the lock.
+// execute executes commands in order. Repeated commands have no effect. The caller must hold
+// the lock.
 func (m *machine) execute(f *fleet, commands []wire.Command) {
 	for _, c := range commands {
 		at := slices.IndexFunc(m.tasks, func(t *task) bool { return t.Task == c.Task && t.Attempt == c.Attempt })
@@ -111,7 +112,7 @@
 	}
 }
 
-// start starts an attempt. The caller holds the lock.
+// start starts an attempt. The caller must hold the lock.
 func (m *machine) start(c wire.Command, duration time.Duration) {
 	t := &task{changesAt: time.Now().Add(imageFetchTime), duration: duration}
 	t.Task = c.Task
@@ -124,8 +125,8 @@
 	m.requestHeartbeat()
 }
 
-// stop stops an attempt that has not ended. It is a voluntary stop of a running task only
-// if the machine is not being reclaimed. The caller holds the lock.
+// stop stops an attempt, unless the attempt has ended. A stop is voluntary only if the task
+// is running and the machine is not being reclaimed. The caller must hold the lock.
 func (m *machine) stop(t *task) {
 	if t.State == wire.TaskExited {
 		return
--- a/internal/loopback/machine_failures_test.go
+++ b/internal/loopback/machine_failures_test.go
@@ -6,8 +6,8 @@
 	"ravenport/wire"
 )
 
-// failNextMachines makes some of the next machines never boot, and some after them fail all their
-// tasks.
+// failNextMachines makes a number of the next created machines never boot. A number of
+// machines that are created after those fail all their tasks.
 func (c *cloud) failNextMachines(neverBoot, failTasks int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -15,14 +15,16 @@
 	c.failTasksNext = failTasks
 }
 
-// pendingMachineFailures returns the number of machines of breakNext that were not created yet.
+// pendingMachineFailures returns the number of machines that failNextMachines has asked for
+// and that were not created yet.
 func (c *cloud) pendingMachineFailures() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.neverBootNext + c.failTasksNext
 }
 
-// reclaimSpot reclaims all spot instances after a notice, and returns their number.
+// reclaimSpot gives all spot instances notice, reclaims them when the notice ends, and
+// returns their number.
 func (c *cloud) reclaimSpot(notice time.Duration) int {
 	n := 0
 	for _, m := range c.allMachines() {
@@ -39,7 +41,7 @@
 	return n
 }
 
-// machineZone returns the zone of a machine; empty if it is gone.
+// machineZone returns the zone of a machine, or "" if the machine does not exist any more.
 func (f *fleet) machineZone(machine string) string {
 	f.cloud.mu.Lock()
 	defer f.cloud.mu.Unlock()
@@ -49,7 +51,7 @@
 	return ""
 }
 
-// failServiceTask makes one running task of a service on a machine end with an error.
+// failServiceTask lets one running task of a service on a machine exit with an error.
 func (f *fleet) failServiceTask(machine string) {
 	f.cloud.mu.Lock()
 	m := f.cloud.machines[machine]
--- a/internal/loopback/machine_heartbeats_test.go
+++ b/internal/loopback/machine_heartbeats_test.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// replyTimeout is after which time without a reply a worker turns to the next
+	// replyTimeout is the time without a reply after which a worker tries the next
 	// controller.
 	replyTimeout = 4 * time.Second
-	// minHeartbeatInterval is the least time between two heartbeats of a worker.
+	// minHeartbeatInterval is the minimum time between two heartbeats of a worker.
 	minHeartbeatInterval = 500 * time.Millisecond
-	// retryDelay is how long a worker waits after a failed heartbeat.
+	// retryDelay is the time that a worker waits after a failed heartbeat.
 	retryDelay = time.Second
 )
 
-// run sends heartbeats, to one controller at a time, until the machine ends.
+// run sends heartbeats to one controller at a time until the machine is terminated.
 func (m *machine) run(fleet *fleet) {
 	if err := m.listen(fleet); err != nil {
 		panic(fmt.Sprintf("listening on %s: %v", m.addr, err))
@@ -58,8 +58,8 @@
 	}
 }
 
-// sendHeartbeat sends one heartbeat to a controller. It returns the controller for the
-// next one, and whether that one is due at once.
+// sendHeartbeat sends one heartbeat to a controller. It returns the controller for the next
+// heartbeat, and whether that heartbeat is due immediately.
 func (m *machine) sendHeartbeat(fleet *fleet, target int) (next int, immediately bool) {
 	if fleet.cutFromWorkers[target].Load() {
 		time.Sleep(replyTimeout)
@@ -89,15 +89,16 @@
 	return fleet.nextController(target), true
 }
 
-// nextController returns the index of the controller that a worker turns to after one.
+// nextController returns the index of the controller that a worker tries after controller i.
 func (f *fleet) nextController(i int) int { return (i + 1) % len(f.controllers) }
 
-// handleReply renews the lease and executes the commands of a reply, unless it is out of
-// date.
+// handleReply renews the worker's lease and executes the commands of a reply. It ignores a
+// reply with a lower fencing token than the worker's, a reply to a heartbeat of an earlier
+// epoch, and any reply after the machine was terminated.
 func (m *machine) handleReply(f *fleet, body []byte, sentAt time.Time, epoch uint64) {
 	var reply wire.HeartbeatReply
 	if err := json.Unmarshal(body, &reply); err != nil {
-		panic(fmt.Sprintf("unreadable reply to a heartbeat: %v", err))
+		panic(fmt.Sprintf("cannot decode reply to heartbeat: %v", err))
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -111,7 +112,7 @@
 	m.executeUnderToken(f, reply.FencingToken, reply.Commands, sentAt)
 }
 
-// nextHeartbeat encodes the next heartbeat. The caller holds the lock.
+// nextHeartbeat encodes the next heartbeat. The caller must hold the lock.
 func (m *machine) nextHeartbeat() []byte {
 	m.advance()
 	m.seq++
@@ -135,12 +136,13 @@
 	}
 	body, err := json.Marshal(heartbeat)
 	if err != nil {
-		panic(err) // a type of wire
+		panic(err) // cannot occur: wire.Heartbeat can be encoded
 	}
 	return body
 }
 
-// requestHeartbeat has the next heartbeat sent soon. It does not block.
+// requestHeartbeat requests that the next heartbeat is sent before its regular time. It
+// does not block.
 func (m *machine) requestHeartbeat() {
 	select {
 	case m.heartbeatDue <- struct{}{}:
--- a/internal/loopback/machine_test.go
+++ b/internal/loopback/machine_test.go
@@ -8,7 +8,7 @@
 	"ravenport/wire"
 )
 
-// machine stands in for a machine with its worker.
+// machine is a fake machine with its worker.
 type machine struct {
 	name       string
 	addr       string
@@ -16,21 +16,21 @@
 	spot       bool
 	createdAt  time.Time
 	neverBoots bool
-	failsTasks bool // every task that starts on it fails
+	failsTasks bool // every task that starts on the machine fails
 	lease      time.Duration
 	observer   *observer
 	done       chan struct{} // closed when the machine is terminated
 	terminated atomic.Bool
-	// heartbeatDue has the next heartbeat sent before its time.
+	// heartbeatDue requests that the next heartbeat is sent before its regular time.
 	heartbeatDue chan struct{}
 
 	mu             sync.Mutex
 	epoch          uint64
-	leaseRenewedAt time.Time // when the last heartbeat with a reply was sent; zero: not up yet
-	seq            uint64    // of the latest heartbeat
-	fencingToken   uint64    // highest one so far
-	tasks          []*task   // in the order of their starts
-	reclaimedAt    time.Time // when the cloud reclaims it, which its heartbeats say; zero: never
+	leaseRenewedAt time.Time // when the last answered heartbeat was sent; zero: the machine has not booted yet
+	seq            uint64    // sequence number of the latest heartbeat
+	fencingToken   uint64    // highest token received so far
+	tasks          []*task   // in the order of their start commands
+	reclaimedAt    time.Time // when the cloud reclaims the machine, as announced in heartbeats; zero: never
 }
 
 func newMachine(name, addr, zone string, spot bool) *machine {
@@ -46,7 +46,7 @@
 	}
 }
 
-// terminate ends the machine and all its tasks.
+// terminate terminates the machine and all its tasks.
 func (m *machine) terminate() {
 	if m.terminated.Swap(true) {
 		return
@@ -57,7 +57,7 @@
 	m.killTasks()
 }
 
-// killTasks ends and forgets all tasks. The caller holds the lock.
+// killTasks ends and removes all tasks. The caller must hold the lock.
 func (m *machine) killTasks() {
 	for _, t := range m.tasks {
 		m.observer.taskEnded(t.Task, m.name)
@@ -65,8 +65,8 @@
 	m.tasks = nil
 }
 
-// usedCPUs returns the CPUs that the machine's tasks hold, and whether the machine is up
-// and has received a reply to a heartbeat.
+// usedCPUs returns the number of CPUs that the machine's tasks use, and whether the machine
+// is available: it has received a fencing token and is not terminated.
 func (m *machine) usedCPUs(f *fleet) (float64, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -82,25 +82,26 @@
 // task is one attempt of a task on a machine.
 type task struct {
 	wire.TaskStatus
-	changesAt time.Time     // when its state changes by itself; zero: it does not
-	duration  time.Duration // how long it runs; 0: until it is stopped
+	changesAt time.Time     // when the state changes without a command; zero: never
+	duration  time.Duration // run time; 0: the task runs until it is stopped
 }
 
-// exit ends the attempt for a cause.
+// exit ends the attempt with a cause.
 func (t *task) exit(cause wire.ExitCause) {
 	t.State = wire.TaskExited
 	t.Cause = cause
 	t.changesAt = time.Time{}
 }
 
-// tickInterval is how often a machine looks at its clock.
+// tickInterval is the interval at which a machine checks whether a heartbeat or a change of
+// a task's state is due.
 const tickInterval = 50 * time.Millisecond
 
-// imageFetchTime is how long a task waits for its image.
+// imageFetchTime is the time that a task takes to fetch its image.
 const imageFetchTime = 200 * time.Millisecond
 
-// advanceUntilTerminated changes the states of tasks until the machine ends, also while a
-// heartbeat waits for its reply.
+// advanceUntilTerminated advances the states of tasks until the machine is terminated. It
+// runs concurrently with run, so that tasks advance while a heartbeat waits for its reply.
 func (m *machine) advanceUntilTerminated() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -119,8 +120,9 @@
 	}
 }
 
-// advance does what is due by now: it ends all tasks if the lease has expired, and changes
-// the states of tasks. It reports whether anything changed. The caller holds the lock.
+// advance ends all tasks and begins a new epoch if the lease has expired, makes the changes
+// of tasks' states that are due, and reports whether anything changed. The caller must hold
+// the lock.
 func (m *machine) advance() bool {
 	changed := false
 	if !m.leaseRenewedAt.IsZero() && time.Since(m.leaseRenewedAt) > m.lease {
