--- a/internal/loopback/observer_test.go
+++ b/internal/loopback/observer_test.go
@@ -11,15 +11,16 @@
 	"ravenport/internal/disruptioncheck"
 )
 
-// execution is the time that a task was on a machine.
+// execution is a period during which a task was on a machine.
 type execution struct {
 	machine string
 	started time.Time
-	ended   time.Time // zero while it is there
+	ended   time.Time // zero while the task is on the machine
 }
 
-// observer keeps what the workers and the store saw, as they saw it: where each task was
-// and when, which terms were acquired, and under which terms workers executed commands.
+// observer records events from the view of the workers and the store: on which machine each
+// task was and when, which terms were acquired, and under which terms workers executed
+// commands.
 type observer struct {
 	startedAt time.Time
 
@@ -32,12 +33,12 @@
 	acquiredAt       map[string]map[uint64]time.Time  // by zone and term
 	firstCommandAt   map[string]map[uint64]time.Time  // by zone and term
 
-	// disruptions checks the stops of tasks for which isService is true; nil: no stop is
-	// checked.
+	// disruptions checks the stops of tasks for which isService is true. If disruptions is
+	// nil, no stop is checked.
 	disruptions      *disruptioncheck.Check
 	isService        func(task string) bool
-	lastStopMachine  string // machine on which such a task was stopped last
-	lastStartMachine string // machine on which such a task started last
+	lastStopMachine  string // machine of the latest voluntary stop of such a task
+	lastStartMachine string // machine of the latest start of such a task
 }
 
 func newObserver() *observer {
@@ -51,8 +52,8 @@
 	}
 }
 
-// taskStarted records that a task runs on a machine. It is a violation if the task is on
-// another machine.
+// taskStarted records that a task has started on a machine. If the task is also on another
+// machine, that is a violation.
 func (o *observer) taskStarted(task, machine string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -83,7 +84,7 @@
 	o.taskEnded(task, machine)
 }
 
-// taskEnded records that a task is not on a machine any more.
+// taskEnded records that a task is no longer on a machine.
 func (o *observer) taskEnded(task, machine string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -98,7 +99,7 @@
 	}
 }
 
-// taskCompleted records that a task has ended because it is done.
+// taskCompleted records that a task has ended by itself and is done.
 func (o *observer) taskCompleted(task, machine string) {
 	o.taskEnded(task, machine)
 	o.mu.Lock()
@@ -106,8 +107,8 @@
 	o.completed[task] = true
 }
 
-// startedArrayTasks counts the tasks of job arrays that are done or on a machine. Tasks of
-// services never complete.
+// startedArrayTasks returns the number of tasks of job arrays that are done or on a machine.
+// All completed tasks count, since tasks of services never complete.
 func (o *observer) startedArrayTasks(isArray func(task string) bool) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -120,25 +121,25 @@
 	return n
 }
 
-// lastExecution returns the latest execution of a task that was on a machine before. The
-// caller holds the lock.
+// lastExecution returns the latest execution of a task that has at least one. The caller
+// must hold the lock.
 func (o *observer) lastExecution(task string) *execution {
 	executions := o.executions[task]
 	return executions[len(executions)-1]
 }
 
-// isRunning reports whether a task that was on a machine before is on one now. The caller
-// holds the lock.
+// isRunning reports whether a task is on a machine now. The task must have at least one
+// execution. The caller must hold the lock.
 func (o *observer) isRunning(task string) bool { return o.lastExecution(task).ended.IsZero() }
 
-// violations returns a text for each violation of a rule that was seen.
+// violations returns a text for each recorded violation of a rule.
 func (o *observer) violations() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return slices.Clone(o.violationTexts)
 }
 
-// runningTasks counts the tasks that are on a machine now.
+// runningTasks returns the number of tasks that are on a machine now.
 func (o *observer) runningTasks() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -151,7 +152,7 @@
 	return n
 }
 
-// startedTasks counts the tasks that were on any machine.
+// startedTasks returns the number of tasks that have been on a machine.
 func (o *observer) startedTasks() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/loopback/ownership_test.go
+++ b/internal/loopback/ownership_test.go
@@ -11,7 +11,7 @@
 
 // Operations on the ownership of a zone's shard.
 type (
-	// acquireOp acquires a term, the next one after the latest.
+	// acquireOp acquires the term that follows the latest term.
 	acquireOp struct{ term uint64 }
 	// executeOp executes commands under a term on a worker.
 	executeOp struct {
@@ -20,7 +20,7 @@
 	}
 )
 
-// termAcquired records that the store wrote the acquisition of a term between two times.
+// termAcquired records that the store committed the acquisition of a term between two times.
 func (o *observer) termAcquired(zone string, term uint64, from, to time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -38,7 +38,7 @@
 	o.addOperation(zone, executeOp{machine, term}, from, to)
 }
 
-// setIfUnset sets the time of a zone's term, unless it is set.
+// setIfUnset sets the time of a zone's term if no time is set yet.
 func setIfUnset(times map[string]map[uint64]time.Time, zone string, term uint64, at time.Time) {
 	if times[zone] == nil {
 		times[zone] = map[uint64]time.Time{}
@@ -48,8 +48,8 @@
 	}
 }
 
-// addOperation adds an operation to a zone's history, as one of a client of its own: any
-// two operations may overlap. The caller holds the lock.
+// addOperation adds an operation to a zone's history. Each operation has its own client id,
+// because any two operations may overlap. The caller must hold the lock.
 func (o *observer) addOperation(zone string, input any, from, to time.Time) {
 	history := o.ownershipHistory[zone]
 	o.ownershipHistory[zone] = append(history, porcupine.Operation{
@@ -60,14 +60,16 @@
 	})
 }
 
-// firstCommand returns when a worker first executed commands under a term; zero: not yet.
+// firstCommand returns the time at which a worker first executed commands under a term, or
+// the zero time if no worker has done so.
 func (o *observer) firstCommand(zone string, term uint64) time.Time {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.firstCommandAt[zone][term]
 }
 
-// acquisition returns when a term was acquired; zero: not yet.
+// acquisition returns the time at which a term was acquired, or the zero time if the term
+// was not acquired yet.
 func (o *observer) acquisition(zone string, term uint64) time.Time {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -76,13 +78,13 @@
 
 // ownership is the state of a zone's shard.
 type ownership struct {
-	term     uint64            // that was acquired last
-	executed map[string]uint64 // by machine: the highest term that it executed commands under
+	term     uint64            // latest acquired term
+	executed map[string]uint64 // by machine: highest term under which the worker executed commands
 }
 
-// ownershipModel is the sequential specification of a shard's ownership: terms rise one by
-// one, no worker executes commands under a term that is not acquired yet, and none does
-// under an earlier term after a later one.
+// ownershipModel is the sequential specification of a shard's ownership. Each acquired term
+// is one higher than the term before. No worker executes commands under a term that was not
+// acquired yet, or under an earlier term after a later term.
 var ownershipModel = porcupine.Model{
 	Init: func() any { return ownership{executed: map[string]uint64{}} },
 	Step: func(before, input, _ any) (bool, any) {
@@ -97,7 +99,7 @@
 			if op.term == state.executed[op.machine] {
 				return true, state
 			}
-			executed := maps.Clone(state.executed) // the state before must not change
+			executed := maps.Clone(state.executed) // the previous state must not change
 			executed[op.machine] = op.term
 			return true, ownership{state.term, executed}
 		}
@@ -109,7 +111,7 @@
 	},
 }
 
-// ownershipCheckTimeout bounds the time that the check of one history takes.
+// ownershipCheckTimeout is the time limit for the check of one history.
 const ownershipCheckTimeout = 60 * time.Second
 
 // checkOwnership reports, by zone, whether the history of acquisitions and executed commands
