--- a/internal/loopback/sampler_test.go
+++ b/internal/loopback/sampler_test.go
@@ -8,35 +8,35 @@
 // sampleInterval is the time between two samples.
 const sampleInterval = time.Second
 
-// sample is what the workers and the store show at one moment.
+// sample has the state of the workers and the store at one time.
 type sample struct {
 	elapsed      time.Duration // since the first sample was started
 	waitingTasks int           // tasks of accepted job arrays that are neither on a machine nor done
-	usedCPUs     float64       // held by tasks
+	usedCPUs     float64       // CPUs used by tasks
 	machinesUp   int
-	freeMachines int // of those, machines that a task of a job array would fit
-	// longestFree is for how long one of those has been free while tasks waited, and
-	// longestFreeMachine its name.
+	freeMachines int // available machines with free capacity for a task of a job array
+	// longestFree is the longest time that a machine has been free while tasks waited.
+	// longestFreeMachine is the name of that machine.
 	longestFree        time.Duration
 	longestFreeMachine string
 
-	owners          map[string]string // controllers by zone
+	owners          map[string]string // names of the shards' owners, by zone
 	leader          string
-	unassignedTasks int    // tasks of job arrays in no assignment
-	revision        uint64 // of the store
+	unassignedTasks int    // tasks of job arrays that are in no assignment
+	revision        uint64 // revision of the store
 }
 
-// sampler takes samples until it is finished.
+// sampler takes samples until finish is called.
 type sampler struct {
 	stop chan struct{}
 	done sync.WaitGroup
 
-	// Used by the sampling goroutine alone until it has ended.
+	// Only the sampling goroutine uses the following fields until it has ended.
 	samples   []sample
-	freeSince map[string]time.Time // by machine: since when it has been free while tasks waited
+	freeSince map[string]time.Time // by machine: start of the time that the machine has been free while tasks waited
 }
 
-// startSampling starts to take samples.
+// startSampling starts a sampler.
 func (f *fleet) startSampling(w *workload) *sampler {
 	s := &sampler{stop: make(chan struct{}), freeSince: map[string]time.Time{}}
 	s.done.Add(1)
@@ -69,8 +69,8 @@
 	return s.samples
 }
 
-// take takes one sample. The machines of a shard whose owner is cut from its workers cannot
-// be given tasks, and do not count as free.
+// take takes one sample. Machines do not count as free while the owner of their shard is cut
+// off from the workers, because the owner cannot start tasks on them.
 func (s *sampler) take(fleet *fleet, jobs *workload, now time.Time) sample {
 	taken := sample{
 		waitingTasks: jobs.acceptedArrays()*fleet.tasksPerArray - fleet.observer.startedArrayTasks(fleet.isArrayTask),
@@ -111,7 +111,7 @@
 	return taken
 }
 
-// trackFree remembers since when machines have been free while tasks waited.
+// trackFree updates the times since which machines have been free while tasks waited.
 func (s *sampler) trackFree(free []string, now time.Time) {
 	freeSince := map[string]time.Time{}
 	for _, name := range free {
--- a/internal/loopback/store_leases_test.go
+++ b/internal/loopback/store_leases_test.go
@@ -10,7 +10,7 @@
 	"ravenport/wire"
 )
 
-// storeLease is one lease of the stand-in store.
+// storeLease is a lease of the fake store.
 type storeLease struct {
 	ttl       time.Duration
 	expiresAt time.Time
@@ -31,7 +31,7 @@
 	respond(r, 200, wire.LeaseReply{Lease: s.leaseSeq})
 }
 
-// renewLease renews the lease that the path names.
+// renewLease renews the lease whose id is in the path.
 func (s *store) renewLease(r *server.Request, path string) {
 	id, _, _ := strings.Cut(strings.TrimPrefix(path, wire.PathLeases+"/"), "/")
 	n, _ := strconv.ParseUint(id, 10, 64)
@@ -46,7 +46,7 @@
 	respond(r, 200, struct{}{})
 }
 
-// expireLeases deletes the leases that have expired, with the keys attached to them.
+// expireLeases deletes the expired leases and the keys that are attached to them.
 func (s *store) expireLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/loopback/store_records_test.go
+++ b/internal/loopback/store_records_test.go
@@ -8,7 +8,8 @@
 	"ravenport/records"
 )
 
-// shardOwner returns the controller that holds a shard's term, and the term.
+// shardOwner returns the controller that holds the term of a zone's shard, and the number of
+// the term.
 func (s *store) shardOwner(zone string) (controller string, term uint64) {
 	return s.termHolder(records.KeyShard(zone))
 }
@@ -19,7 +20,8 @@
 	return controller
 }
 
-// termHolder returns what the record of a term says; empty and 0 without a record.
+// termHolder returns the controller and the number in the record of a term, or "" and 0 if
+// there is no record.
 func (s *store) termHolder(key string) (controller string, term uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,13 +31,14 @@
 	}
 	record, err := records.Decode(key, e.value)
 	if err != nil {
-		panic(err) // the controllers' own record
+		panic(err) // a controller has written an invalid record
 	}
 	t := record.(*records.Term)
 	return t.Controller, t.Number
 }
 
-// unassignedTasks counts the tasks of job arrays that are in no assignment, at a revision.
+// unassignedTasks returns the number of tasks of job arrays that are in no assignment, and
+// the store's revision at which they were counted.
 func (s *store) unassignedTasks() (tasks int, revision uint64) {
 	s.mu.Lock()
 	values := map[string]json.RawMessage{}
@@ -49,7 +52,7 @@
 	for key, value := range values {
 		record, err := records.Decode(key, value)
 		if err != nil {
-			panic(err) // the controllers' own record
+			panic(err) // a controller has written an invalid record
 		}
 		if j := record.(*records.Job); j.End == "" && !j.Spec.IsService() {
 			tasks += records.TasksIn(j.Unassigned())
@@ -58,7 +61,8 @@
 	return tasks, revision
 }
 
-// recordsUnder decodes the records whose keys have a prefix; others there are skipped.
+// recordsUnder returns the records whose keys have a prefix. It skips values that are not
+// records.
 func (s *store) recordsUnder(prefix string) []any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,8 +78,8 @@
 	return out
 }
 
-// zoneWithClaim returns a zone whose owner claims part of a disruption budget; empty if
-// none does.
+// zoneWithClaim returns a zone whose shard's owner claims part of a disruption budget, or ""
+// if there is no such zone.
 func (s *store) zoneWithClaim() string {
 	for _, record := range s.recordsUnder(records.KeyDisruptionClaim("")) {
 		c := record.(*records.DisruptionClaim)
@@ -88,8 +92,8 @@
 	return ""
 }
 
-// zoneWithTerminatingMachine returns a zone with a machine that is durably marked for its
-// return; empty if there is none.
+// zoneWithTerminatingMachine returns a zone with a machine that the inventory in the store
+// marks as terminating, or "" if there is no such zone.
 func (s *store) zoneWithTerminatingMachine() string {
 	for _, record := range s.recordsUnder(records.KeyPrefix) {
 		page, ok := record.(*records.InventoryPage)
--- a/internal/loopback/store_test.go
+++ b/internal/loopback/store_test.go
@@ -16,25 +16,25 @@
 	"ravenport/wire"
 )
 
-// storeEntry is one key of the stand-in store.
+// storeEntry is the value of one key of the fake store, with its version and lease.
 type storeEntry struct {
 	value   json.RawMessage
 	version uint64
 	lease   uint64
 }
 
-// store stands in for the consensus-backed key-value store. It responds within a
-// millisecond and has no rate limit.
+// store is a fake of the consensus-backed key-value store. It responds within a millisecond
+// and has no rate limit.
 type store struct {
 	observer *observer
 
 	mu       sync.Mutex
 	keys     map[string]storeEntry
-	revision uint64       // of the latest change
+	revision uint64       // revision of the latest change
 	events   []wire.Event // all changes so far
 	leases   map[uint64]*storeLease
 	leaseSeq uint64        // id of the latest lease
-	changed  chan struct{} // closed and replaced at each change
+	changed  chan struct{} // closed and replaced after each change
 }
 
 func newStore(observer *observer) *store {
@@ -46,7 +46,7 @@
 	}
 }
 
-// handle responds to one request on a goroutine of its own, since a watch waits.
+// handle responds to one request in a new goroutine, because a watch blocks.
 func (s *store) handle(r *server.Request) { go s.serve(r) }
 
 // serve responds to one request.
@@ -102,7 +102,8 @@
 	respond(r, 200, wire.TxnReply{Revision: s.revision})
 }
 
-// observeTermAcquisition reports a change to the observer if it acquired a shard's term.
+// observeTermAcquisition reports a change to the observer if the change acquires a shard's
+// term.
 func (s *store) observeTermAcquisition(change wire.Change, receivedAt time.Time) {
 	record, err := records.Decode(change.Put, change.Value)
 	if err != nil {
@@ -113,7 +114,7 @@
 	}
 }
 
-// apply applies changes under one revision. The caller holds the lock.
+// apply applies changes at one new revision. The caller must hold the lock.
 func (s *store) apply(changes []wire.Change) {
 	if len(changes) == 0 {
 		return
@@ -144,7 +145,7 @@
 	respond(r, 200, wire.KeyValue{Key: key, Value: e.value, Version: e.version, Lease: e.lease})
 }
 
-// list responds with a page of the keys under a prefix.
+// list responds with a page of the keys that have a prefix.
 func (s *store) list(r *server.Request, q url.Values) {
 	limit, _ := strconv.Atoi(q.Get("limit"))
 	s.mu.Lock()
@@ -162,7 +163,8 @@
 	respond(r, 200, page)
 }
 
-// watch responds with the changes after a revision; it waits for one until a timeout.
+// watch responds with the changes after a revision. If there is none, it waits for a change
+// until a timeout.
 func (s *store) watch(r *server.Request, q url.Values) {
 	from, _ := strconv.ParseUint(q.Get("from"), 10, 64)
 	wait, _ := strconv.Atoi(q.Get("block_ms"))
@@ -191,7 +193,7 @@
 func respond(r *server.Request, status int, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // the stand-ins' own types
+		panic(err) // cannot occur: all response types can be encoded
 	}
 	r.Respond(&httpwire.Response{Status: status, Body: body})
 }
--- a/internal/loopback/workload_test.go
+++ b/internal/loopback/workload_test.go
@@ -9,7 +9,7 @@
 	"ravenport/wire"
 )
 
-// workload submits jobs while controllers fail, and remembers those that were accepted.
+// workload submits jobs while controllers fail, and records the accepted jobs.
 type workload struct {
 	stop chan struct{}
 	done sync.WaitGroup
@@ -19,7 +19,7 @@
 	jobs   []string // ids of all jobs
 }
 
-// startWorkload submits the services at once, and job arrays from then on.
+// startWorkload submits the services and then starts to submit job arrays in the background.
 func (f *fleet) startWorkload(t *testing.T) *workload {
 	t.Helper()
 	w := &workload{stop: make(chan struct{})}
@@ -32,8 +32,8 @@
 	return w
 }
 
-// submitArrays submits job arrays until the workload is stopped. One that no controller
-// accepts yet does not hold up the next.
+// submitArrays submits job arrays until the workload is stopped. A job array that no
+// controller has accepted yet does not delay the next job array.
 func (w *workload) submitArrays(f *fleet) {
 	defer w.done.Done()
 	for {
@@ -50,7 +50,7 @@
 	}
 }
 
-// submit submits a job until it is accepted, and remembers it then.
+// submit submits a job repeatedly until a controller accepts it, and then records the job.
 func (w *workload) submit(f *fleet, s wire.Submission) {
 	f.request("POST", wire.PathJobs, submissionBody(s))
 	w.mu.Lock()
@@ -61,22 +61,23 @@
 	}
 }
 
-// acceptedArrays returns the number of job arrays that were accepted.
+// acceptedArrays returns the number of accepted job arrays.
 func (w *workload) acceptedArrays() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.arrays)
 }
 
-// A backlog may take backlogFactor times its least time, since machines are never all
-// full, and backlogMargin longer, in which the shard of the last failure is rebuilt.
+// The time limit for a backlog is its minimum time, multiplied by backlogFactor because
+// the machines are never all full, plus backlogMargin for the rebuild of the shard whose
+// owner failed last.
 const (
 	backlogFactor = 1.25
 	backlogMargin = 30 * time.Second
 )
 
-// awaitArrays stops the workload and checks that every accepted job array is done within
-// the least time that the fleet needs for what waits then, and a margin.
+// awaitArrays stops the workload and checks that every accepted job array is done within the
+// time limit for the tasks that wait when the workload stops.
 func (w *workload) awaitArrays(t *testing.T, fleet *fleet) {
 	t.Helper()
 	close(w.stop)
@@ -87,7 +88,7 @@
 	waiting := len(arrays)*fleet.tasksPerArray - fleet.observer.startedArrayTasks(fleet.isArrayTask)
 	minTime := fleet.minBacklogTime(waiting)
 	deadline := time.Now().Add(time.Duration(backlogFactor*float64(minTime)) + backlogMargin)
-	t.Logf("%d tasks wait at the end of the load: %s at least", waiting, minTime.Round(time.Second))
+	t.Logf("%d tasks wait at the end of the workload; they take at least %s", waiting, minTime.Round(time.Second))
 	var late []string
 	for _, id := range arrays {
 		for !fleet.isJobDone(t, id) {
@@ -99,13 +100,13 @@
 		}
 	}
 	if len(late) > 0 {
-		t.Errorf("%d accepted arrays are not done %s after the load's end, the first is %s", len(late), time.Since(deadline.Add(-backlogMargin)).Round(time.Second), late[0])
+		t.Errorf("%d accepted job arrays are not done %s after the end of the workload, the first is %s", len(late), time.Since(deadline.Add(-backlogMargin)).Round(time.Second), late[0])
 	}
-	t.Logf("%d jobs accepted, %d arrays done, %d tasks started", jobCount, len(arrays)-len(late), fleet.observer.startedTasks())
+	t.Logf("%d jobs accepted, %d job arrays done, %d tasks started", jobCount, len(arrays)-len(late), fleet.observer.startedTasks())
 }
 
-// minBacklogTime returns how long the whole fleet takes at least for a number of tasks of
-// job arrays.
+// minBacklogTime returns the minimum time in which the whole fleet can run a number of tasks
+// of job arrays.
 func (f *fleet) minBacklogTime(tasks int) time.Duration {
 	slots := (float64(f.machines)*machineType.CPUs - serviceTaskCPUs*float64(f.services*f.replicas)) / arrayTaskCPUs
 	return time.Duration(float64(tasks) / slots * float64(f.taskDuration+imageFetchTime))
