--- a/internal/loopback/addresses_test.go
+++ b/internal/loopback/addresses_test.go
@@ -11,9 +11,9 @@
 )
 
 // A site is a set of addresses. Each test process reserves a site of its own until it ends,
-// so that several test processes can run on one machine. Without that, two test runs that
-// were started together used the same addresses, and one of them failed at once
-// ("127.0.0.1:23790: bind: address already in use").
+// so that several test processes can run on one machine. Without reservations, test runs on
+// one machine all used the addresses of site 0 and failed ("127.0.0.1:23790: bind: address
+// already in use"), at once when two runs were started together.
 
 // site is the number of the site that this process uses.
 var site = flag.Int("loopback.site", anySite, "number of the site whose addresses are used, 0 to 9; -1: the first site that no other process has reserved")
--- a/internal/loopback/cloud_test.go
+++ b/internal/loopback/cloud_test.go
@@ -112,7 +112,8 @@
 	respond(r, 200, wire.MachineNames{Machines: names})
 }
 
-// addMachine creates one machine and returns its name. The caller holds the lock.
+// addMachine creates one machine and returns the machine's name. The caller must hold the
+// lock.
 func (c *cloud) addMachine(req wire.ScaleOutRequest) string {
 	n := len(c.names) + 1
 	m := newMachine(fmt.Sprintf("m-%06d", n), workerAddress(n), req.Zone, req.Spot)
--- a/internal/loopback/machine_commands_test.go
+++ b/internal/loopback/machine_commands_test.go
@@ -65,7 +65,8 @@
 }
 
 // handleCommands executes the direct commands of a request. It rejects the commands if their
-// fencing token is lower than the worker's, or if they are for another epoch of the worker.
+// fencing token is lower than the worker's, if they are for another epoch of the worker, or
+// if the machine was terminated.
 func (m *machine) handleCommands(f *fleet, body []byte) *httpwire.Response {
 	var request wire.CommandRequest
 	if err := json.Unmarshal(body, &request); err != nil {
