--- a/internal/knownred/knownred_test.go
+++ b/internal/knownred/knownred_test.go
@@ -16,10 +16,10 @@
 issue: 37
 `
 
-// packageEnd ends a package's output as go test does.
+// packageEnd is the end of go test's output for a failed package.
 const packageEnd = "FAIL\nFAIL\travenport/controller\t3.1s\n"
 
-func entriesOf(t *testing.T, list string) []Entry {
+func mustParseEntries(t *testing.T, list string) []Entry {
 	t.Helper()
 	entries, err := ParseEntries(strings.NewReader(list))
 	if err != nil {
@@ -28,8 +28,8 @@
 	return entries
 }
 
-// Only the listed failure is excused: nothing else that the same run, or the same test,
-// may show.
+// Only the listed failure is excused. Any other failure of the same run, and any other
+// message of the same test, is not excused.
 func TestOnlyTheListedFailureIsExcused(t *testing.T) {
 	const listed = "--- FAIL: TestListed (0.45s)\n" +
 		"    --- FAIL: TestListed (0.45s)\n" +
@@ -57,32 +57,32 @@
 		{"an empty log", "", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			verdict, err := Judge(strings.NewReader(c.output), entriesOf(t, list))
+			result, err := CheckOutput(strings.NewReader(c.output), mustParseEntries(t, list))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if excused := len(verdict.Faults) == 0; excused != c.excused {
-				t.Errorf("excused %v; faults %q, passed over %q", excused, verdict.Faults, verdict.Excused)
+			if excused := len(result.Unexcused) == 0; excused != c.excused {
+				t.Errorf("excused: %v; not excused: %q; excused tests: %q", excused, result.Unexcused, result.Excused)
 			}
 		})
 	}
 }
 
 func TestDamagedEntriesAreRefused(t *testing.T) {
-	for name, damaged := range map[string]string{
-		"no test":                   strings.Replace(list, "test: TestListed\n", "", 1),
-		"no command":                strings.Replace(list, "command: go", "# go", 1),
-		"no failure":                strings.Replace(list, "failure:", "beside:", 1),
-		"no issue":                  strings.Replace(list, "issue: 37", "", 1),
-		"an issue without a number": strings.Replace(list, "issue: 37", "issue: known", 1),
-		"an unknown field":          list + "until: tomorrow\n",
-		"an empty field":            strings.Replace(list, "seen: once", "seen:", 1),
-		"a broken pattern":          strings.Replace(list, `\d+ broken`, `(\d+ broken`, 1),
-		"a pattern for anything":    strings.Replace(list, `seed 1: \d+ broken rules, first: ran_cancelled: .*`, `.*`, 1),
-		"the form before":           "TestListed: fails at times; issue 34\n",
+	for name, invalid := range map[string]string{
+		"no test":                            strings.Replace(list, "test: TestListed\n", "", 1),
+		"no command":                         strings.Replace(list, "command: go", "# go", 1),
+		"no failure":                         strings.Replace(list, "failure:", "beside:", 1),
+		"no issue":                           strings.Replace(list, "issue: 37", "", 1),
+		"an issue without a number":          strings.Replace(list, "issue: 37", "issue: known", 1),
+		"an unknown field":                   list + "until: tomorrow\n",
+		"an empty field":                     strings.Replace(list, "seen: once", "seen:", 1),
+		"a broken pattern":                   strings.Replace(list, `\d+ broken`, `(\d+ broken`, 1),
+		"a pattern that matches any message": strings.Replace(list, `seed 1: \d+ broken rules, first: ran_cancelled: .*`, `.*`, 1),
+		"the former format":                  "TestListed: fails at times; issue 34\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := ParseEntries(strings.NewReader(list + "\n" + damaged))
+			_, err := ParseEntries(strings.NewReader(list + "\n" + invalid))
 			var entryError *EntryError
 			if !errors.As(err, &entryError) || entryError.Line < 10 {
 				t.Errorf("error %v", err)
@@ -91,7 +91,7 @@
 	}
 }
 
-// The project's own list can be read.
+// The list of this repository is valid.
 func TestProjectsListIsReadable(t *testing.T) {
 	if _, err := readEntries("../../KNOWN-RED.txt"); err != nil {
 		t.Error(err)
