--- a/controller/commit.go
+++ b/controller/commit.go
@@ -37,7 +37,7 @@
 func commit(ctx context.Context, store Store, write writeRequest) commitResult {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	began := time.Now()
+	startedAt := time.Now()
 	var revision uint64
 	commitOnce := func() error {
 		written, err := store.Commit(ctx, write.txn)
@@ -59,7 +59,7 @@
 		write.logFailure(ctx, err)
 		return commitResult{err: err}
 	}
-	slog.Debug("write committed", "what", write.description, "took_ms", time.Since(began).Milliseconds())
+	slog.Debug("write committed", "what", write.description, "took_ms", time.Since(startedAt).Milliseconds())
 	return commitResult{revision: revision}
 }
 
--- a/controller/dependencies.go
+++ b/controller/dependencies.go
@@ -41,8 +41,8 @@
 	// Send sends commands to the worker at an address. The function done is called with
 	// the result on another goroutine.
 	Send(ctx context.Context, addr string, req wire.CommandRequest, done func(worker.Result))
-	// Forget drops the connection to a worker whose machine no longer exists.
-	Forget(addr string)
+	// Disconnect drops the connection to a worker whose machine no longer exists.
+	Disconnect(addr string)
 	Close()
 }
 
--- a/controller/extension.go
+++ b/controller/extension.go
@@ -13,15 +13,15 @@
 // so that owners may continue to answer their workers. Point 12 of docs/safety.md shows
 // why this is safe.
 
-// isStoreSilent reports whether the key-value store has sent nothing for longer than
+// hasStoreTimedOut reports whether the key-value store has sent nothing for longer than
 // ExtensionStoreContactTimeout.
-func (c *controlActor) isStoreSilent(now time.Time) bool {
+func (c *controlActor) hasStoreTimedOut(now time.Time) bool {
 	return c.feed.synced && now.Sub(c.lastStoreContact) > constants.ExtensionStoreContactTimeout
 }
 
 // termsToExtend returns the terms for which lease extensions are to be requested now.
 func (c *controlActor) termsToExtend(now time.Time) []peer.HeldTerm {
-	if !c.isStoreSilent(now) || c.lease.id == 0 || len(c.settings.Peers) == 0 {
+	if !c.hasStoreTimedOut(now) || c.lease.id == 0 || len(c.settings.Peers) == 0 {
 		return nil
 	}
 	var held []peer.HeldTerm
@@ -39,7 +39,7 @@
 		reply.AllCancellationsListed = true
 		reply.Cancellations = c.cancellations.since(s.Revision)
 	}
-	if !c.isStoreSilent(now) {
+	if !c.hasStoreTimedOut(now) {
 		return reply // this controller reaches the key-value store, so the other one may too
 	}
 	for _, held := range s.ExtensionRequest {
--- a/controller/health.go
+++ b/controller/health.go
@@ -18,7 +18,7 @@
 // healthy: it answers users at once with a time to retry after, and serves them as soon
 // as the store is reachable again.
 func (c *controlActor) answerHealth(now time.Time, m healthRequest) {
-	if !c.isReady() || c.isStoreUnreachableOnlyHere(now) {
+	if !c.isReady() || c.isStoreUnreachableLocally(now) {
 		m.req.Respond(&httpwire.Response{Status: 503, Body: []byte(`{"status":"unready"}`)})
 		return
 	}
@@ -31,9 +31,9 @@
 	return c.feed.synced && len(c.machineTypes.known) > 0 && !c.detection.resigned
 }
 
-// isStoreUnreachableOnlyHere reports whether the key-value store does not answer this
+// isStoreUnreachableLocally reports whether the key-value store does not answer this
 // controller while at least one other controller reaches it.
-func (c *controlActor) isStoreUnreachableOnlyHere(now time.Time) bool {
+func (c *controlActor) isStoreUnreachableLocally(now time.Time) bool {
 	if now.Sub(c.lastStoreContact) <= constants.StoreContactTimeout+constants.WatchTimeout/2 {
 		return false
 	}
--- a/controller/monitor.go
+++ b/controller/monitor.go
@@ -213,7 +213,7 @@
 			Evidence:           evidenceNames(v.Evidence),
 			Accusers:           v.Accusers,
 			Refutation:         v.Refutation,
-			SinceHeartbeatMS:   v.SinceLastSeen.Milliseconds(),
+			SinceHeartbeatMS:   v.SinceHeartbeat.Milliseconds(),
 			SuspicionTimeoutMS: v.SuspicionTimeout.Milliseconds(),
 		})
 	}
--- a/controller/pacer.go
+++ b/controller/pacer.go
@@ -35,8 +35,8 @@
 
 // startStep reports whether a step may start now, and records its start. If the step may
 // not start yet, startStep schedules a wake message for the time when it may.
-func (p *stepPacer) startStep(now time.Time, gap time.Duration) bool {
-	wait := p.lastStep.Add(gap).Sub(now)
+func (p *stepPacer) startStep(now time.Time, interval time.Duration) bool {
+	wait := p.lastStep.Add(interval).Sub(now)
 	if wait <= 0 {
 		p.lastStep = now
 		return true
--- a/controller/shard_calls.go
+++ b/controller/shard_calls.go
@@ -23,7 +23,7 @@
 			a.self.Tell(commandDone{action.Machine, r})
 		})
 	case shard.CloseConnection:
-		a.workers.Forget(action.Addr)
+		a.workers.Disconnect(action.Addr)
 	case shard.Commit:
 		go a.commit(ctx, action)
 	case shard.ScaleOut:
--- a/controller/sim_worker_test.go
+++ b/controller/sim_worker_test.go
@@ -483,7 +483,7 @@
 // simCommands delivers direct commands, some of them late or twice.
 type simCommands struct{ n *simController }
 
-func (c *simCommands) Forget(string) {}
+func (c *simCommands) Disconnect(string) {}
 
 func (c *simCommands) Close() {}
 
--- a/controller/transfer.go
+++ b/controller/transfer.go
@@ -13,8 +13,8 @@
 // transferCutOffLeadership transfers the leadership if this controller receives no status
 // from any other controller.
 func (c *controlActor) transferCutOffLeadership(now time.Time) {
-	settled := now.Sub(c.roles.leaderSince) > 2*constants.PeerContactTimeout
-	if c.roles.leader != nil && settled && c.lacksPeerStatus(now) {
+	graceElapsed := now.Sub(c.roles.leaderSince) > 2*constants.PeerContactTimeout
+	if c.roles.leader != nil && graceElapsed && c.lacksPeerStatus(now) {
 		c.transferUnusableTerm(now, records.KeyLeader)
 	}
 }
--- a/detector/detector_test.go
+++ b/detector/detector_test.go
@@ -220,7 +220,7 @@
 	if network.controllers[0].reached("n-2", Suspect) || network.controllers[2].reached("n-0", Suspect) {
 		t.Errorf("suspected because of one link that is down: %+v, %+v", network.controllers[0].stateChanges, network.controllers[2].stateChanges)
 	}
-	if v := network.controllers[0].detector.PeerViews(network.now); v[1].SinceLastSeen > 8*time.Second {
+	if v := network.controllers[0].detector.PeerViews(network.now); v[1].SinceHeartbeat > 8*time.Second {
 		t.Errorf("no indirect probe was answered: %+v", v[1])
 	}
 }
@@ -319,7 +319,7 @@
 		}
 	}
 	copied := network.now.Add(2 * time.Second)
-	if err := observer.HandleMessage(copied, old); err != nil || observer.PeerViews(copied)[0].SinceLastSeen < 2*time.Second {
+	if err := observer.HandleMessage(copied, old); err != nil || observer.PeerViews(copied)[0].SinceHeartbeat < 2*time.Second {
 		t.Errorf("a duplicate counted as a heartbeat: %v, %+v", err, observer.PeerViews(copied)[0])
 	}
 	observer.SetLease(network.now, "n-1", 0)
--- a/detector/health.go
+++ b/detector/health.go
@@ -74,7 +74,7 @@
 		if !p.isMonitored() || p.leaseIncarnation == 0 {
 			continue
 		}
-		if now.Sub(p.lastSeen) <= d.config.SuspectMin {
+		if now.Sub(p.lastHeartbeat) <= d.config.SuspectMin {
 			return false
 		}
 		overdue++
--- a/detector/heartbeat.go
+++ b/detector/heartbeat.go
@@ -74,13 +74,13 @@
 	if !p.accept(h) {
 		return false
 	}
-	switch interval := now.Sub(p.lastSeen); {
+	switch interval := now.Sub(p.lastHeartbeat); {
 	case p.latest.Incarnation != previous:
 		p.lastAnswer = now // the time without an answer is measured from here
 	case interval <= d.config.SuspectMax:
 		p.intervalStats.observe(interval)
 	}
-	p.markSeen(now)
+	p.markHeartbeatReceived(now)
 	setSince(&p.stalledSince, now, len(h.Stalled) > 0)
 	return true
 }
--- a/detector/peer.go
+++ b/detector/peer.go
@@ -31,7 +31,7 @@
 	latest              Heartbeat
 	retiredIncarnations []uint64 // incarnations before latest.Incarnation, oldest first
 
-	lastSeen      time.Time // last heartbeat, sent by the controller or in answer to a probe
+	lastHeartbeat time.Time // last heartbeat, sent by the controller or in answer to a probe
 	lastAnswer    time.Time // last reply to a call or a probe
 	intervalStats intervalStats
 	probing       probeRound
@@ -128,17 +128,17 @@
 	}
 }
 
-// markSeen records a message from the controller, which removes the evidence that the
+// markHeartbeatReceived records a message from the controller, which removes the evidence that the
 // controller is unreachable.
-func (p *peer) markSeen(now time.Time) {
-	p.lastSeen = now
+func (p *peer) markHeartbeatReceived(now time.Time) {
+	p.lastHeartbeat = now
 	p.unreachableSince = time.Time{}
 }
 
 // markAnswered records that the controller answered this observer, or another controller
 // that probed it for this observer.
 func (p *peer) markAnswered(now time.Time) {
-	p.markSeen(now)
+	p.markHeartbeatReceived(now)
 	p.lastAnswer = now
 	p.unansweredSince = time.Time{}
 	p.probing = probeRound{}
@@ -169,7 +169,7 @@
 	}
 	p.latest = h
 	p.intervalStats = intervalStats{expected: p.intervalStats.expected}
-	p.lastSeen = time.Time{}
+	p.lastHeartbeat = time.Time{}
 	p.lastAnswer = time.Time{}
 	p.clearEvidence()
 }
@@ -194,7 +194,7 @@
 // observer could receive no messages during the pause.
 func (p *peer) shiftTimestamps(pause time.Duration) {
 	for _, timestamp := range []*time.Time{
-		&p.lastSeen, &p.lastAnswer,
+		&p.lastHeartbeat, &p.lastAnswer,
 		&p.unreachableSince, &p.unansweredSince, &p.stalledSince, &p.unservedSince, &p.suspectSince,
 		&p.accusationsReceivedAt, &p.probing.phaseStartedAt,
 	} {
--- a/detector/probing.go
+++ b/detector/probing.go
@@ -76,7 +76,7 @@
 	round.pendingProbers = map[string]bool{}
 	var probes []Probe
 	for _, via := range d.peers {
-		if via == target || !via.isMonitored() || now.Sub(via.lastSeen) > d.suspicionTimeout(via) {
+		if via == target || !via.isMonitored() || now.Sub(via.lastHeartbeat) > d.suspicionTimeout(via) {
 			continue
 		}
 		round.pendingProbers[via.name] = true
@@ -88,10 +88,10 @@
 // recordProbeEvidence records that a controller answered no probe: as unreachable if its
 // own heartbeats are missing as well, and as unanswered if they still arrive.
 func recordProbeEvidence(now time.Time, p *peer, timeout time.Duration) {
-	isHeartbeatMissing := now.Sub(p.lastSeen) > timeout
+	isHeartbeatMissing := now.Sub(p.lastHeartbeat) > timeout
 	switch {
 	case isHeartbeatMissing && p.unreachableSince.IsZero():
-		p.unreachableSince = p.lastSeen
+		p.unreachableSince = p.lastHeartbeat
 	case !isHeartbeatMissing && p.unansweredSince.IsZero():
 		p.unansweredSince = p.lastAnswer
 	}
--- a/detector/view.go
+++ b/detector/view.go
@@ -10,7 +10,7 @@
 	Refutation       uint64
 	Evidence         []Evidence    // this controller's own
 	Accusers         []string      // controllers with evidence of their own, including this one if it has any
-	SinceLastSeen    time.Duration // 0: the controller is not monitored
+	SinceHeartbeat   time.Duration // 0: the controller is not monitored
 	SuspicionTimeout time.Duration // time without an answer after which the controller is suspected
 }
 
@@ -27,8 +27,8 @@
 			Accusers:         d.accusers(now, p).names,
 			SuspicionTimeout: d.suspicionTimeout(p),
 		}
-		if p.isMonitored() && !p.lastSeen.IsZero() {
-			view.SinceLastSeen = now.Sub(p.lastSeen)
+		if p.isMonitored() && !p.lastHeartbeat.IsZero() {
+			view.SinceHeartbeat = now.Sub(p.lastHeartbeat)
 		}
 		views = append(views, view)
 	}
--- a/disruption/damaged_claim_test.go
+++ b/disruption/damaged_claim_test.go
@@ -59,7 +59,7 @@
 }
 
 // A raise that was requested before another shard's claim was damaged is not written.
-func TestNoRaiseBesideADamagedClaim(t *testing.T) {
+func TestNoRaiseWhileAClaimIsDamaged(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var budgets Budgets
 	budgets.SetServicesDefault(MaxUnavailable{Tasks: 1})
--- a/drain/plan.go
+++ b/drain/plan.go
@@ -60,7 +60,7 @@
 // MergePlans merges the plans of all shards, and sorts shards in place. missing lists the
 // shards without a plan. stable is how long a moved task must run before it counts as
 // available.
-func MergePlans(shards []ShardPlan, missing []string, stable time.Duration) Plan {
+func MergePlans(shards []ShardPlan, missing []string, stableAfter time.Duration) Plan {
 	plan := Plan{Shards: shards, MissingShards: missing}
 	slices.SortFunc(plan.Shards, func(a, b ShardPlan) int { return strings.Compare(a.Shard, b.Shard) })
 	moves := map[string]int{}
@@ -78,7 +78,7 @@
 		if budget == "" || limits[budget] < 1 {
 			continue
 		}
-		minimum := MinimumTime(n, limits[budget], stable).Seconds()
+		minimum := MinimumTime(n, limits[budget], stableAfter).Seconds()
 		// Among budgets with the same minimum, the first by name is reported.
 		if minimum > plan.MinimumS || minimum == plan.MinimumS && budget < plan.BindingBudget {
 			plan.BindingBudget = budget
@@ -94,6 +94,6 @@
 // MinimumTime returns a lower bound of the duration of a number of moves under a budget,
 // which is the number of tasks that may be unavailable at once. Each move uses one task of
 // the budget for at least the stable time.
-func MinimumTime(moves, budget int, stable time.Duration) time.Duration {
-	return time.Duration(math.Ceil(float64(moves)/float64(budget))) * stable
+func MinimumTime(moves, budget int, stableAfter time.Duration) time.Duration {
+	return time.Duration(math.Ceil(float64(moves)/float64(budget))) * stableAfter
 }
--- a/peer/status_test.go
+++ b/peer/status_test.go
@@ -12,7 +12,7 @@
 // This version and the previous one read each other's messages. This version reads every
 // field that the previous version wrote, and accepts messages without the fields that are
 // new in this version.
-func TestMessagesOfTheVersionBefore(t *testing.T) {
+func TestMessagesOfPreviousVersion(t *testing.T) {
 	text, err := os.ReadFile("testdata/production.json")
 	if err != nil {
 		t.Fatal(err)
--- a/worker/client.go
+++ b/worker/client.go
@@ -53,7 +53,7 @@
 	c.clients[addr] = client
 	c.dialOrder = append(c.dialOrder, addr)
 	for len(c.dialOrder) > constants.MaxIdleWorkerConns {
-		c.Forget(c.dialOrder[0])
+		c.Disconnect(c.dialOrder[0])
 	}
 	return client
 }
@@ -93,8 +93,8 @@
 	return Result{Executed: executed, Heartbeat: heartbeat}
 }
 
-// Forget closes the connections to the worker at addr.
-func (c *Client) Forget(addr string) {
+// Disconnect closes the connections to the worker at addr.
+func (c *Client) Disconnect(addr string) {
 	client := c.clients[addr]
 	if client == nil {
 		return
@@ -109,6 +109,6 @@
 // Close closes all connections.
 func (c *Client) Close() {
 	for addr := range c.clients {
-		c.Forget(addr)
+		c.Disconnect(addr)
 	}
 }
