--- a/cmd/ravenport/check.go
+++ b/cmd/ravenport/check.go
@@ -13,7 +13,7 @@
 	var files settingsFiles
 	check := &cobra.Command{
 		Use:   "check --config PATH",
-		Short: "Check the settings files and end",
+		Short: "Check the settings files and exit",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			s, err := files.load()
@@ -34,7 +34,7 @@
 	fmt.Fprintf(out, "settings are good: node %s in %s, %d controllers, authority %s, failure detection %s, draining %s\n",
 		s.Controller, s.Zone, len(s.AllControllers()), authority, onOff(s.Detection != nil), onOff(s.Draining != nil))
 	if shortened {
-		fmt.Fprintln(out, "warning: cancel_s leaves little room after the workers' lease; the authority was shortened")
+		fmt.Fprintln(out, "warning: cancel_s leaves little time after the workers' lease; the authority was shortened")
 	}
 }
 
--- a/cmd/ravenport/drain.go
+++ b/cmd/ravenport/drain.go
@@ -21,8 +21,8 @@
 	root := &cobra.Command{
 		Use:   "drain",
 		Short: "Drain machines in steps, within the disruption budgets",
-		Long: "Every controller that was started with --draining accepts requests about drains: name one by\n" +
-			"--controller, or by --config the settings file of the controller on this machine.",
+		Long: "Every controller that was started with --draining accepts requests about drains: give its\n" +
+			"address by --controller, or by --config the settings file of the controller on this machine.",
 	}
 	target.addFlags(root)
 	root.AddCommand(
@@ -31,7 +31,7 @@
 		statusCommand(&target),
 		numberCommand(&target, peer.OpPause, "Pause a drain: its machines accept tasks again"),
 		numberCommand(&target, peer.OpResume, "Resume a drain that was paused or has stopped"),
-		numberCommand(&target, peer.OpCancel, "Cancel a drain for good; machines that are already cordoned for their return are still returned"),
+		numberCommand(&target, peer.OpCancel, "Cancel a drain permanently; machines that are already cordoned for their return are still returned"),
 	)
 	return root
 }
@@ -87,7 +87,7 @@
 			return target.send(cmd, peer.DrainRequest{Op: peer.OpStatus})
 		},
 	}
-	cmd.Flags().BoolVar(&watch, "watch", false, "print it every second until interrupted")
+	cmd.Flags().BoolVar(&watch, "watch", false, "print the status every second until interrupted")
 	return cmd
 }
 
--- a/cmd/ravenport/drainselection.go
+++ b/cmd/ravenport/drainselection.go
@@ -32,7 +32,7 @@
 	flags.BoolVar(&f.spot, "spot", false, "spot instances only")
 	flags.BoolVar(&f.onDemand, "ordinary", false, "on-demand instances only")
 	flags.StringVar(&f.rentedBefore, "rented-before", "", "machines created before a time (RFC 3339), or longer ago than a duration (72h)")
-	flags.BoolVar(&f.all, "all", false, "every machine, where nothing else is named")
+	flags.BoolVar(&f.all, "all", false, "all machines, if no other selection flag is given")
 }
 
 // request returns the request that carries the selection.
@@ -43,7 +43,7 @@
 		MatchAll:  f.all,
 	}
 	if f.spot && f.onDemand {
-		return peer.DrainRequest{}, settings.Invalid("spot", "cannot be asked for together with ordinary")
+		return peer.DrainRequest{}, settings.Invalid("spot", "cannot be given together with ordinary")
 	}
 	if f.spot || f.onDemand {
 		request.Selection.Spot = &f.spot
--- a/cmd/ravenport/run.go
+++ b/cmd/ravenport/run.go
@@ -25,7 +25,7 @@
 		Use:   "ravenport --config PATH",
 		Short: "Run one controller of the ravenport cluster scheduler",
 		Long: "ravenport schedules job arrays, gangs and services on cloud machines.\n" +
-			"It runs until it is ended. LOG_LEVEL (error, info, debug) sets how much it logs to standard error.",
+			"It runs until it is stopped. LOG_LEVEL (error, info, debug) sets how much it logs to standard error.",
 		Version:       version,
 		Args:          cobra.NoArgs,
 		SilenceUsage:  true,
@@ -89,7 +89,7 @@
 		return
 	}
 	debug.SetMemoryLimit(int64(memoryMB * constants.HeapMemoryShare * bytesPerMB))
-	// Collections are made less often to save processor time, which is scarce. The memory
-	// limit still bounds the heap.
+	// Garbage collections run less often than by default, to save CPU time, which is scarce.
+	// The memory limit still bounds the heap.
 	debug.SetGCPercent(constants.GCPercent)
 }
--- a/cmd/ravenport/settingsfiles.go
+++ b/cmd/ravenport/settingsfiles.go
@@ -21,7 +21,7 @@
 func (f *settingsFiles) addFlags(cmd *cobra.Command) {
 	flags := cmd.Flags()
 	flags.StringVar(&f.config, "config", "", "path of the platform's settings file (TOML)")
-	flags.StringVar(&f.properties, "properties", "", "path of the operators' own settings (Java-style properties;\ndefault: "+load.DefaultPropertiesFile+" beside the settings file, if there)")
+	flags.StringVar(&f.properties, "properties", "", "path of the operators' own settings (Java-style properties;\ndefault: "+load.DefaultPropertiesFile+" in the directory of the settings file, if it exists)")
 	flags.StringVar(&f.detection, "failure-detection", "", "path of the settings of failure detection (Java-style properties;\nwithout it failure detection is off)")
 	flags.StringVar(&f.duties, "duties", "", "path of the settings of duties (Java-style properties;\nwithout it these settings are off)")
 	flags.StringVar(&f.draining, "draining", "", "path of the settings of drains and disruption budgets (Java-style properties;\nwithout it draining is off)")
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -11,8 +11,8 @@
 
 // recentCancellations holds the cancellations with the highest store revisions that this
 // process has learned of: from its watch feed, from its API server, which confirmed or
-// read them, and from other controllers. They are listed to a controller whose feed is
-// behind.
+// read them, and from other controllers. The reply to a request for a lease extension
+// lists those that the requesting controller's feed has not delivered yet.
 type recentCancellations struct {
 	revisions   map[string]uint64 // store revision of the cancellation, by job
 	latest      uint64
--- a/controller/control.go
+++ b/controller/control.go
@@ -91,9 +91,9 @@
 // records that the feed delivers.
 type termState struct {
 	acquiring    map[string]time.Time // by key: when the acquisition started
-	relinquished map[string]uint64    // by key: the term relinquished here, or reported as superseded
+	relinquished map[string]uint64    // by key: the term that was relinquished, or reported as superseded
 	successors   map[string]string    // by shard: the new owner that another controller reported
-	unstableAt   map[string]time.Time // by key: when a shard owned here was last not rebuilt or was unreachable
+	unstableAt   map[string]time.Time // by key: when a shard of this controller was last not rebuilt or was unreachable
 }
 
 // roleState holds the leader and the shard owners that run on this controller, and the
@@ -194,8 +194,8 @@
 	}
 }
 
-// dispatchMessage offers a message to each group of handlers in turn until a group
-// accepts the message.
+// dispatchMessage passes a message to each group of handlers in turn until a group handles
+// the message.
 func (c *controlActor) dispatchMessage(ctx context.Context, now time.Time, msg any) {
 	switch {
 	case c.receivePeerMessage(now, msg):
--- a/controller/control_messages.go
+++ b/controller/control_messages.go
@@ -89,7 +89,7 @@
 	// shardForecasts is the work that the leader expects to assign soon, by shard; nil
 	// if there is none.
 	shardForecasts map[string]leader.Forecast
-	// newTermRequest asks for a new term for the owner of a shard.
+	// newTermRequest requests a new term for the owner of a shard.
 	newTermRequest struct{ shard string }
 	// shardUnreachable reports that a shard's machines became unreachable at the same
 	// time.
--- a/controller/dependencies.go
+++ b/controller/dependencies.go
@@ -41,7 +41,7 @@
 	// Send sends commands to the worker at an address. The function done is called with
 	// the result on another goroutine.
 	Send(ctx context.Context, addr string, req wire.CommandRequest, done func(worker.Result))
-	// Disconnect drops the connection to a worker whose machine no longer exists.
+	// Disconnect closes the connections to the worker at an address.
 	Disconnect(addr string)
 	Close()
 }
--- a/controller/drain_service.go
+++ b/controller/drain_service.go
@@ -76,7 +76,7 @@
 }
 
 // localShardPlan returns the plan of a shard's owner in this process, or nil if the owner
-// does not run here.
+// does not run in this process.
 func (s *drainService) localShardPlan(ctx context.Context, shard string, selection records.Selection) (*drain.ShardPlan, error) {
 	owner, err := request(ctx, s.control, func(answer chan<- *actor.Ref) any { return ownerRequest{shard, answer} })
 	if err != nil || owner == nil {
--- a/controller/drain_snapshot.go
+++ b/controller/drain_snapshot.go
@@ -17,7 +17,7 @@
 type (
 	drainSnapshotRequest struct{ answer chan<- drainSnapshot }
 	// ownerRequest requests a shard's owner in this process; the answer is nil if the
-	// owner does not run here.
+	// owner does not run in this process.
 	ownerRequest struct {
 		shard  string
 		answer chan<- *actor.Ref
--- a/controller/extension.go
+++ b/controller/extension.go
@@ -13,7 +13,7 @@
 // so that owners may continue to answer their workers. Point 12 of docs/safety.md shows
 // why this is safe.
 
-// hasStoreTimedOut reports whether the key-value store has sent nothing for longer than
+// hasStoreTimedOut reports whether the key-value store has answered no call for longer than
 // ExtensionStoreContactTimeout.
 func (c *controlActor) hasStoreTimedOut(now time.Time) bool {
 	return c.feed.synced && now.Sub(c.lastStoreContact) > constants.ExtensionStoreContactTimeout
@@ -40,7 +40,7 @@
 		reply.Cancellations = c.cancellations.since(s.Revision)
 	}
 	if !c.hasStoreTimedOut(now) {
-		return reply // this controller reaches the key-value store, so the other one may too
+		return reply // this controller reaches the key-value store, so the requester may reach it too
 	}
 	for _, held := range s.ExtensionRequest {
 		if c.isAcquiring(now, held.Key) || !c.isCurrentHolder(s.Controller, held) {
@@ -65,7 +65,8 @@
 
 // isAcquisitionBlocked reports whether this controller must not acquire a term because a
 // lease extension may be in force. Either this process granted the extension, or the
-// previous process of this controller may have granted it shortly before this one started.
+// previous process of this controller may have granted it shortly before this process
+// started.
 func (c *controlActor) isAcquisitionBlocked(now time.Time) bool {
 	return now.Before(c.extension.noAcquisitionUntil) || now.Sub(c.startedAt) < constants.ExtensionTTL
 }
--- a/controller/health.go
+++ b/controller/health.go
@@ -32,7 +32,7 @@
 }
 
 // isStoreUnreachableLocally reports whether the key-value store does not answer this
-// controller while at least one other controller reaches it.
+// controller while at least one other controller reaches the store.
 func (c *controlActor) isStoreUnreachableLocally(now time.Time) bool {
 	if now.Sub(c.lastStoreContact) <= constants.StoreContactTimeout+constants.WatchTimeout/2 {
 		return false
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -20,7 +20,7 @@
 }
 
 // misroutedHeartbeat is a heartbeat that reached this controller although the owner of the
-// machine's shard does not run here.
+// machine's shard does not run on this controller.
 type misroutedHeartbeat struct {
 	shard.MisroutedHeartbeat
 	receivedAt time.Time
--- a/controller/membership_events.go
+++ b/controller/membership_events.go
@@ -20,7 +20,7 @@
 	writer *actor.Ref // nil: there is no history, events are kept in memory only
 }
 
-// add adds an event. The memory holds the latest StatusEventCount events.
+// add adds an event. Only the latest StatusEventCount events are kept in memory.
 func (l *eventLog) add(e history.Event) {
 	l.recent = append(l.recent, e)
 	l.recent = l.recent[max(0, len(l.recent)-constants.StatusEventCount):]
--- a/controller/monitor_messages.go
+++ b/controller/monitor_messages.go
@@ -40,7 +40,7 @@
 	clusterView struct {
 		incarnation  uint64            // of this process; 0: this process holds no lease
 		incarnations map[string]uint64 // of the processes that hold the other controllers' leases, by controller
-		unserved     map[string]bool   // whether too many of a controller's workers return here after a redirect
+		unserved     map[string]bool   // by controller: whether too many of its workers return to this controller after a redirect
 		actors       map[string]*actor.Ref
 		feed         watchdog.Sample
 	}
--- a/controller/pacer.go
+++ b/controller/pacer.go
@@ -6,8 +6,8 @@
 	"ravenport/actor"
 )
 
-// stepPacer enforces a minimum gap between an actor's steps, so that messages that arrive
-// between two steps are handled by a single decision.
+// stepPacer enforces a minimum interval between an actor's steps, so that messages that
+// arrive between two steps are handled by a single decision.
 type stepPacer struct {
 	self          *actor.Ref
 	lastStep      time.Time
--- a/controller/peer_status.go
+++ b/controller/peer_status.go
@@ -21,7 +21,7 @@
 }
 
 // reachesStore reports whether the controller could reach the key-value store, according
-// to its last status, and was in contact within StoreSilenceTimeout.
+// to its last status, and was in contact within StoreContactTimeout.
 func (v peerView) reachesStore(now time.Time) bool {
 	return v.storeReachable && now.Sub(v.lastContact) < constants.StoreContactTimeout
 }
@@ -53,8 +53,8 @@
 
 // pushStatus sends this controller's status to the other controllers: to the leader soon
 // after a change, and to all of them at a fixed interval. The changes of a busy shard must
-// not delay the push to all: owners learn from it that they are unreachable, and it keeps
-// users' counts current.
+// not delay the push to all: owners learn from that push that they are unreachable, and the
+// push keeps the counts in responses to users current.
 func (c *controlActor) pushStatus(ctx context.Context, now time.Time) {
 	extend := c.termsToExtend(now)
 	full := now.Sub(c.push.lastFullAt) > constants.MaxPushInterval ||
@@ -151,8 +151,9 @@
 }
 
 // stopReplacedOwner stops a shard's owner in this process if another controller owns the
-// shard under a later term. The owner here is cut off from the key-value store and has
-// been replaced: its lease extension must not keep machines from the next owner.
+// shard under a later term. The owner in this process is cut off from the key-value
+// store and has been replaced: its lease extension must not keep machines from the next
+// owner.
 func (c *controlActor) stopReplacedOwner(aggregate leader.Aggregate, by string) {
 	owner := c.roles.owners[aggregate.Shard]
 	if owner == nil || aggregate.Term <= owner.term {
@@ -178,7 +179,8 @@
 }
 
 // handleForecasts stores the forecasts of the leader in this process and passes them on to
-// the owners here. A push of the status takes them to the other controllers.
+// the owners in this process. The next push of the status sends them to the other
+// controllers.
 func (c *controlActor) handleForecasts(forecasts shardForecasts) {
 	c.roles.forecasts = forecasts
 	c.push.changed = c.push.changed || forecasts != nil
--- a/controller/redirects.go
+++ b/controller/redirects.go
@@ -8,7 +8,7 @@
 	epoch, seq   uint64 // of the worker's latest heartbeat to this controller
 	owner        string // the controller to which the worker was last redirected
 	redirectedAt time.Time
-	returned     bool // the worker sent a newer heartbeat here after it was redirected to owner
+	returned     bool // the worker sent this controller a newer heartbeat after the redirect to owner
 }
 
 // redirectTracker detects workers that return to this controller after they were
--- a/controller/role_messages.go
+++ b/controller/role_messages.go
@@ -16,8 +16,8 @@
 	// packingEnabled reports that every controller reads packed records.
 	packingEnabled struct{}
 	// wake makes an actor do the work that is due. It is either the regular tick or, if
-	// deferredStep is set, the start of a step that was deferred to keep the minimum gap
-	// between two steps.
+	// deferredStep is set, the start of a step that was deferred to keep the minimum
+	// interval between two steps.
 	wake struct{ deferredStep bool }
 	// stopRequest tells an actor to stop permanently and then to call stopped.
 	stopRequest struct{ stopped func() }
--- a/controller/shard_actor.go
+++ b/controller/shard_actor.go
@@ -237,7 +237,7 @@
 }
 
 // checkReachability tells the control actor if this owner no longer receives the
-// heartbeats of its machines. The check scans the whole fleet of the shard, so it runs
+// heartbeats of its machines. The check scans all machines of the shard, so it runs
 // once per ScaleInScanInterval and not at each step.
 func (a *shardActor) checkReachability(now time.Time) {
 	if now.Sub(a.reachabilityCheckedAt) < constants.ScaleInScanInterval {
--- a/controller/status.go
+++ b/controller/status.go
@@ -35,10 +35,10 @@
 	Controller         string   `json:"node"`
 	State              string   `json:"state"`
 	Evidence           []string `json:"evidence,omitempty"`
-	Accusers           []string `json:"accusers,omitempty"` // controllers with evidence of a failure, this one included
+	Accusers           []string `json:"accusers,omitempty"` // controllers with evidence of their own, including this controller if it has any
 	Refutation         uint64   `json:"refutation,omitempty"`
 	SinceHeartbeatMS   int64    `json:"silent_ms"` // time since the controller's last heartbeat (ms)
-	SuspicionTimeoutMS int64    `json:"bound_ms"`  // time without a heartbeat after which the controller is probed and suspected (ms)
+	SuspicionTimeoutMS int64    `json:"bound_ms"`  // time without an answer after which the controller is suspected (ms)
 }
 
 // TermHolder is the controller that holds the term of the leader or of a shard's owner.
--- a/controller/transfer.go
+++ b/controller/transfer.go
@@ -21,8 +21,8 @@
 
 // transferUnreachableShard transfers a shard whose machines became unreachable at the same
 // time. It does so only if this controller appears to be cut off: other controllers
-// receive the machines' heartbeats, or no other controller is in contact with this one.
-// Otherwise the machines themselves may be cut off.
+// receive the machines' heartbeats, or no other controller is in contact with this
+// controller. Otherwise the machines themselves may be cut off.
 func (c *controlActor) transferUnreachableShard(now time.Time, m shardUnreachable) {
 	if c.roles.owners[m.shard] == nil {
 		return
--- a/detector/heartbeat.go
+++ b/detector/heartbeat.go
@@ -76,7 +76,7 @@
 	}
 	switch interval := now.Sub(p.lastHeartbeat); {
 	case p.latest.Incarnation != previous:
-		p.lastAnswer = now // the time without an answer is measured from here
+		p.lastAnswer = now // the time without an answer starts at the incarnation's first heartbeat
 	case interval <= d.config.SuspectMax:
 		p.intervalStats.observe(interval)
 	}
--- a/detector/peer.go
+++ b/detector/peer.go
@@ -128,8 +128,8 @@
 	}
 }
 
-// markHeartbeatReceived records a message from the controller, which removes the evidence that the
-// controller is unreachable.
+// markHeartbeatReceived records a heartbeat of the controller, which removes the evidence
+// that the controller is unreachable.
 func (p *peer) markHeartbeatReceived(now time.Time) {
 	p.lastHeartbeat = now
 	p.unreachableSince = time.Time{}
--- a/detector/probing.go
+++ b/detector/probing.go
@@ -67,8 +67,8 @@
 	round.directFailed = true
 }
 
-// startIndirectProbes returns one probe of the target through each other controller that
-// has been seen within its suspicion timeout.
+// startIndirectProbes returns one probe of the target through each other controller whose
+// last heartbeat arrived within its suspicion timeout.
 func (d *Detector) startIndirectProbes(now time.Time, target *peer) []Probe {
 	round := &target.probing
 	round.indirectSent = true
--- a/detector/suspicion.go
+++ b/detector/suspicion.go
@@ -11,7 +11,7 @@
 	Incarnation uint64
 	From, To    State
 	Evidence    []Evidence
-	Accusers    []string // controllers with evidence of their own, including this one if it has any
+	Accusers    []string // controllers with evidence of their own, including this controller if it has any
 }
 
 // RevocationProposal proposes to revoke a controller that was declared failed although
@@ -20,7 +20,7 @@
 	Controller  string
 	Incarnation uint64
 	Evidence    []Evidence
-	Accusers    []string // controllers with evidence of their own, including this one if it has any
+	Accusers    []string // controllers with evidence of their own, including this controller if it has any
 }
 
 // TakeStateChanges returns the state changes since the previous call.
--- a/detector/view.go
+++ b/detector/view.go
@@ -9,8 +9,8 @@
 	Incarnation      uint64
 	Refutation       uint64
 	Evidence         []Evidence    // this controller's own
-	Accusers         []string      // controllers with evidence of their own, including this one if it has any
-	SinceHeartbeat   time.Duration // 0: the controller is not monitored
+	Accusers         []string      // controllers with evidence of their own, including this controller if it has any
+	SinceHeartbeat   time.Duration // time since its last heartbeat; 0: the controller is not monitored
 	SuspicionTimeout time.Duration // time without an answer after which the controller is suspected
 }
 
--- a/disruption/ledger.go
+++ b/disruption/ledger.go
@@ -12,7 +12,7 @@
 // Config configures a Ledger.
 type Config struct {
 	Shard       string
-	Shards      []string // all of the deployment, this one included
+	Shards      []string // all shards of the deployment, including this shard
 	Term        uint64   // of the shard's owner
 	Budgets     Budgets
 	StableAfter time.Duration // a task that has run for so long counts as available
@@ -27,7 +27,7 @@
 	cfg        Config
 	population population
 	terms      map[string]uint64      // highest known term, by shard
-	claims     map[string]storedClaim // last known claim, by shard, this shard included
+	claims     map[string]storedClaim // last known claim, by shard, including this shard
 
 	isRebuilt   bool   // the owner knows the state of the shard's tasks
 	unavailable Counts // in this shard: as last observed, plus the stops allowed since
--- a/drain/plan.go
+++ b/drain/plan.go
@@ -58,7 +58,7 @@
 }
 
 // MergePlans merges the plans of all shards, and sorts shards in place. missing lists the
-// shards without a plan. stable is how long a moved task must run before it counts as
+// shards without a plan. stableAfter is how long a moved task must run before it counts as
 // available.
 func MergePlans(shards []ShardPlan, missing []string, stableAfter time.Duration) Plan {
 	plan := Plan{Shards: shards, MissingShards: missing}
--- a/httpwire/header.go
+++ b/httpwire/header.go
@@ -32,7 +32,7 @@
 	return method != ""
 }
 
-// isTarget says whether target is a path of printable ASCII without spaces.
+// isTarget reports whether target is a path of printable ASCII without spaces.
 func isTarget(target string) bool {
 	if target == "" || target[0] != '/' {
 		return false
--- a/peer/client.go
+++ b/peer/client.go
@@ -52,5 +52,5 @@
 }
 
 // isUnimplemented reports whether a call failed because the other controller's version
-// does not have the method, or because the method is disabled there.
+// does not have the method, or because the method is disabled at that controller.
 func isUnimplemented(err error) bool { return status.Code(err) == codes.Unimplemented }
--- a/peer/detection.go
+++ b/peer/detection.go
@@ -12,7 +12,8 @@
 )
 
 // ErrDetectionDisabled means that the other controller does not take part in failure
-// detection: detection is disabled there, or the controller's version does not support it.
+// detection: detection is disabled at that controller, or its version does not support
+// detection.
 var ErrDetectionDisabled = errors.New("peer: failure detection is disabled there")
 
 // ProbeRequest requests a controller's heartbeat, directly or by an indirect probe.
--- a/peer/drain.go
+++ b/peer/drain.go
@@ -14,8 +14,8 @@
 )
 
 // ErrDrainingDisabled means that the other controller does not drain machines: draining is
-// disabled there, or the controller's version does not support it. The text is shown to
-// operators.
+// disabled at that controller, or its version does not support draining. The text is shown
+// to operators.
 var ErrDrainingDisabled = errors.New("draining is off at this controller (start it with --draining), or its version does not know it")
 
 // DrainOp is an operation on drains.
@@ -37,7 +37,7 @@
 	Op        DrainOp           `json:"op"`
 	Number    int               `json:"number,omitempty"`
 	Selection records.Selection `json:"sel"`
-	// MatchAll confirms that an empty selection is meant to match all machines.
+	// MatchAll allows an empty selection, which matches all machines.
 	MatchAll bool `json:"all,omitempty"`
 	// MinAgeS restricts the selection to machines of at least this age (s); 0 means any age.
 	MinAgeS float64 `json:"rented_before_s,omitempty"`
--- a/peer/status.go
+++ b/peer/status.go
@@ -15,16 +15,17 @@
 	Controller     string             `json:"node"`
 	StoreReachable bool               `json:"state_ok"` // the sender can reach the store
 	Aggregates     []leader.Aggregate `json:"agg,omitempty"`
-	// Forecast is what the sender, if it is the leader, will assign soon, by shard.
+	// Forecast is the work that the leader expects to assign soon, by shard. Only the
+	// leader's controller sends it.
 	Forecast map[string]leader.Forecast `json:"fc,omitempty"`
 	// MisroutedHeartbeats lists recent heartbeats that the sender received from machines
-	// owned by another controller. These machines are up; it is their owner that is
-	// partitioned from them.
+	// owned by another controller. These machines are up, but their owner is partitioned
+	// from them.
 	MisroutedHeartbeats []shard.MisroutedHeartbeat `json:"strays,omitempty"`
 	// Revision is the revision that the sender's watch feed has reached.
 	Revision uint64 `json:"rev,omitempty"`
-	// ExtensionRequest lists the terms for which the sender requests an extension of their
-	// leases, so that it can keep its shards while no controller can reach the store
+	// ExtensionRequest lists the terms for which the sender requests a lease extension,
+	// so that the sender can keep its shards while no controller can reach the store
 	// (docs/safety.md, point 12).
 	ExtensionRequest []HeldTerm `json:"ask,omitempty"`
 	// Counts are the numbers of running tasks and of tasks done in open assignments, by
--- a/server/connections.go
+++ b/server/connections.go
@@ -44,9 +44,10 @@
 	s.nearlyFull.Store(len(s.conns) > s.maxConns*constants.ServerNearlyFullEighths/8+1)
 }
 
-// reclaimConn closes the connection that has been idle longest, provided that it has been
-// idle for so long (reclaimIdle) that its client cannot be using it. Otherwise abandoned
-// connections would shut out users and health checks. It reports whether it closed one.
+// reclaimConn closes the connection that has been idle longest, if it has been idle for
+// longer than reclaimIdle, so that its client cannot be using it. Without reclaimConn,
+// abandoned connections could keep users and health checks from connecting. It reports
+// whether it closed a connection.
 func (s *Server) reclaimConn() bool {
 	var longestIdle gnet.Conn
 	idleSince := time.Now().Add(-s.reclaimIdle)
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -154,8 +154,8 @@
 }
 
 // When nearly all allowed connections are open, the server closes a connection after its
-// response, so that clients between two heartbeats or polls do not shut out users and
-// health checks. With fewer open connections the server keeps them open.
+// response, so that clients between two heartbeats or polls do not keep users and health
+// checks from connecting. With fewer open connections the server keeps them open.
 func TestNearlyFullServerClosesConnections(t *testing.T) {
 	addr := startServer(t, 20)
 	closesAfterRequest := func(c net.Conn, in *bufio.Reader) bool {
--- a/settings/draining.go
+++ b/settings/draining.go
@@ -59,10 +59,10 @@
 		bytes += servicesBytes + interruptionsBytes
 	}
 	if maxBytes := int(limits.ValueKB * 1024); bytes > maxBytes {
-		return Invalid(BudgetPrefix+"…", "%d budgets take %d bytes of the state service, which has %d for a value", len(d.Budgets.Keys()), bytes, maxBytes)
+		return Invalid(BudgetPrefix+"…", "%d budgets take %d bytes, but a value of the key-value store may have only %d", len(d.Budgets.Keys()), bytes, maxBytes)
 	}
 	if maxZones := limits.TxnOps*conditionsPerTxnOp - claimConditions + 1; len(s.Deployment.Zones) > maxZones {
-		return Invalid("facts.zones", "draining serves at most %d zones with these limits of the state service", maxZones)
+		return Invalid("facts.zones", "draining serves at most %d zones with these limits of the key-value store", maxZones)
 	}
 	return nil
 }
--- a/settings/limits.go
+++ b/settings/limits.go
@@ -88,7 +88,7 @@
 // CloudCallInterval is the time in which this controller may make two calls to the cloud.
 func (s *Settings) CloudCallInterval() time.Duration { return Seconds(2 / s.CloudCallRate()) }
 
-// controllerCount is the number of controllers, this one included.
+// controllerCount is the number of controllers, including this controller.
 func (s *Settings) controllerCount() float64 { return float64(1 + len(s.Peers)) }
 
 // ProcessorCount is the machine's CPU share, rounded up to whole processors; 0 if the share
@@ -107,8 +107,8 @@
 }
 
 // RoundBudget is the maximum duration of a round of decisions. On less than one processor
-// it is longer, up to constants.MaxRoundBudget, so that a round gets the same processor time
-// as on a whole processor.
+// it is longer, up to constants.MaxRoundBudget, so that a round gets the same CPU time as
+// on a whole processor.
 func (s *Settings) RoundBudget() time.Duration {
 	if share := s.Deployment.Limits.CPU; share <= 0 || share >= 1 {
 		return constants.RoundBudget
--- a/settings/limits_test.go
+++ b/settings/limits_test.go
@@ -12,7 +12,7 @@
 
 // The sockets of the server and of all shards' commands stay within the machine's limit for
 // any number of shards. One controller has enough server sockets for 2600 workers, 1.5 times
-// the largest fleet seen.
+// the largest observed fleet.
 func TestSocketLimitsStayWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Settings
@@ -46,9 +46,9 @@
 	}
 }
 
-// The smaller the machine's CPU share, the longer a controller leaves a second shard to the
-// shard's own controller, up to a bound. If the share is unknown, the controller does not
-// wait.
+// The smaller the machine's CPU share, the longer a controller waits before it acquires a
+// second shard, so that the shard's own controller can acquire it first. The wait has an
+// upper bound. If the share is unknown, the controller does not wait.
 func TestSecondShardDelayDependsOnCPU(t *testing.T) {
 	var s Settings
 	for share, want := range map[float64]time.Duration{0: 0, 8: 50 * time.Millisecond, 1: 400 * time.Millisecond, 0.1: 4 * time.Second, 0.01: constants.MaxSecondShardDelay} {
@@ -59,7 +59,7 @@
 	}
 }
 
-// A round gets the same processor time on a part of a processor as on a whole one, up to a
+// A round gets the same CPU time on a part of a processor as on a whole processor, up to a
 // bound on its duration.
 func TestRoundBudgetDependsOnCPU(t *testing.T) {
 	var s Settings
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -63,7 +63,7 @@
 	HeartbeatS float64 `toml:"report_s"`
 	// LeaseS is how long a worker keeps running its tasks without a reply to its heartbeats.
 	LeaseS float64 `toml:"lease_s"`
-	// CancelTimeoutS is the time within which all tasks of a canceled job must have ended.
+	// CancelTimeoutS is the time within which all tasks of a cancelled job must have ended.
 	CancelTimeoutS float64 `toml:"cancel_s"`
 	// GangWaitTimeoutS is the time after which a gang task stops waiting for the other tasks
 	// of its gang.
@@ -146,7 +146,7 @@
 	return i, i >= 0
 }
 
-// AllControllers returns all controllers with their zones, this one first.
+// AllControllers returns all controllers with their zones, this controller first.
 func (s *Settings) AllControllers() []Peer {
 	self := Peer{Controller: s.Controller, Zone: s.Zone, Addr: s.PeerAddr}
 	return append([]Peer{self}, s.Peers...)
--- a/settings/timing.go
+++ b/settings/timing.go
@@ -23,9 +23,10 @@
 	return time.Duration(float64(s.WorkerLease())*(1+constants.MaxClockDrift)) + constants.WorkerLeaseMargin
 }
 
-// Authority is how long a controller may act after it last heard from the key-value store,
-// counted from when it sent the answered request. The authority is shortened if tasks of a
-// canceled job might otherwise run longer than cancel_s; shortened reports whether it was.
+// Authority is how long a controller may act without a further response of the key-value
+// store, counted from when it sent the last request that was answered. The authority is
+// shortened if tasks of a cancelled job might otherwise run longer than cancel_s; shortened
+// reports whether it was.
 func (s *Settings) Authority() (authority time.Duration, shortened bool) {
 	authority = time.Duration(float64(s.Operator.LeaseTTL)*(1-constants.MaxClockDrift)) - constants.AuthorityMargin
 	limit := s.maxAuthority()
--- a/worker/client.go
+++ b/worker/client.go
@@ -42,8 +42,8 @@
 }
 
 // clientOf returns the client of the worker at addr. With more than
-// constants.MaxIdleWorkerConns clients, clientOf closes the oldest one: a fleet has more
-// machines than this process has sockets to spare.
+// constants.MaxIdleWorkerConns clients, clientOf closes the oldest one: a shard may have more
+// machines than this process may have open sockets.
 func (c *Client) clientOf(addr string) *httpwire.Client {
 	if client := c.clients[addr]; client != nil {
 		return client
--- a/worker/client_test.go
+++ b/worker/client_test.go
@@ -19,8 +19,8 @@
 	os.Exit(m.Run())
 }
 
-// A fleet has more machines than the process has sockets to spare. However many workers
-// were called, at most MaxIdleWorkerConns connections stay open.
+// A shard may have more machines than the process may have open sockets. However many
+// workers were called, at most MaxIdleWorkerConns connections stay open.
 func TestClientKeepsFewConnections(t *testing.T) {
 	var open atomic.Int64
 	listen := func() string {
