--- a/cmd/ravenport/drain.go
+++ b/cmd/ravenport/drain.go
@@ -64,7 +64,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			number, err := strconv.Atoi(args[0])
 			if err != nil || number < 1 {
-				return settings.Invalid("drain", "%q is no number of a drain", args[0])
+				return settings.Invalid("drain", "%q is not the number of a drain", args[0])
 			}
 			return target.send(cmd, peer.DrainRequest{Op: op, Number: number})
 		},
--- a/controller/control_messages.go
+++ b/controller/control_messages.go
@@ -34,7 +34,7 @@
 		status peer.Status
 		answer chan<- peer.StatusReply // buffered
 	}
-	// peerStatusReply is another controller's answer to the status of this controller.
+	// peerStatusReply is another controller's reply to the status of this controller.
 	peerStatusReply struct {
 		controller         string
 		sentAt             time.Time
--- a/controller/detection_test.go
+++ b/controller/detection_test.go
@@ -288,7 +288,7 @@
 			b := w.startWork(t, 60)
 			owner := w.owner("a")
 			w.controllers[owner].stallOwner("a", 50*time.Second)
-			w.expectNewOwner(t, "a", owner, w.controllers[owner].set.Detection.StallAfter+time.Second+takeoverBound)
+			w.expectNewOwner(t, "a", owner, w.controllers[owner].set.Detection.StallTimeout+time.Second+takeoverBound)
 			w.waitUntil(t, "the process ends itself", 15*time.Second, func() bool { return w.eventCount("ended itself: controller") == 1 })
 			time.Sleep(50 * time.Second)
 			w.settleAll(t, 4*time.Minute, b.finishes)
--- a/controller/extension.go
+++ b/controller/extension.go
@@ -71,7 +71,7 @@
 	return now.Before(c.extension.noAcquisitionUntil) || now.Sub(c.startedAt) < constants.ExtensionTTL
 }
 
-// applyExtensionReply applies another controller's answer to a request for a lease
+// applyExtensionReply applies another controller's reply to a request for a lease
 // extension. The extension is counted from before its request was sent. It is valid only
 // if this controller knows every cancellation that the other controller may have
 // confirmed, either from the feed or because the reply lists them. The owners on this
--- a/controller/monitor.go
+++ b/controller/monitor.go
@@ -60,7 +60,7 @@
 		settings:          set.Detection,
 		leaseTTL:          set.Operator.LeaseTTL,
 		detector:          d,
-		watchdog:          watchdog.New(set.Detection.StallAfter),
+		watchdog:          watchdog.New(set.Detection.StallTimeout),
 		peers:             dependencies.Monitors,
 		self:              self,
 		control:           control,
--- a/controller/monitor_messages.go
+++ b/controller/monitor_messages.go
@@ -22,7 +22,7 @@
 		message detector.Message
 		err     error
 	}
-	// peerHeartbeatResult is another controller's answer to this controller's heartbeat.
+	// peerHeartbeatResult is another controller's reply to this controller's heartbeat.
 	peerHeartbeatResult struct {
 		controller string
 		message    detector.Message
--- a/controller/peer_status.go
+++ b/controller/peer_status.go
@@ -16,7 +16,7 @@
 // peerView is this controller's knowledge of another controller.
 type peerView struct {
 	storeReachable bool      // according to the controller's last status
-	lastContact    time.Time // when its last status arrived, or its last answer to a status of this controller
+	lastContact    time.Time // when its last status arrived, or its last reply to a status of this controller
 	lastStatus     time.Time // when its last status arrived, which has the aggregates of its shards
 }
 
@@ -110,14 +110,14 @@
 	return status
 }
 
-// handlePeerStatusReply handles another controller's answer to this controller's status.
+// handlePeerStatusReply handles another controller's reply to this controller's status.
 func (c *controlActor) handlePeerStatusReply(now time.Time, m peerStatusReply) {
 	c.push.inFlight[m.controller] = false
 	c.applyExtensionReply(m)
 	if m.err != nil {
 		return
 	}
-	// The answer shows contact only; storeReachable comes from the controller's own status.
+	// The reply shows contact only; storeReachable comes from the controller's own status.
 	view := c.peers[m.controller]
 	view.lastContact = now
 	c.peers[m.controller] = view
--- a/detector/config.go
+++ b/detector/config.go
@@ -24,7 +24,7 @@
 }
 
 // ErrInvalidConfig is wrapped by every ConfigError.
-var ErrInvalidConfig = errors.New("detector: bad configuration")
+var ErrInvalidConfig = errors.New("detector: invalid configuration")
 
 // ConfigError reports a field of Config with an invalid value.
 type ConfigError struct {
--- a/detector/detector_test.go
+++ b/detector/detector_test.go
@@ -175,9 +175,8 @@
 	}
 }
 
-// A live controller is not declared failed without a majority that has evidence about
-// its work, however many controllers of a minority have evidence against it, and however
-// many controllers cannot reach it.
+// A live controller is not declared failed without a majority that has evidence about the
+// controller's work. Neither the evidence of a minority nor links that are down suffice.
 func TestNobodyIsDeclaredWithoutMajorityAndWork(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.SampledFrom([]int{3, 5, 9}).Draw(t, "controllers")
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -133,8 +133,8 @@
 	expectResponse(t, in, "200", "GET /2")
 }
 
-// At the connection limit, idle connections are closed to make room for those of users and
-// health checks.
+// At the connection limit, idle connections are closed, so that users and health checks can
+// connect.
 func TestIdleConnectionsAreReclaimed(t *testing.T) {
 	addr := startServerWith(t, 3, 0, time.Second)
 	for range 3 { // these clients send no further request
--- a/settings/detection.go
+++ b/settings/detection.go
@@ -14,7 +14,7 @@
 	SuspectMax        time.Duration // detection.suspect.max.ms
 	DeclareAfter      time.Duration // detection.declare.ms
 	ProbeTimeout      time.Duration // detection.probe.timeout.ms
-	StallAfter        time.Duration // detection.stall.ms
+	StallTimeout      time.Duration // detection.stall.ms
 	Revoke            bool          // detection.revoke: whether a controller declared failed is replaced, or only reported
 	HistoryPath       string        // detection.history.path; empty: no history file
 	HistorySize       int           // detection.history.events: number of events kept at least
@@ -29,7 +29,7 @@
 		SuspectMax:        8 * time.Second,
 		DeclareAfter:      6 * time.Second,
 		ProbeTimeout:      time.Second,
-		StallAfter:        5 * time.Second,
+		StallTimeout:      5 * time.Second,
 		Revoke:            true,
 		HistorySize:       1000,
 	}
--- a/settings/load/detection.go
+++ b/settings/load/detection.go
@@ -58,7 +58,7 @@
 		{"detection.suspect.max.ms", &d.SuspectMax, 200 * time.Millisecond, 5 * time.Minute},
 		{"detection.declare.ms", &d.DeclareAfter, 500 * time.Millisecond, 10 * time.Minute},
 		{"detection.probe.timeout.ms", &d.ProbeTimeout, 50 * time.Millisecond, 10 * time.Second},
-		{"detection.stall.ms", &d.StallAfter, time.Second, 10 * time.Minute},
+		{"detection.stall.ms", &d.StallTimeout, time.Second, 10 * time.Minute},
 	}
 }
 
--- a/settings/load/draining.go
+++ b/settings/load/draining.go
@@ -79,7 +79,7 @@
 	return err
 }
 
-// readPercent reads a share in percent. It returns defaultValue if the key is missing.
+// readPercent reads a percentage. It returns defaultValue if the key is missing.
 func readPercent(p *properties.Properties, key string, defaultValue float64) (float64, error) {
 	text, ok := p.Get(key)
 	if !ok {
@@ -87,7 +87,7 @@
 	}
 	percent, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(percent >= 0 && percent <= maxParallelPercent) {
-		return 0, settings.Invalid(key, "must be a share from 0 to 100")
+		return 0, settings.Invalid(key, "must be a percentage from 0 to 100")
 	}
 	return percent, nil
 }
@@ -134,7 +134,7 @@
 		}
 	}
 	if !hasServiceBudget {
-		return settings.Invalid(settings.BudgetPrefix+settings.AnyTeam, "must be set, to %s if there is to be no budget", unlimited)
+		return settings.Invalid(settings.BudgetPrefix+settings.AnyTeam, "must be set; use %s for no budget", unlimited)
 	}
 	return nil
 }
@@ -169,10 +169,10 @@
 	if err != nil {
 		return settings.Invalid(l.key, "%w", err)
 	}
-	// A share is of the tasks of services, all of which should be available. The tasks of arrays
-	// and gangs are not meant to be available at all times.
+	// A percentage is of tasks that should all be available. This holds for the tasks of
+	// services, but not for those of arrays and gangs.
 	if l.isInterruptions && amount.IsPercent {
-		return settings.Invalid(l.key, "must be a number: only a budget of services can be a share")
+		return settings.Invalid(l.key, "must be a number of tasks: only a budget of services can be a percentage")
 	}
 	switch {
 	case l.name == settings.AnyTeam && l.isInterruptions:
--- a/watchdog/watchdog.go
+++ b/watchdog/watchdog.go
@@ -15,8 +15,8 @@
 	Pending int    // messages that are queued or being handled
 }
 
-// progress is the number of messages that an actor had handled when it last made
-// progress or had no pending messages.
+// progress records when an actor last made progress or had no pending messages, and how
+// many messages it had handled by then.
 type progress struct {
 	handled      uint64
 	lastProgress time.Time
