--- a/cmd/ravenport/draintarget.go
+++ b/cmd/ravenport/draintarget.go
@@ -25,7 +25,7 @@
 // addFlags adds the flags to a command and its subcommands.
 func (t *drainTarget) addFlags(cmd *cobra.Command) {
 	flags := cmd.PersistentFlags()
-	flags.StringVar(&t.controller, "controller", "", "address of any controller that serves the other controllers (field back of its settings file)")
+	flags.StringVar(&t.controller, "controller", "", "address at which any controller serves the others (field back of its settings file)")
 	flags.StringVar(&t.config, "config", "", "path of a controller's settings file (TOML), instead of --controller")
 	flags.BoolVar(&t.json, "json", false, "print JSON")
 }
