--- a/controller/extension.go
+++ b/controller/extension.go
@@ -13,15 +13,15 @@
 // so that owners may continue to answer their workers. Point 12 of docs/safety.md shows
 // why this is safe.
 
-// isStoreSilent reports whether the key-value store has sent nothing for longer than
+// hasStoreTimedOut reports whether the key-value store has answered no call for longer than
 // ExtensionStoreContactTimeout.
-func (c *controlActor) isStoreSilent(now time.Time) bool {
+func (c *controlActor) hasStoreTimedOut(now time.Time) bool {
 	return c.feed.synced && now.Sub(c.lastStoreContact) > constants.ExtensionStoreContactTimeout
 }
 
 // termsToExtend returns the terms for which lease extensions are to be requested now.
 func (c *controlActor) termsToExtend(now time.Time) []peer.HeldTerm {
-	if !c.isStoreSilent(now) || c.lease.id == 0 || len(c.settings.Peers) == 0 {
+	if !c.hasStoreTimedOut(now) || c.lease.id == 0 || len(c.settings.Peers) == 0 {
 		return nil
 	}
 	var held []peer.HeldTerm
@@ -39,8 +39,8 @@
 		reply.AllCancellationsListed = true
 		reply.Cancellations = c.cancellations.since(s.Revision)
 	}
-	if !c.isStoreSilent(now) {
-		return reply // this controller reaches the key-value store, so the other one may too
+	if !c.hasStoreTimedOut(now) {
+		return reply // this controller reaches the key-value store, so the requester may reach it too
 	}
 	for _, held := range s.ExtensionRequest {
 		if c.isAcquiring(now, held.Key) || !c.isCurrentHolder(s.Controller, held) {
@@ -65,12 +65,13 @@
 
 // isAcquisitionBlocked reports whether this controller must not acquire a term because a
 // lease extension may be in force. Either this process granted the extension, or the
-// previous process of this controller may have granted it shortly before this one started.
+// previous process of this controller may have granted it shortly before this process
+// started.
 func (c *controlActor) isAcquisitionBlocked(now time.Time) bool {
 	return now.Before(c.extension.noAcquisitionUntil) || now.Sub(c.startedAt) < constants.ExtensionTTL
 }
 
-// applyExtensionReply applies another controller's answer to a request for a lease
+// applyExtensionReply applies another controller's reply to a request for a lease
 // extension. The extension is counted from before its request was sent. It is valid only
 // if this controller knows every cancellation that the other controller may have
 // confirmed, either from the feed or because the reply lists them. The owners on this
--- a/controller/monitor.go
+++ b/controller/monitor.go
@@ -60,7 +60,7 @@
 		settings:          set.Detection,
 		leaseTTL:          set.Operator.LeaseTTL,
 		detector:          d,
-		watchdog:          watchdog.New(set.Detection.StallAfter),
+		watchdog:          watchdog.New(set.Detection.StallTimeout),
 		peers:             dependencies.Monitors,
 		self:              self,
 		control:           control,
@@ -213,7 +213,7 @@
 			Evidence:           evidenceNames(v.Evidence),
 			Accusers:           v.Accusers,
 			Refutation:         v.Refutation,
-			SinceHeartbeatMS:   v.SinceLastSeen.Milliseconds(),
+			SinceHeartbeatMS:   v.SinceHeartbeat.Milliseconds(),
 			SuspicionTimeoutMS: v.SuspicionTimeout.Milliseconds(),
 		})
 	}
