--- a/cmd/ravenport/draintarget.go
+++ b/cmd/ravenport/draintarget.go
@@ -14,18 +14,18 @@
 	"ravenport/settings/load"
 )
 
-// drainTarget is the controller that requests about drains go to, and the form in which
-// its replies are printed.
+// drainTarget is the controller to which requests about drains are sent, and the format in
+// which its replies are printed.
 type drainTarget struct {
 	controller string // an address
-	config     string // path of the settings file with the address, instead of controller
+	config     string // path of a settings file that contains the address; alternative to controller
 	json       bool
 }
 
 // addFlags adds the flags to a command and its subcommands.
 func (t *drainTarget) addFlags(cmd *cobra.Command) {
 	flags := cmd.PersistentFlags()
-	flags.StringVar(&t.controller, "controller", "", "address of any controller for the others (its field back)")
+	flags.StringVar(&t.controller, "controller", "", "address at which any controller serves the others (field back of its settings file)")
 	flags.StringVar(&t.config, "config", "", "path of a controller's settings file (TOML), instead of --controller")
 	flags.BoolVar(&t.json, "json", false, "print JSON")
 }
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// callDrain sends a request to the controller at an address. A refused request is an
-// error.
+// callDrain sends a request to the controller at an address. It returns an error if the
+// controller refuses the request.
 func callDrain(ctx context.Context, address string, request peer.DrainRequest) (*peer.DrainReply, error) {
 	client, err := peer.Dial(address)
 	if err != nil {
--- a/controller/roles.go
+++ b/controller/roles.go
@@ -134,7 +134,7 @@
 	owner.cancel()
 	delete(c.roles.owners, shard)
 	delete(c.roles.shardStatuses, shard)
-	delete(c.drains.views, shard)
+	delete(c.drains.shardStatuses, shard)
 }
 
 // tellOwners sends a message to every owner on this controller.
@@ -170,7 +170,7 @@
 // handleShardStatus stores an owner's status and passes it on to the API server, the
 // leader and the other owners on this controller.
 func (c *controlActor) handleShardStatus(now time.Time, m shardStatus) {
-	c.push.pending = true
+	c.push.changed = true
 	if m.counts != nil {
 		if m.summary.Partitioned || !m.summary.Rebuilt {
 			c.terms.unstableAt[records.KeyShard(m.shard)] = now
@@ -182,20 +182,20 @@
 		m.summary = previous.summary
 		m.drains = previous.drains
 	}
-	c.drains.views[m.shard] = m.drains
+	c.drains.shardStatuses[m.shard] = m.drains
 	c.roles.shardStatuses[m.shard] = m
 	c.tellLeader(m.aggregate)
 	c.tellOwners([]leader.Aggregate{m.aggregate})
 }
 
 // lacksPeerContact reports whether no other controller made contact within
-// PeerSilenceTimeout although at least one is alive.
+// PeerContactTimeout although at least one is alive.
 func (c *controlActor) lacksPeerContact(now time.Time) bool {
 	return c.havePeersTimedOut(now, func(v peerView) time.Time { return v.lastContact })
 }
 
 // lacksPeerStatus reports whether no other controller sent its status within
-// PeerSilenceTimeout although at least one is alive. The others may still answer this
+// PeerContactTimeout although at least one is alive. The others may still answer this
 // controller's status. The check guards against a leader that other controllers cannot
 // call: the leader would have the aggregates of its own shards only, and would assign
 // all work to those shards.
@@ -204,12 +204,12 @@
 }
 
 // havePeersTimedOut reports whether at least one other controller is alive, and the time
-// that lastReceived returns is longer ago than PeerSilenceTimeout for every other
+// that lastReceived returns is longer ago than PeerContactTimeout for every other
 // controller.
 func (c *controlActor) havePeersTimedOut(now time.Time, lastReceived func(peerView) time.Time) bool {
 	someAlive := false
 	for _, p := range c.settings.Peers {
-		if now.Sub(lastReceived(c.peers[p.Controller])) < constants.PeerSilenceTimeout {
+		if now.Sub(lastReceived(c.peers[p.Controller])) < constants.PeerContactTimeout {
 			return false
 		}
 		someAlive = someAlive || c.member.IsAlive(p.Controller)
--- a/controller/unserved.go
+++ b/controller/unserved.go
@@ -25,10 +25,10 @@
 }
 
 // unservedThreshold returns how many of a controller's machines must return to this
-// controller to be evidence against the owner: one in RecentHeartbeatShare, rounded up,
+// controller to be evidence against the owner: one in RecentHeartbeatDivisor, rounded up,
 // and at least MinUnservedMachines.
 func (c *controlActor) unservedThreshold(controller string) int {
-	share := (c.countOwnedMachines(controller) + constants.RecentHeartbeatShare - 1) / constants.RecentHeartbeatShare
+	share := (c.countOwnedMachines(controller) + constants.RecentHeartbeatDivisor - 1) / constants.RecentHeartbeatDivisor
 	return max(constants.MinUnservedMachines, share)
 }
 
--- a/internal/loopback/fleet_test.go
+++ b/internal/loopback/fleet_test.go
@@ -16,29 +16,29 @@
 	"ravenport/server"
 )
 
-// requestTimeout is how long a user waits for a reply.
+// requestTimeout is the time that a user waits for a reply.
 const requestTimeout = 5 * time.Second
 
-// leaseCheckInterval is how often the stand-in store looks for expired leases.
+// leaseCheckInterval is the interval at which the fake store checks for expired leases.
 const leaseCheckInterval = 50 * time.Millisecond
 
-// maxStandInConnections bounds the connections of one stand-in.
-const maxStandInConnections = 10_000
+// maxFakeServerConnections limits the connections of one fake server.
+const maxFakeServerConnections = 10_000
 
-// clientLimits bound the replies that the stand-ins of workers and users read.
+// clientLimits limits the size of the replies that the fake workers and users read.
 var clientLimits = httpwire.Limits{Header: 8 << 10, Body: 1 << 20}
 
-// fleet is a running deployment: the controllers' processes and the stand-ins.
+// fleet is a running deployment: the controllers' processes and the fakes around them.
 type fleet struct {
 	deployment
-	dir            string // settings, logs and histories of the controllers
-	program        string // path of the built controller
+	dir            string // directory of the controllers' settings, logs and histories
+	program        string // path of the controller program
 	controllers    []*controller
 	store          *store
 	cloud          *cloud
 	observer       *observer
-	cutFromWorkers []atomic.Bool // by controller: workers' heartbeats do not reach it
-	links          *links        // nil: no link can be cut
+	cutFromWorkers []atomic.Bool // by controller: whether workers' heartbeats do not reach the controller
+	links          *links        // nil: links cannot be cut
 
 	// Counters of what workers sent and received.
 	heartbeats     atomic.Int64
@@ -46,63 +46,63 @@
 	taskStarts     atomic.Int64
 
 	mu            sync.Mutex
-	taskDurations map[string]time.Duration    // by job; absent: its tasks run until stopped
+	taskDurations map[string]time.Duration    // by job; absent: the job's tasks run until stopped
 	clients       map[string]*httpwire.Client // by worker and controller
 	jobSeq        int                         // number of the latest job
 }
 
-// newFleet builds the program, and starts the stand-ins and the controllers. The
-// controllers and workers end with the test.
-func newFleet(tb testing.TB, d deployment) *fleet {
+// newFleet builds the program and starts the fakes and the controllers. The controllers and
+// workers are terminated at the end of the test.
+func newFleet(tb testing.TB, deployment deployment) *fleet {
 	tb.Helper()
-	takeSite(tb)
+	nextSite(tb)
 	observer := newObserver()
-	f := &fleet{
-		deployment:     d,
+	fleet := &fleet{
+		deployment:     deployment,
 		dir:            tb.TempDir(),
 		store:          newStore(observer),
 		observer:       observer,
-		cutFromWorkers: make([]atomic.Bool, d.numControllers()),
+		cutFromWorkers: make([]atomic.Bool, deployment.numControllers()),
 		taskDurations:  map[string]time.Duration{},
 		clients:        map[string]*httpwire.Client{},
 	}
-	f.cloud = newCloud(d.zones, d.machines, func(m *machine) { go m.run(f) })
-	f.cloud.lease = time.Duration(d.workerLeaseS * float64(time.Second))
-	f.cloud.observer = observer
-	serveStandIns(tb, f)
-	f.program = filepath.Join(f.dir, "ravenport")
-	if output, err := exec.Command("go", "build", "-o", f.program, "ravenport/cmd/ravenport").CombinedOutput(); err != nil {
-		tb.Fatalf("building: %v\n%s", err, output)
+	fleet.cloud = newCloud(deployment.zones, deployment.machines, func(m *machine) { go m.run(fleet) })
+	fleet.cloud.lease = time.Duration(deployment.workerLeaseS * float64(time.Second))
+	fleet.cloud.observer = observer
+	serveFakes(tb, fleet)
+	fleet.program = filepath.Join(fleet.dir, "ravenport")
+	if output, err := exec.Command("go", "build", "-o", fleet.program, "ravenport/cmd/ravenport").CombinedOutput(); err != nil {
+		tb.Fatalf("cannot build ravenport: %v\n%s", err, output)
 	}
-	if d.canPartition {
-		f.links = newLinks(tb, d.numControllers())
+	if deployment.canPartition {
+		fleet.links = newLinks(tb, deployment.numControllers())
 	}
-	for i := range d.numControllers() {
-		c := f.configureController(tb, i)
-		f.controllers = append(f.controllers, c)
+	for i := range deployment.numControllers() {
+		c := fleet.configureController(tb, i)
+		fleet.controllers = append(fleet.controllers, c)
 		c.start(tb)
 	}
 	tb.Cleanup(func() {
-		for _, c := range f.controllers {
+		for _, c := range fleet.controllers {
 			c.kill()
 		}
-		f.cloud.remove(f.cloud.names)
+		fleet.cloud.remove(fleet.cloud.names)
 	})
-	return f
+	return fleet
 }
 
-// serveStandIns serves the store and the cloud until the process ends.
-func serveStandIns(tb testing.TB, f *fleet) {
+// serveFakes serves the fake store and the fake cloud until the process ends.
+func serveFakes(tb testing.TB, f *fleet) {
 	tb.Helper()
 	handlers := map[string]server.Handler{storeAddr(): f.store.handle, cloudAddr(): f.cloud.handle}
 	for addr, handle := range handlers {
-		s := server.New(addr, maxStandInConnections, handle)
+		s := server.New(addr, maxFakeServerConnections, handle)
 		ended := make(chan error, 1)
 		go func() { ended <- s.Run() }()
 		select {
 		case <-s.Ready():
 		case err := <-ended:
-			tb.Fatalf("a stand-in at %s: %v", addr, err)
+			tb.Fatalf("fake server at %s: %v", addr, err)
 		}
 	}
 	go func() {
@@ -112,7 +112,7 @@
 	}()
 }
 
-// controllerIndex returns the index of a controller by its name, or -1.
+// controllerIndex returns the index of the controller with a name, or -1 if there is none.
 func (f *fleet) controllerIndex(name string) int {
 	for i, c := range f.controllers {
 		if c.name == name {
--- a/internal/loopback/machine_commands_test.go
+++ b/internal/loopback/machine_commands_test.go
@@ -10,20 +10,20 @@
 	"ravenport/wire"
 )
 
-// commandLimits bound the requests that a worker reads.
+// commandLimits limits the size of the requests that a worker reads.
 var commandLimits = httpwire.Limits{Header: 8 << 10, Body: 64 << 10}
 
-// readBufferSize is what a worker reads of a connection at once (bytes).
+// readBufferSize is the size of a worker's read buffer (bytes).
 const readBufferSize = 8 << 10
 
-// listen serves direct commands until the machine ends.
+// listen serves direct commands until the machine is terminated.
 func (m *machine) listen(f *fleet) error {
 	listener, err := net.Listen("tcp4", m.addr)
 	if err != nil {
 		return err
 	}
 	go func() {
-		<-m.stopped
+		<-m.done
 		listener.Close()
 	}()
 	go func() {
@@ -38,14 +38,14 @@
 	return nil
 }
 
-// serveConnection responds to the requests of one connection, one after another.
+// serveConnection responds to the requests of one connection in sequence.
 func (m *machine) serveConnection(f *fleet, conn net.Conn) {
 	defer conn.Close()
 	var received []byte
 	buffer := make([]byte, readBufferSize)
 	for {
 		n, err := conn.Read(buffer)
-		if err != nil || m.ended.Load() {
+		if err != nil || m.terminated.Load() {
 			return
 		}
 		received = append(received, buffer[:n]...)
@@ -64,8 +64,9 @@
 	}
 }
 
-// handleCommands executes the direct commands of a request, unless they are fenced or of
-// another epoch.
+// handleCommands executes the direct commands of a request. It rejects the commands if their
+// fencing token is lower than the worker's, if they are for another epoch of the worker, or
+// if the machine was terminated.
 func (m *machine) handleCommands(f *fleet, body []byte) *httpwire.Response {
 	var request wire.CommandRequest
 	if err := json.Unmarshal(body, &request); err != nil {
@@ -75,26 +76,27 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	status := 409
-	if request.FencingToken >= m.fencingToken && request.Epoch == m.epoch && !m.ended.Load() {
+	if request.FencingToken >= m.fencingToken && request.Epoch == m.epoch && !m.terminated.Load() {
 		status = 200
 		m.executeUnderToken(f, request.FencingToken, request.Commands, time.Now())
 	}
 	return &httpwire.Response{Status: status, Body: m.nextHeartbeat()}
 }
 
-// executeUnderToken executes commands under a fencing token, in a request or an exchange
-// that began at a time. The caller holds the lock.
-func (m *machine) executeUnderToken(f *fleet, token uint64, commands []wire.Command, began time.Time) {
+// executeUnderToken executes commands under a fencing token. startedAt is the start of the
+// request or the heartbeat exchange that contained the commands. The caller must hold the
+// lock.
+func (m *machine) executeUnderToken(f *fleet, token uint64, commands []wire.Command, startedAt time.Time) {
 	isHigher := token > m.fencingToken
 	m.fencingToken = token
 	if isHigher || len(commands) > 0 {
-		m.observer.commandsExecuted(m.zone, m.name, token, began, time.Now())
+		m.observer.commandsExecuted(m.zone, m.name, token, startedAt, time.Now())
 	}
 	m.execute(f, commands)
 }
 
-// execute executes commands in order. A command that was executed before changes nothing.
-// The caller holds the lock.
+// execute executes commands in order. Repeated commands have no effect. The caller must hold
+// the lock.
 func (m *machine) execute(f *fleet, commands []wire.Command) {
 	for _, c := range commands {
 		at := slices.IndexFunc(m.tasks, func(t *task) bool { return t.Task == c.Task && t.Attempt == c.Attempt })
@@ -111,7 +113,7 @@
 	}
 }
 
-// start starts an attempt. The caller holds the lock.
+// start starts an attempt. The caller must hold the lock.
 func (m *machine) start(c wire.Command, duration time.Duration) {
 	t := &task{changesAt: time.Now().Add(imageFetchTime), duration: duration}
 	t.Task = c.Task
@@ -124,8 +126,8 @@
 	m.requestHeartbeat()
 }
 
-// stop stops an attempt that has not ended. It is a voluntary stop of a running task only
-// if the machine is not being reclaimed. The caller holds the lock.
+// stop stops an attempt, unless the attempt has ended. A stop is voluntary only if the task
+// is running and the machine is not being reclaimed. The caller must hold the lock.
 func (m *machine) stop(t *task) {
 	if t.State == wire.TaskExited {
 		return
--- a/leader/apply.go
+++ b/leader/apply.go
@@ -120,7 +120,7 @@
 	// quota stays reserved until a newer record arrives, since the transaction may still
 	// be applied late.
 	job.isInFlight = false
-	job.retryAt = now.Add(constants.LeaderTick)
+	job.retryAt = now.Add(constants.LeaderTickInterval)
 }
 
 // settleReservations records the revision at which a job's in-flight reservations were
--- a/leader/order.go
+++ b/leader/order.go
@@ -105,7 +105,7 @@
 
 // OverdueBatch returns how many tasks of an overdue array come before all other jobs:
 // enough for the array to start, but few enough that other jobs can start as well.
-func OverdueBatch(tasks int) int { return max(1, tasks/constants.OverdueDivisor) }
+func OverdueBatch(tasks int) int { return max(1, tasks/constants.OverdueArrayDivisor) }
 
 // jobAge returns the time since a job was accepted.
 func jobAge(now time.Time, record *records.Job) time.Duration {
--- a/shard/consolidation.go
+++ b/shard/consolidation.go
@@ -90,7 +90,7 @@
 
 // consolidateMachine migrates one service from a redundant machine that is being
 // consolidated. Consolidation of a machine begins once the machine has been redundant for
-// longer than constants.RedundantFor.
+// longer than constants.MinRedundantTime.
 func (c *Core) consolidateMachine(now time.Time, m *machine, r *consolidationRound) {
 	switch {
 	case m.consolidating:
@@ -99,7 +99,7 @@
 		}
 	case m.redundantSince.IsZero():
 		m.redundantSince = now
-	case now.Sub(m.redundantSince) > constants.RedundantFor && r.consolidating < r.limit:
+	case now.Sub(m.redundantSince) > constants.MinRedundantTime && r.consolidating < r.limit:
 		slog.Info("consolidating machine", logkey.Machine, m.name, "cpus", c.usageOf(m).used.cpus)
 		m.consolidating = true
 		r.consolidating++
