--- a/controller/draining_test.go
+++ b/controller/draining_test.go
@@ -268,16 +268,16 @@
 	}},
 	{name: "machines on which every task fails", endState: records.DrainStopped, fault: func(t *testing.T, w *world, number int) {
 		w.locked(func() {
-			w.soundMachines = map[string]bool{}
+			w.healthyMachines = map[string]bool{}
 			for name := range w.machines {
-				w.soundMachines[name] = false
+				w.healthyMachines[name] = false
 			}
 		})
 		w.waitUntil(t, "the drain stops", 10*time.Minute, func() bool { return w.drainRecord(number).State == records.DrainStopped })
 		if why := w.drainRecord(number).StopReason; !strings.Contains(why, "failed on") && !strings.Contains(why, "not up in time") {
 			t.Errorf("it stopped because of: %s", why)
 		}
-		w.locked(func() { w.soundMachines = nil })
+		w.locked(func() { w.healthyMachines = nil })
 	}},
 	{name: "the budget is lowered while it runs", fault: func(t *testing.T, w *world, _ int) {
 		w.waitMidway(t)
@@ -340,7 +340,7 @@
 		caught := false
 		for seed := uint64(0); seed < 12 && !caught; seed++ {
 			synctest.Test(t, func(t *testing.T) {
-				broken := drainScenario{unguard: unguard}.play(t, seed)
+				broken := drainScenario{overrideDraining: unguard}.play(t, seed)
 				caught = slices.ContainsFunc(broken, func(b string) bool { return strings.HasPrefix(b, "budget:") })
 			})
 		}
--- a/controller/faults_test.go
+++ b/controller/faults_test.go
@@ -44,7 +44,7 @@
 // faultScenarios are combinations of faults that users have seen break rules of schedulers
 // like this one.
 var faultScenarios = []scenario{
-	{name: "held reports come as a new leader begins", guard: func(w *world) { w.freshenCopies = true },
+	{name: "held reports come as a new leader begins", guard: func(w *world) { w.makeCopiesCurrent = true },
 		play: func(t *testing.T, w *world) {
 			w.locked(func() { w.keepHeartbeats = true })
 			b := w.startWork(t, 60)
@@ -303,7 +303,7 @@
 	{name: "machines with cancelled tasks hang while all controllers are away",
 		play: hangs(func(t *testing.T, w *world, hung []*simWorker) {
 			time.Sleep(time.Second)
-			w.locked(func() { w.hungPastLeaseIsDead = true }) // the new owners notice the hang by missing heartbeats alone, and late
+			w.locked(func() { w.ignoreTasksHungPastLease = true }) // the new owners notice the hang by missing heartbeats alone, and late
 			for _, n := range w.controllers {
 				n.kill()
 			}
@@ -316,7 +316,7 @@
 	{name: "machines with cancelled tasks hang, a controller ends in an outage that outlasts cancel_s",
 		play: hangs(func(t *testing.T, w *world, hung []*simWorker) {
 			time.Sleep(time.Second)
-			w.locked(func() { w.hungPastLeaseIsDead = true })
+			w.locked(func() { w.ignoreTasksHungPastLease = true })
 			w.setOutage(true)
 			w.controllers[2].restart(2 * time.Second)
 			time.Sleep(w.times.cancelWithin() + 20*time.Second)
--- a/controller/quota_test.go
+++ b/controller/quota_test.go
@@ -10,7 +10,7 @@
 // another job of the team would wait beside room for it.
 func TestDoneTasksFreeQuota(t *testing.T) {
 	scenarios(t, []scenario{{name: "one task of eight runs on", times: magnoliaTimes, zones: []string{"a", "b"}, seeds: []uint64{1, 2}, play: func(t *testing.T, w *world) {
-		w.locked(func() { w.calmSince = time.Now() })
+		w.locked(func() { w.faultFreeSince = time.Now() })
 		long := w.newArray("run-000001", 8, 1, 10)
 		long.spec.Team, long.spec.Zone, long.runs = "tight", "a", slices.Repeat([]float64{3}, 8)
 		long.runs[5] = 400
--- a/controller/random_faults_test.go
+++ b/controller/random_faults_test.go
@@ -78,7 +78,7 @@
 		"conditional writes": func(w *world) { w.ignoreConditions = true },
 		"tokens":             func(w *world) { w.ignoreTokens = true; w.lateCommandShare = 0.5 },
 		// With the cloud away nothing is surely gone but by its lease.
-		"the order of reports":                        func(w *world) { w.freshenCopies = true },
+		"the order of reports":                        func(w *world) { w.makeCopiesCurrent = true },
 		"answers about each job, however others fare": func(w *world) { w.unansweredJob = "run-000003" },
 		"workers' leases": func(w *world) {
 			w.ignoreWorkerLeases = true
--- a/controller/scenario_test.go
+++ b/controller/scenario_test.go
@@ -68,7 +68,7 @@
 	for k := range w.capacity {
 		w.capacity[k] = 6
 	}
-	if w.unguarded = unguard != nil; w.unguarded {
+	if w.protectionDisabled = unguard != nil; w.protectionDisabled {
 		unguard(w)
 	}
 	for _, n := range w.controllers {
@@ -100,7 +100,7 @@
 // fail fails a scenario, unless its guard was taken away.
 func (w *world) fail(t *testing.T, format string, args ...any) {
 	t.Helper()
-	if !w.unguarded {
+	if !w.protectionDisabled {
 		t.Errorf(format, args...)
 	}
 }
@@ -108,7 +108,7 @@
 // stopScenario fails a scenario that cannot go on.
 func (w *world) stopScenario(t *testing.T, format string, args ...any) {
 	t.Helper()
-	if w.unguarded {
+	if w.protectionDisabled {
 		panic(errScenarioOver)
 	}
 	t.Fatalf(format, args...)
--- a/controller/sim_days_test.go
+++ b/controller/sim_days_test.go
@@ -89,7 +89,7 @@
 	for _, m := range w.machines {
 		m.disconnected, m.hung, m.receivesNothing = false, false, false
 	}
-	w.calmSince = time.Now()
+	w.faultFreeSince = time.Now()
 	w.mu.Unlock()
 	for _, n := range w.controllers {
 		n.startIfDown()
--- a/controller/sim_draining_test.go
+++ b/controller/sim_draining_test.go
@@ -325,8 +325,8 @@
 	spot bool
 	// idle: nothing need be moved.
 	idle bool
-	// unguard takes away what the budget rests on; the play must then break it.
-	unguard func(*shard.DrainingConfig)
+	// overrideDraining takes away what the budget rests on; the play must then break it.
+	overrideDraining func(*shard.DrainingConfig)
 }
 
 // drainWorld is a deployment of three shards that keeps room to drain machines. Its
@@ -360,18 +360,18 @@
 	defer w.shutdown()
 	w.spotReplicas = s.spot
 	for _, n := range w.controllers {
-		n.unguardDrains = s.unguard
+		n.overrideDraining = s.overrideDraining
 	}
 	w.startBeforeDrain(t)
 	old := w.machineNames()
 	number := w.startDrain(t, records.Selection{})
-	if s.unguard != nil { // what owners tell each other takes longer, as under load
+	if s.overrideDraining != nil { // what owners tell each other takes longer, as under load
 		w.locked(func() { w.storeLatency = 800 * time.Millisecond })
 	}
 	if s.fault != nil {
 		s.fault(t, w, number)
 	}
-	if s.unguard != nil {
+	if s.overrideDraining != nil {
 		time.Sleep(2 * time.Minute)
 		return w.violationList()
 	}
--- a/controller/sim_user_test.go
+++ b/controller/sim_user_test.go
@@ -124,11 +124,11 @@
 func (w *world) known(j *simJob) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	since := w.calmSince
+	since := w.faultFreeSince
 	if j.lastAnswerAt.After(since) {
 		since = j.lastAnswerAt
 	}
-	if !w.calmSince.IsZero() && time.Since(since) > 75*time.Second {
+	if !w.faultFreeSince.IsZero() && time.Since(since) > 75*time.Second {
 		w.violate("forgotten", "%s: no answer for %s", j.spec.ID, time.Since(since))
 		j.lastAnswerAt = time.Now()
 	}
--- a/controller/sim_work_test.go
+++ b/controller/sim_work_test.go
@@ -65,7 +65,7 @@
 	for _, m := range w.machines {
 		m.disconnected, m.hung, m.receivesNothing, m.cutFromControllers = false, false, false, false
 	}
-	w.calmSince = time.Now()
+	w.faultFreeSince = time.Now()
 	w.mu.Unlock()
 	for _, n := range w.controllers {
 		if n.running() == nil {
--- a/controller/sim_worker_test.go
+++ b/controller/sim_worker_test.go
@@ -292,7 +292,7 @@
 func (w *world) checkNoJobWaits() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.calmSince.IsZero() {
+	if w.faultFreeSince.IsZero() {
 		return
 	}
 	here := map[string]int{}
@@ -342,7 +342,7 @@
 		for _, t := range m.tasks {
 			job, _, _ := wire.ParseTaskName(t.name)
 			j := w.jobs[job]
-			if w.hungPastLeaseIsDead && time.Since(m.leaseRenewedAt) > w.times.lease() {
+			if w.ignoreTasksHungPastLease && time.Since(m.leaseRenewedAt) > w.times.lease() {
 				continue
 			}
 			if onMachine(t.state) && !j.cancelled.IsZero() && !j.overran && time.Since(j.cancelled) > w.times.cancelWithin() {
@@ -452,7 +452,7 @@
 	if t.state != wire.TaskExited && used+m.world.jobs[job].spec.CPUs > 8+1e-6 {
 		t.state, t.cause = wire.TaskExited, wire.CauseNoCapacity
 	}
-	if _, sound := m.world.soundMachines[m.name]; m.world.soundMachines != nil && !sound && t.state != wire.TaskExited {
+	if _, healthy := m.world.healthyMachines[m.name]; m.world.healthyMachines != nil && !healthy && t.state != wire.TaskExited {
 		t.state, t.cause = wire.TaskExited, wire.CauseError
 	}
 	if t.state == wire.TaskFetching {
@@ -568,7 +568,7 @@
 	w.locked(func() {
 		w.observed["copies"]++
 		w.recordHeartbeat("late copy of a heartbeat", to.name, r)
-		if m := w.machines[r.Machine]; m != nil && w.freshenCopies {
+		if m := w.machines[r.Machine]; m != nil && w.makeCopiesCurrent {
 			fresh := *r
 			fresh.Epoch, fresh.Seq, fresh.FencingToken = m.epoch, m.seq+1, m.token
 			r = &fresh
--- a/controller/sim_world_test.go
+++ b/controller/sim_world_test.go
@@ -53,7 +53,7 @@
 	reliableCloud   bool                    // machines come up, and scale-out requests are answered
 	onScaleIn       func(by *simController) // called as a scale-in is decided, with the lock held
 	spotReplicas    bool                    // services may run on spot machines
-	soundMachines   map[string]bool         // all others end every task with an error; nil: all are sound
+	healthyMachines map[string]bool         // all others end every task with an error; nil: all are sound
 	limitsLowered   bool                    // the limits that settings announce are in force
 	oversizedWrites map[string]int          // by key: writes that were over them
 
@@ -71,17 +71,17 @@
 	lateCopyShare      float64 // share of heartbeats of which a copy comes again, up to three leases later
 	keepHeartbeats     bool    // all heartbeats are kept, to come again
 	keptHeartbeats     []*wire.Heartbeat
-	calmSince          time.Time // when all faults were over
+	faultFreeSince     time.Time // when all faults were over
 
 	// Guards of the protocol that a test may take away, to see that the checks notice.
-	unguarded          bool   // one of these is taken away
+	protectionDisabled bool   // one of these is taken away
 	ignoreConditions   bool   // the key-value store ignores versions
 	ignoreTokens       bool   // workers take commands under any token
 	ignoreWorkerLeases bool   // workers never end their tasks at the end of a lease
 	ignoreScaleIn      bool   // the cloud terminates no machine
 	hideCancellations  bool   // controllers do not tell each other of cancellations
 	skipAuthorityWait  bool   // nobody waits for a revoked holder's authority to end
-	freshenCopies      bool   // late copies of heartbeats count as new ones
+	makeCopiesCurrent  bool   // late copies of heartbeats count as new ones
 	unansweredJob      string // nobody gets an answer about this job
 
 	// What is checked, and what was observed.
@@ -91,14 +91,14 @@
 	starts     int
 	gangStarts int
 	restarts   int // of tasks that ran already, where a test counts them
-	// hungPastLeaseIsDead: what is on a machine that hung past its lease counts as gone. It
+	// ignoreTasksHungPastLease: what is on a machine that hung past its lease counts as gone. It
 	// cannot go on, since the worker ends it before anything else, and where no
 	// owner may act nobody can terminate the machine.
-	hungPastLeaseIsDead bool
-	disruption          *disruptioncheck.Check // nil: stops are not checked
-	interruptions       *disruptioncheck.Check // checks the stops of arrays and gangs; nil: nothing does
-	unitsEverRunning    map[string]bool        // units that interruptions has seen run
-	observed            map[string]int         // events by name, for scenarios to check
+	ignoreTasksHungPastLease bool
+	disruption               *disruptioncheck.Check // nil: stops are not checked
+	interruptions            *disruptioncheck.Check // checks the stops of arrays and gangs; nil: nothing does
+	unitsEverRunning         map[string]bool        // units that interruptions has seen run
+	observed                 map[string]int         // events by name, for scenarios to check
 }
 
 // times are a deployment's times that the rules depend on, and its limit on a
@@ -131,8 +131,8 @@
 	heartbeatAnsweredAt time.Time // when a heartbeat to it was last answered
 	heartbeatReceivedAt time.Time // and when one last came to it
 	frozenUntil         time.Time
-	// unguardDrains takes away what budgets rest on; nil: nothing is.
-	unguardDrains func(*shard.DrainingConfig)
+	// overrideDraining takes away what budgets rest on; nil: nothing is.
+	overrideDraining func(*shard.DrainingConfig)
 }
 
 // isPartitioned says whether a zone and a controller are on two sides of a cut-off
@@ -266,7 +266,7 @@
 		cancel()
 		return
 	}
-	out.overrideDraining = n.unguardDrains
+	out.overrideDraining = n.overrideDraining
 	process, err := Start(ctx, n.set, out)
 	if err != nil {
 		panic(err)
