--- a/controller/detection_test.go
+++ b/controller/detection_test.go
@@ -37,7 +37,7 @@
 // and no rule may have been broken.
 func (s detectionScenario) run(t *testing.T, seed uint64) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorldWithTimes(seed, []string{"a", "b"}, 3, magnoliaTimes)
+		w := newWorldWithTimes(seed, []string{"a", "b"}, 3, lease26Times)
 		w.lateCommandShare, w.reliableCloud = 0, true
 		w.lostAnswerShare, w.lateWriteShare, w.repeatedWriteShare = 0, 0, 0
 		for k := range w.capacity {
@@ -266,7 +266,7 @@
 
 // newDetectionWorld is a deployment of three controllers with failure detection, all up.
 func newDetectionWorld(seed uint64) *world {
-	w := newWorldWithTimes(seed, []string{"a", "b"}, 3, magnoliaTimes)
+	w := newWorldWithTimes(seed, []string{"a", "b"}, 3, lease26Times)
 	w.lateCommandShare, w.reliableCloud = 0, true
 	for _, n := range w.controllers {
 		n.enableDetection()
--- a/controller/draining_test.go
+++ b/controller/draining_test.go
@@ -355,7 +355,7 @@
 func TestInvalidDrainRequestsAreRefused(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorldWithTimes(2, []string{"a", "b", "c"}, 3, magnoliaTimes)
+		w := newWorldWithTimes(2, []string{"a", "b", "c"}, 3, lease26Times)
 		w.lateCommandShare, w.reliableCloud, w.lostAnswerShare, w.lateWriteShare, w.repeatedWriteShare = 0, true, 0, 0, 0
 		w.enableDraining(strings.Replace(drainSettings, "* = 2", "* = 40%", 1))
 		for _, n := range w.controllers {
@@ -448,7 +448,7 @@
 func TestDrainLargeFleet(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorldWithTimes(2, []string{"a", "b"}, 3, umoyaTimes)
+		w := newWorldWithTimes(2, []string{"a", "b"}, 3, lease36Times)
 		w.lateCommandShare, w.reliableCloud, w.noAnswerLoss, w.lostAnswerShare, w.lateWriteShare, w.repeatedWriteShare, w.lateCopyShare = 0, true, true, 0, 0, 0, 0
 		w.workerInterval = 500 * time.Millisecond
 		for k := range w.capacity {
--- a/controller/faults_test.go
+++ b/controller/faults_test.go
@@ -436,9 +436,9 @@
 func TestFaultCombinations(t *testing.T) {
 	for i := range faultScenarios {
 		s := &faultScenarios[i]
-		s.zones, s.times, s.seeds = faultZones, magnoliaTimes, []uint64{1, 2}
+		s.zones, s.times, s.seeds = faultZones, lease26Times, []uint64{1, 2}
 		if i%2 == 1 {
-			s.times = umoyaTimes
+			s.times = lease36Times
 		}
 	}
 	scenarios(t, faultScenarios)
--- a/controller/large_fleet_test.go
+++ b/controller/large_fleet_test.go
@@ -58,7 +58,7 @@
 
 // playLargeFleet plays a fleet of so many machines. Without loss nothing may start again.
 func playLargeFleet(t *testing.T, zone string, machines int, loss float64) *world {
-	w := newWorldWithTimes(1, []string{"a", "b"}, 3, umoyaTimes)
+	w := newWorldWithTimes(1, []string{"a", "b"}, 3, lease36Times)
 	w.lateCommandShare, w.reliableCloud, w.lostAnswerShare, w.lateWriteShare, w.repeatedWriteShare, w.lateCopyShare = 0, true, 0, 0, 0, 0
 	w.record.off = true
 	w.reasons = watchTerminationReasons(t)
--- a/controller/scale_in_test.go
+++ b/controller/scale_in_test.go
@@ -16,7 +16,7 @@
 // scale-in, and how many late scale-ins there were.
 func playLateScaleIns(t *testing.T, seed uint64, closeFirst bool) (taken, late int) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorldWithTimes(seed, []string{"a", "b"}, 3, magnoliaTimes)
+		w := newWorldWithTimes(seed, []string{"a", "b"}, 3, lease26Times)
 		w.lateCommandShare, w.reliableCloud, w.noAnswerLoss, w.lostAnswerShare, w.lateWriteShare, w.repeatedWriteShare, w.lateCopyShare = 0, true, true, 0, 0, 0, 0
 		for k := range w.capacity {
 			w.capacity[k] = 0
@@ -94,7 +94,7 @@
 
 // forceFailovers plays ten minutes of them and adds up what was seen.
 func forceFailovers(t *testing.T, seed uint64, total map[string]int) {
-	w := newWorldWithTimes(seed, []string{"a", "b"}, 3, magnoliaTimes)
+	w := newWorldWithTimes(seed, []string{"a", "b"}, 3, lease26Times)
 	w.lateCommandShare, w.reliableCloud, w.lateCopyShare = 0, true, 0
 	for _, n := range w.controllers {
 		n.set.Duties.CloseBeforeScaleIn = true
--- a/controller/scenario_test.go
+++ b/controller/scenario_test.go
@@ -21,7 +21,7 @@
 // takes away what the scenario is about, and the rules are then seen broken.
 type scenario struct {
 	name  string
-	times times
+	times workerTimes
 	zones []string
 	seeds []uint64
 	play  func(*testing.T, *world)
@@ -292,9 +292,9 @@
 	var list []scenario
 	for _, d := range []struct {
 		name  string
-		times times
+		times workerTimes
 		zones []string
-	}{{"magnolia", magnoliaTimes, []string{"a", "b", "c"}}, {"umoya", umoyaTimes, []string{"a", "b"}}} {
+	}{{"magnolia", lease26Times, []string{"a", "b", "c"}}, {"umoya", lease36Times, []string{"a", "b"}}} {
 		for refused := range 3 {
 			for _, other := range []int{(refused + 1) % 3, (refused + 2) % 3} {
 				s := scenario{name: fmt.Sprintf("%s, %d refused, %d confirms", d.name, refused, other), times: d.times, zones: d.zones, seeds: []uint64{1, 2}, play: gap(refused, other)}
--- a/controller/sim_draining_test.go
+++ b/controller/sim_draining_test.go
@@ -332,7 +332,7 @@
 // drainWorld is a deployment of three shards that keeps room to drain machines. Its
 // controllers are not started yet.
 func drainWorld(seed uint64, more string) *world {
-	w := newWorldWithTimes(seed, []string{"a", "b", "c"}, 3, magnoliaTimes)
+	w := newWorldWithTimes(seed, []string{"a", "b", "c"}, 3, lease26Times)
 	w.lateCommandShare, w.reliableCloud = 0, true
 	for k := range w.capacity {
 		w.capacity[k] = 10
--- a/controller/sim_world_test.go
+++ b/controller/sim_world_test.go
@@ -47,7 +47,7 @@
 	capacity     map[string]int // by zone and kind
 
 	// What goes on in the deployment.
-	times           times
+	times           workerTimes
 	workerInterval  time.Duration           // between two steps of a worker; 0: 100 ms
 	bootWithin      time.Duration           // machines are up within this after their scale-out request; 0: after seconds
 	reliableCloud   bool                    // machines come up, and scale-out requests are answered
@@ -101,22 +101,22 @@
 	observed                 map[string]int         // events by name, for scenarios to check
 }
 
-// times are a deployment's times that the rules depend on, and its limit on a
+// workerTimes are a deployment's workerTimes that the rules depend on, and its limit on a
 // team.
-type times struct {
+type workerTimes struct {
 	reportS, leaseS, cancelS float64
 }
 
 // The generated days' own times, and those of deployments whose scenarios are played.
 var (
-	dayTimes      = times{3, 20, 45}
-	magnoliaTimes = times{5, 26, 56}
-	umoyaTimes    = times{8, 36, 61}
+	lease20Times = workerTimes{3, 20, 45}
+	lease26Times = workerTimes{5, 26, 56}
+	lease36Times = workerTimes{8, 36, 61}
 )
 
-func (t times) lease() time.Duration { return settings.Seconds(t.leaseS) }
+func (t workerTimes) lease() time.Duration { return settings.Seconds(t.leaseS) }
 
-func (t times) cancelWithin() time.Duration { return settings.Seconds(t.cancelS) }
+func (t workerTimes) cancelWithin() time.Duration { return settings.Seconds(t.cancelS) }
 
 type simController struct {
 	world               *world
@@ -190,12 +190,12 @@
 func (s frozenRequest) Respond(*httpwire.Response) { s.n.waitWhileFrozen() }
 
 func newWorld(seed uint64, zones []string, controllers int) *world {
-	return newWorldWithTimes(seed, zones, controllers, dayTimes)
+	return newWorldWithTimes(seed, zones, controllers, lease20Times)
 }
 
-func newWorldWithTimes(seed uint64, zones []string, controllers int, t times) *world {
+func newWorldWithTimes(seed uint64, zones []string, controllers int, timing workerTimes) *world {
 	w := &world{
-		times: t,
+		times: timing,
 		rng:   rand.New(rand.NewPCG(seed, 7)), kv: map[string]*entry{}, leases: map[uint64]*simLease{}, storeChanged: make(chan struct{}),
 		machines: map[string]*simWorker{}, requests: map[string][]string{}, capacity: map[string]int{}, gangs: map[string]*simGang{}, oversizedWrites: map[string]int{}, jobs: map[string]*simJob{}, done: make(chan struct{}), lateCommandShare: 0.15,
 		lostAnswerShare: 0.01, lateWriteShare: 0.01, repeatedWriteShare: 0.02, lateCopyShare: 0.03, observed: map[string]int{},
@@ -213,7 +213,7 @@
 		b.WriteString("[outside]\ncloud = \"10.1.0.1:1\"\nstate = \"10.1.0.2:1\"\n[facts]\n")
 		fmt.Fprintf(&b, "size = %d\nzones = [\"%s\"]\n", controllers, strings.Join(zones, "\", \""))
 		b.WriteString("[[facts.teams]]\nname = \"free\"\n[[facts.teams]]\nname = \"tight\"\ncpus = 4.0\ncpus_max = 10.0\n")
-		fmt.Fprintf(&b, "[facts.workers]\nreport_s = %.1f\nlease_s = %.1f\ncancel_s = %.1f\n", t.reportS, t.leaseS, t.cancelS)
+		fmt.Fprintf(&b, "[facts.workers]\nreport_s = %.1f\nlease_s = %.1f\ncancel_s = %.1f\n", timing.reportS, timing.leaseS, timing.cancelS)
 		b.WriteString("gang_wait_s = 15.0\ngang_peer_s = 4.0\n[facts.state]\nrps = 200.0\nwrite_rps = 100.0\nvalue_kb = 8.0\ntxn_ops = 12\n[facts.state.next]\nvalue_kb = 1.0\ntxn_ops = 2\n[facts.cloud]\nrps = 10.0\nlist_lag_s = 5.0\n")
 		if seed%2 == 1 { // as if on small machines, which take over a second shard late
 			b.WriteString("[facts.machine_limits]\ncpu = 0.09\n")
--- a/controller/transfer_test.go
+++ b/controller/transfer_test.go
@@ -15,7 +15,7 @@
 func TestLeaderWithoutPeerStatusTransfersTerm(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorldWithTimes(2, []string{"a", "b", "c"}, 3, magnoliaTimes)
+		w := newWorldWithTimes(2, []string{"a", "b", "c"}, 3, lease26Times)
 		w.lateCommandShare, w.reliableCloud, w.lostAnswerShare, w.lateWriteShare, w.repeatedWriteShare = 0, true, 0, 0, 0
 		for k := range w.capacity {
 			w.capacity[k] = 4
--- a/controller/unusual_requests_test.go
+++ b/controller/unusual_requests_test.go
@@ -36,7 +36,7 @@
 			f["shape"] = wire.KindService
 		},
 	}
-	scenarios(t, []scenario{{name: "while controllers end", times: magnoliaTimes, zones: []string{"a", "b", "c"}, seeds: []uint64{1, 2}, play: func(t *testing.T, w *world) {
+	scenarios(t, []scenario{{name: "while controllers end", times: lease26Times, zones: []string{"a", "b", "c"}, seeds: []uint64{1, 2}, play: func(t *testing.T, w *world) {
 		done := w.newArray("run-000000", 2, 1, 3)
 		go w.runUser(done, 0, 0)
 		w.waitUntil(t, "a job is done", 2*time.Minute, func() bool { return w.hasEnded(done) })
