--- a/controller/sim_world_test.go
+++ b/controller/sim_world_test.go
@@ -163,11 +163,11 @@
 	process := n.process
 	n.frozenUntil = time.Now().Add(d)
 	w.note("controller frozen", n.set.Controller, d.String())
-	var known []*simWorker
+	var onePerZone []*simWorker
 	for _, z := range n.set.Deployment.Zones {
 		for _, m := range w.machines {
 			if m.zone == z {
-				known = append(known, m)
+				onePerZone = append(onePerZone, m)
 				break
 			}
 		}
@@ -176,7 +176,7 @@
 	if process == nil {
 		return
 	}
-	for _, m := range known { // through control to the owner, if it is here
+	for _, m := range onePerZone { // through control to the owner, if it is here
 		process.control.Tell(workerHeartbeat{frozenRequest{n}, &wire.Heartbeat{Machine: m.name, Addr: m.name, Type: "box", Zone: m.zone}})
 	}
 	process.control.Tell(healthRequest{frozenRequest{n}})
@@ -200,25 +200,25 @@
 		machines: map[string]*simWorker{}, requests: map[string][]string{}, capacity: map[string]int{}, gangs: map[string]*simGang{}, oversizedWrites: map[string]int{}, jobs: map[string]*simJob{}, done: make(chan struct{}), lateCommandShare: 0.15,
 		lostAnswerShare: 0.01, lateWriteShare: 0.01, repeatedWriteShare: 0.02, lateCopyShare: 0.03, observed: map[string]int{},
 	}
-	var b strings.Builder
+	var toml strings.Builder
 	for i := range controllers {
 		w.controllers = append(w.controllers, &simController{world: w})
-		b.Reset()
-		fmt.Fprintf(&b, "node = \"n-%d\"\ndomain = %q\nbind = \"10.0.0.%d:80\"\nback = \"10.0.0.%d:81\"\n", i, zones[i%len(zones)], i+1, i+1)
+		toml.Reset()
+		fmt.Fprintf(&toml, "node = \"n-%d\"\ndomain = %q\nbind = \"10.0.0.%d:80\"\nback = \"10.0.0.%d:81\"\n", i, zones[i%len(zones)], i+1, i+1)
 		for k := range controllers {
 			if k != i {
-				fmt.Fprintf(&b, "[[siblings]]\nnode = \"n-%d\"\ndomain = %q\npeer_addr = \"10.0.0.%d:81\"\n", k, zones[k%len(zones)], k+1)
+				fmt.Fprintf(&toml, "[[siblings]]\nnode = \"n-%d\"\ndomain = %q\npeer_addr = \"10.0.0.%d:81\"\n", k, zones[k%len(zones)], k+1)
 			}
 		}
-		b.WriteString("[outside]\ncloud = \"10.1.0.1:1\"\nstate = \"10.1.0.2:1\"\n[facts]\n")
-		fmt.Fprintf(&b, "size = %d\nzones = [\"%s\"]\n", controllers, strings.Join(zones, "\", \""))
-		b.WriteString("[[facts.teams]]\nname = \"free\"\n[[facts.teams]]\nname = \"tight\"\ncpus = 4.0\ncpus_max = 10.0\n")
-		fmt.Fprintf(&b, "[facts.workers]\nreport_s = %.1f\nlease_s = %.1f\ncancel_s = %.1f\n", timing.reportS, timing.leaseS, timing.cancelS)
-		b.WriteString("gang_wait_s = 15.0\ngang_peer_s = 4.0\n[facts.state]\nrps = 200.0\nwrite_rps = 100.0\nvalue_kb = 8.0\ntxn_ops = 12\n[facts.state.next]\nvalue_kb = 1.0\ntxn_ops = 2\n[facts.cloud]\nrps = 10.0\nlist_lag_s = 5.0\n")
+		toml.WriteString("[outside]\ncloud = \"10.1.0.1:1\"\nstate = \"10.1.0.2:1\"\n[facts]\n")
+		fmt.Fprintf(&toml, "size = %d\nzones = [\"%s\"]\n", controllers, strings.Join(zones, "\", \""))
+		toml.WriteString("[[facts.teams]]\nname = \"free\"\n[[facts.teams]]\nname = \"tight\"\ncpus = 4.0\ncpus_max = 10.0\n")
+		fmt.Fprintf(&toml, "[facts.workers]\nreport_s = %.1f\nlease_s = %.1f\ncancel_s = %.1f\n", timing.reportS, timing.leaseS, timing.cancelS)
+		toml.WriteString("gang_wait_s = 15.0\ngang_peer_s = 4.0\n[facts.state]\nrps = 200.0\nwrite_rps = 100.0\nvalue_kb = 8.0\ntxn_ops = 12\n[facts.state.next]\nvalue_kb = 1.0\ntxn_ops = 2\n[facts.cloud]\nrps = 10.0\nlist_lag_s = 5.0\n")
 		if seed%2 == 1 { // as if on small machines, which take over a second shard late
-			b.WriteString("[facts.machine_limits]\ncpu = 0.09\n")
+			toml.WriteString("[facts.machine_limits]\ncpu = 0.09\n")
 		}
-		set, err := load.ParseSettings([]byte(b.String()))
+		set, err := load.ParseSettings([]byte(toml.String()))
 		if err != nil {
 			panic(err)
 		}
@@ -252,12 +252,12 @@
 
 func (n *simController) start() {
 	ctx, cancel := context.WithCancel(context.Background())
-	out := Dependencies{Store: &simStore{n}, Unthrottled: &simStore{n}, Background: &simStore{n}, Urgent: &simStore{n}, Cloud: &simCloud{n}, Workers: func() Workers { return &simCommands{n} }, Peers: map[string]Peer{}, Monitors: map[string]MonitorPeer{}, Drains: map[string]DrainPeer{}}
+	deps := Dependencies{Store: &simStore{n}, Unthrottled: &simStore{n}, Background: &simStore{n}, Urgent: &simStore{n}, Cloud: &simCloud{n}, Workers: func() Workers { return &simCommands{n} }, Peers: map[string]Peer{}, Monitors: map[string]MonitorPeer{}, Drains: map[string]DrainPeer{}}
 	for _, o := range n.world.controllers {
 		if o != n {
-			out.Peers[o.set.Controller] = simPeer{n, o}
-			out.Monitors[o.set.Controller] = simPeer{n, o}
-			out.Drains[o.set.Controller] = simPeer{n, o}
+			deps.Peers[o.set.Controller] = simPeer{n, o}
+			deps.Monitors[o.set.Controller] = simPeer{n, o}
+			deps.Drains[o.set.Controller] = simPeer{n, o}
 		}
 	}
 	n.world.mu.Lock()
@@ -266,8 +266,8 @@
 		cancel()
 		return
 	}
-	out.overrideDraining = n.overrideDraining
-	process, err := Start(ctx, n.set, out)
+	deps.overrideDraining = n.overrideDraining
+	process, err := Start(ctx, n.set, deps)
 	if err != nil {
 		panic(err)
 	}
@@ -299,9 +299,9 @@
 	time.Sleep(p.from.world.randomDuration(time.Millisecond, 4*time.Millisecond))
 	process := p.to.running()
 	p.from.world.mu.Lock()
-	cut := p.from.cutFromPeers || p.to.cutFromPeers || p.from.world.isPartitioned(p.from.set.Zone, p.to) || p.to.peerCallsLost
+	linkDown := p.from.cutFromPeers || p.to.cutFromPeers || p.from.world.isPartitioned(p.from.set.Zone, p.to) || p.to.peerCallsLost
 	p.from.world.mu.Unlock()
-	if process == nil || ctx.Err() != nil || cut {
+	if process == nil || ctx.Err() != nil || linkDown {
 		return nil, fmt.Errorf("%w: unreachable", kvstore.ErrOutcomeUnknown)
 	}
 	p.from.waitWhileFrozen()
