--- a/controller/cancellation_faults_test.go
+++ b/controller/cancellation_faults_test.go
@@ -46,14 +46,14 @@
 	}},
 	{"owner frozen", func(_ *world, owner, _ *simController) { owner.freeze(15 * time.Second) }},
 	{"owner refused by the store", func(w *world, owner, _ *simController) {
-		w.lasting(30*time.Second, func(on bool) { owner.cutFromStore = on })
+		w.injectTemporarily(30*time.Second, func(on bool) { owner.cutFromStore = on })
 	}},
 	{"store away", func(w *world, _, _ *simController) {
 		w.setOutage(true)
 		time.AfterFunc(20*time.Second, func() { w.setOutage(false) })
 	}},
 	{"owner cut from store and controllers", func(w *world, owner, _ *simController) {
-		w.lasting(60*time.Second, func(on bool) { owner.cutFromStore, owner.cutFromPeers = on, on })
+		w.injectTemporarily(60*time.Second, func(on bool) { owner.cutFromStore, owner.cutFromPeers = on, on })
 	}},
 	{"owner ends, then the store is away", func(w *world, owner, _ *simController) {
 		owner.restart(8 * time.Second)
@@ -63,13 +63,13 @@
 		})
 	}},
 	{"heartbeats do not reach the owner", func(w *world, owner, _ *simController) {
-		w.lasting(60*time.Second, func(on bool) { owner.heartbeatsLost = on })
+		w.injectTemporarily(60*time.Second, func(on bool) { owner.heartbeatsLost = on })
 	}},
 	{"cloud away", func(w *world, _, _ *simController) {
-		w.lasting(20*time.Second, func(on bool) { w.cloudUnavailable = on })
+		w.injectTemporarily(20*time.Second, func(on bool) { w.cloudUnavailable = on })
 	}},
 	{"zone cut off", func(w *world, owner, _ *simController) {
-		w.lasting(30*time.Second, func(on bool) {
+		w.injectTemporarily(30*time.Second, func(on bool) {
 			w.partitionedZone = ""
 			if on {
 				w.partitionedZone = "a"
--- a/controller/detection_test.go
+++ b/controller/detection_test.go
@@ -306,7 +306,7 @@
 	revoked, late := 0, 0
 	for seed := *firstSeed; seed < *firstSeed+*randomDays/2; seed++ {
 		synctest.Test(t, func(t *testing.T) {
-			w := playRandomDay(t, 1000+seed, []string{"a", "b", "c"}[:2+seed%2], func(w *world) { proposeRandomRevocations(w, 20*time.Second) })
+			w := runRandomWorkload(t, 1000+seed, []string{"a", "b", "c"}[:2+seed%2], func(w *world) { proposeRandomRevocations(w, 20*time.Second) })
 			if len(w.violations) > 0 {
 				t.Fatalf("seed %d: %d broken rules, first: %s", seed, len(w.violations), strings.Join(w.violations[:min(4, len(w.violations))], "; "))
 			}
--- a/controller/random_faults_test.go
+++ b/controller/random_faults_test.go
@@ -41,7 +41,7 @@
 	for seed := *firstSeed; seed < *firstSeed+*randomDays; seed++ {
 		zones := []string{"a", "b", "c"}[:2+seed%2]
 		synctest.Test(t, func(t *testing.T) {
-			w := playRandomDay(t, seed, zones, nil)
+			w := runRandomWorkload(t, seed, zones, nil)
 			if len(w.violations) > 0 {
 				t.Fatalf("seed %d: %d broken rules, first: %s", seed, len(w.violations), strings.Join(w.violations[:min(4, len(w.violations))], "; "))
 			}
@@ -88,7 +88,9 @@
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(60) {
 				found := false
-				synctest.Test(t, func(t *testing.T) { found = len(playRandomDay(t, seed, []string{"a", "b"}, sabotage).violations) > 0 })
+				synctest.Test(t, func(t *testing.T) {
+					found = len(runRandomWorkload(t, seed, []string{"a", "b"}, sabotage).violations) > 0
+				})
 				if found {
 					t.Logf("noticed on day %d", seed)
 					return
--- a/controller/sim_days_test.go
+++ b/controller/sim_days_test.go
@@ -8,13 +8,13 @@
 	"ravenport/wire"
 )
 
-// playRandomDay plays a generated day of a deployment: jobs of every sort, and troubles
+// runRandomWorkload plays a generated day of a deployment: jobs of every sort, and troubles
 // of every sort that may overlap. It returns the world after it has calmed.
-func playRandomDay(t *testing.T, seed uint64, zones []string, sabotage func(*world)) *world {
+func runRandomWorkload(t *testing.T, seed uint64, zones []string, configure func(*world)) *world {
 	t.Helper()
 	w := newWorld(seed, zones, 3)
-	if sabotage != nil {
-		sabotage(w)
+	if configure != nil {
+		configure(w)
 	}
 	if seed%2 == 0 {
 		w.addOldRecords()
@@ -97,16 +97,16 @@
 }
 
 // injectFaults makes things fail, one or several at a time, for a while.
-func injectFaults(w *world, d time.Duration) {
-	end := time.Now().Add(d)
+func injectFaults(w *world, duration time.Duration) {
+	end := time.Now().Add(duration)
 	for time.Now().Before(end) {
 		time.Sleep(w.randomDuration(2*time.Second, 12*time.Second))
-		n := w.controllers[int(w.randomDuration(0, time.Duration(len(w.controllers)-1)))]
+		target := w.controllers[int(w.randomDuration(0, time.Duration(len(w.controllers)-1)))]
 		length := w.randomDuration(time.Second, 35*time.Second)
 		switch w.randomDuration(0, 17) {
 		case 0, 1: // a crash; back within a fraction of a second or after seconds
-			n.kill()
-			time.AfterFunc(w.randomDuration(200*time.Millisecond, 6*time.Second), n.startIfDown)
+			target.kill()
+			time.AfterFunc(w.randomDuration(200*time.Millisecond, 6*time.Second), target.startIfDown)
 		case 2: // all crash
 			for _, n := range w.controllers {
 				n.kill()
@@ -116,55 +116,55 @@
 				n.startIfDown()
 			}
 		case 3: // refused by the key-value store alone
-			w.lasting(length, func(on bool) { n.cutFromStore = on })
+			w.injectTemporarily(length, func(on bool) { target.cutFromStore = on })
 		case 4: // cut from the workers
-			w.lasting(length, func(on bool) { n.cutFromWorkers = on })
+			w.injectTemporarily(length, func(on bool) { target.cutFromWorkers = on })
 		case 5:
 			w.setOutage(true)
 			time.AfterFunc(length, func() { w.setOutage(false) })
 		case 6, 7, 8: // a machine hangs, is cut off or is taken
 			w.injectMachineFault(length)
 		case 9:
-			w.lasting(length, func(on bool) { w.cloudUnavailable = on })
+			w.injectTemporarily(length, func(on bool) { w.cloudUnavailable = on })
 		case 10: // away from the key-value store and the other controllers, not from workers
-			w.lasting(length, func(on bool) { n.cutFromStore, n.cutFromPeers = on, on })
+			w.injectTemporarily(length, func(on bool) { target.cutFromStore, target.cutFromPeers = on, on })
 		case 11: // back within a fraction of a second, and again in the middle of the election
 			for range 2 {
-				n.kill()
+				target.kill()
 				time.Sleep(w.randomDuration(10*time.Millisecond, 300*time.Millisecond))
-				n.startIfDown()
+				target.startIfDown()
 				time.Sleep(w.randomDuration(10*time.Millisecond, 1500*time.Millisecond))
 			}
 		case 12: // the controllers do not reach each other
-			w.lasting(length, func(on bool) { n.cutFromPeers = on })
+			w.injectTemporarily(length, func(on bool) { target.cutFromPeers = on })
 		case 13:
-			if process := n.running(); process != nil {
+			if process := target.running(); process != nil {
 				for range 5 {
 					w.sendInvalidHeartbeat(process)
 				}
 			}
 		case 14: // heartbeats do not reach it, though it reaches the workers
-			w.lasting(length, func(on bool) { n.heartbeatsLost = on })
+			w.injectTemporarily(length, func(on bool) { target.heartbeatsLost = on })
 		case 15: // it is frozen while its clocks run on, for less than its lease
-			n.freeze(w.randomDuration(200*time.Millisecond, 3*time.Second))
+			target.freeze(w.randomDuration(200*time.Millisecond, 3*time.Second))
 		case 16: // or for more, some times for more than the workers'
-			n.freeze(length)
+			target.freeze(length)
 			if w.chance(0.3) { // and ends as it moves on, in the middle of an election
-				time.AfterFunc(length, n.killAndStart)
+				time.AfterFunc(length, target.killAndStart)
 			}
 		case 17: // a zone is cut off from everything, with the controllers in it
-			w.lasting(2*length, func(on bool) {
+			w.injectTemporarily(2*length, func(on bool) {
 				w.partitionedZone = ""
 				if on {
-					w.partitionedZone = n.set.Zone
+					w.partitionedZone = target.set.Zone
 				}
 			})
 		}
 	}
 }
 
-// lasting switches a fault on, and off again after a time; set is called under the lock.
-func (w *world) lasting(d time.Duration, set func(on bool)) {
+// injectTemporarily switches a fault on, and off again after a time; set is called under the lock.
+func (w *world) injectTemporarily(d time.Duration, set func(on bool)) {
 	w.locked(func() { set(true); w.recordFaults() })
 	time.AfterFunc(d, func() { w.locked(func() { set(false); w.recordFaults() }) })
 }
