--- a/controller/sim_worker_test.go
+++ b/controller/sim_worker_test.go
@@ -295,33 +295,33 @@
 	if w.faultFreeSince.IsZero() {
 		return
 	}
-	here := map[string]int{}
-	used := map[string]float64{}
-	free := map[*simWorker]float64{}
+	activeTasks := map[string]int{}
+	usedCPUs := map[string]float64{}
+	freeCPUs := map[*simWorker]float64{}
 	for _, m := range w.machines {
 		if time.Now().Before(m.bootsAt) || m.hung || m.disconnected || m.receivesNothing || m.cutFromControllers {
 			continue
 		}
-		free[m] = simTypes[0].CPUs
+		freeCPUs[m] = simTypes[0].CPUs
 		for _, x := range m.tasks {
 			if id, _, _ := wire.ParseTaskName(x.name); x.state != wire.TaskExited {
-				here[id]++
-				used[w.jobs[id].spec.Team] += w.jobs[id].spec.CPUs
-				free[m] -= w.jobs[id].spec.CPUs
+				activeTasks[id]++
+				usedCPUs[w.jobs[id].spec.Team] += w.jobs[id].spec.CPUs
+				freeCPUs[m] -= w.jobs[id].spec.CPUs
 			}
 		}
 	}
 	for id, j := range w.jobs {
 		s := &j.spec
-		fits := s.Team != "tight" || used["tight"]+s.CPUs <= 10
+		fits := s.Team != "tight" || usedCPUs["tight"]+s.CPUs <= 10
 		if fits {
 			fits = false
-			for m, f := range free {
+			for m, f := range freeCPUs {
 				fits = fits || f >= s.CPUs && (s.Spot || !m.spot) && (s.Zone == "" || s.Zone == m.zone)
 			}
 		}
 		// One that is bound to its other tasks may fit nowhere else for a reason.
-		if !fits || here[id] > 0 || !j.accepted || j.cancelRequested || len(j.doneTasks) >= s.Tasks || s.AllOrNothing() {
+		if !fits || activeTasks[id] > 0 || !j.accepted || j.cancelRequested || len(j.doneTasks) >= s.Tasks || s.AllOrNothing() {
 			j.idleSince = time.Time{}
 		} else if j.idleSince.IsZero() {
 			j.idleSince = time.Now()
@@ -365,34 +365,34 @@
 	}
 	m.recordTask("task starts", t)
 	slog.Debug("sim: task starts", "task", t.name, "attempt", t.attempt, "machine", m.name, "epoch", m.epoch, "token", m.token)
-	used, inZone := 0.0, 0
+	usedCPUs, inZone := 0.0, 0
 	zones := map[string]bool{}
-	for _, o := range w.machines {
-		if !w.ignoreWorkerLeases && time.Since(o.leaseRenewedAt) > w.times.lease() {
+	for _, other := range w.machines {
+		if !w.ignoreWorkerLeases && time.Since(other.leaseRenewedAt) > w.times.lease() {
 			continue // hangs beyond its lease: what it held is dead, and it will see to that before anything else
 		}
-		for _, x := range o.tasks {
+		for _, x := range other.tasks {
 			if !onMachine(x.state) {
 				continue
 			}
 			job, _, _ := wire.ParseTaskName(x.name)
-			k := w.jobs[job]
-			if x.name == t.name && o != m {
-				w.violateTask("ran_twice", t.name, m.name, "%s on %s and %s", t.name, m.name, o.name)
+			otherJob := w.jobs[job]
+			if x.name == t.name && other != m {
+				w.violateTask("ran_twice", t.name, m.name, "%s on %s and %s", t.name, m.name, other.name)
 			}
-			if k.spec.Team == j.spec.Team {
-				used += k.spec.CPUs
+			if otherJob.spec.Team == j.spec.Team {
+				usedCPUs += otherJob.spec.CPUs
 			}
-			if k == j {
-				zones[o.zone] = true
-				if o.zone == m.zone {
+			if otherJob == j {
+				zones[other.zone] = true
+				if other.zone == m.zone {
 					inZone++
 				}
 			}
 		}
 	}
-	if j.spec.Team == "tight" && used > 10+1e-6 {
-		w.violateTask("quota", t.name, m.name, "%s: %g CPUs", t.name, used)
+	if j.spec.Team == "tight" && usedCPUs > 10+1e-6 {
+		w.violateTask("quota", t.name, m.name, "%s: %g CPUs", t.name, usedCPUs)
 	}
 	if m.spot && !j.spec.Spot || j.spec.Zone != "" && j.spec.Zone != m.zone ||
 		j.spec.OneZone && len(zones) > 1 || j.spec.Spread && inZone > (j.spec.Tasks+1)/2 {
@@ -438,18 +438,18 @@
 	t := &simTask{name: c.Task, attempt: c.Attempt, state: wire.TaskFetching}
 	m.tasks[key] = t
 	m.changed = true
-	used := 0.0
+	usedCPUs := 0.0
 	for _, o := range m.tasks {
 		if o == t || o.state == wire.TaskExited {
 			continue
 		}
 		other, _, _ := wire.ParseTaskName(o.name)
-		used += m.world.jobs[other].spec.CPUs
+		usedCPUs += m.world.jobs[other].spec.CPUs
 		if o.name == t.name {
 			t.state, t.cause = wire.TaskExited, wire.CauseOtherAttempt
 		}
 	}
-	if t.state != wire.TaskExited && used+m.world.jobs[job].spec.CPUs > 8+1e-6 {
+	if t.state != wire.TaskExited && usedCPUs+m.world.jobs[job].spec.CPUs > 8+1e-6 {
 		t.state, t.cause = wire.TaskExited, wire.CauseNoCapacity
 	}
 	if _, healthy := m.world.healthyMachines[m.name]; m.world.healthyMachines != nil && !healthy && t.state != wire.TaskExited {
@@ -514,9 +514,9 @@
 		}
 		w.mu.Lock()
 		m := w.machines[addr]
-		silent := m == nil || m.disconnected || m.hung || m.receivesNothing || c.n.cutFromWorkers || time.Now().Before(m.bootsAt) || w.isPartitioned(m.zone, c.n)
+		unreachable := m == nil || m.disconnected || m.hung || m.receivesNothing || c.n.cutFromWorkers || time.Now().Before(m.bootsAt) || w.isPartitioned(m.zone, c.n)
 		w.mu.Unlock()
-		if silent {
+		if unreachable {
 			time.Sleep(2 * time.Second)
 			if m != nil && w.chance(0.5) {
 				go func() {
