--- a/controller/draining_test.go
+++ b/controller/draining_test.go
@@ -72,7 +72,7 @@
 func (s drainScenario) expectNoViolation(t *testing.T, seeds int) {
 	for seed := range uint64(seeds) {
 		synctest.Test(t, func(t *testing.T) {
-			if broken := s.play(t, seed); len(broken) > 0 {
+			if broken := s.run(t, seed); len(broken) > 0 {
 				t.Errorf("seed %d: %s", seed, strings.Join(broken[:min(4, len(broken))], "; "))
 			}
 		})
@@ -156,7 +156,7 @@
 		}
 	}},
 	{name: "long arrays and a gang run on what is drained", fault: func(t *testing.T, w *world, number int) {
-		go w.playGangs()
+		go w.simulateGangs()
 		lot := []*simJob{w.newArray("run-000200", 6, 2, 90)}
 		gang := w.newArray("run-000201", 3, 2, 60)
 		gang.spec.Kind, gang.spec.CheckpointIntervalS, gang.spec.CheckpointSaveS, gang.spec.Spot = wire.KindGang, 4, 1, false
@@ -175,7 +175,7 @@
 			w.interruptions = disruptioncheck.New(1, w.controllers[0].set.Draining.Policy.StableAfter, w.times.lease()+30*time.Second)
 			w.unitsEverRunning = map[string]bool{}
 		})
-		go w.playGangs()
+		go w.simulateGangs()
 		work := []*simJob{w.newArray("run-000200", 6, 2, 240), w.newArray("run-000201", 3, 2, 240)}
 		work[1].spec.Kind, work[1].spec.CheckpointIntervalS, work[1].spec.CheckpointSaveS, work[1].spec.Spot = wire.KindGang, 4, 1, false
 		for _, j := range work { // of the services' team and priority, so that none is preempted for them
@@ -210,7 +210,7 @@
 		}
 		w.changeDrain(t, peer.OpResume, number)
 	}},
-	{name: "cancelled as a step closes", endState: records.DrainCancelled, idle: true, fault: func(t *testing.T, w *world, number int) {
+	{name: "cancelled as a step closes", endState: records.DrainCancelled, nothingToMove: true, fault: func(t *testing.T, w *world, number int) {
 		w.waitUntil(t, "a machine is closed", 4*time.Minute, func() bool { return w.terminatingMachines() > 0 })
 		w.changeDrain(t, peer.OpCancel, number)
 		w.waitUntil(t, "what was closed is returned", time.Minute, func() bool { return w.terminatingMachines() == 0 })
@@ -263,7 +263,7 @@
 		}
 		w.waitUntil(t, "the new budget is used", 6*time.Minute, func() bool { return w.disruptionFigures().MaxVoluntary > 2 })
 	}},
-	{name: "machines that never boot", endState: records.DrainStopped, idle: true, fault: func(t *testing.T, w *world, number int) {
+	{name: "machines that never boot", endState: records.DrainStopped, nothingToMove: true, fault: func(t *testing.T, w *world, number int) {
 		w.locked(func() { w.bootWithin = 1000 * time.Hour })
 	}},
 	{name: "machines on which every task fails", endState: records.DrainStopped, fault: func(t *testing.T, w *world, number int) {
@@ -340,7 +340,7 @@
 		caught := false
 		for seed := uint64(0); seed < 12 && !caught; seed++ {
 			synctest.Test(t, func(t *testing.T) {
-				broken := drainScenario{overrideDraining: unguard}.play(t, seed)
+				broken := drainScenario{overrideDraining: unguard}.run(t, seed)
 				caught = slices.ContainsFunc(broken, func(b string) bool { return strings.HasPrefix(b, "budget:") })
 			})
 		}
--- a/controller/sim_days_test.go
+++ b/controller/sim_days_test.go
@@ -23,7 +23,7 @@
 		n.start()
 	}
 	go w.expireLeases()
-	go w.playGangs()
+	go w.simulateGangs()
 	time.AfterFunc(w.randomDuration(0, 200*time.Second), func() { w.mu.Lock(); w.limitsLowered = true; w.mu.Unlock() })
 	for i := range 24 {
 		s := w.randomSubmission(i, zones)
--- a/controller/sim_draining_test.go
+++ b/controller/sim_draining_test.go
@@ -18,9 +18,9 @@
 )
 
 // watchDisruption starts checking stops; all services' tasks share one disruption budget.
-func (w *world) watchDisruption(most int) {
+func (w *world) watchDisruption(limit int) {
 	w.locked(func() {
-		w.disruption = disruptioncheck.New(most, w.controllers[0].set.Draining.Policy.StableAfter, w.times.lease()+30*time.Second)
+		w.disruption = disruptioncheck.New(limit, w.controllers[0].set.Draining.Policy.StableAfter, w.times.lease()+30*time.Second)
 	})
 	go func() {
 		for {
@@ -72,17 +72,17 @@
 	if w.interruptions == nil {
 		return
 	}
-	runs, over := map[string]bool{}, map[string]bool{}
+	runs, ended := map[string]bool{}, map[string]bool{}
 	for i := range j.spec.Tasks {
 		name := wire.TaskName(j.spec.ID, i)
 		unit := w.budgetUnit(j, name)
-		was, known := runs[unit]
-		runs[unit] = running[name] && (was || !known)
-		over[unit] = over[unit] || j.doneTasks[i] || j.cancelRequested
+		previous, known := runs[unit]
+		runs[unit] = running[name] && (previous || !known)
+		ended[unit] = ended[unit] || j.doneTasks[i] || j.cancelRequested
 	}
 	for unit := range runs {
 		switch {
-		case over[unit]:
+		case ended[unit]:
 			w.interruptions.Forget(unit)
 		case runs[unit]:
 			w.interruptions.TaskUp(unit, time.Now())
@@ -208,10 +208,10 @@
 // changeDrain pauses, resumes or cancels a drain, again if its record changed meanwhile.
 func (w *world) changeDrain(t *testing.T, op peer.DrainOp, number int) {
 	t.Helper()
-	becomes := map[peer.DrainOp]records.DrainState{peer.OpPause: records.DrainPaused, peer.OpResume: records.DrainRunning, peer.OpCancel: records.DrainCancelled}[op]
+	wantState := map[peer.DrainOp]records.DrainState{peer.OpPause: records.DrainPaused, peer.OpResume: records.DrainRunning, peer.OpCancel: records.DrainCancelled}[op]
 	for range 10 {
 		problem := w.requestDrain(t, peer.DrainRequest{Op: op, Number: number}).Problem
-		if problem == nil || w.drainRecord(number).State == becomes { // the answer may have been lost
+		if problem == nil || w.drainRecord(number).State == wantState { // the answer may have been lost
 			return
 		}
 		time.Sleep(500 * time.Millisecond)
@@ -245,15 +245,15 @@
 }
 
 // waitDrainState waits until a drain is in a state.
-func (w *world) waitDrainState(t *testing.T, number int, in records.DrainState, limit time.Duration) {
+func (w *world) waitDrainState(t *testing.T, number int, wantState records.DrainState, limit time.Duration) {
 	t.Helper()
 	for end := time.Now().Add(limit); ; time.Sleep(time.Second) {
 		r := w.drainRecord(number)
-		if r != nil && r.State == in {
+		if r != nil && r.State == wantState {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("drain %d is not %s after %s: %+v; %+v", number, in, limit, r, w.drainView(t, number))
+			t.Fatalf("drain %d is not %s after %s: %+v; %+v", number, wantState, limit, r, w.drainView(t, number))
 		}
 	}
 }
@@ -323,8 +323,8 @@
 	settings string
 	// spot: services may run on spot machines.
 	spot bool
-	// idle: nothing need be moved.
-	idle bool
+	// nothingToMove: nothing need be moved.
+	nothingToMove bool
 	// overrideDraining takes away what the budget rests on; the play must then break it.
 	overrideDraining func(*shard.DrainingConfig)
 }
@@ -354,8 +354,8 @@
 	time.Sleep(15 * time.Second)
 }
 
-// play drains a deployment that is at work and returns what rules were broken.
-func (s drainScenario) play(t *testing.T, seed uint64) []string {
+// run drains a deployment that is at work and returns what rules were broken.
+func (s drainScenario) run(t *testing.T, seed uint64) []string {
 	w := drainWorld(seed, s.settings)
 	defer w.shutdown()
 	w.spotReplicas = s.spot
@@ -385,7 +385,7 @@
 	}
 	w.waitUntil(t, "all replicas run again", 3*time.Minute, func() bool { return w.runningReplicas() == 18 })
 	t.Logf("seed %d: %+v", seed, w.disruptionFigures())
-	if w.disruptionFigures().Replaced == 0 && !s.idle {
+	if w.disruptionFigures().Replaced == 0 && !s.nothingToMove {
 		t.Errorf("seed %d: nothing was moved", seed)
 	}
 	return w.violationList()
@@ -430,7 +430,7 @@
 }
 
 // countTerminating counts those of some machines that are durably closed.
-func (w *world) countTerminating(some func(name string) bool) int {
+func (w *world) countTerminating(match func(name string) bool) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
@@ -438,7 +438,7 @@
 		record, err := records.Decode(key, e.value)
 		if page, ok := record.(*records.InventoryPage); ok && err == nil {
 			for _, m := range page.Machines() {
-				if m.Terminating && some(m.Name) {
+				if m.Terminating && match(m.Name) {
 					n++
 				}
 			}
--- a/controller/sim_gang_test.go
+++ b/controller/sim_gang_test.go
@@ -44,8 +44,8 @@
 	return state == wire.TaskRunning || state == wire.TaskWaitingForGang || state == wire.TaskSaving
 }
 
-// playGangs lets the tasks of gangs see each other.
-func (w *world) playGangs() {
+// simulateGangs lets the tasks of gangs see each other.
+func (w *world) simulateGangs() {
 	for {
 		select {
 		case <-w.done:
@@ -74,14 +74,14 @@
 		}
 		slices.Sort(keys)
 		for _, key := range keys {
-			w.playGang(w.gangs[key], groups[key])
+			w.simulateGang(w.gangs[key], groups[key])
 		}
 		w.mu.Unlock()
 	}
 }
 
-// playGang moves one attempt on. The caller holds the lock.
-func (w *world) playGang(g *simGang, all []gangTask) {
+// simulateGang moves one attempt on. The caller holds the lock.
+func (w *world) simulateGang(g *simGang, all []gangTask) {
 	if len(all) == 0 {
 		g.ended = g.ended || !g.startedAt.IsZero()
 		return
@@ -89,14 +89,14 @@
 	now := time.Now()
 	job, _, _ := wire.ParseTaskName(all[0].t.name)
 	j := w.jobs[job]
-	there := map[int]bool{} // on a machine that carries out its tasks
+	present := map[int]bool{} // on a machine that carries out its tasks
 	for _, x := range all {
 		if onMachine(x.t.state) && !x.m.hung && (w.ignoreWorkerLeases || time.Since(x.m.leaseRenewedAt) < 20*time.Second) {
-			there[x.i] = true
+			present[x.i] = true
 		}
 	}
-	whole := len(there) == j.spec.Tasks
-	if g.startedAt.IsZero() && !g.ended && whole {
+	complete := len(present) == j.spec.Tasks
+	if g.startedAt.IsZero() && !g.ended && complete {
 		g.startedAt = now
 		w.gangStarts++
 		slog.Debug("sim: gang begins", "job", job, "attempt", all[0].t.attempt)
@@ -108,22 +108,22 @@
 		}
 	}
 	if !g.startedAt.IsZero() && !g.ended {
-		w.advanceGang(g, j, now, whole)
+		w.advanceGang(g, j, now, complete)
 	}
 	g.exitTasks(all, now)
 }
 
 // advanceGang decides whether a running attempt goes on, and how it ends. The caller holds
 // the lock.
-func (w *world) advanceGang(g *simGang, j *simJob, now time.Time, whole bool) {
+func (w *world) advanceGang(g *simGang, j *simJob, now time.Time, complete bool) {
 	end := now
 	if !g.firstStop.IsZero() {
 		end = g.firstStop
 	}
 	progress := j.saved + end.Sub(g.startedAt).Seconds()
-	mark := max(j.saved, math.Floor(progress/max(j.spec.CheckpointIntervalS, 0.1))*j.spec.CheckpointIntervalS)
+	lastCheckpoint := max(j.saved, math.Floor(progress/max(j.spec.CheckpointIntervalS, 0.1))*j.spec.CheckpointIntervalS)
 	switch {
-	case whole && !g.firstStop.IsZero() && len(g.stopRequested) == j.spec.Tasks:
+	case complete && !g.firstStop.IsZero() && len(g.stopRequested) == j.spec.Tasks:
 		last := g.firstStop
 		for _, at := range g.stopRequested {
 			if at.After(last) {
@@ -134,15 +134,15 @@
 			g.ended, g.checkpointed, j.saved = true, true, progress
 		}
 	case !g.firstStop.IsZero():
-		if now.Sub(g.firstStop) > simGangPeer || !whole {
-			g.ended, j.saved = true, mark
+		if now.Sub(g.firstStop) > simGangPeer || !complete {
+			g.ended, j.saved = true, lastCheckpoint
 		}
-	case !whole:
+	case !complete:
 		if g.failAt.IsZero() {
 			g.failAt = now.Add(time.Duration(w.rng.Int64N(int64(simGangPeer))))
 		}
 		if !now.Before(g.failAt) {
-			g.ended, j.saved = true, mark
+			g.ended, j.saved = true, lastCheckpoint
 		}
 	case progress >= j.spec.EstimateS:
 		g.ended, g.done = true, true
@@ -192,7 +192,7 @@
 		if g.firstStop.IsZero() {
 			g.firstStop = time.Now()
 		}
-		if _, told := g.stopRequested[i]; !told {
+		if _, requested := g.stopRequested[i]; !requested {
 			g.stopRequested[i] = time.Now()
 		}
 		return
