--- a/controller/draining_test.go
+++ b/controller/draining_test.go
@@ -391,7 +391,7 @@
 			t.Errorf("the plan does not say what can never be done: %+v", r)
 		}
 		w.locked(func() {
-			w.kv[records.KeyDrain(3)] = &entry{value: []byte(`{"state":7}`), version: w.revision + 1}
+			w.kv[records.KeyDrain(3)] = &storeEntry{value: []byte(`{"state":7}`), version: w.revision + 1}
 			w.revision++
 			w.storeEvents = append(w.storeEvents, wire.Event{Put: records.KeyDrain(3), Value: []byte(`{"state":7}`), Version: w.revision})
 			close(w.storeChanged)
--- a/controller/large_fleet_test.go
+++ b/controller/large_fleet_test.go
@@ -60,7 +60,7 @@
 func playLargeFleet(t *testing.T, zone string, machines int, loss float64) *world {
 	w := newWorldWithTimes(1, []string{"a", "b"}, 3, lease36Times)
 	w.lateCommandShare, w.reliableCloud, w.lostAnswerShare, w.lateWriteShare, w.repeatedWriteShare, w.lateCopyShare = 0, true, 0, 0, 0, 0
-	w.record.off = true
+	w.record.disabled = true
 	w.reasons = watchTerminationReasons(t)
 	w.workerInterval = 500 * time.Millisecond
 	w.answerLossShare, w.noAnswerLoss = loss, loss == 0
--- a/controller/random_faults_test.go
+++ b/controller/random_faults_test.go
@@ -304,7 +304,7 @@
 		case <-w.done:
 			return
 		case <-time.After(50 * time.Millisecond):
-			w.expire()
+			w.expireStoreLeases()
 			w.checkCancelledJobsEnd()
 			w.checkNoJobWaits()
 		}
@@ -370,7 +370,7 @@
 func (w *world) addOldRecords() {
 	put := func(key string, v any) {
 		w.revision++
-		w.kv[key] = &entry{value: records.Encode(v), version: w.revision}
+		w.kv[key] = &storeEntry{value: records.Encode(v), version: w.revision}
 		w.storeEvents = append(w.storeEvents, wire.Event{Put: key, Value: records.Encode(v), Version: w.revision})
 	}
 	zones := w.controllers[0].set.Deployment.Zones
--- a/controller/sim_record_test.go
+++ b/controller/sim_record_test.go
@@ -36,14 +36,14 @@
 // eventRecord keeps the last events of a world, to be printed with a violation. It draws no
 // random numbers and takes no time on the virtual clock, so a play is the same with it.
 type eventRecord struct {
-	off    bool // nothing is recorded: a large fleet makes too many events
-	events []simEvent
-	next   int // where the next event is written once the record is full
+	disabled bool // nothing is recorded: a large fleet makes too many events
+	events   []simEvent
+	next     int // where the next event is written once the record is full
 }
 
 // add records an event. The caller holds the world's lock.
 func (r *eventRecord) add(event simEvent) {
-	if r.off {
+	if r.disabled {
 		return
 	}
 	event.at = time.Now()
@@ -138,7 +138,7 @@
 // recordChange records a change of the key-value store that concerns terms, registrations,
 // revocations, inventories or jobs. The caller holds the lock.
 func (w *world) recordChange(change wire.Change, revision uint64) {
-	if w.record.off {
+	if w.record.disabled {
 		return
 	}
 	if change.Delete != "" {
@@ -175,7 +175,7 @@
 // recordHeartbeat records a heartbeat as it leaves its worker, or a copy that comes late.
 // The caller holds the lock.
 func (w *world) recordHeartbeat(what, controller string, heartbeat *wire.Heartbeat) {
-	if w.record.off {
+	if w.record.disabled {
 		return
 	}
 	w.record.add(simEvent{what: what, controller: controller, machine: heartbeat.Machine, epoch: heartbeat.Epoch,
@@ -196,7 +196,7 @@
 // recordCommands records commands that are sent to a machine, or carried out there. The
 // caller holds the lock.
 func (w *world) recordCommands(what, controller, machine string, epoch, token uint64, commands []wire.Command) {
-	if w.record.off {
+	if w.record.disabled {
 		return
 	}
 	w.record.add(simEvent{what: what, controller: controller, machine: machine, epoch: epoch, token: token, detail: describeCommands(commands)})
@@ -209,7 +209,7 @@
 
 // recordTask records what happens to a task on a machine. The caller holds the lock.
 func (m *simWorker) recordTask(what string, task *simTask) {
-	if m.world.record.off {
+	if m.world.record.disabled {
 		return
 	}
 	job, _, _ := wire.ParseTaskName(task.name)
@@ -241,7 +241,7 @@
 
 // A violation carries what happened to its job and on its machine, from the submission on,
 // and nothing of other jobs; and the record is bounded.
-func TestViolationTellsItsHistory(t *testing.T) {
+func TestViolationIncludesEventHistory(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
 		w := newCalmWorld(11)
@@ -252,14 +252,14 @@
 			m := w.machines[w.machineOf("run-000001")]
 			w.violateTask("ran_cancelled", "run-000001/0", m.name, "a trial")
 		})
-		told := w.violations[0]
+		violation := w.violations[0]
 		for _, part := range []string{"ran_cancelled: a trial\n", "store writes job=run-000001", "heartbeat sent", "heartbeat answered", "task starts", "rv/part/"} {
-			if !strings.Contains(told, part) {
-				t.Errorf("the violation tells nothing of %q:\n%s", part, told)
+			if !strings.Contains(violation, part) {
+				t.Errorf("the violation tells nothing of %q:\n%s", part, violation)
 			}
 		}
-		if strings.Contains(told, "store writes job=run-000002") {
-			t.Errorf("the violation tells of another job:\n%s", told)
+		if strings.Contains(violation, "store writes job=run-000002") {
+			t.Errorf("the violation tells of another job:\n%s", violation)
 		}
 		w.violations = nil
 		w.finish(t)
--- a/controller/sim_store_test.go
+++ b/controller/sim_store_test.go
@@ -13,21 +13,21 @@
 	"ravenport/wire"
 )
 
-type entry struct {
+type storeEntry struct {
 	value   json.RawMessage
 	version uint64
 	lease   uint64
 }
 
 type simLease struct {
-	life time.Duration
-	ends time.Time
+	life      time.Duration
+	expiresAt time.Time
 }
 
 type simStore struct{ n *simController }
 
-// pass is the way to the key-value store: it takes time, and may be shut.
-func (s *simStore) pass(ctx context.Context) error {
+// reach is the way to the key-value store: it takes time, and may be shut.
+func (s *simStore) reach(ctx context.Context) error {
 	w := s.n.world
 	s.n.waitWhileFrozen() // what it had decided goes out when it moves on, whatever the time
 	time.Sleep(w.randomDuration(time.Millisecond, 12*time.Millisecond) + w.storeLatency)
@@ -35,23 +35,23 @@
 		return fmt.Errorf("%w: %w", kvstore.ErrOutcomeUnknown, ctx.Err())
 	}
 	w.mu.Lock()
-	shut := w.storeOutage || s.n.cutFromStore || w.partitionedZone == s.n.set.Zone
+	unavailable := w.storeOutage || s.n.cutFromStore || w.partitionedZone == s.n.set.Zone
 	w.mu.Unlock()
-	if shut {
+	if unavailable {
 		return kvstore.ErrRefused
 	}
 	return nil
 }
 
-func (s *simStore) Commit(ctx context.Context, t wire.Txn) (uint64, error) {
-	if err := s.pass(ctx); err != nil {
+func (s *simStore) Commit(ctx context.Context, txn wire.Txn) (uint64, error) {
+	if err := s.reach(ctx); err != nil {
 		return 0, err
 	}
 	w := s.n.world
 	switch {
 	case w.chance(w.lostAnswerShare): // carried out, the answer lost
 		w.mu.Lock()
-		if _, err := w.apply(t); err == nil {
+		if _, err := w.apply(txn); err == nil {
 			w.observed["lost answers"]++
 		}
 		w.mu.Unlock()
@@ -62,7 +62,7 @@
 			time.Sleep(w.randomDuration(time.Second, 20*time.Second))
 			w.mu.Lock()
 			w.observed["late writes"]++
-			if _, err := w.apply(t); err != nil {
+			if _, err := w.apply(txn); err != nil {
 				w.observed["late writes that failed"]++
 			}
 			w.mu.Unlock()
@@ -73,21 +73,21 @@
 		go func() {
 			time.Sleep(w.randomDuration(time.Second, 20*time.Second))
 			w.mu.Lock()
-			w.apply(t)
+			w.apply(txn)
 			w.mu.Unlock()
 		}()
 	}
 	w.mu.Lock()
-	rev, err := w.apply(t)
+	rev, err := w.apply(txn)
 	w.mu.Unlock()
 	s.n.waitWhileFrozen()
 	return rev, err
 }
 
 // apply carries out a transaction. The caller holds the lock.
-func (w *world) apply(t wire.Txn) (uint64, error) {
+func (w *world) apply(txn wire.Txn) (uint64, error) {
 	if !w.ignoreConditions {
-		for _, c := range t.Conditions {
+		for _, c := range txn.Conditions {
 			v := uint64(0)
 			if e := w.kv[c.Key]; e != nil {
 				v = e.version
@@ -97,23 +97,23 @@
 			}
 		}
 	}
-	for _, ch := range t.Changes {
+	for _, ch := range txn.Changes {
 		if ch.Lease != 0 && w.leases[ch.Lease] == nil {
 			return 0, kvstore.ErrLeaseExpired
 		}
 	}
-	kb, ops := 8, 12
+	maxKB, maxOps := 8, 12
 	if w.limitsLowered {
-		kb, ops = 1, 2
+		maxKB, maxOps = 1, 2
 	}
-	for _, ch := range t.Changes {
-		if len(ch.Value) > kb<<10 || len(t.Changes) > ops || len(t.Conditions) > 4*ops {
+	for _, ch := range txn.Changes {
+		if len(ch.Value) > maxKB<<10 || len(txn.Changes) > maxOps || len(txn.Conditions) > 4*maxOps {
 			w.oversizedWrites[ch.Put]++
 			return 0, kvstore.ErrInvalidRequest
 		}
 	}
 	w.revision++
-	for _, ch := range t.Changes {
+	for _, ch := range txn.Changes {
 		w.recordChange(ch, w.revision)
 		if ch.Delete != "" {
 			delete(w.kv, ch.Delete)
@@ -126,7 +126,7 @@
 		if w.skipAuthorityWait {
 			ch.Value = shortenLeaseTTL(ch.Value)
 		}
-		w.kv[ch.Put] = &entry{ch.Value, w.revision, ch.Lease}
+		w.kv[ch.Put] = &storeEntry{ch.Value, w.revision, ch.Lease}
 		w.storeEvents = append(w.storeEvents, wire.Event{Put: ch.Put, Value: ch.Value, Version: w.revision})
 	}
 	close(w.storeChanged)
@@ -135,7 +135,7 @@
 }
 
 func (s *simStore) Get(ctx context.Context, key string) (wire.KeyValue, bool, error) {
-	if err := s.pass(ctx); err != nil {
+	if err := s.reach(ctx); err != nil {
 		return wire.KeyValue{}, false, err
 	}
 	s.n.world.mu.Lock()
@@ -148,7 +148,7 @@
 }
 
 func (s *simStore) Revision(ctx context.Context) (uint64, error) {
-	if err := s.pass(ctx); err != nil {
+	if err := s.reach(ctx); err != nil {
 		return 0, err
 	}
 	s.n.world.mu.Lock()
@@ -157,7 +157,7 @@
 }
 
 func (s *simStore) List(ctx context.Context, prefix string) ([]wire.KeyValue, uint64, error) {
-	if err := s.pass(ctx); err != nil {
+	if err := s.reach(ctx); err != nil {
 		return nil, 0, err
 	}
 	w := s.n.world
@@ -174,7 +174,7 @@
 }
 
 func (s *simStore) Watch(ctx context.Context, prefix string, from uint64, wait time.Duration) (*wire.Events, error) {
-	if err := s.pass(ctx); err != nil {
+	if err := s.reach(ctx); err != nil {
 		return nil, err
 	}
 	w := s.n.world
@@ -184,16 +184,16 @@
 		out := &wire.Events{Revision: w.revision}
 		i := sort.Search(len(w.storeEvents), func(i int) bool { return w.storeEvents[i].Version > from })
 		out.Events = append(out.Events, w.storeEvents[i:]...)
-		changed, shut := w.storeChanged, s.n.cutFromStore
+		changed, unavailable := w.storeChanged, s.n.cutFromStore
 		w.mu.Unlock()
-		if len(out.Events) > 0 && !shut {
+		if len(out.Events) > 0 && !unavailable {
 			return out, nil
 		}
 		select {
 		case <-ctx.Done():
 			return nil, kvstore.ErrRefused
 		case <-end:
-			if shut {
+			if unavailable {
 				return nil, kvstore.ErrRefused
 			}
 			return out, nil
@@ -202,21 +202,21 @@
 	}
 }
 
-func (s *simStore) Grant(ctx context.Context, life time.Duration) (uint64, error) {
-	if err := s.pass(ctx); err != nil {
+func (s *simStore) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
+	if err := s.reach(ctx); err != nil {
 		return 0, err
 	}
 	w := s.n.world
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.leaseSeq++
-	w.leases[w.leaseSeq] = &simLease{life, time.Now().Add(life)}
+	w.leases[w.leaseSeq] = &simLease{ttl, time.Now().Add(ttl)}
 	w.note("store lease granted", s.n.set.Controller, fmt.Sprint(w.leaseSeq))
 	return w.leaseSeq, nil
 }
 
 func (s *simStore) Renew(ctx context.Context, id uint64) error {
-	if err := s.pass(ctx); err != nil {
+	if err := s.reach(ctx); err != nil {
 		return err
 	}
 	w := s.n.world
@@ -226,19 +226,19 @@
 	if l == nil {
 		return kvstore.ErrLeaseExpired
 	}
-	l.ends = time.Now().Add(l.life)
+	l.expiresAt = time.Now().Add(l.life)
 	return nil
 }
 
-// expire ends leases whose time is up, never during an outage.
-func (w *world) expire() {
+// expireStoreLeases ends leases whose time is up, never during an outage.
+func (w *world) expireStoreLeases() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.storeOutage {
 		return
 	}
 	for id, l := range w.leases {
-		if time.Now().Before(l.ends) {
+		if time.Now().Before(l.expiresAt) {
 			continue
 		}
 		delete(w.leases, id)
@@ -263,6 +263,6 @@
 	w.storeOutage = on
 	w.note("store outage", "", fmt.Sprint(on))
 	for _, l := range w.leases {
-		l.ends = time.Now().Add(l.life)
+		l.expiresAt = time.Now().Add(l.life)
 	}
 }
--- a/controller/sim_world_test.go
+++ b/controller/sim_world_test.go
@@ -33,7 +33,7 @@
 	gangs       map[string]*simGang // by job and attempt
 
 	// The key-value store.
-	kv           map[string]*entry
+	kv           map[string]*storeEntry
 	revision     uint64
 	storeEvents  []wire.Event
 	leases       map[uint64]*simLease
@@ -196,7 +196,7 @@
 func newWorldWithTimes(seed uint64, zones []string, controllers int, timing workerTimes) *world {
 	w := &world{
 		times: timing,
-		rng:   rand.New(rand.NewPCG(seed, 7)), kv: map[string]*entry{}, leases: map[uint64]*simLease{}, storeChanged: make(chan struct{}),
+		rng:   rand.New(rand.NewPCG(seed, 7)), kv: map[string]*storeEntry{}, leases: map[uint64]*simLease{}, storeChanged: make(chan struct{}),
 		machines: map[string]*simWorker{}, requests: map[string][]string{}, capacity: map[string]int{}, gangs: map[string]*simGang{}, oversizedWrites: map[string]int{}, jobs: map[string]*simJob{}, done: make(chan struct{}), lateCommandShare: 0.15,
 		lostAnswerShare: 0.01, lateWriteShare: 0.01, repeatedWriteShare: 0.02, lateCopyShare: 0.03, observed: map[string]int{},
 	}
