--- a/controller/damaged_record_test.go
+++ b/controller/damaged_record_test.go
@@ -31,7 +31,7 @@
 // for one that it does not know: whoever asks is told to ask again.
 func (w *world) expectUnavailable(t *testing.T, j *simJob) {
 	t.Helper()
-	body, err := json.Marshal(fields(j.spec))
+	body, err := json.Marshal(submissionFields(j.spec))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/controller/detection_test.go
+++ b/controller/detection_test.go
@@ -30,7 +30,7 @@
 type detectionScenario struct {
 	name string
 	off  []int // controllers without detection
-	play func(*testing.T, *world, *busy)
+	play func(*testing.T, *world, *workload)
 }
 
 // play brings the failure about; afterwards everything that was accepted must end,
@@ -55,12 +55,12 @@
 		go w.expireLeases()
 		defer w.shutdown()
 		time.Sleep(5 * time.Second)
-		b := w.startWork(t, 60)
+		b := w.startWorkload(t, 60)
 		s.play(t, w, b)
 		for _, n := range w.controllers {
 			w.locked(func() { n.peerCallsLost = false })
 		}
-		w.settleAll(t, 4*time.Minute, b.finishes)
+		w.endFaultsAndWait(t, 4*time.Minute, b.mustFinish)
 		if len(w.violations) > 0 {
 			t.Errorf("rules broken: %s", strings.Join(w.violations, "; "))
 		}
@@ -87,8 +87,8 @@
 
 // freezeOwner is a pause of an owner for so many lease lives, after which it goes on in
 // the middle of what it did.
-func freezeOwner(leases float64) func(*testing.T, *world, *busy) {
-	return func(t *testing.T, w *world, _ *busy) {
+func freezeOwner(leases float64) func(*testing.T, *world, *workload) {
+	return func(t *testing.T, w *world, _ *workload) {
 		owner := w.owner("a")
 		pause := time.Duration(leases * float64(leaseTTL))
 		if leases <= 0.5 {
@@ -115,20 +115,20 @@
 	{name: "owner pauses for a lease", play: freezeOwner(1)},
 	{name: "owner pauses for three leases", play: freezeOwner(3)},
 	{name: "owner pauses for ten leases", play: freezeOwner(10)},
-	{name: "owner wakes just as it is replaced", play: func(t *testing.T, w *world, _ *busy) {
+	{name: "owner wakes just as it is replaced", play: func(t *testing.T, w *world, _ *workload) {
 		owner := w.owner("a")
 		w.controllers[owner].freeze(time.Hour)
 		w.expectNewOwner(t, "a", owner, takeoverBound)
 		w.locked(func() { w.controllers[owner].frozenUntil = time.Now() })
 		time.Sleep(20 * time.Second)
 	}},
-	{name: "owner is killed", play: func(t *testing.T, w *world, _ *busy) {
+	{name: "owner is killed", play: func(t *testing.T, w *world, _ *workload) {
 		owner := w.owner("a")
 		w.controllers[owner].restart(30 * time.Second)
 		w.expectNewOwner(t, "a", owner, takeoverBound)
 		time.Sleep(40 * time.Second)
 	}},
-	{name: "owner is killed and back within a fraction of a second", play: func(t *testing.T, w *world, _ *busy) {
+	{name: "owner is killed and back within a fraction of a second", play: func(t *testing.T, w *world, _ *workload) {
 		for range 4 {
 			owner := w.owner("a")
 			term := w.term("a")
@@ -140,7 +140,7 @@
 			t.Errorf("%d processes were revoked", n)
 		}
 	}},
-	{name: "two fail together, then the one that takes over", play: func(t *testing.T, w *world, _ *busy) {
+	{name: "two fail together, then the one that takes over", play: func(t *testing.T, w *world, _ *workload) {
 		first, second := w.owner("a"), w.owner("b")
 		w.controllers[first].restart(25 * time.Second)
 		w.controllers[second].restart(25 * time.Second)
@@ -150,7 +150,7 @@
 		w.waitUntil(t, "both have owners again", time.Minute, func() bool { return w.owner("a") != third && w.owner("b") != third })
 		time.Sleep(30 * time.Second)
 	}},
-	{name: "owner without workers that other controllers cannot call", play: func(t *testing.T, w *world, _ *busy) {
+	{name: "owner without workers that other controllers cannot call", play: func(t *testing.T, w *world, _ *workload) {
 		owner := w.owner("a")
 		grayFailure(w, owner)
 		w.expectNewOwner(t, "a", owner, revocationBound)
@@ -162,7 +162,7 @@
 			t.Error("it has its shard again, and still does not hear its workers")
 		}
 	}},
-	{name: "owner's workers cannot reach it", play: func(t *testing.T, w *world, b *busy) {
+	{name: "owner's workers cannot reach it", play: func(t *testing.T, w *world, b *workload) {
 		owner := w.owner("a")
 		w.locked(func() { w.controllers[owner].cutFromWorkers = true })
 		w.expectNewOwner(t, "a", owner, revocationBound)
@@ -171,20 +171,20 @@
 		go w.runUser(j, 0, 0)
 		w.allDone(t, 90*time.Second, []*simJob{j}) // its machines are not kept idle
 	}},
-	{name: "owner cut from all controllers, not from the state service", play: func(t *testing.T, w *world, _ *busy) {
+	{name: "owner cut from all controllers, not from the state service", play: func(t *testing.T, w *world, _ *workload) {
 		w.expectSameTerms(t, func() {
 			owner := w.controllers[w.owner("a")]
 			w.locked(func() { owner.cutFromPeers = true })
 			time.Sleep(40 * time.Second)
 		})
 	}},
-	{name: "owner cut from the state service, not from controllers and workers", play: func(t *testing.T, w *world, _ *busy) {
+	{name: "owner cut from the state service, not from controllers and workers", play: func(t *testing.T, w *world, _ *workload) {
 		owner := w.owner("a")
 		w.locked(func() { w.controllers[owner].cutFromStore = true })
 		w.expectNewOwner(t, "a", owner, takeoverBound)
 		time.Sleep(20 * time.Second)
 	}},
-	{name: "link flaps within seconds", play: func(t *testing.T, w *world, _ *busy) {
+	{name: "link flaps within seconds", play: func(t *testing.T, w *world, _ *workload) {
 		w.expectSameTerms(t, func() {
 			owner := w.controllers[w.owner("a")]
 			for range 20 {
@@ -195,7 +195,7 @@
 			time.Sleep(5 * time.Second)
 		})
 	}},
-	{name: "a slow controller suspects everybody", play: func(t *testing.T, w *world, _ *busy) {
+	{name: "a slow controller suspects everybody", play: func(t *testing.T, w *world, _ *workload) {
 		slow := w.controllers[3-w.owner("a")-w.owner("b")]
 		w.expectSameTerms(t, func() {
 			for range 15 {
@@ -204,7 +204,7 @@
 			}
 		})
 	}},
-	{name: "all pause at once", play: func(t *testing.T, w *world, _ *busy) {
+	{name: "all pause at once", play: func(t *testing.T, w *world, _ *workload) {
 		for _, n := range w.controllers {
 			n.freeze(8 * time.Second)
 		}
@@ -213,7 +213,7 @@
 			t.Errorf("%d processes were revoked", n)
 		}
 	}},
-	{name: "state service away for all", play: func(t *testing.T, w *world, _ *busy) {
+	{name: "state service away for all", play: func(t *testing.T, w *world, _ *workload) {
 		w.expectSameTerms(t, func() {
 			w.setOutage(true)
 			time.Sleep(40 * time.Second)
@@ -221,7 +221,7 @@
 			time.Sleep(15 * time.Second)
 		})
 	}},
-	{name: "controllers with and without detection", off: []int{0}, play: func(t *testing.T, w *world, _ *busy) {
+	{name: "controllers with and without detection", off: []int{0}, play: func(t *testing.T, w *world, _ *workload) {
 		for _, zone := range []string{"a", "b"} {
 			owner := w.owner(zone)
 			grayFailure(w, owner)
@@ -254,7 +254,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newCalmWorld(0)
 		defer w.shutdown()
-		w.startWork(t, 300)
+		w.startWorkload(t, 300)
 		owner := w.owner("a")
 		grayFailure(w, owner)
 		time.Sleep(3 * revocationBound)
@@ -285,13 +285,13 @@
 		synctest.Test(t, func(t *testing.T) {
 			w := newDetectionWorld(seed)
 			defer w.shutdown()
-			b := w.startWork(t, 60)
+			b := w.startWorkload(t, 60)
 			owner := w.owner("a")
 			w.controllers[owner].stallOwner("a", 50*time.Second)
 			w.expectNewOwner(t, "a", owner, w.controllers[owner].set.Detection.StallAfter+time.Second+takeoverBound)
 			w.waitUntil(t, "the process ends itself", 15*time.Second, func() bool { return w.eventCount("ended itself: controller") == 1 })
 			time.Sleep(50 * time.Second)
-			w.settleAll(t, 4*time.Minute, b.finishes)
+			w.endFaultsAndWait(t, 4*time.Minute, b.mustFinish)
 			if len(w.violations) > 0 {
 				t.Errorf("rules broken: %s", strings.Join(w.violations, "; "))
 			}
@@ -449,9 +449,9 @@
 		w.controllers[1].kill()
 		time.Sleep(2 * leaseTTL)
 		var s Status
-		asked := &simAnswer{got: make(chan *httpwire.Response, 1)}
+		asked := &simAnswer{response: make(chan *httpwire.Response, 1)}
 		w.controllers[0].running().control.Tell(statusRequest{asked})
-		if err := json.Unmarshal((<-asked.got).Body, &s); err != nil {
+		if err := json.Unmarshal((<-asked.response).Body, &s); err != nil {
 			t.Fatal(err)
 		}
 		if len(s.Members) != 2 || s.Members[0].State != "failed" || s.Members[1].State != "alive" || s.Dropped.UnknownController != 1 {
--- a/controller/faults_test.go
+++ b/controller/faults_test.go
@@ -14,17 +14,17 @@
 // cancelled; something more happens to the deployment then.
 func hangs(more func(*testing.T, *world, []*simWorker)) func(*testing.T, *world) {
 	return func(t *testing.T, w *world) {
-		b := w.startWork(t, 300)
+		b := w.startWorkload(t, 300)
 		var hung []*simWorker
-		for _, j := range b.long[:2] {
+		for _, j := range b.zoneArrays[:2] {
 			hung = append(hung, w.machinesRunning(j.spec.ID)...)
 		}
 		w.setHung(hung, true)
-		for _, j := range b.long[:2] {
+		for _, j := range b.zoneArrays[:2] {
 			w.cancelAndWait(t, j, 20*time.Second)
 		}
 		more(t, w, hung)
-		w.settleAll(t, 20*time.Minute, b.finishes)
+		w.endFaultsAndWait(t, 20*time.Minute, b.mustFinish)
 	}
 }
 
@@ -47,7 +47,7 @@
 	{name: "held reports come as a new leader begins", guard: func(w *world) { w.makeCopiesCurrent = true },
 		play: func(t *testing.T, w *world) {
 			w.locked(func() { w.keepHeartbeats = true })
-			b := w.startWork(t, 60)
+			b := w.startWorkload(t, 60)
 			w.expectNewTerm(t, records.KeyShard("a"), func() { w.ownerOf("a").restart(8 * time.Second); w.leaderController().restart(9 * time.Second) })
 			w.replayHeartbeats()
 			time.Sleep(3 * time.Second)
@@ -55,14 +55,14 @@
 			time.Sleep(w.times.lease())
 			w.replayHeartbeats() // of earlier epochs and attempts, after newer ones
 			w.expectEvent(t, "copies", 100)
-			w.settleAll(t, 6*time.Minute, b.finishes)
+			w.endFaultsAndWait(t, 6*time.Minute, b.mustFinish)
 		}},
 	{name: "tasks end far apart over a change of leader",
 		play: func(t *testing.T, w *world) {
 			var lot []*simJob
 			for i := range 6 {
 				j := w.newArray(fmt.Sprintf("run-00000%d", i), 2+i%2, 1, 40)
-				j.runs = []float64{3, 70, 40}[:2+i%2]
+				j.runTimesS = []float64{3, 70, 40}[:2+i%2]
 				go w.runUser(j, 0, 0)
 				lot = append(lot, j)
 			}
@@ -80,12 +80,12 @@
 					w.fail(t, "%s had ended before the last change", j.spec.ID)
 				}
 			}
-			w.settleAll(t, 4*time.Minute, lot)
+			w.endFaultsAndWait(t, 4*time.Minute, lot)
 		}},
 	{name: "a team at its limit, machines out of reach, a cancellation, a new leader", guard: func(w *world) { w.ignoreWorkerLeases, w.ignoreScaleIn = true, true }, rule: "quota",
 		play: func(t *testing.T, w *world) {
-			b := w.startWork(t, 400)
-			held := w.started(b.tight)
+			b := w.startWorkload(t, 400)
+			held := w.started(b.quotaJobs)
 			cut := w.machinesRunning(held[0].spec.ID)
 			w.locked(func() {
 				for i, m := range cut {
@@ -96,25 +96,25 @@
 			w.expectNewTerm(t, records.KeyLeader, func() { w.leaderController().restart(6 * time.Second) })
 			w.expectNewTerm(t, records.KeyShard(cut[0].zone), func() { w.ownerOf(cut[0].zone).restart(6 * time.Second) })
 			w.waitUntil(t, "another of the team starts in its place", 2*w.times.lease()+time.Minute, func() bool {
-				return len(slices.DeleteFunc(w.started(b.tight), func(j *simJob) bool { return j == held[0] })) == 2
+				return len(slices.DeleteFunc(w.started(b.quotaJobs), func(j *simJob) bool { return j == held[0] })) == 2
 			})
-			w.settleAll(t, 25*time.Minute, b.finishes)
+			w.endFaultsAndWait(t, 25*time.Minute, b.mustFinish)
 		}},
 	{name: "a team at its limit, its machine hangs and goes on, a cancellation, a new leader",
 		play: func(t *testing.T, w *world) {
-			b := w.startWork(t, 100)
-			held := w.started(b.tight)
+			b := w.startWorkload(t, 100)
+			held := w.started(b.quotaJobs)
 			hung := w.machinesRunning(held[0].spec.ID)
 			w.setHung(hung, true)
 			w.cancelAndWait(t, held[0], 20*time.Second)
 			w.expectNewTerm(t, records.KeyLeader, func() { w.leaderController().restart(3 * time.Second) })
 			time.Sleep(w.times.lease() / 3)
 			w.setHung(hung, false)
-			w.settleAll(t, 8*time.Minute, b.finishes)
+			w.endFaultsAndWait(t, 8*time.Minute, b.mustFinish)
 		}},
 	{name: "a leader cut from state service and controllers, not from workers and users",
 		play: func(t *testing.T, w *world) {
-			b := w.startWork(t, 150)
+			b := w.startWorkload(t, 150)
 			n := w.leaderController()
 			if len(w.shards(slices.Index(w.controllers, n))) == 0 {
 				n = w.ownerOf("a")
@@ -123,7 +123,7 @@
 			w.locked(func() { n.cutFromStore, n.cutFromPeers = true, true })
 			cutAt := time.Now()
 			var doomed *simJob
-			for _, j := range b.long {
+			for _, j := range b.zoneArrays {
 				if j.spec.Zone == owned[0] {
 					doomed = j
 				}
@@ -137,7 +137,7 @@
 				w.fail(t, "no machine reported to the cut-off %s", n.set.Controller)
 			}
 			w.mu.Unlock()
-			w.settleAll(t, 8*time.Minute, b.finishes)
+			w.endFaultsAndWait(t, 8*time.Minute, b.mustFinish)
 		}},
 	{name: "cancellations while a shard changes hands",
 		play: func(t *testing.T, w *world) {
@@ -154,35 +154,35 @@
 						for index, j := range lot {
 							time.Sleep(2 * time.Second)
 							w.cancelAt(index, j)
-							w.pollClosely(j)
+							w.pollConcurrently(j)
 						}
 					}
 				}()
 			})
 			time.Sleep(15 * time.Second)
-			w.settleAll(t, 5*time.Minute, slices.Concat(boundArrays...))
+			w.endFaultsAndWait(t, 5*time.Minute, slices.Concat(boundArrays...))
 			w.expectEvent(t, "close looks", 20)
 		}},
 	{name: "ten leaders in two minutes, also inside an outage",
 		play: func(t *testing.T, w *world) {
-			b := w.startWork(t, 120)
+			b := w.startWorkload(t, 120)
 			for i := range 10 {
 				if i == 5 {
 					w.setOutage(true)
 					time.AfterFunc(8*time.Second, func() { w.setOutage(false) })
 				}
 				w.expectNewTerm(t, records.KeyLeader, func() { w.leaderController().restart(w.randomDuration(100*time.Millisecond, 4*time.Second)) })
-				if i%3 == 0 && i/3 < len(b.long) {
-					w.cancelAndWait(t, b.long[i/3], 30*time.Second)
+				if i%3 == 0 && i/3 < len(b.zoneArrays) {
+					w.cancelAndWait(t, b.zoneArrays[i/3], 30*time.Second)
 				}
 				time.Sleep(4 * time.Second)
 			}
-			w.settleAll(t, 8*time.Minute, b.finishes)
+			w.endFaultsAndWait(t, 8*time.Minute, b.mustFinish)
 		}},
 	{name: "cancellations, questions and repeats meet the end of the last task",
 		play: func(t *testing.T, w *world) {
 			lot := w.submitMany(0, 60*time.Second, 1, 3, 0.7)
-			w.settleAll(t, 3*time.Minute, lot)
+			w.endFaultsAndWait(t, 3*time.Minute, lot)
 			w.expectEvent(t, "close looks", 200)
 			kinds := map[wire.JobState]int{}
 			for _, j := range lot {
@@ -198,7 +198,7 @@
 			if len(lot) < 500 {
 				w.fail(t, "only %d jobs", len(lot))
 			}
-			w.settleAll(t, 5*time.Minute, lot)
+			w.endFaultsAndWait(t, 5*time.Minute, lot)
 			for _, n := range w.controllers { // what is over is not kept
 				if c := n.running(); c != nil {
 					if open := w.openJobs(c); open > 5 {
@@ -212,7 +212,7 @@
 			w.locked(func() { w.lostAnswerShare = 0.3 })
 			lot := w.submitMany(0, 60*time.Second, 1, 4, 0.5)
 			w.locked(func() { w.lostAnswerShare = 0 })
-			w.settleAll(t, 4*time.Minute, lot)
+			w.endFaultsAndWait(t, 4*time.Minute, lot)
 			w.expectEvent(t, "lost answers", 30)
 			w.expectEvent(t, "close looks", 200)
 		}},
@@ -223,7 +223,7 @@
 			w.expectNewTerm(t, records.KeyLeader, func() { w.leaderController().restart(time.Second) })
 			time.Sleep(20 * time.Second)
 			w.locked(func() { w.lateWriteShare = 0 })
-			w.settleAll(t, 4*time.Minute, lot)
+			w.endFaultsAndWait(t, 4*time.Minute, lot)
 			w.expectEvent(t, "late writes that failed", 20)
 		}},
 	{name: "jobs bound to one zone lose machines",
@@ -253,11 +253,11 @@
 			}
 			w.expectNewTerm(t, records.KeyLeader, func() { w.leaderController().restart(time.Second) })
 			time.Sleep(2 * w.times.lease())
-			w.settleAll(t, 6*time.Minute, lot)
+			w.endFaultsAndWait(t, 6*time.Minute, lot)
 		}},
 	{name: "shards handed there and back, all end, one returns within a second",
 		play: func(t *testing.T, w *world) {
-			b := w.startWork(t, 150)
+			b := w.startWorkload(t, 150)
 			n := w.ownerOf("b")
 			w.expectNewTerm(t, records.KeyShard("b"), func() { n.restart(300 * time.Millisecond) })
 			w.expectNewTerm(t, records.KeyShard("b"), func() { w.ownerOf("b").restart(300 * time.Millisecond) })
@@ -268,22 +268,22 @@
 			time.Sleep(1200 * time.Millisecond)
 			w.controllers[1].restart(200 * time.Millisecond) // in the middle of the election
 			w.expectNewTerm(t, records.KeyShard("b"), func() {})
-			w.cancelAndWait(t, b.long[1], 30*time.Second)
+			w.cancelAndWait(t, b.zoneArrays[1], 30*time.Second)
 			time.Sleep(10 * time.Second)
 			w.controllers[0].start()
 			w.controllers[2].start()
-			w.settleAll(t, 8*time.Minute, b.finishes)
+			w.endFaultsAndWait(t, 8*time.Minute, b.mustFinish)
 		}},
 	// Without tokens no rule was seen broken here: what owners keep of attempts is
 	// enough. That tokens are missed is shown by TestCheckerNoticesMissingGuards.
 	{name: "commands are held up for seconds and carried out",
 		play: func(t *testing.T, w *world) {
 			// All owners end just after they decided starts that are held up on their way.
-			w.boundArraysOf(0, 3, 24, 30) // machines are there
+			w.submitArrays(0, 3, 24, 30) // machines are there
 			w.locked(func() { w.lateCommandShare = 0.8 })
 			var lot []*simJob
 			for i := range 6 {
-				lot = append(lot, w.boundArraysOf(100*(i+1), 3, 16, 25)...)
+				lot = append(lot, w.submitArrays(100*(i+1), 3, 16, 25)...)
 				w.waitUntil(t, "starts are decided", 30*time.Second, func() bool { return len(w.started(lot)) > 4*i })
 				for _, n := range w.controllers {
 					n.restart(w.randomDuration(500*time.Millisecond, 2*time.Second))
@@ -293,7 +293,7 @@
 			}
 			w.locked(func() { w.lateCommandShare = 0 })
 			time.Sleep(30 * time.Second)
-			w.settleAll(t, 5*time.Minute, lot)
+			w.endFaultsAndWait(t, 5*time.Minute, lot)
 			w.expectEvent(t, "commands carried out late", 3)
 		}},
 	{name: "machines with cancelled tasks hang for longer than cancel_s",
@@ -324,12 +324,12 @@
 		})},
 	{name: "a zone with its controller is cut off for longer than the lease", guard: func(w *world) { w.ignoreWorkerLeases, w.ignoreScaleIn = true, true }, rule: "ran_cancelled",
 		play: func(t *testing.T, w *world) {
-			b := w.startWork(t, 200)
+			b := w.startWorkload(t, 200)
 			w.locked(func() { w.partitionedZone = "a" })
 			time.Sleep(4 * time.Second)
-			w.cancelAndWait(t, b.long[0], 20*time.Second)
+			w.cancelAndWait(t, b.zoneArrays[0], 20*time.Second)
 			time.Sleep(w.times.cancelWithin() + 5*time.Second)
-			w.settleAll(t, 10*time.Minute, b.finishes)
+			w.endFaultsAndWait(t, 10*time.Minute, b.mustFinish)
 		}},
 	{name: "more work than room, urgent and not, over slow links",
 		play: func(t *testing.T, w *world) {
@@ -351,14 +351,14 @@
 			w.cancelAndWait(t, lot[32], time.Minute)
 			w.cancelAndWait(t, lot[36], time.Minute)
 			w.expectNewTerm(t, records.KeyLeader, func() { w.leaderController().restart(time.Second) })
-			w.settleAll(t, 15*time.Minute, lot)
+			w.endFaultsAndWait(t, 15*time.Minute, lot)
 		}},
 	// No guard is taken away: what it leans on, that owners wait for the heartbeats of
 	// all machines or their leases' ends, is no one's but the owners'.
 	{name: "all controllers are away for longer than the lease",
 		play: func(t *testing.T, w *world) {
-			b := w.startWork(t, 100)
-			w.cancelAndWait(t, b.long[2], 20*time.Second)
+			b := w.startWorkload(t, 100)
+			w.cancelAndWait(t, b.zoneArrays[2], 20*time.Second)
 			for _, n := range w.controllers {
 				n.kill()
 			}
@@ -367,19 +367,19 @@
 				n.restart(time.Duration(1+i*300) * time.Millisecond)
 			}
 			w.expectNewTerm(t, records.KeyShard("a"), func() {})
-			w.settleAll(t, 8*time.Minute, b.finishes)
+			w.endFaultsAndWait(t, 8*time.Minute, b.mustFinish)
 		}},
 	{name: "a leader ends while machines with long tasks do not hear the new one", guard: func(w *world) { w.ignoreWorkerLeases, w.ignoreScaleIn = true, true }, rule: "ran_twice",
 		play: func(t *testing.T, w *world) {
-			b := w.startWork(t, 150)
-			for i, j := range []*simJob{b.long[0], b.long[1], b.free} {
+			b := w.startWorkload(t, 150)
+			for i, j := range []*simJob{b.zoneArrays[0], b.zoneArrays[1], b.unboundArray} {
 				on := w.machinesRunning(j.spec.ID)
 				w.locked(func() { on[0].receivesNothing, on[0].disconnected = i%2 == 0, i%2 == 1 })
 			}
 			w.expectNewTerm(t, records.KeyShard("a"), func() { w.ownerOf("a").restart(5 * time.Second); w.leaderController().restart(5 * time.Second) })
-			w.cancelAndWait(t, b.free, 20*time.Second)
+			w.cancelAndWait(t, b.unboundArray, 20*time.Second)
 			time.Sleep(w.times.cancelWithin() + 5*time.Second)
-			w.settleAll(t, 10*time.Minute, b.finishes)
+			w.endFaultsAndWait(t, 10*time.Minute, b.mustFinish)
 		}},
 	{name: "machines up within two seconds get work while writes lag, and the leader ends",
 		play: func(t *testing.T, w *world) {
@@ -390,13 +390,13 @@
 			w.expectNewTerm(t, records.KeyShard("a"), func() { w.ownerOf("a").kill() })
 			time.Sleep(5 * time.Second)
 			w.locked(func() { w.storeLatency, w.lateWriteShare = 0, 0 })
-			w.settleAll(t, 5*time.Minute, lot)
+			w.endFaultsAndWait(t, 5*time.Minute, lot)
 		}},
 	{name: "machines reach no controller while direct commands reach them",
 		play: func(t *testing.T, w *world) {
-			b := w.startWork(t, 120)
+			b := w.startWorkload(t, 120)
 			var mute []*simWorker
-			for _, j := range b.long {
+			for _, j := range b.zoneArrays {
 				mute = append(mute, w.machinesRunning(j.spec.ID)[0])
 			}
 			w.locked(func() {
@@ -404,31 +404,31 @@
 					m.cutFromControllers = true
 				}
 			})
-			w.cancelAndWait(t, b.long[0], 20*time.Second)
+			w.cancelAndWait(t, b.zoneArrays[0], 20*time.Second)
 			time.Sleep(8 * time.Second)
 			w.expectNewTerm(t, records.KeyShard("b"), func() { w.ownerOf("b").restart(5 * time.Second) })
 			time.Sleep(w.times.cancelWithin())
-			w.settleAll(t, 8*time.Minute, b.finishes)
+			w.endFaultsAndWait(t, 8*time.Minute, b.mustFinish)
 		}},
 	{name: "the state service answers slowly, refuses the leader, then is away for long",
 		play: func(t *testing.T, w *world) {
 			w.locked(func() { w.storeLatency = 600 * time.Millisecond })
-			b := w.startWork(t, 200)
+			b := w.startWorkload(t, 200)
 			n := w.leaderController()
 			if len(w.shards(slices.Index(w.controllers, n))) == 0 {
 				n = w.ownerOf("a")
 			}
 			w.locked(func() { n.cutFromStore = true })
 			other := (slices.Index(w.controllers, n) + 1) % 3
-			if !w.cancelAt(other, b.long[0]) || !w.cancelAt(other, b.free) {
+			if !w.cancelAt(other, b.zoneArrays[0]) || !w.cancelAt(other, b.unboundArray) {
 				w.stopScenario(t, "nobody confirmed")
 			}
-			w.pollClosely(b.free)
+			w.pollConcurrently(b.unboundArray)
 			w.setOutage(true)
 			time.Sleep(10 * time.Second)
-			w.pollClosely(b.long[0])
+			w.pollConcurrently(b.zoneArrays[0])
 			time.Sleep(w.times.cancelWithin() + 5*time.Second)
-			w.settleAll(t, 10*time.Minute, b.finishes)
+			w.endFaultsAndWait(t, 10*time.Minute, b.mustFinish)
 		}},
 }
 
--- a/controller/quota_test.go
+++ b/controller/quota_test.go
@@ -12,8 +12,8 @@
 	scenarios(t, []scenario{{name: "one task of eight runs on", times: lease26Times, zones: []string{"a", "b"}, seeds: []uint64{1, 2}, play: func(t *testing.T, w *world) {
 		w.locked(func() { w.faultFreeSince = time.Now() })
 		long := w.newArray("run-000001", 8, 1, 10)
-		long.spec.Team, long.spec.Zone, long.runs = "tight", "a", slices.Repeat([]float64{3}, 8)
-		long.runs[5] = 400
+		long.spec.Team, long.spec.Zone, long.runTimesS = "tight", "a", slices.Repeat([]float64{3}, 8)
+		long.runTimesS[5] = 400
 		go w.runUser(long, 0, 0)
 		w.waitUntil(t, "all but one are done", 2*time.Minute, func() bool {
 			w.mu.Lock()
--- a/controller/random_faults_test.go
+++ b/controller/random_faults_test.go
@@ -265,11 +265,11 @@
 				cut(w)
 				w.mu.Unlock()
 				ask := func(z string, seq uint64) bool {
-					a := &simAnswer{got: make(chan *httpwire.Response, 1)}
+					a := &simAnswer{response: make(chan *httpwire.Response, 1)}
 					w.controllers[0].running().control.Tell(workerHeartbeat{a, &wire.Heartbeat{Machine: "m-x", Addr: "m-x", Type: "box", Zone: z, Epoch: 1, Seq: seq,
 						Tasks: []wire.TaskStatus{{Task: "run-000009/0", Attempt: 1, State: wire.TaskRunning}}}})
 					select {
-					case r := <-a.got:
+					case r := <-a.response:
 						var rep wire.HeartbeatReply
 						if r.Status == 200 && (json.Unmarshal(r.Body, &rep) != nil || len(rep.Commands) > 0) {
 							t.Errorf("commands for %s without authority: %s", z, r.Body)
--- a/controller/relay_test.go
+++ b/controller/relay_test.go
@@ -53,7 +53,7 @@
 		var jobs []*simJob
 		for i := range 8 {
 			j := w.newArray(fmt.Sprintf("run-%06d", 600+i), 1, 1, 2)
-			body, err := json.Marshal(fields(j.spec))
+			body, err := json.Marshal(submissionFields(j.spec))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/controller/scale_in_test.go
+++ b/controller/scale_in_test.go
@@ -121,7 +121,7 @@
 	}
 	w.locked(func() { w.onScaleIn = nil })
 	total["failovers"] += int(w.term("a") + w.term("b") - before)
-	w.settleAll(t, 4*time.Minute, jobs)
+	w.endFaultsAndWait(t, 4*time.Minute, jobs)
 	if len(w.violations) > 0 {
 		t.Errorf("seed %d: rules broken: %v", seed, w.violations)
 	}
--- a/controller/sim_cloud_test.go
+++ b/controller/sim_cloud_test.go
@@ -65,7 +65,7 @@
 }
 
 func (c *simCloud) ScaleIn(ctx context.Context, names []string) error {
-	asked := time.Now()
+	requestedAt := time.Now()
 	c.n.world.locked(func() {
 		for _, name := range names {
 			c.n.world.record.add(simEvent{what: "scale-in requested", controller: c.n.set.Controller, machine: name})
@@ -76,7 +76,7 @@
 	time.Sleep(100 * time.Millisecond)
 	c.n.world.mu.Lock()
 	defer c.n.world.mu.Unlock()
-	c.n.world.recordLateScaleIn(asked, names)
+	c.n.world.recordLateScaleIn(requestedAt, names)
 	if c.n.world.cloudUnavailable || c.n.world.ignoreScaleIn || c.n.world.partitionedZone == c.n.set.Zone {
 		return cloud.ErrTransient
 	}
@@ -96,10 +96,10 @@
 		return
 	}
 	w.recordLiveTermination(m)
-	lately := 0
+	recentUnanswered := 0
 	for _, at := range m.unansweredCommands {
 		if time.Since(at) < w.times.lease() {
-			lately++
+			recentUnanswered++
 		}
 	}
 	for _, task := range m.tasks {
@@ -107,7 +107,7 @@
 			continue
 		}
 		w.observed["tasks ended by a scale-in"]++
-		if lately >= constants.MaxUnansweredCommands {
+		if recentUnanswered >= constants.MaxUnansweredCommands {
 			w.observed["tasks ended by the scale-in of an unresponsive machine"]++
 		}
 	}
@@ -123,8 +123,8 @@
 
 // recordLateScaleIn counts scale-ins that are carried out long after they were decided, and
 // the tasks that came to the machines since. The caller holds the lock.
-func (w *world) recordLateScaleIn(asked time.Time, names []string) {
-	if time.Since(asked) < 5*time.Second {
+func (w *world) recordLateScaleIn(requestedAt time.Time, names []string) {
+	if time.Since(requestedAt) < 5*time.Second {
 		return
 	}
 	for _, name := range names {
@@ -134,7 +134,7 @@
 			continue
 		}
 		for _, task := range m.tasks {
-			if onMachine(task.state) && task.fetchedAt.After(asked) {
+			if onMachine(task.state) && task.fetchedAt.After(requestedAt) {
 				w.observed["running tasks ended by a late scale-in"]++
 			}
 		}
--- a/controller/sim_detection_test.go
+++ b/controller/sim_detection_test.go
@@ -94,13 +94,13 @@
 		}
 	}
 	n.world.mu.Unlock()
-	process.control.Tell(workerHeartbeat{sleepingAnswer(d), &wire.Heartbeat{Machine: name, Addr: name, Type: "box", Zone: zone}})
+	process.control.Tell(workerHeartbeat{slowRequest(d), &wire.Heartbeat{Machine: name, Addr: name, Type: "box", Zone: zone}})
 }
 
-// sleepingAnswer is a request that takes as long to answer.
-type sleepingAnswer time.Duration
+// slowRequest is a request that takes as long to answer.
+type slowRequest time.Duration
 
-func (d sleepingAnswer) Respond(*httpwire.Response) { time.Sleep(time.Duration(d)) }
+func (d slowRequest) Respond(*httpwire.Response) { time.Sleep(time.Duration(d)) }
 
 // proposeRevocation has a controller take another one for failed, without any reason.
 func (w *world) proposeRevocation(by, of *simController) {
--- a/controller/sim_gang_test.go
+++ b/controller/sim_gang_test.go
@@ -120,8 +120,8 @@
 	if !g.firstStop.IsZero() {
 		end = g.firstStop
 	}
-	progress := j.saved + end.Sub(g.startedAt).Seconds()
-	lastCheckpoint := max(j.saved, math.Floor(progress/max(j.spec.CheckpointIntervalS, 0.1))*j.spec.CheckpointIntervalS)
+	progress := j.savedProgress + end.Sub(g.startedAt).Seconds()
+	lastCheckpoint := max(j.savedProgress, math.Floor(progress/max(j.spec.CheckpointIntervalS, 0.1))*j.spec.CheckpointIntervalS)
 	switch {
 	case complete && !g.firstStop.IsZero() && len(g.stopRequested) == j.spec.Tasks:
 		last := g.firstStop
@@ -131,18 +131,18 @@
 			}
 		}
 		if now.Sub(last).Seconds() >= j.spec.CheckpointSaveS {
-			g.ended, g.checkpointed, j.saved = true, true, progress
+			g.ended, g.checkpointed, j.savedProgress = true, true, progress
 		}
 	case !g.firstStop.IsZero():
 		if now.Sub(g.firstStop) > simGangPeer || !complete {
-			g.ended, j.saved = true, lastCheckpoint
+			g.ended, j.savedProgress = true, lastCheckpoint
 		}
 	case !complete:
 		if g.failAt.IsZero() {
 			g.failAt = now.Add(time.Duration(w.rng.Int64N(int64(simGangPeer))))
 		}
 		if !now.Before(g.failAt) {
-			g.ended, j.saved = true, lastCheckpoint
+			g.ended, j.savedProgress = true, lastCheckpoint
 		}
 	case progress >= j.spec.EstimateS:
 		g.ended, g.done = true, true
--- a/controller/sim_user_test.go
+++ b/controller/sim_user_test.go
@@ -18,15 +18,15 @@
 	cancelRequested bool // cancellation asked for
 	lastAnswerAt    time.Time
 	doneTasks       map[int]bool
-	runs            []float64 // how long each task runs (s), if not as long as estimated
+	runTimesS       []float64 // how long each task runs (s), if not as long as estimated
 	starts          int
 	idleSince       time.Time // since when it has waited beside room for it
-	saved           float64   // of a gang: progress at its last checkpoint (s)
+	savedProgress   float64   // of a gang: progress at its last checkpoint (s)
 }
 
-type simAnswer struct{ got chan *httpwire.Response }
+type simAnswer struct{ response chan *httpwire.Response }
 
-func (a *simAnswer) Respond(r *httpwire.Response) { a.got <- r }
+func (a *simAnswer) Respond(r *httpwire.Response) { a.response <- r }
 
 // request sends one request to any controller and waits as long as users do.
 func (w *world) request(msg func(apiserver.Request) any) *httpwire.Response {
@@ -45,11 +45,11 @@
 	if process == nil {
 		return nil
 	}
-	a := &simAnswer{got: make(chan *httpwire.Response, 1)}
+	a := &simAnswer{response: make(chan *httpwire.Response, 1)}
 	request := msg(a)
 	process.apiServer.Tell(request)
 	select {
-	case r := <-a.got:
+	case r := <-a.response:
 		w.recordCancelAnswer(process.name, request, r)
 		return r
 	case <-time.After(5 * time.Second):
@@ -60,7 +60,7 @@
 // runUser submits a job, polls it and perhaps cancels it.
 func (w *world) runUser(j *simJob, after, cancelAfter time.Duration) {
 	time.Sleep(after)
-	body, err := json.Marshal(fields(j.spec))
+	body, err := json.Marshal(submissionFields(j.spec))
 	if err != nil {
 		panic(err)
 	}
@@ -106,7 +106,7 @@
 			r = nil
 		}
 		w.checkReply(j, r, false)
-		w.known(j)
+		w.checkAnswered(j)
 		if w.chance(0.1) { // a late repeat of the submission
 			r = w.request(func(q apiserver.Request) any { return apiserver.Submit{Request: q, Body: body} })
 			if r != nil && r.Status == 201 {
@@ -119,9 +119,9 @@
 	}
 }
 
-// known checks that questions about a job are answered once all troubles
+// checkAnswered checks that questions about a job are answered once all troubles
 // are over, however others fare.
-func (w *world) known(j *simJob) {
+func (w *world) checkAnswered(j *simJob) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	since := w.faultFreeSince
@@ -171,8 +171,8 @@
 	}
 }
 
-// fields is a submission with every field present.
-func fields(s wire.Submission) map[string]any {
+// submissionFields is a submission with every field present.
+func submissionFields(s wire.Submission) map[string]any {
 	b, err := json.Marshal(s)
 	if err != nil {
 		panic(err)
@@ -209,5 +209,5 @@
 	if r.Machine == "m-999999" {
 		return // a machine that the cloud never started sends nothing
 	}
-	process.control.Tell(workerHeartbeat{&simAnswer{got: make(chan *httpwire.Response, 1)}, r})
+	process.control.Tell(workerHeartbeat{&simAnswer{response: make(chan *httpwire.Response, 1)}, r})
 }
--- a/controller/sim_work_test.go
+++ b/controller/sim_work_test.go
@@ -14,38 +14,38 @@
 	"ravenport/wire"
 )
 
-// busy is a deployment at work: arrays bound to each zone that run for long, one
+// workload is a deployment at work: arrays bound to each zone that run for long, one
 // that is not bound, a service, and a team at its limit with more waiting.
-type busy struct {
-	long     []*simJob
-	free     *simJob
-	tight    []*simJob
-	service  *simJob
-	finishes []*simJob // what must be done in the end
+type workload struct {
+	zoneArrays   []*simJob
+	unboundArray *simJob
+	quotaJobs    []*simJob
+	service      *simJob
+	mustFinish   []*simJob // what must be done in the end
 }
 
-func (w *world) startWork(t *testing.T, runS float64) *busy {
+func (w *world) startWorkload(t *testing.T, runS float64) *workload {
 	t.Helper()
-	b := &busy{long: w.boundArrays(1, runS), free: w.newArray("run-000001", 4, 1, runS)}
-	go w.runUser(b.free, 0, 0)
+	b := &workload{zoneArrays: w.boundArrays(1, runS), unboundArray: w.newArray("run-000001", 4, 1, runS)}
+	go w.runUser(b.unboundArray, 0, 0)
 	for i := range 4 { // of 5 CPUs each, where 10 are allowed
 		j := w.newArray(fmt.Sprintf("run-0001%02d", i), 1, 5, runS)
 		j.spec.Team = "tight"
 		go w.runUser(j, 0, 0)
-		b.tight = append(b.tight, j)
+		b.quotaJobs = append(b.quotaJobs, j)
 	}
 	w.startService("run-000002", 2)
 	w.locked(func() { b.service = w.jobs["run-000002"] })
-	b.finishes = slices.Concat(b.long, []*simJob{b.free}, b.tight)
-	w.allRun(t, b.long, []*simJob{b.free, b.service})
-	w.waitUntil(t, "the team is at its limit", 60*time.Second, func() bool { return len(w.started(b.tight)) == 2 })
+	b.mustFinish = slices.Concat(b.zoneArrays, []*simJob{b.unboundArray}, b.quotaJobs)
+	w.allRun(t, b.zoneArrays, []*simJob{b.unboundArray, b.service})
+	w.waitUntil(t, "the team is at its limit", 60*time.Second, func() bool { return len(w.started(b.quotaJobs)) == 2 })
 	return b
 }
 
 // started lists those of some jobs that have a task on a machine.
-func (w *world) started(lot []*simJob) []*simJob {
+func (w *world) started(jobs []*simJob) []*simJob {
 	var out []*simJob
-	for _, j := range lot {
+	for _, j := range jobs {
 		if w.tasksOn("", j.spec.ID) > 0 {
 			out = append(out, j)
 		}
@@ -53,8 +53,8 @@
 	return out
 }
 
-// settleAll ends all troubles and sees that everything comes to its end.
-func (w *world) settleAll(t *testing.T, limit time.Duration, lot []*simJob) {
+// endFaultsAndWait ends all troubles and sees that everything comes to its end.
+func (w *world) endFaultsAndWait(t *testing.T, limit time.Duration, jobs []*simJob) {
 	t.Helper()
 	w.setOutage(false)
 	w.mu.Lock()
@@ -75,7 +75,7 @@
 	w.waitUntil(t, "everything comes to its end", limit, func() bool {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		return !slices.ContainsFunc(lot, func(j *simJob) bool {
+		return !slices.ContainsFunc(jobs, func(j *simJob) bool {
 			return j.reportedState == "" && !j.cancelRequested || j.cancelRequested && j.reportedState == ""
 		})
 	})
@@ -122,20 +122,20 @@
 	return out
 }
 
-// pollClosely asks all controllers about a job at once, and again, within milliseconds;
+// pollConcurrently asks all controllers about a job at once, and again, within milliseconds;
 // some times it repeats the submission instead. None may answer older than any
 // answered before the question was asked.
-func (w *world) pollClosely(j *simJob) {
+func (w *world) pollConcurrently(j *simJob) {
 	for range 3 {
 		for index := range w.controllers {
 			go func() {
 				w.mu.Lock()
-				told, accepted := j.reportedState, j.accepted
+				knownState, accepted := j.reportedState, j.accepted
 				w.mu.Unlock()
 				repeat := w.chance(0.3)
 				r := w.requestAt(index, func(q apiserver.Request) any {
 					if repeat {
-						return apiserver.Submit{Request: q, Body: records.Encode(fields(j.spec))}
+						return apiserver.Submit{Request: q, Body: records.Encode(submissionFields(j.spec))}
 					}
 					return apiserver.Poll{Request: q, JobID: j.spec.ID}
 				})
@@ -150,8 +150,8 @@
 				switch {
 				case accepted && r.Status != 200 || err != nil:
 					w.violate("forgotten", "%s: status %d after it was accepted", j.spec.ID, r.Status)
-				case told != "" && s.Status != told:
-					w.violate("went_back", "%s: %s, then %s", j.spec.ID, told, s.Status)
+				case knownState != "" && s.Status != knownState:
+					w.violate("went_back", "%s: %s, then %s", j.spec.ID, knownState, s.Status)
 				}
 			}()
 		}
@@ -168,16 +168,16 @@
 		out = append(out, j)
 		go w.runUser(j, 0, 0)
 		if w.chance(cancelled) {
-			at := time.Duration(0)
+			cancelDelay := time.Duration(0)
 			if w.chance(0.5) {
-				at = time.Duration(w.randomDuration(time.Second, time.Duration((runS+4)*float64(time.Second))))
+				cancelDelay = time.Duration(w.randomDuration(time.Second, time.Duration((runS+4)*float64(time.Second))))
 			}
 			go func() {
 				w.waitAccepted(j)
-				time.Sleep(at)
+				time.Sleep(cancelDelay)
 				for index := i; ; index++ {
 					w.cancelAt(index%3, j)
-					w.pollClosely(j)
+					w.pollConcurrently(j)
 					if w.hasEnded(j) {
 						return
 					}
@@ -191,7 +191,7 @@
 		} else {
 			go func() {
 				w.waitAccepted(j)
-				w.pollClosely(j)
+				w.pollConcurrently(j)
 				for !w.hasEnded(j) {
 					select {
 					case <-w.done:
@@ -199,7 +199,7 @@
 					case <-time.After(20 * time.Millisecond):
 					}
 				}
-				w.pollClosely(j)
+				w.pollConcurrently(j)
 			}()
 		}
 		time.Sleep(time.Duration(everyS * float64(time.Second)))
@@ -207,8 +207,8 @@
 	return out
 }
 
-// boundArraysOf submits one-task jobs of so many CPUs all at once.
-func (w *world) boundArraysOf(first int, cpus float64, n int, runS float64) []*simJob {
+// submitArrays submits one-task jobs of so many CPUs all at once.
+func (w *world) submitArrays(first int, cpus float64, n int, runS float64) []*simJob {
 	var out []*simJob
 	for i := range n {
 		j := w.newArray(fmt.Sprintf("run-%06d", first+i), 1, cpus, runS)
@@ -242,26 +242,26 @@
 }
 
 // expectEvent checks that something was observed in a scenario.
-func (w *world) expectEvent(t *testing.T, what string, least int) {
+func (w *world) expectEvent(t *testing.T, what string, minCount int) {
 	t.Helper()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.observed[what] < least {
-		w.fail(t, "it hardly came about: %s: %d times, wanted %d", what, w.observed[what], least)
+	if w.observed[what] < minCount {
+		w.fail(t, "it hardly came about: %s: %d times, wanted %d", what, w.observed[what], minCount)
 	}
 }
 
 // expectNewTerm waits until a term is another controller's or another process's.
-func (w *world) expectNewTerm(t *testing.T, key string, do func()) {
+func (w *world) expectNewTerm(t *testing.T, key string, change func()) {
 	t.Helper()
 	version := func() uint64 {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		return w.kv[key].version
 	}
-	was := version()
-	do()
-	w.waitUntil(t, "a new term under "+key, 60*time.Second, func() bool { return version() != was })
+	previous := version()
+	change()
+	w.waitUntil(t, "a new term under "+key, 60*time.Second, func() bool { return version() != previous })
 }
 
 // replayHeartbeats lets every heartbeat that was kept come once more, to every controller.
@@ -290,10 +290,10 @@
 
 // openJobs is how many records a controller keeps.
 func (w *world) openJobs(c *Controller) int {
-	a := &simAnswer{got: make(chan *httpwire.Response, 1)}
+	a := &simAnswer{response: make(chan *httpwire.Response, 1)}
 	c.control.Tell(statusRequest{a})
 	var s Status
-	if err := json.Unmarshal((<-a.got).Body, &s); err != nil {
+	if err := json.Unmarshal((<-a.response).Body, &s); err != nil {
 		panic(err)
 	}
 	return s.OpenJobs
--- a/controller/sim_worker_test.go
+++ b/controller/sim_worker_test.go
@@ -148,7 +148,7 @@
 // A copy may come later.
 func (m *simWorker) send(n *simController, process *Controller, heartbeat *wire.Heartbeat) *httpwire.Response {
 	w := m.world
-	answer := &simAnswer{got: make(chan *httpwire.Response, 1)}
+	answer := &simAnswer{response: make(chan *httpwire.Response, 1)}
 	time.Sleep(w.randomDuration(time.Millisecond, 5*time.Millisecond))
 	w.locked(func() { n.heartbeatReceivedAt = time.Now() })
 	process.control.Tell(workerHeartbeat{answer, heartbeat})
@@ -160,7 +160,7 @@
 	}
 	for end := time.After(4 * time.Second); ; {
 		select {
-		case response := <-answer.got:
+		case response := <-answer.response:
 			time.Sleep(w.randomDuration(time.Millisecond, 5*time.Millisecond))
 			return response
 		case <-end:
@@ -271,8 +271,8 @@
 			}
 			if !j.spec.IsService() {
 				t.nextChange = now.Add(settings.Seconds(j.spec.EstimateS))
-				if i < len(j.runs) {
-					t.nextChange = now.Add(settings.Seconds(j.runs[i]))
+				if i < len(j.runTimesS) {
+					t.nextChange = now.Add(settings.Seconds(j.runTimesS[i]))
 				}
 				if j.doneTasks[i] {
 					t.nextChange = now
@@ -574,7 +574,7 @@
 			r = &fresh
 		}
 	})
-	to.control.Tell(workerHeartbeat{&simAnswer{got: make(chan *httpwire.Response, 1)}, r})
+	to.control.Tell(workerHeartbeat{&simAnswer{response: make(chan *httpwire.Response, 1)}, r})
 }
 
 // restart is a worker's process that is back at once: it holds nothing of what
--- a/controller/unusual_requests_test.go
+++ b/controller/unusual_requests_test.go
@@ -64,20 +64,20 @@
 				time.AfterFunc(10*time.Second, func() { w.setOutage(false) })
 			}
 			for _, field := range required {
-				f := fields(sample)
+				f := submissionFields(sample)
 				delete(f, field)
 				ask("without "+field, f, 400)
-				f = fields(sample)
+				f = submissionFields(sample)
 				f[field] = nil
 				ask("null as "+field, f, 400)
 			}
 			for what, change := range never {
-				f := fields(sample)
+				f := submissionFields(sample)
 				change(f)
 				ask(what, f, 422)
 			}
 			for index := range w.controllers { // of a job that is done
-				f := fields(done.spec)
+				f := submissionFields(done.spec)
 				delete(f, "cpus")
 				for _, r := range []*httpwire.Response{
 					w.requestAt(index, func(q apiserver.Request) any { return apiserver.Submit{Request: q, Body: records.Encode(f)} }),
@@ -94,6 +94,6 @@
 		if answered < 300 {
 			w.fail(t, "only %d odd requests were answered", answered)
 		}
-		w.settleAll(t, time.Minute, []*simJob{done})
+		w.endFaultsAndWait(t, time.Minute, []*simJob{done})
 	}}})
 }
