--- a/controller/sim_store_test.go
+++ b/controller/sim_store_test.go
@@ -20,7 +20,7 @@
 }
 
 type simLease struct {
-	life      time.Duration
+	ttl       time.Duration
 	expiresAt time.Time
 }
 
@@ -226,7 +226,7 @@
 	if l == nil {
 		return kvstore.ErrLeaseExpired
 	}
-	l.expiresAt = time.Now().Add(l.life)
+	l.expiresAt = time.Now().Add(l.ttl)
 	return nil
 }
 
@@ -263,6 +263,6 @@
 	w.storeOutage = on
 	w.note("store outage", "", fmt.Sprint(on))
 	for _, l := range w.leases {
-		l.expiresAt = time.Now().Add(l.life)
+		l.expiresAt = time.Now().Add(l.ttl)
 	}
 }
