--- a/controller/sim_cloud_test.go
+++ b/controller/sim_cloud_test.go
@@ -11,6 +11,7 @@
 	"ravenport/wire"
 )
 
+// simCloud is one controller's client of the cloud.
 type simCloud struct{ n *simController }
 
 var simTypes = []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 32, CacheGB: 50, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 8}}
@@ -59,7 +60,7 @@
 	}
 	w.requests[r.RequestID] = names
 	if !w.reliableCloud && w.rng.Float64() < 0.05 {
-		return nil, cloud.ErrTransient // carried out, the answer lost
+		return nil, cloud.ErrTransient // the machines are started, and the answer is lost
 	}
 	return names, nil
 }
@@ -88,8 +89,8 @@
 	return nil
 }
 
-// recordScaleIn counts the tasks that a scale-in ends, and those of machines that had answered
-// nothing before it. The caller holds the lock.
+// recordScaleIn counts the tasks that a scale-in ends. It counts separately the tasks on
+// machines that lately left direct commands unanswered. The caller holds the lock.
 func (w *world) recordScaleIn(name string) {
 	m := w.machines[name]
 	if m == nil {
@@ -113,7 +114,8 @@
 	}
 }
 
-// recordScaleInRequest notes that a scale-in was decided. The caller holds the lock.
+// recordScaleInRequest counts a scale-in that a controller has requested. The caller holds the
+// lock.
 func (w *world) recordScaleInRequest(by *simController) {
 	w.observed["scale-in requests"]++
 	if w.onScaleIn != nil {
@@ -121,8 +123,8 @@
 	}
 }
 
-// recordLateScaleIn counts scale-ins that are carried out long after they were decided, and
-// the tasks that came to the machines since. The caller holds the lock.
+// recordLateScaleIn counts scale-ins that are carried out 5 s or more after the request, and
+// the tasks that started on the machines after the request. The caller holds the lock.
 func (w *world) recordLateScaleIn(requestedAt time.Time, names []string) {
 	if time.Since(requestedAt) < 5*time.Second {
 		return
@@ -141,7 +143,8 @@
 	}
 }
 
-// removeMachine takes a machine away. The caller holds the lock.
+// removeMachine removes a machine and returns its capacity to the cloud. The caller holds the
+// lock.
 func (w *world) removeMachine(name string) {
 	if m := w.machines[name]; m != nil {
 		m.removed = true
@@ -162,7 +165,7 @@
 		out = append(out, wire.CloudMachine{Name: m.name, Addr: m.name, Type: "box", Zone: m.zone, Spot: m.spot, State: s, AgeS: time.Since(m.createdAt).Seconds()})
 	}
 	w.mu.Unlock()
-	time.Sleep(5 * time.Second) // the list lags
+	time.Sleep(5 * time.Second) // the list is 5 s old when it is returned
 	sort.Slice(out, func(a, b int) bool { return out[a].Name < out[b].Name })
 	return out, nil
 }
--- a/controller/sim_days_test.go
+++ b/controller/sim_days_test.go
@@ -8,8 +8,9 @@
 	"ravenport/wire"
 )
 
-// runRandomWorkload plays a generated day of a deployment: jobs of every sort, and troubles
-// of every sort that may overlap. It returns the world after it has calmed.
+// runRandomWorkload simulates a deployment with random jobs of every kind and random faults of
+// every kind, which may overlap. It returns the world after the faults have ended and the jobs
+// have had time to finish.
 func runRandomWorkload(t *testing.T, seed uint64, zones []string, configure func(*world)) *world {
 	t.Helper()
 	w := newWorld(seed, zones, 3)
@@ -42,11 +43,11 @@
 	for _, n := range w.controllers {
 		n.kill()
 	}
-	time.Sleep(2 * time.Minute) // late messages and retries run out
+	time.Sleep(2 * time.Minute) // lets delayed messages and retries run out
 	return w
 }
 
-// randomSubmission makes the i-th job of a generated day.
+// randomSubmission returns the submission of the i-th job of a random run.
 func (w *world) randomSubmission(i int, zones []string) wire.Submission {
 	s := wire.Submission{
 		ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: "free", Kind: wire.KindArray, Priority: wire.PriorityNormal,
@@ -78,7 +79,7 @@
 	return s
 }
 
-// endFaults mends everything, so that what was accepted must come to an end.
+// endFaults ends all faults. From then on every accepted job must finish.
 func (w *world) endFaults() {
 	w.setOutage(false)
 	w.mu.Lock()
@@ -96,7 +97,7 @@
 	}
 }
 
-// injectFaults makes things fail, one or several at a time, for a while.
+// injectFaults injects random faults for the given duration. Several may be active at once.
 func injectFaults(w *world, duration time.Duration) {
 	end := time.Now().Add(duration)
 	for time.Now().Before(end) {
@@ -104,10 +105,10 @@
 		target := w.controllers[int(w.randomDuration(0, time.Duration(len(w.controllers)-1)))]
 		length := w.randomDuration(time.Second, 35*time.Second)
 		switch w.randomDuration(0, 17) {
-		case 0, 1: // a crash; back within a fraction of a second or after seconds
+		case 0, 1: // a controller crashes and restarts after 0.2 s to 6 s
 			target.kill()
 			time.AfterFunc(w.randomDuration(200*time.Millisecond, 6*time.Second), target.startIfDown)
-		case 2: // all crash
+		case 2: // all controllers crash
 			for _, n := range w.controllers {
 				n.kill()
 			}
@@ -115,27 +116,27 @@
 			for _, n := range w.controllers {
 				n.startIfDown()
 			}
-		case 3: // refused by the key-value store alone
+		case 3: // a controller loses only its connection to the key-value store
 			w.injectTemporarily(length, func(on bool) { target.cutFromStore = on })
-		case 4: // cut from the workers
+		case 4: // a controller loses its connection to the workers
 			w.injectTemporarily(length, func(on bool) { target.cutFromWorkers = on })
 		case 5:
 			w.setOutage(true)
 			time.AfterFunc(length, func() { w.setOutage(false) })
-		case 6, 7, 8: // a machine hangs, is cut off or is taken
+		case 6, 7, 8: // a machine hangs, is disconnected, is reclaimed or restarts
 			w.injectMachineFault(length)
 		case 9:
 			w.injectTemporarily(length, func(on bool) { w.cloudUnavailable = on })
-		case 10: // away from the key-value store and the other controllers, not from workers
+		case 10: // a controller reaches the workers, but neither the key-value store nor the other controllers
 			w.injectTemporarily(length, func(on bool) { target.cutFromStore, target.cutFromPeers = on, on })
-		case 11: // back within a fraction of a second, and again in the middle of the election
+		case 11: // a controller restarts within 0.3 s, and again in the middle of the election
 			for range 2 {
 				target.kill()
 				time.Sleep(w.randomDuration(10*time.Millisecond, 300*time.Millisecond))
 				target.startIfDown()
 				time.Sleep(w.randomDuration(10*time.Millisecond, 1500*time.Millisecond))
 			}
-		case 12: // the controllers do not reach each other
+		case 12: // a controller loses its connection to the other controllers
 			w.injectTemporarily(length, func(on bool) { target.cutFromPeers = on })
 		case 13:
 			if process := target.running(); process != nil {
@@ -143,16 +144,16 @@
 					w.sendInvalidHeartbeat(process)
 				}
 			}
-		case 14: // heartbeats do not reach it, though it reaches the workers
+		case 14: // heartbeats do not reach a controller, while its commands reach the workers
 			w.injectTemporarily(length, func(on bool) { target.heartbeatsLost = on })
-		case 15: // it is frozen while its clocks run on, for less than its lease
+		case 15: // a controller is frozen for less than its lease, while its clocks run
 			target.freeze(w.randomDuration(200*time.Millisecond, 3*time.Second))
-		case 16: // or for more, some times for more than the workers'
+		case 16: // a controller is frozen for longer than its lease, sometimes longer than the workers' leases
 			target.freeze(length)
-			if w.chance(0.3) { // and ends as it moves on, in the middle of an election
+			if w.chance(0.3) { // it restarts as the freeze ends, in the middle of an election
 				time.AfterFunc(length, target.killAndStart)
 			}
-		case 17: // a zone is cut off from everything, with the controllers in it
+		case 17: // a zone with its controllers is partitioned from everything else
 			w.injectTemporarily(2*length, func(on bool) {
 				w.partitionedZone = ""
 				if on {
@@ -163,27 +164,27 @@
 	}
 }
 
-// injectTemporarily switches a fault on, and off again after a time; set is called under the lock.
+// injectTemporarily activates a fault and ends it after d. It calls set with the lock held.
 func (w *world) injectTemporarily(d time.Duration, set func(on bool)) {
 	w.locked(func() { set(true); w.recordFaults() })
 	time.AfterFunc(d, func() { w.locked(func() { set(false); w.recordFaults() }) })
 }
 
-// startIfDown starts a controller that does not run.
+// startIfDown starts the controller if it is not running.
 func (n *simController) startIfDown() {
 	if n.running() == nil {
 		n.start()
 	}
 }
 
-// killAndStart ends a controller and starts it again soon after.
+// killAndStart kills the controller and starts it again after 0.3 s.
 func (n *simController) killAndStart() {
 	n.kill()
 	time.Sleep(300 * time.Millisecond)
 	n.startIfDown()
 }
 
-// injectMachineFault makes any one machine fail.
+// injectMachineFault injects a random fault into one arbitrary machine.
 func (w *world) injectMachineFault(length time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -209,8 +210,7 @@
 	}
 }
 
-// fail switches a fault of the machine on, and off again after a time. The caller holds the
-// lock.
+// fail activates a fault of the machine and ends it after d. The caller holds the lock.
 func (m *simWorker) fail(fault *bool, d time.Duration) {
 	*fault = true
 	m.recordState("machine fails")
--- a/controller/sim_detection_test.go
+++ b/controller/sim_detection_test.go
@@ -14,13 +14,13 @@
 	"ravenport/wire"
 )
 
-// Heartbeat carries a heartbeat over the link to the other controller and back.
+// Heartbeat sends a heartbeat to the other controller and returns its answer.
 func (p simPeer) Heartbeat(ctx context.Context, m detector.Message) (detector.Message, error) {
 	process, err := p.reachMonitor(ctx)
 	if err != nil {
 		return detector.Message{}, err
 	}
-	if p.from.world.chance(p.from.world.lateCopyShare) { // a copy of it comes late
+	if p.from.world.chance(p.from.world.lateCopyShare) { // a copy is delivered late
 		go func() {
 			time.Sleep(p.from.world.randomDuration(time.Second, 30*time.Second))
 			if process := p.to.running(); process != nil && process.monitor != nil {
@@ -34,7 +34,7 @@
 	return answer, err
 }
 
-// Probe carries a probe over the link to the other controller and back.
+// Probe sends a probe to the other controller and returns its answer.
 func (p simPeer) Probe(ctx context.Context, r peer.ProbeRequest) (peer.ProbeReply, error) {
 	process, err := p.reachMonitor(ctx)
 	if err != nil {
@@ -48,7 +48,7 @@
 func (p simPeer) reachMonitor(ctx context.Context) (*Controller, error) {
 	process, err := p.reach(ctx)
 	if err != nil {
-		<-ctx.Done() // a cut link shows only as silence
+		<-ctx.Done() // over a broken link no answer arrives, and no error
 		return nil, err
 	}
 	if process.monitor == nil {
@@ -58,7 +58,7 @@
 	return process, nil
 }
 
-// supervise restarts a controller that ends itself, as a machine's supervisor does.
+// supervise restarts a controller that ends itself, as a process supervisor does.
 func (n *simController) supervise(ctx context.Context, process *Controller) {
 	select {
 	case <-ctx.Done():
@@ -75,7 +75,8 @@
 	}
 }
 
-// enableDetection switches failure detection on at a controller that is started after this.
+// enableDetection enables failure detection at the controller. It takes effect when the
+// controller is started.
 func (n *simController) enableDetection() {
 	d, err := load.ParseDetection(nil)
 	if err != nil {
@@ -84,7 +85,7 @@
 	n.set.Detection = d
 }
 
-// stallOwner lets the owner of a zone's shard handle one message for so long.
+// stallOwner makes the owner of a zone's shard spend the duration d on one message.
 func (n *simController) stallOwner(zone string, d time.Duration) {
 	n.world.mu.Lock()
 	process, name := n.process, ""
@@ -97,12 +98,13 @@
 	process.control.Tell(workerHeartbeat{slowRequest(d), &wire.Heartbeat{Machine: name, Addr: name, Type: "box", Zone: zone}})
 }
 
-// slowRequest is a request that takes as long to answer.
+// slowRequest is a request that takes this long to answer.
 type slowRequest time.Duration
 
 func (d slowRequest) Respond(*httpwire.Response) { time.Sleep(time.Duration(d)) }
 
-// proposeRevocation has a controller take another one for failed, without any reason.
+// proposeRevocation makes a controller propose the revocation of another one that has not
+// failed.
 func (w *world) proposeRevocation(by, of *simController) {
 	process := by.running()
 	if process == nil {
@@ -121,10 +123,10 @@
 	process.control.Tell([]detector.RevocationProposal{{Controller: of.set.Controller, Incarnation: record.(*records.Controller).Incarnation, Evidence: []detector.Evidence{"accused at random"}, Accusers: []string{by.set.Controller}}})
 }
 
-// owner is the number of the controller that owns a zone's shard.
+// owner returns the index of the controller that owns a zone's shard.
 func (w *world) owner(zone string) int { return w.holder(records.KeyShard(zone)) }
 
-// term is the number of a zone's term.
+// term returns the number of the current term of a zone's shard, or 0 if there is none.
 func (w *world) term(zone string) uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -139,7 +141,7 @@
 	return record.(*records.Term).Number
 }
 
-// eventCount is how often something was seen.
+// eventCount returns how often an event was observed.
 func (w *world) eventCount(what string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/controller/sim_draining_test.go
+++ b/controller/sim_draining_test.go
@@ -17,7 +17,8 @@
 	"ravenport/wire"
 )
 
-// watchDisruption starts checking stops; all services' tasks share one disruption budget.
+// watchDisruption starts the check of voluntary stops. The tasks of all services share one
+// disruption budget of limit.
 func (w *world) watchDisruption(limit int) {
 	w.locked(func() {
 		w.disruption = disruptioncheck.New(limit, w.controllers[0].set.Draining.Policy.StableAfter, w.times.lease()+30*time.Second)
@@ -34,7 +35,7 @@
 	}()
 }
 
-// observeTasks tells the checks which tasks run. The caller holds the lock.
+// observeTasks reports to the checks which tasks are running. The caller holds the lock.
 func (w *world) observeTasks() {
 	running := map[string]bool{}
 	for _, m := range w.machines {
@@ -66,8 +67,8 @@
 	}
 }
 
-// observeInterruptions tells the check which tasks of an array, or whether a gang, runs
-// that ran before. The caller holds the lock.
+// observeInterruptions reports to the check which units of an array or a gang are running, and
+// which ran before and are not running now. The caller holds the lock.
 func (w *world) observeInterruptions(j *simJob, running map[string]bool) {
 	if w.interruptions == nil {
 		return
@@ -93,7 +94,7 @@
 	}
 }
 
-// budgetUnit is what a budget counts as one: a task of an array, or a gang.
+// budgetUnit returns the unit that a budget counts: the task of an array, or the whole gang.
 func (w *world) budgetUnit(j *simJob, task string) string {
 	if j.spec.IsGang() {
 		return j.spec.ID
@@ -101,7 +102,8 @@
 	return task
 }
 
-// recordTaskStop judges the stop of a running task. The caller holds the lock.
+// recordTaskStop checks the voluntary stop of a running task against its budget. The caller
+// holds the lock.
 func (w *world) recordTaskStop(task string) {
 	id, _, _ := wire.ParseTaskName(task)
 	j := w.jobs[id]
@@ -121,28 +123,28 @@
 	}
 }
 
-// disruptionFigures is what was seen of voluntary stops.
+// disruptionFigures returns the figures of the voluntary stops of services' tasks.
 func (w *world) disruptionFigures() disruptioncheck.Figures {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.disruption.Figures()
 }
 
-// interruptionFigures is what was seen of voluntary stops of arrays' tasks and gangs.
+// interruptionFigures returns the figures of the voluntary stops of array tasks and gangs.
 func (w *world) interruptionFigures() disruptioncheck.Figures {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.interruptions.Figures()
 }
 
-// unitsEverRun counts the arrays' tasks and the gangs that have ever run.
+// unitsEverRun returns how many array tasks and gangs have ever run.
 func (w *world) unitsEverRun() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.unitsEverRunning)
 }
 
-// enableDraining switches draining on at all controllers, under these settings.
+// enableDraining enables draining at all controllers, with the given settings.
 func (w *world) enableDraining(text string) {
 	for _, n := range w.controllers {
 		d, err := load.ParseDraining([]byte(text), n.set)
@@ -165,7 +167,7 @@
 	return process.drainService.Answer(ctx, r)
 }
 
-// requestDrain asks a controller that is up about drains.
+// requestDrain sends a request about drains to the running controllers until one answers.
 func (w *world) requestDrain(t *testing.T, r peer.DrainRequest) peer.DrainReply {
 	t.Helper()
 	for range 60 {
@@ -180,46 +182,47 @@
 		}
 		time.Sleep(time.Second)
 	}
-	t.Fatalf("nobody answers %s", r.Op)
+	t.Fatalf("no controller answered the drain request %s", r.Op)
 	return peer.DrainReply{}
 }
 
-// startDrain starts a drain and returns its number.
+// startDrain starts a drain and returns its number. A refusal is retried up to 30 times.
 func (w *world) startDrain(t *testing.T, s records.Selection) int {
 	t.Helper()
-	for range 30 { // right after a takeover an owner may not be there to be asked
+	for range 30 { // directly after a failover the new owner may not answer yet
 		reply := w.requestDrain(t, peer.DrainRequest{Op: peer.OpStart, Selection: s, MatchAll: true})
 		if reply.Problem == nil {
 			return reply.Number
 		}
 		var number int
 		if _, err := fmt.Sscanf(reply.Problem.Problem, "overlaps drain %d:", &number); err == nil {
-			return number // it was written, and the answer was lost
+			return number // the drain was stored by an earlier request whose answer was lost
 		}
 		if f := reply.Problem.Field; f != "zone" && f != "drain" {
-			t.Fatalf("a drain of %+v: %v", s, reply.Problem)
+			t.Fatalf("drain request for %+v refused: %v", s, reply.Problem)
 		}
 		time.Sleep(time.Second)
 	}
-	t.Fatal("the drain was never started")
+	t.Fatal("the drain was not started after 30 requests")
 	return 0
 }
 
-// changeDrain pauses, resumes or cancels a drain, again if its record changed meanwhile.
+// changeDrain pauses, resumes or cancels a drain, and retries if the drain's record changed
+// meanwhile.
 func (w *world) changeDrain(t *testing.T, op peer.DrainOp, number int) {
 	t.Helper()
 	wantState := map[peer.DrainOp]records.DrainState{peer.OpPause: records.DrainPaused, peer.OpResume: records.DrainRunning, peer.OpCancel: records.DrainCancelled}[op]
 	for range 10 {
 		problem := w.requestDrain(t, peer.DrainRequest{Op: op, Number: number}).Problem
-		if problem == nil || w.drainRecord(number).State == wantState { // the answer may have been lost
+		if problem == nil || w.drainRecord(number).State == wantState { // the answer to an earlier request may have been lost
 			return
 		}
 		time.Sleep(500 * time.Millisecond)
 	}
-	t.Fatalf("%s of drain %d is never taken", op, number)
+	t.Fatalf("%s of drain %d was not accepted after 10 requests", op, number)
 }
 
-// drainRecord is a drain as it is stored.
+// drainRecord returns the stored record of a drain, or nil if none can be read.
 func (w *world) drainRecord(number int) *records.Drain {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -234,7 +237,7 @@
 	return record.(*records.Drain)
 }
 
-// drainView is what the controllers tell of a drain.
+// drainView returns the status of a drain as the controllers report it.
 func (w *world) drainView(t *testing.T, number int) peer.DrainView {
 	for _, v := range w.requestDrain(t, peer.DrainRequest{Op: peer.OpStatus}).Status.Drains {
 		if v.Number == number {
@@ -244,7 +247,7 @@
 	return peer.DrainView{}
 }
 
-// waitDrainState waits until a drain is in a state.
+// waitDrainState waits until the stored state of a drain is wantState.
 func (w *world) waitDrainState(t *testing.T, number int, wantState records.DrainState, limit time.Duration) {
 	t.Helper()
 	for end := time.Now().Add(limit); ; time.Sleep(time.Second) {
@@ -258,7 +261,7 @@
 	}
 }
 
-// machineNames returns the names of the machines that are there now.
+// machineNames returns the names of the existing machines.
 func (w *world) machineNames() map[string]bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -269,7 +272,7 @@
 	return out
 }
 
-// remaining counts those of some machines that are still there.
+// remaining returns how many of the given machines still exist.
 func (w *world) remaining(old map[string]bool) int {
 	n := 0
 	for name := range w.machineNames() {
@@ -280,7 +283,7 @@
 	return n
 }
 
-// startReplicas adds services to fill machines with, and waits until all their tasks run.
+// startReplicas submits services that occupy the machines, and waits until all their tasks run.
 func (w *world) startReplicas(t *testing.T, jobs, tasks int) {
 	t.Helper()
 	for i := range jobs {
@@ -292,7 +295,7 @@
 	w.waitUntil(t, "all replicas run", 3*time.Minute, func() bool { return w.runningReplicas() == jobs*tasks })
 }
 
-// runningReplicas counts the tasks of all services that run.
+// runningReplicas returns how many tasks of services are running.
 func (w *world) runningReplicas() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -307,30 +310,30 @@
 	return n
 }
 
-// drainSettings are those of these tests: short times.
+// drainSettings are the settings of the drain tests, with short times.
 const drainSettings = "disruption.budget.* = 2\ndisruption.stable.ms = 4000\ndrain.parallel.percent = 34\ndrain.array.wait.ms = 20000\n" +
 	"drain.replace.within.ms = 60000\ndrain.failures.most = 3\n"
 
-// drainScenario is a failure in the middle of a drain of all machines.
+// drainScenario describes a fault in the middle of a drain of all machines.
 type drainScenario struct {
 	name  string
 	seeds int
-	// fault brings the failure about once the drain is under way; nil: none.
+	// fault injects the fault after the drain has started; nil: no fault.
 	fault func(*testing.T, *world, int)
-	// endState is the state that the drain comes to; empty: finished.
+	// endState is the expected final state of the drain; empty: finished.
 	endState records.DrainState
-	// settings are added to those of all plays.
+	// settings are appended to drainSettings.
 	settings string
 	// spot: services may run on spot machines.
 	spot bool
-	// nothingToMove: nothing need be moved.
+	// nothingToMove: the scenario passes even if no task is moved.
 	nothingToMove bool
-	// overrideDraining takes away what the budget rests on; the play must then break it.
+	// overrideDraining disables protections of the budget; the run must then break the budget.
 	overrideDraining func(*shard.DrainingConfig)
 }
 
-// drainWorld is a deployment of three shards that keeps room to drain machines. Its
-// controllers are not started yet.
+// drainWorld returns a deployment of three shards with enough cloud capacity to replace the
+// drained machines. Its controllers are not started yet.
 func drainWorld(seed uint64, more string) *world {
 	w := newWorldWithTimes(seed, []string{"a", "b", "c"}, 3, lease26Times)
 	w.lateCommandShare, w.reliableCloud = 0, true
@@ -341,7 +344,8 @@
 	return w
 }
 
-// startBeforeDrain starts the controllers, has 18 replicas run, and judges stops from then on.
+// startBeforeDrain starts the controllers and 18 replicas. Voluntary stops are checked from
+// then on.
 func (w *world) startBeforeDrain(t *testing.T) {
 	t.Helper()
 	for _, n := range w.controllers {
@@ -354,7 +358,7 @@
 	time.Sleep(15 * time.Second)
 }
 
-// run drains a deployment that is at work and returns what rules were broken.
+// run drains all machines of a deployment that runs services, and returns the violations.
 func (s drainScenario) run(t *testing.T, seed uint64) []string {
 	w := drainWorld(seed, s.settings)
 	defer w.shutdown()
@@ -365,7 +369,7 @@
 	w.startBeforeDrain(t)
 	old := w.machineNames()
 	number := w.startDrain(t, records.Selection{})
-	if s.overrideDraining != nil { // what owners tell each other takes longer, as under load
+	if s.overrideDraining != nil { // slow writes delay the claims that owners publish, as under load
 		w.locked(func() { w.storeLatency = 800 * time.Millisecond })
 	}
 	if s.fault != nil {
@@ -378,7 +382,7 @@
 	if s.endState == "" {
 		w.waitDrainState(t, number, records.DrainFinished, 12*time.Minute)
 		if n := w.remaining(old); n > 0 {
-			t.Errorf("%d of %d machines are still there", n, len(old))
+			t.Errorf("%d of %d machines still exist after the drain", n, len(old))
 		}
 	} else {
 		w.waitDrainState(t, number, s.endState, 12*time.Minute)
@@ -386,7 +390,7 @@
 	w.waitUntil(t, "all replicas run again", 3*time.Minute, func() bool { return w.runningReplicas() == 18 })
 	t.Logf("seed %d: %+v", seed, w.disruptionFigures())
 	if w.disruptionFigures().Replaced == 0 && !s.nothingToMove {
-		t.Errorf("seed %d: nothing was moved", seed)
+		t.Errorf("seed %d: the drain moved no task", seed)
 	}
 	return w.violationList()
 }
@@ -397,7 +401,7 @@
 	return append([]string(nil), w.violations...)
 }
 
-// parseDraining reads settings of drains for a controller.
+// parseDraining parses drain settings for the controller.
 func (n *simController) parseDraining(text string) *settings.Draining {
 	d, err := load.ParseDraining([]byte(text), n.set)
 	if err != nil {
@@ -406,7 +410,7 @@
 	return d
 }
 
-// claimedDisruptions is the sum of what all shards have claimed of the budgets.
+// claimedDisruptions returns the sum of the budget shares that all shards have claimed.
 func (w *world) claimedDisruptions() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -424,12 +428,13 @@
 	return n
 }
 
-// terminatingMachines counts machines that are durably closed.
+// terminatingMachines returns how many machines the inventories mark as terminating.
 func (w *world) terminatingMachines() int {
 	return w.countTerminating(func(string) bool { return true })
 }
 
-// countTerminating counts those of some machines that are durably closed.
+// countTerminating returns how many of the machines that match are marked as terminating in the
+// stored inventories.
 func (w *world) countTerminating(match func(name string) bool) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -447,7 +452,7 @@
 	return n
 }
 
-// loseMachines takes some machines that run something away.
+// loseMachines removes n machines that hold tasks.
 func (w *world) loseMachines(n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -459,8 +464,8 @@
 	}
 }
 
-// reclaimSpot tells all spot machines that run something that they are taken back
-// after a notice, and returns how many those are.
+// reclaimSpot announces to all spot machines with tasks that they are reclaimed after the
+// notice, removes them then, and returns how many there are.
 func (w *world) reclaimSpot(notice time.Duration) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -476,7 +481,7 @@
 	return n
 }
 
-// failNewest has the service's task that began to run last end with an error.
+// failNewest ends the running task that was started last with an error.
 func (w *world) failNewest() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -493,7 +498,7 @@
 	on.changed = true
 }
 
-// machineWithService is a machine on which a service's task runs.
+// machineWithService returns the name of a machine on which a task of a service runs.
 func (w *world) machineWithService() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -508,7 +513,7 @@
 	return slices.Min(names)
 }
 
-// cordonedMachines counts the machines that the controllers show as cordoned for a drain.
+// cordonedMachines returns how many machines the controllers report as cordoned for a drain.
 func (w *world) cordonedMachines(t *testing.T, number int) int {
 	n := 0
 	for _, p := range w.drainView(t, number).Shards {
--- a/controller/sim_gang_test.go
+++ b/controller/sim_gang_test.go
@@ -10,21 +10,22 @@
 	"ravenport/wire"
 )
 
-// How simulated gangs wait and notice, as in the settings of newWorld.
+// Time-outs of the tasks of simulated gangs, as in the settings of newWorld: how long a task
+// waits for the others, and within what time the others notice that a task is gone.
 const (
 	simGangWait = 15 * time.Second
 	simGangPeer = 4 * time.Second
 )
 
-// simGang is one attempt of a gang, as its tasks see it.
+// simGang is the state that the tasks of one attempt of a gang share.
 type simGang struct {
-	startedAt     time.Time // all tasks were there
+	startedAt     time.Time // when all tasks were on their machines
 	ended         bool
 	done          bool
 	checkpointed  bool
-	failAt        time.Time // when the others notice that one is gone
+	failAt        time.Time // when the other tasks notice that a task is gone
 	firstStop     time.Time
-	stopRequested map[int]time.Time // tasks that were requested to checkpoint
+	stopRequested map[int]time.Time // when each task was requested to stop with a checkpoint
 }
 
 // gangTask is one task of an attempt on a machine.
@@ -39,12 +40,12 @@
 	return fmt.Sprintf("%s#%d", job, t.attempt)
 }
 
-// onMachine says whether a task counts as on its machine.
+// onMachine reports whether a task in this state counts as being on its machine.
 func onMachine(state wire.TaskState) bool {
 	return state == wire.TaskRunning || state == wire.TaskWaitingForGang || state == wire.TaskSaving
 }
 
-// simulateGangs lets the tasks of gangs see each other.
+// simulateGangs coordinates the tasks of all gangs until the simulation ends.
 func (w *world) simulateGangs() {
 	for {
 		select {
@@ -80,7 +81,7 @@
 	}
 }
 
-// simulateGang moves one attempt on. The caller holds the lock.
+// simulateGang advances one attempt to the current time. The caller holds the lock.
 func (w *world) simulateGang(g *simGang, all []gangTask) {
 	if len(all) == 0 {
 		g.ended = g.ended || !g.startedAt.IsZero()
@@ -89,7 +90,7 @@
 	now := time.Now()
 	job, _, _ := wire.ParseTaskName(all[0].t.name)
 	j := w.jobs[job]
-	present := map[int]bool{} // on a machine that carries out its tasks
+	present := map[int]bool{} // tasks on a machine that still runs them
 	for _, x := range all {
 		if onMachine(x.t.state) && !x.m.hung && (w.ignoreWorkerLeases || time.Since(x.m.leaseRenewedAt) < 20*time.Second) {
 			present[x.i] = true
@@ -113,7 +114,7 @@
 	g.exitTasks(all, now)
 }
 
-// advanceGang decides whether a running attempt goes on, and how it ends. The caller holds
+// advanceGang decides whether a running attempt continues, and how it ends. The caller holds
 // the lock.
 func (w *world) advanceGang(g *simGang, j *simJob, now time.Time, complete bool) {
 	end := now
@@ -154,8 +155,8 @@
 	}
 }
 
-// exitTasks lets the tasks of an attempt that has ended exit, and those that waited too
-// long for the others. The caller holds the lock.
+// exitTasks ends the tasks of an attempt that has ended, and tasks that waited longer than
+// simGangWait for the others. The caller holds the lock.
 func (g *simGang) exitTasks(all []gangTask, now time.Time) {
 	for _, x := range all {
 		if x.m.hung || x.t.state == wire.TaskExited || x.t.state == wire.TaskFetching {
@@ -184,7 +185,7 @@
 	m.changed = true
 }
 
-// stopGangTask carries out a stop of a gang's task. The caller holds the lock.
+// stopGangTask carries out a stop command for a task of a gang. The caller holds the lock.
 func (m *simWorker) stopGangTask(t *simTask, j *simJob, graceS float64) {
 	_, i, _ := wire.ParseTaskName(t.name)
 	g := m.world.gangs[gangKey(t)]
--- a/controller/sim_reasons_test.go
+++ b/controller/sim_reasons_test.go
@@ -12,15 +12,16 @@
 	"ravenport/logkey"
 )
 
-// terminationReasons keeps why machines were terminated, as the owners' logs say.
+// terminationReasons is a log handler that keeps the reason for which each machine was
+// terminated, from the log lines of the owners.
 type terminationReasons struct {
 	slog.Handler
 	mu        sync.Mutex
 	byMachine map[string]string
 }
 
-// watchTerminationReasons reads the logs of the controllers from here on, beside whoever
-// else does.
+// watchTerminationReasons reads the log lines of the controllers from now on. Lines still reach
+// the previous log handler.
 func watchTerminationReasons(t *testing.T) *terminationReasons {
 	t.Helper()
 	old := slog.Default()
@@ -50,19 +51,19 @@
 	return r.Handler.Handle(ctx, record)
 }
 
-// of returns why a machine was terminated.
+// of returns the reason for which a machine was terminated.
 func (r *terminationReasons) of(machine string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.byMachine[machine]
 }
 
-// liveTerminationPrefix begins the names under which a world counts terminations of machines
-// that ran tasks and were alive, by reason.
+// liveTerminationPrefix is the prefix of the event names under which a world counts, by reason,
+// terminations of live machines that ran tasks.
 const liveTerminationPrefix = "live machines terminated as "
 
-// recordLiveTermination counts the termination of a machine that ran tasks and was alive,
-// with its reason. The caller holds the lock.
+// recordLiveTermination counts the termination of a live machine that ran tasks, by reason.
+// The caller holds the lock.
 func (w *world) recordLiveTermination(m *simWorker) {
 	if w.reasons == nil || m.hung || m.disconnected || m.receivesNothing {
 		return
--- a/controller/sim_record_test.go
+++ b/controller/sim_record_test.go
@@ -13,7 +13,7 @@
 	"ravenport/wire"
 )
 
-// maxRecordedEvents bounds the event record of a world: a generated day makes some ten
+// maxRecordedEvents bounds the event record of a world. A random run records about ten
 // thousand events.
 const maxRecordedEvents = 40_000
 
@@ -33,10 +33,10 @@
 	detail     string
 }
 
-// eventRecord keeps the last events of a world, to be printed with a violation. It draws no
-// random numbers and takes no time on the virtual clock, so a play is the same with it.
+// eventRecord keeps the last events of a world, which are printed with a violation. Recording
+// draws no random numbers and takes no time on the virtual clock, so it does not change a run.
 type eventRecord struct {
-	disabled bool // nothing is recorded: a large fleet makes too many events
+	disabled bool // no event is recorded: a large fleet produces too many
 	events   []simEvent
 	next     int // where the next event is written once the record is full
 }
@@ -55,8 +55,9 @@
 	r.next = (r.next + 1) % maxRecordedEvents
 }
 
-// concerning returns the events of a job, those of a machine, and those that concern neither
-// any job nor any machine (terms, leases, faults of controllers), in their order.
+// concerning returns the events of a job, the events of a machine, and the general events
+// that belong to no job and no machine (terms, leases, faults of controllers), in the order in
+// which they were recorded. At most the last maxReportedEvents are returned.
 func (r *eventRecord) concerning(job, machine string) []simEvent {
 	var found []simEvent
 	for i := range r.events {
@@ -69,7 +70,7 @@
 	return found[max(0, len(found)-maxReportedEvents):]
 }
 
-// String formats an event as one line, without what does not apply.
+// String formats an event as one line and omits fields that are zero.
 func (e simEvent) String() string {
 	var line strings.Builder
 	fmt.Fprintf(&line, "%s %s", e.at.Format("15:04:05.000"), e.what)
@@ -92,7 +93,7 @@
 	return line.String()
 }
 
-// report formats events for a violation's message, a line each after the first one.
+// report formats events for the message of a violation, each on a new line.
 func report(events []simEvent) string {
 	var lines strings.Builder
 	for _, event := range events {
@@ -101,14 +102,15 @@
 	return lines.String()
 }
 
-// violateTask records a broken rule with the part of the event record that concerns the
-// task's job and the machine. The caller holds the lock.
+// violateTask records the violation of a rule with the recorded events of the task's job and
+// of the machine. The caller holds the lock.
 func (w *world) violateTask(rule, task, machine, format string, args ...any) {
 	job, _, _ := wire.ParseTaskName(task)
 	w.violate(rule, "%s%s", fmt.Sprintf(format, args...), report(w.record.concerning(job, machine)))
 }
 
-// note records an event that concerns a controller, or all. The caller holds the lock.
+// note records an event of one controller, or of the whole deployment if controller is empty.
+// The caller holds the lock.
 func (w *world) note(what, controller, detail string) {
 	w.record.add(simEvent{what: what, controller: controller, detail: detail})
 }
@@ -125,7 +127,7 @@
 	})
 }
 
-// recordFaults records which faults of controllers, of the cloud and of zones are on. The
+// recordFaults records which faults of controllers, of the cloud and of zones are active. The
 // caller holds the lock.
 func (w *world) recordFaults() {
 	for _, n := range w.controllers {
@@ -163,8 +165,7 @@
 	w.record.add(event)
 }
 
-// recordInventoryPage records which machines a written page of an inventory names, an event
-// for each.
+// recordInventoryPage records an event for each machine on an inventory page that was written.
 func (w *world) recordInventoryPage(key string, page *records.InventoryPage, revision uint64) {
 	for _, machine := range page.Machines() {
 		w.record.add(simEvent{what: "inventory written", machine: machine.Name, revision: revision,
@@ -172,8 +173,8 @@
 	}
 }
 
-// recordHeartbeat records a heartbeat as it leaves its worker, or a copy that comes late.
-// The caller holds the lock.
+// recordHeartbeat records a heartbeat when its worker sends it, or a copy that is delivered
+// late. The caller holds the lock.
 func (w *world) recordHeartbeat(what, controller string, heartbeat *wire.Heartbeat) {
 	if w.record.disabled {
 		return
@@ -182,8 +183,8 @@
 		seq: heartbeat.Seq, token: heartbeat.FencingToken, detail: describeTasks(heartbeat.Tasks)})
 }
 
-// recordAnswer records the answer to a heartbeat as it reaches the machine; nil: there is
-// none. The caller holds the lock.
+// recordAnswer records the answer to a heartbeat when it reaches the machine; nil: no answer.
+// The caller holds the lock.
 func (w *world) recordAnswer(controller string, heartbeat *wire.Heartbeat, response *httpwire.Response) {
 	status := 0
 	if response != nil {
@@ -193,7 +194,7 @@
 		epoch: heartbeat.Epoch, seq: heartbeat.Seq, detail: fmt.Sprintf("status %d", status)})
 }
 
-// recordCommands records commands that are sent to a machine, or carried out there. The
+// recordCommands records commands that are sent to a machine or carried out there. The
 // caller holds the lock.
 func (w *world) recordCommands(what, controller, machine string, epoch, token uint64, commands []wire.Command) {
 	if w.record.disabled {
@@ -207,7 +208,7 @@
 	}
 }
 
-// recordTask records what happens to a task on a machine. The caller holds the lock.
+// recordTask records an event of a task on the machine. The caller holds the lock.
 func (m *simWorker) recordTask(what string, task *simTask) {
 	if m.world.record.disabled {
 		return
@@ -217,7 +218,8 @@
 		detail: fmt.Sprintf("%s#%d %s %s", task.name, task.attempt, task.state, task.cause)})
 }
 
-// recordState records a change of what a machine can do. The caller holds the lock.
+// recordState records an event of the machine with its active faults. The caller holds the
+// lock.
 func (m *simWorker) recordState(what string) {
 	m.world.record.add(simEvent{what: what, machine: m.name, epoch: m.epoch, token: m.token,
 		detail: fmt.Sprintf("hung=%v cut=%v deaf=%v", m.hung, m.disconnected, m.receivesNothing)})
@@ -239,8 +241,8 @@
 	return strings.Join(described, " ")
 }
 
-// A violation carries what happened to its job and on its machine, from the submission on,
-// and nothing of other jobs; and the record is bounded.
+// The message of a violation contains the events of its job since the submission and the events
+// of its machine, and no events of other jobs. The event record is bounded.
 func TestViolationIncludesEventHistory(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -255,11 +257,11 @@
 		violation := w.violations[0]
 		for _, part := range []string{"ran_cancelled: a trial\n", "store writes job=run-000001", "heartbeat sent", "heartbeat answered", "task starts", "rv/part/"} {
 			if !strings.Contains(violation, part) {
-				t.Errorf("the violation tells nothing of %q:\n%s", part, violation)
+				t.Errorf("the violation does not contain %q:\n%s", part, violation)
 			}
 		}
 		if strings.Contains(violation, "store writes job=run-000002") {
-			t.Errorf("the violation tells of another job:\n%s", violation)
+			t.Errorf("the violation contains events of another job:\n%s", violation)
 		}
 		w.violations = nil
 		w.finish(t)
--- a/controller/sim_store_test.go
+++ b/controller/sim_store_test.go
@@ -13,6 +13,7 @@
 	"ravenport/wire"
 )
 
+// storeEntry is the stored value of a key. The key is deleted when its lease, if any, ends.
 type storeEntry struct {
 	value   json.RawMessage
 	version uint64
@@ -24,12 +25,14 @@
 	expiresAt time.Time
 }
 
+// simStore is one controller's client of the key-value store.
 type simStore struct{ n *simController }
 
-// reach is the way to the key-value store: it takes time, and may be shut.
+// reach simulates the connection to the key-value store: it takes time and fails while the
+// store is unavailable to the controller.
 func (s *simStore) reach(ctx context.Context) error {
 	w := s.n.world
-	s.n.waitWhileFrozen() // what it had decided goes out when it moves on, whatever the time
+	s.n.waitWhileFrozen() // a call that was decided before the freeze is sent after it, however late
 	time.Sleep(w.randomDuration(time.Millisecond, 12*time.Millisecond) + w.storeLatency)
 	if ctx.Err() != nil && !w.chance(0.5) {
 		return fmt.Errorf("%w: %w", kvstore.ErrOutcomeUnknown, ctx.Err())
@@ -49,7 +52,7 @@
 	}
 	w := s.n.world
 	switch {
-	case w.chance(w.lostAnswerShare): // carried out, the answer lost
+	case w.chance(w.lostAnswerShare): // applied at once, and the answer is lost
 		w.mu.Lock()
 		if _, err := w.apply(txn); err == nil {
 			w.observed["lost answers"]++
@@ -57,7 +60,7 @@
 		w.mu.Unlock()
 		time.Sleep(time.Second)
 		return 0, kvstore.ErrOutcomeUnknown
-	case w.chance(w.lateWriteShare): // carried out much later
+	case w.chance(w.lateWriteShare): // applied up to 20 s later
 		go func() {
 			time.Sleep(w.randomDuration(time.Second, 20*time.Second))
 			w.mu.Lock()
@@ -69,7 +72,7 @@
 		}()
 		time.Sleep(time.Second)
 		return 0, kvstore.ErrOutcomeUnknown
-	case w.chance(w.repeatedWriteShare): // repeated later
+	case w.chance(w.repeatedWriteShare): // applied again later
 		go func() {
 			time.Sleep(w.randomDuration(time.Second, 20*time.Second))
 			w.mu.Lock()
@@ -84,7 +87,7 @@
 	return rev, err
 }
 
-// apply carries out a transaction. The caller holds the lock.
+// apply applies a transaction. The caller holds the lock.
 func (w *world) apply(txn wire.Txn) (uint64, error) {
 	if !w.ignoreConditions {
 		for _, c := range txn.Conditions {
@@ -230,7 +233,7 @@
 	return nil
 }
 
-// expireStoreLeases ends leases whose time is up, never during an outage.
+// expireStoreLeases ends leases whose TTL has passed. No lease ends during an outage.
 func (w *world) expireStoreLeases() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -257,6 +260,7 @@
 	}
 }
 
+// setOutage starts or ends an outage of the store. All leases are extended by their TTL.
 func (w *world) setOutage(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/controller/sim_user_test.go
+++ b/controller/sim_user_test.go
@@ -9,26 +9,29 @@
 	"ravenport/wire"
 )
 
+// simJob is a job and what its user has seen of it.
 type simJob struct {
 	spec            wire.Submission
 	accepted        bool
 	reportedState   wire.JobState // last terminal state that the user saw
-	cancelled       time.Time
-	overran         bool // a task of it was seen on a machine past its time
-	cancelRequested bool // cancellation asked for
+	cancelled       time.Time     // when the user saw that it was cancelled
+	overran         bool          // a task of the job was on a machine after the limit for cancellations
+	cancelRequested bool          // the user has requested its cancellation
 	lastAnswerAt    time.Time
 	doneTasks       map[int]bool
-	runTimesS       []float64 // how long each task runs (s), if not as long as estimated
+	runTimesS       []float64 // how long each task runs, in place of the estimate
 	starts          int
-	idleSince       time.Time // since when it has waited beside room for it
-	savedProgress   float64   // of a gang: progress at its last checkpoint (s)
+	idleSince       time.Time // since when it has waited although a machine has enough free CPUs
+	savedProgress   float64   // of a gang: progress at its last checkpoint, in seconds
 }
 
+// simAnswer is a request whose response is sent to a channel.
 type simAnswer struct{ response chan *httpwire.Response }
 
 func (a *simAnswer) Respond(r *httpwire.Response) { a.response <- r }
 
-// request sends one request to any controller and waits as long as users do.
+// request sends one request to a random controller and returns the response, or nil if none
+// arrives within 5 s.
 func (w *world) request(msg func(apiserver.Request) any) *httpwire.Response {
 	w.mu.Lock()
 	index := w.rng.IntN(len(w.controllers))
@@ -36,7 +39,7 @@
 	return w.requestAt(index, msg)
 }
 
-// requestAt sends one request to one controller.
+// requestAt sends one request to the controller with this index.
 func (w *world) requestAt(index int, msg func(apiserver.Request) any) *httpwire.Response {
 	w.mu.Lock()
 	process := w.controllers[index].process
@@ -57,7 +60,7 @@
 	}
 }
 
-// runUser submits a job, polls it and perhaps cancels it.
+// runUser submits a job, polls it and, if cancelAfter is set, cancels it.
 func (w *world) runUser(j *simJob, after, cancelAfter time.Duration) {
 	time.Sleep(after)
 	body, err := json.Marshal(submissionFields(j.spec))
@@ -107,7 +110,7 @@
 		}
 		w.checkReply(j, r, false)
 		w.checkAnswered(j)
-		if w.chance(0.1) { // a late repeat of the submission
+		if w.chance(0.1) { // the submission is repeated late
 			r = w.request(func(q apiserver.Request) any { return apiserver.Submit{Request: q, Body: body} })
 			if r != nil && r.Status == 201 {
 				w.mu.Lock()
@@ -119,8 +122,8 @@
 	}
 }
 
-// checkAnswered checks that questions about a job are answered once all troubles
-// are over, however others fare.
+// checkAnswered checks that, after the last fault has ended, requests for a job get an answer
+// at least every 75 s, independently of other jobs.
 func (w *world) checkAnswered(j *simJob) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -134,7 +137,7 @@
 	}
 }
 
-// checkReply holds an answer against what the user saw before.
+// checkReply checks an answer against the job states that the user saw before.
 func (w *world) checkReply(j *simJob, r *httpwire.Response, cancel bool) {
 	if r == nil || r.Status == 503 || r.Status == 429 {
 		return
@@ -171,7 +174,7 @@
 	}
 }
 
-// submissionFields is a submission with every field present.
+// submissionFields returns the JSON fields of a submission, with every field present.
 func submissionFields(s wire.Submission) map[string]any {
 	b, err := json.Marshal(s)
 	if err != nil {
@@ -184,16 +187,16 @@
 	return m
 }
 
-// sendInvalidHeartbeat sends heartbeats with impossible fields to a controller.
+// sendInvalidHeartbeat sends a heartbeat with invalid or outdated fields to a controller.
 func (w *world) sendInvalidHeartbeat(process *Controller) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	r := &wire.Heartbeat{Machine: "m-999999", Addr: "nowhere:1", Type: "box", Zone: "a", Epoch: 1 + w.rng.Uint64N(5), Seq: w.rng.Uint64N(100)}
-	for _, m := range w.machines { // a real machine, with what it never said
+	for _, m := range w.machines { // an existing machine, with a state that its worker never sent
 		if w.rng.IntN(3) > 0 {
 			r.Machine, r.Addr, r.Zone, r.Spot = m.name, m.name, m.zone, m.spot
-			// Backwards: what says that it is newer is a worker's own word, and
-			// nothing protects from a worker that lies.
+			// The sequence number is not a newer one: the protocol trusts the worker's own
+			// sequence numbers and does not protect from a worker that sends false ones.
 			r.Epoch, r.Seq = m.epoch, w.rng.Uint64N(m.lastAcceptedSeq+1)
 		}
 		break
@@ -202,12 +205,12 @@
 		s := wire.TaskStatus{Task: []string{"run-nobody/3", "nonsense", "run-000001/99999", "run-000002/0"}[w.rng.IntN(4)],
 			Attempt: w.rng.Uint64N(1 << 30), State: []wire.TaskState{"running", "exited", "flying"}[w.rng.IntN(3)], Cause: "done"}
 		if s.Task == "run-000002/0" {
-			s.State = "flying" // that a real task is done is for its worker to say, and would be believed
+			s.State = "flying" // a task state that only its worker may report would be accepted as valid
 		}
 		r.Tasks = append(r.Tasks, s)
 	}
 	if r.Machine == "m-999999" {
-		return // a machine that the cloud never started sends nothing
+		return // a machine that the cloud never started sends no heartbeats
 	}
 	process.control.Tell(workerHeartbeat{&simAnswer{response: make(chan *httpwire.Response, 1)}, r})
 }
--- a/controller/sim_work_test.go
+++ b/controller/sim_work_test.go
@@ -14,21 +14,23 @@
 	"ravenport/wire"
 )
 
-// workload is a deployment at work: arrays bound to each zone that run for long, one
-// that is not bound, a service, and a team at its limit with more waiting.
+// workload holds the jobs of a busy deployment: long-running arrays bound to each zone, one
+// array bound to no zone, a service, and jobs of a team at its quota, of which some wait.
 type workload struct {
 	zoneArrays   []*simJob
 	unboundArray *simJob
 	quotaJobs    []*simJob
 	service      *simJob
-	mustFinish   []*simJob // what must be done in the end
+	mustFinish   []*simJob // the jobs that must be done in the end
 }
 
+// startWorkload submits the jobs of a workload and waits until they run and the team is at its
+// quota.
 func (w *world) startWorkload(t *testing.T, runS float64) *workload {
 	t.Helper()
 	b := &workload{zoneArrays: w.boundArrays(1, runS), unboundArray: w.newArray("run-000001", 4, 1, runS)}
 	go w.runUser(b.unboundArray, 0, 0)
-	for i := range 4 { // of 5 CPUs each, where 10 are allowed
+	for i := range 4 { // 5 CPUs each, with a quota of 10
 		j := w.newArray(fmt.Sprintf("run-0001%02d", i), 1, 5, runS)
 		j.spec.Team = "tight"
 		go w.runUser(j, 0, 0)
@@ -42,7 +44,7 @@
 	return b
 }
 
-// started lists those of some jobs that have a task on a machine.
+// started returns those of the given jobs that have a task on a machine.
 func (w *world) started(jobs []*simJob) []*simJob {
 	var out []*simJob
 	for _, j := range jobs {
@@ -53,7 +55,7 @@
 	return out
 }
 
-// endFaultsAndWait ends all troubles and sees that everything comes to its end.
+// endFaultsAndWait ends all faults and waits until the users have seen the end of all jobs.
 func (w *world) endFaultsAndWait(t *testing.T, limit time.Duration, jobs []*simJob) {
 	t.Helper()
 	w.setOutage(false)
@@ -81,7 +83,8 @@
 	})
 }
 
-// cancelAndWait cancels a job through whoever takes it, and waits for that.
+// cancelAndWait requests the cancellation of a job at one controller after the other until one
+// confirms it.
 func (w *world) cancelAndWait(t *testing.T, j *simJob, limit time.Duration) {
 	t.Helper()
 	index := 0
@@ -91,7 +94,7 @@
 	})
 }
 
-// restart ends a controller and starts it again.
+// restart kills the controller and starts it again after a delay.
 func (n *simController) restart(after time.Duration) {
 	n.kill()
 	time.AfterFunc(after, func() {
@@ -105,7 +108,7 @@
 	})
 }
 
-// machinesRunning lists the machines that hold a task of a job.
+// machinesRunning returns the machines that hold a task of a job.
 func (w *world) machinesRunning(job string) []*simWorker {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -122,9 +125,9 @@
 	return out
 }
 
-// pollConcurrently asks all controllers about a job at once, and again, within milliseconds;
-// some times it repeats the submission instead. None may answer older than any
-// answered before the question was asked.
+// pollConcurrently polls a job at all controllers at once, three times within milliseconds.
+// Some of the requests repeat the submission instead. No controller may answer with an older
+// state than any controller had answered before the request was sent.
 func (w *world) pollConcurrently(j *simJob) {
 	for range 3 {
 		for index := range w.controllers {
@@ -159,8 +162,9 @@
 	}
 }
 
-// submitMany submits one-task jobs for a while; a share of them is cancelled, some at
-// once and some at the moment of their end, and users look closely at each change.
+// submitMany submits one-task jobs for the duration d. A share of them is cancelled, some at
+// once and some around the time at which they end. Users poll all controllers concurrently at
+// each change.
 func (w *world) submitMany(first int, d time.Duration, everyS, runS, cancelled float64) []*simJob {
 	var out []*simJob
 	for end, i := time.Now().Add(d), first; time.Now().Before(end); i++ {
@@ -207,7 +211,7 @@
 	return out
 }
 
-// submitArrays submits one-task jobs of so many CPUs all at once.
+// submitArrays submits n one-task jobs of the given CPUs at the same time.
 func (w *world) submitArrays(first int, cpus float64, n int, runS float64) []*simJob {
 	var out []*simJob
 	for i := range n {
@@ -218,7 +222,7 @@
 	return out
 }
 
-// waitAccepted waits until a job was accepted.
+// waitAccepted waits until a job is accepted or the simulation ends.
 func (w *world) waitAccepted(j *simJob) {
 	for {
 		w.mu.Lock()
@@ -241,7 +245,7 @@
 	return j.reportedState != ""
 }
 
-// expectEvent checks that something was observed in a scenario.
+// expectEvent checks that an event was observed at least minCount times in a scenario.
 func (w *world) expectEvent(t *testing.T, what string, minCount int) {
 	t.Helper()
 	w.mu.Lock()
@@ -251,7 +255,8 @@
 	}
 }
 
-// expectNewTerm waits until a term is another controller's or another process's.
+// expectNewTerm calls change and waits until the term under the key has been written anew, by
+// another controller or another process.
 func (w *world) expectNewTerm(t *testing.T, key string, change func()) {
 	t.Helper()
 	version := func() uint64 {
@@ -264,7 +269,7 @@
 	w.waitUntil(t, "a new term under "+key, 60*time.Second, func() bool { return version() != previous })
 }
 
-// replayHeartbeats lets every heartbeat that was kept come once more, to every controller.
+// replayHeartbeats delivers every kept heartbeat once more, to every controller.
 func (w *world) replayHeartbeats() {
 	w.mu.Lock()
 	old := w.keptHeartbeats
@@ -279,7 +284,7 @@
 	}
 }
 
-// setHung lets machines hang, or go on.
+// setHung makes machines hang, or lets them continue.
 func (w *world) setHung(ms []*simWorker, hung bool) {
 	w.locked(func() {
 		for _, m := range ms {
@@ -288,7 +293,7 @@
 	})
 }
 
-// openJobs is how many records a controller keeps.
+// openJobs returns how many open jobs a controller reports.
 func (w *world) openJobs(c *Controller) int {
 	a := &simAnswer{response: make(chan *httpwire.Response, 1)}
 	c.control.Tell(statusRequest{a})
--- a/controller/sim_worker_test.go
+++ b/controller/sim_worker_test.go
@@ -15,6 +15,7 @@
 	"ravenport/worker"
 )
 
+// simWorker is a machine and the worker that runs on it.
 type simWorker struct {
 	world              *world
 	name, zone         string
@@ -23,27 +24,28 @@
 	createdAt, bootsAt time.Time
 	removed            bool
 	hung               bool
-	cutFromControllers bool // it reaches no controller, while direct commands reach it
-	disconnected       bool // nothing reaches it or comes from it
-	receivesNothing    bool // its heartbeats arrive, answers and commands do not reach it
+	cutFromControllers bool // its heartbeats reach no controller, while direct commands reach it
+	disconnected       bool // messages arrive in neither direction
+	receivesNothing    bool // its heartbeats arrive, while answers and commands do not reach it
 	epoch              uint64
 	seq, token         uint64
-	lastAcceptedSeq    uint64    // the last heartbeat of this epoch that was answered 200
+	lastAcceptedSeq    uint64    // the last heartbeat of this epoch that was answered with status 200
 	leaseRenewedAt     time.Time // when the last answered heartbeat was sent
 	tasks              map[string]*simTask
-	changed            bool
-	unansweredCommands []time.Time // when a direct command to it had no answer
-	reclaimAt          time.Time   // when its provider takes it back, of which it tells; zero: never
+	changed            bool        // its state has changed since the last heartbeat
+	unansweredCommands []time.Time // when the answer to a direct command was lost
+	reclaimAt          time.Time   // when the provider reclaims the machine, announced in heartbeats; zero: never
 }
 
+// simTask is one attempt of a task on a machine.
 type simTask struct {
 	name         string
 	attempt      uint64
 	state        wire.TaskState
 	cause        wire.ExitCause
 	checkpointed bool
-	nextChange   time.Time // when its state changes by itself
-	fetchedAt    time.Time // when its image was there
+	nextChange   time.Time // when its next state change is due; zero: none is scheduled
+	fetchedAt    time.Time // when its image had been fetched
 }
 
 func (m *simWorker) heartbeat() *wire.Heartbeat {
@@ -59,15 +61,15 @@
 	return r
 }
 
-// workerLoop is what a worker's loop keeps between two heartbeats.
+// workerLoop is the state that a worker's loop keeps between two heartbeats.
 type workerLoop struct {
 	worker *simWorker
-	target int       // the number of the controller that it sends heartbeats to
+	target int       // index of the controller that receives the heartbeats
 	next   time.Time // when the next heartbeat is due
 	sent   time.Time // when the last one was sent
 }
 
-// run is a worker's life.
+// run runs the worker from the end of its boot until the machine is removed.
 func (m *simWorker) run() {
 	w := m.world
 	for time.Now().Before(m.bootsAt) {
@@ -90,8 +92,8 @@
 	}
 }
 
-// step lets time pass and sends a heartbeat if one is due. It returns whether the worker
-// goes on.
+// step advances the machine to the current time and sends a heartbeat if one is due. It
+// reports whether the worker continues.
 func (l *workerLoop) step() bool {
 	m, w := l.worker, l.worker.world
 	w.mu.Lock()
@@ -130,7 +132,7 @@
 	return true
 }
 
-// heartbeatEvent names a heartbeat in the event record.
+// heartbeatEvent returns the name of a sent heartbeat in the event record.
 func heartbeatEvent(reachable bool) string {
 	if reachable {
 		return "heartbeat sent"
@@ -138,14 +140,14 @@
 	return "heartbeat that reaches nobody"
 }
 
-// tryNext turns to the next controller, a second after a time.
+// tryNext selects the next controller and schedules a heartbeat one second after now.
 func (l *workerLoop) tryNext(now time.Time) {
 	l.target = (l.target + 1) % len(l.worker.world.controllers)
 	l.next = now.Add(time.Second)
 }
 
-// send sends a heartbeat to a controller and waits for the response; nil if there is none.
-// A copy may come later.
+// send sends a heartbeat to a controller and returns the response, or nil if none arrives
+// within 4 s. A copy of the heartbeat may be delivered later.
 func (m *simWorker) send(n *simController, process *Controller, heartbeat *wire.Heartbeat) *httpwire.Response {
 	w := m.world
 	answer := &simAnswer{response: make(chan *httpwire.Response, 1)}
@@ -166,12 +168,12 @@
 		case <-end:
 			return nil
 		case <-time.After(cmp.Or(w.workerInterval, 100*time.Millisecond)):
-			w.locked(m.expireLease) // which does not wait for the answer
+			w.locked(m.expireLease) // a pending answer does not delay the end of the lease
 		}
 	}
 }
 
-// deliverLateCopy delivers a copy of a heartbeat to any controller, up to three leases
+// deliverLateCopy delivers a copy of a heartbeat to a random controller, up to three leases
 // later.
 func (w *world) deliverLateCopy(heartbeat *wire.Heartbeat) {
 	time.Sleep(w.randomDuration(time.Second, 3*w.times.lease()))
@@ -183,8 +185,8 @@
 	}
 }
 
-// handleResponse carries out what a controller answered, or turns to another one. The
-// caller holds the lock.
+// handleResponse carries out the commands in a controller's answer, or selects another
+// controller. The caller holds the lock.
 func (l *workerLoop) handleResponse(n *simController, heartbeat *wire.Heartbeat, response *httpwire.Response) {
 	m, w := l.worker, l.worker.world
 	w.recordAnswer(n.set.Controller, heartbeat, response)
@@ -222,13 +224,13 @@
 	}
 }
 
-// dropAnswer loses an answer now and then. The caller holds the lock.
+// dropAnswer reports whether an answer to the worker is lost. The caller holds the lock.
 func (w *world) dropAnswer(m *simWorker) bool {
 	return m.disconnected || m.receivesNothing || !w.noAnswerLoss && w.rng.Float64() < cmp.Or(w.answerLossShare, 0.01)
 }
 
-// expireLease ends all tasks and the epoch if the lease has ended, unless the machine hangs.
-// The caller holds the lock.
+// expireLease ends all tasks and begins a new epoch if the lease has expired, unless the
+// machine hangs. The caller holds the lock.
 func (m *simWorker) expireLease() {
 	now := time.Now()
 	if !m.hung && !m.removed && !m.world.ignoreWorkerLeases && now.Sub(m.leaseRenewedAt) > m.world.times.lease() {
@@ -246,7 +248,7 @@
 	}
 }
 
-// advance lets time pass on the machine. The caller holds the lock.
+// advance makes the state changes that are due on the machine. The caller holds the lock.
 func (m *simWorker) advance() {
 	m.expireLease()
 	now := time.Now()
@@ -287,8 +289,8 @@
 	}
 }
 
-// checkNoJobWaits checks that, once all troubles are over, no job waits for 90 s while a
-// machine that fits has room and its team is under its limit.
+// checkNoJobWaits checks that, after the last fault has ended, no job waits for more than 90 s
+// while a suitable machine has enough free CPUs and the job's team is below its quota.
 func (w *world) checkNoJobWaits() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -320,7 +322,8 @@
 				fits = fits || f >= s.CPUs && (s.Spot || !m.spot) && (s.Zone == "" || s.Zone == m.zone)
 			}
 		}
-		// One that is bound to its other tasks may fit nowhere else for a reason.
+		// The placement of an all-or-nothing job depends on its other tasks, so one free
+		// machine does not mean that the job can start.
 		if !fits || activeTasks[id] > 0 || !j.accepted || j.cancelRequested || len(j.doneTasks) >= s.Tasks || s.AllOrNothing() {
 			j.idleSince = time.Time{}
 		} else if j.idleSince.IsZero() {
@@ -332,9 +335,9 @@
 	}
 }
 
-// checkCancelledJobsEnd checks that no task of a cancelled job is on any machine past its
-// time, whether the machine runs, hangs or cannot be reached: a task is there until
-// it exits, is killed or the machine is gone.
+// checkCancelledJobsEnd checks that no task of a cancelled job is on any machine after the
+// limit for cancellations, whether the machine runs, hangs or is unreachable. A task is on its
+// machine until it exits or is killed, or until the machine is terminated.
 func (w *world) checkCancelledJobsEnd() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -369,7 +372,7 @@
 	zones := map[string]bool{}
 	for _, other := range w.machines {
 		if !w.ignoreWorkerLeases && time.Since(other.leaseRenewedAt) > w.times.lease() {
-			continue // hangs beyond its lease: what it held is dead, and it will see to that before anything else
+			continue // the machine hung past its lease: the worker ends these tasks before it does anything else
 		}
 		for _, x := range other.tasks {
 			if !onMachine(x.state) {
@@ -425,11 +428,11 @@
 	}
 }
 
-// start carries out a start. The caller holds the lock.
+// start carries out a start command. The caller holds the lock.
 func (m *simWorker) start(key string, c wire.Command, inAnswer bool) {
 	job, _, _ := wire.ParseTaskName(c.Task)
 	if inAnswer {
-		// An answer is never carried out late, so whoever gave it decided the
+		// The commands of an answer are never carried out late. So the owner decided the
 		// start within its authority and without knowing of the cancellation.
 		if j := m.world.jobs[job]; !j.cancelled.IsZero() && time.Since(j.cancelled) > 4*time.Second {
 			m.world.violateTask("started_cancelled", c.Task, m.name, "%s on %s", c.Task, m.name)
@@ -460,7 +463,8 @@
 	}
 }
 
-// stopTask carries out the stop of a task that has not exited. The caller holds the lock.
+// stopTask carries out a stop command for a task that has not exited. The caller holds the
+// lock.
 func (m *simWorker) stopTask(t *simTask, c wire.Command) {
 	job, _, _ := wire.ParseTaskName(c.Task)
 	if t.state == wire.TaskRunning && m.reclaimAt.IsZero() {
@@ -480,7 +484,7 @@
 	m.stopGangTask(t, j, graceS)
 }
 
-// simCommands delivers direct commands, some of them late or twice.
+// simCommands delivers direct commands to workers, some of them late or twice.
 type simCommands struct{ n *simController }
 
 func (c *simCommands) Forget(string) {}
@@ -495,13 +499,13 @@
 			w.recordCommands("direct command sent", c.n.set.Controller, addr, req.Epoch, req.FencingToken, req.Commands)
 		})
 		time.Sleep(w.randomDuration(time.Millisecond, 5*time.Millisecond))
-		if w.chance(w.lateCommandShare) { // a late copy
+		if w.chance(w.lateCommandShare) { // a copy is delivered late
 			go func() {
 				time.Sleep(w.randomDuration(time.Second, 30*time.Second))
 				c.deliver(addr, req)
 			}()
 		}
-		if w.chance(w.lateCommandShare) { // held back: the sender gives up, the command arrives all the same
+		if w.chance(w.lateCommandShare) { // the command is delayed: the sender times out, and the command arrives later
 			go func() {
 				time.Sleep(w.randomDuration(time.Second, 30*time.Second))
 				if c.deliver(addr, req).Executed {
@@ -543,7 +547,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	m := w.machines[addr]
-	for m != nil && w.isPartitioned(m.zone, c.n) { // a partition holds it back
+	for m != nil && w.isPartitioned(m.zone, c.n) { // the command is delayed until the partition ends
 		w.mu.Unlock()
 		time.Sleep(time.Second)
 		w.mu.Lock()
@@ -563,7 +567,7 @@
 	return worker.Result{Executed: true, Heartbeat: m.heartbeat()}
 }
 
-// deliverCopy lets a copy of a heartbeat come to a controller.
+// deliverCopy delivers a copy of a heartbeat to a controller.
 func (w *world) deliverCopy(to *Controller, r *wire.Heartbeat) {
 	w.locked(func() {
 		w.observed["copies"]++
@@ -577,8 +581,8 @@
 	to.control.Tell(workerHeartbeat{&simAnswer{response: make(chan *httpwire.Response, 1)}, r})
 }
 
-// restart is a worker's process that is back at once: it holds nothing of what
-// it held, under a new epoch. The caller holds the lock.
+// restart restarts the worker's process at once, without its tasks and with a new epoch. The
+// caller holds the lock.
 func (m *simWorker) restart() {
 	m.recordState("worker restarts")
 	m.tasks = map[string]*simTask{}
--- a/controller/sim_world_test.go
+++ b/controller/sim_world_test.go
@@ -20,11 +20,11 @@
 	"ravenport/wire"
 )
 
-// world simulates the key-value store, the cloud, workers and users of a deployment, and
-// checks the protocol's rules. Everything in it runs on the virtual clock of a synctest
+// world simulates the key-value store, the cloud, the workers and the users of a deployment
+// and checks the rules of the protocol. All of them run on the virtual clock of a synctest
 // bubble.
 type world struct {
-	mu   sync.Mutex // guards everything in it
+	mu   sync.Mutex // guards all fields of the world and of its parts
 	rng  *rand.Rand
 	done chan struct{} // closed when the simulation ends
 
@@ -46,68 +46,69 @@
 	machineCount int
 	capacity     map[string]int // by zone and kind
 
-	// What goes on in the deployment.
+	// How the deployment is configured and how it behaves.
 	times           workerTimes
 	workerInterval  time.Duration           // between two steps of a worker; 0: 100 ms
-	bootWithin      time.Duration           // machines are up within this after their scale-out request; 0: after seconds
-	reliableCloud   bool                    // machines come up, and scale-out requests are answered
-	onScaleIn       func(by *simController) // called as a scale-in is decided, with the lock held
+	bootWithin      time.Duration           // the longest boot time of a machine; 0: boots take 4 s to 13 s
+	reliableCloud   bool                    // all machines boot, and the answers to scale-out requests are not lost
+	onScaleIn       func(by *simController) // called when a controller requests a scale-in, with the lock held
 	spotReplicas    bool                    // services may run on spot machines
-	healthyMachines map[string]bool         // all others end every task with an error; nil: all are sound
-	limitsLowered   bool                    // the limits that settings announce are in force
-	oversizedWrites map[string]int          // by key: writes that were over them
+	healthyMachines map[string]bool         // on all other machines every task fails; nil: all machines are healthy
+	limitsLowered   bool                    // the store enforces the lower limits that the settings announce
+	oversizedWrites map[string]int          // by key: writes that exceeded the limits
 
 	// Faults.
 	storeOutage        bool
 	storeLatency       time.Duration // added to each call
 	cloudUnavailable   bool
-	partitionedZone    string  // cut off from all others; empty: none is
-	answerLossShare    float64 // share of answers of workers, and to them, that are lost by chance; 0: as usual
-	noAnswerLoss       bool    // no answer of a worker, or to one, is lost by chance
-	lateCommandShare   float64 // share of direct commands that are held back, and of those that come twice
-	lostAnswerShare    float64 // share of transactions carried out at once whose answer is lost
-	lateWriteShare     float64 // share of transactions without answer, carried out seconds later, after newer ones
-	repeatedWriteShare float64 // share of transactions carried out once more, later
-	lateCopyShare      float64 // share of heartbeats of which a copy comes again, up to three leases later
-	keepHeartbeats     bool    // all heartbeats are kept, to come again
+	partitionedZone    string  // its machines and controllers reach no other zone, nor the store and the cloud; empty: none
+	answerLossShare    float64 // share of answers from workers and to workers that are lost at random; 0: 2% and 1%
+	noAnswerLoss       bool    // no answer from a worker or to a worker is lost at random
+	lateCommandShare   float64 // share of direct commands that are delayed, and share of those delivered twice
+	lostAnswerShare    float64 // share of transactions that are applied at once but whose answer is lost
+	lateWriteShare     float64 // share of transactions that get no answer and are applied seconds later, after newer ones
+	repeatedWriteShare float64 // share of transactions that are applied a second time later
+	lateCopyShare      float64 // share of heartbeats of which a copy is delivered up to three leases later
+	keepHeartbeats     bool    // all heartbeats are kept, for replayHeartbeats
 	keptHeartbeats     []*wire.Heartbeat
-	faultFreeSince     time.Time // when all faults were over
+	faultFreeSince     time.Time // when the last fault ended; zero: faults may be active
 
-	// Guards of the protocol that a test may take away, to see that the checks notice.
-	protectionDisabled bool   // one of these is taken away
-	ignoreConditions   bool   // the key-value store ignores versions
-	ignoreTokens       bool   // workers take commands under any token
-	ignoreWorkerLeases bool   // workers never end their tasks at the end of a lease
+	// Protections of the protocol that a test can disable, to show that the checks notice.
+	protectionDisabled bool   // one of these protections is disabled
+	ignoreConditions   bool   // the key-value store ignores the conditions of transactions
+	ignoreTokens       bool   // workers accept commands with any fencing token
+	ignoreWorkerLeases bool   // workers do not end their tasks when their lease expires
 	ignoreScaleIn      bool   // the cloud terminates no machine
-	hideCancellations  bool   // controllers do not tell each other of cancellations
-	skipAuthorityWait  bool   // nobody waits for a revoked holder's authority to end
-	makeCopiesCurrent  bool   // late copies of heartbeats count as new ones
-	unansweredJob      string // nobody gets an answer about this job
+	hideCancellations  bool   // replies between controllers carry no cancellations
+	skipAuthorityWait  bool   // no controller waits until a revoked owner's authority has ended
+	makeCopiesCurrent  bool   // late copies of heartbeats get the current epoch, sequence number and token
+	unansweredJob      string // users get no answer to polls for this job
 
-	// What is checked, and what was observed.
+	// Results of the checks, and events that were counted.
 	violations []string
 	record     eventRecord
 	reasons    *terminationReasons // nil: terminations are not counted by reason
 	starts     int
 	gangStarts int
-	restarts   int // of tasks that ran already, where a test counts them
-	// ignoreTasksHungPastLease: what is on a machine that hung past its lease counts as gone. It
-	// cannot go on, since the worker ends it before anything else, and where no
-	// owner may act nobody can terminate the machine.
+	restarts   int // of tasks that had run before; only some tests count these
+	// ignoreTasksHungPastLease: tasks on a machine that hung past its lease count as ended. They
+	// cannot continue, since the worker ends them before it does anything else. While no
+	// owner has authority, no controller can terminate the machine.
 	ignoreTasksHungPastLease bool
-	disruption               *disruptioncheck.Check // nil: stops are not checked
-	interruptions            *disruptioncheck.Check // checks the stops of arrays and gangs; nil: nothing does
-	unitsEverRunning         map[string]bool        // units that interruptions has seen run
-	observed                 map[string]int         // events by name, for scenarios to check
+	disruption               *disruptioncheck.Check // nil: stops of tasks are not checked
+	interruptions            *disruptioncheck.Check // checks the stops of array tasks and gangs; nil: they are not checked
+	unitsEverRunning         map[string]bool        // units that have run while interruptions was set
+	observed                 map[string]int         // number of events by name, for scenarios to check
 }
 
-// workerTimes are a deployment's workerTimes that the rules depend on, and its limit on a
-// team.
+// workerTimes are the times of a deployment that the rules depend on: the interval between
+// heartbeats, the lease of a worker, and the limit for ending the tasks of a cancelled job.
 type workerTimes struct {
 	reportS, leaseS, cancelS float64
 }
 
-// The generated days' own times, and those of deployments whose scenarios are played.
+// The times of random runs (lease of 20 s), and the times of the two deployments that scenarios
+// simulate (leases of 26 s and 36 s).
 var (
 	lease20Times = workerTimes{3, 20, 45}
 	lease26Times = workerTimes{5, 26, 56}
@@ -118,30 +119,32 @@
 
 func (t workerTimes) cancelWithin() time.Duration { return settings.Seconds(t.cancelS) }
 
+// simController is a controller of the deployment: its settings, its process if one is running,
+// and its faults.
 type simController struct {
 	world               *world
 	set                 *settings.Settings
 	process             *Controller
 	cancel              context.CancelFunc
 	cutFromStore        bool
-	cutFromWorkers      bool      // from workers
-	cutFromPeers        bool      // from the other controllers
-	heartbeatsLost      bool      // heartbeats do not reach it, though it reaches the workers
-	peerCallsLost       bool      // other controllers' calls do not reach it, though its own reach them
-	heartbeatAnsweredAt time.Time // when a heartbeat to it was last answered
-	heartbeatReceivedAt time.Time // and when one last came to it
+	cutFromWorkers      bool      // no heartbeat of a worker reaches it, and none of its commands reaches a worker
+	cutFromPeers        bool      // calls between it and the other controllers fail
+	heartbeatsLost      bool      // heartbeats do not reach it, while its commands reach the workers
+	peerCallsLost       bool      // calls of other controllers do not reach it, while its own calls reach them
+	heartbeatAnsweredAt time.Time // when the last heartbeat that it answered was sent
+	heartbeatReceivedAt time.Time // when it last received a heartbeat
 	frozenUntil         time.Time
-	// overrideDraining takes away what budgets rest on; nil: nothing is.
+	// overrideDraining disables protections of the disruption budgets; nil: none is disabled.
 	overrideDraining func(*shard.DrainingConfig)
 }
 
-// isPartitioned says whether a zone and a controller are on two sides of a cut-off
-// zone's border. The caller holds the lock.
+// isPartitioned reports whether a network partition separates a zone from a controller.
+// The caller holds the lock.
 func (w *world) isPartitioned(zone string, n *simController) bool {
 	return (zone == w.partitionedZone) != (n.set.Zone == w.partitionedZone)
 }
 
-// waitWhileFrozen is where a controller's calls wait while it is frozen.
+// waitWhileFrozen blocks a call of the controller while the controller is frozen.
 func (n *simController) waitWhileFrozen() {
 	for {
 		n.world.mu.Lock()
@@ -150,13 +153,13 @@
 		if d <= 0 {
 			return
 		}
-		time.Sleep(min(d, 20*time.Millisecond)) // it may move on sooner than was meant
+		time.Sleep(min(d, 20*time.Millisecond)) // the freeze may be ended early
 	}
 }
 
-// freeze freezes a controller while its clocks run on: its actors
-// handle nothing, though messages come in, and its calls wait before and after
-// the outside has carried them out.
+// freeze suspends a controller while its clocks keep running. Messages arrive, but its actors
+// handle none of them. Its calls wait before they are sent and again before their results are
+// returned.
 func (n *simController) freeze(d time.Duration) {
 	w := n.world
 	w.mu.Lock()
@@ -176,15 +179,15 @@
 	if process == nil {
 		return
 	}
-	for _, m := range onePerZone { // through control to the owner, if it is here
+	for _, m := range onePerZone { // the control actor forwards this to the owner of the shard if that runs here
 		process.control.Tell(workerHeartbeat{frozenRequest{n}, &wire.Heartbeat{Machine: m.name, Addr: m.name, Type: "box", Zone: m.zone}})
 	}
 	process.control.Tell(healthRequest{frozenRequest{n}})
 	process.apiServer.Tell(apiserver.GetMetrics{Request: frozenRequest{n}})
 }
 
-// frozenRequest is a request whose answer takes an actor as long as its controller
-// is frozen.
+// frozenRequest is a request that blocks the actor that answers it while the controller is
+// frozen.
 type frozenRequest struct{ n *simController }
 
 func (s frozenRequest) Respond(*httpwire.Response) { s.n.waitWhileFrozen() }
@@ -215,7 +218,7 @@
 		toml.WriteString("[[facts.teams]]\nname = \"free\"\n[[facts.teams]]\nname = \"tight\"\ncpus = 4.0\ncpus_max = 10.0\n")
 		fmt.Fprintf(&toml, "[facts.workers]\nreport_s = %.1f\nlease_s = %.1f\ncancel_s = %.1f\n", timing.reportS, timing.leaseS, timing.cancelS)
 		toml.WriteString("gang_wait_s = 15.0\ngang_peer_s = 4.0\n[facts.state]\nrps = 200.0\nwrite_rps = 100.0\nvalue_kb = 8.0\ntxn_ops = 12\n[facts.state.next]\nvalue_kb = 1.0\ntxn_ops = 2\n[facts.cloud]\nrps = 10.0\nlist_lag_s = 5.0\n")
-		if seed%2 == 1 { // as if on small machines, which take over a second shard late
+		if seed%2 == 1 { // as on small machines, which acquire a second shard later
 			toml.WriteString("[facts.machine_limits]\ncpu = 0.09\n")
 		}
 		set, err := load.ParseSettings([]byte(toml.String()))
@@ -243,7 +246,7 @@
 	return lo + time.Duration(w.rng.Int64N(int64(hi-lo)+1))
 }
 
-// violate records a broken rule. The caller holds the lock.
+// violate records the violation of a rule. The caller holds the lock.
 func (w *world) violate(rule, format string, args ...any) {
 	violation := rule + ": " + fmt.Sprintf(format, args...)
 	w.violations = append(w.violations, violation)
@@ -262,7 +265,7 @@
 	}
 	n.world.mu.Lock()
 	defer n.world.mu.Unlock()
-	if n.process != nil { // never two processes under one name
+	if n.process != nil { // a second process must not run under the same name
 		cancel()
 		return
 	}
@@ -292,9 +295,10 @@
 	return n.process
 }
 
+// simPeer is the link from one controller to another.
 type simPeer struct{ from, to *simController }
 
-// reach goes over the link to the other controller, if it is open.
+// reach returns the process of the other controller, or an error if the link to it is down.
 func (p simPeer) reach(ctx context.Context) (*Controller, error) {
 	time.Sleep(p.from.world.randomDuration(time.Millisecond, 4*time.Millisecond))
 	process := p.to.running()
@@ -322,7 +326,7 @@
 	return r, nil
 }
 
-// Commit has the other controller write.
+// Commit relays a transaction through the other controller.
 func (p simPeer) Commit(ctx context.Context, t wire.Txn) (uint64, error) {
 	process, err := p.reach(ctx)
 	if err != nil {
