--- a/controller/sim_user_test.go
+++ b/controller/sim_user_test.go
@@ -205,7 +205,7 @@
 		s := wire.TaskStatus{Task: []string{"run-nobody/3", "nonsense", "run-000001/99999", "run-000002/0"}[w.rng.IntN(4)],
 			Attempt: w.rng.Uint64N(1 << 30), State: []wire.TaskState{"running", "exited", "flying"}[w.rng.IntN(3)], Cause: "done"}
 		if s.Task == "run-000002/0" {
-			s.State = "flying" // a task state that only its worker may report would be accepted as valid
+			s.State = "flying" // "exited" would be accepted: whether an existing task is done, only its worker can know
 		}
 		r.Tasks = append(r.Tasks, s)
 	}
