--- a/controller/random_faults_test.go
+++ b/controller/random_faults_test.go
@@ -41,7 +41,7 @@
 	for seed := *firstSeed; seed < *firstSeed+*randomDays; seed++ {
 		zones := []string{"a", "b", "c"}[:2+seed%2]
 		synctest.Test(t, func(t *testing.T) {
-			w := playRandomDay(t, seed, zones, nil)
+			w := runRandomWorkload(t, seed, zones, nil)
 			if len(w.violations) > 0 {
 				t.Fatalf("seed %d: %d broken rules, first: %s", seed, len(w.violations), strings.Join(w.violations[:min(4, len(w.violations))], "; "))
 			}
@@ -78,7 +78,7 @@
 		"conditional writes": func(w *world) { w.ignoreConditions = true },
 		"tokens":             func(w *world) { w.ignoreTokens = true; w.lateCommandShare = 0.5 },
 		// With the cloud away nothing is surely gone but by its lease.
-		"the order of reports":                        func(w *world) { w.freshenCopies = true },
+		"the order of reports":                        func(w *world) { w.makeCopiesCurrent = true },
 		"answers about each job, however others fare": func(w *world) { w.unansweredJob = "run-000003" },
 		"workers' leases": func(w *world) {
 			w.ignoreWorkerLeases = true
@@ -88,7 +88,9 @@
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(60) {
 				found := false
-				synctest.Test(t, func(t *testing.T) { found = len(playRandomDay(t, seed, []string{"a", "b"}, sabotage).violations) > 0 })
+				synctest.Test(t, func(t *testing.T) {
+					found = len(runRandomWorkload(t, seed, []string{"a", "b"}, sabotage).violations) > 0
+				})
 				if found {
 					t.Logf("noticed on day %d", seed)
 					return
@@ -263,11 +265,11 @@
 				cut(w)
 				w.mu.Unlock()
 				ask := func(z string, seq uint64) bool {
-					a := &simAnswer{got: make(chan *httpwire.Response, 1)}
+					a := &simAnswer{response: make(chan *httpwire.Response, 1)}
 					w.controllers[0].running().control.Tell(workerHeartbeat{a, &wire.Heartbeat{Machine: "m-x", Addr: "m-x", Type: "box", Zone: z, Epoch: 1, Seq: seq,
 						Tasks: []wire.TaskStatus{{Task: "run-000009/0", Attempt: 1, State: wire.TaskRunning}}}})
 					select {
-					case r := <-a.got:
+					case r := <-a.response:
 						var rep wire.HeartbeatReply
 						if r.Status == 200 && (json.Unmarshal(r.Body, &rep) != nil || len(rep.Commands) > 0) {
 							t.Errorf("commands for %s without authority: %s", z, r.Body)
@@ -302,7 +304,7 @@
 		case <-w.done:
 			return
 		case <-time.After(50 * time.Millisecond):
-			w.expire()
+			w.expireStoreLeases()
 			w.checkCancelledJobsEnd()
 			w.checkNoJobWaits()
 		}
@@ -368,7 +370,7 @@
 func (w *world) addOldRecords() {
 	put := func(key string, v any) {
 		w.revision++
-		w.kv[key] = &entry{value: records.Encode(v), version: w.revision}
+		w.kv[key] = &storeEntry{value: records.Encode(v), version: w.revision}
 		w.storeEvents = append(w.storeEvents, wire.Event{Put: key, Value: records.Encode(v), Version: w.revision})
 	}
 	zones := w.controllers[0].set.Deployment.Zones
--- a/controller/scenario_test.go
+++ b/controller/scenario_test.go
@@ -21,7 +21,7 @@
 // takes away what the scenario is about, and the rules are then seen broken.
 type scenario struct {
 	name  string
-	times times
+	times workerTimes
 	zones []string
 	seeds []uint64
 	play  func(*testing.T, *world)
@@ -68,7 +68,7 @@
 	for k := range w.capacity {
 		w.capacity[k] = 6
 	}
-	if w.unguarded = unguard != nil; w.unguarded {
+	if w.protectionDisabled = unguard != nil; w.protectionDisabled {
 		unguard(w)
 	}
 	for _, n := range w.controllers {
@@ -100,7 +100,7 @@
 // fail fails a scenario, unless its guard was taken away.
 func (w *world) fail(t *testing.T, format string, args ...any) {
 	t.Helper()
-	if !w.unguarded {
+	if !w.protectionDisabled {
 		t.Errorf(format, args...)
 	}
 }
@@ -108,7 +108,7 @@
 // stopScenario fails a scenario that cannot go on.
 func (w *world) stopScenario(t *testing.T, format string, args ...any) {
 	t.Helper()
-	if w.unguarded {
+	if w.protectionDisabled {
 		panic(errScenarioOver)
 	}
 	t.Fatalf(format, args...)
@@ -292,9 +292,9 @@
 	var list []scenario
 	for _, d := range []struct {
 		name  string
-		times times
+		times workerTimes
 		zones []string
-	}{{"magnolia", magnoliaTimes, []string{"a", "b", "c"}}, {"umoya", umoyaTimes, []string{"a", "b"}}} {
+	}{{"magnolia", lease26Times, []string{"a", "b", "c"}}, {"umoya", lease36Times, []string{"a", "b"}}} {
 		for refused := range 3 {
 			for _, other := range []int{(refused + 1) % 3, (refused + 2) % 3} {
 				s := scenario{name: fmt.Sprintf("%s, %d refused, %d confirms", d.name, refused, other), times: d.times, zones: d.zones, seeds: []uint64{1, 2}, play: gap(refused, other)}
--- a/controller/unusual_requests_test.go
+++ b/controller/unusual_requests_test.go
@@ -36,7 +36,7 @@
 			f["shape"] = wire.KindService
 		},
 	}
-	scenarios(t, []scenario{{name: "while controllers end", times: magnoliaTimes, zones: []string{"a", "b", "c"}, seeds: []uint64{1, 2}, play: func(t *testing.T, w *world) {
+	scenarios(t, []scenario{{name: "while controllers end", times: lease26Times, zones: []string{"a", "b", "c"}, seeds: []uint64{1, 2}, play: func(t *testing.T, w *world) {
 		done := w.newArray("run-000000", 2, 1, 3)
 		go w.runUser(done, 0, 0)
 		w.waitUntil(t, "a job is done", 2*time.Minute, func() bool { return w.hasEnded(done) })
@@ -64,20 +64,20 @@
 				time.AfterFunc(10*time.Second, func() { w.setOutage(false) })
 			}
 			for _, field := range required {
-				f := fields(sample)
+				f := submissionFields(sample)
 				delete(f, field)
 				ask("without "+field, f, 400)
-				f = fields(sample)
+				f = submissionFields(sample)
 				f[field] = nil
 				ask("null as "+field, f, 400)
 			}
 			for what, change := range never {
-				f := fields(sample)
+				f := submissionFields(sample)
 				change(f)
 				ask(what, f, 422)
 			}
 			for index := range w.controllers { // of a job that is done
-				f := fields(done.spec)
+				f := submissionFields(done.spec)
 				delete(f, "cpus")
 				for _, r := range []*httpwire.Response{
 					w.requestAt(index, func(q apiserver.Request) any { return apiserver.Submit{Request: q, Body: records.Encode(f)} }),
@@ -94,6 +94,6 @@
 		if answered < 300 {
 			w.fail(t, "only %d odd requests were answered", answered)
 		}
-		w.settleAll(t, time.Minute, []*simJob{done})
+		w.endFaultsAndWait(t, time.Minute, []*simJob{done})
 	}}})
 }
