--- a/apiserver/cancellations.go
+++ b/apiserver/cancellations.go
@@ -91,7 +91,7 @@
 	value, ok := sizeLimits.Encode(job, &previous)
 	if !ok {
 		slog.Error("job's record does not fit", logkey.JobID, job.ID, "bytes", len(value))
-		return 0, kvstore.ErrRefused
+		return 0, kvstore.ErrNotExecuted
 	}
 	key := records.KeyJob(job.ID)
 	return s.commit(ctx, wire.Txn{
--- a/apiserver/polls_test.go
+++ b/apiserver/polls_test.go
@@ -27,9 +27,11 @@
 // calls.
 type slowStore struct{ readTime time.Duration }
 
-func (s slowStore) Commit(context.Context, wire.Txn) (uint64, error) { return 0, kvstore.ErrRefused }
+func (s slowStore) Commit(context.Context, wire.Txn) (uint64, error) {
+	return 0, kvstore.ErrNotExecuted
+}
 func (s slowStore) Get(context.Context, string) (wire.KeyValue, bool, error) {
-	return wire.KeyValue{}, false, kvstore.ErrRefused
+	return wire.KeyValue{}, false, kvstore.ErrNotExecuted
 }
 func (s slowStore) Revision(context.Context) (uint64, error) {
 	time.Sleep(s.readTime)
--- a/apiserver/relay.go
+++ b/apiserver/relay.go
@@ -40,7 +40,7 @@
 	if errors.Is(err, kvstore.ErrOutcomeUnknown) {
 		return true
 	}
-	return errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrRateLimited)
+	return errors.Is(err, kvstore.ErrNotExecuted) && !errors.Is(err, kvstore.ErrRateLimited)
 }
 
 // writeSubmission creates a submission's record. It writes directly, unless the direct path
--- a/apiserver/relay_test.go
+++ b/apiserver/relay_test.go
@@ -42,7 +42,7 @@
 // A submission is written through another controller if only this controller cannot reach
 // the store. The submission is refused at once if no controller can reach the store.
 func TestRelayedSubmission(t *testing.T) {
-	rateLimited := fmt.Errorf("%w: %w", kvstore.ErrRefused, kvstore.ErrRateLimited)
+	rateLimited := fmt.Errorf("%w: %w", kvstore.ErrNotExecuted, kvstore.ErrRateLimited)
 	for _, test := range []struct {
 		name         string
 		directErr    error
@@ -52,11 +52,11 @@
 		relayWrites  []int
 	}{
 		{"direct path works", nil, []error{nil}, 201, 2, []int{0}},
-		{"direct path refused", kvstore.ErrRefused, []error{nil, nil}, 201, 1, []int{2, 0}},
+		{"direct path refused", kvstore.ErrNotExecuted, []error{nil, nil}, 201, 1, []int{2, 0}},
 		{"direct path unanswered", kvstore.ErrOutcomeUnknown, []error{nil}, 201, 1, []int{2}},
-		{"first relay unreachable too", kvstore.ErrRefused, []error{kvstore.ErrOutcomeUnknown, nil}, 201, 1, []int{2, 2}},
-		{"no path works", kvstore.ErrRefused, []error{kvstore.ErrRefused, kvstore.ErrRefused}, 503, 1, []int{2, 2}},
-		{"no relay known", kvstore.ErrRefused, nil, 503, 1, nil}, // the second is refused without a write
+		{"first relay unreachable too", kvstore.ErrNotExecuted, []error{kvstore.ErrOutcomeUnknown, nil}, 201, 1, []int{2, 2}},
+		{"no path works", kvstore.ErrNotExecuted, []error{kvstore.ErrNotExecuted, kvstore.ErrNotExecuted}, 503, 1, []int{2, 2}},
+		{"no relay known", kvstore.ErrNotExecuted, nil, 503, 1, nil}, // the second is refused without a write
 		{"rate limited only", rateLimited, []error{nil}, 503, 2, []int{0}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/controller/draining_test.go
+++ b/controller/draining_test.go
@@ -334,7 +334,7 @@
 func TestDrainCheckNoticesMissingGuards(t *testing.T) {
 	discardLogs(t)
 	for name, unguard := range map[string]func(*shard.DrainingConfig){
-		"claims":      func(c *shard.DrainingConfig) { c.SkipClaimProof = true },
+		"claims":      func(c *shard.DrainingConfig) { c.SkipClaimCheck = true },
 		"stable time": func(c *shard.DrainingConfig) { c.SkipStableTime = true },
 	} {
 		caught := false
--- a/controller/peer_status_test.go
+++ b/controller/peer_status_test.go
@@ -22,7 +22,7 @@
 }
 
 func (p *countingPeer) Commit(context.Context, wire.Txn) (uint64, error) {
-	return 0, kvstore.ErrRefused
+	return 0, kvstore.ErrNotExecuted
 }
 
 // A shard whose figures change all the time does not keep its status from anybody: an
--- a/controller/sim_store_test.go
+++ b/controller/sim_store_test.go
@@ -38,7 +38,7 @@
 	shut := w.storeOutage || s.n.cutFromStore || w.partitionedZone == s.n.set.Zone
 	w.mu.Unlock()
 	if shut {
-		return kvstore.ErrRefused
+		return kvstore.ErrNotExecuted
 	}
 	return nil
 }
@@ -191,10 +191,10 @@
 		}
 		select {
 		case <-ctx.Done():
-			return nil, kvstore.ErrRefused
+			return nil, kvstore.ErrNotExecuted
 		case <-end:
 			if shut {
-				return nil, kvstore.ErrRefused
+				return nil, kvstore.ErrNotExecuted
 			}
 			return out, nil
 		case <-changed:
--- a/disruption/ledger.go
+++ b/disruption/ledger.go
@@ -16,9 +16,9 @@
 	Term        uint64   // of the shard's owner
 	Budgets     Budgets
 	StableAfter time.Duration // a task that has run for so long counts as available
-	// SkipClaimProof allows stops without a stored claim that covers them. Tests set it to
+	// SkipClaimCheck allows stops without a stored claim that covers them. Tests set it to
 	// show that budgets are violated without claims.
-	SkipClaimProof bool
+	SkipClaimCheck bool
 }
 
 // Ledger is one owner's view of the usage of all budgets, in one term. It is not safe for
@@ -161,7 +161,7 @@
 		return refusal
 	}
 	for _, k := range keys {
-		if !l.cfg.SkipClaimProof && l.unavailableInShard(now, k)+1 > l.granted[k] {
+		if !l.cfg.SkipClaimCheck && l.unavailableInShard(now, k)+1 > l.granted[k] {
 			l.requestClaim(now, keys)
 			return &RefusalError{Reason: ReasonClaimPending, Budget: k}
 		}
--- a/disruption/ledger_test.go
+++ b/disruption/ledger_test.go
@@ -70,7 +70,7 @@
 	stops      []modelStop
 	lateWrites []*modelWrite
 
-	skipClaimProof, availableAtStart bool // mutants: stops need no claim; tasks count as available as soon as they start
+	skipClaimCheck, availableAtStart bool // mutants: stops need no claim; tasks count as available as soon as they start
 	violation                        string
 	voluntaryStops                   int
 	refusals                         map[Reason]int
@@ -120,7 +120,7 @@
 	var budgets Budgets
 	budgets.SetServicesDefault(m.budget)
 	o := &modelOwner{shard: shard, term: term, knownShards: map[int]string{}, stopping: map[int]bool{},
-		ledger: NewLedger(Config{Shard: shard, Shards: m.shards, Term: term, Budgets: budgets, StableAfter: m.stableAfter, SkipClaimProof: m.skipClaimProof})}
+		ledger: NewLedger(Config{Shard: shard, Shards: m.shards, Term: term, Budgets: budgets, StableAfter: m.stableAfter, SkipClaimCheck: m.skipClaimCheck})}
 	m.owners[shard] = o
 	m.deliver(o, len(m.log))
 }
@@ -371,7 +371,7 @@
 // available as soon as they start.
 func TestModelCatchesMutants(t *testing.T) {
 	for name, mutate := range map[string]func(*model){
-		"no claim":           func(m *model) { m.skipClaimProof = true },
+		"no claim":           func(m *model) { m.skipClaimCheck = true },
 		"available at start": func(m *model) { m.availableAtStart = true },
 	} {
 		caught := ""
--- a/kvstore/client.go
+++ b/kvstore/client.go
@@ -55,25 +55,25 @@
 	response, err := c.httpClient.Do(ctx, method, path, data)
 	switch {
 	case httpwire.IsUnsent(err):
-		return nil, fmt.Errorf("%w: %w", ErrRefused, err)
+		return nil, fmt.Errorf("%w: %w", ErrNotExecuted, err)
 	case err != nil:
 		return nil, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	case response.Status == http.StatusTooManyRequests:
-		return nil, fmt.Errorf("%w: %w: status %d", ErrRefused, ErrRateLimited, response.Status)
+		return nil, fmt.Errorf("%w: %w: status %d", ErrNotExecuted, ErrRateLimited, response.Status)
 	case response.Status == http.StatusServiceUnavailable:
-		return nil, fmt.Errorf("%w: status %d", ErrRefused, response.Status)
+		return nil, fmt.Errorf("%w: status %d", ErrNotExecuted, response.Status)
 	}
 	return response, nil
 }
 
 // Commit executes a compare-and-swap transaction and returns its revision. After
 // ErrOutcomeUnknown the caller must read the keys to learn whether the transaction was
-// executed. The other errors are ErrRefused, ErrLeaseExpired, ErrInvalidRequest and
+// executed. The other errors are ErrNotExecuted, ErrLeaseExpired, ErrInvalidRequest and
 // ConflictError.
 func (c *Client) Commit(ctx context.Context, txn wire.Txn) (revision uint64, err error) {
 	if n := len(txn.Changes); n > 0 {
 		if err := c.waitForWriteLimit(ctx, n); err != nil {
-			return 0, fmt.Errorf("%w: own rate limit: %w", ErrRefused, err)
+			return 0, fmt.Errorf("%w: own rate limit: %w", ErrNotExecuted, err)
 		}
 	}
 	// The store requires empty lists instead of null.
@@ -181,7 +181,7 @@
 
 // Watch returns all changes of keys under prefix after the revision after. If there are
 // none yet, the store waits for the first one, but not longer than wait. Watch returns
-// ErrCompacted if the store no longer keeps these changes. It returns ErrRefused for
+// ErrCompacted if the store no longer keeps these changes. It returns ErrNotExecuted for
 // every other failed request, since a watch changes nothing and can always be retried.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (*wire.Events, error) {
 	if err := c.readLimiter.Wait(ctx); err != nil {
@@ -191,21 +191,21 @@
 	defer cancel()
 	response, err := c.watchClient.Do(ctx, http.MethodGet, wire.WatchPath(prefix, after, wait.Milliseconds()), nil)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrRefused, err)
+		return nil, fmt.Errorf("%w: %w", ErrNotExecuted, err)
 	}
 	switch response.Status {
 	case http.StatusOK:
 		var events wire.Events
 		if err := wire.Decode(response.Body, &events); err != nil {
-			return nil, fmt.Errorf("%w: unreadable events: %w", ErrRefused, err)
+			return nil, fmt.Errorf("%w: unreadable events: %w", ErrNotExecuted, err)
 		}
 		return &events, nil
 	case http.StatusGone:
 		return nil, ErrCompacted
 	case http.StatusTooManyRequests:
-		return nil, fmt.Errorf("%w: %w: watch: status %d", ErrRefused, ErrRateLimited, response.Status)
+		return nil, fmt.Errorf("%w: %w: watch: status %d", ErrNotExecuted, ErrRateLimited, response.Status)
 	}
-	return nil, fmt.Errorf("%w: watch: status %d", ErrRefused, response.Status)
+	return nil, fmt.Errorf("%w: watch: status %d", ErrNotExecuted, response.Status)
 }
 
 // Grant requests a new lease, which expires unless it is renewed within ttl, and returns
--- a/kvstore/doc.go
+++ b/kvstore/doc.go
@@ -4,6 +4,6 @@
 // follows the changes of all keys.
 //
 // The error of a failed call says what is known of the call's outcome, so that the caller
-// can decide whether a retry is safe. [ErrRefused] means that the store did not execute
+// can decide whether a retry is safe. [ErrNotExecuted] means that the store did not execute
 // the request. [ErrOutcomeUnknown] means that the store may have executed it.
 package kvstore
--- a/kvstore/errors.go
+++ b/kvstore/errors.go
@@ -8,12 +8,13 @@
 // Errors of calls to the key-value store, to be tested with errors.Is. A failed
 // compare-and-swap is reported as a [ConflictError] instead.
 var (
-	// ErrRefused means that the store did not execute the request and never will, so a
-	// retry is safe.
-	ErrRefused = errors.New("kvstore: refused")
-	// ErrRateLimited means that the request was refused because it exceeds the store's
-	// rate limit or this controller's share of it. [Client] always returns it together
-	// with ErrRefused.
+	// ErrNotExecuted means that the store did not execute the request and never will, so a
+	// retry is safe: the request could not be sent, or the store refused it. A failed watch
+	// is reported in this way as well, because a watch changes nothing.
+	ErrNotExecuted = errors.New("kvstore: request not executed")
+	// ErrRateLimited means that the request was not executed because it exceeds the
+	// store's rate limit or this controller's share of it. [Client] always returns it
+	// together with ErrNotExecuted.
 	ErrRateLimited = errors.New("kvstore: rate limited")
 	// ErrOutcomeUnknown means that the store may have executed the request, or may still
 	// execute it later.
--- a/kvstore/retry.go
+++ b/kvstore/retry.go
@@ -9,13 +9,13 @@
 	"ravenport/constants"
 )
 
-// Retry repeats call as long as call returns ErrRefused and ctx has not ended, with
+// Retry repeats call as long as call returns ErrNotExecuted and ctx has not ended, with
 // exponential backoff and jitter. It returns the error of the last call.
 func Retry(ctx context.Context, call func() error) error {
 	delay := constants.RetryBackoffMin
 	for {
 		err := call()
-		if !errors.Is(err, ErrRefused) {
+		if !errors.Is(err, ErrNotExecuted) {
 			return err
 		}
 		if !sleep(ctx, withJitter(delay)) {
--- a/peer/relay.go
+++ b/peer/relay.go
@@ -45,7 +45,7 @@
 		return CommitReply{Outcome: OutcomeInvalid}
 	case errors.Is(err, kvstore.ErrRateLimited):
 		return CommitReply{Outcome: OutcomeRateLimited}
-	case errors.Is(err, kvstore.ErrRefused):
+	case errors.Is(err, kvstore.ErrNotExecuted):
 		return CommitReply{Outcome: OutcomeRefused}
 	}
 	return CommitReply{Outcome: OutcomeUnknown}
@@ -62,9 +62,9 @@
 	case OutcomeInvalid:
 		return 0, fmt.Errorf("%w: relayed", kvstore.ErrInvalidRequest)
 	case OutcomeRateLimited:
-		return 0, fmt.Errorf("%w: %w: relayed", kvstore.ErrRefused, kvstore.ErrRateLimited)
+		return 0, fmt.Errorf("%w: %w: relayed", kvstore.ErrNotExecuted, kvstore.ErrRateLimited)
 	case OutcomeRefused:
-		return 0, fmt.Errorf("%w: relayed", kvstore.ErrRefused)
+		return 0, fmt.Errorf("%w: relayed", kvstore.ErrNotExecuted)
 	}
 	return 0, fmt.Errorf("%w: relayed", kvstore.ErrOutcomeUnknown)
 }
@@ -72,8 +72,8 @@
 const commitMethod = "Commit"
 
 // Commit requests that the other controller carry out a transaction, and returns the
-// transaction's revision. Errors are those of package kvstore: ErrRefused if the other
-// controller's version does not have the method, and ErrOutcomeUnknown if the other
+// transaction's revision. Errors are those of package kvstore: ErrNotExecuted if the
+// other controller's version does not have the method, and ErrOutcomeUnknown if the other
 // controller did not reply.
 func (c *Client) Commit(ctx context.Context, t wire.Txn) (uint64, error) {
 	var reply CommitReply
@@ -82,7 +82,7 @@
 	case err == nil:
 		return reply.Result()
 	case isUnimplemented(err):
-		return 0, fmt.Errorf("%w: relay: %w", kvstore.ErrRefused, err)
+		return 0, fmt.Errorf("%w: relay: %w", kvstore.ErrNotExecuted, err)
 	}
 	return 0, fmt.Errorf("%w: relay: %w", kvstore.ErrOutcomeUnknown, err)
 }
--- a/peer/relay_test.go
+++ b/peer/relay_test.go
@@ -27,8 +27,8 @@
 			return NewCommitReply(7, <-results)
 		},
 	})
-	kinds := []error{kvstore.ErrRefused, kvstore.ErrRateLimited, kvstore.ErrOutcomeUnknown, kvstore.ErrInvalidRequest}
-	for _, want := range []error{nil, kvstore.ErrRefused, fmt.Errorf("%w: %w", kvstore.ErrRefused, kvstore.ErrRateLimited), kvstore.ErrOutcomeUnknown, kvstore.ErrInvalidRequest,
+	kinds := []error{kvstore.ErrNotExecuted, kvstore.ErrRateLimited, kvstore.ErrOutcomeUnknown, kvstore.ErrInvalidRequest}
+	for _, want := range []error{nil, kvstore.ErrNotExecuted, fmt.Errorf("%w: %w", kvstore.ErrNotExecuted, kvstore.ErrRateLimited), kvstore.ErrOutcomeUnknown, kvstore.ErrInvalidRequest,
 		&kvstore.ConflictError{Keys: []string{"k"}}, errors.New("something else")} {
 		results <- want
 		revision, err := client.Commit(t.Context(), txn)
--- a/shard/draining.go
+++ b/shard/draining.go
@@ -18,10 +18,11 @@
 	Budgets disruption.Budgets
 	Policy  drain.Policy
 
-	// SkipClaimProof and SkipStableTime disable two safety rules, so that a test can show
-	// that the rules are needed. With SkipClaimProof tasks are stopped without a claim.
-	// With SkipStableTime tasks count as available as soon as they run.
-	SkipClaimProof, SkipStableTime bool
+	// SkipClaimCheck and SkipStableTime disable two safety rules, so that a test can show
+	// that the rules are needed. With SkipClaimCheck tasks are stopped without a stored
+	// claim that covers them. With SkipStableTime tasks count as available as soon as
+	// they run.
+	SkipClaimCheck, SkipStableTime bool
 }
 
 // draining is the state of the drains and of the disruption budgets in the shard.
@@ -63,7 +64,7 @@
 			Term:           c.term,
 			Budgets:        cfg.Budgets,
 			StableAfter:    cfg.Policy.StableAfter,
-			SkipClaimProof: cfg.SkipClaimProof,
+			SkipClaimCheck: cfg.SkipClaimCheck,
 		}),
 	}
 	for _, j := range jobs {
--- a/shard/scale_test.go
+++ b/shard/scale_test.go
@@ -278,9 +278,9 @@
 	}
 }
 
-// newFullFleetRig returns the rig of an owner whose machines are full, with thousands of
-// tasks waiting.
-func newFullFleetRig(machines int) *testOwner {
+// newFullFleetTestOwner returns an owner whose machines are full, with thousands of tasks
+// waiting.
+func newFullFleetTestOwner(machines int) *testOwner {
 	r := newTestOwner(nil)
 	r.roundBudget = time.Hour
 	r.bringUpFleet(machines)
@@ -298,7 +298,7 @@
 // BenchmarkFullFleetRound measures a whole placement round on full machines with thousands
 // of tasks waiting.
 func BenchmarkFullFleetRound(b *testing.B) {
-	r := newFullFleetRig(1000)
+	r := newFullFleetTestOwner(1000)
 	b.ReportAllocs()
 	for b.Loop() {
 		r.needsPlacement = true
@@ -356,10 +356,10 @@
 	}
 }
 
-// newSteadyFleetRig returns the rig of an owner with one third of the machines of a small
+// newSteadyFleetTestOwner returns an owner with one third of the machines of a small
 // deployment. All tasks are placed and reported as running: two tasks of a service and two
 // tasks of an array per machine.
-func newSteadyFleetRig(machines int) *testOwner {
+func newSteadyFleetTestOwner(machines int) *testOwner {
 	r := newTestOwner(nil)
 	r.bringUpFleet(machines)
 	r.submit(arrayJob("run-1", 2*machines, "a"))
@@ -405,7 +405,7 @@
 // BenchmarkSteadyFleetSteps measures the steps of one second, at the interval of an owner
 // whose machines send heartbeats all the time, with nothing else to do.
 func BenchmarkSteadyFleetSteps(b *testing.B) {
-	r := newSteadyFleetRig(400)
+	r := newSteadyFleetTestOwner(400)
 	b.ReportAllocs()
 	for b.Loop() {
 		for i := range int(time.Second / constants.MinOwnerStepInterval) {
@@ -505,7 +505,7 @@
 // written, and the number of allocations is small and does not grow with the fleet.
 func TestIdleSecondCostsLittle(t *testing.T) {
 	cost := func(machines int) float64 {
-		r := newSteadyFleetRig(machines)
+		r := newSteadyFleetTestOwner(machines)
 		for range 5 {
 			r.stepIdleSecond()
 		}
@@ -526,7 +526,7 @@
 // In a round with full machines and hundreds of jobs waiting, the number of allocations grows
 // with the jobs and not with the tasks or the machines.
 func TestFullFleetRoundAllocatesLittle(t *testing.T) {
-	r := newFullFleetRig(400)
+	r := newFullFleetTestOwner(400)
 	n := testing.AllocsPerRun(50, func() {
 		r.needsPlacement = true
 		r.advance(20 * time.Millisecond)
@@ -572,7 +572,7 @@
 // Handling a heartbeat that changes nothing allocates no memory: an owner in a small
 // deployment receives a hundred of them per second.
 func TestUnchangedHeartbeatAllocatesNothing(t *testing.T) {
-	r := newSteadyFleetRig(50)
+	r := newSteadyFleetTestOwner(50)
 	heartbeat := newHeartbeat("m-00000", 1, 1000, r.latestToken("m-00000"))
 	for _, a := range r.machines["m-00000"].attempts {
 		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskRunning})
