--- a/constants/failover.go
+++ b/constants/failover.go
@@ -20,7 +20,10 @@
 	// controller does not reacquire its shard at once.
 	RevokedAcquisitionDelay = MaxSecondShardDelay + 2*time.Second
 	// FailbackCooldown is how long a controller that lost a shard because the shard's
-	// machines could not reach the controller does not get the shard back.
+	// machines could not reach the controller does not get the shard back. It is also how
+	// long leadership that was transferred away from a partitioned leader is not
+	// transferred for this reason again, and how long after a revocation a controller
+	// gets terms only if there is no other candidate (member.recentlyRevoked).
 	FailbackCooldown = 45 * time.Second
 	// FailbackMinUptime is how long a preferred controller must have been up before its
 	// shard is transferred back to it.
--- a/failover/ranking.go
+++ b/failover/ranking.go
@@ -1,9 +1,9 @@
 // Package failover ranks the controllers for a term that has no live holder, and limits
-// how often one controller takes over a shard. It is pure, and all controllers compute
-// the same ranking from the same records: the first controller acquires the term at
-// once, and each later controller only after the controllers before it had time to do
-// so. If the records of the controllers differ, the compare-and-swap transaction of the
-// acquisition decides.
+// how often one controller takes over a shard. The package does no I/O, and all
+// controllers compute the same ranking from the same records: the first controller
+// acquires the term at once, and each later controller only after the controllers before
+// it had time to do so. If the records of the controllers differ, the compare-and-swap
+// transaction of the acquisition decides.
 package failover
 
 import (
--- a/leader/aggregate.go
+++ b/leader/aggregate.go
@@ -11,7 +11,8 @@
 const roundingTolerance = 1e-6
 
 // FreeCapacity aggregates the free resources of a shard's machines of one kind (on-demand
-// or spot): sum, mean and standard deviation over the machines, as the paper defines them.
+// or spot): sum, mean and standard deviation over the machines, as the Oakestra paper
+// defines them.
 type FreeCapacity struct {
 	Machines int     `json:"n"`
 	CPUs     Moments `json:"c"`
@@ -46,10 +47,10 @@
 	Shard       string       `json:"part"`
 	Term        uint64       `json:"term"` // of the shard's owner
 	Revision    uint64       `json:"rev"`  // of the key-value store, up to which the figures reflect the records
-	OnDemand    FreeCapacity `json:"ord"`  // including machines that are being provisioned
+	OnDemand    FreeCapacity `json:"ord"`  // including the unused capacity of pending machines, which cannot run tasks yet
 	Spot        FreeCapacity `json:"spot"`
-	WaitingCPUs float64      `json:"wait"` // CPUs of waiting tasks for which no machines are being provisioned
-	// CanScaleOutOnDemand and CanScaleOutSpot say whether the shard can still rent
+	WaitingCPUs float64      `json:"wait"` // CPUs of waiting tasks that fit on no pending machine
+	// CanScaleOutOnDemand and CanScaleOutSpot say whether the shard can still request
 	// machines of the kind.
 	CanScaleOutOnDemand bool `json:"ro"`
 	CanScaleOutSpot     bool `json:"rs"`
@@ -57,10 +58,10 @@
 	// may preempt.
 	Preemptible float64 `json:"y"`
 	// Capacity is the total capacity (CPUs) of all machines that accept tasks or are
-	// being provisioned.
+	// pending.
 	Capacity float64 `json:"cap"`
 	// Warm maps each image to the free and preemptible on-demand capacity (CPUs) on
-	// machines that have already pulled the image.
+	// machines that hold the image.
 	Warm map[string]float64 `json:"w,omitempty"`
 	// Gangs maps each GangShape to the number of tasks of such a gang that could start now.
 	Gangs map[string]GangCapacity `json:"gangs,omitempty"`
--- a/leader/apply.go
+++ b/leader/apply.go
@@ -7,9 +7,9 @@
 	"ravenport/records"
 )
 
-// Tasks that an owner sent back are assigned again after a delay. The delay grows by
-// reassignmentDelay each time the job's tasks are sent back, up to maxDelaySteps times
-// reassignmentDelay.
+// Tasks that an owner offloaded to the leader are assigned again after a delay. The delay
+// grows by reassignmentDelay each time tasks of the job are offloaded, up to
+// maxDelaySteps times reassignmentDelay.
 const (
 	reassignmentDelay = 500 * time.Millisecond
 	maxDelaySteps     = 8
@@ -64,7 +64,8 @@
 	c.setReservedQuota(id, record.Spec.Team, quotaAmount{})
 	hasUnassigned := record.End == "" && len(record.Unassigned()) > 0
 	if job.record != nil && hasUnassigned && !job.hasUnassigned {
-		// An owner sent tasks back: try other shards, after a delay that grows each time.
+		// An owner offloaded tasks: other shards are tried after a delay that grows each
+		// time.
 		job.reassignments++
 		job.retryAt = now.Add(time.Duration(min(job.reassignments-1, maxDelaySteps)) * reassignmentDelay)
 	}
@@ -101,7 +102,7 @@
 }
 
 // ApplyCommitResult applies the result of a commit: the revision of the key-value store at
-// which the commit was written, or 0 if it is not known to have been written.
+// which the commit was written, or 0 if the commit is not known to have been written.
 func (c *Core) ApplyCommitResult(now time.Time, id string, urgent bool, revision uint64) {
 	if urgent {
 		c.urgentInFlight--
--- a/leader/assign.go
+++ b/leader/assign.go
@@ -25,8 +25,8 @@
 type plannedAssignment struct {
 	shard string
 	tasks int
-	// keepWaiting: the shard's owner queues tasks that do not fit now instead of sending
-	// them back to the leader.
+	// keepWaiting: the shard's owner queues tasks that do not fit now instead of
+	// offloading them to the leader.
 	keepWaiting bool
 }
 
--- a/leader/candidates.go
+++ b/leader/candidates.go
@@ -17,10 +17,10 @@
 	estimatedTasks int     // tasks of the job that could run now
 	freeCPUs       float64 // sum over the machines that the job may use
 	queuedCPUs     float64 // of tasks that wait in this shard
-	totalCPUs      float64 // of machines that are up, being provisioned or needed for the waiting tasks
-	canScaleOut    bool    // the shard can still rent machines of a kind that the job may use
+	totalCPUs      float64 // of machines that are up, pending or needed for the waiting tasks
+	canScaleOut    bool    // the shard can still request machines of a kind that the job may use
 	maxQueuedCPUs  float64 // bound on the CPUs of tasks that wait in this shard while it cannot scale out
-	warmTasks      int     // production tasks that could start without pulling their image
+	warmTasks      int     // production tasks that could start without fetching their image
 	gang           gangEstimate
 }
 
@@ -124,7 +124,7 @@
 }
 
 // estimateWarmTasks estimates how many production tasks of a job could start on machines
-// that have already pulled the job's image.
+// that hold the job's image.
 func (sh *shardState) estimateWarmTasks(s *wire.Submission) int {
 	if s.Priority != wire.PriorityProduction || s.CPUs <= 0 {
 		return 0
--- a/leader/core.go
+++ b/leader/core.go
@@ -54,7 +54,7 @@
 	record        *records.Job
 	version       uint64 // of the record
 	isInFlight    bool   // a commit of the job has no result yet
-	reassignments int    // how many times owners sent tasks back
+	reassignments int    // how many times owners offloaded tasks of the job
 	retryAt       time.Time
 	hasUnassigned bool        // some tasks are in no assignment
 	openQuota     quotaAmount // used by the job's open assignments
@@ -99,14 +99,14 @@
 }
 
 // SetRoundClock replaces the clock that measures a round. Tests use it because with the
-// real clock, on a busy machine, each run would end its rounds after different jobs.
+// real clock, on a busy computer, each run would end its rounds after different jobs.
 func (c *Core) SetRoundClock(clock func() time.Time) { c.roundClock = clock }
 
 // SetAuthority sets the time until which the leader may assign tasks.
 func (c *Core) SetAuthority(until time.Time) { c.authorityUntil = until }
 
 // EnablePacking allows the packed encoding of records. The caller must know that no process
-// of the previous version, which cannot read this encoding, can join any more.
+// of the previous version, which cannot read this encoding, can start any more.
 func (c *Core) EnablePacking() { c.sizeLimits.PackingEnabled = true }
 
 // Step runs one round: it assigns tasks of the waiting jobs in the order of their rank
@@ -178,8 +178,8 @@
 // hasInFlightSlot reports whether one more commit of the job's kind may be in flight. The
 // bound allows jobs of a higher rank that arrive later to go first once some commits have
 // been written. The bound on urgent commits is low: each is retried until it is written,
-// and at a cold start hundreds of them used up the key-value store's request allowance at
-// the expense of all other requests.
+// and at a cold start hundreds of them used up the key-value store's rate limit at the
+// expense of all other requests.
 func (c *Core) hasInFlightSlot(job *jobState) bool {
 	if job.record.Spec.AllOrNothing() {
 		return c.urgentInFlight < constants.MaxUrgentInFlight
--- a/leader/core_test.go
+++ b/leader/core_test.go
@@ -34,7 +34,7 @@
 	now := time.Unix(1000, 0)
 	core := New(testSettings(), 1, now, nil, nil)
 	core.SetAuthority(now.Add(time.Hour))
-	core.SetRoundClock(func() time.Time { return now }) // on a busy machine the real clock would end the round early
+	core.SetRoundClock(func() time.Time { return now }) // on a busy computer the real clock would end the round early
 	for _, zone := range []string{"a", "b", "c"} {
 		core.ApplyAggregate(now, testAggregate(zone, 1, 16, 1))
 	}
--- a/leader/forecast.go
+++ b/leader/forecast.go
@@ -9,13 +9,13 @@
 )
 
 // Forecast is the work that the leader expects to assign to a shard soon. The work waits
-// for the key-value store's request allowance and not for a decision of the leader, so the
+// because of the key-value store's rate limit and not for a decision of the leader, so the
 // shard's owner can scale out for it in the meantime.
 type Forecast struct {
 	Revision uint64  `json:"rev"`  // of the key-value store; assignments written later are part of the forecast
 	Spot     float64 `json:"spot"` // CPUs of tasks that may run on spot machines
 	OnDemand float64 `json:"ord"`  // CPUs of tasks that may not run on spot machines
-	// TeamsAtLimit lists the teams whose quota limit keeps jobs waiting. The owner records
+	// TeamsAtLimit lists the teams whose quota limit keeps jobs waiting. The owner closes
 	// finished tasks of these teams at once, without waiting for the rest of the
 	// assignment.
 	TeamsAtLimit []string `json:"held,omitempty"`
@@ -65,7 +65,7 @@
 	for _, job := range c.unassigned {
 		s := &job.record.Spec
 		if jobAge(now, job.record) < constants.ForecastMinWait {
-			continue // likely to be assigned at once, and the owner may not have to scale out for it
+			continue // the job is likely to be assigned at once, and the owner may not have to scale out for the job
 		}
 		n := c.tasksWithinLimit(s, records.TasksIn(job.record.Unassigned()))
 		if s.Zone == "" {
--- a/leader/gang.go
+++ b/leader/gang.go
@@ -14,11 +14,11 @@
 
 // GangCapacity is how many tasks of a gang of one shape a shard could start now. Sums of
 // free capacity do not show this: a gang needs the capacity for all its tasks at the same
-// time, so machines that are being provisioned, and free capacity on a machine that is too
-// small for a task, do not count.
+// time, so pending machines, and free capacity on a machine that is too small for a task,
+// do not count.
 type GangCapacity struct {
 	Now  int `json:"n"`
-	Warm int `json:"w,omitempty"` // of those tasks, on machines that have pulled the image
+	Warm int `json:"w,omitempty"` // of those tasks, on machines that hold the image
 }
 
 // GangShape returns a key made of all properties of a gang that its GangCapacity depends
@@ -30,7 +30,7 @@
 // gangEstimate holds the figures by which a shard is ranked for a gang.
 type gangEstimate struct {
 	startable    int     // tasks that could start now
-	warm         int     // of those tasks, on machines that have pulled the image
+	warm         int     // of those tasks, on machines that hold the image
 	reservedCPUs float64 // free CPUs that are reserved for gangs
 }
 
@@ -63,8 +63,8 @@
 
 // Values of gangReadiness.
 const (
-	startsWarm       gangReadiness = iota // starts now, on machines that have pulled the image
-	startsCold                            // starts now, but some machines have to pull the image
+	startsWarm       gangReadiness = iota // starts now, on machines that hold the image
+	startsCold                            // starts now, but some machines have to fetch the image
 	fitsAndScalesOut                      // fits by estimate, and the shard can scale out
 	scalesOut                             // does not fit, but the shard can scale out
 	fitsOnly                              // fits by estimate, but the shard cannot scale out
@@ -122,7 +122,7 @@
 func (c *Core) planGang(now time.Time, job *jobState) []plannedAssignment {
 	s := &job.record.Spec
 	if len(job.record.Assignments) > 0 {
-		return nil // some tasks are still in assignments that owners have not sent back
+		return nil // some tasks are still in assignments to shards
 	}
 	list, ok := c.candidates(now, job)
 	if !ok {
@@ -191,9 +191,9 @@
 
 // closeUnassignedIfDone closes the unassigned tasks of a gang if another assignment of the
 // gang is closed already, and reports whether it did so. A closed assignment shows that its
-// owner found the whole gang done. Without this, tasks that lost their machine while the
-// gang completed, and that their owner sent back before the completion was known, would
-// wait for the rest of the gang forever.
+// owner found the whole gang done. Without this, tasks whose machine failed while the gang
+// completed, and that their owner offloaded before the completion was known, would wait for
+// the rest of the gang forever.
 func closeUnassignedIfDone(record *records.Job) bool {
 	if !slices.ContainsFunc(record.Assignments, func(a records.Assignment) bool { return a.Closed }) {
 		return false
--- a/leader/gang_test.go
+++ b/leader/gang_test.go
@@ -49,8 +49,8 @@
 }
 
 // A gang that must not be in one shard is spread over several. Its attempt number increases
-// with each assignment, and the gang is assigned again only after owners have sent all of
-// its tasks back.
+// with each assignment, and the gang is assigned again only after owners have offloaded all
+// of its tasks.
 func TestSpreadGangIsNumbered(t *testing.T) {
 	now, set, core := newTestLeader()
 	job := gangJob(5)
@@ -123,7 +123,7 @@
 
 // The number of urgent commits in flight is bounded, however many services wait at a cold
 // start. Urgent commits are retried until they are written, and hundreds of them used up
-// the key-value store's request allowance at the expense of leases and all other writes.
+// the key-value store's rate limit at the expense of leases and all other writes.
 func TestFewUrgentAssignmentsAtOnce(t *testing.T) {
 	now, set, core := newTestLeader()
 	for _, zone := range set.Deployment.Zones {
@@ -160,7 +160,7 @@
 	}
 }
 
-// If an owner sent tasks of a gang back while the gang completed in another shard, the
+// If an owner offloaded tasks of a gang while the gang completed in another shard, the
 // leader closes those tasks: a closed assignment shows that the whole gang is done.
 // Otherwise the gang is done but is never reported as done.
 func TestRestOfDoneGangIsClosed(t *testing.T) {
--- a/leader/plan.go
+++ b/leader/plan.go
@@ -8,8 +8,8 @@
 	"ravenport/wire"
 )
 
-// reassignmentsBeforeKeepWaiting: if owners have sent tasks of a job back to the leader
-// more often than this, the next owner keeps the tasks until it has capacity.
+// reassignmentsBeforeKeepWaiting: if owners have offloaded tasks of a job more often than
+// this, the next owner keeps the tasks until it has capacity.
 const reassignmentsBeforeKeepWaiting = 2
 
 // minQueuedTaskCPUs is the minimum size (CPUs) with which a task counts towards the bounds
@@ -37,7 +37,7 @@
 }
 
 // rankByFit ranks shards for n tasks. Shards where more production tasks could start
-// without pulling their image come first, since the tasks start at once there. Next come
+// without fetching their image come first, since the tasks start at once there. Next come
 // the shards that fit all tasks, the one with the least capacity left afterwards first, and
 // then the other shards by how many tasks they fit. cpus is the size of all n tasks.
 func rankByFit(list []*candidate, n int, cpus float64) {
@@ -118,9 +118,9 @@
 	// waiting task costs the owner time in every round.
 	space := min(constants.MaxQueuedTasks, max(0, int((constants.MaxQueuedCPUs-k.queuedCPUs)/taskCPUs)))
 	if !k.canScaleOut && k.isFresh && !s.IsService() {
-		// The shard cannot rent more machines, so the tasks wait with the leader for
-		// the first free capacity of any shard. A few tasks still wait with the owner,
-		// so that capacity that becomes free in this shard is used again at once.
+		// The shard cannot request more machines, so the tasks wait with the leader for
+		// the first free capacity of any shard. A few tasks still wait with the owner, so
+		// that capacity that becomes free in this shard is used again at once.
 		space = min(space, int((k.maxQueuedCPUs-k.queuedCPUs)/taskCPUs))
 	}
 	return space
--- a/leader/quota_test.go
+++ b/leader/quota_test.go
@@ -48,7 +48,7 @@
 	m.store.put(&records.Job{ID: s.ID, Spec: s})
 }
 
-// changeAssignment simulates an owner that closes an assignment or sends it back.
+// changeAssignment simulates an owner that closes an assignment or offloads its tasks.
 func (m *limitsModel) changeAssignment(t *rapid.T) {
 	for id, stored := range m.store.jobs {
 		if len(stored.Assignments) == 0 || rapid.Bool().Draw(t, "skip") {
--- a/leader/scale_test.go
+++ b/leader/scale_test.go
@@ -27,7 +27,7 @@
 	for _, zone := range []string{"a", "b", "c"} {
 		core.ApplyAggregate(now, testAggregate(zone, 1, 6400, 400))
 	}
-	// On a slow machine a round may exceed its time budget and end early.
+	// On a slow computer a round may exceed its time budget and end early.
 	for i := 0; i < 1000 && (core.urgentInFlight < constants.MaxUrgentInFlight || core.nonUrgentInFlight < constants.MaxAssignmentsInFlight); i++ {
 		core.Step(now)
 	}
--- a/member/acquisition.go
+++ b/member/acquisition.go
@@ -45,7 +45,7 @@
 		}
 		// A shard is not failed back to a revoked owner during the failback cooldown.
 		// Leadership is never failed back, and the cooldown must not prevent the next
-		// leader from transferring it if that leader is cut off as well.
+		// leader from transferring it if that leader is partitioned as well.
 		previousUnreachable := isShardKey(key) && c.revokedAuthorityEnded(now, key)
 		due = append(due, c.acquisition(key, c.self, previousUnreachable))
 		if isShardKey(key) {
--- a/member/core.go
+++ b/member/core.go
@@ -1,7 +1,8 @@
 // Package member decides which controller leads and which controller owns each shard. It
-// is pure: its input is records of the store and monotonic time, its output is
-// compare-and-swap transactions that acquire or transfer a term. The caller commits
-// them; a transaction whose conditions no longer hold changes nothing.
+// does no I/O: its inputs are records of the key-value store and monotonic time, and its
+// outputs are compare-and-swap transactions that acquire or transfer a term. The caller
+// commits the transactions. A transaction whose conditions are no longer met changes
+// nothing.
 package member
 
 import (
@@ -16,7 +17,7 @@
 // Controller is one of the deployment's controllers.
 type Controller = failover.Controller
 
-// Core mirrors the records of controllers, terms and revocations that the store's feed
+// Core holds the records of controllers, terms and revocations that the store's feed
 // delivers. It must be used by a single goroutine.
 type Core struct {
 	self          string
@@ -70,11 +71,12 @@
 
 // SetSecondShardDelay sets how long a controller that owns a shard waits before it
 // acquires another vacant shard. The other shard's own controller may have restarted by
-// then. Without the delay, a small machine that takes over all shards at once falls
-// behind with all its work, submissions included, for as long as that restart takes.
+// then. Without the delay, a controller on a small computer that takes over all shards at
+// once would delay all its work, including submissions, for as long as that restart
+// takes.
 func (c *Core) SetSecondShardDelay(d time.Duration) { c.secondShardDelay = d }
 
-// Apply updates the mirror with a change from the feed.
+// Apply applies a change from the feed.
 func (c *Core) Apply(now time.Time, change records.Change) {
 	switch record := change.Record.(type) {
 	case *records.Controller:
--- a/member/core_test.go
+++ b/member/core_test.go
@@ -209,9 +209,9 @@
 	}
 }
 
-// A controller that owns a shard leaves a second shard to that shard's own controller
-// for the configured delay, and no longer. A controller without a shard acquires one at
-// once, and only one of two vacant shards.
+// A controller that owns a shard leaves a second vacant shard to that shard's own
+// controller for the configured delay, and no longer. A controller without a shard
+// acquires one at once, and only one of two vacant shards.
 func TestSecondShardAcquisitionIsDelayed(t *testing.T) {
 	const wait = 4 * time.Second
 	now := time.Unix(1000, 0)
@@ -240,11 +240,11 @@
 		return acquired
 	}
 	if acquired := acquireShards(true); len(acquired) != 1 || acquired[key] < wait || acquired[key] > wait+time.Second {
-		t.Errorf("a controller with a shard acquires %v, wanted the other shard after %s", acquired, wait)
+		t.Errorf("a controller with a shard acquires %v, want the other shard after %s", acquired, wait)
 	}
 	acquired := acquireShards(false)
 	first, second := min(acquired[records.KeyShard("a")], acquired[key]), max(acquired[records.KeyShard("a")], acquired[key])
 	if len(acquired) != 2 || first > 2*constants.AcquisitionRankDelay || second < wait || second > wait+time.Second {
-		t.Errorf("a controller without a shard acquires %v, wanted one at once and one after %s", acquired, wait)
+		t.Errorf("a controller without a shard acquires %v, want one at once and one after %s", acquired, wait)
 	}
 }
--- a/member/revocation_test.go
+++ b/member/revocation_test.go
@@ -244,8 +244,8 @@
 	}
 }
 
-// A leader that took over from a revoked leader, and is then cut off itself, transfers
-// the leadership at once, and not to the revoked controller.
+// A leader that took over from a revoked leader, and is then partitioned itself,
+// transfers the leadership at once, and not to the revoked controller.
 func TestLeaderAfterRevocationTransfersAtOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	sim := newSimWithDetection(now, 3*time.Second)
--- a/member/transfer.go
+++ b/member/transfer.go
@@ -8,11 +8,11 @@
 )
 
 // TransferAway returns the acquisition that gives a term of this controller to the most
-// preferred other candidate, for use when this controller is cut off from the machines
-// or controllers that the term is about. There is no acquisition if no other candidate
-// is alive. There is none either for a leadership that was transferred for the same
-// reason within the failback cooldown: if no controller can reach another, the
-// leadership would be transferred endlessly.
+// preferred other candidate, for use when this controller is partitioned from the
+// machines or controllers that the term concerns. There is no acquisition if no other
+// candidate is alive. There is none either for a leadership that was transferred for the
+// same reason within the failback cooldown: if no controller can reach another, the
+// leadership would otherwise be transferred endlessly.
 func (c *Core) TransferAway(now time.Time, key string) (TermAcquisition, bool) {
 	if !isShardKey(key) && c.inFailbackCooldown(now, key) {
 		return TermAcquisition{}, false
--- a/records/controller.go
+++ b/records/controller.go
@@ -7,8 +7,8 @@
 	Incarnation uint64 `json:"inc"` // incarnation of the process
 	// ReadsPacked means that the version of the process can read packed job records.
 	ReadsPacked bool `json:"pack,omitempty"`
-	// LeaseTTLMS is the time to live of the process's lease (ms) if the process obeys
-	// revocations. It is 0 if the process does not; such a process must not be revoked.
+	// LeaseTTLMS is the time to live of the process's lease (ms) if the process supports
+	// revocation. It is 0 if the process does not; such a process must not be revoked.
 	LeaseTTLMS int64 `json:"life,omitempty"`
 }
 
--- a/records/job.go
+++ b/records/job.go
@@ -29,9 +29,9 @@
 	// Closed means that every task of the range is done or, if the job has ended, is known
 	// to be on no machine any more. A closed assignment uses no capacity.
 	Closed bool `json:"c,omitempty"`
-	// KeepWaiting means that other shards have been asked or are known to be full. The
-	// owner therefore waits for capacity or scales out instead of returning the tasks to
-	// the leader.
+	// KeepWaiting means that owners have offloaded tasks of the job repeatedly, or that
+	// no shard is known to have capacity for the tasks. The owner therefore waits for
+	// capacity or scales out instead of offloading the tasks to the leader.
 	KeepWaiting bool `json:"k,omitempty"`
 	// Guaranteed means that the tasks were within the team's guaranteed quota when the
 	// leader assigned them.
--- a/shard/attempt.go
+++ b/shard/attempt.go
@@ -101,7 +101,7 @@
 		if t := j.tasks[a.taskIndex]; t != nil && t.attempt == a {
 			t.attempt = nil
 			t.waitingSince = now
-			t.keepWaiting = false // the task has lost its machine: if it does not fit here, it is offloaded to the leader at once
+			t.keepWaiting = false // the machine of the task has failed: if the task does not fit in this shard, it is offloaded to the leader at once
 			if j.gang != nil {
 				c.handleLostGangTask(j, a)
 			}
--- a/shard/bestfit.go
+++ b/shard/bestfit.go
@@ -27,8 +27,8 @@
 	return 1
 }
 
-// rankCandidates returns the machines that have free capacity for a task of a job, in
-// the order in which the machines are filled. The order is best fit, which the paper
+// rankCandidates returns the machines that have free capacity for a task of a job, in the
+// order in which the machines are filled. The order is best fit, which the Oakestra paper
 // calls Resource-Only Match. A machine that received a task has less free capacity and
 // therefore remains the best fit for the job's next task until the machine is full.
 // Machines that hold the image come first. Where both kinds are allowed, spot machines
--- a/shard/cancellation_test.go
+++ b/shard/cancellation_test.go
@@ -89,8 +89,8 @@
 // A stop without a reply is repeated with every probe of the machine. In another generated
 // scenario (1 of 1,592 runs) the log had "direct command sent stop:run-000006/0" once, then 3
 // times "direct command carried out" with no command at all, each of them a delayed probe.
-// The machine was cut off from its owner for two seconds after the cancellation, carried out
-// probes without a command, and hung through an outage.
+// The machine was partitioned from its owner for two seconds after the cancellation, carried
+// out probes without a command, and hung through an outage.
 func TestProbesRepeatStopsOfCancelledTasks(t *testing.T) {
 	job := arrayJob("run-1", 1, "a")
 	r := newTestOwner(map[string]*records.Job{"run-1": job})
--- a/shard/cloudlist.go
+++ b/shard/cloudlist.go
@@ -84,6 +84,6 @@
 }
 
 // isDelisted reports whether the cloud has stopped listing a machine, which was most likely
-// terminated. That is no proof, since a list may be old; but an unreachable machine that is
-// still listed is more likely partitioned.
+// terminated. This is not proof, because a list may be outdated. An unreachable machine
+// that is still listed is more likely partitioned.
 func (m *machine) isDelisted() bool { return m.missedLists >= constants.DelistedAfterLists }
--- a/shard/core_test.go
+++ b/shard/core_test.go
@@ -137,7 +137,7 @@
 }
 
 // A task that existed before the term is placed only after every inherited machine has
-// reported a token of the owner or the machine's lease has surely expired. A task
+// reported a token of the owner or the machine's lease has expired for certain. A task
 // assigned during the term starts at once.
 func TestFailoverWaitsForInheritedMachines(t *testing.T) {
 	old := arrayJob("run-1", 1, "a")
@@ -150,7 +150,7 @@
 	r.submit(arrayJob("run-2", 1, "a"))
 	actions = r.advance(time.Second)
 	if s := directStarts(actions, "m-2"); len(s) != 1 || s[0].Task != "run-2/0" {
-		t.Fatalf("started %v, wanted only the new task", s)
+		t.Fatalf("started %v, want only the new task", s)
 	}
 	for d := 2 * time.Second; d < leaseTimeout; d += time.Second {
 		if s := directStarts(r.advance(time.Second), "m-2"); len(s) > 0 && s[0].Task == "run-1/0" {
@@ -201,8 +201,8 @@
 	}
 }
 
-// The owner has a worker forget an exited attempt that a direct command started only
-// under a higher token. Otherwise a late copy of the start command would start the
+// An exited attempt that a direct command started is forgotten by its worker only on a
+// command with a higher token. Otherwise a late copy of the start command would start the
 // attempt again.
 func TestDirectStartIsForgottenOnlyUnderHigherToken(t *testing.T) {
 	r := newTestOwner(nil)
@@ -227,10 +227,10 @@
 	}
 }
 
-// Guards against two failures that generated days found: a reply renewed a lease, and
-// the owner did not count the renewal. The first was for a machine whose termination was
-// requested, the second for an epoch that the owner learned from the reply to a direct
-// command.
+// Guards against two faults that randomly generated scenarios found: a reply renewed a
+// lease, and the owner did not count the renewal. The first was for a machine whose
+// termination was requested, the second for an epoch that the owner learned from the
+// reply to a direct command.
 func TestLeaseIsCountedFromEveryReply(t *testing.T) {
 	t.Run("returning", func(t *testing.T) {
 		r := newTestOwner(nil)
@@ -342,7 +342,7 @@
 		}
 	}
 	if !terminated["m-0"] || len(terminated) != 1 {
-		t.Fatalf("terminated %v, wanted m-0 alone", terminated)
+		t.Fatalf("terminated %v, want m-0 alone", terminated)
 	}
 	for range 80 {
 		r.advance(100 * time.Millisecond)
@@ -440,7 +440,7 @@
 	status.State, status.Cause, status.Checkpointed = wire.TaskExited, wire.CauseStopped, true
 	r.CommandResult(r.now, "m-1", newHeartbeat("m-1", 1, 11, token(r.term, 0), status))
 	if s := directStarts(r.advance(time.Second), "m-1"); len(s) != 1 || s[0].Task != "run-2/0" {
-		t.Fatalf("started %v, wanted run-2/0", s)
+		t.Fatalf("started %v, want run-2/0", s)
 	}
 }
 
@@ -481,8 +481,8 @@
 
 // Without authority an owner extends its machines' leases for the lease extension and
 // sends no commands. Its successor counts a machine's lease from the end of that
-// extension, unless the machine has reported the successor's token and so drops old
-// replies.
+// extension, unless the machine has reported the successor's token and therefore ignores
+// older replies.
 func TestLeaseExtensionIsCountedByTheNextOwner(t *testing.T) {
 	const leaseExtension = 15 * time.Second
 	old := newTestOwner(map[string]*records.Job{"run-1": arrayJob("run-1", 2, "a")})
@@ -505,7 +505,7 @@
 		last = old.now
 	}
 	if d := last.Sub(authorityEnd); d < leaseExtension-3*time.Second || d > leaseExtension {
-		t.Fatalf("leases extended for %s, wanted about %s", d, leaseExtension)
+		t.Fatalf("leases extended for %s, want about %s", d, leaseExtension)
 	}
 	for name, showsNewToken := range map[string]bool{"unreachable": false, "shows the new token": true} {
 		t.Run(name, func(t *testing.T) {
@@ -523,7 +523,7 @@
 			m := next.machines["m-0"]
 			ends := m.leaseExpiresAt.Sub(authorityEnd)
 			if showsNewToken && ends != leaseTimeout || !showsNewToken && (ends < leaseExtension+leaseTimeout || m.leaseExpiresAt.Before(last.Add(leaseTimeout))) {
-				t.Fatalf("its lease counts as expired %s after the term was acquired", ends)
+				t.Fatalf("the machine's lease counts as expired %s after the term was acquired", ends)
 			}
 		})
 	}
@@ -600,7 +600,7 @@
 // A task was kept in its shard because no shard had capacity. Once the task has waited
 // for long and another shard has capacity for a single task, the owner offloads the task
 // to the leader. That holds even if the shard may still scale out, because the cloud may
-// refuse machines for ever.
+// refuse machines forever.
 func TestLongWaitGoesToShardWithCapacity(t *testing.T) {
 	for _, freeCPUs := range []float64{0, 4} {
 		j := arrayJob("run-1", 2, "a")
@@ -656,7 +656,7 @@
 	}
 	reply, err := r.Heartbeat(r.now, newHeartbeat("m-1", 1, 3, r.latestToken("m-1"), statuses...))
 	if err != nil || len(reply.Commands) != 2 || reply.Commands[0].Op != wire.OpStop {
-		t.Fatalf("answered %+v, wanted two stops", reply.Commands)
+		t.Fatalf("answered %+v, want two stops", reply.Commands)
 	}
 	for i := range statuses {
 		statuses[i].State, statuses[i].Cause = wire.TaskExited, wire.CauseStopped
@@ -711,7 +711,7 @@
 			}
 		})
 		if want := map[bool]int{true: 0, false: 2}[copied]; len(terminated) != want {
-			t.Errorf("copied %v: terminated %v, wanted %d", copied, terminated, want)
+			t.Errorf("copied %v: terminated %v, want %d", copied, terminated, want)
 		}
 	}
 }
--- a/shard/directcommands.go
+++ b/shard/directcommands.go
@@ -93,8 +93,8 @@
 }
 
 // needsProbe reports whether a machine has to be probed: an inherited machine to learn its
-// attempts, once the machine has had the time to send a heartbeat by itself; a machine with
-// an overdue heartbeat, or whose lease expired without a heartbeat, to learn whether it runs;
+// attempts, once the machine has had time to send a heartbeat unprompted; a machine with an
+// overdue heartbeat, or whose lease expired without a heartbeat, to learn whether it runs;
 // and an unconfirmed machine to learn whether it receives commands.
 func (v *fleetView) needsProbe(now time.Time, m *machine) bool {
 	switch {
--- a/shard/draining.go
+++ b/shard/draining.go
@@ -29,7 +29,7 @@
 type draining struct {
 	cfg            DrainingConfig
 	ledger         *disruption.Ledger
-	drains         map[int]*drain.ShardDrain // drains that are not over, by number
+	drains         map[int]*drain.ShardDrain // drains that have not ended, by number
 	damagedRecords map[int]bool              // numbers of drains whose record cannot be read
 	waitReasons    map[int]string            // by drain number: what the drain waits for; part of its status
 	drainPace      pace                      // limits how often advanceDrains runs
@@ -48,8 +48,9 @@
 	firstMachineOffset int                    // incremented in each step, so that each step begins with another machine
 }
 
-// StartDraining has the owner drain machines and account for disruptions in its shard. jobs
-// holds the records of all jobs, and changes holds the stored drains, claims and terms.
+// StartDraining makes the owner drain machines and account for disruptions in its shard.
+// jobs holds the records of all jobs, and changes holds the stored drains, claims and
+// terms.
 func (c *Core) StartDraining(now time.Time, cfg DrainingConfig, jobs map[string]*records.Job, changes []records.Change) {
 	c.draining = &draining{
 		cfg:            cfg,
@@ -117,7 +118,7 @@
 	}
 }
 
-// drainNumbers lists the numbers of the drains that are not over, in ascending order.
+// drainNumbers lists the numbers of the drains that have not ended, in ascending order.
 func (d *draining) drainNumbers() []int {
 	return slices.Sorted(maps.Keys(d.drains))
 }
--- a/shard/gang_test.go
+++ b/shard/gang_test.go
@@ -195,7 +195,7 @@
 		restarted := h.advanceWithHeartbeats(2 * time.Second)
 		if !hasRun {
 			if len(restarted) != 2 || restarted[0].Attempt != s[0].Attempt || restarted[1].Attempt != s[0].Attempt {
-				t.Fatalf("replaced by %v, wanted two under %d", restarted, s[0].Attempt)
+				t.Fatalf("replaced by %v, want two under %d", restarted, s[0].Attempt)
 			}
 			continue
 		}
@@ -203,7 +203,7 @@
 			t.Fatalf("%v started while the old attempt is on a machine", restarted)
 		}
 		if len(h.stopGraces) != 4 || h.stopGraces["run-1/0"] != 0 {
-			t.Fatalf("stops %v, wanted four without time for a checkpoint", h.stopGraces)
+			t.Fatalf("stops %v, want four without time for a checkpoint", h.stopGraces)
 		}
 		h.setStates(other, wire.TaskExited, wire.CauseGangPeerLost)
 		restarted = h.advanceWithHeartbeats(3 * time.Second)
@@ -281,7 +281,7 @@
 	h.stopGangWithCheckpoint(h.jobs["run-1"], "test")
 	h.advanceWithHeartbeats(time.Second)
 	if len(h.stopGraces) != 6 || h.stopGraces["run-1/0"] < 3 {
-		t.Fatalf("stops %v, wanted six with time for a checkpoint", h.stopGraces)
+		t.Fatalf("stops %v, want six with time for a checkpoint", h.stopGraces)
 	}
 	for m := range h.seqs {
 		h.setStates(m, wire.TaskSaving, "")
@@ -308,7 +308,7 @@
 	h.submit(gangJob("run-2", 4, "a"))
 	h.advanceWithHeartbeats(time.Second)
 	if !h.machines["m-1"].spot || h.machines["m-1"].reservedForGangs || !h.machines["m-2"].reservedForGangs {
-		t.Fatalf("reserved: spot %v, on-demand %v; wanted the on-demand machine", h.machines["m-1"].reservedForGangs, h.machines["m-2"].reservedForGangs)
+		t.Fatalf("reserved: spot %v, on-demand %v; want the on-demand machine", h.machines["m-1"].reservedForGangs, h.machines["m-2"].reservedForGangs)
 	}
 }
 
@@ -334,7 +334,7 @@
 	h = newFakeWorkers(newTestOwner(nil), "m-1")
 	h.submit(job())
 	if s := h.advanceWithHeartbeats(time.Second); len(s) != 2 || s[0].Attempt != 1 {
-		t.Fatalf("started %v, wanted two tasks under the leader's number", s)
+		t.Fatalf("started %v, want two tasks under the leader's number", s)
 	}
 	h.setStates("m-1", wire.TaskWaitingForGang, "")
 	ownShare := job()
@@ -342,7 +342,7 @@
 	h.submit(ownShare)
 	h.advanceWithHeartbeats(time.Second)
 	if len(h.stopGraces) != 2 {
-		t.Fatalf("stops %v, wanted both tasks of the share", h.stopGraces)
+		t.Fatalf("stops %v, want both tasks of the share", h.stopGraces)
 	}
 	h.setStates("m-1", wire.TaskExited, wire.CauseStopped)
 	if s := h.advanceWithHeartbeats(5 * time.Second); len(s) > 0 || !isOffloaded(h) {
--- a/shard/heartbeat.go
+++ b/shard/heartbeat.go
@@ -10,7 +10,7 @@
 )
 
 // Heartbeat handles a worker's heartbeat and returns the reply to it. An error is the reason
-// why the owner must not answer the heartbeat, or why the heartbeat proves nothing:
+// why the owner must not answer the heartbeat, or why it ignores the heartbeat as outdated:
 // ErrUnknownShard, ErrFenced, ErrNoAuthority, ErrMachineTerminated or ErrStaleHeartbeat.
 func (c *Core) Heartbeat(now time.Time, heartbeat *wire.Heartbeat) (reply wire.HeartbeatReply, err error) {
 	if heartbeat.Zone != c.cfg.Shard {
@@ -28,9 +28,10 @@
 	if _, terminated := c.terminated[heartbeat.Machine]; terminated {
 		return reply, ErrMachineTerminated // the heartbeat was delayed in the network: a terminated machine does not return
 	}
-	// A machine whose termination was requested is answered like any other until the cloud
-	// confirms the termination. Otherwise a reply could renew the machine's lease while the
-	// owner does not count the reply and assumes that the lease has expired.
+	// The heartbeats of a machine whose termination was requested are answered as before
+	// until the cloud confirms the termination. Otherwise a reply could renew the machine's
+	// lease while the owner does not count the reply and assumes that the lease has
+	// expired.
 	m := c.ensureMachine(heartbeat.Machine)
 	if !m.isNewer(heartbeat) {
 		return reply, ErrStaleHeartbeat // a late or duplicate heartbeat: its content is ignored
--- a/shard/inventory.go
+++ b/shard/inventory.go
@@ -41,8 +41,8 @@
 	p.add(entry.Name)
 	m.durable, m.durableAddr = true, entry.Addr
 	if entry.Terminating {
-		c.markClosed(m)
-	} else if m.closure.decided {
+		c.markDurablyTerminating(m)
+	} else if m.terminationMark.decided {
 		p.dirty = true // a previous version that does not know the field Terminating has dropped it
 	}
 	if m.addr == "" {
@@ -107,7 +107,7 @@
 			Spot:        m.spot,
 			Addr:        m.addr,
 			RequestedS:  m.requestedAt.Unix(),
-			Terminating: m.closure.decided,
+			Terminating: m.terminationMark.decided,
 		})
 	}
 	sort.Slice(entries, func(a, b int) bool { return entries[a].Name < entries[b].Name })
@@ -212,7 +212,7 @@
 			if m := c.machines[e.Name]; m != nil {
 				m.durable, m.durableAddr = true, e.Addr
 				if e.Terminating {
-					c.markClosed(m)
+					c.markDurablyTerminating(m)
 				}
 			}
 		}
--- a/shard/job.go
+++ b/shard/job.go
@@ -20,7 +20,7 @@
 	closeAt        time.Time       // when finished assignments are closed even if others in this shard are not finished; zero: not planned
 	failedMachines map[string]bool // machines on which tasks of the job failed
 
-	gang          *gang     // nil: the job is no gang
+	gang          *gang     // nil: the job is not a gang
 	gangArrivedAt time.Time // when the gang was assigned to the shard
 
 	hasStarted   bool    // a task of the job has started or is done, in this shard or another
--- a/shard/machine.go
+++ b/shard/machine.go
@@ -42,7 +42,7 @@
 	requestedAt      time.Time // time at which the machine was requested, or from which its boot time is counted
 	idleSince        time.Time
 	scalingIn        bool
-	closure          machineClosure
+	terminationMark  terminationMark
 	cordon           *cordon // not nil: the machine receives no new tasks
 	selectedByDrain  bool    // a running drain selects the machine: a task placed here would have to move again
 	consolidating    bool    // the tasks of the machine move to other machines; new tasks are placed here last
--- a/shard/migration.go
+++ b/shard/migration.go
@@ -157,7 +157,7 @@
 	}
 }
 
-// recordFailure records a failed replacement for a drain, unless the drain is over.
+// recordFailure records a failed replacement for a drain, unless the drain has ended.
 func (d *draining) recordFailure(number int, reason string) {
 	if s := d.drains[number]; s != nil {
 		s.RecordFailure(reason)
--- a/shard/offload.go
+++ b/shard/offload.go
@@ -8,8 +8,9 @@
 	"ravenport/wire"
 )
 
-// offloadTask marks a waiting task to be returned to the leader. The task is not placed in
-// this shard any more, until a newer job record assigns the task to a shard.
+// offloadTask marks a waiting task to be offloaded, that is, returned to the leader,
+// which assigns the task again. The task is not placed in this shard any more, until a
+// newer job record assigns the task to a shard.
 func (c *Core) offloadTask(j *job, t *task) {
 	if j.recordPending() || c.hasLiveAttempt(j.rec.ID, t.index) {
 		return
--- a/shard/partition.go
+++ b/shard/partition.go
@@ -59,12 +59,14 @@
 	return health
 }
 
-// isIsolatedFailure reports whether an unreachable machine has failed by itself. That is the
-// case if the owner receives heartbeats of other machines. In a small shard it is also the
-// case if the machine has been unreachable for so long that another controller would have
-// received its heartbeat, all controllers have reported recently, and none has received one.
-// Otherwise the owner or the whole shard is partitioned, and to terminate machines would end
-// everything that runs on them.
+// isIsolatedFailure reports whether an unreachable machine has failed individually. That is
+// the case if the cloud no longer lists the machine, or if the owner receives heartbeats of
+// other machines. In a small shard it is also the case if the machine has been unreachable
+// for so long that another controller would have received its heartbeat, all controllers
+// have reported recently, and none has received one. If another controller has recently
+// received a heartbeat of the machine, the machine has not failed. Otherwise the owner or
+// the whole shard is partitioned, and terminating machines would end all tasks that run on
+// them.
 func (l *liveness) isIsolatedFailure(now time.Time, m *machine, health fleetHealth) bool {
 	if now.Sub(m.misroutedAt) < l.misroutedWindow() {
 		return false
@@ -121,8 +123,8 @@
 // leader assigns no task to the shard that may run in another shard.
 func (l *liveness) detectPartition(now time.Time, health fleetHealth) bool {
 	delay := l.periods(constants.MaxHeartbeatIntervalPeriods)
-	// If all controllers had ended, a worker may return to this controller only after it has
-	// tried the others and its next heartbeat is due.
+	// After all controllers were down, a worker may send its heartbeat to this controller
+	// only after it has tried the others and its next heartbeat is due.
 	return (!health.small && !health.receiving || health.noRecentHeartbeats) &&
 		now.Sub(l.startedAt) > delay+constants.ControllerSwitchTime && now.Sub(l.livenessResetAt) > delay
 }
--- a/shard/pendingcommands.go
+++ b/shard/pendingcommands.go
@@ -6,9 +6,9 @@
 	"ravenport/wire"
 )
 
-// pendingCommands returns the commands for a machine in the order stops, forgets, starts, so
-// that resources are free when a start needs them. Only the reply to a heartbeat contains
-// forgets.
+// pendingCommands returns the commands for a machine, first the stops, then the commands to
+// forget attempts, then the starts, so that resources are free when a start needs them. Only
+// the reply to a heartbeat contains commands to forget attempts.
 func (v *fleetView) pendingCommands(now time.Time, m *machine, via exchangeKind) []wire.Command {
 	out := []wire.Command{}
 	var starts []wire.Command
@@ -62,8 +62,8 @@
 // nextStop returns the grace period in seconds of the next stop command for an unwanted
 // attempt; send is false if no stop is due. A task that saves its checkpoint is not stopped
 // again until its time to save is over. The tasks of a gang save together, and the owner sees
-// that only when they exit. Until their time is over the first command is therefore repeated,
-// in case they did not receive it.
+// that only when they exit. The owner therefore repeats the first command until their time is
+// over, in case a worker did not receive it.
 func (v *fleetView) nextStop(now time.Time, a *attempt) (graceS float64, send bool) {
 	gangTime := v.gangSaveTime(a)
 	withinSaveTime := now.Sub(a.stopSentAt) < v.stopGrace(a)+gangTime
--- a/shard/preempt.go
+++ b/shard/preempt.go
@@ -17,10 +17,10 @@
 }
 
 // mayPreempt reports whether a task may be preempted by another. The preemptor must have
-// higher priority, or, at equal priority, be within its team's guarantee while the
-// victim runs beyond the guarantee of another team and is no service. The protocol would
-// let guaranteed work preempt also services and work of higher priority; the shorter
-// wait of the preemptor does not justify that.
+// higher priority, or, at equal priority, be within its team's guarantee while the victim
+// runs beyond the guarantee of another team and is not a service. The protocol would also
+// allow guaranteed work to preempt services and work of higher priority. The owner does
+// not use this, because the shorter wait of the preemptor would not justify it.
 func mayPreempt(victim, preemptor *task) bool {
 	victimSpec, spec := &victim.job.rec.Spec, &preemptor.job.rec.Spec
 	victimLevel, level := victimSpec.Priority.Level(), spec.Priority.Level()
--- a/shard/scale_test.go
+++ b/shard/scale_test.go
@@ -120,7 +120,7 @@
 				j := arrayJob(fmt.Sprintf("run-%d", submitted), 1, "a")
 				j.Spec.CPUs = 0.5
 				if rapid.IntRange(0, 3).Draw(t, "stuck") == 0 {
-					j.Spec.CPUs = 9 // no machine is that large: the job waits for ever, and must not delay others
+					j.Spec.CPUs = 9 // no machine is that large: the job waits forever, and must not delay others
 					unplaceable++
 				}
 				j.AcceptedMS = r.now.UnixMilli() - int64(rapid.IntRange(0, 90).Draw(t, "age"))*1000
@@ -197,7 +197,7 @@
 
 // A machine that sends heartbeats without the latest token becomes unconfirmed and gets no
 // tasks. Repeating the old token does not confirm the machine; a heartbeat with the next
-// token does, so that a machine of which one answer was lost becomes schedulable again.
+// token does, so that a machine to which one reply was lost becomes schedulable again.
 func TestConfirmationNeedsANewToken(t *testing.T) {
 	r := newTestOwner(nil)
 	for i := range 4 {
@@ -538,7 +538,7 @@
 }
 
 // A machine whose done tasks wait for their assignment to be closed is sent a higher token
-// once, and not in every answer: each new token makes the machine send a heartbeat
+// once, and not in every reply: each new token makes the machine send a heartbeat
 // immediately.
 func TestDoneTasksRaiseTheTokenOnce(t *testing.T) {
 	r := newTestOwner(nil)
--- a/shard/scalein.go
+++ b/shard/scalein.go
@@ -56,12 +56,12 @@
 			"expected", check.health.expected, "confirmed", check.confirmed)
 		m.scalingIn = true
 		if c.cfg.CloseBeforeScaleIn || m.cordon != nil { // the next owner may have to continue the drain
-			c.closeMachine(m)
+			c.markTerminating(m)
 			continue
 		}
 		names = append(names, m.name)
 	}
-	names = append(names, c.closedMachines(wire.MaxMachinesPerScaleIn-len(names))...)
+	names = append(names, c.durablyTerminatingMachines(wire.MaxMachinesPerScaleIn-len(names))...)
 	if len(names) > 0 {
 		c.lastScaleInAt = now
 		c.actions = append(c.actions, ScaleIn{names})
@@ -192,9 +192,9 @@
 }
 
 // isNotReceivingInSmallShard reports whether an unconfirmed machine in a shard with one or
-// two machines has failed by itself. If both of two machines are unconfirmed and send
+// two machines has failed individually. If both of two machines are unconfirmed and send
 // heartbeats to other controllers, the owner is more likely to be the unreachable side, and
-// the owner then gives up its term. In that case the machines are not terminated before a
+// the owner then transfers its term. In that case the machines are not terminated before a
 // lease timeout has passed, so their attempts keep running until their leases have expired.
 func (l *liveness) isNotReceivingInSmallShard(now time.Time, m *machine, up, confirmed int) bool {
 	if up > 2 || !l.hasRecentPeerReports(now) {
@@ -203,39 +203,40 @@
 	return up == 1 || confirmed > 0 || now.Sub(m.unconfirmedSince) > l.leaseTimeout
 }
 
-// machineClosure is the progress of a termination for which the machine is durably marked as
-// terminating (closed) before the cloud is asked to terminate it: see docs/safety.md,
-// point 21.
-type machineClosure struct {
+// terminationMark is the progress of a termination for which the machine is durably marked as
+// terminating before the cloud is asked to terminate it: see docs/safety.md, point 21.
+type terminationMark struct {
 	decided          bool // the machine's inventory page is to mark it as terminating; never revoked
 	durable          bool // the stored inventory page marks the machine as terminating
 	scaleInRequested bool // the cloud was asked to terminate the machine
 }
 
-// closeMachine has the machine's inventory page mark the machine as terminating.
-func (b *inventoryPages) closeMachine(m *machine) {
-	m.closure.decided = true
+// markTerminating requests that the machine's inventory page marks the machine as
+// terminating.
+func (b *inventoryPages) markTerminating(m *machine) {
+	m.terminationMark.decided = true
 	b.addToInventory(m)
 }
 
-// markClosed records that a stored inventory page marks a machine as terminating. An owner
-// that reads such a page continues the termination that an earlier owner decided.
-func (p *placement) markClosed(m *machine) {
-	m.closure.decided, m.closure.durable = true, true
+// markDurablyTerminating records that a stored inventory page marks a machine as terminating.
+// An owner that reads such a page continues the termination that an earlier owner decided.
+func (p *placement) markDurablyTerminating(m *machine) {
+	m.terminationMark.decided, m.terminationMark.durable = true, true
 	m.scalingIn = true
 	p.needsPlacement = true
 }
 
-// closedMachines lists up to limit machines that are durably closed and whose termination
-// has not been requested from the cloud, and records that it is requested now.
-func (k *knownState) closedMachines(limit int) []string {
+// durablyTerminatingMachines lists up to limit machines that are durably marked as terminating
+// and whose termination has not been requested from the cloud, and records that it is
+// requested now.
+func (k *knownState) durablyTerminatingMachines(limit int) []string {
 	var names []string
 	for _, m := range k.fleet {
 		if len(names) >= limit {
 			break
 		}
-		if m.closure.durable && !m.closure.scaleInRequested {
-			m.closure.scaleInRequested = true
+		if m.terminationMark.durable && !m.terminationMark.scaleInRequested {
+			m.terminationMark.scaleInRequested = true
 			names = append(names, m.name)
 		}
 	}
--- a/shard/scalein_test.go
+++ b/shard/scalein_test.go
@@ -50,18 +50,18 @@
 // An idle machine is terminated only after the write that marks it as terminating has
 // succeeded, however often the write fails before. The machine gets no task once its
 // termination is decided.
-func TestMachineIsClosedBeforeScaleIn(t *testing.T) {
+func TestMachineIsMarkedBeforeScaleIn(t *testing.T) {
 	r := newTestOwner(nil)
 	r.cfg.CloseBeforeScaleIn, r.cfg.SpotIdleTimeout, r.cfg.OnDemandIdleTimeout = true, 10*time.Second, 10*time.Second
 	r.bringUpFleet(3)
-	closed, refused := 0, 0
+	marked, refused := 0, 0
 	for range 200 {
 		r.now = r.now.Add(300 * time.Millisecond)
 		for name := range r.machines {
 			r.Heartbeat(r.now, newHeartbeat(name, 1, uint64(10+r.now.UnixMilli()), r.latestToken(name)))
 		}
 		actions := r.Step(r.now)
-		if names := terminatedMachines(actions); len(names) > 0 && closed == 0 {
+		if names := terminatedMachines(actions); len(names) > 0 && marked == 0 {
 			t.Fatalf("%v terminated before they were durably marked as terminating", names)
 		}
 		if names := machinesWrittenAsTerminating(t, actions); len(names) > 0 {
@@ -70,18 +70,18 @@
 				r.CommitResult(r.now, CommitID{kind: commitInventory}, 0)
 				continue
 			}
-			closed = len(names)
+			marked = len(names)
 			r.commitAll(actions)
 			r.submit(arrayJob("run-1", 8, "a")) // no machine may take the tasks of a job that arrives now
 		}
 		for _, m := range r.machines {
-			if m.closure.decided && len(m.attempts) > 0 {
+			if m.terminationMark.decided && len(m.attempts) > 0 {
 				t.Fatalf("%s got a task after its termination was decided", m.name)
 			}
 		}
 	}
-	if refused < 3 || closed == 0 {
-		t.Errorf("%d writes refused, want 3; %d machines closed, want some", refused, closed)
+	if refused < 3 || marked == 0 {
+		t.Errorf("%d writes refused, want 3; %d machines marked as terminating, want some", refused, marked)
 	}
 }
 
@@ -89,10 +89,10 @@
 // machine, although the machine has free capacity and sends heartbeats. The new owner
 // requests the termination from the cloud itself, whether or not Config.CloseBeforeScaleIn
 // is set for it.
-func TestNextOwnerKeepsClosedMachinesClosed(t *testing.T) {
-	for _, closeFirst := range []bool{true, false} {
+func TestNextOwnerContinuesTermination(t *testing.T) {
+	for _, closeBeforeScaleIn := range []bool{true, false} {
 		r := newTestOwner(nil, records.Machine{Name: "m-1", Type: "box", Addr: "m-1", Terminating: true}, records.Machine{Name: "m-2", Type: "box", Addr: "m-2"})
-		r.cfg.CloseBeforeScaleIn = closeFirst
+		r.cfg.CloseBeforeScaleIn = closeBeforeScaleIn
 		r.submit(arrayJob("run-1", 16, "a"))
 		var terminated []string
 		for i := range 40 {
@@ -107,7 +107,7 @@
 			r.commitAll(actions)
 		}
 		if !slices.Contains(terminated, "m-1") || slices.Contains(terminated, "m-2") {
-			t.Errorf("CloseBeforeScaleIn %v: the owner terminated %v, want m-1 and not m-2", closeFirst, terminated)
+			t.Errorf("CloseBeforeScaleIn %v: the owner terminated %v, want m-1 and not m-2", closeBeforeScaleIn, terminated)
 		}
 		if n := len(r.machines["m-1"].attempts); n > 0 {
 			t.Errorf("%d tasks on a machine that is marked as terminating", n)
--- a/shard/scaleout.go
+++ b/shard/scaleout.go
@@ -124,7 +124,7 @@
 	case round.mayOffloadOverdue && waited > constants.OverdueOffloadWait && c.taskSlotsInOtherShards(now, plan.job.rec) > round.overdueOffloaded:
 		// The task has waited for so long that it is offloaded if other shards have any
 		// capacity for it, even if this shard may still get machines. Otherwise the task
-		// could wait here for ever while other shards have free capacity.
+		// could wait in this shard forever while other shards have free capacity.
 		c.offloadTask(plan.job, t)
 		c.overdueOffloadAt = now
 		round.overdueOffloaded++
