--- a/records/golden_test.go
+++ b/records/golden_test.go
@@ -20,7 +20,7 @@
 		record          any
 	}{
 		{"controller", KeyController("n-0"), `{"inc":7,"pack":true}`, Controller{Name: "n-0", Incarnation: 7, ReadsPacked: true}},
-		{"controller that obeys revocations", KeyController("n-0"), `{"inc":7,"life":3500}`, Controller{Name: "n-0", Incarnation: 7, LeaseTTLMS: 3500}},
+		{"controller that supports revocation", KeyController("n-0"), `{"inc":7,"life":3500}`, Controller{Name: "n-0", Incarnation: 7, LeaseTTLMS: 3500}},
 		{"revocation", KeyRevocation("n-0"), `{"inc":7,"life":3500,"by":"n-1","ev":["unserved"],"acc":["n-1","n-2"]}`,
 			Revocation{Controller: "n-0", Incarnation: 7, LeaseTTLMS: 3500, RevokedBy: "n-1", Evidence: []string{"unserved"}, Accusers: []string{"n-1", "n-2"}}},
 		{"term", KeyShard("a"), `{"node":"n-0","inc":7,"term":3,"cut":true}`, Term{Shard: "a", Controller: "n-0", Incarnation: 7, Number: 3, PreviousUnreachable: true}},
