--- a/shard/assignments.go
+++ b/shard/assignments.go
@@ -47,27 +47,27 @@
 		return
 	}
 	j.closeAt = time.Time{}
-	rec := j.rec.Clone()
-	for i := range rec.Assignments {
-		assignment := &rec.Assignments[i]
+	record := j.record.Clone()
+	for i := range record.Assignments {
+		assignment := &record.Assignments[i]
 		if assignment.Shard == c.cfg.Shard && !assignment.Closed && c.isAssignmentFinished(j, assignment) {
 			assignment.Closed = true
 		}
 	}
-	if status.tasksFinished && !c.closeFinishedTasks(j, rec) && !status.assignmentFinished && !status.tasksOffloaded {
+	if status.tasksFinished && !c.closeFinishedTasks(j, record) && !status.assignmentFinished && !status.tasksOffloaded {
 		return
 	}
 	if status.tasksOffloaded {
-		if rec = c.removeOffloaded(&c.fleetView, j, rec, status.assignmentFinished); rec == nil {
+		if record = c.removeOffloaded(&c.fleetView, j, record, status.assignmentFinished); record == nil {
 			return
 		}
 	} else {
-		rec.Normalize()
+		record.Normalize()
 	}
-	if rec.End == "" && !rec.Spec.IsService() && rec.AllTasksClosed() {
-		rec.End = wire.JobDone
+	if record.End == "" && !record.Spec.IsService() && record.AllTasksClosed() {
+		record.End = wire.JobDone
 	}
-	c.writeJob(now, id, j, rec)
+	c.writeJob(now, id, j, record)
 }
 
 // closeStatus is the part of a job's state in the shard that has to be written to its record.
@@ -82,8 +82,8 @@
 func (c *scaleOutState) closeStatusOf(v *fleetView, now time.Time, j *job) closeStatus {
 	var status closeStatus
 	atLimit := c.blocksTeamAtLimit(now, j)
-	for i := range j.rec.Assignments {
-		assignment := &j.rec.Assignments[i]
+	for i := range j.record.Assignments {
+		assignment := &j.record.Assignments[i]
 		if assignment.Shard != v.cfg.Shard || assignment.Closed {
 			continue
 		}
@@ -96,7 +96,7 @@
 			status.tasksFinished = v.isTaskFinished(j, k)
 		}
 	}
-	if j.rec.End == "" {
+	if j.record.End == "" {
 		for _, t := range j.tasks {
 			status.tasksOffloaded = status.tasksOffloaded || t.offloading
 		}
@@ -108,7 +108,7 @@
 // other assignments in the shard.
 func (s *closeQueue) defersClose(now time.Time, id string, j *job, status closeStatus) bool {
 	finished := status.assignmentFinished || status.tasksFinished
-	if !finished || !status.assignmentOpen || status.tasksOffloaded || j.rec.End != "" {
+	if !finished || !status.assignmentOpen || status.tasksOffloaded || j.record.End != "" {
 		return false
 	}
 	if j.closeAt.IsZero() {
@@ -125,17 +125,17 @@
 // a record, and returns the record. If the gaps would make the record too large for a value
 // of the key-value store, the tasks stay in the shard; the result is then the record with
 // only its closed assignments changed, or nil if none was closed.
-func (p *placement) removeOffloaded(v *fleetView, j *job, rec *records.Job, closed bool) *records.Job {
-	withoutRemoval := rec.Clone()
+func (p *placement) removeOffloaded(v *fleetView, j *job, record *records.Job, closed bool) *records.Job {
+	withoutRemoval := record.Clone()
 	for k, t := range j.tasks {
 		if t.offloading {
-			removeTask(rec, k)
+			removeTask(record, k)
 		}
 	}
-	rec.Normalize()
-	encodedBytes := len(records.Encode(rec))
-	if encodedBytes <= v.cfg.SizeLimits.Next*9/10 || encodedBytes <= len(records.Encode(j.rec)) {
-		return rec
+	record.Normalize()
+	encodedBytes := len(records.Encode(record))
+	if encodedBytes <= v.cfg.SizeLimits.Next*9/10 || encodedBytes <= len(records.Encode(j.record)) {
+		return record
 	}
 	for _, t := range j.tasks {
 		t.offloading = false
@@ -149,8 +149,8 @@
 }
 
 // writeJob writes a job's record by compare-and-swap on its version.
-func (c *Core) writeJob(now time.Time, id string, j *job, rec *records.Job) {
-	value, ok := c.cfg.SizeLimits.Encode(rec, j.rec)
+func (c *Core) writeJob(now time.Time, id string, j *job, record *records.Job) {
+	value, ok := c.cfg.SizeLimits.Encode(record, j.record)
 	if !ok {
 		slog.Error("job's record exceeds the size limit", logkey.JobID, id, "bytes", len(value))
 		j.nextWriteAt = now.Add(constants.RetryBackoffMax)
@@ -176,7 +176,7 @@
 // task can be on a machine any more.
 func (k *knownState) isTaskFinished(j *job, index int) bool {
 	t := j.tasks[index]
-	ended := j.rec.End != ""
+	ended := j.record.End != ""
 	switch {
 	case t == nil:
 		return false
@@ -185,15 +185,15 @@
 	case !ended && !t.done:
 		return false
 	}
-	return !k.hasLiveAttempt(j.rec.ID, index)
+	return !k.hasLiveAttempt(j.record.ID, index)
 }
 
 // closeFinishedTasks closes the finished tasks of open assignments one by one. It returns
 // false if the record would be too large with that many assignments. All tasks of an open
 // assignment count against the quota limit of their team, so without this a single long task
 // would keep other tasks waiting.
-func (v *fleetView) closeFinishedTasks(j *job, rec *records.Job) bool {
-	original := rec.Assignments
+func (v *fleetView) closeFinishedTasks(j *job, record *records.Job) bool {
+	original := record.Assignments
 	var split []records.Assignment
 	for _, assignment := range original {
 		if assignment.Shard != v.cfg.Shard || assignment.Closed {
@@ -207,32 +207,32 @@
 			split = append(split, single)
 		}
 	}
-	rec.Assignments = split
-	rec.Normalize()
-	if len(records.Encode(rec)) > v.cfg.SizeLimits.Next/2 {
-		rec.Assignments = original
+	record.Assignments = split
+	record.Normalize()
+	if len(records.Encode(record)) > v.cfg.SizeLimits.Next/2 {
+		record.Assignments = original
 		return false
 	}
 	return true
 }
 
 // removeTask removes a task from its assignment and splits the assignment in two.
-func removeTask(rec *records.Job, index int) {
-	for i := range rec.Assignments {
-		assignment := &rec.Assignments[i]
+func removeTask(record *records.Job, index int) {
+	for i := range record.Assignments {
+		assignment := &record.Assignments[i]
 		if assignment.Closed || index < assignment.From || index >= assignment.To {
 			continue
 		}
 		rest := *assignment
 		rest.From = index + 1
 		assignment.To = index
-		rec.Assignments = append(rec.Assignments, rest)
+		record.Assignments = append(record.Assignments, rest)
 		return
 	}
 }
 
 // queueForClose marks a job so that the next step checks it for assignments to close.
 func (s *closeQueue) queueForClose(j *job) {
-	s.closeCandidates[j.rec.ID] = j
+	s.closeCandidates[j.record.ID] = j
 	j.closeCheckDue = true
 }
--- a/shard/attempt.go
+++ b/shard/attempt.go
@@ -48,7 +48,7 @@
 
 // applySpec copies the properties of the job's tasks from its specification to an attempt.
 func (a *attempt) applySpec(j *job) {
-	s := &j.rec.Spec
+	s := &j.record.Spec
 	a.resources, a.image = taskResources(s), s.Image
 	a.stopsInstantly = s.CheckpointIntervalS == 0
 	a.machine.usageStale = true
@@ -56,7 +56,7 @@
 
 // adoptAttempts matches a new task with the known attempts of that task on machines.
 func (c *Core) adoptAttempts(t *task) {
-	for _, a := range c.attemptsByTask[taskKey{t.job.rec.ID, t.index}] {
+	for _, a := range c.attemptsByTask[taskKey{t.job.record.ID, t.index}] {
 		a.applySpec(t.job)
 		c.matchAttempt(t, a)
 	}
@@ -71,7 +71,7 @@
 		return
 	}
 	if a.hasExited() {
-		if a.cause == wire.CauseDone && !t.job.rec.Spec.IsService() {
+		if a.cause == wire.CauseDone && !t.job.record.Spec.IsService() {
 			t.done = true
 			t.possiblyRunning = false
 		}
--- a/shard/availability.go
+++ b/shard/availability.go
@@ -28,7 +28,7 @@
 func (d *draining) countUnavailable(v *fleetView, now time.Time) disruption.Counts {
 	unavailable := d.observeInterruptions(v, now)
 	for _, j := range v.jobs {
-		if j.rec.End != "" || !j.rec.Spec.IsService() {
+		if j.record.End != "" || !j.record.Spec.IsService() {
 			continue
 		}
 		count := 0
@@ -46,5 +46,5 @@
 
 // budgetsOf returns the disruption budgets that a job's tasks count against.
 func (d *draining) budgetsOf(j *job) []disruption.BudgetKey {
-	return d.ledger.BudgetsOf(&j.rec.Spec)
+	return d.ledger.BudgetsOf(&j.record.Spec)
 }
--- a/shard/backlog.go
+++ b/shard/backlog.go
@@ -27,7 +27,7 @@
 			if a.hasExited() || t == nil {
 				continue
 			}
-			if t.job.rec.Spec.IsService() {
+			if t.job.record.Spec.IsService() {
 				b.cpus -= a.resources.cpus
 				continue
 			}
@@ -40,7 +40,7 @@
 // expectedRemainingSeconds returns the remaining runtime (s) of an attempt by its job's
 // estimate, but at least constants.MinRemainingRuntime.
 func (a *attempt) expectedRemainingSeconds(now time.Time, t *task) float64 {
-	remaining := t.job.rec.Spec.EstimateS
+	remaining := t.job.record.Spec.EstimateS
 	if !a.runningSince.IsZero() {
 		remaining -= now.Sub(a.runningSince).Seconds()
 	}
@@ -52,7 +52,7 @@
 // new machine would then add cost without starting the task sooner. If so, the task is added
 // to the backlog.
 func (c *scaleOutState) backlogClearsInTime(v *fleetView, now time.Time, j *job, t *task) bool {
-	s := &j.rec.Spec
+	s := &j.record.Spec
 	objective := v.cfg.JobOrder.FinishObjective(s.Class)
 	bootS := v.maxBootSeconds()
 	if s.IsService() || objective == 0 || t.withinGuarantee {
--- a/shard/cancellation_test.go
+++ b/shard/cancellation_test.go
@@ -63,8 +63,8 @@
 				}
 				r.now = r.now.Add(time.Second)
 			}
-			if acts := r.Step(r.now); len(acts) > 0 {
-				t.Errorf("actions without authority: %v", acts)
+			if actions := r.Step(r.now); len(actions) > 0 {
+				t.Errorf("actions without authority: %v", actions)
 			}
 		})
 	}
--- a/shard/consolidation.go
+++ b/shard/consolidation.go
@@ -139,7 +139,7 @@
 // tightestFit returns the machine among others with the fewest free CPUs, less the resources
 // in taken, on which an attempt from machine m would fit. It returns nil if there is none.
 func (k *knownState) tightestFit(m *machine, a *attempt, t *task, others []*machine, taken map[*machine]resources) *machine {
-	s := &t.job.rec.Spec
+	s := &t.job.record.Spec
 	var best *machine
 	var least float64
 	for _, o := range others {
@@ -164,10 +164,10 @@
 func (c *Core) migrateOneService(now time.Time, m *machine) bool {
 	for _, a := range m.attempts {
 		t := c.taskOf(a)
-		if a.state != wire.TaskRunning || !isEvictable(a, t) || !t.job.rec.Spec.IsService() || !a.stopsInstantly {
+		if a.state != wire.TaskRunning || !isEvictable(a, t) || !t.job.record.Spec.IsService() || !a.stopsInstantly {
 			continue
 		}
-		s := &t.job.rec.Spec
+		s := &t.job.record.Spec
 		target := c.bestFit(now, s, nil)
 		if target == nil || target.consolidating || !target.cachedImages[s.Image] || !c.draining.allowsConsolidation(now, t) {
 			continue
--- a/shard/core.go
+++ b/shard/core.go
@@ -98,8 +98,8 @@
 	}
 	c.SetTypes(snapshot.MachineTypes)
 	c.loadInventory(now, snapshot.Inventory, snapshot.InventoryVersions)
-	for id, rec := range snapshot.Jobs {
-		c.applyJob(now, id, rec, snapshot.JobVersions[id], true)
+	for id, record := range snapshot.Jobs {
+		c.applyJob(now, id, record, snapshot.JobVersions[id], true)
 	}
 	c.finishRebuild(now)
 	return c
--- a/shard/core_test.go
+++ b/shard/core_test.go
@@ -62,11 +62,11 @@
 		r.version++
 		r.CommitResult(r.now, cm.ID, r.version)
 		for _, ch := range cm.Txn.Changes {
-			rec, err := records.Decode(ch.Put, ch.Value)
+			record, err := records.Decode(ch.Put, ch.Value)
 			if err != nil {
 				panic(err)
 			}
-			r.Apply(r.now, records.Change{Key: ch.Put, Version: r.version, Record: rec})
+			r.Apply(r.now, records.Change{Key: ch.Put, Version: r.version, Record: record})
 		}
 	}
 }
@@ -324,9 +324,9 @@
 		r.now = r.now.Add(time.Second)
 		seq++
 		for i := 1; i < 4; i++ {
-			rep := newHeartbeat(fmt.Sprintf("m-%d", i), 1, seq, r.latestToken(fmt.Sprintf("m-%d", i)))
-			rep.Spot = true // idle on-demand machines would be terminated
-			r.Heartbeat(r.now, rep)
+			heartbeat := newHeartbeat(fmt.Sprintf("m-%d", i), 1, seq, r.latestToken(fmt.Sprintf("m-%d", i)))
+			heartbeat.Spot = true // idle on-demand machines would be terminated
+			r.Heartbeat(r.now, heartbeat)
 		}
 		for _, a := range r.Step(r.now) {
 			switch a := a.(type) {
@@ -356,8 +356,8 @@
 		t.Fatalf("isolated %v, misrouted %v: the owner does not detect its isolation", isolated, misrouted)
 	}
 	for _, a := range r.Step(r.now) {
-		if ret, ok := a.(ScaleIn); ok {
-			t.Fatalf("terminated %v although they send heartbeats to other controllers", ret.Names)
+		if scaleIn, ok := a.(ScaleIn); ok {
+			t.Fatalf("terminated %v although they send heartbeats to other controllers", scaleIn.Names)
 		}
 	}
 }
@@ -383,11 +383,11 @@
 	noticed := r.now
 	for seq := uint64(10); r.now.Sub(noticed) < 20*time.Second; seq++ {
 		r.now = r.now.Add(time.Second)
-		rep := newHeartbeat("m-1", 1, seq, token(r.term, 0), running)
+		heartbeat := newHeartbeat("m-1", 1, seq, token(r.term, 0), running)
 		left := 20 - r.now.Sub(noticed).Seconds()
-		rep.NoticeS = &left
+		heartbeat.NoticeS = &left
 		r.Step(r.now)
-		reply, _ := r.Heartbeat(r.now, rep)
+		reply, _ := r.Heartbeat(r.now, heartbeat)
 		for _, c := range reply.Commands {
 			if c.Op != wire.OpStop {
 				continue
@@ -558,9 +558,9 @@
 	}
 	for i := range 20 {
 		name := fmt.Sprintf("m-%05d", i)
-		rep := newHeartbeat(name, 1, 100, r.latestToken(name))
-		rep.Spot = true
-		r.Heartbeat(r.now, rep)
+		heartbeat := newHeartbeat(name, 1, 100, r.latestToken(name))
+		heartbeat.Spot = true
+		r.Heartbeat(r.now, heartbeat)
 	}
 	advanceFor(2 * time.Second)
 	if r.partitioned || len(terminated) > 0 {
@@ -613,8 +613,8 @@
 				case ScaleOut: // the cloud refuses each request
 					r.ScaleOutResult(r.now, a.Request.RequestID, nil, true)
 				case Commit:
-					if rec, err := records.Decode(a.Txn.Changes[0].Put, a.Txn.Changes[0].Value); err == nil {
-						if j, ok := rec.(*records.Job); ok {
+					if record, err := records.Decode(a.Txn.Changes[0].Put, a.Txn.Changes[0].Value); err == nil {
+						if j, ok := record.(*records.Job); ok {
 							offloaded += len(j.Unassigned())
 						}
 					}
@@ -651,8 +651,8 @@
 		t.Error("the feed's record was changed")
 	}
 	statuses := []wire.TaskStatus{}
-	for _, att := range r.machines["m-1"].attempts {
-		statuses = append(statuses, wire.TaskStatus{Task: att.key.task, Attempt: att.key.number, State: wire.TaskRunning})
+	for _, attempt := range r.machines["m-1"].attempts {
+		statuses = append(statuses, wire.TaskStatus{Task: attempt.key.task, Attempt: attempt.key.number, State: wire.TaskRunning})
 	}
 	reply, err := r.Heartbeat(r.now, newHeartbeat("m-1", 1, 3, r.latestToken("m-1"), statuses...))
 	if err != nil || len(reply.Commands) != 2 || reply.Commands[0].Op != wire.OpStop {
--- a/shard/directcommands_test.go
+++ b/shard/directcommands_test.go
@@ -20,10 +20,10 @@
 	job := arrayJob("run-1", 2, "a")
 	job.AcceptedMS = r.now.UnixMilli()
 	r.submit(job)
-	acts := r.advance(constants.MinOwnerStepInterval)
+	actions := r.advance(constants.MinOwnerStepInterval)
 	n := 0
 	for i := range 3 {
-		n += len(directStarts(acts, fmt.Sprintf("m-%d", i)))
+		n += len(directStarts(actions, fmt.Sprintf("m-%d", i)))
 	}
 	if n != 2 {
 		t.Fatalf("%d of 2 starts were sent in the step that decided them", n)
@@ -95,9 +95,9 @@
 			clear(inFlight)
 		}
 		for _, m := range r.machines {
-			for _, att := range m.attempts {
-				if att.state == stateSent && r.isWanted(att) && !att.sentDirectly && m.hasSeenTerm(r.term) && !m.isUnconfirmed() && !m.scalingIn {
-					t.Fatalf("the start was never sent: machine %s, task %s", m.name, att.key.task)
+			for _, attempt := range m.attempts {
+				if attempt.state == stateSent && r.isWanted(attempt) && !attempt.sentDirectly && m.hasSeenTerm(r.term) && !m.isUnconfirmed() && !m.scalingIn {
+					t.Fatalf("the start was never sent: machine %s, task %s", m.name, attempt.key.task)
 				}
 			}
 		}
--- a/shard/draining_test.go
+++ b/shard/draining_test.go
@@ -111,7 +111,7 @@
 func TestInterruptionsCounted(t *testing.T) {
 	now := time.Unix(1000, 0)
 	keys := []disruption.BudgetKey{{Team: "t", Interruptions: true}}
-	j := &job{rec: &records.Job{ID: "run-1"}}
+	j := &job{record: &records.Job{ID: "run-1"}}
 	s := newInterruptions(time.Minute)
 	for _, step := range []struct {
 		name                   string
@@ -167,7 +167,7 @@
 		for _, j := range r.jobs {
 			for _, task := range j.tasks {
 				if !r.draining.isAvailable(&r.fleetView, r.now, task) {
-					t.Fatalf("%s: a task of %s is not available", kind, j.rec.ID)
+					t.Fatalf("%s: a task of %s is not available", kind, j.record.ID)
 				}
 				units[interruptionUnitOf(task)] = true
 			}
--- a/shard/drainplan.go
+++ b/shard/drainplan.go
@@ -44,7 +44,7 @@
 
 // planTask adds a task to a plan, and the obstacle to the task's migration if there is one.
 func (c *Core) planTask(now time.Time, p *drain.ShardPlan, t *task, reserved map[*machine]resources) {
-	if !t.job.rec.Spec.IsService() {
+	if !t.job.record.Spec.IsService() {
 		p.ArrayTasks++
 		return
 	}
@@ -65,7 +65,7 @@
 // budgets never allow the stop, or no machine has capacity for the task and the shard cannot
 // scale out. It returns nil if neither applies.
 func (c *Core) migrationObstacle(now time.Time, t *task, reserved map[*machine]resources) *drain.Obstacle {
-	s := &t.job.rec.Spec
+	s := &t.job.record.Spec
 	obstacle := &drain.Obstacle{JobID: s.ID, Machine: t.attempt.machine.name}
 	refusal := c.draining.ledger.Check(now, c.draining.budgetsOf(t.job))
 	if refusal != nil && refusal.Reason == disruption.ReasonNeverAllowed {
--- a/shard/eviction.go
+++ b/shard/eviction.go
@@ -49,7 +49,7 @@
 			continue
 		}
 		var err error
-		if t.job.rec.Spec.IsService() {
+		if t.job.record.Spec.IsService() {
 			err = c.migrateService(now, number, t)
 		} else {
 			err = c.evictBatchTask(now, t, a)
--- a/shard/forecast.go
+++ b/shard/forecast.go
@@ -38,10 +38,10 @@
 // tasks count against the quota until their assignment is closed, so the job's open
 // assignments may keep other tasks of the team waiting.
 func (c *scaleOutState) blocksTeamAtLimit(now time.Time, j *job) bool {
-	if j.gang != nil || j.rec.End != "" || now.Sub(c.forecastReceivedAt) > constants.ForecastTTL {
+	if j.gang != nil || j.record.End != "" || now.Sub(c.forecastReceivedAt) > constants.ForecastTTL {
 		return false
 	}
-	return slices.Contains(c.forecast.TeamsAtLimit, j.rec.Spec.Team)
+	return slices.Contains(c.forecast.TeamsAtLimit, j.record.Spec.Team)
 }
 
 // scaleOutForForecast adds machines for the forecast work that exceeds the free and the
--- a/shard/gang.go
+++ b/shard/gang.go
@@ -27,27 +27,27 @@
 
 // spansShards reports whether a gang's tasks are, or will be, assigned to several
 // shards. Such tasks run under the attempt number that the leader wrote into the record.
-func spansShards(rec *records.Job, shard string) bool {
-	if rec.Attempt == 0 {
+func spansShards(record *records.Job, shard string) bool {
+	if record.Attempt == 0 {
 		return false
 	}
 	isOther := func(a records.Assignment) bool { return a.Shard != shard }
-	return len(rec.Unassigned()) > 0 || slices.ContainsFunc(rec.Assignments, isOther)
+	return len(record.Unassigned()) > 0 || slices.ContainsFunc(record.Assignments, isOther)
 }
 
 // placeGang starts a gang as a whole if no attempt is active. For an active attempt, it
 // replaces tasks that were lost before the gang ran.
 func (c *Core) placeGang(now time.Time, j *job, r *placementRound) {
 	g := j.gang
-	if g.done || j.rec.End != "" {
+	if g.done || j.record.End != "" {
 		return
 	}
-	spans := spansShards(j.rec, c.cfg.Shard)
-	if g.isActive() && (!spans || g.attempt == j.rec.Attempt) {
+	spans := spansShards(j.record, c.cfg.Shard)
+	if g.isActive() && (!spans || g.attempt == j.record.Attempt) {
 		c.replaceLostGangTasks(now, j)
 		return
 	}
-	if spans && (g.attempt == j.rec.Attempt || len(j.rec.Unassigned()) > 0) {
+	if spans && (g.attempt == j.record.Attempt || len(j.record.Unassigned()) > 0) {
 		// The attempt under the leader's number has failed, or another shard has
 		// offloaded its share.
 		c.offloadGang(now, j)
@@ -65,9 +65,9 @@
 func (c *Core) startGang(now time.Time, j *job, tasks []*task, spans bool, r *placementRound) {
 	number := uint64(0)
 	if spans {
-		number = j.rec.Attempt
+		number = j.record.Attempt
 	}
-	machines := c.packGang(now, &j.rec.Spec, len(tasks), number)
+	machines := c.packGang(now, &j.record.Spec, len(tasks), number)
 	if machines == nil && !c.gangFitsAfterPreemption(now, tasks, r) {
 		c.preemptWithCheckpointForGang(&c.fleetView, now, tasks, r)
 		return
@@ -88,13 +88,13 @@
 			c.failGangAttempt(j, "no capacity after preemption")
 			return
 		}
-		if m.cachedImages[j.rec.Spec.Image] {
+		if m.cachedImages[j.record.Spec.Image] {
 			withImage++
 		}
 		c.startAttempt(now, t, m, number)
 	}
-	slog.Debug("starting gang", logkey.JobID, j.rec.ID, "attempt", number, "tasks", len(tasks), "with_image", withImage,
-		"preempted", machines == nil, "accepted_s", float64(now.UnixMilli()-j.rec.AcceptedMS)/1000)
+	slog.Debug("starting gang", logkey.JobID, j.record.ID, "attempt", number, "tasks", len(tasks), "with_image", withImage,
+		"preempted", machines == nil, "accepted_s", float64(now.UnixMilli()-j.record.AcceptedMS)/1000)
 }
 
 // replaceLostGangTasks starts again, under the same attempt number, the tasks that an
@@ -111,8 +111,8 @@
 		return
 	}
 	for _, t := range c.readyTasks(now, j) {
-		key := attemptKey{wire.TaskName(j.rec.ID, t.index), g.attempt}
-		m := c.bestFit(now, &j.rec.Spec, func(m *machine) bool { return m.findAttempt(key) == nil })
+		key := attemptKey{wire.TaskName(j.record.ID, t.index), g.attempt}
+		m := c.bestFit(now, &j.record.Spec, func(m *machine) bool { return m.findAttempt(key) == nil })
 		if m != nil {
 			c.startAttempt(now, t, m, g.attempt)
 		}
@@ -122,7 +122,7 @@
 // offloadGang returns a gang, or this shard's share of a gang, to the leader. All tasks
 // are offloaded together, and only when none of them may still be on a machine.
 func (c *Core) offloadGang(now time.Time, j *job) {
-	if j.recordPending() || j.rec.End != "" || len(c.readyTasks(now, j)) < len(j.tasks) {
+	if j.recordPending() || j.record.End != "" || len(c.readyTasks(now, j)) < len(j.tasks) {
 		return
 	}
 	for _, t := range j.tasks {
--- a/shard/gang_test.go
+++ b/shard/gang_test.go
@@ -52,8 +52,8 @@
 }
 
 // executeCommands executes commands on a machine and returns the starts.
-func (h *fakeWorkers) executeCommands(m string, cmds []wire.Command) (starts []wire.Command) {
-	for _, c := range cmds {
+func (h *fakeWorkers) executeCommands(m string, commands []wire.Command) (starts []wire.Command) {
+	for _, c := range commands {
 		switch c.Op {
 		case wire.OpStart:
 			if !slices.ContainsFunc(h.taskStatuses[m], func(t wire.TaskStatus) bool { return t.Task == c.Task && t.Attempt == c.Attempt }) {
@@ -255,9 +255,9 @@
 	}
 	left := 14.0
 	h.seqs["m-1"]++
-	rep := newHeartbeat("m-1", 1, h.seqs["m-1"], h.latestToken("m-1"), h.taskStatuses["m-1"]...)
-	rep.NoticeS = &left
-	h.Heartbeat(h.now, rep)
+	heartbeat := newHeartbeat("m-1", 1, h.seqs["m-1"], h.latestToken("m-1"), h.taskStatuses["m-1"]...)
+	heartbeat.NoticeS = &left
+	h.Heartbeat(h.now, heartbeat)
 	if h.applyActions(h.advance(200 * time.Millisecond)); len(h.stopGraces) != 6 {
 		t.Fatalf("%d of 6 tasks were stopped together", len(h.stopGraces))
 	}
--- a/shard/gangattempt.go
+++ b/shard/gangattempt.go
@@ -14,9 +14,9 @@
 func (c *Core) reconcileGangRecord(j *job) {
 	isClosed := func(a records.Assignment) bool { return a.Closed }
 	switch {
-	case j.rec.End == "" && slices.ContainsFunc(j.rec.Assignments, isClosed):
+	case j.record.End == "" && slices.ContainsFunc(j.record.Assignments, isClosed):
 		c.markGangDone(j) // a shard has closed its assignment: a task is done
-	case len(j.rec.Unassigned()) > 0 && j.gang.attempt == j.rec.Attempt:
+	case len(j.record.Unassigned()) > 0 && j.gang.attempt == j.record.Attempt:
 		c.failGangAttempt(j, "another share was offloaded")
 	}
 }
@@ -75,7 +75,7 @@
 	case isRefusal(a.cause) && !g.hasRun:
 	case a.key.number == g.attempt:
 		c.failGangAttempt(j, string(a.cause))
-	case a.key.number == j.rec.Attempt && g.attempt == 0:
+	case a.key.number == j.record.Attempt && g.attempt == 0:
 		// An earlier owner started this attempt, so the leader's attempt number cannot
 		// be used again.
 		*g = gang{attempt: a.key.number, failed: true}
@@ -117,7 +117,7 @@
 		return
 	}
 	g.failed = true
-	slog.Info("gang attempt failed", logkey.JobID, j.rec.ID, "attempt", g.attempt, "reason", reason, "has_run", g.hasRun)
+	slog.Info("gang attempt failed", logkey.JobID, j.record.ID, "attempt", g.attempt, "reason", reason, "has_run", g.hasRun)
 	for _, t := range j.tasks {
 		a := t.attempt
 		if a == nil || a.hasExited() {
@@ -142,7 +142,7 @@
 // stopGangWithCheckpoint stops all tasks of a gang at the same time, with time for a
 // checkpoint. The reason is logged.
 func (q *outbox) stopGangWithCheckpoint(j *job, reason string) {
-	slog.Info("stopping gang with checkpoint", logkey.JobID, j.rec.ID, "reason", reason)
+	slog.Info("stopping gang with checkpoint", logkey.JobID, j.record.ID, "reason", reason)
 	for _, t := range j.tasks {
 		if t.attempt != nil && !t.attempt.hasExited() {
 			q.evict(t.attempt)
--- a/shard/gangpacking.go
+++ b/shard/gangpacking.go
@@ -62,7 +62,7 @@
 		if !isEligible(spec, m.typeName, m.spot) || !v.isSchedulable(now, m) {
 			continue
 		}
-		if m.reservedFor != nil && m.reservedFor.rec.ID != spec.ID {
+		if m.reservedFor != nil && m.reservedFor.record.ID != spec.ID {
 			continue
 		}
 		count := v.freeResources(m).countFitting(demand)
--- a/shard/gangpreempt.go
+++ b/shard/gangpreempt.go
@@ -14,7 +14,7 @@
 	if !v.hasPreemptibleWork(tasks[0], r) {
 		return false
 	}
-	s := &tasks[0].job.rec.Spec
+	s := &tasks[0].job.record.Spec
 	demand := taskResources(s)
 	slots := 0
 	for _, m := range v.fleet {
@@ -35,7 +35,7 @@
 // machine with the image that preemption frees, any machine with free capacity, and any
 // machine that preemption frees.
 func (v *fleetView) machineForGangTask(now time.Time, t *task, r *placementRound) *machine {
-	s := &t.job.rec.Spec
+	s := &t.job.record.Spec
 	fit := v.bestFit(now, s, nil)
 	if fit != nil && fit.cachedImages[s.Image] {
 		return fit
@@ -59,7 +59,7 @@
 	if slices.ContainsFunc(tasks, isExpectingCapacity) {
 		return // the work stopped for this gang is still saving checkpoints
 	}
-	missing := len(tasks) - v.freeSlots(now, &tasks[0].job.rec.Spec)
+	missing := len(tasks) - v.freeSlots(now, &tasks[0].job.record.Spec)
 	for missing > 0 {
 		freed := q.preemptWithCheckpoint(v, now, tasks[missing-1], r)
 		if freed == 0 {
--- a/shard/gangreserve.go
+++ b/shard/gangreserve.go
@@ -48,7 +48,7 @@
 		}
 	}
 	sort.Slice(waiting, func(i, j int) bool {
-		a, b := waiting[i].rec, waiting[j].rec
+		a, b := waiting[i].record, waiting[j].record
 		if a.AcceptedMS != b.AcceptedMS {
 			return a.AcceptedMS < b.AcceptedMS
 		}
@@ -97,7 +97,7 @@
 	available := k.freeResources(m)
 	for _, a := range m.attempts {
 		t := k.taskOf(a)
-		if t != nil && !a.hasExited() && !t.job.rec.Spec.AllOrNothing() {
+		if t != nil && !a.hasExited() && !t.job.record.Spec.AllOrNothing() {
 			available = available.plus(a.resources)
 		}
 	}
@@ -118,7 +118,7 @@
 // reserveForGang reserves machines for the tasks of a waiting gang, for as many of the
 // tasks as fit.
 func reserveForGang(candidates []*gangReserveCandidate, j *job) {
-	s := &j.rec.Spec
+	s := &j.record.Spec
 	demand := taskResources(s)
 	remaining := len(j.tasks)
 	for _, c := range candidates {
--- a/shard/gangshapes.go
+++ b/shard/gangshapes.go
@@ -18,16 +18,16 @@
 
 // recordGangShape records the shape of a gang in any shard: the leader needs to know
 // whether a gang of that shape would start here.
-func (g *gangReserves) recordGangShape(now time.Time, rec *records.Job) {
-	if !rec.Spec.IsGang() || rec.End != "" {
+func (g *gangReserves) recordGangShape(now time.Time, record *records.Job) {
+	if !record.Spec.IsGang() || record.End != "" {
 		return
 	}
-	key := leader.GangShape(&rec.Spec)
+	key := leader.GangShape(&record.Spec)
 	_, isKnown := g.gangShapes[key]
 	if !isKnown && len(g.gangShapes) >= constants.MaxGangShapes {
 		delete(g.gangShapes, g.oldestGangShape())
 	}
-	g.gangShapes[key] = gangShape{rec.Spec, now}
+	g.gangShapes[key] = gangShape{record.Spec, now}
 }
 
 // oldestGangShape returns the key of the shape that was seen the longest ago, and among
--- a/shard/interruptions.go
+++ b/shard/interruptions.go
@@ -80,7 +80,7 @@
 	out := disruption.Counts{}
 	for u, i := range s.units {
 		isHere := i.observedAt.Equal(now)
-		if !isHere && (!i.interrupted || u.job.rec.End != "" || now.Sub(i.observedAt) > s.retention) {
+		if !isHere && (!i.interrupted || u.job.record.End != "" || now.Sub(i.observedAt) > s.retention) {
 			delete(s.units, u)
 			continue
 		}
@@ -95,7 +95,7 @@
 // and returns the number of interrupted units by budget.
 func (d *draining) observeInterruptions(v *fleetView, now time.Time) disruption.Counts {
 	for _, j := range v.jobs {
-		if j.rec.End != "" || j.rec.Spec.IsService() {
+		if j.record.End != "" || j.record.Spec.IsService() {
 			continue
 		}
 		budgets := d.budgetsOf(j)
@@ -168,7 +168,7 @@
 	case i == nil:
 		return nil // there is no budget for the unit
 	case i.interrupted && d.mayBecomeAvailable(now, t.attempt):
-		return &notAvailableError{t.job.rec.ID}
+		return &notAvailableError{t.job.record.ID}
 	case !i.hasRun:
 		return nil // the unit has not run, or already counts as interrupted
 	}
--- a/shard/inventory_test.go
+++ b/shard/inventory_test.go
@@ -57,11 +57,11 @@
 						if len(ch.Value) > limit {
 							t.Fatalf("a page has %d bytes, more than the limit", len(ch.Value))
 						}
-						rec, err := records.Decode(ch.Put, ch.Value)
+						record, err := records.Decode(ch.Put, ch.Value)
 						if err != nil {
 							t.Fatal(err)
 						}
-						pages[ch.Put], versions[ch.Put] = rec.(*records.InventoryPage), revision
+						pages[ch.Put], versions[ch.Put] = record.(*records.InventoryPage), revision
 					}
 					durable := map[string]bool{}
 					for _, p := range pages {
--- a/shard/job.go
+++ b/shard/job.go
@@ -9,7 +9,7 @@
 
 // job is a job with tasks that are assigned to the shard.
 type job struct {
-	rec            *records.Job
+	record         *records.Job
 	version        uint64
 	tasks          map[int]*task
 	writeInFlight  bool // a write of the record is in flight
--- a/shard/jobrecords.go
+++ b/shard/jobrecords.go
@@ -9,20 +9,20 @@
 
 // applyJob updates the tasks that are assigned to the shard from a job's record. inherited
 // marks records from before the term, whose tasks may be running already.
-func (c *Core) applyJob(now time.Time, id string, rec *records.Job, version uint64, inherited bool) {
-	c.recordGangShape(now, rec)
-	assigned := c.assignedTasks(rec)
+func (c *Core) applyJob(now time.Time, id string, record *records.Job, version uint64, inherited bool) {
+	c.recordGangShape(now, record)
+	assigned := c.assignedTasks(record)
 	j := c.jobs[id]
 	if j == nil && assigned == 0 {
 		return
 	}
 	if j == nil {
-		j = c.addJob(now, id, rec, assigned)
+		j = c.addJob(now, id, record, assigned)
 	}
 	if version <= j.version {
 		return
 	}
-	j.rec, j.version = rec, version
+	j.record, j.version = record, version
 	j.writeInFlight, j.awaitsRecord = false, false
 	for _, t := range j.tasks {
 		t.offloading = false // a pending write is based on an older record and can only fail now
@@ -32,9 +32,9 @@
 	}
 	added := c.applyAssignments(now, j, assigned, inherited)
 	if added > 0 && !inherited {
-		c.assignedSinceForecast = append(c.assignedSinceForecast, assignedWork{version, rec.Spec.Spot, float64(added) * rec.Spec.CPUs})
+		c.assignedSinceForecast = append(c.assignedSinceForecast, assignedWork{version, record.Spec.Spot, float64(added) * record.Spec.CPUs})
 	}
-	if rec.End != "" {
+	if record.End != "" {
 		c.stopJob(j)
 	}
 	if j.gang != nil {
@@ -49,10 +49,10 @@
 }
 
 // assignedTasks counts the tasks of a job's open assignments to the shard.
-func (o *ownership) assignedTasks(rec *records.Job) int {
+func (o *ownership) assignedTasks(record *records.Job) int {
 	n := 0
-	for i := range rec.Assignments {
-		if assignment := &rec.Assignments[i]; assignment.Shard == o.cfg.Shard && !assignment.Closed {
+	for i := range record.Assignments {
+		if assignment := &record.Assignments[i]; assignment.Shard == o.cfg.Shard && !assignment.Closed {
 			n += assignment.Tasks()
 		}
 	}
@@ -60,26 +60,26 @@
 }
 
 // addJob adds a job to the known state.
-func (c *Core) addJob(now time.Time, id string, rec *records.Job, assigned int) *job {
-	j := &job{rec: rec, tasks: make(map[int]*task, assigned)}
+func (c *Core) addJob(now time.Time, id string, record *records.Job, assigned int) *job {
+	j := &job{record: record, tasks: make(map[int]*task, assigned)}
 	c.jobs[id] = j
-	if rec.Spec.IsGang() {
+	if record.Spec.IsGang() {
 		j.gang, j.gangArrivedAt = &gang{}, now
-		c.gangArrivals.add(now, sinceAccepted(now, rec), taskResources(&rec.Spec).times(rec.Spec.Tasks))
+		c.gangArrivals.add(now, sinceAccepted(now, record), taskResources(&record.Spec).times(record.Spec.Tasks))
 	}
 	return j
 }
 
 // sinceAccepted returns the time since a job was accepted.
-func sinceAccepted(now time.Time, rec *records.Job) time.Duration {
-	return time.Duration(now.UnixMilli()-rec.AcceptedMS) * time.Millisecond
+func sinceAccepted(now time.Time, record *records.Job) time.Duration {
+	return time.Duration(now.UnixMilli()-record.AcceptedMS) * time.Millisecond
 }
 
 // applyAssignments adds and removes tasks of a job so that the known tasks are those of its
 // open assignments to the shard. It returns the number of added tasks.
 func (c *Core) applyAssignments(now time.Time, j *job, assigned int, inherited bool) (added int) {
 	keep := make(map[int]bool, assigned)
-	for _, assignment := range j.rec.Assignments {
+	for _, assignment := range j.record.Assignments {
 		if assignment.Shard != c.cfg.Shard || assignment.Closed {
 			continue
 		}
@@ -91,8 +91,8 @@
 				j.tasks[i] = t
 				added++
 				c.adoptAttempts(t)
-				if j.rec.Spec.Priority == wire.PriorityProduction {
-					c.productionArrivals.add(now, sinceAccepted(now, j.rec), taskResources(&j.rec.Spec))
+				if j.record.Spec.Priority == wire.PriorityProduction {
+					c.productionArrivals.add(now, sinceAccepted(now, j.record), taskResources(&j.record.Spec))
 				}
 			}
 			t.keepWaiting, t.withinGuarantee = assignment.KeepWaiting, assignment.Guaranteed
@@ -128,11 +128,11 @@
 // stored record.
 func (c *Core) ApplyCancellation(id string) {
 	j := c.jobs[id]
-	if j == nil || j.rec.End != "" {
+	if j == nil || j.record.End != "" {
 		return
 	}
-	j.rec = j.rec.Clone()
-	j.rec.End = wire.JobCancelled
+	j.record = j.record.Clone()
+	j.record.End = wire.JobCancelled
 	j.awaitsRecord = true
 	c.stopJob(j)
 	c.markWaitingStale(j)
--- a/shard/migration.go
+++ b/shard/migration.go
@@ -23,7 +23,7 @@
 // task's budgets allow the stop. The error says why the task is not stopped.
 func (c *Core) migrateService(now time.Time, number int, t *task) error {
 	d := c.draining
-	spec := &t.job.rec.Spec
+	spec := &t.job.record.Spec
 	budgets := d.budgetsOf(t.job)
 	isAvailable := d.isAvailable(&c.fleetView, now, t)
 	if !isAvailable && d.mayBecomeAvailable(now, t.attempt) {
@@ -111,7 +111,7 @@
 		return
 	}
 	for _, t := range c.draining.surgeTasks {
-		s := &t.job.rec.Spec
+		s := &t.job.record.Spec
 		if c.takePendingCapacity(s, 1) == 1 {
 			continue
 		}
@@ -135,13 +135,13 @@
 	for t, m := range d.migrations {
 		j := t.job
 		switch {
-		case v.jobs[j.rec.ID] != j || j.tasks[t.index] != t || j.rec.End != "":
+		case v.jobs[j.record.ID] != j || j.tasks[t.index] != t || j.record.End != "":
 			delete(d.migrations, t) // the job has ended, or the task is assigned to another shard
 		case d.isAvailable(v, now, t):
 			delete(d.migrations, t)
 		case now.Sub(m.startedAt) > d.cfg.Policy.ReplacementTimeout:
 			delete(d.migrations, t)
-			d.recordFailure(m.drain, "a task of "+j.rec.ID+" was not up in time")
+			d.recordFailure(m.drain, "a task of "+j.record.ID+" was not up in time")
 		}
 	}
 }
@@ -153,7 +153,7 @@
 		return
 	}
 	if m := d.migrations[t]; m != nil {
-		d.recordFailure(m.drain, "a task of "+t.job.rec.ID+" failed on "+machine)
+		d.recordFailure(m.drain, "a task of "+t.job.record.ID+" failed on "+machine)
 	}
 }
 
--- a/shard/offload.go
+++ b/shard/offload.go
@@ -12,7 +12,7 @@
 // which assigns the task again. The task is not placed in this shard any more, until a
 // newer job record assigns the task to a shard.
 func (c *Core) offloadTask(j *job, t *task) {
-	if j.recordPending() || c.hasLiveAttempt(j.rec.ID, t.index) {
+	if j.recordPending() || c.hasLiveAttempt(j.record.ID, t.index) {
 		return
 	}
 	t.offloading = true
@@ -42,14 +42,14 @@
 // otherShardsFitOneMore reports whether other shards are known to have capacity for one more
 // of a job's tasks, in addition to the tasks that were already offloaded. All shards see the
 // same free capacity, so each shard counts on its share of that capacity only.
-func (f *aggregates) otherShardsFitOneMore(now time.Time, rec *records.Job, offloaded int) bool {
-	return f.taskSlotsInOtherShards(now, rec) > (offloaded+1)*max(1, len(f.otherShards))
+func (f *aggregates) otherShardsFitOneMore(now time.Time, record *records.Job, offloaded int) bool {
+	return f.taskSlotsInOtherShards(now, record) > (offloaded+1)*max(1, len(f.otherShards))
 }
 
 // taskSlotsInOtherShards returns for how many more of a job's tasks other shards are known to
 // have capacity.
-func (f *aggregates) taskSlotsInOtherShards(now time.Time, rec *records.Job) int {
-	s := &rec.Spec
+func (f *aggregates) taskSlotsInOtherShards(now time.Time, record *records.Job) int {
+	s := &record.Spec
 	slots := 0
 	for _, o := range f.otherShards {
 		if now.Sub(o.receivedAt) < constants.AggregateStaleAfter && (s.Zone == "" || s.Zone == o.aggregate.Shard) {
@@ -58,18 +58,18 @@
 	}
 	// A spread job is also limited in its tasks per shard, whatever the capacity.
 	if s.Spread && s.Tasks > 1 {
-		slots = min(slots, f.spreadSlotsInOtherShards(rec))
+		slots = min(slots, f.spreadSlotsInOtherShards(record))
 	}
 	return slots
 }
 
 // spreadSlotsInOtherShards returns how many more tasks of a spread job may be assigned to
 // other shards: each shard may have at most half of the job's tasks, rounded up.
-func (f *aggregates) spreadSlotsInOtherShards(rec *records.Job) int {
+func (f *aggregates) spreadSlotsInOtherShards(record *records.Job) int {
 	slots := 0
 	for name := range f.otherShards {
-		remaining := (rec.Spec.Tasks + 1) / 2
-		for _, a := range rec.Assignments {
+		remaining := (record.Spec.Tasks + 1) / 2
+		for _, a := range record.Assignments {
 			if a.Shard == name && !a.Closed {
 				remaining -= a.Tasks()
 			}
--- a/shard/pendingcapacity.go
+++ b/shard/pendingcapacity.go
@@ -78,7 +78,7 @@
 // tasksBeyondPendingCapacity takes capacity of pending machines for a job's ready tasks, and
 // returns the tasks that do not fit.
 func (c *Core) tasksBeyondPendingCapacity(now time.Time, j *job) []*task {
-	s := &j.rec.Spec
+	s := &j.record.Spec
 	tasks := c.appendReadyTasks(c.taskBuffer[:0], now, j)
 	c.taskBuffer = tasks
 	c.unplacedDemand = c.unplacedDemand.plus(taskResources(s).times(len(tasks)))
--- a/shard/pendingcommands.go
+++ b/shard/pendingcommands.go
@@ -56,7 +56,7 @@
 // isCancelled reports whether the job of an attempt is known to be cancelled.
 func (k *knownState) isCancelled(a *attempt) bool {
 	j := k.jobs[a.jobID]
-	return j != nil && j.rec.End == wire.JobCancelled
+	return j != nil && j.record.End == wire.JobCancelled
 }
 
 // nextStop returns the grace period in seconds of the next stop command for an unwanted
@@ -88,16 +88,16 @@
 // attempt cannot save one, or if the checkpoint would not be used.
 func (k *knownState) stopGrace(a *attempt) time.Duration {
 	t := k.taskOf(a)
-	if a.stopsInstantly || t == nil || t.job.rec.End != "" {
+	if a.stopsInstantly || t == nil || t.job.record.End != "" {
 		return 0
 	}
-	return time.Duration((t.job.rec.Spec.CheckpointSaveS + 0.5) * float64(time.Second))
+	return time.Duration((t.job.record.Spec.CheckpointSaveS + 0.5) * float64(time.Second))
 }
 
 // gangSaveTime returns the additional time that an attempt needs to save its checkpoint
 // because the tasks of a gang wait for each other.
 func (v *fleetView) gangSaveTime(a *attempt) time.Duration {
-	if j := v.jobs[a.jobID]; j == nil || j.gang == nil || a.stopsInstantly || j.rec.End != "" {
+	if j := v.jobs[a.jobID]; j == nil || j.gang == nil || a.stopsInstantly || j.record.End != "" {
 		return 0
 	}
 	return v.cfg.GangPeerTimeout
@@ -115,5 +115,5 @@
 		return true
 	}
 	t := k.taskOf(a)
-	return t == nil || t.job.rec.Spec.IsService()
+	return t == nil || t.job.record.Spec.IsService()
 }
--- a/shard/placement.go
+++ b/shard/placement.go
@@ -17,7 +17,7 @@
 	queue := make([]*job, 0, len(p.waiting))
 	for j := range p.waiting {
 		queue = append(queue, j)
-		j.rank = v.cfg.JobOrder.Rank(now, j.rec, leader.JobProgress{WithinGuarantee: j.waiting[0].withinGuarantee, Started: j.hasStarted})
+		j.rank = v.cfg.JobOrder.Rank(now, j.record, leader.JobProgress{WithinGuarantee: j.waiting[0].withinGuarantee, Started: j.hasStarted})
 	}
 	slices.SortFunc(queue, func(a, b *job) int { return a.rank.Compare(b.rank) })
 	return queue
@@ -74,8 +74,8 @@
 		c.placeGang(now, j, r)
 		return
 	}
-	spec := &j.rec.Spec
-	p := jobPlacement{job: j, spec: spec, demand: taskResources(spec), class: demandClassOf(spec), isOverdue: leader.IsOverdue(now, j.rec, j.hasStarted)}
+	spec := &j.record.Spec
+	p := jobPlacement{job: j, spec: spec, demand: taskResources(spec), class: demandClassOf(spec), isOverdue: leader.IsOverdue(now, j.record, j.hasStarted)}
 	isUnplaceable := r.failedPlacements.covers(p.class, p.demand)
 	if isUnplaceable && r.canSkipJob(&p) {
 		return
@@ -196,7 +196,7 @@
 			continue
 		}
 		tried++
-		demand := taskResources(&j.rec.Spec)
+		demand := taskResources(&j.record.Spec)
 		c.taskBuffer = c.appendReadyTasks(c.taskBuffer[:0], now, j)
 		for _, t := range c.taskBuffer {
 			if !demand.fits(free) {
@@ -213,7 +213,7 @@
 // from the queue of the last round. The job may have ended since that round. Gangs are
 // excluded because a gang is only placed as a whole.
 func (k *knownState) mayFill(j *job, m *machine, free resources) bool {
-	s := &j.rec.Spec
+	s := &j.record.Spec
 	switch {
 	case j.gang != nil || len(j.waiting) == 0:
 		return false
@@ -224,7 +224,7 @@
 	case !taskResources(s).fits(free) || !isEligible(s, m.typeName, m.spot):
 		return false
 	}
-	return k.jobs[s.ID] == j && j.rec.End == ""
+	return k.jobs[s.ID] == j && j.record.End == ""
 }
 
 // startTask starts a task on a machine as an attempt with a new number.
@@ -236,8 +236,8 @@
 // attempt counts as possibly present on the machine.
 func (c *Core) startAttempt(now time.Time, t *task, m *machine, number uint64) {
 	a := &attempt{
-		key:   attemptKey{wire.TaskName(t.job.rec.ID, t.index), number},
-		jobID: t.job.rec.ID, taskIndex: t.index, machine: m, state: stateSent, startSentAt: now,
+		key:   attemptKey{wire.TaskName(t.job.record.ID, t.index), number},
+		jobID: t.job.record.ID, taskIndex: t.index, machine: m, state: stateSent, startSentAt: now,
 	}
 	a.applySpec(t.job)
 	c.addAttempt(a)
--- a/shard/placementstate.go
+++ b/shard/placementstate.go
@@ -102,5 +102,5 @@
 // job's first waiting task.
 func (r *placementRound) preemptionKnownToFail(j *job, d demandClass, n resources) bool {
 	withinGuarantee := len(j.waiting) > 0 && j.waiting[0].withinGuarantee
-	return !r.preemptionScan.needsCheckpoint && r.failedPreemptions.covers(d.forPreemption(&j.rec.Spec, withinGuarantee), n)
+	return !r.preemptionScan.needsCheckpoint && r.failedPreemptions.covers(d.forPreemption(&j.record.Spec, withinGuarantee), n)
 }
--- a/shard/preempt.go
+++ b/shard/preempt.go
@@ -22,7 +22,7 @@
 // allow guaranteed work to preempt services and work of higher priority. The owner does
 // not use this, because the shorter wait of the preemptor would not justify it.
 func mayPreempt(victim, preemptor *task) bool {
-	victimSpec, spec := &victim.job.rec.Spec, &preemptor.job.rec.Spec
+	victimSpec, spec := &victim.job.record.Spec, &preemptor.job.record.Spec
 	victimLevel, level := victimSpec.Priority.Level(), spec.Priority.Level()
 	if victimLevel != level {
 		return victimLevel < level
@@ -60,7 +60,7 @@
 	if !scan.done {
 		k.scanForPreemption(scan)
 	}
-	s := &preemptor.job.rec.Spec
+	s := &preemptor.job.record.Spec
 	if s.Priority.Level() > scan.lowestPriority {
 		return true
 	}
@@ -83,7 +83,7 @@
 // checkpoint, on the machine on which that costs the least. It returns nil if there is
 // no such machine.
 func (v *fleetView) preempt(now time.Time, preemptor *task, image imageRequirement, r *placementRound) *machine {
-	spec := &preemptor.job.rec.Spec
+	spec := &preemptor.job.record.Spec
 	demand := taskResources(spec)
 	class := demandClassOf(spec).forPreemption(spec, preemptor.withinGuarantee)
 	if image == machineWithImage {
@@ -114,7 +114,7 @@
 // least, and the attempts to stop there. The cost is the lost work in CPU seconds plus
 // the constants whose names begin with Cost.
 func (v *fleetView) cheapestPreemption(now time.Time, preemptor *task, image imageRequirement) (*machine, []*attempt) {
-	spec := &preemptor.job.rec.Spec
+	spec := &preemptor.job.record.Spec
 	demand := taskResources(spec)
 	var best *machine
 	var bestVictims, evictable []*attempt
@@ -196,15 +196,15 @@
 // preemptionMissesObjective reports whether restarting the task of an attempt would make
 // the job miss a completion objective that the job would otherwise have met.
 func (v *fleetView) preemptionMissesObjective(now time.Time, a *attempt) bool {
-	rec := v.jobs[a.jobID].rec
+	record := v.jobs[a.jobID].record
 	startedAt := a.startSentAt
 	if !a.runningSince.IsZero() {
 		startedAt = a.runningSince
 	}
-	estimate := time.Duration(rec.Spec.EstimateS * float64(time.Second))
-	age := time.Duration(now.UnixMilli()-rec.AcceptedMS) * time.Millisecond
+	estimate := time.Duration(record.Spec.EstimateS * float64(time.Second))
+	age := time.Duration(now.UnixMilli()-record.AcceptedMS) * time.Millisecond
 	remaining := max(estimate-now.Sub(startedAt), constants.MinRemainingRuntime)
-	metIfContinued := v.cfg.JobOrder.ObjectivesMet(rec.Spec.Class, age+remaining)
-	metIfRestarted := v.cfg.JobOrder.ObjectivesMet(rec.Spec.Class, age+estimate)
+	metIfContinued := v.cfg.JobOrder.ObjectivesMet(record.Spec.Class, age+remaining)
+	metIfRestarted := v.cfg.JobOrder.ObjectivesMet(record.Spec.Class, age+estimate)
 	return metIfContinued > metIfRestarted
 }
--- a/shard/preemptcheckpoint.go
+++ b/shard/preemptcheckpoint.go
@@ -28,7 +28,7 @@
 		freed = freed.plus(q.evictForPreemption(v, victim))
 	}
 	preemptor.resourcesExpectedUntil = now.Add(wait + constants.ReclaimMargin)
-	return freed.countFitting(taskResources(&preemptor.job.rec.Spec))
+	return freed.countFitting(taskResources(&preemptor.job.record.Spec))
 }
 
 // evictForPreemption stops an attempt, or the whole gang to which the attempt belongs,
@@ -52,7 +52,7 @@
 // machine on which that stops the fewest CPUs of work. The result is empty if there is
 // no such machine.
 func (v *fleetView) cheapestCheckpointPreemption(now time.Time, preemptor *task) []*attempt {
-	s := &preemptor.job.rec.Spec
+	s := &preemptor.job.record.Spec
 	var best []*attempt
 	bestCost := math.Inf(1)
 	for _, m := range v.fleet {
@@ -72,7 +72,7 @@
 // fits, and the CPUs that they and the other tasks of their gangs use. The list is empty
 // if the task does not fit whatever is stopped.
 func (v *fleetView) checkpointVictims(m *machine, preemptor *task) ([]*attempt, float64) {
-	demand := taskResources(&preemptor.job.rec.Spec)
+	demand := taskResources(&preemptor.job.record.Spec)
 	free := v.freeResources(m)
 	cost := 0.0
 	var victims []*attempt
--- a/shard/reconcile.go
+++ b/shard/reconcile.go
@@ -205,9 +205,9 @@
 func (k *knownState) recordRunning(now time.Time, a *attempt) {
 	a.runningSince = now
 	if j := k.jobs[a.jobID]; j != nil {
-		slog.Debug("task runs", logkey.TaskID, a.key.task, "class", j.rec.Spec.Class,
+		slog.Debug("task runs", logkey.TaskID, a.key.task, "class", j.record.Spec.Class,
 			logkey.Machine, a.machine.name, "spot", a.machine.spot,
-			"accepted_s", float64(now.UnixMilli()-j.rec.AcceptedMS)/1000,
+			"accepted_s", float64(now.UnixMilli()-j.record.AcceptedMS)/1000,
 			"sent_s", now.Sub(a.startSentAt).Seconds(), "cached", a.machine.cachedImages[a.image])
 	}
 }
@@ -216,7 +216,7 @@
 func (k *knownState) logExit(now time.Time, a *attempt) {
 	if j := k.jobs[a.jobID]; j != nil {
 		slog.Debug("task ended", logkey.TaskID, a.key.task, "cause", a.cause,
-			logkey.Machine, a.machine.name, "ran_s", now.Sub(a.runningSince).Seconds(), "estimate_s", j.rec.Spec.EstimateS)
+			logkey.Machine, a.machine.name, "ran_s", now.Sub(a.runningSince).Seconds(), "estimate_s", j.record.Spec.EstimateS)
 	}
 }
 
--- a/shard/reservation.go
+++ b/shard/reservation.go
@@ -12,7 +12,7 @@
 // isReservedForOthers reports whether a machine takes no task of a job because the
 // machine is reserved for another job or for gangs.
 func (m *machine) isReservedForOthers(s *wire.Submission) bool {
-	if m.reservedFor != nil && m.reservedFor.rec.ID != s.ID {
+	if m.reservedFor != nil && m.reservedFor.record.ID != s.ID {
 		return true
 	}
 	return m.reservedForGangs && !s.AllOrNothing()
@@ -35,12 +35,12 @@
 			reserved++
 		}
 	}
-	best := v.bestReservation(now, &j.rec.Spec)
+	best := v.bestReservation(now, &j.record.Spec)
 	r.reservationsExhausted = reserved > len(v.fleet)/constants.MachinesPerReservation
 	if best == nil || r.reservationsExhausted {
 		return
 	}
-	slog.Info("reserving machine for overdue job", logkey.JobID, j.rec.ID, logkey.Machine, best.name)
+	slog.Info("reserving machine for overdue job", logkey.JobID, j.record.ID, logkey.Machine, best.name)
 	best.reservedFor = j
 	best.reservedUntil = now.Add(constants.CapacityHoldTime)
 }
@@ -73,7 +73,7 @@
 		if j == nil {
 			continue
 		}
-		if now.After(m.reservedUntil) || j.hasStarted || len(j.waiting) == 0 || v.jobs[j.rec.ID] != j {
+		if now.After(m.reservedUntil) || j.hasStarted || len(j.waiting) == 0 || v.jobs[j.record.ID] != j {
 			m.reservedFor = nil
 			p.needsPlacement = true
 		}
--- a/shard/scale_test.go
+++ b/shard/scale_test.go
@@ -453,16 +453,16 @@
 				if r.jobs[id] == nil {
 					continue
 				}
-				rec := r.jobs[id].rec.Clone()
+				record := r.jobs[id].record.Clone()
 				if rapid.Bool().Draw(t, "over") {
-					rec.End = wire.JobCancelled
+					record.End = wire.JobCancelled
 				} else {
-					for i := range rec.Assignments {
-						rec.Assignments[i].Guaranteed = !rec.Assignments[i].Guaranteed
+					for i := range record.Assignments {
+						record.Assignments[i].Guaranteed = !record.Assignments[i].Guaranteed
 					}
 				}
 				r.version++
-				r.Apply(r.now, records.Change{Key: records.KeyJob(id), Version: r.version, Record: rec})
+				r.Apply(r.now, records.Change{Key: records.KeyJob(id), Version: r.version, Record: record})
 			case 2: // a machine reports progress of its attempts, or has restarted
 				name := fmt.Sprintf("m-%d", rapid.IntRange(0, machines-1).Draw(t, "machine"))
 				m := r.machines[name]
--- a/shard/scaleout.go
+++ b/shard/scaleout.go
@@ -92,8 +92,8 @@
 func (c *Core) scaleOutForJob(now time.Time, j *job, tasks []*task, r *scaleOutRound) {
 	p := jobScaleOut{
 		job:        j,
-		demand:     taskResources(&j.rec.Spec),
-		offer:      c.cheapestOffer(&c.fleetView, now, &j.rec.Spec),
+		demand:     taskResources(&j.record.Spec),
+		offer:      c.cheapestOffer(&c.fleetView, now, &j.record.Spec),
 		mayOffload: now.Sub(j.offloadedAt) > constants.OffloadWait,
 	}
 	for _, t := range tasks {
@@ -116,12 +116,12 @@
 	case plan.lastAdded != nil && plan.demand.fits(plan.lastAdded.free):
 		plan.lastAdded.free = plan.lastAdded.free.minus(plan.demand)
 		return true
-	case !t.keepWaiting && plan.mayOffload && c.otherShardsFitOneMore(now, plan.job.rec, plan.offloaded):
+	case !t.keepWaiting && plan.mayOffload && c.otherShardsFitOneMore(now, plan.job.record, plan.offloaded):
 		// The task is offloaded only if another shard is known to have capacity for it.
 		// Otherwise it would be returned to this shard, which costs two more writes.
 		c.offloadTask(plan.job, t)
 		plan.offloaded++
-	case round.mayOffloadOverdue && waited > constants.OverdueOffloadWait && c.taskSlotsInOtherShards(now, plan.job.rec) > round.overdueOffloaded:
+	case round.mayOffloadOverdue && waited > constants.OverdueOffloadWait && c.taskSlotsInOtherShards(now, plan.job.record) > round.overdueOffloaded:
 		// The task has waited for so long that it is offloaded if other shards have any
 		// capacity for it, even if this shard may still get machines. Otherwise the task
 		// could wait in this shard forever while other shards have free capacity.
@@ -133,7 +133,7 @@
 	case plan.offer.isAvailable():
 		plan.lastAdded = c.planMachine(plan.offer, plan.demand, round.counts)
 		return true
-	case waited > constants.OffloadWait && plan.mayOffload && c.otherShardsFitOneMore(now, plan.job.rec, plan.offloaded):
+	case waited > constants.OffloadWait && plan.mayOffload && c.otherShardsFitOneMore(now, plan.job.record, plan.offloaded):
 		c.offloadTask(plan.job, t)
 		plan.offloaded++
 	}
--- a/shard/scaleoutgang.go
+++ b/shard/scaleoutgang.go
@@ -13,7 +13,7 @@
 // scaleOutForGang adds machines for the tasks of a waiting gang that fit on no pending
 // machine, or offloads the gang if shouldOffloadGang says so.
 func (c *Core) scaleOutForGang(now time.Time, j *job, counts machineCounts) {
-	s := &j.rec.Spec
+	s := &j.record.Spec
 	demand := taskResources(s)
 	if j.gang.done || j.gang.isActive() {
 		return // no machine is added for the replacement of a lost task of an active gang
@@ -76,13 +76,13 @@
 // shards. A gang that may use several zones is spread if it is overdue and the cloud has no
 // more machines for this shard: possibly no single shard is large enough for it.
 func (c *Core) shouldOffloadGang(now time.Time, j *job, offer machineOffer) bool {
-	s := &j.rec.Spec
-	if now.Sub(j.offloadedAt) <= constants.OffloadWait || spansShards(j.rec, c.cfg.Shard) {
+	s := &j.record.Spec
+	if now.Sub(j.offloadedAt) <= constants.OffloadWait || spansShards(j.record, c.cfg.Shard) {
 		return false
 	}
 	waited := now.Sub(j.gangArrivedAt)
 	mayLeave := !offer.isAvailable() || waited > constants.GangOffloadWait
-	spread := !offer.isAvailable() && !s.OneZone && s.Zone == "" && waited > constants.OffloadWait && leader.IsOverdue(now, j.rec, false)
+	spread := !offer.isAvailable() && !s.OneZone && s.Zone == "" && waited > constants.OffloadWait && leader.IsOverdue(now, j.record, false)
 	if !spread && !(mayLeave && c.otherShardFitsGang(now, s)) {
 		return false
 	}
--- a/shard/spotreclaim.go
+++ b/shard/spotreclaim.go
@@ -52,7 +52,7 @@
 // mustEvictBeforeReclaim reports whether a task is to be evicted now from a machine that is
 // reclaimed after the remaining time.
 func (v *fleetView) mustEvictBeforeReclaim(now time.Time, t *task, a *attempt, remaining time.Duration) bool {
-	s := &t.job.rec.Spec
+	s := &t.job.record.Spec
 	if !a.stopsInstantly {
 		return remaining <= v.stopGrace(a)+constants.ReclaimMargin // the task checkpoints as late as possible
 	}
--- a/shard/state.go
+++ b/shard/state.go
@@ -135,7 +135,7 @@
 // run.
 func (k *knownState) isWanted(a *attempt) bool {
 	t := k.taskOf(a)
-	return t != nil && t.attempt == a && !t.done && !a.stopRequested && t.job.rec.End == ""
+	return t != nil && t.attempt == a && !t.done && !a.stopRequested && t.job.record.End == ""
 }
 
 // TaskCounts returns for each job the number of its tasks that run in the shard, and the
--- a/shard/state_test.go
+++ b/shard/state_test.go
@@ -127,7 +127,7 @@
 // its task is not assigned to the shard, or while a stop of the attempt is requested.
 func TestKnownStateOfAttempts(t *testing.T) {
 	k := newKnownState()
-	j := &job{rec: &records.Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", CPUs: 3, MemoryGB: 2, Image: "i"}}, tasks: map[int]*task{}}
+	j := &job{record: &records.Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", CPUs: 3, MemoryGB: 2, Image: "i"}}, tasks: map[int]*task{}}
 	k.jobs["run-1"] = j
 	m := k.ensureMachine("m-1")
 	a := &attempt{key: attemptKey{"run-1/0", 7}, jobID: "run-1", machine: m}
--- a/shard/usage.go
+++ b/shard/usage.go
@@ -49,7 +49,7 @@
 		if t == nil {
 			continue
 		}
-		s := &t.job.rec.Spec
+		s := &t.job.record.Spec
 		if s.IsService() {
 			m.usage.services++
 		} else {
--- a/shard/waiting.go
+++ b/shard/waiting.go
@@ -19,10 +19,10 @@
 	for _, j := range p.changedJobs {
 		j.waitingStale = false
 		j.waiting, j.hasStarted = j.waiting[:0], false
-		for i := range j.rec.Assignments {
-			j.hasStarted = j.hasStarted || j.rec.Assignments[i].Closed
+		for i := range j.record.Assignments {
+			j.hasStarted = j.hasStarted || j.record.Assignments[i].Closed
 		}
-		if v.jobs[j.rec.ID] == j && j.rec.End == "" {
+		if v.jobs[j.record.ID] == j && j.record.End == "" {
 			for _, t := range j.tasks {
 				j.hasStarted = j.hasStarted || t.done || t.attempt != nil
 				if t.isWaiting() {
@@ -56,7 +56,7 @@
 func (k *knownState) appendReadyTasks(out []*task, now time.Time, j *job) []*task {
 	for _, t := range j.waiting {
 		// An earlier attempt that is still on another machine must have ended first.
-		if t.isWaiting() && !now.Before(t.notBefore) && !k.hasLiveAttempt(j.rec.ID, t.index) {
+		if t.isWaiting() && !now.Before(t.notBefore) && !k.hasLiveAttempt(j.record.ID, t.index) {
 			out = append(out, t)
 		}
 	}
