--- a/member/acquisition.go
+++ b/member/acquisition.go
@@ -95,8 +95,9 @@
 }
 
 // acquisition returns the transaction that gives a term to a new holder. The transaction
-// succeeds only while the term and the new holder's registration are as known here, and
-// the previous holder's lease has ended or its revocation is as known here.
+// succeeds only if the term and the new holder's registration have not changed since this
+// controller read them, and the previous holder's lease has ended or its revocation has
+// not changed since this controller read it.
 func (c *Core) acquisition(key, newHolder string, previousUnreachable bool) TermAcquisition {
 	current := c.terms[key]
 	registered := c.registrations[newHolder]
--- a/member/revocation.go
+++ b/member/revocation.go
@@ -59,9 +59,10 @@
 }
 
 // Revoke completes a revocation and returns the transaction that writes it. The
-// transaction succeeds only while the target's process and this process are registered
-// as known here. There is no transaction for this controller itself, nor for a process
-// that is not registered, does not support revocation or is already revoked.
+// transaction succeeds only if the registrations of the target's process and of this
+// process have not changed since this controller read them. There is no transaction for
+// this controller itself, nor for a process that is not registered, does not support
+// revocation or is already revoked.
 func (c *Core) Revoke(revocation records.Revocation) (wire.Txn, bool) {
 	target, ok := c.registrations[revocation.Controller]
 	if !ok || target.incarnation != revocation.Incarnation {
--- a/shard/cancellation_test.go
+++ b/shard/cancellation_test.go
@@ -8,13 +8,14 @@
 	"ravenport/wire"
 )
 
-// An owner whose authority has ended still answers heartbeats for the lease extension. In a
-// generated scenario (TestRulesHoldWithDetection with more faults, 1 of 1,425 runs broke
-// ran_cancelled) the owner renewed the lease of a machine whose task it knew as cancelled,
-// and gave no command: the log had "heartbeat answered status 200, reply carried out" with
-// the cancelled task listed as running and no stop, 11 s after "cancellation confirmed". The
-// machine then hung until cancel_s was over. A cancellation is stored before a controller
-// confirms it and is final, so its stop needs no authority.
+// An owner whose authority has ended still answers heartbeats for the lease extension. These
+// tests guard against a fault in which such an owner renewed the lease of a machine whose
+// task it knew as cancelled, and sent no stop. In TestRulesHoldWithDetection with more
+// faults, 1 of 1,425 generated scenarios violated the rule ran_cancelled: 11 s after
+// "cancellation confirmed", the owner answered a heartbeat that listed the cancelled task as
+// running, and the reply carried no stop. The machine then hung until cancel_s was over. A
+// cancellation is stored before a controller confirms it and is final, so the owner needs no
+// authority to stop the tasks.
 
 // cancelledWithoutAuthority returns an owner without authority, in its lease extension, and
 // the status of the tasks of two jobs that run on one machine. The first job was cancelled.
@@ -86,11 +87,11 @@
 	}
 }
 
-// A stop without a reply is repeated with every probe of the machine. In another generated
-// scenario (1 of 1,592 runs) the log had "direct command sent stop:run-000006/0" once, then 3
-// times "direct command carried out" with no command at all, each of them a delayed probe.
-// The machine was partitioned from its owner for two seconds after the cancellation, carried
-// out probes without a command, and hung through an outage.
+// A stop without a reply is repeated with every probe of the machine. The test guards against
+// a fault that 1 of 1,592 generated scenarios showed: the owner sent the stop in one direct
+// command only, and the machine then carried out 3 delayed probes, none of which contained a
+// command. The machine was partitioned from its owner for two seconds after the cancellation,
+// and hung during an outage later.
 func TestProbesRepeatStopsOfCancelledTasks(t *testing.T) {
 	job := arrayJob("run-1", 1, "a")
 	r := newTestOwner(map[string]*records.Job{"run-1": job})
--- a/shard/heartbeat.go
+++ b/shard/heartbeat.go
@@ -78,11 +78,12 @@
 
 // recordHeartbeat records that a machine is alive, and checks whether the machine receives
 // replies. If its heartbeats arrive while replies and commands do not reach it, its lease
-// expires without notice to the owner. A machine becomes unconfirmed if it does not report
-// the fencing token of the last reply, if it sent heartbeats to other controllers although
-// this owner answered it, or if it leaves a direct command unanswered. It stays unconfirmed
-// until it reports a token that is first sent to it after that. A late copy of a heartbeat
-// cannot contain such a token, because the copy is older than the token.
+// expires although the owner assumes that each reply renews it. A machine becomes
+// unconfirmed if it does not report the fencing token of the last reply, if it sent
+// heartbeats to other controllers although this owner answered it, or if it leaves a direct
+// command unanswered. It stays unconfirmed until it reports a token that is first sent to
+// it after that. A late copy of a heartbeat cannot contain such a token, because the copy
+// is older than the token.
 func (p *placement) recordHeartbeat(v *fleetView, now time.Time, m *machine) {
 	if v.isUnreachable(now, m) {
 		m.unansweredUnconfirmed = 0 // commands that were unanswered while the machine was unreachable do not count
--- a/shard/ownership.go
+++ b/shard/ownership.go
@@ -31,10 +31,10 @@
 }
 
 // mayExtendLeases reports whether the owner still answers heartbeats after the end of its
-// authority, whether or not another owner is known to have begun. In a partitioned zone the
-// workers reach no other controller, and without a reply they would end their tasks. The
-// owner then gives no commands but the stops of cancelled tasks, and does not extend the
-// lease of a machine that has seen a later term.
+// authority, whether or not another controller is known to have acquired a later term. In a
+// partitioned zone the workers reach no other controller, and without a reply they would
+// end their tasks. The owner then gives no commands but the stops of cancelled tasks, and
+// does not extend the lease of a machine that has seen a later term.
 func (o *ownership) mayExtendLeases(now time.Time) bool {
 	extension := time.Duration(float64(o.cfg.LeaseExtension)*(1-constants.MaxClockDrift)) - constants.AuthorityMargin
 	return !o.authorityUntil.IsZero() && now.Before(o.authorityUntil.Add(extension))
--- a/shard/reconcile.go
+++ b/shard/reconcile.go
@@ -133,7 +133,7 @@
 	a.lastReconcile = c.reconcileCount
 	if a.reported && previous == status.State {
 		if t := c.taskOf(a); t != nil && t.attempt == nil && !t.done && !a.hasExited() {
-			c.matchAttempt(t, a) // the task has lost the attempt that it had
+			c.matchAttempt(t, a) // the attempt that the task had was released
 		}
 		return
 	}
--- a/shard/spotreclaim.go
+++ b/shard/spotreclaim.go
@@ -43,8 +43,8 @@
 
 // isGangCheckpointDue reports whether a gang with a task on a machine that is reclaimed after
 // the remaining time must stop now. A gang checkpoints as a whole, at the latest time at
-// which all its tasks can still be told to stop. A gang that cannot checkpoint is left to end
-// by itself.
+// which a stop still reaches all its tasks in time. A gang that cannot checkpoint is not
+// stopped.
 func (v *fleetView) isGangCheckpointDue(a *attempt, remaining time.Duration) bool {
 	return !a.stopsInstantly && remaining <= v.stopGrace(a)+v.cfg.GangPeerTimeout+constants.ReclaimMargin
 }
