--- a/shard/cancellation_test.go
+++ b/shard/cancellation_test.go
@@ -13,9 +13,9 @@
 // task it knew as cancelled, and sent no stop. In TestRulesHoldWithDetection with more
 // faults, 1 of 1,425 generated scenarios violated the rule ran_cancelled: 11 s after
 // "cancellation confirmed", the owner answered a heartbeat that listed the cancelled task as
-// running, and the reply carried no stop. The machine then hung until cancel_s was over. A
-// cancellation is stored before a controller confirms it and is final, so the owner needs no
-// authority to stop the tasks.
+// running with status 200, and the reply carried no stop. The machine then hung until
+// cancel_s was over. A cancellation is stored before a controller confirms it and is final,
+// so the owner needs no authority to stop the tasks.
 
 // cancelledWithoutAuthority returns an owner without authority, in its lease extension, and
 // the status of the tasks of two jobs that run on one machine. The first job was cancelled.
--- a/shard/scale_test.go
+++ b/shard/scale_test.go
@@ -92,7 +92,7 @@
 		return testing.AllocsPerRun(50, func() {
 			seq++
 			if _, err := r.Heartbeat(r.now, newHeartbeat("m-00000", 1, seq, r.latestToken("m-00000"), tasks...)); err != nil {
-				t.Fatal("heartbeat refused")
+				t.Fatal("refused")
 			}
 		})
 	}
@@ -560,7 +560,7 @@
 			t.Fatalf("%d tasks were sent by a direct command, want constants.ExitsBeforeTokenRaise", len(heartbeat.Tasks))
 		}
 		if _, err := r.Heartbeat(r.now, heartbeat); err != nil {
-			t.Fatal("heartbeat refused")
+			t.Fatal("refused")
 		}
 		raised = m.tokenCount - countBefore
 	}
@@ -583,7 +583,7 @@
 	n := testing.AllocsPerRun(100, func() {
 		heartbeat.Seq++
 		if _, err := r.Heartbeat(r.now, heartbeat); err != nil {
-			t.Fatal("heartbeat refused")
+			t.Fatal("refused")
 		}
 	})
 	if n > 0 {
