--- a/controller/sim_store_test.go
+++ b/controller/sim_store_test.go
@@ -41,7 +41,7 @@
 	unavailable := w.storeOutage || s.n.cutFromStore || w.partitionedZone == s.n.set.Zone
 	w.mu.Unlock()
 	if unavailable {
-		return kvstore.ErrRefused
+		return kvstore.ErrNotExecuted
 	}
 	return nil
 }
@@ -194,10 +194,10 @@
 		}
 		select {
 		case <-ctx.Done():
-			return nil, kvstore.ErrRefused
+			return nil, kvstore.ErrNotExecuted
 		case <-end:
 			if unavailable {
-				return nil, kvstore.ErrRefused
+				return nil, kvstore.ErrNotExecuted
 			}
 			return out, nil
 		case <-changed:
--- a/shard/attempt.go
+++ b/shard/attempt.go
@@ -48,7 +48,7 @@
 
 // applySpec copies the properties of the job's tasks from its specification to an attempt.
 func (a *attempt) applySpec(j *job) {
-	s := &j.rec.Spec
+	s := &j.record.Spec
 	a.resources, a.image = taskResources(s), s.Image
 	a.stopsInstantly = s.CheckpointIntervalS == 0
 	a.machine.usageStale = true
@@ -56,7 +56,7 @@
 
 // adoptAttempts matches a new task with the known attempts of that task on machines.
 func (c *Core) adoptAttempts(t *task) {
-	for _, a := range c.attemptsByTask[taskKey{t.job.rec.ID, t.index}] {
+	for _, a := range c.attemptsByTask[taskKey{t.job.record.ID, t.index}] {
 		a.applySpec(t.job)
 		c.matchAttempt(t, a)
 	}
@@ -71,7 +71,7 @@
 		return
 	}
 	if a.hasExited() {
-		if a.cause == wire.CauseDone && !t.job.rec.Spec.IsService() {
+		if a.cause == wire.CauseDone && !t.job.record.Spec.IsService() {
 			t.done = true
 			t.possiblyRunning = false
 		}
@@ -101,7 +101,7 @@
 		if t := j.tasks[a.taskIndex]; t != nil && t.attempt == a {
 			t.attempt = nil
 			t.waitingSince = now
-			t.keepWaiting = false // the task has lost its machine: if it does not fit here, it is offloaded to the leader at once
+			t.keepWaiting = false // the machine of the task has failed: if the task does not fit in this shard, it is offloaded to the leader at once
 			if j.gang != nil {
 				c.handleLostGangTask(j, a)
 			}
--- a/shard/pendingcommands.go
+++ b/shard/pendingcommands.go
@@ -6,9 +6,9 @@
 	"ravenport/wire"
 )
 
-// pendingCommands returns the commands for a machine in the order stops, forgets, starts, so
-// that resources are free when a start needs them. Only the reply to a heartbeat contains
-// forgets.
+// pendingCommands returns the commands for a machine, first the stops, then the commands to
+// forget attempts, then the starts, so that resources are free when a start needs them. Only
+// the reply to a heartbeat contains commands to forget attempts.
 func (v *fleetView) pendingCommands(now time.Time, m *machine, via exchangeKind) []wire.Command {
 	out := []wire.Command{}
 	var starts []wire.Command
@@ -56,14 +56,14 @@
 // isCancelled reports whether the job of an attempt is known to be cancelled.
 func (k *knownState) isCancelled(a *attempt) bool {
 	j := k.jobs[a.jobID]
-	return j != nil && j.rec.End == wire.JobCancelled
+	return j != nil && j.record.End == wire.JobCancelled
 }
 
 // nextStop returns the grace period in seconds of the next stop command for an unwanted
 // attempt; send is false if no stop is due. A task that saves its checkpoint is not stopped
 // again until its time to save is over. The tasks of a gang save together, and the owner sees
-// that only when they exit. Until their time is over the first command is therefore repeated,
-// in case they did not receive it.
+// that only when they exit. The owner therefore repeats the first command until their time is
+// over, in case a worker did not receive it.
 func (v *fleetView) nextStop(now time.Time, a *attempt) (graceS float64, send bool) {
 	gangTime := v.gangSaveTime(a)
 	withinSaveTime := now.Sub(a.stopSentAt) < v.stopGrace(a)+gangTime
@@ -88,16 +88,16 @@
 // attempt cannot save one, or if the checkpoint would not be used.
 func (k *knownState) stopGrace(a *attempt) time.Duration {
 	t := k.taskOf(a)
-	if a.stopsInstantly || t == nil || t.job.rec.End != "" {
+	if a.stopsInstantly || t == nil || t.job.record.End != "" {
 		return 0
 	}
-	return time.Duration((t.job.rec.Spec.CheckpointSaveS + 0.5) * float64(time.Second))
+	return time.Duration((t.job.record.Spec.CheckpointSaveS + 0.5) * float64(time.Second))
 }
 
 // gangSaveTime returns the additional time that an attempt needs to save its checkpoint
 // because the tasks of a gang wait for each other.
 func (v *fleetView) gangSaveTime(a *attempt) time.Duration {
-	if j := v.jobs[a.jobID]; j == nil || j.gang == nil || a.stopsInstantly || j.rec.End != "" {
+	if j := v.jobs[a.jobID]; j == nil || j.gang == nil || a.stopsInstantly || j.record.End != "" {
 		return 0
 	}
 	return v.cfg.GangPeerTimeout
@@ -115,5 +115,5 @@
 		return true
 	}
 	t := k.taskOf(a)
-	return t == nil || t.job.rec.Spec.IsService()
+	return t == nil || t.job.record.Spec.IsService()
 }
