--- a/controller/acquisition.go
+++ b/controller/acquisition.go
@@ -65,9 +65,10 @@
 	}
 }
 
-// isAcquiring reports whether an acquisition of key is in progress, or was started less
-// than StoreTimeout and one second ago. The state expires without a further event:
-// otherwise an owner that had once acquired its shard could never transfer the shard.
+// isAcquiring reports whether an acquisition of key counts as in progress. An acquisition
+// without a result counts for StoreTimeout and one second, a written one, or one whose
+// outcome is unknown, for one second after its result. The state expires without a further
+// event: otherwise an owner that had once acquired its shard could never transfer the shard.
 func (c *controlActor) isAcquiring(now time.Time, key string) bool {
 	startedAt, ok := c.terms.acquiring[key]
 	return ok && now.Sub(startedAt) < constants.StoreTimeout+time.Second
--- a/controller/control_messages.go
+++ b/controller/control_messages.go
@@ -104,8 +104,8 @@
 
 // Messages to the control actor from the monitor.
 type (
-	// resignLease reports that an actor is stalled, so that this process must end its
-	// lease.
+	// resignLease reports that an actor is stalled, so that this process must stop
+	// renewing its lease.
 	resignLease struct{}
 	// membershipView is the state of failure detection, to be shown in the status.
 	membershipView struct {
--- a/controller/dependencies.go
+++ b/controller/dependencies.go
@@ -73,7 +73,7 @@
 	// Store is the client of the key-value store for users' writes and for reads. The
 	// next three are clients of the same store with other shares of its rate limit.
 	Store       Store
-	Unthrottled Store // for the writes of leases and term acquisitions, which precede all others
+	Unthrottled Store // for the writes of leases, term acquisitions and revocations, which precede all others
 	Background  Store // for writes that have lower priority than users' writes
 	Urgent      Store // for writes whose delay users notice within seconds
 	Cloud       Cloud
--- a/controller/detection.go
+++ b/controller/detection.go
@@ -16,7 +16,7 @@
 	membership membershipView
 	redirects  *redirectTracker
 	revoking   bool // a write of a revocation is in flight
-	resigned   bool // this process is ending its lease because an actor is stalled
+	resigned   bool // this process no longer renews its lease because an actor is stalled
 }
 
 // receiveDetectionMessage handles a message about failure detection.
--- a/controller/extension.go
+++ b/controller/extension.go
@@ -14,7 +14,8 @@
 // why this is safe.
 
 // hasStoreTimedOut reports whether the key-value store has answered no call for longer than
-// ExtensionStoreContactTimeout.
+// ExtensionStoreContactTimeout. It returns false until the feed has read the whole store
+// once.
 func (c *controlActor) hasStoreTimedOut(now time.Time) bool {
 	return c.feed.synced && now.Sub(c.lastStoreContact) > constants.ExtensionStoreContactTimeout
 }
--- a/controller/membership_events.go
+++ b/controller/membership_events.go
@@ -39,7 +39,7 @@
 }
 
 // historyWriter is the actor that appends events to the history. It is an actor of its own
-// so that a slow disk does not block the monitor.
+// so that a slow disk does not block any other actor, such as the monitor.
 type historyWriter struct{ history History }
 
 // Receive implements actor.Handler.
--- a/controller/monitor.go
+++ b/controller/monitor.go
@@ -39,8 +39,8 @@
 	stall             stallState
 }
 
-// stallState tracks the handling of a stalled actor: this process ends its lease at once,
-// and exits after the TTL of the lease.
+// stallState tracks the handling of a stalled actor: this process stops renewing its lease
+// at once, and exits after the TTL of the lease, when the lease has expired.
 type stallState struct {
 	actors   []string
 	exitAt   time.Time // zero: no actor is stalled
@@ -135,8 +135,8 @@
 	}
 }
 
-// checkActors looks for stalled actors. If there is one, this process ends its lease, and
-// exits after the TTL of the lease.
+// checkActors looks for stalled actors. If there is one, this process stops renewing its
+// lease, and exits after the TTL of the lease, when the lease has expired.
 func (m *monitorActor) checkActors(now time.Time) {
 	samples := []watchdog.Sample{m.view.feed}
 	for name, ref := range m.view.actors {
--- a/controller/peer_status.go
+++ b/controller/peer_status.go
@@ -52,9 +52,10 @@
 }
 
 // pushStatus sends this controller's status to the other controllers: to the leader soon
-// after a change, and to all of them at a fixed interval. The changes of a busy shard must
-// not delay the push to all: owners learn from that push that they are unreachable, and the
-// push keeps the counts in responses to users current.
+// after a change, and to all of them at a fixed interval. A status with forecasts goes to
+// all of them as well. The changes of a busy shard must not delay the push at the fixed
+// interval: owners learn from that push that they are unreachable, and the push keeps the
+// counts in responses to users current.
 func (c *controlActor) pushStatus(ctx context.Context, now time.Time) {
 	extend := c.termsToExtend(now)
 	full := now.Sub(c.push.lastFullAt) > constants.MaxPushInterval ||
--- a/failover/ranking.go
+++ b/failover/ranking.go
@@ -36,10 +36,12 @@
 }
 
 // Ranked lists the controllers by their preference as holders of a role's term. For a
-// shard, the controllers of its own zone come first, then those that own fewer shards.
-// For the leader, controllers that are not the preferred owner of any shard come first,
-// so that one failure affects one role only. Ties are resolved by name, in an order that
-// differs between shards. Deprioritized controllers come last.
+// shard, the controllers of its own zone come first, and among those the preferred owner.
+// Then come the controllers that own fewer shards, and among equals those that are not the
+// preferred owner of any shard. For the leader, controllers that are not the preferred
+// owner of any shard come first, so that one failure affects one role only. Ties are
+// resolved by name, in an order that differs between shards. Deprioritized controllers
+// come last.
 func (c Candidates) Ranked(role Role) []Controller {
 	var ranked []Controller
 	if role.Leader {
--- a/leader/aggregate.go
+++ b/leader/aggregate.go
@@ -47,8 +47,8 @@
 	Shard       string       `json:"part"`
 	Term        uint64       `json:"term"` // of the shard's owner
 	Revision    uint64       `json:"rev"`  // of the key-value store, up to which the figures reflect the records
-	OnDemand    FreeCapacity `json:"ord"`  // including the unused capacity of pending machines, which cannot run tasks yet
-	Spot        FreeCapacity `json:"spot"`
+	OnDemand    FreeCapacity `json:"ord"`  // including the capacity of pending machines that waiting tasks do not need
+	Spot        FreeCapacity `json:"spot"` // likewise including pending machines
 	WaitingCPUs float64      `json:"wait"` // CPUs of waiting tasks that fit on no pending machine
 	// CanScaleOutOnDemand and CanScaleOutSpot say whether the shard can still request
 	// machines of the kind.
@@ -57,8 +57,8 @@
 	// Preemptible is the on-demand capacity (CPUs) used by tasks that production tasks
 	// may preempt.
 	Preemptible float64 `json:"y"`
-	// Capacity is the total capacity (CPUs) of all machines that accept tasks or are
-	// pending.
+	// Capacity is the total capacity (CPUs) of all machines that accept tasks, are pending
+	// or are being requested.
 	Capacity float64 `json:"cap"`
 	// Warm maps each image to the free and preemptible on-demand capacity (CPUs) on
 	// machines that hold the image.
--- a/leader/apply.go
+++ b/leader/apply.go
@@ -8,8 +8,8 @@
 )
 
 // Tasks that an owner offloaded to the leader are assigned again after a delay. The delay
-// grows by reassignmentDelay each time tasks of the job are offloaded, up to
-// maxDelaySteps times reassignmentDelay.
+// is zero the first time that tasks of the job are offloaded. It grows by reassignmentDelay
+// each further time, up to maxDelaySteps times reassignmentDelay.
 const (
 	reassignmentDelay = 500 * time.Millisecond
 	maxDelaySteps     = 8
--- a/leader/candidates.go
+++ b/leader/candidates.go
@@ -75,7 +75,7 @@
 }
 
 // runsOutside reports whether tasks are in open assignments to shards of other zones. open
-// holds the number of such tasks by shard.
+// holds the number of a job's tasks in open assignments, by shard.
 func runsOutside(zone string, open map[string]int) bool {
 	for other, n := range open {
 		if other != zone && n > 0 {
--- a/leader/order.go
+++ b/leader/order.go
@@ -91,8 +91,8 @@
 
 // JobProgress holds what the rank of a job depends on besides its record.
 type JobProgress struct {
-	WithinGuarantee bool // waiting tasks of the job are within the team's guaranteed quota
-	Started         bool // some of the job's tasks are running or done
+	WithinGuarantee bool // at least one waiting task of the job is within the team's guaranteed quota
+	Started         bool // some of the job's tasks are running or done; for the leader: are in assignments
 }
 
 // IsOverdue reports whether a job of which no task has started has waited longer than
--- a/leader/plan.go
+++ b/leader/plan.go
@@ -114,8 +114,8 @@
 // may be negative.
 func (k *candidate) queueSpace(s *wire.Submission) int {
 	taskCPUs := max(s.CPUs, minQueuedTaskCPUs)
-	// An owner gets no more tasks than it could scale out for in a few steps, since each
-	// waiting task costs the owner time in every round.
+	// An owner gets no more tasks than it could scale out for within a few scale-out
+	// requests, since each waiting task costs the owner time in every round.
 	space := min(constants.MaxQueuedTasks, max(0, int((constants.MaxQueuedCPUs-k.queuedCPUs)/taskCPUs)))
 	if !k.canScaleOut && k.isFresh && !s.IsService() {
 		// The shard cannot request more machines, so the tasks wait with the leader for
--- a/member/acquisition.go
+++ b/member/acquisition.go
@@ -96,8 +96,9 @@
 
 // acquisition returns the transaction that gives a term to a new holder. The transaction
 // succeeds only if the term and the new holder's registration have not changed since this
-// controller read them, and the previous holder's lease has ended or its revocation has
-// not changed since this controller read it.
+// controller read them. If the previous holder is another controller whose lease has
+// ended, that controller must still be unregistered. If the previous holder is registered
+// but was revoked, its revocation must not have changed either.
 func (c *Core) acquisition(key, newHolder string, previousUnreachable bool) TermAcquisition {
 	current := c.terms[key]
 	registered := c.registrations[newHolder]
