--- a/controller/revocation.go
+++ b/controller/revocation.go
@@ -13,9 +13,9 @@
 )
 
 // revokeFailedController revokes the first of the proposed controllers that can be
-// revoked. It does nothing without authority, after this process has stopped
-// renewing its lease because an actor is stalled, while another revocation is being written, or while a lease
-// extension may be in force.
+// revoked. It does nothing without authority, after this process has stopped renewing its
+// lease because an actor is stalled, while another revocation is being written, or while a
+// lease extension may be in force.
 func (c *controlActor) revokeFailedController(ctx context.Context, now time.Time, proposals []detector.RevocationProposal) {
 	if c.detection.revoking || c.detection.resigned || !c.hasAuthority(now) || c.isAcquisitionBlocked(now) {
 		return
--- a/leader/gang.go
+++ b/leader/gang.go
@@ -136,8 +136,10 @@
 	return spreadGang(list, s)
 }
 
-// maySpreadGang reports whether a gang may be assigned to several shards. The list must be
-// ranked for the gang, so its first shard is the one that would start the gang soonest.
+// maySpreadGang reports whether a gang may be assigned to several shards. A gang without
+// zone rules may be if it has waited for constants.OverdueAfter and no shard could start all
+// of it now, or fits all of it by estimate and can scale out. The list must be ranked for
+// the gang, so its first shard is the one that would start the gang soonest.
 func (c *Core) maySpreadGang(now time.Time, job *jobState, list []*candidate) bool {
 	s := &job.record.Spec
 	if s.Spread && s.Tasks != 1 {
