--- a/controller/sim_cloud_test.go
+++ b/controller/sim_cloud_test.go
@@ -89,8 +89,9 @@
 	return nil
 }
 
-// recordScaleIn counts the tasks that a scale-in ends. It counts separately the tasks on
-// machines that lately left direct commands unanswered. The caller holds the lock.
+// recordScaleIn counts the tasks that a scale-in ends. It counts separately the tasks on an
+// unresponsive machine: one for which the answers to at least constants.MaxUnansweredCommands
+// direct commands were lost within the last worker lease. The caller holds the lock.
 func (w *world) recordScaleIn(name string) {
 	m := w.machines[name]
 	if m == nil {
@@ -114,8 +115,8 @@
 	}
 }
 
-// recordScaleInRequest counts a scale-in that a controller has requested. The caller holds the
-// lock.
+// recordScaleInRequest counts a scale-in that a controller has requested, and calls onScaleIn
+// if it is set. The caller holds the lock.
 func (w *world) recordScaleInRequest(by *simController) {
 	w.observed["scale-in requests"]++
 	if w.onScaleIn != nil {
@@ -123,8 +124,9 @@
 	}
 }
 
-// recordLateScaleIn counts scale-ins that are carried out 5 s or more after the request, and
-// the tasks that started on the machines after the request. The caller holds the lock.
+// recordLateScaleIn counts the machines of scale-ins that reach the cloud 5 s or more after the
+// request, and the tasks that started on these machines after the request. The caller holds the
+// lock.
 func (w *world) recordLateScaleIn(requestedAt time.Time, names []string) {
 	if time.Since(requestedAt) < 5*time.Second {
 		return
--- a/controller/sim_days_test.go
+++ b/controller/sim_days_test.go
@@ -79,7 +79,7 @@
 	return s
 }
 
-// endFaults ends all faults. From then on every accepted job must finish.
+// endFaults ends all faults, so that every accepted job must end.
 func (w *world) endFaults() {
 	w.setOutage(false)
 	w.mu.Lock()
@@ -123,7 +123,7 @@
 		case 5:
 			w.setOutage(true)
 			time.AfterFunc(length, func() { w.setOutage(false) })
-		case 6, 7, 8: // a machine hangs, is disconnected, is reclaimed or restarts
+		case 6, 7, 8: // a machine hangs, is disconnected, receives nothing, is reclaimed or restarts
 			w.injectMachineFault(length)
 		case 9:
 			w.injectTemporarily(length, func(on bool) { w.cloudUnavailable = on })
@@ -148,7 +148,7 @@
 			w.injectTemporarily(length, func(on bool) { target.heartbeatsLost = on })
 		case 15: // a controller is frozen for less than its lease, while its clocks run
 			target.freeze(w.randomDuration(200*time.Millisecond, 3*time.Second))
-		case 16: // a controller is frozen for longer than its lease, sometimes longer than the workers' leases
+		case 16: // a controller is frozen for up to 35 s, which may exceed its lease and the workers' leases
 			target.freeze(length)
 			if w.chance(0.3) { // it restarts as the freeze ends, in the middle of an election
 				time.AfterFunc(length, target.killAndStart)
--- a/controller/sim_detection_test.go
+++ b/controller/sim_detection_test.go
@@ -48,7 +48,7 @@
 func (p simPeer) reachMonitor(ctx context.Context) (*Controller, error) {
 	process, err := p.reach(ctx)
 	if err != nil {
-		<-ctx.Done() // over a broken link no answer arrives, and no error
+		<-ctx.Done() // over a broken link neither an answer nor an error arrives
 		return nil, err
 	}
 	if process.monitor == nil {
@@ -103,8 +103,8 @@
 
 func (d slowRequest) Respond(*httpwire.Response) { time.Sleep(time.Duration(d)) }
 
-// proposeRevocation makes a controller propose the revocation of another one that has not
-// failed.
+// proposeRevocation makes a controller propose the revocation of another one, without any
+// evidence that the other controller has failed.
 func (w *world) proposeRevocation(by, of *simController) {
 	process := by.running()
 	if process == nil {
@@ -123,7 +123,7 @@
 	process.control.Tell([]detector.RevocationProposal{{Controller: of.set.Controller, Incarnation: record.(*records.Controller).Incarnation, Evidence: []detector.Evidence{"accused at random"}, Accusers: []string{by.set.Controller}}})
 }
 
-// owner returns the index of the controller that owns a zone's shard.
+// owner returns the index of the controller that owns a zone's shard, or -1 if there is none.
 func (w *world) owner(zone string) int { return w.holder(records.KeyShard(zone)) }
 
 // term returns the number of the current term of a zone's shard, or 0 if there is none.
--- a/controller/sim_draining_test.go
+++ b/controller/sim_draining_test.go
@@ -18,7 +18,7 @@
 )
 
 // watchDisruption starts the check of voluntary stops. The tasks of all services share one
-// disruption budget of limit.
+// disruption budget of limit tasks.
 func (w *world) watchDisruption(limit int) {
 	w.locked(func() {
 		w.disruption = disruptioncheck.New(limit, w.controllers[0].set.Draining.Policy.StableAfter, w.times.lease()+30*time.Second)
@@ -369,7 +369,7 @@
 	w.startBeforeDrain(t)
 	old := w.machineNames()
 	number := w.startDrain(t, records.Selection{})
-	if s.overrideDraining != nil { // slow writes delay the claims that owners publish, as under load
+	if s.overrideDraining != nil { // calls to the store are slower, as under load, so that owners learn later of each other's claims
 		w.locked(func() { w.storeLatency = 800 * time.Millisecond })
 	}
 	if s.fault != nil {
@@ -465,7 +465,7 @@
 }
 
 // reclaimSpot announces to all spot machines with tasks that they are reclaimed after the
-// notice, removes them then, and returns how many there are.
+// notice, removes them when the notice ends, and returns their number.
 func (w *world) reclaimSpot(notice time.Duration) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/controller/sim_record_test.go
+++ b/controller/sim_record_test.go
@@ -137,8 +137,8 @@
 	w.note("faults", "", fmt.Sprintf("cloud away=%v partitioned zone=%q", w.cloudUnavailable, w.partitionedZone))
 }
 
-// recordChange records a change of the key-value store that concerns terms, registrations,
-// revocations, inventories or jobs. The caller holds the lock.
+// recordChange records a change of the key-value store: a deleted key, or a written record
+// (terms, registrations, revocations, inventories, jobs and others). The caller holds the lock.
 func (w *world) recordChange(change wire.Change, revision uint64) {
 	if w.record.disabled {
 		return
@@ -183,8 +183,8 @@
 		seq: heartbeat.Seq, token: heartbeat.FencingToken, detail: describeTasks(heartbeat.Tasks)})
 }
 
-// recordAnswer records the answer to a heartbeat when it reaches the machine; nil: no answer.
-// The caller holds the lock.
+// recordAnswer records the answer to a heartbeat, even if the simulation loses the answer
+// afterwards; nil: no answer arrived in time. The caller holds the lock.
 func (w *world) recordAnswer(controller string, heartbeat *wire.Heartbeat, response *httpwire.Response) {
 	status := 0
 	if response != nil {
--- a/controller/sim_store_test.go
+++ b/controller/sim_store_test.go
@@ -60,7 +60,7 @@
 		w.mu.Unlock()
 		time.Sleep(time.Second)
 		return 0, kvstore.ErrOutcomeUnknown
-	case w.chance(w.lateWriteShare): // applied up to 20 s later
+	case w.chance(w.lateWriteShare): // applied 1 s to 20 s later
 		go func() {
 			time.Sleep(w.randomDuration(time.Second, 20*time.Second))
 			w.mu.Lock()
@@ -72,7 +72,7 @@
 		}()
 		time.Sleep(time.Second)
 		return 0, kvstore.ErrOutcomeUnknown
-	case w.chance(w.repeatedWriteShare): // applied again later
+	case w.chance(w.repeatedWriteShare): // applied again 1 s to 20 s later
 		go func() {
 			time.Sleep(w.randomDuration(time.Second, 20*time.Second))
 			w.mu.Lock()
@@ -260,7 +260,7 @@
 	}
 }
 
-// setOutage starts or ends an outage of the store. All leases are extended by their TTL.
+// setOutage starts or ends an outage of the store. Either renews all leases for their full TTL.
 func (w *world) setOutage(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/controller/sim_user_test.go
+++ b/controller/sim_user_test.go
@@ -30,8 +30,8 @@
 
 func (a *simAnswer) Respond(r *httpwire.Response) { a.response <- r }
 
-// request sends one request to a random controller and returns the response, or nil if none
-// arrives within 5 s.
+// request sends one request to a random controller and returns the response, or nil if the
+// controller is not running or does not respond within 5 s.
 func (w *world) request(msg func(apiserver.Request) any) *httpwire.Response {
 	w.mu.Lock()
 	index := w.rng.IntN(len(w.controllers))
--- a/controller/sim_work_test.go
+++ b/controller/sim_work_test.go
@@ -162,9 +162,10 @@
 	}
 }
 
-// submitMany submits one-task jobs for the duration d. A share of them is cancelled, some at
-// once and some around the time at which they end. Users poll all controllers concurrently at
-// each change.
+// submitMany submits one-task jobs for the duration d. A share of them is cancelled: half of
+// these as soon as they are accepted, the others after a random time between 1 s and runS + 4 s, so
+// that some cancellations coincide with the end of the job. Users poll all controllers
+// concurrently at each change.
 func (w *world) submitMany(first int, d time.Duration, everyS, runS, cancelled float64) []*simJob {
 	var out []*simJob
 	for end, i := time.Now().Add(d), first; time.Now().Before(end); i++ {
@@ -255,8 +256,8 @@
 	}
 }
 
-// expectNewTerm calls change and waits until the term under the key has been written anew, by
-// another controller or another process.
+// expectNewTerm calls change and waits up to 60 s until the record of the term under the key has
+// a new version, which means that another controller or process has acquired the term.
 func (w *world) expectNewTerm(t *testing.T, key string, change func()) {
 	t.Helper()
 	version := func() uint64 {
--- a/controller/sim_worker_test.go
+++ b/controller/sim_worker_test.go
@@ -185,8 +185,8 @@
 	}
 }
 
-// handleResponse carries out the commands in a controller's answer, or selects another
-// controller. The caller holds the lock.
+// handleResponse renews the lease and carries out the commands in a controller's answer, or
+// selects another controller. The caller holds the lock.
 func (l *workerLoop) handleResponse(n *simController, heartbeat *wire.Heartbeat, response *httpwire.Response) {
 	m, w := l.worker, l.worker.world
 	w.recordAnswer(n.set.Controller, heartbeat, response)
--- a/controller/sim_world_test.go
+++ b/controller/sim_world_test.go
@@ -80,7 +80,7 @@
 	ignoreWorkerLeases bool   // workers do not end their tasks when their lease expires
 	ignoreScaleIn      bool   // the cloud terminates no machine
 	hideCancellations  bool   // replies between controllers carry no cancellations
-	skipAuthorityWait  bool   // no controller waits until a revoked owner's authority has ended
+	skipAuthorityWait  bool   // stored lease TTLs are shortened, so that no controller waits until a revoked owner's authority has ended
 	makeCopiesCurrent  bool   // late copies of heartbeats get the current epoch, sequence number and token
 	unansweredJob      string // users get no answer to polls for this job
 
@@ -298,7 +298,8 @@
 // simPeer is the link from one controller to another.
 type simPeer struct{ from, to *simController }
 
-// reach returns the process of the other controller, or an error if the link to it is down.
+// reach returns the process of the other controller, or an error if that controller is not
+// running or the link to it is down.
 func (p simPeer) reach(ctx context.Context) (*Controller, error) {
 	time.Sleep(p.from.world.randomDuration(time.Millisecond, 4*time.Millisecond))
 	process := p.to.running()
--- a/internal/loopback/machine_failures_test.go
+++ b/internal/loopback/machine_failures_test.go
@@ -51,7 +51,7 @@
 	return ""
 }
 
-// failServiceTask lets one running task of a service on a machine exit with an error.
+// failServiceTask makes one running task of a service on a machine exit with an error.
 func (f *fleet) failServiceTask(machine string) {
 	f.cloud.mu.Lock()
 	m := f.cloud.machines[machine]
--- a/internal/loopback/sampler_test.go
+++ b/internal/loopback/sampler_test.go
@@ -69,8 +69,8 @@
 	return s.samples
 }
 
-// take takes one sample. Machines do not count as free while the owner of their shard is cut
-// off from the workers, because the owner cannot start tasks on them.
+// take takes one sample. Machines do not count as free while their shard has no owner or the
+// owner is cut off from the workers, because no controller can start tasks on them.
 func (s *sampler) take(fleet *fleet, jobs *workload, now time.Time) sample {
 	taken := sample{
 		waitingTasks: jobs.acceptedArrays()*fleet.tasksPerArray - fleet.observer.startedArrayTasks(fleet.isArrayTask),
