--- a/controller/sim_store_test.go
+++ b/controller/sim_store_test.go
@@ -260,7 +260,8 @@
 	}
 }
 
-// setOutage starts or ends an outage of the store. Either renews all leases for their full TTL.
+// setOutage starts or ends an outage of the store. In both cases it renews all leases for their
+// full TTL.
 func (w *world) setOutage(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/controller/sim_work_test.go
+++ b/controller/sim_work_test.go
@@ -163,8 +163,8 @@
 }
 
 // submitMany submits one-task jobs for the duration d. A share of them is cancelled: half of
-// these as soon as they are accepted, the others after a random time between 1 s and runS + 4 s, so
-// that some cancellations coincide with the end of the job. Users poll all controllers
+// these as soon as they are accepted, the others at a random time between 1 s and runS + 4 s
+// later, so that some cancellations coincide with the end of the job. Users poll all controllers
 // concurrently at each change.
 func (w *world) submitMany(first int, d time.Duration, everyS, runS, cancelled float64) []*simJob {
 	var out []*simJob
--- a/internal/loopback/addresses_test.go
+++ b/internal/loopback/addresses_test.go
@@ -116,7 +116,7 @@
 
 // A reserved site cannot be reserved a second time until it is released. A process that
 // asks for any site gets another one.
-func TestSiteIsHeldByOne(t *testing.T) {
+func TestSiteIsReservedOnce(t *testing.T) {
 	first, err := reserveSite(anySite)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/loopback/ownership_check_test.go
+++ b/internal/loopback/ownership_check_test.go
@@ -13,7 +13,7 @@
 // It rejects commands under a term that no controller has acquired, a term that was acquired
 // twice, and a worker that executes commands of an earlier owner after those of a later
 // owner.
-func TestOwnershipJudge(t *testing.T) {
+func TestOwnershipCheck(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
 	token := func(term uint64) uint64 { return term << constants.TokenCounterBits }
 	for name, c := range map[string]struct {
