--- a/controller/sim_draining_test.go
+++ b/controller/sim_draining_test.go
@@ -155,7 +155,7 @@
 	}
 }
 
-// Drain carries a request about drains to the other controller.
+// Drain sends a request about drains to the other controller and returns its answer.
 func (p simPeer) Drain(ctx context.Context, r peer.DrainRequest) (peer.DrainReply, error) {
 	process, err := p.reach(ctx)
 	if err != nil {
--- a/controller/sim_work_test.go
+++ b/controller/sim_work_test.go
@@ -74,7 +74,7 @@
 			n.start()
 		}
 	}
-	w.waitUntil(t, "everything comes to its end", limit, func() bool {
+	w.waitUntil(t, "all jobs have ended", limit, func() bool {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		return !slices.ContainsFunc(jobs, func(j *simJob) bool {
@@ -252,7 +252,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.observed[what] < minCount {
-		w.fail(t, "it hardly came about: %s: %d times, wanted %d", what, w.observed[what], minCount)
+		w.fail(t, "event %q was observed %d times, want at least %d", what, w.observed[what], minCount)
 	}
 }
 
