--- a/controller/sim_work_test.go
+++ b/controller/sim_work_test.go
@@ -74,7 +74,7 @@
 			n.start()
 		}
 	}
-	w.waitUntil(t, "everything comes to its end", limit, func() bool {
+	w.waitUntil(t, "all jobs have ended", limit, func() bool {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		return !slices.ContainsFunc(jobs, func(j *simJob) bool {
@@ -162,9 +162,10 @@
 	}
 }
 
-// submitMany submits one-task jobs for the duration d. A share of them is cancelled, some at
-// once and some around the time at which they end. Users poll all controllers concurrently at
-// each change.
+// submitMany submits one-task jobs for the duration d. A share of them is cancelled: half of
+// these as soon as they are accepted, the others at a random time between 1 s and runS + 4 s
+// later, so that some cancellations coincide with the end of the job. Users poll all controllers
+// concurrently at each change.
 func (w *world) submitMany(first int, d time.Duration, everyS, runS, cancelled float64) []*simJob {
 	var out []*simJob
 	for end, i := time.Now().Add(d), first; time.Now().Before(end); i++ {
@@ -251,12 +252,12 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.observed[what] < minCount {
-		w.fail(t, "it hardly came about: %s: %d times, wanted %d", what, w.observed[what], minCount)
+		w.fail(t, "event %q was observed %d times, want at least %d", what, w.observed[what], minCount)
 	}
 }
 
-// expectNewTerm calls change and waits until the term under the key has been written anew, by
-// another controller or another process.
+// expectNewTerm calls change and waits up to 60 s until the record of the term under the key has
+// a new version, which means that another controller or process has acquired the term.
 func (w *world) expectNewTerm(t *testing.T, key string, change func()) {
 	t.Helper()
 	version := func() uint64 {
