--- a/shard/aggregate.go
+++ b/shard/aggregate.go
@@ -14,7 +14,7 @@
 	aggregateChanged bool
 }
 
-// otherShard is the last aggregate that was received of another shard.
+// otherShard is the last aggregate that was received from another shard.
 type otherShard struct {
 	aggregate  leader.Aggregate
 	receivedAt time.Time
--- a/shard/arrivals.go
+++ b/shard/arrivals.go
@@ -23,8 +23,8 @@
 	a.at = now
 }
 
-// add counts work that arrived some time ago. A new owner calls it for work that arrived
-// before its term, and thereby has the estimate of the previous owner.
+// add counts work that arrived some time ago. A new owner also counts the work that arrived
+// before its term, and thereby rebuilds the estimate of the previous owner.
 func (a *arrivalRate) add(now time.Time, ago time.Duration, n resources) {
 	a.decay(now)
 	a.cpus += n.cpus * math.Exp(-max(0, ago.Seconds())/constants.ArrivalTimeConstant.Seconds())
--- a/shard/attempt.go
+++ b/shard/attempt.go
@@ -15,11 +15,11 @@
 	jobID          string
 	taskIndex      int
 	machine        *machine
-	state          wire.TaskState // state in the last heartbeat that listed the attempt, or stateSent
+	state          wire.TaskState // state in the last heartbeat or reply that listed the attempt, or stateSent
 	cause          wire.ExitCause
 	resources      resources
 	image          string
-	reported       bool   // a heartbeat of this epoch has listed the attempt
+	reported       bool   // a heartbeat or reply of this epoch has listed the attempt
 	lastReconcile  uint64 // knownState.reconcileCount at the last heartbeat or reply that listed the attempt
 	adopted        bool   // the attempt was running when this owner first learned of it
 	sentDirectly   bool   // a direct command may have carried the start, and a late copy of that command may arrive
@@ -39,7 +39,7 @@
 }
 
 // stateSent is the state of an attempt whose start was decided and may have been sent, and
-// which no heartbeat has listed yet.
+// which no heartbeat or reply to a direct command has listed yet.
 const stateSent wire.TaskState = "sent"
 
 func (a *attempt) hasExited() bool { return a.state == wire.TaskExited }
@@ -62,7 +62,7 @@
 	}
 }
 
-// matchAttempt updates a task from one of its attempts that a heartbeat listed.
+// matchAttempt updates a task from one of its attempts that a heartbeat or reply listed.
 func (c *Core) matchAttempt(t *task, a *attempt) {
 	a.machine.usageStale = true
 	c.markWaitingStale(t.job)
@@ -101,7 +101,7 @@
 		if t := j.tasks[a.taskIndex]; t != nil && t.attempt == a {
 			t.attempt = nil
 			t.waitingSince = now
-			t.keepWaiting = false // the machine of the task has failed: if the task does not fit in this shard, it is offloaded to the leader at once
+			t.keepWaiting = false // the task has lost its attempt, usually with its machine: if the task does not fit in this shard, it is offloaded to the leader at once
 			if j.gang != nil {
 				c.handleLostGangTask(j, a)
 			}
--- a/shard/cloudlist.go
+++ b/shard/cloudlist.go
@@ -47,8 +47,8 @@
 	c.countMissedLists(now, listed)
 }
 
-// forgetTerminated removes machines that were terminated more than constants.TerminatedMachineRetention
-// ago.
+// forgetTerminated deletes the termination times of machines that were terminated more than
+// constants.TerminatedMachineRetention ago.
 func (l *liveness) forgetTerminated(now time.Time) {
 	for name, at := range l.terminated {
 		if now.Sub(at) > constants.TerminatedMachineRetention {
--- a/shard/directcommands.go
+++ b/shard/directcommands.go
@@ -171,7 +171,8 @@
 	c.reconcile(now, m, status, viaDirectCommand)
 	c.needsPlacement = c.needsPlacement || c.attemptEnded
 	// The reply proves that commands reach the machine. It does not count as a heartbeat,
-	// because only a heartbeat renews the machine's lease. The first reply is the exception.
+	// because only a heartbeat renews the machine's lease. The exception is the first reply
+	// of a machine from which no heartbeat was received yet.
 	m.unansweredProbes, m.unansweredUnconfirmed = 0, 0
 	if m.lastHeartbeat.IsZero() {
 		m.lastHeartbeat = now
--- a/shard/draining_test.go
+++ b/shard/draining_test.go
@@ -106,8 +106,8 @@
 }
 
 // A budget for interruptions does not count a unit that has not run yet. It counts a unit
-// that was interrupted until the unit is available again. It counts an interrupted unit that
-// was offloaded for the retention time.
+// that was interrupted until the unit is available again. If an interrupted unit is
+// offloaded, the budget still counts it for the retention time.
 func TestInterruptionsCounted(t *testing.T) {
 	now := time.Unix(1000, 0)
 	keys := []disruption.BudgetKey{{Team: "t", Interruptions: true}}
--- a/shard/gang.go
+++ b/shard/gang.go
@@ -17,7 +17,7 @@
 type gang struct {
 	attempt   uint64    // number of the current or the last attempt; 0: none is known
 	startedAt time.Time // when the attempt was started, or adopted from an earlier owner
-	hasRun    bool      // a heartbeat has shown a running task of the attempt
+	hasRun    bool      // a heartbeat or reply has listed a task of the attempt as running or saving
 	failed    bool      // the attempt has failed; its remaining tasks are stopped
 	done      bool      // a task is known to be done, which means that all tasks are
 }
--- a/shard/gangattempt.go
+++ b/shard/gangattempt.go
@@ -36,7 +36,7 @@
 }
 
 // reconcileGangAttempt updates a gang's state from an attempt of one of its tasks that a
-// heartbeat has shown.
+// heartbeat or reply has listed.
 func (c *Core) reconcileGangAttempt(t *task, a *attempt) {
 	if a.hasExited() {
 		c.reconcileGangExit(t, a)
--- a/shard/gangpacking.go
+++ b/shard/gangpacking.go
@@ -163,8 +163,9 @@
 }
 
 // bestSlots returns the index of the machine to fill next, in a list sorted by
-// sortForPacking: the machine with the fewest slots among those that fit all remaining
-// tasks. If there is none, the result is the first machine, which fits the most tasks.
+// sortForPacking: in the first packing class with a machine that fits all remaining tasks,
+// the machine with the fewest slots among those that fit them. If there is no such class,
+// the result is the first machine, which fits the most tasks of its class.
 func bestSlots(machines []machineSlots, remaining int) int {
 	best := 0
 	for i, m := range machines {
--- a/shard/migration.go
+++ b/shard/migration.go
@@ -53,10 +53,10 @@
 	return nil
 }
 
-// mayBecomeAvailable reports whether an attempt that is not available is not stopped, because
-// it may become available. Stopping the attempt would not raise the owner's count of
-// unavailable tasks, but would extend the task's downtime. After a failover, the attempt may
-// have run for a long time without the new owner's knowledge.
+// mayBecomeAvailable reports whether an attempt that is not available may still become
+// available, and must therefore not be stopped. Stopping the attempt would not raise the
+// owner's count of unavailable tasks, but would extend the task's downtime. After a failover,
+// the attempt may have run for a long time without the new owner's knowledge.
 func (d *draining) mayBecomeAvailable(now time.Time, a *attempt) bool {
 	return a.isRunning() || now.Sub(a.machine.cordon.since) < d.cfg.Policy.ReplacementTimeout
 }
--- a/shard/partition.go
+++ b/shard/partition.go
@@ -61,12 +61,12 @@
 
 // isIsolatedFailure reports whether an unreachable machine has failed individually. That is
 // the case if the cloud no longer lists the machine, or if the owner receives heartbeats of
-// other machines. In a small shard it is also the case if the machine has been unreachable
-// for so long that another controller would have received its heartbeat, all controllers
-// have reported recently, and none has received one. If another controller has recently
-// received a heartbeat of the machine, the machine has not failed. Otherwise the owner or
-// the whole shard is partitioned, and terminating machines would end all tasks that run on
-// them.
+// other machines. In a small shard (but not with health.noRecentHeartbeats) it is also the
+// case if the machine has been unreachable for so long that another controller would have
+// received its heartbeat, all controllers have reported recently, and none has received one.
+// If another controller has recently received a heartbeat of the machine, the machine has
+// not failed. Otherwise the owner or the whole shard is partitioned, and terminating
+// machines would end all tasks that run on them.
 func (l *liveness) isIsolatedFailure(now time.Time, m *machine, health fleetHealth) bool {
 	if now.Sub(m.misroutedAt) < l.misroutedWindow() {
 		return false
@@ -106,7 +106,7 @@
 		return health.unreachable*2 > health.expected, health.misrouted*2 > health.expected
 	}
 	if now.Sub(v.acquiredAt) < v.periods(constants.MaxHeartbeatIntervalPeriods) {
-		return false, false // some heartbeats may still be on their way
+		return false, false // some machines may not have had to send a heartbeat in this term yet
 	}
 	misrouted = health.misrouted*constants.RecentHeartbeatDivisor > health.expected
 	// If no controller ever received a heartbeat of the machines, the side that has failed is
--- a/shard/reservation.go
+++ b/shard/reservation.go
@@ -46,8 +46,8 @@
 }
 
 // bestReservation returns the machine on which the least capacity must still become free
-// for a task of a job, or nil if no machine is large enough. Capacity used by arrays
-// counts as free already.
+// for a task of a job, or nil if no machine is large enough. CPUs used by arrays and gangs
+// count as free already, because that work ends.
 func (v *fleetView) bestReservation(now time.Time, s *wire.Submission) *machine {
 	demand := taskResources(s)
 	var best *machine
--- a/shard/scale_test.go
+++ b/shard/scale_test.go
@@ -195,9 +195,11 @@
 	}
 }
 
-// A machine that sends heartbeats without the latest token becomes unconfirmed and gets no
-// tasks. Repeating the old token does not confirm the machine; a heartbeat with the next
-// token does, so that a machine to which one reply was lost becomes schedulable again.
+// A machine that sent heartbeats to other controllers, although this owner answered it,
+// becomes unconfirmed and gets no tasks. Repeating the old token does not confirm the machine,
+// and a machine that stays unconfirmed is terminated in the end (see isNotReceiving). A
+// heartbeat with the new token confirms it, so that a machine to which only one reply was
+// lost becomes schedulable again.
 func TestConfirmationNeedsANewToken(t *testing.T) {
 	r := newTestOwner(nil)
 	for i := range 4 {
--- a/shard/state.go
+++ b/shard/state.go
@@ -66,7 +66,8 @@
 	c.needsPlacement = true
 }
 
-// removeMachine removes a machine from the known state, and ends its direct command.
+// removeMachine removes a machine from the known state. A direct command to the machine no
+// longer counts as in flight.
 func (v *fleetView) removeMachine(q *outbox, m *machine) {
 	delete(v.machines, m.name)
 	q.directCommandDone(m)
--- a/shard/state_test.go
+++ b/shard/state_test.go
@@ -34,7 +34,7 @@
 	m := &machine{lastHeartbeat: start}
 	late := start.Add(l.periods(constants.UnreachablePeriods) + time.Millisecond)
 	if !l.isUnreachable(late, m) || !l.isHeartbeatOverdue(late, m) || l.isUnreachable(late.Add(-time.Millisecond), m) {
-		t.Error("a machine is not unreachable exactly after UnreachablePeriods without a heartbeat")
+		t.Error("want a machine to be unreachable after more than UnreachablePeriods without a heartbeat, and not before")
 	}
 	l.livenessResetAt = late
 	if l.isUnreachable(late, m) || l.sinceHeartbeat(late.Add(time.Second), m) != time.Second {
--- a/shard/usage.go
+++ b/shard/usage.go
@@ -14,7 +14,7 @@
 	services        int
 	preemptibleCPUs float64 // CPUs that production work may preempt without waiting for a checkpoint
 	exitedDirect    int     // exited attempts that a direct command may have started
-	pendingStarts   int     // attempts that no heartbeat has reported yet
+	pendingStarts   int     // attempts in stateSent, which no heartbeat or reply has listed yet
 	batchCPUs       float64 // CPUs used by arrays and gangs
 	// These fields cover only the attempts that may be evicted: whether any of them needs
 	// a checkpoint, their lowest priority, and the teams that run arrays or gangs beyond
