--- a/apiserver/relay.go
+++ b/apiserver/relay.go
@@ -35,7 +35,8 @@
 }
 
 // isStoreUnreachable reports whether an error means that the store cannot be reached.
-// Other errors, including that of the rate limit, mean that the store decided on the call.
+// Other errors mean that the store decided on the call, or that a rate limit, the store's
+// or this controller's own, refused it.
 func isStoreUnreachable(err error) bool {
 	if errors.Is(err, kvstore.ErrOutcomeUnknown) {
 		return true
--- a/constants/draining.go
+++ b/constants/draining.go
@@ -26,7 +26,8 @@
 	// MaxDrainMachineNames bounds the machines that a status or a selection lists by name
 	// (machines): a selection must fit in one value of the key-value store.
 	MaxDrainMachineNames = 20
-	// MaxFinishedDrains bounds the finished drains whose records are kept (drains).
+	// MaxFinishedDrains bounds the drains that have ended, finished or cancelled, whose
+	// records are kept (drains).
 	MaxFinishedDrains = 20
 	// DrainCallTimeout bounds a call about drains between controllers: a plan queries the
 	// owner of each shard.
--- a/constants/http_server.go
+++ b/constants/http_server.go
@@ -22,8 +22,8 @@
 	// in favor of a new one when all sockets are in use: workers send heartbeats and users
 	// poll more often than that.
 	ServerReclaimIdle = 15 * time.Second
-	// ServerSlowRequestTimeout is how long the server waits for the rest of a request before
-	// it closes the connection. Users time out after 5 s themselves.
+	// ServerSlowRequestTimeout replaces ServerIdleTimeout for a connection that has sent only
+	// part of a request. Users time out after 5 s themselves.
 	ServerSlowRequestTimeout = 10 * time.Second
 	// ReservedSockets is the least number of sockets that the HTTP server leaves for the
 	// key-value store, the cloud, workers and other controllers (sockets). If the limit on
--- a/constants/lease_extension.go
+++ b/constants/lease_extension.go
@@ -6,8 +6,8 @@
 // unreachable.
 const (
 	// ExtensionTTL is how long a controller that granted an extension acquires no term. A
-	// starting controller waits as long, since its previous process may have granted one. It
-	// is long enough for three renewals.
+	// starting controller waits as long, since its previous process may have granted one. The
+	// time is long enough for an extension to be renewed three times before it ends.
 	ExtensionTTL = 1500 * time.Millisecond
 	// ExtensionRequestInterval is how often lease extensions are requested.
 	ExtensionRequestInterval = 400 * time.Millisecond
--- a/constants/shard_liveness.go
+++ b/constants/shard_liveness.go
@@ -20,8 +20,8 @@
 	// the heartbeats of so few machines within RecentHeartbeatPeriods are no evidence.
 	SmallShardMachines = 16
 	// MaxCoincidentFailures is the largest number of machines that may all be unreachable at
-	// once because of independent failures (machines). If all of more machines are, the
-	// shard or the owner is partitioned.
+	// once because of independent failures (machines). If a shard has more machines and all
+	// of them are unreachable, the shard or its owner is assumed to be partitioned.
 	MaxCoincidentFailures = 2
 	// DelistedAfterLists is the number of successive lists of the cloud from which a machine
 	// must be absent to be considered terminated (lists): a single list may be older than
@@ -56,6 +56,6 @@
 	FailoverUnreachablePeriods = 2.0
 	// CloudListInterval is how often an owner reads a list of the cloud that has one page.
 	// The interval grows in proportion to the pages, since a longer list uses more of the
-	// rate limit.
+	// rate limit, except while the shard is partitioned.
 	CloudListInterval = 10 * time.Second
 )
--- a/disruption/budget.go
+++ b/disruption/budget.go
@@ -19,8 +19,8 @@
 	Team  string
 	Class string // empty: all classes of the team
 	// Interruptions is true for a budget that counts interrupted work: tasks of arrays that
-	// were stopped before they had finished, and gangs, each of which counts as one task.
-	// A budget without Interruptions counts the unavailable tasks of services.
+	// were running and were stopped before they were done, and gangs, each of which counts as
+	// one task. A budget without Interruptions counts the unavailable tasks of services.
 	Interruptions bool
 }
 
--- a/disruption/ledger.go
+++ b/disruption/ledger.go
@@ -15,7 +15,7 @@
 	Shards      []string // all shards of the deployment, including this shard
 	Term        uint64   // of the shard's owner
 	Budgets     Budgets
-	StableAfter time.Duration // a task that has run for so long counts as available
+	StableAfter time.Duration // a task that has run for this long counts as available
 	// SkipClaimCheck allows stops without a stored claim that covers them. Tests set it to
 	// show that budgets are violated without claims.
 	SkipClaimCheck bool
--- a/httpwire/client.go
+++ b/httpwire/client.go
@@ -34,8 +34,8 @@
 }
 
 // errIdleClosed reports that a connection failed before any byte of the response was
-// read. If the connection was idle before, the server may have closed it before the
-// request.
+// read, other than by a timeout of that read. If the connection was idle before, the
+// server may have closed it before the request.
 var errIdleClosed = errors.New("httpwire: idle connection was closed")
 
 // NewClient returns a client of the server at addr. The client keeps up to maxIdle idle
--- a/records/term.go
+++ b/records/term.go
@@ -7,8 +7,9 @@
 	Controller  string `json:"node"`
 	Incarnation uint64 `json:"inc"` // incarnation of the controller's process
 	Number      uint64 `json:"term"`
-	// PreviousUnreachable means that the previous holder resigned because its machines
-	// could not reach it. The previous holder can get the term back only after
-	// constants.FailbackCooldown.
+	// PreviousUnreachable means that the previous holder transferred the term away because
+	// it was partitioned from the machines or controllers that the term concerns. Until
+	// constants.FailbackCooldown has passed, a shard is not failed back and leadership is
+	// not transferred for this reason again.
 	PreviousUnreachable bool `json:"cut,omitempty"`
 }
--- a/server/connections.go
+++ b/server/connections.go
@@ -13,8 +13,8 @@
 
 // connState is the event loop's state of one connection.
 type connState struct {
-	busy        bool // a request waits for its response
-	lastEventAt time.Time
+	busy        bool      // a request waits for its response
+	lastEventAt time.Time // when the connection was opened, or its latest complete request or response
 }
 
 // OnOpen implements gnet.EventHandler.
--- a/settings/timing.go
+++ b/settings/timing.go
@@ -24,9 +24,10 @@
 }
 
 // Authority is how long a controller may act without a further response of the key-value
-// store, counted from when it sent the last request that was answered. The authority is
-// shortened if tasks of a cancelled job might otherwise run longer than cancel_s; shortened
-// reports whether it was.
+// store. It is counted from when the controller sent the request that last renewed its lease
+// or, if that is earlier, the latest read of the revision that its watch feed has reached.
+// The authority is shortened if tasks of a cancelled job might otherwise run longer than
+// cancel_s; shortened reports whether it was.
 func (s *Settings) Authority() (authority time.Duration, shortened bool) {
 	authority = time.Duration(float64(s.Operator.LeaseTTL)*(1-constants.MaxClockDrift)) - constants.AuthorityMargin
 	limit := s.maxAuthority()
--- a/window/window_test.go
+++ b/window/window_test.go
@@ -71,7 +71,8 @@
 	}
 }
 
-// Next returns a window that closes after the given time, and no other window opens before it.
+// Next returns a window that is open at the given time or opens later. No other window opens
+// between the given time and the opening of the returned window.
 func TestNextWindowIsTheNext(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zone := rapid.SampledFrom([]string{"Europe/Berlin", "Africa/Johannesburg", "America/New_York", "Australia/Lord_Howe"}).Draw(t, "zone")
