--- a/controller/cancellation_faults_test.go
+++ b/controller/cancellation_faults_test.go
@@ -20,15 +20,15 @@
 // controllerFault is something that happens to the controllers, or to what they need, while
 // a cancellation is on its way. It ends by itself.
 type controllerFault struct {
-	name  string
-	begin func(w *world, owner, other *simController)
+	name   string
+	inject func(w *world, owner, other *simController)
 }
 
 // workerFault is something that happens to the machine whose task is cancelled, until the
 // end of the play.
 type workerFault struct {
-	name  string
-	begin func(*simWorker)
+	name   string
+	inject func(*simWorker)
 }
 
 var controllerFaults = []controllerFault{
@@ -88,32 +88,32 @@
 
 // Moments, counted from when the user is told of the cancellation.
 var (
-	controllerFaultMoments = []time.Duration{-5 * time.Second, -200 * time.Millisecond, 300 * time.Millisecond}
-	workerFaultMoments     = []time.Duration{-8 * time.Second, -100 * time.Millisecond, time.Second, 7 * time.Second}
+	controllerFaultOffsets = []time.Duration{-5 * time.Second, -200 * time.Millisecond, 300 * time.Millisecond}
+	workerFaultOffsets     = []time.Duration{-8 * time.Second, -100 * time.Millisecond, time.Second, 7 * time.Second}
 )
 
 // cancellationCase is one combination of faults that a cancellation meets.
 type cancellationCase struct {
-	controllers controllerFault
-	worker      workerFault
-	controlAt   time.Duration
-	workerAt    time.Duration
-	machines    int // in the zone of the cancelled task
+	controllerFault   controllerFault
+	workerFault       workerFault
+	controllerFaultAt time.Duration
+	workerFaultAt     time.Duration
+	machines          int // in the zone of the cancelled task
 }
 
 func (c cancellationCase) String() string {
-	return fmt.Sprintf("%s at %s, %s at %s, %d machines", c.controllers.name, c.controlAt, c.worker.name, c.workerAt, c.machines)
+	return fmt.Sprintf("%s at %s, %s at %s, %d machines", c.controllerFault.name, c.controllerFaultAt, c.workerFault.name, c.workerFaultAt, c.machines)
 }
 
 // cancellationCases is the table of all combinations.
 func cancellationCases() []cancellationCase {
 	var cases []cancellationCase
 	for _, machines := range []int{1, 4} {
-		for _, controllers := range controllerFaults {
-			for _, controlAt := range controllerFaultMoments {
-				for _, worker := range workerFaults {
-					for _, workerAt := range workerFaultMoments {
-						cases = append(cases, cancellationCase{controllers, worker, controlAt, workerAt, machines})
+		for _, controllerFault := range controllerFaults {
+			for _, controllerFaultAt := range controllerFaultOffsets {
+				for _, workerFault := range workerFaults {
+					for _, workerFaultAt := range workerFaultOffsets {
+						cases = append(cases, cancellationCase{controllerFault, workerFault, controllerFaultAt, workerFaultAt, machines})
 					}
 				}
 			}
@@ -126,19 +126,19 @@
 // of it is on any machine when cancel_s is over.
 func TestCancelledTasksEndInTime(t *testing.T) {
 	discardLogs(t)
-	played := 0
+	casesRun := 0
 	for i, c := range cancellationCases() {
 		if !*allCancellationCases && i%cancellationCaseStride != 0 {
 			continue
 		}
-		played++
-		c.play(t, uint64(i))
+		casesRun++
+		c.run(t, uint64(i))
 	}
-	t.Logf("%d cases", played)
+	t.Logf("%d cases", casesRun)
 }
 
-// play plays one case and reports the rules that were broken.
-func (c cancellationCase) play(t *testing.T, seed uint64) {
+// run plays one case and reports the rules that were broken.
+func (c cancellationCase) run(t *testing.T, seed uint64) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(seed, []string{"a", "b"}, 3)
@@ -156,9 +156,9 @@
 		other.spec.Zone = "b"
 		go w.runUser(j, 0, 0)
 		go w.runUser(other, 0, 0)
-		w.allRun(t, []*simJob{j, other})
+		w.waitAllRunning(t, []*simJob{j, other})
 		time.Sleep(10 * time.Second)
-		c.cancel(t, w, j)
+		c.cancelUnderFaults(t, w, j)
 		time.Sleep(w.times.cancelWithin() + 15*time.Second)
 		if len(w.violations) > 0 {
 			t.Errorf("case %d: %s: %d broken rules, first: %s", seed, c, len(w.violations), strings.Join(w.violations[:1], "; "))
@@ -166,28 +166,28 @@
 	})
 }
 
-// cancel has a job cancelled, with the faults at their moments.
-func (c cancellationCase) cancel(t *testing.T, w *world, j *simJob) {
+// cancelUnderFaults has a job cancelled, with the faults at their moments.
+func (c cancellationCase) cancelUnderFaults(t *testing.T, w *world, j *simJob) {
 	t.Helper()
-	owner := w.ownerOf("a")
-	var confirming int
+	owner := w.ownerController("a")
+	var confirmingIndex int
 	for i, n := range w.controllers {
 		if n != owner {
-			confirming = i
+			confirmingIndex = i
 		}
 	}
 	machine := w.machinesRunning(j.spec.ID)[0]
-	const lead = 10 * time.Second // before the cancellation
-	time.AfterFunc(lead+c.controlAt, func() { c.controllers.begin(w, owner, w.controllers[confirming]) })
-	time.AfterFunc(lead+c.workerAt, func() {
+	const leadTime = 10 * time.Second // before the cancellation
+	time.AfterFunc(leadTime+c.controllerFaultAt, func() { c.controllerFault.inject(w, owner, w.controllers[confirmingIndex]) })
+	time.AfterFunc(leadTime+c.workerFaultAt, func() {
 		w.locked(func() {
-			c.worker.begin(machine)
+			c.workerFault.inject(machine)
 			machine.recordState("machine fails")
 		})
 	})
-	time.Sleep(lead - 10*time.Millisecond)
+	time.Sleep(leadTime - 10*time.Millisecond)
 	w.waitUntil(t, "the cancellation is confirmed", time.Minute, func() bool {
-		confirming = (confirming + 1) % len(w.controllers)
-		return w.controllers[confirming].running() != nil && w.cancelAt(confirming, j)
+		confirmingIndex = (confirmingIndex + 1) % len(w.controllers)
+		return w.controllers[confirmingIndex].running() != nil && w.cancelAt(confirmingIndex, j)
 	})
 }
--- a/controller/damaged_record_test.go
+++ b/controller/damaged_record_test.go
@@ -12,14 +12,14 @@
 	"ravenport/wire"
 )
 
-// damagedJob is the stored value of a job whose run code has more letters than any shard
+// damagedJobValue is the stored value of a job whose run code has more letters than any shard
 // needs. Before it was refused in decoding, it ended every controller that read it.
-var damagedJob = json.RawMessage(`[{"spec":{"uid":"","lane":"c","crew":"free","shape":"sweep","pieces":4}},"` + strings.Repeat("Z", 15) + `4",["a"]]`)
+var damagedJobValue = json.RawMessage(`[{"spec":{"uid":"","lane":"c","crew":"free","shape":"sweep","pieces":4}},"` + strings.Repeat("Z", 15) + `4",["a"]]`)
 
-// putDamaged replaces the stored value of a key with one that cannot be read.
-func (w *world) putDamaged(key string) (version uint64) {
+// putDamagedJob replaces the stored value of a key with one that cannot be read.
+func (w *world) putDamagedJob(key string) (version uint64) {
 	w.locked(func() {
-		if _, err := w.apply(wire.Txn{Changes: []wire.Change{{Put: key, Value: damagedJob}}}); err != nil {
+		if _, err := w.apply(wire.Txn{Changes: []wire.Change{{Put: key, Value: damagedJobValue}}}); err != nil {
 			panic(err)
 		}
 		version = w.revision
@@ -52,18 +52,18 @@
 // A job's record that cannot be read, also one that could be before, ends no controller and
 // no other job suffers; nothing is told of it, it is not written over and not taken for
 // unknown, whether the controllers read it as they run or as they start.
-func TestDamagedJobRecordHarmsNoOther(t *testing.T) {
+func TestDamagedJobRecordIsIsolated(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := newCalmWorld(3)
+		w := newFaultFreeWorld(3)
 		defer w.shutdown()
-		lot := w.boundArrays(1, 60)
-		w.allRun(t, lot)
-		stranger := w.newArray("run-000900", 4, 1, 5)
-		key := records.KeyJob(stranger.spec.ID)
-		version := w.putDamaged(key)
+		jobs := w.boundArrays(1, 60)
+		w.waitAllRunning(t, jobs)
+		damaged := w.newArray("run-000900", 4, 1, 5)
+		key := records.KeyJob(damaged.spec.ID)
+		version := w.putDamagedJob(key)
 		time.Sleep(2 * time.Second)
-		w.expectUnavailable(t, stranger)
+		w.expectUnavailable(t, damaged)
 		for _, n := range w.controllers {
 			if n.running() == nil {
 				t.Errorf("%s has ended", n.set.Controller)
@@ -71,15 +71,15 @@
 			n.restart(time.Second)
 			time.Sleep(10 * time.Second)
 		}
-		w.expectUnavailable(t, stranger)
-		late := w.newArray("run-000901", 3, 1, 5)
-		go w.runUser(late, 0, 0)
-		w.allDone(t, 4*time.Minute, append(lot, late))
+		w.expectUnavailable(t, damaged)
+		later := w.newArray("run-000901", 3, 1, 5)
+		go w.runUser(later, 0, 0)
+		w.waitAllDone(t, 4*time.Minute, append(jobs, later))
 		w.locked(func() {
 			if e := w.kv[key]; e == nil || e.version != version {
 				t.Errorf("the damaged record was changed: %+v", e)
 			}
-			delete(w.jobs, stranger.spec.ID)
+			delete(w.jobs, damaged.spec.ID)
 		})
 		if len(w.violations) > 0 {
 			t.Errorf("rules broken: %s", strings.Join(w.violations, "; "))
--- a/controller/detection_test.go
+++ b/controller/detection_test.go
@@ -28,9 +28,9 @@
 // detectionScenario is a failure of controllers on a deployment that is at work, with
 // failure detection on everywhere but where it says so.
 type detectionScenario struct {
-	name string
-	off  []int // controllers without detection
-	play func(*testing.T, *world, *busy)
+	name             string
+	withoutDetection []int // controllers without detection
+	fault            func(*testing.T, *world, *busy)
 }
 
 // play brings the failure about; afterwards everything that was accepted must end,
@@ -45,8 +45,8 @@
 		}
 		for i, n := range w.controllers {
 			n.enableDetection()
-			for _, off := range s.off {
-				if off == i {
+			for _, index := range s.withoutDetection {
+				if index == i {
 					n.set.Detection = nil
 				}
 			}
@@ -56,7 +56,7 @@
 		defer w.shutdown()
 		time.Sleep(5 * time.Second)
 		b := w.startWork(t, 60)
-		s.play(t, w, b)
+		s.fault(t, w, b)
 		for _, n := range w.controllers {
 			w.locked(func() { n.peerCallsLost = false })
 		}
@@ -70,9 +70,9 @@
 // expectNewOwner waits until a zone's shard is another controller's.
 func (w *world) expectNewOwner(t *testing.T, zone string, from int, bound time.Duration) {
 	t.Helper()
-	began := time.Now()
+	start := time.Now()
 	w.waitUntil(t, "the shard of "+zone+" moves", bound, func() bool { o := w.owner(zone); return o >= 0 && o != from })
-	t.Logf("another owner after %s", time.Since(began))
+	t.Logf("another owner after %s", time.Since(start))
 }
 
 // expectSameTerms sees that no term changes while something goes on.
@@ -111,24 +111,24 @@
 }
 
 var detectionScenarios = []detectionScenario{
-	{name: "owner pauses for half a lease", play: freezeOwner(0.5)},
-	{name: "owner pauses for a lease", play: freezeOwner(1)},
-	{name: "owner pauses for three leases", play: freezeOwner(3)},
-	{name: "owner pauses for ten leases", play: freezeOwner(10)},
-	{name: "owner wakes just as it is replaced", play: func(t *testing.T, w *world, _ *busy) {
+	{name: "owner pauses for half a lease", fault: freezeOwner(0.5)},
+	{name: "owner pauses for a lease", fault: freezeOwner(1)},
+	{name: "owner pauses for three leases", fault: freezeOwner(3)},
+	{name: "owner pauses for ten leases", fault: freezeOwner(10)},
+	{name: "owner wakes just as it is replaced", fault: func(t *testing.T, w *world, _ *busy) {
 		owner := w.owner("a")
 		w.controllers[owner].freeze(time.Hour)
 		w.expectNewOwner(t, "a", owner, takeoverBound)
 		w.locked(func() { w.controllers[owner].frozenUntil = time.Now() })
 		time.Sleep(20 * time.Second)
 	}},
-	{name: "owner is killed", play: func(t *testing.T, w *world, _ *busy) {
+	{name: "owner is killed", fault: func(t *testing.T, w *world, _ *busy) {
 		owner := w.owner("a")
 		w.controllers[owner].restart(30 * time.Second)
 		w.expectNewOwner(t, "a", owner, takeoverBound)
 		time.Sleep(40 * time.Second)
 	}},
-	{name: "owner is killed and back within a fraction of a second", play: func(t *testing.T, w *world, _ *busy) {
+	{name: "owner is killed and back within a fraction of a second", fault: func(t *testing.T, w *world, _ *busy) {
 		for range 4 {
 			owner := w.owner("a")
 			term := w.term("a")
@@ -140,7 +140,7 @@
 			t.Errorf("%d processes were revoked", n)
 		}
 	}},
-	{name: "two fail together, then the one that takes over", play: func(t *testing.T, w *world, _ *busy) {
+	{name: "two fail together, then the one that takes over", fault: func(t *testing.T, w *world, _ *busy) {
 		first, second := w.owner("a"), w.owner("b")
 		w.controllers[first].restart(25 * time.Second)
 		w.controllers[second].restart(25 * time.Second)
@@ -150,7 +150,7 @@
 		w.waitUntil(t, "both have owners again", time.Minute, func() bool { return w.owner("a") != third && w.owner("b") != third })
 		time.Sleep(30 * time.Second)
 	}},
-	{name: "owner without workers that other controllers cannot call", play: func(t *testing.T, w *world, _ *busy) {
+	{name: "owner without workers that other controllers cannot call", fault: func(t *testing.T, w *world, _ *busy) {
 		owner := w.owner("a")
 		grayFailure(w, owner)
 		w.expectNewOwner(t, "a", owner, revocationBound)
@@ -162,29 +162,29 @@
 			t.Error("it has its shard again, and still does not hear its workers")
 		}
 	}},
-	{name: "owner's workers cannot reach it", play: func(t *testing.T, w *world, b *busy) {
+	{name: "owner's workers cannot reach it", fault: func(t *testing.T, w *world, b *busy) {
 		owner := w.owner("a")
 		w.locked(func() { w.controllers[owner].cutFromWorkers = true })
 		w.expectNewOwner(t, "a", owner, revocationBound)
 		j := w.newArray("run-000900", 2, 2, 5)
 		j.spec.Zone = "a"
 		go w.runUser(j, 0, 0)
-		w.allDone(t, 90*time.Second, []*simJob{j}) // its machines are not kept idle
+		w.waitAllDone(t, 90*time.Second, []*simJob{j}) // its machines are not kept idle
 	}},
-	{name: "owner cut from all controllers, not from the state service", play: func(t *testing.T, w *world, _ *busy) {
+	{name: "owner cut from all controllers, not from the state service", fault: func(t *testing.T, w *world, _ *busy) {
 		w.expectSameTerms(t, func() {
 			owner := w.controllers[w.owner("a")]
 			w.locked(func() { owner.cutFromPeers = true })
 			time.Sleep(40 * time.Second)
 		})
 	}},
-	{name: "owner cut from the state service, not from controllers and workers", play: func(t *testing.T, w *world, _ *busy) {
+	{name: "owner cut from the state service, not from controllers and workers", fault: func(t *testing.T, w *world, _ *busy) {
 		owner := w.owner("a")
 		w.locked(func() { w.controllers[owner].cutFromStore = true })
 		w.expectNewOwner(t, "a", owner, takeoverBound)
 		time.Sleep(20 * time.Second)
 	}},
-	{name: "link flaps within seconds", play: func(t *testing.T, w *world, _ *busy) {
+	{name: "link flaps within seconds", fault: func(t *testing.T, w *world, _ *busy) {
 		w.expectSameTerms(t, func() {
 			owner := w.controllers[w.owner("a")]
 			for range 20 {
@@ -195,7 +195,7 @@
 			time.Sleep(5 * time.Second)
 		})
 	}},
-	{name: "a slow controller suspects everybody", play: func(t *testing.T, w *world, _ *busy) {
+	{name: "a slow controller suspects everybody", fault: func(t *testing.T, w *world, _ *busy) {
 		slow := w.controllers[3-w.owner("a")-w.owner("b")]
 		w.expectSameTerms(t, func() {
 			for range 15 {
@@ -204,7 +204,7 @@
 			}
 		})
 	}},
-	{name: "all pause at once", play: func(t *testing.T, w *world, _ *busy) {
+	{name: "all pause at once", fault: func(t *testing.T, w *world, _ *busy) {
 		for _, n := range w.controllers {
 			n.freeze(8 * time.Second)
 		}
@@ -213,7 +213,7 @@
 			t.Errorf("%d processes were revoked", n)
 		}
 	}},
-	{name: "state service away for all", play: func(t *testing.T, w *world, _ *busy) {
+	{name: "state service away for all", fault: func(t *testing.T, w *world, _ *busy) {
 		w.expectSameTerms(t, func() {
 			w.setOutage(true)
 			time.Sleep(40 * time.Second)
@@ -221,7 +221,7 @@
 			time.Sleep(15 * time.Second)
 		})
 	}},
-	{name: "controllers with and without detection", off: []int{0}, play: func(t *testing.T, w *world, _ *busy) {
+	{name: "controllers with and without detection", withoutDetection: []int{0}, fault: func(t *testing.T, w *world, _ *busy) {
 		for _, zone := range []string{"a", "b"} {
 			owner := w.owner(zone)
 			grayFailure(w, owner)
@@ -249,10 +249,10 @@
 
 // A gray failure stays for ever where nothing but the lease is looked at: without
 // detection the scenario that it mends is seen to hang.
-func TestGrayFailureStaysWithoutDetection(t *testing.T) {
+func TestGrayFailurePersistsWithoutDetection(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := newCalmWorld(0)
+		w := newFaultFreeWorld(0)
 		defer w.shutdown()
 		w.startWork(t, 300)
 		owner := w.owner("a")
@@ -279,7 +279,7 @@
 
 // An owner that is stuck in one message is replaced: its process gives up its lease
 // and ends, and what it still does when it goes on is harmless.
-func TestStuckOwnerIsReplaced(t *testing.T) {
+func TestStalledOwnerIsReplaced(t *testing.T) {
 	discardLogs(t)
 	for seed := range uint64(3) {
 		synctest.Test(t, func(t *testing.T) {
@@ -350,28 +350,28 @@
 func TestRevokedHoldersAuthorityIsAwaited(t *testing.T) {
 	discardLogs(t)
 	for seed := range uint64(4) {
-		if broken := playRevocationInPartition(t, seed, false); len(broken) > 0 {
+		if broken := runRevocationInPartition(t, seed, false); len(broken) > 0 {
 			t.Errorf("seed %d: rules broken: %v", seed, broken)
 		}
 	}
 	// Whether it shows depends on the order in which goroutines run.
 	for seed := range uint64(guardSeeds) {
-		if broken := playRevocationInPartition(t, seed, true); len(broken) > 0 {
+		if broken := runRevocationInPartition(t, seed, true); len(broken) > 0 {
 			return
 		}
 	}
 	t.Error("without the wait no rule was seen broken")
 }
 
-// playRevocationInPartition cuts an owner off with its zone, revokes it, and returns the rules
+// runRevocationInPartition cuts an owner off with its zone, revokes it, and returns the rules
 // that were broken. A hasty successor does not wait for the end of its authority.
-func playRevocationInPartition(t *testing.T, seed uint64, hasty bool) (broken []string) {
-	const longLife = 18 * time.Second
+func runRevocationInPartition(t *testing.T, seed uint64, skipWait bool) (broken []string) {
+	const longLeaseTTL = 18 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(seed, []string{"a", "b"}, 3)
-		w.lateCommandShare, w.reliableCloud, w.skipAuthorityWait = 0, true, hasty
+		w.lateCommandShare, w.reliableCloud, w.skipAuthorityWait = 0, true, skipWait
 		for _, n := range w.controllers {
-			n.set.Operator.LeaseTTL = longLife
+			n.set.Operator.LeaseTTL = longLeaseTTL
 			n.enableDetection()
 			n.start()
 		}
@@ -449,9 +449,9 @@
 		w.controllers[1].kill()
 		time.Sleep(2 * leaseTTL)
 		var s Status
-		asked := &simAnswer{got: make(chan *httpwire.Response, 1)}
-		w.controllers[0].running().control.Tell(statusRequest{asked})
-		if err := json.Unmarshal((<-asked.got).Body, &s); err != nil {
+		answer := &simAnswer{got: make(chan *httpwire.Response, 1)}
+		w.controllers[0].running().control.Tell(statusRequest{answer})
+		if err := json.Unmarshal((<-answer.got).Body, &s); err != nil {
 			t.Fatal(err)
 		}
 		if len(s.Members) != 2 || s.Members[0].State != "failed" || s.Members[1].State != "alive" || s.Dropped.UnknownController != 1 {
--- a/controller/drain_plan_test.go
+++ b/controller/drain_plan_test.go
@@ -20,7 +20,7 @@
 			n.set.Draining = nil
 		}
 		w.startBeforeDrain(t)
-		owned := w.shards(0)
+		owned := w.ownedShards(0)
 		if len(owned) != 1 {
 			t.Fatalf("the draining controller owns %v", owned)
 		}
--- a/controller/draining_test.go
+++ b/controller/draining_test.go
@@ -20,7 +20,7 @@
 )
 
 // Points of a step, and how it is seen from outside that one is reached.
-var drainPoints = []struct {
+var drainStepPoints = []struct {
 	name    string
 	reached func(*testing.T, *world, int) bool
 }{
@@ -39,9 +39,9 @@
 }
 
 // Ways for the holder of a drain to fail.
-var holderFailures = []struct {
-	name string
-	hurt func(*world, *simController)
+var drainOwnerFailures = []struct {
+	name   string
+	inject func(*world, *simController)
 }{
 	{"killed", func(_ *world, n *simController) { n.restart(6 * time.Second) }},
 	{"paused past its lease", func(_ *world, n *simController) { n.freeze(12 * time.Second) }},
@@ -53,14 +53,14 @@
 
 // The owner that drains fails at each point of a step, in each way: under the next one
 // the drain goes on, and no budget is broken.
-func TestDrainHolderFails(t *testing.T) {
+func TestDrainOwnerFails(t *testing.T) {
 	discardLogs(t)
-	for _, point := range drainPoints {
-		for _, failure := range holderFailures {
+	for _, point := range drainStepPoints {
+		for _, failure := range drainOwnerFailures {
 			s := drainScenario{name: failure.name + " " + point.name, fault: func(t *testing.T, w *world, number int) {
 				w.waitUntil(t, point.name, 4*time.Minute, func() bool { return point.reached(t, w, number) })
 				owner, term := w.owner("a"), w.term("a")
-				failure.hurt(w, w.controllers[owner])
+				failure.inject(w, w.controllers[owner])
 				w.waitUntil(t, "another term", 2*time.Minute, func() bool { return w.term("a") > term })
 			}}
 			t.Run(s.name, func(t *testing.T) { s.expectNoViolation(t, 1) })
@@ -79,8 +79,8 @@
 	}
 }
 
-// waitMidway waits until a drain has moved some replicas.
-func (w *world) waitMidway(t *testing.T) {
+// waitForFirstMoves waits until a drain has moved some replicas.
+func (w *world) waitForFirstMoves(t *testing.T) {
 	t.Helper()
 	w.waitUntil(t, "something was moved", 4*time.Minute, func() bool { return w.disruptionFigures().Replaced > 1 })
 }
@@ -89,32 +89,32 @@
 var drainScenarios = []drainScenario{
 	{name: "nothing fails", seeds: 2},
 	{name: "all controllers are restarted", fault: func(t *testing.T, w *world, _ int) {
-		w.waitMidway(t)
+		w.waitForFirstMoves(t)
 		for _, n := range w.controllers {
 			n.restart(2 * time.Second)
 		}
 	}},
 	{name: "machines are lost and use the budget up", fault: func(t *testing.T, w *world, number int) {
-		w.waitMidway(t)
+		w.waitForFirstMoves(t)
 		w.loseMachines(4)
 		w.waitUntil(t, "the drain waits for the budget", time.Minute, func() bool {
 			return slices.ContainsFunc(w.drainView(t, number).Shards, func(p drain.ShardProgress) bool { return strings.Contains(p.WaitingFor, "used up") })
 		})
 	}},
 	{name: "a zone is cut off", fault: func(t *testing.T, w *world, _ int) {
-		w.waitMidway(t)
+		w.waitForFirstMoves(t)
 		w.locked(func() { w.partitionedZone = "b" })
 		time.Sleep(60 * time.Second)
 		w.locked(func() { w.partitionedZone = "" })
 	}},
 	{name: "the state service is away in mid-step", fault: func(t *testing.T, w *world, _ int) {
-		w.waitMidway(t)
+		w.waitForFirstMoves(t)
 		w.setOutage(true)
 		time.Sleep(40 * time.Second)
 		stops := w.disruptionFigures().Stops
 		time.Sleep(20 * time.Second)
-		if again := w.disruptionFigures().Stops; again != stops {
-			t.Errorf("%d tasks were stopped without the state service", again-stops)
+		if stopsAfter := w.disruptionFigures().Stops; stopsAfter != stops {
+			t.Errorf("%d tasks were stopped without the state service", stopsAfter-stops)
 		}
 		w.setOutage(false)
 	}},
@@ -157,17 +157,17 @@
 	}},
 	{name: "long arrays and a gang run on what is drained", fault: func(t *testing.T, w *world, number int) {
 		go w.playGangs()
-		lot := []*simJob{w.newArray("run-000200", 6, 2, 90)}
+		jobs := []*simJob{w.newArray("run-000200", 6, 2, 90)}
 		gang := w.newArray("run-000201", 3, 2, 60)
 		gang.spec.Kind, gang.spec.CheckpointIntervalS, gang.spec.CheckpointSaveS, gang.spec.Spot = wire.KindGang, 4, 1, false
-		for _, j := range append(lot, gang) {
+		for _, j := range append(jobs, gang) {
 			go w.runUser(j, 0, 0)
 		}
-		w.waitMidway(t)
+		w.waitForFirstMoves(t)
 		second := w.newArray("run-000202", 6, 2, 90)
 		go w.runUser(second, 0, 0)
 		w.waitDrainState(t, number, records.DrainFinished, 12*time.Minute)
-		w.allDone(t, 6*time.Minute, append(lot, gang, second))
+		w.waitAllDone(t, 6*time.Minute, append(jobs, gang, second))
 	}},
 	{name: "arrays and gangs within their budget", settings: "disruption.interruptions.* = 1\n", fault: func(t *testing.T, w *world, first int) {
 		w.waitDrainState(t, first, records.DrainFinished, 12*time.Minute)
@@ -190,7 +190,7 @@
 		w.waitUntil(t, "another owner", time.Minute, func() bool { return w.term("a") > term })
 		w.waitUntil(t, "others were interrupted", 8*time.Minute, func() bool { return w.interruptionFigures().Replaced > 2 })
 		w.waitDrainState(t, second, records.DrainFinished, 12*time.Minute)
-		w.allDone(t, 15*time.Minute, work)
+		w.waitAllDone(t, 15*time.Minute, work)
 	}},
 	{name: "outside of its window, then in it", settings: "drain.window.rule = FREQ=DAILY;BYHOUR=0;BYMINUTE=3\ndrain.window.minutes = 60\n", fault: func(t *testing.T, w *world, number int) {
 		opens := time.Date(2000, 1, 1, 0, 3, 0, 0, time.UTC)
@@ -202,7 +202,7 @@
 		}
 	}},
 	{name: "paused and resumed", fault: func(t *testing.T, w *world, number int) {
-		w.waitMidway(t)
+		w.waitForFirstMoves(t)
 		w.changeDrain(t, peer.OpPause, number)
 		time.Sleep(10 * time.Second)
 		if v := w.drainView(t, number); v.State != records.DrainPaused || slices.ContainsFunc(v.Shards, func(p drain.ShardProgress) bool { return len(p.Cordoned) > 0 }) {
@@ -239,7 +239,7 @@
 		w.waitUntil(t, "the failure is seen", time.Minute, func() bool { return w.disruptionFigures().Failed > failed })
 	}},
 	{name: "a wave of spot machines is taken back", spot: true, fault: func(t *testing.T, w *world, number int) {
-		w.waitMidway(t)
+		w.waitForFirstMoves(t)
 		failed := w.disruptionFigures().Failed
 		if n := w.reclaimSpot(10 * time.Second); n < 3 {
 			t.Errorf("the wave takes %d machines", n)
@@ -250,7 +250,7 @@
 		w.waitUntil(t, "the wave takes tasks down", time.Minute, func() bool { return w.disruptionFigures().Failed > failed+2 })
 	}},
 	{name: "the budget is raised while it runs", fault: func(t *testing.T, w *world, _ int) {
-		w.waitMidway(t)
+		w.waitForFirstMoves(t)
 		if worst := w.disruptionFigures().MaxVoluntary; worst > 2 {
 			t.Errorf("%d were down by choice before", worst)
 		}
@@ -280,7 +280,7 @@
 		w.locked(func() { w.soundMachines = nil })
 	}},
 	{name: "the budget is lowered while it runs", fault: func(t *testing.T, w *world, _ int) {
-		w.waitMidway(t)
+		w.waitForFirstMoves(t)
 		for _, n := range w.controllers {
 			n.kill()
 			n.set.Draining = n.parseDraining(strings.Replace(drainSettings, "* = 2", "* = 1", 1))
@@ -467,15 +467,15 @@
 		time.Sleep(30 * time.Second)
 		old := w.machineNames()
 		plan := w.requestDrain(t, peer.DrainRequest{Op: peer.OpPlan, MatchAll: true}).Plan
-		began, revision, processor := time.Now(), w.stateRevision(), processorTime()
+		start, revision, cpuTimeBefore := time.Now(), w.stateRevision(), cpuTime()
 		number := w.startDrain(t, records.Selection{})
 		w.waitDrainState(t, number, records.DrainFinished, 12*time.Hour)
-		took := time.Since(began)
-		least := time.Duration(plan.MinimumS * float64(time.Second))
+		elapsed := time.Since(start)
+		minimum := time.Duration(plan.MinimumS * float64(time.Second))
 		t.Logf("%d machines, %d tasks, budget %s: %s, %s at least (%s); %d changes of the state service, %s of the test's processor time",
-			len(old), tasks, *drainPercent, took.Round(time.Second), least, plan.BindingBudget, w.stateRevision()-revision, (processorTime() - processor).Round(100*time.Millisecond))
-		if n := w.remaining(old); n > 0 || took < least {
-			t.Errorf("%d machines are left after %s, at least %s", n, took, least)
+			len(old), tasks, *drainPercent, elapsed.Round(time.Second), minimum, plan.BindingBudget, w.stateRevision()-revision, (cpuTime() - cpuTimeBefore).Round(100*time.Millisecond))
+		if n := w.remaining(old); n > 0 || elapsed < minimum {
+			t.Errorf("%d machines are left after %s, at least %s", n, elapsed, minimum)
 		}
 		w.waitUntil(t, "all replicas run again", 3*time.Minute, func() bool { return w.runningReplicas() == tasks })
 		if broken := w.violationList(); len(broken) > 0 {
@@ -491,8 +491,8 @@
 	return w.revision
 }
 
-// processorTime is what the test has taken so far.
-func processorTime() time.Duration {
+// cpuTime is what the test has taken so far.
+func cpuTime() time.Duration {
 	var used syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &used); err != nil {
 		panic(err)
--- a/controller/faults_test.go
+++ b/controller/faults_test.go
@@ -10,9 +10,9 @@
 	"ravenport/wire"
 )
 
-// hangs is a scenario in which machines hang and, at that moment, jobs on them are
+// hangDuringCancellation is a scenario in which machines hang and, at that moment, jobs on them are
 // cancelled; something more happens to the deployment then.
-func hangs(more func(*testing.T, *world, []*simWorker)) func(*testing.T, *world) {
+func hangDuringCancellation(addFault func(*testing.T, *world, []*simWorker)) func(*testing.T, *world) {
 	return func(t *testing.T, w *world) {
 		b := w.startWork(t, 300)
 		var hung []*simWorker
@@ -23,7 +23,7 @@
 		for _, j := range b.long[:2] {
 			w.cancelAndWait(t, j, 20*time.Second)
 		}
-		more(t, w, hung)
+		addFault(t, w, hung)
 		w.settleAll(t, 20*time.Minute, b.finishes)
 	}
 }
@@ -31,24 +31,24 @@
 // faultZones are the zones of the deployments in these scenarios.
 var faultZones = []string{"a", "b", "c"}
 
-// ownerOf is the controller that owns a zone's shard.
-func (w *world) ownerOf(zone string) *simController {
-	return w.controllers[w.holder(records.KeyShard(zone))]
+// ownerController is the controller that owns a zone's shard.
+func (w *world) ownerController(zone string) *simController {
+	return w.controllers[w.termHolder(records.KeyShard(zone))]
 }
 
 // leaderController is the controller that leads.
 func (w *world) leaderController() *simController {
-	return w.controllers[w.holder(records.KeyLeader)]
+	return w.controllers[w.termHolder(records.KeyLeader)]
 }
 
 // faultScenarios are combinations of faults that users have seen break rules of schedulers
 // like this one.
 var faultScenarios = []scenario{
-	{name: "held reports come as a new leader begins", guard: func(w *world) { w.freshenCopies = true },
-		play: func(t *testing.T, w *world) {
+	{name: "held reports come as a new leader begins", unguard: func(w *world) { w.freshenCopies = true },
+		body: func(t *testing.T, w *world) {
 			w.locked(func() { w.keepHeartbeats = true })
 			b := w.startWork(t, 60)
-			w.expectNewTerm(t, records.KeyShard("a"), func() { w.ownerOf("a").restart(8 * time.Second); w.leaderController().restart(9 * time.Second) })
+			w.expectNewTerm(t, records.KeyShard("a"), func() { w.ownerController("a").restart(8 * time.Second); w.leaderController().restart(9 * time.Second) })
 			w.replayHeartbeats()
 			time.Sleep(3 * time.Second)
 			w.replayHeartbeats()
@@ -58,50 +58,50 @@
 			w.settleAll(t, 6*time.Minute, b.finishes)
 		}},
 	{name: "tasks end far apart over a change of leader",
-		play: func(t *testing.T, w *world) {
-			var lot []*simJob
+		body: func(t *testing.T, w *world) {
+			var jobs []*simJob
 			for i := range 6 {
 				j := w.newArray(fmt.Sprintf("run-00000%d", i), 2+i%2, 1, 40)
 				j.runs = []float64{3, 70, 40}[:2+i%2]
 				go w.runUser(j, 0, 0)
-				lot = append(lot, j)
+				jobs = append(jobs, j)
 			}
 			w.waitUntil(t, "some of each are done", 60*time.Second, func() bool {
 				w.mu.Lock()
 				defer w.mu.Unlock()
-				return !slices.ContainsFunc(lot, func(j *simJob) bool { return len(j.doneTasks) == 0 })
+				return !slices.ContainsFunc(jobs, func(j *simJob) bool { return len(j.doneTasks) == 0 })
 			})
 			for range 2 {
 				w.expectNewTerm(t, records.KeyLeader, func() { w.leaderController().restart(6 * time.Second) })
-				w.expectNewTerm(t, records.KeyShard("b"), func() { w.ownerOf("b").restart(6 * time.Second) })
+				w.expectNewTerm(t, records.KeyShard("b"), func() { w.ownerController("b").restart(6 * time.Second) })
 			}
-			for _, j := range lot {
+			for _, j := range jobs {
 				if w.hasEnded(j) {
 					w.fail(t, "%s had ended before the last change", j.spec.ID)
 				}
 			}
-			w.settleAll(t, 4*time.Minute, lot)
+			w.settleAll(t, 4*time.Minute, jobs)
 		}},
-	{name: "a team at its limit, machines out of reach, a cancellation, a new leader", guard: func(w *world) { w.ignoreWorkerLeases, w.ignoreScaleIn = true, true }, rule: "quota",
-		play: func(t *testing.T, w *world) {
+	{name: "a team at its limit, machines out of reach, a cancellation, a new leader", unguard: func(w *world) { w.ignoreWorkerLeases, w.ignoreScaleIn = true, true }, wantBrokenRule: "quota",
+		body: func(t *testing.T, w *world) {
 			b := w.startWork(t, 400)
 			held := w.started(b.tight)
-			cut := w.machinesRunning(held[0].spec.ID)
+			unreachable := w.machinesRunning(held[0].spec.ID)
 			w.locked(func() {
-				for i, m := range cut {
+				for i, m := range unreachable {
 					m.disconnected, m.hung = i%2 == 0, i%2 == 1
 				}
 			})
 			w.cancelAndWait(t, held[0], 20*time.Second)
 			w.expectNewTerm(t, records.KeyLeader, func() { w.leaderController().restart(6 * time.Second) })
-			w.expectNewTerm(t, records.KeyShard(cut[0].zone), func() { w.ownerOf(cut[0].zone).restart(6 * time.Second) })
+			w.expectNewTerm(t, records.KeyShard(unreachable[0].zone), func() { w.ownerController(unreachable[0].zone).restart(6 * time.Second) })
 			w.waitUntil(t, "another of the team starts in its place", 2*w.times.lease()+time.Minute, func() bool {
 				return len(slices.DeleteFunc(w.started(b.tight), func(j *simJob) bool { return j == held[0] })) == 2
 			})
 			w.settleAll(t, 25*time.Minute, b.finishes)
 		}},
 	{name: "a team at its limit, its machine hangs and goes on, a cancellation, a new leader",
-		play: func(t *testing.T, w *world) {
+		body: func(t *testing.T, w *world) {
 			b := w.startWork(t, 100)
 			held := w.started(b.tight)
 			hung := w.machinesRunning(held[0].spec.ID)
@@ -113,24 +113,24 @@
 			w.settleAll(t, 8*time.Minute, b.finishes)
 		}},
 	{name: "a leader cut from state service and controllers, not from workers and users",
-		play: func(t *testing.T, w *world) {
+		body: func(t *testing.T, w *world) {
 			b := w.startWork(t, 150)
 			n := w.leaderController()
-			if len(w.shards(slices.Index(w.controllers, n))) == 0 {
-				n = w.ownerOf("a")
+			if len(w.ownedShards(slices.Index(w.controllers, n))) == 0 {
+				n = w.ownerController("a")
 			}
-			owned := w.shards(slices.Index(w.controllers, n))
+			owned := w.ownedShards(slices.Index(w.controllers, n))
 			w.locked(func() { n.cutFromStore, n.cutFromPeers = true, true })
 			cutAt := time.Now()
-			var doomed *simJob
+			var cancelled *simJob
 			for _, j := range b.long {
 				if j.spec.Zone == owned[0] {
-					doomed = j
+					cancelled = j
 				}
 			}
 			other := (slices.Index(w.controllers, n) + 1) % 3
-			w.waitUntil(t, "another controller confirms", 20*time.Second, func() bool { return w.cancelAt(other, doomed) })
-			w.waitUntil(t, "a new owner", 30*time.Second, func() bool { return w.ownerOf(owned[0]) != n })
+			w.waitUntil(t, "another controller confirms", 20*time.Second, func() bool { return w.cancelAt(other, cancelled) })
+			w.waitUntil(t, "a new owner", 30*time.Second, func() bool { return w.ownerController(owned[0]) != n })
 			time.Sleep(w.times.cancelWithin())
 			w.mu.Lock()
 			if !n.heartbeatReceivedAt.After(cutAt) {
@@ -140,18 +140,18 @@
 			w.settleAll(t, 8*time.Minute, b.finishes)
 		}},
 	{name: "cancellations while a shard changes hands",
-		play: func(t *testing.T, w *world) {
-			boundArrays := [][]*simJob{w.boundArrays(1, 200), w.boundArrays(2, 200), w.boundArrays(3, 200)}
-			w.allRun(t, boundArrays...)
-			n := w.ownerOf("a")
-			w.expectNewTerm(t, records.KeyShard("a"), func() { n.kill(); w.cancelAndWait(t, boundArrays[0][0], 20*time.Second) })
-			w.cancelAndWait(t, boundArrays[0][1], 20*time.Second)
+		body: func(t *testing.T, w *world) {
+			batches := [][]*simJob{w.boundArrays(1, 200), w.boundArrays(2, 200), w.boundArrays(3, 200)}
+			w.waitAllRunning(t, batches...)
+			n := w.ownerController("a")
+			w.expectNewTerm(t, records.KeyShard("a"), func() { n.kill(); w.cancelAndWait(t, batches[0][0], 20*time.Second) })
+			w.cancelAndWait(t, batches[0][1], 20*time.Second)
 			n.start()
 			// It is given its shard back in good health: cancellations all the while.
 			w.expectNewTerm(t, records.KeyShard("a"), func() {
 				go func() {
-					for _, lot := range boundArrays[1:] {
-						for index, j := range lot {
+					for _, jobs := range batches[1:] {
+						for index, j := range jobs {
 							time.Sleep(2 * time.Second)
 							w.cancelAt(index, j)
 							w.pollClosely(j)
@@ -160,11 +160,11 @@
 				}()
 			})
 			time.Sleep(15 * time.Second)
-			w.settleAll(t, 5*time.Minute, slices.Concat(boundArrays...))
+			w.settleAll(t, 5*time.Minute, slices.Concat(batches...))
 			w.expectEvent(t, "close looks", 20)
 		}},
 	{name: "ten leaders in two minutes, also inside an outage",
-		play: func(t *testing.T, w *world) {
+		body: func(t *testing.T, w *world) {
 			b := w.startWork(t, 120)
 			for i := range 10 {
 				if i == 5 {
@@ -180,12 +180,12 @@
 			w.settleAll(t, 8*time.Minute, b.finishes)
 		}},
 	{name: "cancellations, questions and repeats meet the end of the last task",
-		play: func(t *testing.T, w *world) {
-			lot := w.submitMany(0, 60*time.Second, 1, 3, 0.7)
-			w.settleAll(t, 3*time.Minute, lot)
+		body: func(t *testing.T, w *world) {
+			jobs := w.submitMany(0, 60*time.Second, 1, 3, 0.7)
+			w.settleAll(t, 3*time.Minute, jobs)
 			w.expectEvent(t, "close looks", 200)
 			kinds := map[wire.JobState]int{}
-			for _, j := range lot {
+			for _, j := range jobs {
 				kinds[j.reportedState]++
 			}
 			if kinds[wire.JobDone] < 5 || kinds[wire.JobCancelled] < 5 {
@@ -193,12 +193,12 @@
 			}
 		}},
 	{name: "one-task jobs four a second for minutes, a quarter cancelled",
-		play: func(t *testing.T, w *world) {
-			lot := w.submitMany(0, 150*time.Second, 0.25, 3, 0.25)
-			if len(lot) < 500 {
-				w.fail(t, "only %d jobs", len(lot))
+		body: func(t *testing.T, w *world) {
+			jobs := w.submitMany(0, 150*time.Second, 0.25, 3, 0.25)
+			if len(jobs) < 500 {
+				w.fail(t, "only %d jobs", len(jobs))
 			}
-			w.settleAll(t, 5*time.Minute, lot)
+			w.settleAll(t, 5*time.Minute, jobs)
 			for _, n := range w.controllers { // what is over is not kept
 				if c := n.running(); c != nil {
 					if open := w.openJobs(c); open > 5 {
@@ -207,17 +207,17 @@
 				}
 			}
 		}},
-	{name: "answers of transactions are lost while others read what they wrote", guard: func(w *world) { w.ignoreConditions = true },
-		play: func(t *testing.T, w *world) {
+	{name: "answers of transactions are lost while others read what they wrote", unguard: func(w *world) { w.ignoreConditions = true },
+		body: func(t *testing.T, w *world) {
 			w.locked(func() { w.lostAnswerShare = 0.3 })
-			lot := w.submitMany(0, 60*time.Second, 1, 4, 0.5)
+			jobs := w.submitMany(0, 60*time.Second, 1, 4, 0.5)
 			w.locked(func() { w.lostAnswerShare = 0 })
-			w.settleAll(t, 4*time.Minute, lot)
+			w.settleAll(t, 4*time.Minute, jobs)
 			w.expectEvent(t, "lost answers", 30)
 			w.expectEvent(t, "close looks", 200)
 		}},
-	{name: "transactions without an answer come late, after newer ones", guard: func(w *world) { w.ignoreConditions = true },
-		play: func(t *testing.T, w *world) {
+	{name: "transactions without an answer come late, after newer ones", unguard: func(w *world) { w.ignoreConditions = true },
+		body: func(t *testing.T, w *world) {
 			w.locked(func() { w.lateWriteShare = 0.25 })
 			lot := w.submitMany(0, 60*time.Second, 1, 4, 0.5)
 			w.expectNewTerm(t, records.KeyLeader, func() { w.leaderController().restart(time.Second) })
@@ -227,16 +227,16 @@
 			w.expectEvent(t, "late writes that failed", 20)
 		}},
 	{name: "jobs bound to one zone lose machines",
-		play: func(t *testing.T, w *world) {
-			var lot []*simJob
+		body: func(t *testing.T, w *world) {
+			var jobs []*simJob
 			for i := range 4 {
 				j := w.newArray(fmt.Sprintf("run-00000%d", i), 3, 2, 60)
 				j.spec.OneZone = true
 				go w.runUser(j, 0, 0)
-				lot = append(lot, j)
+				jobs = append(jobs, j)
 			}
-			w.allRun(t, lot)
-			for i, j := range lot {
+			w.waitAllRunning(t, jobs)
+			for i, j := range jobs {
 				for k, m := range w.machinesRunning(j.spec.ID) {
 					w.locked(func() {
 						switch {
@@ -253,14 +253,14 @@
 			}
 			w.expectNewTerm(t, records.KeyLeader, func() { w.leaderController().restart(time.Second) })
 			time.Sleep(2 * w.times.lease())
-			w.settleAll(t, 6*time.Minute, lot)
+			w.settleAll(t, 6*time.Minute, jobs)
 		}},
 	{name: "shards handed there and back, all end, one returns within a second",
-		play: func(t *testing.T, w *world) {
+		body: func(t *testing.T, w *world) {
 			b := w.startWork(t, 150)
-			n := w.ownerOf("b")
+			n := w.ownerController("b")
 			w.expectNewTerm(t, records.KeyShard("b"), func() { n.restart(300 * time.Millisecond) })
-			w.expectNewTerm(t, records.KeyShard("b"), func() { w.ownerOf("b").restart(300 * time.Millisecond) })
+			w.expectNewTerm(t, records.KeyShard("b"), func() { w.ownerController("b").restart(300 * time.Millisecond) })
 			for _, n := range w.controllers {
 				n.kill()
 			}
@@ -277,14 +277,14 @@
 	// Without tokens no rule was seen broken here: what owners keep of attempts is
 	// enough. That tokens are missed is shown by TestCheckerNoticesMissingGuards.
 	{name: "commands are held up for seconds and carried out",
-		play: func(t *testing.T, w *world) {
+		body: func(t *testing.T, w *world) {
 			// All owners end just after they decided starts that are held up on their way.
 			w.boundArraysOf(0, 3, 24, 30) // machines are there
 			w.locked(func() { w.lateCommandShare = 0.8 })
-			var lot []*simJob
+			var jobs []*simJob
 			for i := range 6 {
-				lot = append(lot, w.boundArraysOf(100*(i+1), 3, 16, 25)...)
-				w.waitUntil(t, "starts are decided", 30*time.Second, func() bool { return len(w.started(lot)) > 4*i })
+				jobs = append(jobs, w.boundArraysOf(100*(i+1), 3, 16, 25)...)
+				w.waitUntil(t, "starts are decided", 30*time.Second, func() bool { return len(w.started(jobs)) > 4*i })
 				for _, n := range w.controllers {
 					n.restart(w.randomDuration(500*time.Millisecond, 2*time.Second))
 				}
@@ -293,15 +293,15 @@
 			}
 			w.locked(func() { w.lateCommandShare = 0 })
 			time.Sleep(30 * time.Second)
-			w.settleAll(t, 5*time.Minute, lot)
+			w.settleAll(t, 5*time.Minute, jobs)
 			w.expectEvent(t, "commands carried out late", 3)
 		}},
 	{name: "machines with cancelled tasks hang for longer than cancel_s",
-		play: hangs(func(t *testing.T, w *world, hung []*simWorker) {
+		body: hangDuringCancellation(func(t *testing.T, w *world, hung []*simWorker) {
 			time.Sleep(w.times.cancelWithin() + 20*time.Second)
 		})},
 	{name: "machines with cancelled tasks hang while all controllers are away",
-		play: hangs(func(t *testing.T, w *world, hung []*simWorker) {
+		body: hangDuringCancellation(func(t *testing.T, w *world, hung []*simWorker) {
 			time.Sleep(time.Second)
 			w.locked(func() { w.hungPastLeaseIsDead = true }) // the new owners notice the hang by missing heartbeats alone, and late
 			for _, n := range w.controllers {
@@ -314,7 +314,7 @@
 			time.Sleep(w.times.cancelWithin())
 		})},
 	{name: "machines with cancelled tasks hang, a controller ends in an outage that outlasts cancel_s",
-		play: hangs(func(t *testing.T, w *world, hung []*simWorker) {
+		body: hangDuringCancellation(func(t *testing.T, w *world, hung []*simWorker) {
 			time.Sleep(time.Second)
 			w.locked(func() { w.hungPastLeaseIsDead = true })
 			w.setOutage(true)
@@ -322,8 +322,8 @@
 			time.Sleep(w.times.cancelWithin() + 20*time.Second)
 			w.setOutage(false)
 		})},
-	{name: "a zone with its controller is cut off for longer than the lease", guard: func(w *world) { w.ignoreWorkerLeases, w.ignoreScaleIn = true, true }, rule: "ran_cancelled",
-		play: func(t *testing.T, w *world) {
+	{name: "a zone with its controller is cut off for longer than the lease", unguard: func(w *world) { w.ignoreWorkerLeases, w.ignoreScaleIn = true, true }, wantBrokenRule: "ran_cancelled",
+		body: func(t *testing.T, w *world) {
 			b := w.startWork(t, 200)
 			w.locked(func() { w.partitionedZone = "a" })
 			time.Sleep(4 * time.Second)
@@ -332,31 +332,31 @@
 			w.settleAll(t, 10*time.Minute, b.finishes)
 		}},
 	{name: "more work than room, urgent and not, over slow links",
-		play: func(t *testing.T, w *world) {
+		body: func(t *testing.T, w *world) {
 			w.locked(func() {
 				w.storeLatency = 400 * time.Millisecond
 				for k := range w.capacity {
 					w.capacity[k] = 1
 				}
 			})
-			var lot []*simJob
+			var jobs []*simJob
 			for i := range 40 {
 				j := w.newArray(fmt.Sprintf("run-%06d", i), 4, float64(1+i%6), 15)
 				j.spec.Priority = []wire.Priority{wire.PriorityLow, wire.PriorityNormal, wire.PriorityHigh, wire.PriorityProduction}[i%4]
 				j.spec.Spot = i%2 == 0
 				go w.runUser(j, 0, 0)
-				lot = append(lot, j)
+				jobs = append(jobs, j)
 			}
 			time.Sleep(30 * time.Second)
-			w.cancelAndWait(t, lot[32], time.Minute)
-			w.cancelAndWait(t, lot[36], time.Minute)
+			w.cancelAndWait(t, jobs[32], time.Minute)
+			w.cancelAndWait(t, jobs[36], time.Minute)
 			w.expectNewTerm(t, records.KeyLeader, func() { w.leaderController().restart(time.Second) })
-			w.settleAll(t, 15*time.Minute, lot)
+			w.settleAll(t, 15*time.Minute, jobs)
 		}},
 	// No guard is taken away: what it leans on, that owners wait for the heartbeats of
 	// all machines or their leases' ends, is no one's but the owners'.
 	{name: "all controllers are away for longer than the lease",
-		play: func(t *testing.T, w *world) {
+		body: func(t *testing.T, w *world) {
 			b := w.startWork(t, 100)
 			w.cancelAndWait(t, b.long[2], 20*time.Second)
 			for _, n := range w.controllers {
@@ -369,54 +369,54 @@
 			w.expectNewTerm(t, records.KeyShard("a"), func() {})
 			w.settleAll(t, 8*time.Minute, b.finishes)
 		}},
-	{name: "a leader ends while machines with long tasks do not hear the new one", guard: func(w *world) { w.ignoreWorkerLeases, w.ignoreScaleIn = true, true }, rule: "ran_twice",
-		play: func(t *testing.T, w *world) {
+	{name: "a leader ends while machines with long tasks do not hear the new one", unguard: func(w *world) { w.ignoreWorkerLeases, w.ignoreScaleIn = true, true }, wantBrokenRule: "ran_twice",
+		body: func(t *testing.T, w *world) {
 			b := w.startWork(t, 150)
 			for i, j := range []*simJob{b.long[0], b.long[1], b.free} {
 				on := w.machinesRunning(j.spec.ID)
 				w.locked(func() { on[0].receivesNothing, on[0].disconnected = i%2 == 0, i%2 == 1 })
 			}
-			w.expectNewTerm(t, records.KeyShard("a"), func() { w.ownerOf("a").restart(5 * time.Second); w.leaderController().restart(5 * time.Second) })
+			w.expectNewTerm(t, records.KeyShard("a"), func() { w.ownerController("a").restart(5 * time.Second); w.leaderController().restart(5 * time.Second) })
 			w.cancelAndWait(t, b.free, 20*time.Second)
 			time.Sleep(w.times.cancelWithin() + 5*time.Second)
 			w.settleAll(t, 10*time.Minute, b.finishes)
 		}},
 	{name: "machines up within two seconds get work while writes lag, and the leader ends",
-		play: func(t *testing.T, w *world) {
+		body: func(t *testing.T, w *world) {
 			w.locked(func() { w.bootWithin, w.storeLatency, w.lateWriteShare = 2*time.Second, 700*time.Millisecond, 0.1 })
 			lot := w.submitMany(0, 20*time.Second, 0.4, 12, 0.25)
 			w.expectNewTerm(t, records.KeyLeader, func() { w.leaderController().restart(300 * time.Millisecond) })
 			lot = append(lot, w.submitMany(500, 10*time.Second, 0.4, 12, 0.25)...)
-			w.expectNewTerm(t, records.KeyShard("a"), func() { w.ownerOf("a").kill() })
+			w.expectNewTerm(t, records.KeyShard("a"), func() { w.ownerController("a").kill() })
 			time.Sleep(5 * time.Second)
 			w.locked(func() { w.storeLatency, w.lateWriteShare = 0, 0 })
 			w.settleAll(t, 5*time.Minute, lot)
 		}},
 	{name: "machines reach no controller while direct commands reach them",
-		play: func(t *testing.T, w *world) {
+		body: func(t *testing.T, w *world) {
 			b := w.startWork(t, 120)
-			var mute []*simWorker
+			var cutOff []*simWorker
 			for _, j := range b.long {
-				mute = append(mute, w.machinesRunning(j.spec.ID)[0])
+				cutOff = append(cutOff, w.machinesRunning(j.spec.ID)[0])
 			}
 			w.locked(func() {
-				for _, m := range mute {
+				for _, m := range cutOff {
 					m.cutFromControllers = true
 				}
 			})
 			w.cancelAndWait(t, b.long[0], 20*time.Second)
 			time.Sleep(8 * time.Second)
-			w.expectNewTerm(t, records.KeyShard("b"), func() { w.ownerOf("b").restart(5 * time.Second) })
+			w.expectNewTerm(t, records.KeyShard("b"), func() { w.ownerController("b").restart(5 * time.Second) })
 			time.Sleep(w.times.cancelWithin())
 			w.settleAll(t, 8*time.Minute, b.finishes)
 		}},
 	{name: "the state service answers slowly, refuses the leader, then is away for long",
-		play: func(t *testing.T, w *world) {
+		body: func(t *testing.T, w *world) {
 			w.locked(func() { w.storeLatency = 600 * time.Millisecond })
 			b := w.startWork(t, 200)
 			n := w.leaderController()
-			if len(w.shards(slices.Index(w.controllers, n))) == 0 {
-				n = w.ownerOf("a")
+			if len(w.ownedShards(slices.Index(w.controllers, n))) == 0 {
+				n = w.ownerController("a")
 			}
 			w.locked(func() { n.cutFromStore = true })
 			other := (slices.Index(w.controllers, n) + 1) % 3
@@ -441,5 +441,5 @@
 			s.times = umoyaTimes
 		}
 	}
-	scenarios(t, faultScenarios)
+	runScenarios(t, faultScenarios)
 }
--- a/controller/large_fleet_test.go
+++ b/controller/large_fleet_test.go
@@ -12,14 +12,14 @@
 	"ravenport/wire"
 )
 
-// largeFleet is how many machines no limit may stand below.
-const largeFleet = 4000
+// largeFleetMachines is how many machines no limit may stand below.
+const largeFleetMachines = 4000
 
-// lossyFleet is how many machines TestLossyFleet plays, and lossyShare which share of
+// lossyFleetMachines is how many machines TestLossyFleet plays, and lostAnswerFraction which share of
 // answers is lost.
 var (
-	lossyFleet = flag.Int("lossy.machines", 600, "machines of the fleet whose answers are lost now and then")
-	lossyShare = flag.Float64("lossy.share", 0.45, "share of their answers that is lost")
+	lossyFleetMachines = flag.Int("lossy.machines", 600, "machines of the fleet whose answers are lost now and then")
+	lostAnswerFraction = flag.Float64("lossy.share", 0.45, "share of their answers that is lost")
 )
 
 // Where answers are lost by chance, machines now and then leave all commands of a scale-in
@@ -28,17 +28,17 @@
 func TestLossyFleet(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := playLargeFleet(t, "", *lossyFleet, *lossyShare)
-		ended, unheard, lapsed := w.eventCount("tasks ended by a scale-in"), w.eventCount("tasks ended by the scale-in of an unresponsive machine"), w.eventCount("tasks ended by a lease")
+		w := runLargeFleet(t, "", *lossyFleetMachines, *lostAnswerFraction)
+		ended, endedUnresponsive, endedByLease := w.eventCount("tasks ended by a scale-in"), w.eventCount("tasks ended by the scale-in of an unresponsive machine"), w.eventCount("tasks ended by a lease")
 		w.logLiveTerminations(t)
-		t.Logf("%d starts again; %d tasks ended by returns, %d of them on machines that answered nothing, %d by a lease", w.restarts, ended, unheard, lapsed)
-		if ended != unheard {
-			t.Errorf("%d tasks were ended by the return of a machine that had answered", ended-unheard)
+		t.Logf("%d starts again; %d tasks ended by returns, %d of them on machines that answered nothing, %d by a lease", w.restarts, ended, endedUnresponsive, endedByLease)
+		if ended != endedUnresponsive {
+			t.Errorf("%d tasks were ended by the return of a machine that had answered", ended-endedUnresponsive)
 		}
-		if w.restarts > unheard+lapsed {
-			t.Errorf("%d tasks started again, and %d were on machines that were lost", w.restarts, unheard+lapsed)
+		if w.restarts > endedUnresponsive+endedByLease {
+			t.Errorf("%d tasks started again, and %d were on machines that were lost", w.restarts, endedUnresponsive+endedByLease)
 		}
-		if unheard+lapsed == 0 {
+		if endedUnresponsive+endedByLease == 0 {
 			t.Error("no machine was lost: nothing was shown")
 		}
 	})
@@ -51,13 +51,13 @@
 	discardLogs(t)
 	for name, zone := range map[string]string{"in one shard": "a", "in two shards": ""} {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playLargeFleet(t, zone, largeFleet, 0) })
+			synctest.Test(t, func(t *testing.T) { runLargeFleet(t, zone, largeFleetMachines, 0) })
 		})
 	}
 }
 
-// playLargeFleet plays a fleet of so many machines. Without loss nothing may start again.
-func playLargeFleet(t *testing.T, zone string, machines int, loss float64) *world {
+// runLargeFleet plays a fleet of so many machines. Without loss nothing may start again.
+func runLargeFleet(t *testing.T, zone string, machines int, loss float64) *world {
 	w := newWorldWithTimes(1, []string{"a", "b"}, 3, umoyaTimes)
 	w.lateCommandShare, w.reliableCloud, w.lostAnswerShare, w.lateWriteShare, w.repeatedWriteShare, w.lateCopyShare = 0, true, 0, 0, 0, 0
 	w.record.off = true
@@ -80,14 +80,14 @@
 		Tasks: machines, CPUs: 8, MemoryGB: 1, Image: "i", ImageGB: 1, Zone: zone, Spread: zone == ""}, doneTasks: map[int]bool{}}
 	w.locked(func() { w.jobs[j.spec.ID] = j })
 	go w.runUser(j, 0, 0)
-	began := time.Now()
+	start := time.Now()
 	running := func() bool {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		return w.runningTasks(j.spec.ID) == machines
 	}
 	w.waitUntil(t, "all machines are up and used", 10*time.Minute, running)
-	t.Logf("%d tasks run on %d machines after %s", machines, len(w.machines), time.Since(began))
+	t.Logf("%d tasks run on %d machines after %s", machines, len(w.machines), time.Since(start))
 	starts := w.starts
 	before := maps.Clone(w.observed)
 
@@ -108,11 +108,11 @@
 	if loss == 0 && (!running() || w.restarts != 0) {
 		t.Errorf("%d of %d tasks run, after %d starts more", w.runningTasks(j.spec.ID), machines, w.restarts)
 	}
-	after := w.newArray("run-000002", 50, 8, 5)
-	began = time.Now()
-	go w.runUser(after, 0, 0)
-	w.allDone(t, 3*time.Minute, []*simJob{after})
-	t.Logf("50 tasks more were done within %s; records take %d keys", time.Since(began), w.keysUnder(records.KeyPrefix))
+	later := w.newArray("run-000002", 50, 8, 5)
+	start = time.Now()
+	go w.runUser(later, 0, 0)
+	w.waitAllDone(t, 3*time.Minute, []*simJob{later})
+	t.Logf("50 tasks more were done within %s; records take %d keys", time.Since(start), w.keysUnder(records.KeyPrefix))
 	if len(w.violations) > 0 {
 		t.Errorf("rules broken: %s", strings.Join(w.violations[:min(4, len(w.violations))], "; "))
 	}
--- a/controller/lease_end_test.go
+++ b/controller/lease_end_test.go
@@ -25,9 +25,9 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, m := range w.machines {
-		past := time.Since(m.leaseRenewedAt) - w.times.lease()
-		if !m.hung && len(m.tasks) > 0 && past > leaseEndSlack {
-			t.Fatalf("%s keeps %d tasks %s past the end of its lease", m.name, len(m.tasks), past)
+		overrun := time.Since(m.leaseRenewedAt) - w.times.lease()
+		if !m.hung && len(m.tasks) > 0 && overrun > leaseEndSlack {
+			t.Fatalf("%s keeps %d tasks %s past the end of its lease", m.name, len(m.tasks), overrun)
 		}
 	}
 }
@@ -37,10 +37,10 @@
 	discardLogs(t)
 	for seed := range uint64(5) {
 		synctest.Test(t, func(t *testing.T) {
-			w := newCalmWorld(seed)
+			w := newFaultFreeWorld(seed)
 			defer w.shutdown()
-			lot := w.boundArrays(1, 600)
-			w.allRun(t, lot)
+			jobs := w.boundArrays(1, 600)
+			w.waitAllRunning(t, jobs)
 			for _, n := range w.controllers {
 				n.freeze(40 * time.Second)
 			}
@@ -62,13 +62,13 @@
 	discardLogs(t)
 	for seed := range uint64(60) {
 		synctest.Test(t, func(t *testing.T) {
-			w := newCalmWorld(seed)
+			w := newFaultFreeWorld(seed)
 			defer w.shutdown()
 			j := w.newArray("run-000001", 2, 8, 600) // each task fills a machine
 			j.spec.Zone = "a"
 			go w.runUser(j, 0, 0)
-			w.allRun(t, []*simJob{j})
-			owner := w.ownerOf("a")
+			w.waitAllRunning(t, []*simJob{j})
+			owner := w.ownerController("a")
 			time.Sleep(w.randomDuration(time.Second, 4*time.Second))
 			w.locked(func() { w.partitionedZone = owner.set.Zone })
 			w.waitUntil(t, "the cancellation is confirmed", 20*time.Second, func() bool { return w.cancelAt(1, j) })
--- a/controller/overload_test.go
+++ b/controller/overload_test.go
@@ -19,50 +19,50 @@
 // hand step by step with three times the work that they can do. Everything is
 // carried out at once and by simulated time.
 type overload struct {
-	rng     *rand.Rand
-	now     time.Time
-	rev     uint64
-	leader  *leader.Core
-	owners  map[string]*shard.Core
-	workers map[string]*overloadWorker
-	names   []string
-	jobs    map[string]*overloadJob
-	order   []string
-	rounds  time.Time // the clock that rounds are taken by
+	rng        *rand.Rand
+	now        time.Time
+	revision   uint64
+	leader     *leader.Core
+	owners     map[string]*shard.Core
+	workers    map[string]*overloadWorker
+	names      []string
+	jobs       map[string]*overloadJob
+	order      []string
+	roundClock time.Time // the clock that rounds are taken by
 }
 
-// perJob is what the look at a job takes on the rounds' clock: some ten times what it
+// roundTimePerJob is what the look at a job takes on the rounds' clock: some ten times what it
 // does on a real one, so that rounds are cut off sooner than there.
-const perJob = 50 * time.Microsecond
+const roundTimePerJob = 50 * time.Microsecond
 
-// tick is the clock of rounds, by the jobs that were looked at. By the real clock a
+// advanceRoundClock is the clock of rounds, by the jobs that were looked at. By the real clock a
 // busy machine cut rounds off anywhere, and once in some forty runs beside heavy
 // load a large job began late.
-func (c *overload) tick() time.Time {
-	c.rounds = c.rounds.Add(perJob)
-	return c.rounds
+func (c *overload) advanceRoundClock() time.Time {
+	c.roundClock = c.roundClock.Add(roundTimePerJob)
+	return c.roundClock
 }
 
 type overloadJob struct {
-	rec         *records.Job
+	record      *records.Job
 	version     uint64
 	submittedAt time.Time
 	startedAt   time.Time
-	cancel      time.Time
+	cancelAt    time.Time
 	remaining   map[int]bool // tasks not done
 }
 
 type overloadWorker struct {
-	name, zone string
-	seq, token uint64
-	tasks      map[string]*overloadTask
-	changed    bool
-	next       time.Time
+	name, zone    string
+	seq, token    uint64
+	tasks         map[string]*overloadTask
+	changed       bool
+	nextHeartbeat time.Time
 }
 
 type overloadTask struct {
 	status wire.TaskStatus
-	ends   time.Time
+	endsAt time.Time
 }
 
 func newOverload(seed uint64) *overload {
@@ -74,12 +74,12 @@
 	set.Deployment.Teams = []settings.Team{{Name: "sure", GuaranteedCPUs: 40, LimitCPUs: 60}, {Name: "tight", LimitCPUs: 48}, {Name: "free"}}
 	set.Deployment.Objectives = []settings.Objective{{Kind: "finished", Class: "arrays", WithinS: 60}, {Kind: "finished", Class: "arrays", WithinS: 120}}
 	c.leader = leader.New(set, 1, c.now, nil, nil)
-	c.leader.SetRoundClock(c.tick)
+	c.leader.SetRoundClock(c.advanceRoundClock)
 	types := []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: set.Deployment.Zones}}
 	for _, z := range set.Deployment.Zones {
 		c.owners[z] = shard.New(shard.Config{Shard: z, HeartbeatPeriod: 3 * time.Second, LeaseTimeout: 21 * time.Second, SpotIdleTimeout: time.Hour, OnDemandIdleTimeout: time.Hour,
 			CloudListLag: 5 * time.Second, SizeLimits: records.SizeLimits{Current: 8192, Next: 8192}, MaxTxnOps: 12, MaxWritesPerSecond: 100, JobOrder: leader.NewJobOrder(set.Deployment.Objectives)}, c.now, shard.Snapshot{Term: 1, TermVersion: 1, MachineTypes: types})
-		c.owners[z].SetRoundClock(c.tick)
+		c.owners[z].SetRoundClock(c.advanceRoundClock)
 		for i := range 10 {
 			w := &overloadWorker{name: fmt.Sprintf("m-%s-%d", z, i), zone: z, tasks: map[string]*overloadTask{}}
 			c.workers[w.name] = w
@@ -90,43 +90,43 @@
 }
 
 func (c *overload) write(t wire.Txn) uint64 {
-	c.rev++
+	c.revision++
 	for _, ch := range t.Changes {
-		rec, err := records.Decode(ch.Put, ch.Value)
+		record, err := records.Decode(ch.Put, ch.Value)
 		if err != nil {
 			panic(err)
 		}
-		c.applyRecord(ch.Put, rec)
+		c.applyRecord(ch.Put, record)
 	}
-	return c.rev
+	return c.revision
 }
 
-func (c *overload) applyRecord(key string, rec records.Record) {
-	if j, ok := rec.(*records.Job); ok {
-		c.jobs[j.ID].rec, c.jobs[j.ID].version = j, c.rev
-		c.leader.ApplyJob(c.now, j.ID, j, c.rev)
+func (c *overload) applyRecord(key string, record records.Record) {
+	if j, ok := record.(*records.Job); ok {
+		c.jobs[j.ID].record, c.jobs[j.ID].version = j, c.revision
+		c.leader.ApplyJob(c.now, j.ID, j, c.revision)
 	}
 	for _, o := range c.owners {
-		o.Apply(c.now, records.Change{Key: key, Version: c.rev, Record: rec})
+		o.Apply(c.now, records.Change{Key: key, Version: c.revision, Record: record})
 	}
 }
 
-func (c *overload) submit(s wire.Submission, life time.Duration) {
+func (c *overload) submit(s wire.Submission, lifetime time.Duration) {
 	j := &overloadJob{submittedAt: c.now, remaining: map[int]bool{}}
 	for i := range s.Tasks {
 		j.remaining[i] = true
 	}
-	if life > 0 {
-		j.cancel = c.now.Add(life)
+	if lifetime > 0 {
+		j.cancelAt = c.now.Add(lifetime)
 	}
 	c.jobs[s.ID] = j
 	c.order = append(c.order, s.ID)
-	c.rev++
+	c.revision++
 	c.applyRecord(records.KeyJob(s.ID), &records.Job{ID: s.ID, Spec: s, AcceptedMS: c.now.UnixMilli()})
 }
 
-// valid says that a transaction's conditions on jobs hold.
-func (c *overload) valid(t wire.Txn) bool {
+// conditionsHold says that a transaction's conditions on jobs hold.
+func (c *overload) conditionsHold(t wire.Txn) bool {
 	for _, k := range t.Conditions {
 		for id, j := range c.jobs {
 			if k.Key == records.KeyJob(id) && k.Version != j.version {
@@ -142,9 +142,9 @@
 	c.leader.SetAuthority(c.now.Add(time.Hour))
 	for _, o := range c.owners {
 		o.SetAuthority(c.now.Add(time.Hour))
-		c.leader.ApplyAggregate(c.now, o.Aggregate(c.now, c.rev))
+		c.leader.ApplyAggregate(c.now, o.Aggregate(c.now, c.revision))
 		for _, p := range c.owners {
-			p.ApplyOtherShards(c.now, []leader.Aggregate{o.Aggregate(c.now, c.rev)})
+			p.ApplyOtherShards(c.now, []leader.Aggregate{o.Aggregate(c.now, c.revision)})
 		}
 	}
 	c.stepLeader()
@@ -155,7 +155,7 @@
 
 func (c *overload) stepLeader() {
 	for _, cm := range c.leader.Step(c.now) {
-		if c.valid(cm.Txn) {
+		if c.conditionsHold(cm.Txn) {
 			c.leader.ApplyCommitResult(c.now, cm.JobID, cm.Urgent, c.write(cm.Txn))
 		} else {
 			c.leader.ApplyCommitResult(c.now, cm.JobID, cm.Urgent, 0)
@@ -169,7 +169,7 @@
 		for _, act := range o.Step(c.now) {
 			switch act := act.(type) {
 			case shard.Commit:
-				if c.valid(act.Txn) {
+				if c.conditionsHold(act.Txn) {
 					o.CommitResult(c.now, act.ID, c.write(act.Txn))
 				} else {
 					o.CommitResult(c.now, act.ID, 0)
@@ -190,17 +190,17 @@
 	for _, name := range c.names {
 		w := c.workers[name]
 		for _, x := range w.tasks {
-			if x.status.State != wire.TaskExited && !x.ends.IsZero() && !c.now.Before(x.ends) {
+			if x.status.State != wire.TaskExited && !x.endsAt.IsZero() && !c.now.Before(x.endsAt) {
 				x.status.State, x.status.Cause = wire.TaskExited, wire.CauseDone
 				id, i, _ := wire.ParseTaskName(x.status.Task)
 				delete(c.jobs[id].remaining, i)
 				w.changed = true
 			}
 		}
-		if !w.changed && c.now.Before(w.next) {
+		if !w.changed && c.now.Before(w.nextHeartbeat) {
 			continue
 		}
-		w.changed, w.next = false, c.now.Add(3*time.Second)
+		w.changed, w.nextHeartbeat = false, c.now.Add(3*time.Second)
 		if reply, err := c.owners[w.zone].Heartbeat(c.now, w.heartbeat()); err == nil {
 			w.changed = reply.FencingToken > w.token
 			w.token = max(w.token, reply.FencingToken)
@@ -212,11 +212,11 @@
 // cancelDue cancels the jobs whose time has come.
 func (c *overload) cancelDue() {
 	for _, id := range c.order {
-		if j := c.jobs[id]; !j.cancel.IsZero() && c.now.After(j.cancel) && j.rec.End == "" {
-			rec := j.rec.Clone()
-			rec.End = wire.JobCancelled
-			c.rev++
-			c.applyRecord(records.KeyJob(id), rec)
+		if j := c.jobs[id]; !j.cancelAt.IsZero() && c.now.After(j.cancelAt) && j.record.End == "" {
+			record := j.record.Clone()
+			record.End = wire.JobCancelled
+			c.revision++
+			c.applyRecord(records.KeyJob(id), record)
 		}
 	}
 }
@@ -242,8 +242,8 @@
 				j.startedAt = c.now
 			}
 			x = &overloadTask{status: wire.TaskStatus{Task: cmd.Task, Attempt: cmd.Attempt, State: wire.TaskRunning}}
-			if !j.rec.Spec.IsService() {
-				x.ends = c.now.Add(settings.Seconds(j.rec.Spec.EstimateS))
+			if !j.record.Spec.IsService() {
+				x.endsAt = c.now.Add(settings.Seconds(j.record.Spec.EstimateS))
 			}
 			w.tasks[key] = x
 		case cmd.Op == wire.OpStop && x != nil && x.status.State != wire.TaskExited:
@@ -257,9 +257,9 @@
 	}
 }
 
-// overloaded plays minutes of lasting overload and returns the jobs that had the
+// runOverload plays minutes of lasting overload and returns the jobs that had the
 // time to be served.
-func overloaded(seed uint64) (*overload, []*overloadJob) {
+func runOverload(seed uint64) (*overload, []*overloadJob) {
 	c := newOverload(seed)
 	const capacity = 2 * 10 * 8.0 // CPUs
 	n, load := 0, 0.0
@@ -269,7 +269,7 @@
 			s := wire.Submission{ID: fmt.Sprintf("run-%06d", n), Class: "arrays", Team: []string{"sure", "tight", "free", "free"}[c.rng.IntN(4)],
 				Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 4 + c.rng.IntN(32), CPUs: float64(1 + c.rng.IntN(3)), MemoryGB: 1,
 				Image: fmt.Sprint("i", c.rng.IntN(3)), EstimateS: float64(5 + c.rng.IntN(15)), Spot: true}
-			life := time.Duration(0)
+			lifetime := time.Duration(0)
 			switch c.rng.IntN(12) {
 			case 0: // large ones
 				s.Tasks = 160
@@ -281,38 +281,38 @@
 				if c.rng.IntN(8) == 0 {
 					s.Tasks = 10
 				}
-				life = 30 * time.Second
+				lifetime = 30 * time.Second
 			}
-			load -= s.CPUs * float64(s.Tasks) * max(s.EstimateS, life.Seconds())
-			c.submit(s, life)
+			load -= s.CPUs * float64(s.Tasks) * max(s.EstimateS, lifetime.Seconds())
+			c.submit(s, lifetime)
 		}
 		c.step()
 	}
-	var old []*overloadJob
+	var settled []*overloadJob
 	for _, id := range c.order {
 		if j := c.jobs[id]; c.now.Sub(j.submittedAt) > 4*time.Minute {
-			old = append(old, j)
+			settled = append(settled, j)
 		}
 	}
-	return c, old
+	return c, settled
 }
 
 // Under lasting overload at least half of every class, of every team and of each
 // class's largest jobs is served, and the largest begin within four minutes.
-func TestNobodyStarvesUnderOverload(t *testing.T) {
+func TestNoStarvationUnderOverload(t *testing.T) {
 	discardLogs(t)
 	for seed := range uint64(2) {
-		_, old := overloaded(seed)
+		_, old := runOverload(seed)
 		groups := map[string][]*overloadJob{}
 		sizes := map[string][]int{}
 		for _, j := range old {
-			sizes[j.rec.Spec.Class] = append(sizes[j.rec.Spec.Class], j.rec.Spec.Tasks)
+			sizes[j.record.Spec.Class] = append(sizes[j.record.Spec.Class], j.record.Spec.Tasks)
 		}
 		for _, s := range sizes {
 			sort.Ints(s)
 		}
 		for _, j := range old {
-			s := &j.rec.Spec
+			s := &j.record.Spec
 			groups["class "+s.Class] = append(groups["class "+s.Class], j)
 			groups["team "+s.Team] = append(groups["team "+s.Team], j)
 			if all := sizes[s.Class]; s.Tasks >= all[len(all)*9/10] {
@@ -322,22 +322,22 @@
 				groups["large tasks"] = append(groups["large tasks"], j)
 			}
 		}
-		for name, js := range groups {
-			served, intime := 0, 0
-			for _, j := range js {
+		for name, group := range groups {
+			served, startedInTime := 0, 0
+			for _, j := range group {
 				if !j.startedAt.IsZero() {
 					served++
 					if j.startedAt.Sub(j.submittedAt) <= 4*time.Minute {
-						intime++
+						startedInTime++
 					}
 				}
 			}
-			t.Logf("seed %d: %s: %d jobs, %d served, %d within four minutes", seed, name, len(js), served, intime)
-			if 2*served < len(js) {
-				t.Errorf("seed %d: %s: %d of %d served", seed, name, served, len(js))
+			t.Logf("seed %d: %s: %d jobs, %d served, %d within four minutes", seed, name, len(group), served, startedInTime)
+			if 2*served < len(group) {
+				t.Errorf("seed %d: %s: %d of %d served", seed, name, served, len(group))
 			}
-			if large := strings.HasPrefix(name, "large"); intime < len(js) && large || 2*intime < len(js) {
-				t.Errorf("seed %d: %s: %d of %d began within four minutes", seed, name, intime, len(js))
+			if large := strings.HasPrefix(name, "large"); startedInTime < len(group) && large || 2*startedInTime < len(group) {
+				t.Errorf("seed %d: %s: %d of %d began within four minutes", seed, name, startedInTime, len(group))
 			}
 		}
 		if len(groups) < 8 {
--- a/controller/peer_status_test.go
+++ b/controller/peer_status_test.go
@@ -14,10 +14,10 @@
 )
 
 // countingPeer counts the statuses that it receives.
-type countingPeer struct{ told atomic.Int32 }
+type countingPeer struct{ received atomic.Int32 }
 
 func (p *countingPeer) PushStatus(context.Context, peer.Status) (peer.StatusReply, error) {
-	p.told.Add(1)
+	p.received.Add(1)
 	return peer.StatusReply{}, nil
 }
 
@@ -45,7 +45,7 @@
 			clear(c.push.inFlight) // answered
 		}
 		for name, p := range peers {
-			if n := p.told.Load(); n < 15 || n > 25 {
+			if n := p.received.Load(); n < 15 || n > 25 {
 				t.Errorf("%s was told %d times in 20 s, wanted about one a second", name, n)
 			}
 		}
--- a/controller/quota_test.go
+++ b/controller/quota_test.go
@@ -9,7 +9,7 @@
 // The done tasks of an array do not hold its team's limit until the last one ends:
 // another job of the team would wait beside room for it.
 func TestDoneTasksFreeQuota(t *testing.T) {
-	scenarios(t, []scenario{{name: "one task of eight runs on", times: magnoliaTimes, zones: []string{"a", "b"}, seeds: []uint64{1, 2}, play: func(t *testing.T, w *world) {
+	runScenarios(t, []scenario{{name: "one task of eight runs on", times: magnoliaTimes, zones: []string{"a", "b"}, seeds: []uint64{1, 2}, body: func(t *testing.T, w *world) {
 		w.locked(func() { w.calmSince = time.Now() })
 		long := w.newArray("run-000001", 8, 1, 10)
 		long.spec.Team, long.spec.Zone, long.runs = "tight", "a", slices.Repeat([]float64{3}, 8)
--- a/controller/random_faults_test.go
+++ b/controller/random_faults_test.go
@@ -74,7 +74,7 @@
 // the rules broken. A guard that is never missed would prove nothing.
 func TestCheckerNoticesMissingGuards(t *testing.T) {
 	discardLogs(t)
-	for name, sabotage := range map[string]func(*world){
+	for name, removeGuard := range map[string]func(*world){
 		"conditional writes": func(w *world) { w.ignoreConditions = true },
 		"tokens":             func(w *world) { w.ignoreTokens = true; w.lateCommandShare = 0.5 },
 		// With the cloud away nothing is surely gone but by its lease.
@@ -88,7 +88,9 @@
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(60) {
 				found := false
-				synctest.Test(t, func(t *testing.T) { found = len(playRandomDay(t, seed, []string{"a", "b"}, sabotage).violations) > 0 })
+				synctest.Test(t, func(t *testing.T) {
+					found = len(playRandomDay(t, seed, []string{"a", "b"}, removeGuard).violations) > 0
+				})
 				if found {
 					t.Logf("noticed on day %d", seed)
 					return
@@ -105,39 +107,39 @@
 func TestMachineThatReceivesNothingIsTerminated(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := newCalmWorld(5)
+		w := newFaultFreeWorld(5)
 		w.startService("run-000001", 4)
 		time.Sleep(60 * time.Second)
 		w.mu.Lock()
-		var deaf *simWorker
+		var notReceiving *simWorker
 		for _, m := range w.machines {
 			if len(m.tasks) > 0 {
-				deaf = m
+				notReceiving = m
 			}
 		}
-		if deaf == nil {
+		if notReceiving == nil {
 			w.mu.Unlock()
 			t.Fatal("nothing runs")
 		}
-		deaf.receivesNothing = true
+		notReceiving.receivesNothing = true
 		w.mu.Unlock()
 		time.Sleep(45 * time.Second)
 		w.mu.Lock()
-		if !deaf.removed {
-			t.Errorf("%s was not given back", deaf.name)
+		if !notReceiving.removed {
+			t.Errorf("%s was not given back", notReceiving.name)
 		}
 		if n := w.runningTasks("run-000001"); n != 4 {
 			t.Errorf("%d of 4 replicas run", n)
 		}
 		w.mu.Unlock()
-		w.finish(t)
+		w.checkAndShutdown(t)
 	})
 }
 
 // An owner that reaches its machines while their heartbeats do not reach it transfers
 // its shard before their leases end: answers to its calls renew none.
 func TestOwnerWithoutHeartbeatsTransfersTerm(t *testing.T) {
-	expectUndisturbed(t, 8, 4, func(w *world) {
+	expectNoRestarts(t, 8, 4, func(w *world) {
 		w.mu.Lock()
 		w.controllers[0].heartbeatsLost = true
 		w.mu.Unlock()
@@ -147,8 +149,8 @@
 
 // While the key-value store is away for all, and the controllers reach each other,
 // what runs goes on, for much longer than the workers' lease.
-func TestOutageLongerThanTheLeaseStopsNothing(t *testing.T) {
-	expectUndisturbed(t, 6, 4, func(w *world) {
+func TestOutageLongerThanLeaseStopsNoTask(t *testing.T) {
+	expectNoRestarts(t, 6, 4, func(w *world) {
 		w.setOutage(true)
 		time.Sleep(90 * time.Second)
 		w.setOutage(false)
@@ -159,12 +161,12 @@
 // A zone that is cut off with its owner, for longer than the workers' lease, runs
 // on: the owner inside tends its machines, and the next one outside, which receives
 // no heartbeat, terminates none.
-func TestCutOffZoneRunsOn(t *testing.T) {
-	expectUndisturbed(t, 8, 12, func(w *world) {
-		set := func(z string) { w.mu.Lock(); w.partitionedZone = z; w.mu.Unlock() }
-		set("a")
+func TestPartitionedZoneKeepsRunning(t *testing.T) {
+	expectNoRestarts(t, 8, 12, func(w *world) {
+		isolate := func(z string) { w.mu.Lock(); w.partitionedZone = z; w.mu.Unlock() }
+		isolate("a")
 		time.Sleep(32 * time.Second)
-		set("")
+		isolate("")
 		time.Sleep(15 * time.Second)
 	})
 }
@@ -215,39 +217,39 @@
 			w.mu.Lock()
 			w.violations, w.partitionedZone = nil, ""
 			w.mu.Unlock()
-			w.finish(t)
+			w.checkAndShutdown(t)
 		})
 	}
 }
 
-// expectUndisturbed checks that a service runs on through a trouble without a
+// expectNoRestarts checks that a service runs on through a trouble without a
 // single start.
-func expectUndisturbed(t *testing.T, seed uint64, tasks int, trouble func(*world)) {
+func expectNoRestarts(t *testing.T, seed uint64, tasks int, fault func(*world)) {
 	t.Helper()
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := newCalmWorld(seed)
+		w := newFaultFreeWorld(seed)
 		w.startService("run-000001", tasks)
 		time.Sleep(60 * time.Second)
 		w.mu.Lock()
 		starts := w.starts
 		w.mu.Unlock()
-		trouble(w)
+		fault(w)
 		w.mu.Lock()
 		if n := w.runningTasks("run-000001"); n != tasks || w.starts != starts {
 			t.Errorf("%d of %d replicas run, %d starts since", n, tasks, w.starts-starts)
 		}
 		w.mu.Unlock()
-		w.finish(t)
+		w.checkAndShutdown(t)
 	})
 }
 
 // Without the promise of all others an owner gives no command and falls silent in
 // time: at once if another controller tells it that it has been replaced, and where none
 // can, once it has tended its machines for as long as cancel_s leaves.
-func TestNoExtensionNoAuthority(t *testing.T) {
+func TestOwnerWithoutExtensionLosesAuthority(t *testing.T) {
 	discardLogs(t)
-	for name, cut := range map[string]func(*world){
+	for name, inject := range map[string]func(*world){
 		"refused alone": func(w *world) { w.controllers[0].cutFromStore = true },
 		"a sibling out of reach": func(w *world) {
 			w.storeOutage = true
@@ -256,13 +258,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newCalmWorld(7)
+				w := newFaultFreeWorld(7)
 				w.startService("run-000001", 4)
 				time.Sleep(60 * time.Second)
 				w.mu.Lock()
-				cut(w)
+				inject(w)
 				w.mu.Unlock()
-				ask := func(z string, seq uint64) bool {
+				sendHeartbeat := func(z string, seq uint64) bool {
 					a := &simAnswer{got: make(chan *httpwire.Response, 1)}
 					w.controllers[0].running().control.Tell(workerHeartbeat{a, &wire.Heartbeat{Machine: "m-x", Addr: "m-x", Type: "box", Zone: z, Epoch: 1, Seq: seq,
 						Tasks: []wire.TaskStatus{{Task: "run-000009/0", Attempt: 1, State: wire.TaskRunning}}}})
@@ -279,17 +281,17 @@
 				}
 				time.Sleep(10 * time.Second)
 				for _, z := range w.controllers[0].set.Deployment.Zones {
-					if ask(z, 1) && name == "refused alone" {
+					if sendHeartbeat(z, 1) && name == "refused alone" {
 						t.Errorf("answers for %s though it has been replaced", z)
 					}
 				}
 				time.Sleep(w.controllers[0].set.LeaseExtension())
 				for _, z := range w.controllers[0].set.Deployment.Zones {
-					if ask(z, 2) {
+					if sendHeartbeat(z, 2) {
 						t.Errorf("answers for %s when its lease extension is over", z)
 					}
 				}
-				w.finish(t)
+				w.checkAndShutdown(t)
 			})
 		})
 	}
@@ -309,8 +311,8 @@
 	}
 }
 
-// newCalmWorld is a deployment without troubles, all controllers up.
-func newCalmWorld(seed uint64) *world {
+// newFaultFreeWorld is a deployment without troubles, all controllers up.
+func newFaultFreeWorld(seed uint64) *world {
 	w := newWorld(seed, []string{"a", "b"}, 3)
 	w.lateCommandShare, w.reliableCloud = 0, true
 	for _, n := range w.controllers {
@@ -344,7 +346,7 @@
 	return n
 }
 
-func (w *world) finish(t *testing.T) {
+func (w *world) checkAndShutdown(t *testing.T) {
 	t.Helper()
 	if len(w.violations) > 0 {
 		t.Errorf("rules broken: %s", strings.Join(w.violations, "; "))
--- a/controller/redirects_test.go
+++ b/controller/redirects_test.go
@@ -11,8 +11,8 @@
 	const window = 6 * time.Second
 	now := time.Unix(0, 0)
 	for name, c := range map[string]struct {
-		play func(r *redirectTracker)
-		want int
+		record func(r *redirectTracker)
+		want   int
 	}{
 		"came once": {func(r *redirectTracker) { r.record(now, "m", 1, 5, "n-1") }, 0},
 		"came back": {func(r *redirectTracker) { r.record(now, "m", 1, 5, "n-1"); r.record(now.Add(window), "m", 1, 7, "n-1") }, 1},
@@ -31,7 +31,7 @@
 		}, 0},
 	} {
 		r := newRedirectTracker(window)
-		c.play(r)
+		c.record(r)
 		at := now.Add(window)
 		if got := r.countReturned(at)["n-1"]; got != c.want {
 			t.Errorf("%s: %d", name, got)
--- a/controller/relay_test.go
+++ b/controller/relay_test.go
@@ -16,7 +16,7 @@
 func TestOnlySubmissionsAreRelayed(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := newCalmWorld(3)
+		w := newFaultFreeWorld(3)
 		process := w.controllers[0].running()
 		job := wire.Change{Put: "rv/job/run-000001", Value: []byte(`{}`)}
 		for name, txn := range map[string]wire.Txn{
@@ -37,7 +37,7 @@
 				t.Errorf("%s was written", name)
 			}
 		}
-		w.finish(t)
+		w.checkAndShutdown(t)
 	})
 }
 
@@ -46,7 +46,7 @@
 func TestRefusedControllerStillAccepts(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := newCalmWorld(4)
+		w := newFaultFreeWorld(4)
 		w.lostAnswerShare, w.lateWriteShare, w.repeatedWriteShare = 0, 0, 0 // those are for the generated days
 		w.locked(func() { w.controllers[1].cutFromStore = true })
 		time.Sleep(500 * time.Millisecond)
@@ -57,13 +57,13 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			began := time.Now()
+			start := time.Now()
 			r := w.requestAt(1, func(req apiserver.Request) any { return apiserver.Submit{Request: req, Body: body} })
 			if r == nil || r.Status != 201 {
 				t.Fatalf("submission %d: %+v", i, r)
 			}
-			if took := time.Since(began); took > time.Second {
-				t.Errorf("submission %d was accepted after %s", i, took)
+			if elapsed := time.Since(start); elapsed > time.Second {
+				t.Errorf("submission %d was accepted after %s", i, elapsed)
 			}
 			w.locked(func() { j.accepted = true })
 			jobs = append(jobs, j)
@@ -75,8 +75,8 @@
 		for _, j := range jobs {
 			go w.runUser(j, 0, 0) // asks again at any controller, and polls
 		}
-		w.allDone(t, 2*time.Minute, jobs)
+		w.waitAllDone(t, 2*time.Minute, jobs)
 		w.locked(func() { w.controllers[1].cutFromStore = false })
-		w.finish(t)
+		w.checkAndShutdown(t)
 	})
 }
--- a/controller/scale_in_test.go
+++ b/controller/scale_in_test.go
@@ -10,11 +10,11 @@
 	"ravenport/wire"
 )
 
-// playLateScaleIns plays an owner that freezes just as it asks the cloud to scale in
+// runLateScaleIns plays an owner that freezes just as it asks the cloud to scale in
 // an idle machine; its successor has work for all machines; then the first one goes on.
 // It returns how many tasks that the successor had started were ended by the late
 // scale-in, and how many late scale-ins there were.
-func playLateScaleIns(t *testing.T, seed uint64, closeFirst bool) (taken, late int) {
+func runLateScaleIns(t *testing.T, seed uint64, closeBeforeScaleIn bool) (ended, late int) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorldWithTimes(seed, []string{"a", "b"}, 3, magnoliaTimes)
 		w.lateCommandShare, w.reliableCloud, w.noAnswerLoss, w.lostAnswerShare, w.lateWriteShare, w.repeatedWriteShare, w.lateCopyShare = 0, true, true, 0, 0, 0, 0
@@ -23,7 +23,7 @@
 		}
 		w.capacity["a/on-demand"] = 2
 		for _, n := range w.controllers {
-			n.set.Duties.CloseBeforeScaleIn = closeFirst
+			n.set.Duties.CloseBeforeScaleIn = closeBeforeScaleIn
 			n.start()
 		}
 		go w.expireLeases()
@@ -33,7 +33,7 @@
 		first.spec.Zone = "a"
 		first.spec.Spot = false
 		go w.runUser(first, 0, 0)
-		w.allDone(t, 2*time.Minute, []*simJob{first})
+		w.waitAllDone(t, 2*time.Minute, []*simJob{first})
 		owner := w.controllers[w.owner("a")]
 		w.locked(func() { w.onScaleIn = func(*simController) { owner.frozenUntil = time.Now().Add(25 * time.Second) } })
 		w.waitUntil(t, "a return is on its way", 2*time.Minute, func() bool { return w.eventCount("scale-in requests") > 0 })
@@ -43,12 +43,12 @@
 		w.locked(func() { w.jobs[service.spec.ID] = service })
 		go w.runUser(service, 0, 0)
 		time.Sleep(60 * time.Second)
-		taken, late = w.eventCount("running tasks ended by a late scale-in"), w.eventCount("late scale-ins")
+		ended, late = w.eventCount("running tasks ended by a late scale-in"), w.eventCount("late scale-ins")
 		if len(w.violations) > 0 {
 			t.Errorf("rules broken: %v", w.violations)
 		}
 	})
-	return taken, late
+	return ended, late
 }
 
 // A scale-in that an owner decided, and that is carried out after it was replaced, takes
@@ -56,18 +56,18 @@
 // that it does.
 func TestLateScaleInEndsNoTask(t *testing.T) {
 	discardLogs(t)
-	hitWithout, lateWith := 0, 0
+	endedWithoutClosing, lateWithClosing := 0, 0
 	for seed := range uint64(6) {
-		taken, late := playLateScaleIns(t, seed, true)
-		if taken > 0 {
-			t.Errorf("seed %d: %d tasks of the successor were taken", seed, taken)
+		ended, late := runLateScaleIns(t, seed, true)
+		if ended > 0 {
+			t.Errorf("seed %d: %d tasks of the successor were taken", seed, ended)
 		}
-		lateWith += late
-		taken, _ = playLateScaleIns(t, seed, false)
-		hitWithout += taken
+		lateWithClosing += late
+		ended, _ = runLateScaleIns(t, seed, false)
+		endedWithoutClosing += ended
 	}
-	if lateWith == 0 || hitWithout == 0 {
-		t.Errorf("it hardly came about: %d late scale-ins of closed machines, %d tasks ended without closing", lateWith, hitWithout)
+	if lateWithClosing == 0 || endedWithoutClosing == 0 {
+		t.Errorf("it hardly came about: %d late scale-ins of closed machines, %d tasks ended without closing", lateWithClosing, endedWithoutClosing)
 	}
 }
 
--- a/controller/scenario_test.go
+++ b/controller/scenario_test.go
@@ -20,21 +20,21 @@
 // nothing. The world's checker judges every rule over it. guard, if there is one,
 // takes away what the scenario is about, and the rules are then seen broken.
 type scenario struct {
-	name  string
-	times times
-	zones []string
-	seeds []uint64
-	play  func(*testing.T, *world)
-	guard func(*world)
-	rule  string // that is broken without the guard; empty: any
+	name           string
+	times          times
+	zones          []string
+	seeds          []uint64
+	body           func(*testing.T, *world)
+	unguard        func(*world)
+	wantBrokenRule string // that is broken without the guard; empty: any
 }
 
 // guardSeeds is over how many seeds a rule is looked for to be seen broken without
 // a guard: which one shows it depends on the order in which goroutines run.
 const guardSeeds = 24
 
-// scenarios plays a list of scenarios, each with its guard and without.
-func scenarios(t *testing.T, list []scenario) {
+// runScenarios plays a list of runScenarios, each with its guard and without.
+func runScenarios(t *testing.T, list []scenario) {
 	t.Helper()
 	discardLogs(t)
 	for _, s := range list {
@@ -42,19 +42,19 @@
 			for _, seed := range s.seeds {
 				synctest.Test(t, func(t *testing.T) { s.run(t, seed, nil) })
 			}
-			if s.guard == nil {
+			if s.unguard == nil {
 				return
 			}
 			var others []string
 			for seed := range uint64(guardSeeds) {
 				var broken []string
-				synctest.Test(t, func(t *testing.T) { broken = s.run(t, seed, s.guard) })
-				if slices.ContainsFunc(broken, func(b string) bool { return s.rule == "" || strings.HasPrefix(b, s.rule+":") }) {
+				synctest.Test(t, func(t *testing.T) { broken = s.run(t, seed, s.unguard) })
+				if slices.ContainsFunc(broken, func(b string) bool { return s.wantBrokenRule == "" || strings.HasPrefix(b, s.wantBrokenRule+":") }) {
 					return
 				}
 				others = append(others, broken...)
 			}
-			t.Errorf("without its guard %s was never seen broken, only %v", s.rule, others[:min(8, len(others))])
+			t.Errorf("without its guard %s was never seen broken, only %v", s.wantBrokenRule, others[:min(8, len(others))])
 		})
 	}
 }
@@ -83,7 +83,7 @@
 				panic(p)
 			}
 		}()
-		s.play(t, w)
+		s.body(t, w)
 	}()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -138,8 +138,8 @@
 	return r != nil && r.Status == 200 && json.Unmarshal(r.Body, &s) == nil && s.Status == wire.JobCancelled
 }
 
-// holder is which controller holds a term, by its number; -1: none.
-func (w *world) holder(key string) int {
+// termHolder is which controller holds a term, by its number; -1: none.
+func (w *world) termHolder(key string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	e := w.kv[key]
@@ -194,11 +194,11 @@
 }
 
 // running waits until all tasks of jobs run.
-func (w *world) allRun(t *testing.T, boundArrays ...[]*simJob) {
+func (w *world) waitAllRunning(t *testing.T, batches ...[]*simJob) {
 	t.Helper()
 	w.waitUntil(t, "all tasks run", 90*time.Second, func() bool {
-		for _, lot := range boundArrays {
-			for _, j := range lot {
+		for _, jobs := range batches {
+			for _, j := range jobs {
 				if w.tasksOn("", j.spec.ID) < j.spec.Tasks {
 					return false
 				}
@@ -208,21 +208,21 @@
 	})
 }
 
-// allDone waits until users saw that jobs are done.
-func (w *world) allDone(t *testing.T, limit time.Duration, lot []*simJob) {
+// waitAllDone waits until users saw that jobs are done.
+func (w *world) waitAllDone(t *testing.T, limit time.Duration, jobs []*simJob) {
 	t.Helper()
 	w.waitUntil(t, "what was not cancelled is done", limit, func() bool {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		return !slices.ContainsFunc(lot, func(j *simJob) bool { return j.reportedState != wire.JobDone })
+		return !slices.ContainsFunc(jobs, func(j *simJob) bool { return j.reportedState != wire.JobDone })
 	})
 }
 
-// shards lists the zones whose shard a controller owns.
-func (w *world) shards(index int) []string {
+// ownedShards lists the zones whose shard a controller owns.
+func (w *world) ownedShards(index int) []string {
 	var out []string
 	for _, z := range w.controllers[0].set.Deployment.Zones {
-		if w.holder(records.KeyShard(z)) == index {
+		if w.termHolder(records.KeyShard(z)) == index {
 			out = append(out, z)
 		}
 	}
@@ -233,27 +233,27 @@
 // cancellations; then it is away for all for longer than cancel_s, while the
 // machines send heartbeats to the first one. And once more, straight after, whoever then
 // owns what the first one did.
-func gap(refused, other int) func(*testing.T, *world) {
+func cancelBeforeOutage(refused, other int) func(*testing.T, *world) {
 	return func(t *testing.T, w *world) {
-		whole := w.times.cancelWithin()
-		healthy := w.boundArrays(0, 3*whole.Seconds())
-		doomed := [][]*simJob{w.boundArrays(1, 5*whole.Seconds()), w.boundArrays(2, 5*whole.Seconds())}
-		w.allRun(t, healthy, doomed[0], doomed[1])
+		cancelWithin := w.times.cancelWithin()
+		uncancelled := w.boundArrays(0, 3*cancelWithin.Seconds())
+		cancelled := [][]*simJob{w.boundArrays(1, 5*cancelWithin.Seconds()), w.boundArrays(2, 5*cancelWithin.Seconds())}
+		w.waitAllRunning(t, uncancelled, cancelled[0], cancelled[1])
 		time.Sleep(10 * time.Second)
-		for i, lot := range doomed {
-			if i > 0 && len(w.shards(refused)) == 0 {
-				refused = w.holder(records.KeyShard(w.controllers[0].set.Deployment.Zones[0]))
+		for i, jobs := range cancelled {
+			if i > 0 && len(w.ownedShards(refused)) == 0 {
+				refused = w.termHolder(records.KeyShard(w.controllers[0].set.Deployment.Zones[0]))
 				other = (refused + 1) % 3
 			}
-			n, owned := w.controllers[refused], w.shards(refused)
+			n, owned := w.controllers[refused], w.ownedShards(refused)
 			starts := 0
 			w.locked(func() { starts = w.starts })
-			if len(owned) == 0 && w.holder(records.KeyLeader) != refused {
+			if len(owned) == 0 && w.termHolder(records.KeyLeader) != refused {
 				w.stopScenario(t, "gap %d: %s neither owns nor leads: it is not refused to any purpose", i, n.set.Controller)
 			}
 			w.locked(func() { n.cutFromStore = true })
 			time.Sleep(w.randomDuration(100*time.Millisecond, 1200*time.Millisecond))
-			for _, j := range lot {
+			for _, j := range jobs {
 				if !w.cancelAt(other, j) {
 					w.stopScenario(t, "gap %d: %s did not confirm a cancellation", i, w.controllers[other].set.Controller)
 				}
@@ -261,13 +261,13 @@
 			confirmed := time.Now()
 			time.Sleep(w.randomDuration(50*time.Millisecond, 400*time.Millisecond))
 			for _, z := range owned {
-				if w.holder(records.KeyShard(z)) != refused {
+				if w.termHolder(records.KeyShard(z)) != refused {
 					w.stopScenario(t, "gap %d: %s lost its shard before the outage", i, n.set.Controller)
 				}
 			}
 			w.setOutage(true)
 			time.AfterFunc(14*time.Second, func() { w.locked(func() { n.cutFromStore = false }) })
-			time.Sleep(whole + 12*time.Second)
+			time.Sleep(cancelWithin + 12*time.Second)
 			w.mu.Lock()
 			if len(owned) > 0 && !n.heartbeatAnsweredAt.After(confirmed.Add(2*time.Second)) {
 				w.fail(t, "gap %d: no machine reported to %s once the cancellation was confirmed", i, n.set.Controller)
@@ -281,14 +281,14 @@
 			w.setOutage(false)
 			time.Sleep(20 * time.Second)
 		}
-		w.allDone(t, 6*whole, healthy)
+		w.waitAllDone(t, 6*cancelWithin, uncancelled)
 	}
 }
 
-// TestGap: the tasks of a cancelled job are gone in time though the controller that
+// TestCancellationBeforeOutage: the tasks of a cancelled job are gone in time though the controller that
 // the machines send heartbeats to can learn of it neither from the key-value store nor by a
 // promise refused. The guard taken away: what the others know of cancellations.
-func TestGap(t *testing.T) {
+func TestCancellationBeforeOutage(t *testing.T) {
 	var list []scenario
 	for _, d := range []struct {
 		name  string
@@ -297,13 +297,13 @@
 	}{{"magnolia", magnoliaTimes, []string{"a", "b", "c"}}, {"umoya", umoyaTimes, []string{"a", "b"}}} {
 		for refused := range 3 {
 			for _, other := range []int{(refused + 1) % 3, (refused + 2) % 3} {
-				s := scenario{name: fmt.Sprintf("%s, %d refused, %d confirms", d.name, refused, other), times: d.times, zones: d.zones, seeds: []uint64{1, 2}, play: gap(refused, other)}
+				s := scenario{name: fmt.Sprintf("%s, %d refused, %d confirms", d.name, refused, other), times: d.times, zones: d.zones, seeds: []uint64{1, 2}, body: cancelBeforeOutage(refused, other)}
 				if refused < len(d.zones) {
-					s.rule, s.guard = "ran_cancelled", func(w *world) { w.hideCancellations = true }
+					s.wantBrokenRule, s.unguard = "ran_cancelled", func(w *world) { w.hideCancellations = true }
 				}
 				list = append(list, s)
 			}
 		}
 	}
-	scenarios(t, list)
+	runScenarios(t, list)
 }
--- a/controller/sim_detection_test.go
+++ b/controller/sim_detection_test.go
@@ -122,7 +122,7 @@
 }
 
 // owner is the number of the controller that owns a zone's shard.
-func (w *world) owner(zone string) int { return w.holder(records.KeyShard(zone)) }
+func (w *world) owner(zone string) int { return w.termHolder(records.KeyShard(zone)) }
 
 // term is the number of a zone's term.
 func (w *world) term(zone string) uint64 {
--- a/controller/sim_record_test.go
+++ b/controller/sim_record_test.go
@@ -244,7 +244,7 @@
 func TestViolationTellsItsHistory(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := newCalmWorld(11)
+		w := newFaultFreeWorld(11)
 		w.startService("run-000001", 2)
 		w.startService("run-000002", 2)
 		time.Sleep(60 * time.Second)
@@ -262,7 +262,7 @@
 			t.Errorf("the violation tells of another job:\n%s", told)
 		}
 		w.violations = nil
-		w.finish(t)
+		w.checkAndShutdown(t)
 		for range 2 * maxRecordedEvents {
 			w.record.add(simEvent{what: "more"})
 		}
--- a/controller/sim_work_test.go
+++ b/controller/sim_work_test.go
@@ -37,7 +37,7 @@
 	w.startService("run-000002", 2)
 	w.locked(func() { b.service = w.jobs["run-000002"] })
 	b.finishes = slices.Concat(b.long, []*simJob{b.free}, b.tight)
-	w.allRun(t, b.long, []*simJob{b.free, b.service})
+	w.waitAllRunning(t, b.long, []*simJob{b.free, b.service})
 	w.waitUntil(t, "the team is at its limit", 60*time.Second, func() bool { return len(w.started(b.tight)) == 2 })
 	return b
 }
--- a/controller/term_renewal_test.go
+++ b/controller/term_renewal_test.go
@@ -11,8 +11,8 @@
 
 // An owner whose term's numbers run out goes on under a new term of its own, and what
 // runs on its machines runs on.
-func TestOwnerRenewsItsTermInTime(t *testing.T) {
-	expectUndisturbed(t, 3, 6, func(w *world) {
+func TestOwnerRenewsExhaustedTerm(t *testing.T) {
+	expectNoRestarts(t, 3, 6, func(w *world) {
 		for range 3 {
 			owner, term := w.owner("a"), w.term("a")
 			w.controllers[owner].running().control.Tell(newTermRequest{"a"})
@@ -24,10 +24,10 @@
 	})
 }
 
-// mailbox notes the messages that an actor is sent.
-type mailbox []any
+// messageRecorder notes the messages that an actor is sent.
+type messageRecorder []any
 
-func (m *mailbox) Receive(_ context.Context, msg any) { *m = append(*m, msg) }
+func (m *messageRecorder) Receive(_ context.Context, msg any) { *m = append(*m, msg) }
 
 // An owner's actor asks for the new term, and asks again as long as it has none.
 func TestOwnerAsksForNewTerm(t *testing.T) {
@@ -44,7 +44,7 @@
 			time.Sleep(2 * time.Second)
 			a.Receive(t.Context(), wake{})
 		}
-		var got mailbox
+		var got messageRecorder
 		go control.Run(t.Context(), &got)
 		synctest.Wait()
 		asked := 0
--- a/controller/transfer_test.go
+++ b/controller/transfer_test.go
@@ -26,17 +26,17 @@
 		go w.expireLeases()
 		defer w.shutdown()
 		time.Sleep(5 * time.Second)
-		w.allRun(t, w.boundArrays(0, 600)) // each shard has machines
-		leader := w.holder(records.KeyLeader)
+		w.waitAllRunning(t, w.boundArrays(0, 600)) // each shard has machines
+		leader := w.termHolder(records.KeyLeader)
 		w.locked(func() { w.controllers[leader].peerCallsLost, w.controllers[leader].heartbeatsLost = true, true })
-		cut := time.Now()
-		w.waitUntil(t, "another leader", 3*constants.PeerSilenceTimeout, func() bool { return w.holder(records.KeyLeader) != leader })
-		t.Logf("another one leads after %s", time.Since(cut))
+		start := time.Now()
+		w.waitUntil(t, "another leader", 3*constants.PeerSilenceTimeout, func() bool { return w.termHolder(records.KeyLeader) != leader })
+		t.Logf("another one leads after %s", time.Since(start))
 		j := w.newArray("run-000100", 4, 2, 5)
 		go w.runUser(j, 0, 0)
-		began := time.Now()
+		submittedAt := time.Now()
 		w.waitUntil(t, "new work begins beside the leader that was", 10*time.Second, func() bool { return w.tasksOn("", j.spec.ID) > 0 })
-		t.Logf("new work begins after %s", time.Since(began))
+		t.Logf("new work begins after %s", time.Since(submittedAt))
 		if len(w.violations) > 0 {
 			t.Error(w.violations)
 		}
--- a/controller/unusual_requests_test.go
+++ b/controller/unusual_requests_test.go
@@ -16,7 +16,7 @@
 // done ones get the same answer as before.
 func TestUnusualRequests(t *testing.T) {
 	required := []string{"uid", "lane", "crew", "shape", "rank", "pieces", "cpus", "cards", "mem_gb", "kit", "pull_gb", "one_zone", "scatter", "loaners", "guess_s", "mark_every_s", "stow_s"}
-	never := map[string]func(map[string]any){
+	unrunnable := map[string]func(map[string]any){
 		"unknown team":           func(f map[string]any) { f["crew"] = "nobody" },
 		"too many CPUs":          func(f map[string]any) { f["cpus"] = 9.0 },
 		"too much memory":        func(f map[string]any) { f["mem_gb"] = 33.0 },
@@ -36,13 +36,13 @@
 			f["shape"] = wire.KindService
 		},
 	}
-	scenarios(t, []scenario{{name: "while controllers end", times: magnoliaTimes, zones: []string{"a", "b", "c"}, seeds: []uint64{1, 2}, play: func(t *testing.T, w *world) {
+	runScenarios(t, []scenario{{name: "while controllers end", times: magnoliaTimes, zones: []string{"a", "b", "c"}, seeds: []uint64{1, 2}, body: func(t *testing.T, w *world) {
 		done := w.newArray("run-000000", 2, 1, 3)
 		go w.runUser(done, 0, 0)
 		w.waitUntil(t, "a job is done", 2*time.Minute, func() bool { return w.hasEnded(done) })
 		sample := w.newArray("run-odd", 2, 1, 5).spec
 		answered := 0
-		ask := func(what string, f map[string]any, want int) {
+		submit := func(what string, f map[string]any, want int) {
 			for index := range w.controllers {
 				r := w.requestAt(index, func(q apiserver.Request) any { return apiserver.Submit{Request: q, Body: records.Encode(f)} })
 				if r == nil || r.Status == 503 {
@@ -58,7 +58,7 @@
 			case 1:
 				w.locked(func() { w.storeLatency = 300 * time.Millisecond })
 			case 2:
-				w.expectNewTerm(t, records.KeyLeader, func() { w.controllers[w.holder(records.KeyLeader)].restart(3 * time.Second) })
+				w.expectNewTerm(t, records.KeyLeader, func() { w.controllers[w.termHolder(records.KeyLeader)].restart(3 * time.Second) })
 			case 3:
 				w.setOutage(true)
 				time.AfterFunc(10*time.Second, func() { w.setOutage(false) })
@@ -66,15 +66,15 @@
 			for _, field := range required {
 				f := fields(sample)
 				delete(f, field)
-				ask("without "+field, f, 400)
+				submit("without "+field, f, 400)
 				f = fields(sample)
 				f[field] = nil
-				ask("null as "+field, f, 400)
+				submit("null as "+field, f, 400)
 			}
-			for what, change := range never {
+			for what, change := range unrunnable {
 				f := fields(sample)
 				change(f)
-				ask(what, f, 422)
+				submit(what, f, 422)
 			}
 			for index := range w.controllers { // of a job that is done
 				f := fields(done.spec)
