--- a/controller/cancellation_faults_test.go
+++ b/controller/cancellation_faults_test.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// allCancellationCases plays the whole table of TestCancelledTasksEndInTime. Otherwise it
-// plays every cancellationCaseStride-th case, each in its turn of the table.
-var allCancellationCases = flag.Bool("sim.cancellations", false, "play all cases of cancellations that meet faults")
+// allCancellationCases makes TestCancelledTasksEndInTime run its whole table. By default the
+// test runs every cancellationCaseStride-th case.
+var allCancellationCases = flag.Bool("sim.cancellations", false, "run all cases of cancellations under faults")
 
-// cancellationCaseStride is how many cases of the table a usual run plays one of. It is
-// prime, so that every value of each column comes up.
+// cancellationCaseStride is the distance in the table between two cases that a default run
+// takes. It is prime, so that each value of each column occurs.
 const cancellationCaseStride = 13
 
-// controllerFault is something that happens to the controllers, or to what they need, while
-// a cancellation is on its way. It ends by itself.
+// controllerFault is a fault of the controllers or of a service that they depend on, injected
+// during a cancellation. It ends by itself.
 type controllerFault struct {
 	name   string
 	inject func(w *world, owner, other *simController)
 }
 
-// workerFault is something that happens to the machine whose task is cancelled, until the
-// end of the play.
+// workerFault is a fault of the machine whose task is cancelled. It lasts until the end of the
+// case.
 type workerFault struct {
 	name   string
 	inject func(*simWorker)
@@ -34,7 +34,7 @@
 var controllerFaults = []controllerFault{
 	{"no fault", func(*world, *simController, *simController) {}},
 	{"owner revoked", func(w *world, owner, other *simController) { w.proposeRevocation(other, owner) }},
-	{"owner revoked, and its successor", func(w *world, owner, other *simController) {
+	{"owner revoked, then its successor revoked", func(w *world, owner, other *simController) {
 		w.proposeRevocation(other, owner)
 		time.AfterFunc(12*time.Second, func() { w.proposeRevocation(owner, other) })
 	}},
@@ -48,14 +48,14 @@
 	{"owner refused by the store", func(w *world, owner, _ *simController) {
 		w.lasting(30*time.Second, func(on bool) { owner.cutFromStore = on })
 	}},
-	{"store away", func(w *world, _, _ *simController) {
+	{"store unavailable", func(w *world, _, _ *simController) {
 		w.setOutage(true)
 		time.AfterFunc(20*time.Second, func() { w.setOutage(false) })
 	}},
 	{"owner cut from store and controllers", func(w *world, owner, _ *simController) {
 		w.lasting(60*time.Second, func(on bool) { owner.cutFromStore, owner.cutFromPeers = on, on })
 	}},
-	{"owner ends, then the store is away", func(w *world, owner, _ *simController) {
+	{"owner ends, then the store is unavailable", func(w *world, owner, _ *simController) {
 		owner.restart(8 * time.Second)
 		time.AfterFunc(6*time.Second, func() {
 			w.setOutage(true)
@@ -65,10 +65,10 @@
 	{"heartbeats do not reach the owner", func(w *world, owner, _ *simController) {
 		w.lasting(60*time.Second, func(on bool) { owner.heartbeatsLost = on })
 	}},
-	{"cloud away", func(w *world, _, _ *simController) {
+	{"cloud unavailable", func(w *world, _, _ *simController) {
 		w.lasting(20*time.Second, func(on bool) { w.cloudUnavailable = on })
 	}},
-	{"zone cut off", func(w *world, owner, _ *simController) {
+	{"zone partitioned", func(w *world, owner, _ *simController) {
 		w.lasting(30*time.Second, func(on bool) {
 			w.partitionedZone = ""
 			if on {
@@ -86,13 +86,13 @@
 	{"mute", func(m *simWorker) { m.cutFromControllers = true }},
 }
 
-// Moments, counted from when the user is told of the cancellation.
+// Times of the faults, relative to the confirmation of the cancellation to the user.
 var (
 	controllerFaultOffsets = []time.Duration{-5 * time.Second, -200 * time.Millisecond, 300 * time.Millisecond}
 	workerFaultOffsets     = []time.Duration{-8 * time.Second, -100 * time.Millisecond, time.Second, 7 * time.Second}
 )
 
-// cancellationCase is one combination of faults that a cancellation meets.
+// cancellationCase is one combination of faults during a cancellation.
 type cancellationCase struct {
 	controllerFault   controllerFault
 	workerFault       workerFault
@@ -105,7 +105,7 @@
 	return fmt.Sprintf("%s at %s, %s at %s, %d machines", c.controllerFault.name, c.controllerFaultAt, c.workerFault.name, c.workerFaultAt, c.machines)
 }
 
-// cancellationCases is the table of all combinations.
+// cancellationCases returns all combinations.
 func cancellationCases() []cancellationCase {
 	var cases []cancellationCase
 	for _, machines := range []int{1, 4} {
@@ -122,8 +122,8 @@
 	return cases
 }
 
-// Whatever happens to the controllers and to the machine while a job is cancelled, no task
-// of it is on any machine when cancel_s is over.
+// Under each combination of a controller fault and a machine fault during a job's cancellation,
+// no task of the job is on any machine when cancel_s has passed.
 func TestCancelledTasksEndInTime(t *testing.T) {
 	discardLogs(t)
 	casesRun := 0
@@ -137,7 +137,7 @@
 	t.Logf("%d cases", casesRun)
 }
 
-// run plays one case and reports the rules that were broken.
+// run runs one case and reports broken rules.
 func (c cancellationCase) run(t *testing.T, seed uint64) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -166,7 +166,7 @@
 	})
 }
 
-// cancelUnderFaults has a job cancelled, with the faults at their moments.
+// cancelUnderFaults cancels a job and injects the faults at their times.
 func (c cancellationCase) cancelUnderFaults(t *testing.T, w *world, j *simJob) {
 	t.Helper()
 	owner := w.ownerController("a")
--- a/controller/damaged_record_test.go
+++ b/controller/damaged_record_test.go
@@ -13,10 +13,10 @@
 )
 
 // damagedJobValue is the stored value of a job whose run code has more letters than any shard
-// needs. Before it was refused in decoding, it ended every controller that read it.
+// needs. Before decoding refused such a value, every controller that read it crashed.
 var damagedJobValue = json.RawMessage(`[{"spec":{"uid":"","lane":"c","crew":"free","shape":"sweep","pieces":4}},"` + strings.Repeat("Z", 15) + `4",["a"]]`)
 
-// putDamagedJob replaces the stored value of a key with one that cannot be read.
+// putDamagedJob replaces the stored value of a key with damagedJobValue and returns its version.
 func (w *world) putDamagedJob(key string) (version uint64) {
 	w.locked(func() {
 		if _, err := w.apply(wire.Txn{Changes: []wire.Change{{Put: key, Value: damagedJobValue}}}); err != nil {
@@ -27,8 +27,8 @@
 	return version
 }
 
-// expectUnavailable checks that a controller neither tells anything of a job nor takes it
-// for one that it does not know: whoever asks is told to ask again.
+// expectUnavailable checks that each controller answers requests about a job with status 503,
+// so that clients retry: it neither reports the job's state nor treats the job as unknown.
 func (w *world) expectUnavailable(t *testing.T, j *simJob) {
 	t.Helper()
 	body, err := json.Marshal(fields(j.spec))
@@ -49,9 +49,10 @@
 	}
 }
 
-// A job's record that cannot be read, also one that could be before, ends no controller and
-// no other job suffers; nothing is told of it, it is not written over and not taken for
-// unknown, whether the controllers read it as they run or as they start.
+// A job's record that cannot be decoded, also one that could be decoded before, ends no
+// controller and affects no other job. Controllers report nothing about the job, do not
+// overwrite the record and do not treat the job as unknown, whether they read the record
+// while they run or when they start.
 func TestDamagedJobRecordIsIsolated(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
--- a/controller/detection_test.go
+++ b/controller/detection_test.go
@@ -14,27 +14,28 @@
 	"ravenport/wire"
 )
 
-// leaseTTL is the life of a controller's lease in these tests.
+// leaseTTL is the duration of a controller's lease in these tests.
 const leaseTTL = 3500 * time.Millisecond
 
-// takeoverBound is within which time a shard whose owner is gone must have another:
-// its lease, the places in the order, a write and the feeds.
+// takeoverBound is the time within which a shard whose owner has failed must have another
+// owner: the lease, the acquisition delays by rank, and 2 s for a write and its watch event.
 const takeoverBound = leaseTTL + 3*constants.AcquisitionRankDelay + 2*time.Second
 
-// revocationBound is the same for an owner that holds its lease and does no work: the
-// silence of its workers, the declaration, widened once, and then the takeover.
+// revocationBound is the same bound for an owner that renews its lease but does no work: the
+// time until missing worker heartbeats are noticed, the declaration delay, extended once, and
+// then the takeover.
 const revocationBound = 20*time.Second + takeoverBound
 
-// detectionScenario is a failure of controllers on a deployment that is at work, with
-// failure detection on everywhere but where it says so.
+// detectionScenario is a failure of controllers in a deployment under load. Failure detection
+// is on at all controllers but those in withoutDetection.
 type detectionScenario struct {
 	name             string
-	withoutDetection []int // controllers without detection
+	withoutDetection []int // indexes of the controllers without failure detection
 	fault            func(*testing.T, *world, *busy)
 }
 
-// play brings the failure about; afterwards everything that was accepted must end,
-// and no rule may have been broken.
+// run injects the failure. Afterwards every accepted job must end, and no rule may have been
+// broken.
 func (s detectionScenario) run(t *testing.T, seed uint64) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorldWithTimes(seed, []string{"a", "b"}, 3, magnoliaTimes)
@@ -67,7 +68,7 @@
 	})
 }
 
-// expectNewOwner waits until a zone's shard is another controller's.
+// expectNewOwner waits until another controller owns a zone's shard.
 func (w *world) expectNewOwner(t *testing.T, zone string, from int, bound time.Duration) {
 	t.Helper()
 	start := time.Now()
@@ -75,7 +76,7 @@
 	t.Logf("another owner after %s", time.Since(start))
 }
 
-// expectSameTerms sees that no term changes while something goes on.
+// expectSameTerms checks that no term changes and no controller is revoked while do runs.
 func (w *world) expectSameTerms(t *testing.T, do func()) {
 	t.Helper()
 	a, b, revoked := w.term("a"), w.term("b"), w.eventCount("revocations")
@@ -85,8 +86,8 @@
 	}
 }
 
-// freezeOwner is a pause of an owner for so many lease lives, after which it goes on in
-// the middle of what it did.
+// freezeOwner returns a fault that pauses an owner for a number of lease durations. The owner
+// then resumes in the middle of its work.
 func freezeOwner(leases float64) func(*testing.T, *world, *busy) {
 	return func(t *testing.T, w *world, _ *busy) {
 		owner := w.owner("a")
@@ -103,9 +104,9 @@
 	}
 }
 
-// grayFailure cuts an owner from its workers and from other controllers' calls, while
-// its own calls to them and to the key-value store go through: it learns of no worker
-// that sends heartbeats elsewhere, and its peers look healthy to it.
+// grayFailure blocks the calls of workers and of other controllers to an owner. The owner's own
+// calls to its peers and to the key-value store succeed. So the owner does not learn that its
+// workers send their heartbeats to other controllers, and it considers its peers healthy.
 func grayFailure(w *world, owner int) {
 	w.locked(func() { w.controllers[owner].cutFromWorkers, w.controllers[owner].peerCallsLost = true, true })
 }
@@ -115,7 +116,7 @@
 	{name: "owner pauses for a lease", fault: freezeOwner(1)},
 	{name: "owner pauses for three leases", fault: freezeOwner(3)},
 	{name: "owner pauses for ten leases", fault: freezeOwner(10)},
-	{name: "owner wakes just as it is replaced", fault: func(t *testing.T, w *world, _ *busy) {
+	{name: "owner resumes just as it is replaced", fault: func(t *testing.T, w *world, _ *busy) {
 		owner := w.owner("a")
 		w.controllers[owner].freeze(time.Hour)
 		w.expectNewOwner(t, "a", owner, takeoverBound)
@@ -140,14 +141,14 @@
 			t.Errorf("%d processes were revoked", n)
 		}
 	}},
-	{name: "two fail together, then the one that takes over", fault: func(t *testing.T, w *world, _ *busy) {
+	{name: "two controllers fail together, then the one that takes over", fault: func(t *testing.T, w *world, _ *busy) {
 		first, second := w.owner("a"), w.owner("b")
 		w.controllers[first].restart(25 * time.Second)
 		w.controllers[second].restart(25 * time.Second)
 		third := 3 - first - second
-		w.waitUntil(t, "the third one owns both", takeoverBound+constants.MaxSecondShardDelay, func() bool { return w.owner("a") == third && w.owner("b") == third })
+		w.waitUntil(t, "the third controller owns both shards", takeoverBound+constants.MaxSecondShardDelay, func() bool { return w.owner("a") == third && w.owner("b") == third })
 		w.controllers[third].restart(45 * time.Second)
-		w.waitUntil(t, "both have owners again", time.Minute, func() bool { return w.owner("a") != third && w.owner("b") != third })
+		w.waitUntil(t, "both shards have new owners", time.Minute, func() bool { return w.owner("a") != third && w.owner("b") != third })
 		time.Sleep(30 * time.Second)
 	}},
 	{name: "owner without workers that other controllers cannot call", fault: func(t *testing.T, w *world, _ *busy) {
@@ -155,11 +156,11 @@
 		grayFailure(w, owner)
 		w.expectNewOwner(t, "a", owner, revocationBound)
 		if w.eventCount("revocations") == 0 {
-			t.Error("it moved without a revocation")
+			t.Error("the shard moved without a revocation")
 		}
 		time.Sleep(30 * time.Second)
 		if w.owner("a") == owner {
-			t.Error("it has its shard again, and still does not hear its workers")
+			t.Error("the revoked controller owns its shard again, but still receives no heartbeats from its workers")
 		}
 	}},
 	{name: "owner's workers cannot reach it", fault: func(t *testing.T, w *world, b *busy) {
@@ -169,7 +170,7 @@
 		j := w.newArray("run-000900", 2, 2, 5)
 		j.spec.Zone = "a"
 		go w.runUser(j, 0, 0)
-		w.waitAllDone(t, 90*time.Second, []*simJob{j}) // its machines are not kept idle
+		w.waitAllDone(t, 90*time.Second, []*simJob{j}) // the new owner uses the machines
 	}},
 	{name: "owner cut from all controllers, not from the state service", fault: func(t *testing.T, w *world, _ *busy) {
 		w.expectSameTerms(t, func() {
@@ -195,7 +196,7 @@
 			time.Sleep(5 * time.Second)
 		})
 	}},
-	{name: "a slow controller suspects everybody", fault: func(t *testing.T, w *world, _ *busy) {
+	{name: "a slow controller suspects all others", fault: func(t *testing.T, w *world, _ *busy) {
 		slow := w.controllers[3-w.owner("a")-w.owner("b")]
 		w.expectSameTerms(t, func() {
 			for range 15 {
@@ -204,7 +205,7 @@
 			}
 		})
 	}},
-	{name: "all pause at once", fault: func(t *testing.T, w *world, _ *busy) {
+	{name: "all controllers pause at once", fault: func(t *testing.T, w *world, _ *busy) {
 		for _, n := range w.controllers {
 			n.freeze(8 * time.Second)
 		}
@@ -213,7 +214,7 @@
 			t.Errorf("%d processes were revoked", n)
 		}
 	}},
-	{name: "state service away for all", fault: func(t *testing.T, w *world, _ *busy) {
+	{name: "state service unavailable to all", fault: func(t *testing.T, w *world, _ *busy) {
 		w.expectSameTerms(t, func() {
 			w.setOutage(true)
 			time.Sleep(40 * time.Second)
@@ -234,8 +235,8 @@
 	}},
 }
 
-// Each failure is brought about on controllers at work with failure detection on; the
-// shards go where they should and no rule is broken.
+// TestDetectionScenarios runs each failure on controllers under load with failure detection.
+// The shards move, or stay, as the scenario expects, and no rule is broken.
 func TestDetectionScenarios(t *testing.T) {
 	discardLogs(t)
 	for _, s := range detectionScenarios {
@@ -247,8 +248,8 @@
 	}
 }
 
-// A gray failure stays for ever where nothing but the lease is looked at: without
-// detection the scenario that it mends is seen to hang.
+// Without failure detection only the lease decides, and a gray failure never ends. This shows
+// that the scenario which failure detection repairs does hang without it.
 func TestGrayFailurePersistsWithoutDetection(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -259,12 +260,12 @@
 		grayFailure(w, owner)
 		time.Sleep(3 * revocationBound)
 		if w.owner("a") != owner {
-			t.Errorf("the shard moved to %d; the failure is noticed without detection, and its scenario shows nothing", w.owner("a"))
+			t.Errorf("the shard moved to controller %d: the failure ends without failure detection, so its scenario proves nothing", w.owner("a"))
 		}
 	})
 }
 
-// newDetectionWorld is a deployment of three controllers with failure detection, all up.
+// newDetectionWorld returns a deployment of three controllers with failure detection, all up.
 func newDetectionWorld(seed uint64) *world {
 	w := newWorldWithTimes(seed, []string{"a", "b"}, 3, magnoliaTimes)
 	w.lateCommandShare, w.reliableCloud = 0, true
@@ -277,8 +278,8 @@
 	return w
 }
 
-// An owner that is stuck in one message is replaced: its process gives up its lease
-// and ends, and what it still does when it goes on is harmless.
+// An owner that is stalled in one message is replaced: its process releases its lease and
+// exits. What the owner still does after the stall breaks no rule.
 func TestStalledOwnerIsReplaced(t *testing.T) {
 	discardLogs(t)
 	for seed := range uint64(3) {
@@ -289,7 +290,7 @@
 			owner := w.owner("a")
 			w.controllers[owner].stallOwner("a", 50*time.Second)
 			w.expectNewOwner(t, "a", owner, w.controllers[owner].set.Detection.StallAfter+time.Second+takeoverBound)
-			w.waitUntil(t, "the process ends itself", 15*time.Second, func() bool { return w.eventCount("ended itself: controller") == 1 })
+			w.waitUntil(t, "the process exits by itself", 15*time.Second, func() bool { return w.eventCount("ended itself: controller") == 1 })
 			time.Sleep(50 * time.Second)
 			w.settleAll(t, 4*time.Minute, b.finishes)
 			if len(w.violations) > 0 {
@@ -299,8 +300,8 @@
 	}
 }
 
-// Whatever fails, and whoever accuses whom without any reason, no rule is broken with
-// detection on, and everything accepted comes to its end.
+// With failure detection on, random faults and unfounded revocations between controllers break
+// no rule, and every accepted job ends.
 func TestRulesHoldWithDetection(t *testing.T) {
 	discardLogs(t)
 	revoked, late := 0, 0
@@ -324,8 +325,8 @@
 	}
 }
 
-// proposeRandomRevocations switches detection on, and has controllers accuse each other, for the
-// first minutes, once in a while.
+// proposeRandomRevocations enables failure detection and, for the first 200 s, lets a random
+// controller propose the revocation of another one every half to whole interval.
 func proposeRandomRevocations(w *world, every time.Duration) {
 	for _, n := range w.controllers {
 		n.enableDetection()
@@ -343,10 +344,10 @@
 	}()
 }
 
-// The wait before a revoked holder's terms are acquired is what keeps the rules: an
-// owner that is cut off with its zone as it is revoked still answers its workers for as
-// long as its authority lasts, and whoever acquired them at once would believe their leases
-// over too early. The checker sees that.
+// A revoked owner's terms may be acquired only when its authority has ended. An owner that is
+// partitioned with its zone while it is revoked answers its workers' heartbeats until its
+// authority ends. A controller that acquired the term at once would assume too early that the
+// workers' leases have expired. Without the wait the checker must report a broken rule.
 func TestRevokedHoldersAuthorityIsAwaited(t *testing.T) {
 	discardLogs(t)
 	for seed := range uint64(4) {
@@ -354,17 +355,17 @@
 			t.Errorf("seed %d: rules broken: %v", seed, broken)
 		}
 	}
-	// Whether it shows depends on the order in which goroutines run.
+	// Whether a rule is broken depends on the order in which goroutines run.
 	for seed := range uint64(guardSeeds) {
 		if broken := runRevocationInPartition(t, seed, true); len(broken) > 0 {
 			return
 		}
 	}
-	t.Error("without the wait no rule was seen broken")
+	t.Error("no broken rule was reported without the wait")
 }
 
-// runRevocationInPartition cuts an owner off with its zone, revokes it, and returns the rules
-// that were broken. A hasty successor does not wait for the end of its authority.
+// runRevocationInPartition partitions an owner with its zone, revokes the owner, and returns the
+// broken rules. With skipWait the successor does not wait for the end of the owner's authority.
 func runRevocationInPartition(t *testing.T, seed uint64, skipWait bool) (broken []string) {
 	const longLeaseTTL = 18 * time.Second
 	synctest.Test(t, func(t *testing.T) {
@@ -378,7 +379,7 @@
 		go w.expireLeases()
 		defer w.shutdown()
 		time.Sleep(5 * time.Second)
-		w.startService("run-000001", 2) // one in each zone: machines with room
+		w.startService("run-000001", 2) // one task in each zone: machines with free capacity
 		time.Sleep(30 * time.Second)
 		j := &simJob{spec: wire.Submission{ID: "run-000002", Class: "c", Team: "free", Kind: wire.KindService, Priority: wire.PriorityProduction,
 			Tasks: 1, CPUs: 4, MemoryGB: 1, Image: "i", ImageGB: 1}, doneTasks: map[int]bool{}}
@@ -388,7 +389,7 @@
 		zone := w.machinesRunning(j.spec.ID)[0].zone
 		owner := w.controllers[w.owner(zone)]
 		outside := w.controllers[w.owner(otherZone(zone))]
-		w.locked(func() { w.cloudUnavailable, w.partitionedZone, owner.cutFromStore = true, zone, true }) // nothing is surely gone but by its lease
+		w.locked(func() { w.cloudUnavailable, w.partitionedZone, owner.cutFromStore = true, zone, true }) // only an expired lease proves that a task has ended
 		w.waitUntil(t, "the owner is revoked", 10*time.Second, func() bool { w.proposeRevocation(outside, owner); return w.eventCount("revocations") > 0 })
 		time.Sleep(2 * time.Minute)
 		w.locked(func() { broken, owner.cutFromStore = w.violations, false })
@@ -403,21 +404,21 @@
 	return "a"
 }
 
-// shortenLeaseTTL makes a stored lease life so short that nobody waits for its end.
+// shortenLeaseTTL makes a stored lease TTL so short that no controller waits for its end.
 func shortenLeaseTTL(value []byte) []byte {
 	return storedLeaseTTL.ReplaceAll(value, []byte(`"life":1`))
 }
 
 var storedLeaseTTL = regexp.MustCompile(`"life":\d+`)
 
-// Without authority of its own a controller proposes nothing, and nobody proposes
-// while it is promised that no term is acquired.
+// A controller writes a revocation only if it has authority itself, and only while no lease
+// extension may be in force. This test covers the first condition.
 func TestNoProposalWithoutAuthority(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
 		w := newDetectionWorld(4)
 		defer w.shutdown()
-		w.locked(func() { w.lateWriteShare, w.repeatedWriteShare, w.lostAnswerShare = 0, 0, 0 }) // each revocation is written once
+		w.locked(func() { w.lateWriteShare, w.repeatedWriteShare, w.lostAnswerShare = 0, 0, 0 }) // so that each revocation is written once
 		time.Sleep(5 * time.Second)
 		w.locked(func() { w.controllers[0].cutFromStore = true })
 		time.Sleep(2 * leaseTTL)
@@ -426,17 +427,18 @@
 		w.locked(func() { w.controllers[0].cutFromStore = false })
 		time.Sleep(10 * time.Second)
 		if n := w.eventCount("revocations"); n != 0 {
-			t.Errorf("%d revocations by one without authority", n)
+			t.Errorf("%d revocations by a controller without authority", n)
 		}
 		w.proposeRevocation(w.controllers[0], w.controllers[1])
 		time.Sleep(time.Second)
 		if n := w.eventCount("revocations"); n != 1 {
-			t.Errorf("%d revocations by one with authority", n)
+			t.Errorf("%d revocations by a controller with authority", n)
 		}
 	})
 }
 
-// The status shows what is seen of the others, and strangers' heartbeats are counted.
+// The status shows the states of the other controllers, and heartbeats of unknown controllers
+// are counted.
 func TestStatusShowsMembers(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -444,7 +446,7 @@
 		defer w.shutdown()
 		time.Sleep(5 * time.Second)
 		if _, err := w.controllers[0].running().HandlePeerHeartbeat(t.Context(), detector.Message{Controller: "x", Heartbeat: detector.Heartbeat{Incarnation: 1}}); err == nil {
-			t.Error("a stranger's heartbeat was taken")
+			t.Error("the heartbeat of an unknown controller was accepted")
 		}
 		w.controllers[1].kill()
 		time.Sleep(2 * leaseTTL)
--- a/controller/drain_plan_test.go
+++ b/controller/drain_plan_test.go
@@ -8,9 +8,9 @@
 	"ravenport/records"
 )
 
-// A plan that no owner of a selected shard can give is refused with one line: the command
-// printed an empty table and ended as if it had succeeded. The plan of other shards beside
-// it is shown, as before.
+// A plan is refused with one line if no owner of a selected shard can provide its part. The
+// command used to print an empty table and exit as if it had succeeded. If some owners can
+// provide their parts, the plan shows those and lists the missing shards.
 func TestPlanWithoutAnyOwnerIsRefused(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
--- a/controller/draining_test.go
+++ b/controller/draining_test.go
@@ -19,7 +19,7 @@
 	"ravenport/wire"
 )
 
-// Points of a step, and how it is seen from outside that one is reached.
+// drainStepPoints are the points of a drain step, and how a test observes that one is reached.
 var drainStepPoints = []struct {
 	name    string
 	reached func(*testing.T, *world, int) bool
@@ -34,11 +34,11 @@
 	{"after the replacement's start", func(_ *testing.T, w *world, _ int) bool {
 		return w.disruptionFigures().Replaced > 0
 	}},
-	{"after the close", func(_ *testing.T, w *world, _ int) bool { return w.terminatingMachines() > 0 }},
-	{"at the return", func(_ *testing.T, w *world, _ int) bool { return w.eventCount("scale-in requests") > 0 }},
+	{"after the machine is written as terminating", func(_ *testing.T, w *world, _ int) bool { return w.terminatingMachines() > 0 }},
+	{"at the scale-in request", func(_ *testing.T, w *world, _ int) bool { return w.eventCount("scale-in requests") > 0 }},
 }
 
-// Ways for the holder of a drain to fail.
+// drainOwnerFailures are the failures of the owner whose shard is being drained.
 var drainOwnerFailures = []struct {
 	name   string
 	inject func(*world, *simController)
@@ -51,8 +51,8 @@
 	}},
 }
 
-// The owner that drains fails at each point of a step, in each way: under the next one
-// the drain goes on, and no budget is broken.
+// The owner of the drained shard fails in each way at each point of a step. The next owner
+// continues the drain, and no budget is exceeded.
 func TestDrainOwnerFails(t *testing.T) {
 	discardLogs(t)
 	for _, point := range drainStepPoints {
@@ -68,7 +68,7 @@
 	}
 }
 
-// expectNoViolation plays a scenario under some seeds and sees that no rule is broken.
+// expectNoViolation runs a scenario with a number of seeds and checks that no rule is broken.
 func (s drainScenario) expectNoViolation(t *testing.T, seeds int) {
 	for seed := range uint64(seeds) {
 		synctest.Test(t, func(t *testing.T) {
@@ -82,10 +82,11 @@
 // waitForFirstMoves waits until a drain has moved some replicas.
 func (w *world) waitForFirstMoves(t *testing.T) {
 	t.Helper()
-	w.waitUntil(t, "something was moved", 4*time.Minute, func() bool { return w.disruptionFigures().Replaced > 1 })
+	w.waitUntil(t, "some replicas were moved", 4*time.Minute, func() bool { return w.disruptionFigures().Replaced > 1 })
 }
 
-// drainScenarios are failures in the middle of a drain. Each is seen to come about.
+// drainScenarios are failures in the middle of a drain. Each scenario ensures that its failure
+// takes place.
 var drainScenarios = []drainScenario{
 	{name: "nothing fails", seeds: 2},
 	{name: "all controllers are restarted", fault: func(t *testing.T, w *world, _ int) {
@@ -101,24 +102,24 @@
 			return slices.ContainsFunc(w.drainView(t, number).Shards, func(p drain.ShardProgress) bool { return strings.Contains(p.WaitingFor, "used up") })
 		})
 	}},
-	{name: "a zone is cut off", fault: func(t *testing.T, w *world, _ int) {
+	{name: "a zone is partitioned", fault: func(t *testing.T, w *world, _ int) {
 		w.waitForFirstMoves(t)
 		w.locked(func() { w.partitionedZone = "b" })
 		time.Sleep(60 * time.Second)
 		w.locked(func() { w.partitionedZone = "" })
 	}},
-	{name: "the state service is away in mid-step", fault: func(t *testing.T, w *world, _ int) {
+	{name: "the state service is unavailable during a step", fault: func(t *testing.T, w *world, _ int) {
 		w.waitForFirstMoves(t)
 		w.setOutage(true)
 		time.Sleep(40 * time.Second)
 		stops := w.disruptionFigures().Stops
 		time.Sleep(20 * time.Second)
 		if stopsAfter := w.disruptionFigures().Stops; stopsAfter != stops {
-			t.Errorf("%d tasks were stopped without the state service", stopsAfter-stops)
+			t.Errorf("%d tasks were stopped while the state service was unavailable", stopsAfter-stops)
 		}
 		w.setOutage(false)
 	}},
-	{name: "the cloud has no more machines, then some", fault: func(t *testing.T, w *world, _ int) {
+	{name: "the cloud has no capacity for 90 s", fault: func(t *testing.T, w *world, _ int) {
 		w.locked(func() {
 			for k := range w.capacity {
 				w.observed[k] = w.capacity[k]
@@ -148,14 +149,14 @@
 			}
 		})
 	}},
-	{name: "jobs are submitted and cancelled meanwhile", fault: func(t *testing.T, w *world, _ int) {
+	{name: "jobs are submitted and cancelled during the drain", fault: func(t *testing.T, w *world, _ int) {
 		for i := range 10 {
 			j := w.newArray(fmt.Sprintf("run-%06d", 100+i), 3, 2, 20)
 			go w.runUser(j, 0, time.Duration(i%2)*20*time.Second)
 			time.Sleep(5 * time.Second)
 		}
 	}},
-	{name: "long arrays and a gang run on what is drained", fault: func(t *testing.T, w *world, number int) {
+	{name: "long arrays and a gang run on drained machines", fault: func(t *testing.T, w *world, number int) {
 		go w.playGangs()
 		jobs := []*simJob{w.newArray("run-000200", 6, 2, 90)}
 		gang := w.newArray("run-000201", 3, 2, 60)
@@ -178,25 +179,25 @@
 		go w.playGangs()
 		work := []*simJob{w.newArray("run-000200", 6, 2, 240), w.newArray("run-000201", 3, 2, 240)}
 		work[1].spec.Kind, work[1].spec.CheckpointIntervalS, work[1].spec.CheckpointSaveS, work[1].spec.Spot = wire.KindGang, 4, 1, false
-		for _, j := range work { // of the services' team and priority, so that none is preempted for them
+		for _, j := range work { // the team and priority of the services, so that no task is preempted for a service
 			j.spec.Team, j.spec.Priority = "free", wire.PriorityProduction
 			go w.runUser(j, 0, 0)
 		}
-		w.waitUntil(t, "they run", 2*time.Minute, func() bool { return w.unitsEverRun() == 7 })
+		w.waitUntil(t, "all tasks of the array and the gang run", 2*time.Minute, func() bool { return w.unitsEverRun() == 7 })
 		second := w.startDrain(t, records.Selection{})
-		w.waitUntil(t, "one was interrupted", 6*time.Minute, func() bool { return w.interruptionFigures().Stops > 0 })
+		w.waitUntil(t, "a unit was interrupted", 6*time.Minute, func() bool { return w.interruptionFigures().Stops > 0 })
 		term := w.term("a")
 		w.controllers[w.owner("a")].restart(5 * time.Second)
 		w.waitUntil(t, "another owner", time.Minute, func() bool { return w.term("a") > term })
-		w.waitUntil(t, "others were interrupted", 8*time.Minute, func() bool { return w.interruptionFigures().Replaced > 2 })
+		w.waitUntil(t, "more units were interrupted", 8*time.Minute, func() bool { return w.interruptionFigures().Replaced > 2 })
 		w.waitDrainState(t, second, records.DrainFinished, 12*time.Minute)
 		w.waitAllDone(t, 15*time.Minute, work)
 	}},
-	{name: "outside of its window, then in it", settings: "drain.window.rule = FREQ=DAILY;BYHOUR=0;BYMINUTE=3\ndrain.window.minutes = 60\n", fault: func(t *testing.T, w *world, number int) {
+	{name: "before its maintenance window, then in it", settings: "drain.window.rule = FREQ=DAILY;BYHOUR=0;BYMINUTE=3\ndrain.window.minutes = 60\n", fault: func(t *testing.T, w *world, number int) {
 		opens := time.Date(2000, 1, 1, 0, 3, 0, 0, time.UTC)
 		for time.Now().Before(opens) {
 			if v := w.drainView(t, number); len(v.Shards) > 0 && (len(v.Shards[0].Cordoned) > 0 || time.Until(opens) < time.Minute && !strings.Contains(v.Shards[0].WaitingFor, "window opens")) {
-				t.Fatalf("before its window: %+v", v)
+				t.Fatalf("the drain is active before its maintenance window: %+v", v)
 			}
 			time.Sleep(5 * time.Second)
 		}
@@ -206,53 +207,53 @@
 		w.changeDrain(t, peer.OpPause, number)
 		time.Sleep(10 * time.Second)
 		if v := w.drainView(t, number); v.State != records.DrainPaused || slices.ContainsFunc(v.Shards, func(p drain.ShardProgress) bool { return len(p.Cordoned) > 0 }) {
-			t.Errorf("paused: %+v", v)
+			t.Errorf("the paused drain still has cordoned machines or another state: %+v", v)
 		}
 		w.changeDrain(t, peer.OpResume, number)
 	}},
-	{name: "cancelled as a step closes", endState: records.DrainCancelled, idle: true, fault: func(t *testing.T, w *world, number int) {
-		w.waitUntil(t, "a machine is closed", 4*time.Minute, func() bool { return w.terminatingMachines() > 0 })
+	{name: "cancelled as a machine is terminating", endState: records.DrainCancelled, idle: true, fault: func(t *testing.T, w *world, number int) {
+		w.waitUntil(t, "a machine is terminating", 4*time.Minute, func() bool { return w.terminatingMachines() > 0 })
 		w.changeDrain(t, peer.OpCancel, number)
-		w.waitUntil(t, "what was closed is returned", time.Minute, func() bool { return w.terminatingMachines() == 0 })
+		w.waitUntil(t, "the terminating machines are scaled in", time.Minute, func() bool { return w.terminatingMachines() == 0 })
 	}},
-	{name: "cancelled at its very last step", fault: func(t *testing.T, w *world, first int) {
+	{name: "cancelled in its last step", fault: func(t *testing.T, w *world, first int) {
 		w.waitDrainState(t, first, records.DrainFinished, 12*time.Minute)
 		machine := w.machineWithService()
 		number := w.startDrain(t, records.Selection{Machines: []string{machine}})
-		w.locked(func() { w.ignoreScaleIn = true }) // so that it is seen closed
+		w.locked(func() { w.ignoreScaleIn = true }) // so that the machine is observed as terminating
 		isLast := func(name string) bool { return name == machine }
-		w.waitUntil(t, "the last machine is closed", 4*time.Minute, func() bool { return w.countTerminating(isLast) == 1 })
+		w.waitUntil(t, "the last machine is terminating", 4*time.Minute, func() bool { return w.countTerminating(isLast) == 1 })
 		w.changeDrain(t, peer.OpCancel, number)
 		w.locked(func() { w.ignoreScaleIn = false })
-		w.waitUntil(t, "what was closed is returned", time.Minute, func() bool {
+		w.waitUntil(t, "the terminating machines are scaled in", time.Minute, func() bool {
 			return w.countTerminating(isLast) == 0 && w.remaining(map[string]bool{machine: true}) == 0
 		})
-		w.waitUntil(t, "nothing stays cordoned", time.Minute, func() bool { return w.cordonedMachines(t, number) == 0 })
+		w.waitUntil(t, "no machine stays cordoned", time.Minute, func() bool { return w.cordonedMachines(t, number) == 0 })
 		w.waitDrainState(t, number, records.DrainCancelled, time.Minute)
 	}},
-	{name: "a replacement turns unhealthy just after its step closed", fault: func(t *testing.T, w *world, _ int) {
+	{name: "a replacement becomes unhealthy just after its step ended", fault: func(t *testing.T, w *world, _ int) {
 		old := w.machineNames()
 		w.waitUntil(t, "a machine is replaced", 6*time.Minute, func() bool { return w.disruptionFigures().Replaced > 0 && w.remaining(old) < len(old) })
 		failed := w.disruptionFigures().Failed
 		w.locked(w.observeTasks)
 		w.failNewest()
-		w.waitUntil(t, "the failure is seen", time.Minute, func() bool { return w.disruptionFigures().Failed > failed })
+		w.waitUntil(t, "the failure is counted", time.Minute, func() bool { return w.disruptionFigures().Failed > failed })
 	}},
-	{name: "a wave of spot machines is taken back", spot: true, fault: func(t *testing.T, w *world, number int) {
+	{name: "several spot machines are reclaimed at once", spot: true, fault: func(t *testing.T, w *world, number int) {
 		w.waitForFirstMoves(t)
 		failed := w.disruptionFigures().Failed
 		if n := w.reclaimSpot(10 * time.Second); n < 3 {
-			t.Errorf("the wave takes %d machines", n)
+			t.Errorf("only %d spot machines are reclaimed", n)
 		}
 		w.waitUntil(t, "the drain waits for the budget", time.Minute, func() bool {
 			return slices.ContainsFunc(w.drainView(t, number).Shards, func(p drain.ShardProgress) bool { return strings.Contains(p.WaitingFor, "used up") })
 		})
-		w.waitUntil(t, "the wave takes tasks down", time.Minute, func() bool { return w.disruptionFigures().Failed > failed+2 })
+		w.waitUntil(t, "tasks fail on the reclaimed machines", time.Minute, func() bool { return w.disruptionFigures().Failed > failed+2 })
 	}},
-	{name: "the budget is raised while it runs", fault: func(t *testing.T, w *world, _ int) {
+	{name: "the budget is raised during the drain", fault: func(t *testing.T, w *world, _ int) {
 		w.waitForFirstMoves(t)
 		if worst := w.disruptionFigures().MaxVoluntary; worst > 2 {
-			t.Errorf("%d were down by choice before", worst)
+			t.Errorf("%d replicas were stopped voluntarily at once under the old budget", worst)
 		}
 		w.locked(func() { w.disruption.SetLimit(4) })
 		for _, n := range w.controllers {
@@ -275,11 +276,11 @@
 		})
 		w.waitUntil(t, "the drain stops", 10*time.Minute, func() bool { return w.drainRecord(number).State == records.DrainStopped })
 		if why := w.drainRecord(number).StopReason; !strings.Contains(why, "failed on") && !strings.Contains(why, "not up in time") {
-			t.Errorf("it stopped because of: %s", why)
+			t.Errorf("the drain stopped because of: %s", why)
 		}
 		w.locked(func() { w.soundMachines = nil })
 	}},
-	{name: "the budget is lowered while it runs", fault: func(t *testing.T, w *world, _ int) {
+	{name: "the budget is lowered during the drain", fault: func(t *testing.T, w *world, _ int) {
 		w.waitForFirstMoves(t)
 		for _, n := range w.controllers {
 			n.kill()
@@ -292,7 +293,7 @@
 	}},
 }
 
-// TestDrainScenarios plays a drain with each failure.
+// TestDrainScenarios runs a drain with each failure.
 func TestDrainScenarios(t *testing.T) {
 	discardLogs(t)
 	for _, s := range drainScenarios {
@@ -300,7 +301,8 @@
 	}
 }
 
-// Two drains over one team, in different shards, whose owners are replaced in turns.
+// Two drains in different shards move replicas of the same team and share its budget, while the
+// owners of the two shards are replaced in turn.
 func TestTwoDrainsShareTheBudget(t *testing.T) {
 	discardLogs(t)
 	s := drainScenario{fault: func(t *testing.T, w *world, first int) {
@@ -313,7 +315,7 @@
 		time.Sleep(time.Second)
 		reply := w.requestDrain(t, peer.DrainRequest{Op: peer.OpStart, Selection: records.Selection{Zones: []string{"b"}}})
 		if reply.Problem == nil || !strings.Contains(reply.Problem.Problem, fmt.Sprintf("drain %d", numbers[1])) {
-			t.Errorf("a drain that overlaps: %+v", reply)
+			t.Errorf("a drain that overlaps another one was not refused: %+v", reply)
 		}
 		for i := range 4 {
 			time.Sleep(8 * time.Second)
@@ -329,8 +331,8 @@
 	s.expectNoViolation(t, 2)
 }
 
-// Without claims, or with grants that end as the replacement starts, a drain breaks its
-// budget and the check says so.
+// Without claims, or with grants that end as soon as the replacement starts, a drain exceeds its
+// budget. The budget check must report that.
 func TestDrainCheckNoticesMissingGuards(t *testing.T) {
 	discardLogs(t)
 	for name, unguard := range map[string]func(*shard.DrainingConfig){
@@ -345,13 +347,13 @@
 			})
 		}
 		if !caught {
-			t.Errorf("without the %s the budget was never seen broken", name)
+			t.Errorf("without the %s the budget check reported nothing", name)
 		}
 	}
 }
 
-// What cannot be drained is refused at once, with the field that is wrong, and nothing
-// is stored; a damaged record does nothing and is not written over.
+// Invalid drain requests are refused at once with the name of the invalid field, and nothing is
+// stored. A damaged drain record has no effect and is not overwritten.
 func TestInvalidDrainRequestsAreRefused(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -364,7 +366,7 @@
 		go w.expireLeases()
 		defer w.shutdown()
 		time.Sleep(5 * time.Second)
-		w.startReplicas(t, 1, 2) // 40% of two are none
+		w.startReplicas(t, 1, 2) // 40% of two replicas rounds down to none
 		time.Sleep(15 * time.Second)
 		spot := true
 		for field, q := range map[string]peer.DrainRequest{
@@ -382,13 +384,13 @@
 			}
 		}
 		if r := w.requestDrain(t, peer.DrainRequest{Op: peer.OpPlan, Selection: records.Selection{Spot: &spot}}); r.Problem == nil || r.Problem.Field != "selection" {
-			t.Errorf("no spot machine: %+v", r)
+			t.Errorf("a selection of spot machines, of which there are none: %+v", r)
 		}
 		if n := w.keysUnder(records.KeyDrain(1)); n > 0 {
 			t.Errorf("%d drains are stored", n)
 		}
 		if r := w.requestDrain(t, peer.DrainRequest{Op: peer.OpPlan, MatchAll: true}); r.Plan == nil || r.Plan.FirstPermanentObstacle() == nil {
-			t.Errorf("the plan does not say what can never be done: %+v", r)
+			t.Errorf("the plan names no permanent obstacle: %+v", r)
 		}
 		w.locked(func() {
 			w.kv[records.KeyDrain(3)] = &entry{value: []byte(`{"state":7}`), version: w.revision + 1}
@@ -399,16 +401,17 @@
 		})
 		time.Sleep(2 * time.Second)
 		if s := w.requestDrain(t, peer.DrainRequest{Op: peer.OpStatus}).Status; !slices.Equal(s.Unreadable, []int{3}) {
-			t.Errorf("damaged: %v", s.Unreadable)
+			t.Errorf("unreadable drain records: %v", s.Unreadable)
 		}
 		if r := w.requestDrain(t, peer.DrainRequest{Op: peer.OpResume, Number: 3}); r.Problem == nil || r.Problem.Field != "drain" {
-			t.Errorf("a damaged drain is resumed: %+v", r)
+			t.Errorf("a request to resume a damaged drain was not refused: %+v", r)
 		}
 	})
 }
 
-// A controller of a version without drains, or without the file, holds back what its
-// shard's owner cannot vouch for, and says that it is off.
+// A controller of a version without drains, or without the settings file of drains, publishes no
+// claim for its shard. Drains of other shards wait for that claim, and requests to the
+// controller return that draining is disabled.
 func TestDrainBesideControllerWithoutDraining(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -417,7 +420,7 @@
 		w.controllers[1].set.Draining = nil
 		w.startBeforeDrain(t)
 		if _, err := (simPeer{w.controllers[0], w.controllers[1]}).Drain(context.Background(), peer.DrainRequest{Op: peer.OpStatus}); err != peer.ErrDrainingDisabled {
-			t.Errorf("it answers: %v", err)
+			t.Errorf("the controller without draining answers: %v", err)
 		}
 		number := w.startDrain(t, records.Selection{Zones: []string{"a"}})
 		time.Sleep(40 * time.Second)
@@ -434,17 +437,17 @@
 	})
 }
 
-// What TestDrainLargeFleet plays. For the figures of docs/draining.md:
+// Size and budget of TestDrainLargeFleet. The figures of docs/draining.md come from:
 //
 //	go test ./controller -run TestDrainLargeFleet -v -timeout 0 -drain.machines 4000
 var (
-	drainMachines = flag.Int("drain.machines", 100, "machines of the fleet that is replaced")
-	drainPercent  = flag.String("drain.budget", "5%", "what may be unavailable of the team")
+	drainMachines = flag.Int("drain.machines", 100, "number of machines of the fleet that is replaced")
+	drainPercent  = flag.String("drain.budget", "5%", "disruption budget of the team")
 )
 
-// A large fleet is replaced under a share as its budget, in little more than the least
-// time under it, and with changes of the key-value store that do not grow with the moves
-// of single tasks alone.
+// A large fleet is replaced under a budget given as a share. The drain takes at least the minimum
+// time of its plan. The test logs the elapsed time, which should be little more, and the changes
+// of the key-value store, which should not grow only with the number of moved tasks.
 func TestDrainLargeFleet(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -462,7 +465,7 @@
 		go w.expireLeases()
 		defer w.shutdown()
 		time.Sleep(5 * time.Second)
-		tasks := *drainMachines * 2 // of half a machine
+		tasks := *drainMachines * 2 // each fills half a machine
 		w.startReplicas(t, 4, tasks/4)
 		time.Sleep(30 * time.Second)
 		old := w.machineNames()
@@ -472,10 +475,10 @@
 		w.waitDrainState(t, number, records.DrainFinished, 12*time.Hour)
 		elapsed := time.Since(start)
 		minimum := time.Duration(plan.MinimumS * float64(time.Second))
-		t.Logf("%d machines, %d tasks, budget %s: %s, %s at least (%s); %d changes of the state service, %s of the test's processor time",
+		t.Logf("%d machines, %d tasks, budget %s: %s, %s at least (%s); %d changes of the state service, %s of CPU time",
 			len(old), tasks, *drainPercent, elapsed.Round(time.Second), minimum, plan.BindingBudget, w.stateRevision()-revision, (cpuTime() - cpuTimeBefore).Round(100*time.Millisecond))
 		if n := w.remaining(old); n > 0 || elapsed < minimum {
-			t.Errorf("%d machines are left after %s, at least %s", n, elapsed, minimum)
+			t.Errorf("%d old machines remain after %s, minimum time %s", n, elapsed, minimum)
 		}
 		w.waitUntil(t, "all replicas run again", 3*time.Minute, func() bool { return w.runningReplicas() == tasks })
 		if broken := w.violationList(); len(broken) > 0 {
@@ -484,14 +487,14 @@
 	})
 }
 
-// stateRevision counts the changes of the key-value store.
+// stateRevision returns the revision of the key-value store: the number of its changes.
 func (w *world) stateRevision() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.revision
 }
 
-// cpuTime is what the test has taken so far.
+// cpuTime returns the CPU time that the test process has used.
 func cpuTime() time.Duration {
 	var used syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &used); err != nil {
--- a/controller/faults_test.go
+++ b/controller/faults_test.go
@@ -10,8 +10,8 @@
 	"ravenport/wire"
 )
 
-// hangDuringCancellation is a scenario in which machines hang and, at that moment, jobs on them are
-// cancelled; something more happens to the deployment then.
+// hangDuringCancellation returns a scenario in which machines hang and jobs on them are
+// cancelled at that moment. addFault then injects a further fault.
 func hangDuringCancellation(addFault func(*testing.T, *world, []*simWorker)) func(*testing.T, *world) {
 	return func(t *testing.T, w *world) {
 		b := w.startWork(t, 300)
@@ -28,23 +28,23 @@
 	}
 }
 
-// faultZones are the zones of the deployments in these scenarios.
+// faultZones are the zones of the deployments in faultScenarios.
 var faultZones = []string{"a", "b", "c"}
 
-// ownerController is the controller that owns a zone's shard.
+// ownerController returns the controller that owns a zone's shard.
 func (w *world) ownerController(zone string) *simController {
 	return w.controllers[w.termHolder(records.KeyShard(zone))]
 }
 
-// leaderController is the controller that leads.
+// leaderController returns the controller that is the leader.
 func (w *world) leaderController() *simController {
 	return w.controllers[w.termHolder(records.KeyLeader)]
 }
 
-// faultScenarios are combinations of faults that users have seen break rules of schedulers
-// like this one.
+// faultScenarios are combinations of faults under which users have seen similar schedulers break
+// their rules.
 var faultScenarios = []scenario{
-	{name: "held reports come as a new leader begins", unguard: func(w *world) { w.freshenCopies = true },
+	{name: "delayed heartbeats arrive as a new leader starts", unguard: func(w *world) { w.freshenCopies = true },
 		body: func(t *testing.T, w *world) {
 			w.locked(func() { w.keepHeartbeats = true })
 			b := w.startWork(t, 60)
@@ -53,7 +53,7 @@
 			time.Sleep(3 * time.Second)
 			w.replayHeartbeats()
 			time.Sleep(w.times.lease())
-			w.replayHeartbeats() // of earlier epochs and attempts, after newer ones
+			w.replayHeartbeats() // heartbeats of earlier epochs and attempts, after newer ones
 			w.expectEvent(t, "copies", 100)
 			w.settleAll(t, 6*time.Minute, b.finishes)
 		}},
@@ -66,7 +66,7 @@
 				go w.runUser(j, 0, 0)
 				jobs = append(jobs, j)
 			}
-			w.waitUntil(t, "some of each are done", 60*time.Second, func() bool {
+			w.waitUntil(t, "each job has a finished task", 60*time.Second, func() bool {
 				w.mu.Lock()
 				defer w.mu.Unlock()
 				return !slices.ContainsFunc(jobs, func(j *simJob) bool { return len(j.doneTasks) == 0 })
@@ -77,12 +77,12 @@
 			}
 			for _, j := range jobs {
 				if w.hasEnded(j) {
-					w.fail(t, "%s had ended before the last change", j.spec.ID)
+					w.fail(t, "%s had ended before the last change of leader and owner", j.spec.ID)
 				}
 			}
 			w.settleAll(t, 4*time.Minute, jobs)
 		}},
-	{name: "a team at its limit, machines out of reach, a cancellation, a new leader", unguard: func(w *world) { w.ignoreWorkerLeases, w.ignoreScaleIn = true, true }, wantBrokenRule: "quota",
+	{name: "a team at its limit, machines unreachable, a cancellation, a new leader", unguard: func(w *world) { w.ignoreWorkerLeases, w.ignoreScaleIn = true, true }, wantBrokenRule: "quota",
 		body: func(t *testing.T, w *world) {
 			b := w.startWork(t, 400)
 			held := w.started(b.tight)
@@ -95,7 +95,7 @@
 			w.cancelAndWait(t, held[0], 20*time.Second)
 			w.expectNewTerm(t, records.KeyLeader, func() { w.leaderController().restart(6 * time.Second) })
 			w.expectNewTerm(t, records.KeyShard(unreachable[0].zone), func() { w.ownerController(unreachable[0].zone).restart(6 * time.Second) })
-			w.waitUntil(t, "another of the team starts in its place", 2*w.times.lease()+time.Minute, func() bool {
+			w.waitUntil(t, "another job of the team starts in its place", 2*w.times.lease()+time.Minute, func() bool {
 				return len(slices.DeleteFunc(w.started(b.tight), func(j *simJob) bool { return j == held[0] })) == 2
 			})
 			w.settleAll(t, 25*time.Minute, b.finishes)
@@ -134,12 +134,12 @@
 			time.Sleep(w.times.cancelWithin())
 			w.mu.Lock()
 			if !n.heartbeatReceivedAt.After(cutAt) {
-				w.fail(t, "no machine reported to the cut-off %s", n.set.Controller)
+				w.fail(t, "no machine sent heartbeats to the partitioned %s", n.set.Controller)
 			}
 			w.mu.Unlock()
 			w.settleAll(t, 8*time.Minute, b.finishes)
 		}},
-	{name: "cancellations while a shard changes hands",
+	{name: "cancellations while a shard moves to another owner and back",
 		body: func(t *testing.T, w *world) {
 			batches := [][]*simJob{w.boundArrays(1, 200), w.boundArrays(2, 200), w.boundArrays(3, 200)}
 			w.waitAllRunning(t, batches...)
@@ -147,7 +147,7 @@
 			w.expectNewTerm(t, records.KeyShard("a"), func() { n.kill(); w.cancelAndWait(t, batches[0][0], 20*time.Second) })
 			w.cancelAndWait(t, batches[0][1], 20*time.Second)
 			n.start()
-			// It is given its shard back in good health: cancellations all the while.
+			// The restarted controller gets its shard back. Jobs are cancelled during the transfer.
 			w.expectNewTerm(t, records.KeyShard("a"), func() {
 				go func() {
 					for _, jobs := range batches[1:] {
@@ -163,7 +163,7 @@
 			w.settleAll(t, 5*time.Minute, slices.Concat(batches...))
 			w.expectEvent(t, "close looks", 20)
 		}},
-	{name: "ten leaders in two minutes, also inside an outage",
+	{name: "ten leaders in two minutes, also during an outage",
 		body: func(t *testing.T, w *world) {
 			b := w.startWork(t, 120)
 			for i := range 10 {
@@ -179,7 +179,7 @@
 			}
 			w.settleAll(t, 8*time.Minute, b.finishes)
 		}},
-	{name: "cancellations, questions and repeats meet the end of the last task",
+	{name: "cancellations, polls and repeated submissions at the end of the last task",
 		body: func(t *testing.T, w *world) {
 			jobs := w.submitMany(0, 60*time.Second, 1, 3, 0.7)
 			w.settleAll(t, 3*time.Minute, jobs)
@@ -189,25 +189,25 @@
 				kinds[j.reportedState]++
 			}
 			if kinds[wire.JobDone] < 5 || kinds[wire.JobCancelled] < 5 {
-				w.fail(t, "only %v: the ends never met", kinds)
+				w.fail(t, "cancellations and ends of tasks did not coincide often enough: %v", kinds)
 			}
 		}},
-	{name: "one-task jobs four a second for minutes, a quarter cancelled",
+	{name: "four one-task jobs a second for minutes, a quarter cancelled",
 		body: func(t *testing.T, w *world) {
 			jobs := w.submitMany(0, 150*time.Second, 0.25, 3, 0.25)
 			if len(jobs) < 500 {
 				w.fail(t, "only %d jobs", len(jobs))
 			}
 			w.settleAll(t, 5*time.Minute, jobs)
-			for _, n := range w.controllers { // what is over is not kept
+			for _, n := range w.controllers { // ended jobs must not stay in memory
 				if c := n.running(); c != nil {
 					if open := w.openJobs(c); open > 5 {
-						w.fail(t, "%s still holds %d records of jobs that are over", n.set.Controller, open)
+						w.fail(t, "%s still holds %d records of ended jobs", n.set.Controller, open)
 					}
 				}
 			}
 		}},
-	{name: "answers of transactions are lost while others read what they wrote", unguard: func(w *world) { w.ignoreConditions = true },
+	{name: "responses to transactions are lost while other clients read what they wrote", unguard: func(w *world) { w.ignoreConditions = true },
 		body: func(t *testing.T, w *world) {
 			w.locked(func() { w.lostAnswerShare = 0.3 })
 			jobs := w.submitMany(0, 60*time.Second, 1, 4, 0.5)
@@ -216,7 +216,7 @@
 			w.expectEvent(t, "lost answers", 30)
 			w.expectEvent(t, "close looks", 200)
 		}},
-	{name: "transactions without an answer come late, after newer ones", unguard: func(w *world) { w.ignoreConditions = true },
+	{name: "transactions without a response are applied late, after newer ones", unguard: func(w *world) { w.ignoreConditions = true },
 		body: func(t *testing.T, w *world) {
 			w.locked(func() { w.lateWriteShare = 0.25 })
 			lot := w.submitMany(0, 60*time.Second, 1, 4, 0.5)
@@ -255,7 +255,7 @@
 			time.Sleep(2 * w.times.lease())
 			w.settleAll(t, 6*time.Minute, jobs)
 		}},
-	{name: "shards handed there and back, all end, one returns within a second",
+	{name: "a shard moves back and forth, all controllers end, one restarts within a second",
 		body: func(t *testing.T, w *world) {
 			b := w.startWork(t, 150)
 			n := w.ownerController("b")
@@ -266,7 +266,7 @@
 			}
 			w.controllers[1].restart(700 * time.Millisecond)
 			time.Sleep(1200 * time.Millisecond)
-			w.controllers[1].restart(200 * time.Millisecond) // in the middle of the election
+			w.controllers[1].restart(200 * time.Millisecond) // during the election
 			w.expectNewTerm(t, records.KeyShard("b"), func() {})
 			w.cancelAndWait(t, b.long[1], 30*time.Second)
 			time.Sleep(10 * time.Second)
@@ -274,17 +274,18 @@
 			w.controllers[2].start()
 			w.settleAll(t, 8*time.Minute, b.finishes)
 		}},
-	// Without tokens no rule was seen broken here: what owners keep of attempts is
-	// enough. That tokens are missed is shown by TestCheckerNoticesMissingGuards.
-	{name: "commands are held up for seconds and carried out",
+	// No guard is disabled here. Without fencing tokens no rule was broken in this scenario,
+	// because the owners' records of attempts suffice. TestCheckerNoticesMissingGuards shows
+	// that fencing tokens are needed.
+	{name: "commands are delayed for seconds and then executed",
 		body: func(t *testing.T, w *world) {
-			// All owners end just after they decided starts that are held up on their way.
-			w.boundArraysOf(0, 3, 24, 30) // machines are there
+			// All owners end just after they sent start commands that are delayed.
+			w.boundArraysOf(0, 3, 24, 30) // so that machines exist
 			w.locked(func() { w.lateCommandShare = 0.8 })
 			var jobs []*simJob
 			for i := range 6 {
 				jobs = append(jobs, w.boundArraysOf(100*(i+1), 3, 16, 25)...)
-				w.waitUntil(t, "starts are decided", 30*time.Second, func() bool { return len(w.started(jobs)) > 4*i })
+				w.waitUntil(t, "tasks of each batch have started", 30*time.Second, func() bool { return len(w.started(jobs)) > 4*i })
 				for _, n := range w.controllers {
 					n.restart(w.randomDuration(500*time.Millisecond, 2*time.Second))
 				}
@@ -300,10 +301,10 @@
 		body: hangDuringCancellation(func(t *testing.T, w *world, hung []*simWorker) {
 			time.Sleep(w.times.cancelWithin() + 20*time.Second)
 		})},
-	{name: "machines with cancelled tasks hang while all controllers are away",
+	{name: "machines with cancelled tasks hang while all controllers are down",
 		body: hangDuringCancellation(func(t *testing.T, w *world, hung []*simWorker) {
 			time.Sleep(time.Second)
-			w.locked(func() { w.hungPastLeaseIsDead = true }) // the new owners notice the hang by missing heartbeats alone, and late
+			w.locked(func() { w.hungPastLeaseIsDead = true }) // the new owners detect the hang only by missing heartbeats, and late
 			for _, n := range w.controllers {
 				n.kill()
 			}
@@ -322,7 +323,7 @@
 			time.Sleep(w.times.cancelWithin() + 20*time.Second)
 			w.setOutage(false)
 		})},
-	{name: "a zone with its controller is cut off for longer than the lease", unguard: func(w *world) { w.ignoreWorkerLeases, w.ignoreScaleIn = true, true }, wantBrokenRule: "ran_cancelled",
+	{name: "a zone with its controller is partitioned for longer than the lease", unguard: func(w *world) { w.ignoreWorkerLeases, w.ignoreScaleIn = true, true }, wantBrokenRule: "ran_cancelled",
 		body: func(t *testing.T, w *world) {
 			b := w.startWork(t, 200)
 			w.locked(func() { w.partitionedZone = "a" })
@@ -331,7 +332,7 @@
 			time.Sleep(w.times.cancelWithin() + 5*time.Second)
 			w.settleAll(t, 10*time.Minute, b.finishes)
 		}},
-	{name: "more work than room, urgent and not, over slow links",
+	{name: "more work than capacity, of all priorities, over slow links",
 		body: func(t *testing.T, w *world) {
 			w.locked(func() {
 				w.storeLatency = 400 * time.Millisecond
@@ -353,9 +354,9 @@
 			w.expectNewTerm(t, records.KeyLeader, func() { w.leaderController().restart(time.Second) })
 			w.settleAll(t, 15*time.Minute, jobs)
 		}},
-	// No guard is taken away: what it leans on, that owners wait for the heartbeats of
-	// all machines or their leases' ends, is no one's but the owners'.
-	{name: "all controllers are away for longer than the lease",
+	// No guard is disabled: the scenario depends on owners waiting for the heartbeats of all
+	// machines or for the ends of their leases, which only the owners implement.
+	{name: "all controllers are down for longer than the lease",
 		body: func(t *testing.T, w *world) {
 			b := w.startWork(t, 100)
 			w.cancelAndWait(t, b.long[2], 20*time.Second)
@@ -369,7 +370,7 @@
 			w.expectNewTerm(t, records.KeyShard("a"), func() {})
 			w.settleAll(t, 8*time.Minute, b.finishes)
 		}},
-	{name: "a leader ends while machines with long tasks do not hear the new one", unguard: func(w *world) { w.ignoreWorkerLeases, w.ignoreScaleIn = true, true }, wantBrokenRule: "ran_twice",
+	{name: "a leader ends while machines with long tasks do not receive from the new one", unguard: func(w *world) { w.ignoreWorkerLeases, w.ignoreScaleIn = true, true }, wantBrokenRule: "ran_twice",
 		body: func(t *testing.T, w *world) {
 			b := w.startWork(t, 150)
 			for i, j := range []*simJob{b.long[0], b.long[1], b.free} {
@@ -381,7 +382,7 @@
 			time.Sleep(w.times.cancelWithin() + 5*time.Second)
 			w.settleAll(t, 10*time.Minute, b.finishes)
 		}},
-	{name: "machines up within two seconds get work while writes lag, and the leader ends",
+	{name: "machines that boot within two seconds get work while writes are slow, and the leader ends",
 		body: func(t *testing.T, w *world) {
 			w.locked(func() { w.bootWithin, w.storeLatency, w.lateWriteShare = 2*time.Second, 700*time.Millisecond, 0.1 })
 			lot := w.submitMany(0, 20*time.Second, 0.4, 12, 0.25)
@@ -410,7 +411,7 @@
 			time.Sleep(w.times.cancelWithin())
 			w.settleAll(t, 8*time.Minute, b.finishes)
 		}},
-	{name: "the state service answers slowly, refuses the leader, then is away for long",
+	{name: "the state service responds slowly, refuses the leader, then is unavailable for long",
 		body: func(t *testing.T, w *world) {
 			w.locked(func() { w.storeLatency = 600 * time.Millisecond })
 			b := w.startWork(t, 200)
@@ -421,7 +422,7 @@
 			w.locked(func() { n.cutFromStore = true })
 			other := (slices.Index(w.controllers, n) + 1) % 3
 			if !w.cancelAt(other, b.long[0]) || !w.cancelAt(other, b.free) {
-				w.stopScenario(t, "nobody confirmed")
+				w.stopScenario(t, "the other controller did not confirm the cancellations")
 			}
 			w.pollClosely(b.free)
 			w.setOutage(true)
@@ -432,7 +433,7 @@
 		}},
 }
 
-// TestFaultCombinations plays combinations of faults.
+// TestFaultCombinations runs all faultScenarios.
 func TestFaultCombinations(t *testing.T) {
 	for i := range faultScenarios {
 		s := &faultScenarios[i]
--- a/controller/large_fleet_test.go
+++ b/controller/large_fleet_test.go
@@ -12,19 +12,18 @@
 	"ravenport/wire"
 )
 
-// largeFleetMachines is how many machines no limit may stand below.
+// largeFleetMachines is the fleet size that every limit must allow.
 const largeFleetMachines = 4000
 
-// lossyFleetMachines is how many machines TestLossyFleet plays, and lostAnswerFraction which share of
-// answers is lost.
+// lossyFleetMachines is the fleet size of TestLossyFleet, and lostAnswerFraction is the share of the
+// machines' responses that is lost.
 var (
-	lossyFleetMachines = flag.Int("lossy.machines", 600, "machines of the fleet whose answers are lost now and then")
-	lostAnswerFraction = flag.Float64("lossy.share", 0.45, "share of their answers that is lost")
+	lossyFleetMachines = flag.Int("lossy.machines", 600, "number of machines of the fleet whose responses are lost at random")
+	lostAnswerFraction = flag.Float64("lossy.share", 0.45, "share of their responses that is lost")
 )
 
-// Where answers are lost by chance, machines now and then leave all commands of a scale-in
-// unanswered, or receive nothing for a lease. Whatever starts again was on one of those, and
-// all others stay.
+// With random loss of responses, a machine sometimes answers none of the commands of a scale-in,
+// or receives nothing for the duration of its lease. Only tasks on such machines are restarted.
 func TestLossyFleet(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -44,9 +43,9 @@
 	})
 }
 
-// A deployment of 4,000 machines, all of them in one shard or half in each of two,
-// starts, loses an owner, and comes through an outage that is longer than the workers'
-// lease: every machine is used, nothing that runs stops, and work goes on.
+// A deployment of 4,000 machines, all in one shard or half in each of two, starts, loses an
+// owner, and survives an outage that is longer than the workers' lease: every machine is used,
+// no running task stops, and new jobs run.
 func TestLargeFleet(t *testing.T) {
 	discardLogs(t)
 	for name, zone := range map[string]string{"in one shard": "a", "in two shards": ""} {
@@ -56,7 +55,7 @@
 	}
 }
 
-// runLargeFleet plays a fleet of so many machines. Without loss nothing may start again.
+// runLargeFleet runs a fleet of a number of machines. Without loss no task may be restarted.
 func runLargeFleet(t *testing.T, zone string, machines int, loss float64) *world {
 	w := newWorldWithTimes(1, []string{"a", "b"}, 3, umoyaTimes)
 	w.lateCommandShare, w.reliableCloud, w.lostAnswerShare, w.lateWriteShare, w.repeatedWriteShare, w.lateCopyShare = 0, true, 0, 0, 0, 0
@@ -119,7 +118,7 @@
 	return w
 }
 
-// keysUnder counts the key-value store's keys under a prefix.
+// keysUnder counts the key-value store's keys that begin with a prefix.
 func (w *world) keysUnder(prefix string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/controller/lease_end_test.go
+++ b/controller/lease_end_test.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// The simulated workers looked at their lease only between two heartbeats, and one that waited
-// for an answer, for up to 4 s, kept its tasks for so long beyond the end of its lease. By the
-// protocol a worker kills all its tasks when the last answered report was sent more than
-// lease_s ago. With that the sum of authority, lease extension and lease, which leaves 2 s of
-// cancel_s, was passed: an owner cut off with its zone as a job was cancelled, and frozen when
-// the lease ended, broke ran_cancelled on a healthy machine ("hung false, cut false, deaf
-// false") in 1 of 1,220 plays, 45.5 s after the cancellation, with "heartbeat sent
-// controller=n-0" 0.8 s before the lease's end and no answer after it.
+// These tests guard against workers that keep tasks beyond the end of their lease. By the
+// protocol a worker kills all its tasks when the last answered heartbeat was sent more than
+// lease_s ago. The simulated workers used to check their lease only between two heartbeats, so
+// a worker that waited for a response, for up to 4 s, kept its tasks that much too long. The
+// sum of authority, lease extension and lease leaves only 2 s of cancel_s. An owner that was
+// partitioned with its zone as a job was cancelled, and frozen when the lease ended, therefore
+// broke ran_cancelled on a healthy machine ("hung false, cut false, deaf false") in 1 of 1,220
+// runs, 45.5 s after the cancellation, with "heartbeat sent controller=n-0" 0.8 s before the end
+// of the lease and no response after it.
 
-// leaseEndSlack is how late a simulated worker may see that its lease has ended: its step,
-// and a look of the check.
+// leaseEndSlack is how late a simulated worker may notice the end of its lease: one step of the
+// worker and one interval of the check.
 const leaseEndSlack = 200 * time.Millisecond
 
-// expectNoTaskPastLease checks that no machine that runs keeps tasks beyond its lease.
+// expectNoTaskPastLease checks that no machine, unless it hangs, keeps tasks beyond its lease.
 func (w *world) expectNoTaskPastLease(t *testing.T) {
 	t.Helper()
 	w.mu.Lock()
@@ -32,7 +33,8 @@
 	}
 }
 
-// A worker ends its tasks when its lease ends, also while a heartbeat waits for its answer.
+// A worker ends its tasks when its lease ends, also while it waits for the response to a
+// heartbeat.
 func TestLeaseEndsWhileHeartbeatWaits(t *testing.T) {
 	discardLogs(t)
 	for seed := range uint64(5) {
@@ -55,9 +57,9 @@
 	}
 }
 
-// An owner that is cut off with its zone as a job is cancelled extends the leases there for
-// as long as it may. If it answers nothing when they end, the job's tasks are still gone
-// within cancel_s.
+// An owner that is partitioned with its zone as a job is cancelled extends the leases there for
+// as long as allowed. If the owner answers no heartbeat when the extension ends, the job's tasks
+// still end within cancel_s.
 func TestLongestLeaseEndsWithinCancelTime(t *testing.T) {
 	discardLogs(t)
 	for seed := range uint64(60) {
@@ -74,7 +76,7 @@
 			w.waitUntil(t, "the cancellation is confirmed", 20*time.Second, func() bool { return w.cancelAt(1, j) })
 			time.Sleep(w.times.cancelWithin() - w.randomDuration(3*time.Second, 5*time.Second))
 			owner.freeze(10 * time.Second)
-			w.waitUntil(t, "the tasks are gone", 20*time.Second, func() bool { return w.tasksOn("a", j.spec.ID) == 0 })
+			w.waitUntil(t, "the tasks have ended", 20*time.Second, func() bool { return w.tasksOn("a", j.spec.ID) == 0 })
 			if len(w.violations) > 0 {
 				t.Errorf("seed %d: %s", seed, w.violations[0])
 			}
--- a/controller/overload_test.go
+++ b/controller/overload_test.go
@@ -15,9 +15,9 @@
 	"ravenport/wire"
 )
 
-// crush is a leader and two owners whose machines cannot grow in number, fed by
-// hand step by step with three times the work that they can do. Everything is
-// carried out at once and by simulated time.
+// overload drives a leader and two owners, without actors, in steps of simulated time. The number
+// of machines is fixed, and three times as much work is submitted as they can do. All actions
+// are executed at once.
 type overload struct {
 	rng        *rand.Rand
 	now        time.Time
@@ -28,16 +28,16 @@
 	names      []string
 	jobs       map[string]*overloadJob
 	order      []string
-	roundClock time.Time // the clock that rounds are taken by
+	roundClock time.Time // simulated clock that bounds the duration of rounds
 }
 
-// roundTimePerJob is what the look at a job takes on the rounds' clock: some ten times what it
-// does on a real one, so that rounds are cut off sooner than there.
+// roundTimePerJob is the time on the round clock that a round takes for one job. It is about ten
+// times the real time, so that rounds reach their time limit sooner than with the real clock.
 const roundTimePerJob = 50 * time.Microsecond
 
-// advanceRoundClock is the clock of rounds, by the jobs that were looked at. By the real clock a
-// busy machine cut rounds off anywhere, and once in some forty runs beside heavy
-// load a large job began late.
+// advanceRoundClock is the clock of rounds. It advances with each job that a round visits. With
+// the real clock, rounds on a busy machine were cut off at arbitrary jobs, and a large job
+// started late in about one of forty runs under heavy load.
 func (c *overload) advanceRoundClock() time.Time {
 	c.roundClock = c.roundClock.Add(roundTimePerJob)
 	return c.roundClock
@@ -49,7 +49,7 @@
 	submittedAt time.Time
 	startedAt   time.Time
 	cancelAt    time.Time
-	remaining   map[int]bool // tasks not done
+	remaining   map[int]bool // indexes of the tasks that are not done
 }
 
 type overloadWorker struct {
@@ -125,7 +125,7 @@
 	c.applyRecord(records.KeyJob(s.ID), &records.Job{ID: s.ID, Spec: s, AcceptedMS: c.now.UnixMilli()})
 }
 
-// conditionsHold says that a transaction's conditions on jobs hold.
+// conditionsHold reports whether a transaction's conditions on jobs hold.
 func (c *overload) conditionsHold(t wire.Txn) bool {
 	for _, k := range t.Conditions {
 		for id, j := range c.jobs {
@@ -175,7 +175,7 @@
 					o.CommitResult(c.now, act.ID, 0)
 				}
 			case shard.ScaleOut:
-				o.ScaleOutResult(c.now, act.Request.RequestID, nil, true) // no more machines, ever
+				o.ScaleOutResult(c.now, act.Request.RequestID, nil, true) // the cloud never has capacity
 			case shard.SendCommands:
 				w := c.workers[act.Machine]
 				w.token = max(w.token, act.Request.FencingToken)
@@ -209,7 +209,7 @@
 	}
 }
 
-// cancelDue cancels the jobs whose time has come.
+// cancelDue cancels the jobs whose cancellation is due.
 func (c *overload) cancelDue() {
 	for _, id := range c.order {
 		if j := c.jobs[id]; !j.cancelAt.IsZero() && c.now.After(j.cancelAt) && j.record.End == "" {
@@ -257,25 +257,26 @@
 	}
 }
 
-// runOverload plays minutes of lasting overload and returns the jobs that had the
-// time to be served.
+// runOverload runs eight minutes of sustained overload and returns the jobs that were submitted
+// more than four minutes before the end.
 func runOverload(seed uint64) (*overload, []*overloadJob) {
 	c := newOverload(seed)
 	const capacity = 2 * 10 * 8.0 // CPUs
 	n, load := 0, 0.0
 	for quarter := 0; quarter < 8*60*4; quarter++ {
-		// Three times what there is: CPU seconds that come in a quarter of a second.
+		// Submits three times the capacity on average: load counts the CPU seconds that are
+		// submitted in a quarter of a second.
 		for load += 3 * capacity / 4 * c.rng.Float64() * 2; load > 0; n++ {
 			s := wire.Submission{ID: fmt.Sprintf("run-%06d", n), Class: "arrays", Team: []string{"sure", "tight", "free", "free"}[c.rng.IntN(4)],
 				Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 4 + c.rng.IntN(32), CPUs: float64(1 + c.rng.IntN(3)), MemoryGB: 1,
 				Image: fmt.Sprint("i", c.rng.IntN(3)), EstimateS: float64(5 + c.rng.IntN(15)), Spot: true}
 			lifetime := time.Duration(0)
 			switch c.rng.IntN(12) {
-			case 0: // large ones
+			case 0: // large jobs
 				s.Tasks = 160
-			case 1: // of tasks that need nearly a whole machine
+			case 1: // tasks that need nearly a whole machine
 				s.CPUs, s.Tasks = 7, 6
-			case 2, 3, 4: // services; a third of the load, and they go again
+			case 2, 3, 4: // services, which are cancelled after 30 s; a third of the load
 				s.Class, s.Kind, s.Priority, s.Spot, s.EstimateS, s.CPUs = "services", wire.KindService, wire.PriorityProduction, false, 0, 1
 				s.Tasks, s.Spread = 1+c.rng.IntN(3), true
 				if c.rng.IntN(8) == 0 {
@@ -297,8 +298,9 @@
 	return c, settled
 }
 
-// Under lasting overload at least half of every class, of every team and of each
-// class's largest jobs is served, and the largest begin within four minutes.
+// Under sustained overload at least half of the jobs of each class and of each team start within
+// four minutes. The largest jobs of each class and the jobs with large tasks all start within
+// four minutes.
 func TestNoStarvationUnderOverload(t *testing.T) {
 	discardLogs(t)
 	for seed := range uint64(2) {
@@ -332,12 +334,12 @@
 					}
 				}
 			}
-			t.Logf("seed %d: %s: %d jobs, %d served, %d within four minutes", seed, name, len(group), served, startedInTime)
+			t.Logf("seed %d: %s: %d jobs, %d started, %d within four minutes", seed, name, len(group), served, startedInTime)
 			if 2*served < len(group) {
-				t.Errorf("seed %d: %s: %d of %d served", seed, name, served, len(group))
+				t.Errorf("seed %d: %s: %d of %d started", seed, name, served, len(group))
 			}
 			if large := strings.HasPrefix(name, "large"); startedInTime < len(group) && large || 2*startedInTime < len(group) {
-				t.Errorf("seed %d: %s: %d of %d began within four minutes", seed, name, startedInTime, len(group))
+				t.Errorf("seed %d: %s: %d of %d started within four minutes", seed, name, startedInTime, len(group))
 			}
 		}
 		if len(groups) < 8 {
--- a/controller/peer_status_test.go
+++ b/controller/peer_status_test.go
@@ -25,8 +25,9 @@
 	return 0, kvstore.ErrRefused
 }
 
-// A shard whose figures change all the time does not keep its status from anybody: an
-// owner that workers cannot reach would not learn that others receive their heartbeats.
+// A shard whose figures change continuously still pushes its status to each peer about once a
+// second. Otherwise an owner that its workers cannot reach would not learn that other
+// controllers receive their heartbeats.
 func TestBusyShardStillPushesStatusToAll(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -42,11 +43,11 @@
 			c.pushStatus(t.Context(), time.Now())
 			time.Sleep(200 * time.Millisecond)
 			synctest.Wait()
-			clear(c.push.inFlight) // answered
+			clear(c.push.inFlight) // as if the peers had responded
 		}
 		for name, p := range peers {
 			if n := p.received.Load(); n < 15 || n > 25 {
-				t.Errorf("%s was told %d times in 20 s, wanted about one a second", name, n)
+				t.Errorf("%s received %d statuses in 20 s, wanted about one a second", name, n)
 			}
 		}
 	})
--- a/controller/random_faults_test.go
+++ b/controller/random_faults_test.go
@@ -17,11 +17,11 @@
 	"ravenport/wire"
 )
 
-// randomDays and firstSeed let a developer play many more days than CI does.
+// randomDays and firstSeed let a developer run many more random scenarios than CI does.
 var (
-	randomDays = flag.Uint64("sim.days", 12, "generated days to play")
+	randomDays = flag.Uint64("sim.days", 12, "number of random scenarios to run")
 	printLogs  = flag.Bool("sim.log", false, "print the controllers' logs")
-	firstSeed  = flag.Uint64("sim.from", 0, "seed of the first day")
+	firstSeed  = flag.Uint64("sim.from", 0, "seed of the first random scenario")
 )
 
 func discardLogs(t *testing.T) {
@@ -34,8 +34,8 @@
 	t.Cleanup(func() { slog.SetDefault(old) })
 }
 
-// Whatever fails, no rule of the protocol is broken, and once things have
-// calmed down everything accepted comes to its end.
+// Under random faults no rule of the protocol is broken, and every accepted job ends once
+// the faults are over.
 func TestRulesHoldThroughTroubles(t *testing.T) {
 	discardLogs(t)
 	for seed := *firstSeed; seed < *firstSeed+*randomDays; seed++ {
@@ -53,8 +53,9 @@
 				t.Errorf("seed %d: only %d tasks started", seed, w.starts)
 			}
 			for key, n := range w.oversizedWrites {
-				// Each of a leader and the owners learns it once, if the limits fall
-				// before it is known that all controllers read packed records.
+				// If the size limits are lowered before it is known that all controllers
+				// read packed records, the leader and each owner learn the new limit from
+				// one refused write each.
 				if n > 6 {
 					t.Errorf("seed %d: %d writes of %s were larger than the limits", seed, n, key)
 				}
@@ -70,17 +71,18 @@
 	}
 }
 
-// The checker has teeth: without the guards that the protocol gives, it finds
-// the rules broken. A guard that is never missed would prove nothing.
+// With any one guard of the protocol disabled, the checker must report a broken rule. If it
+// did not, the tests in which no rule is broken would prove nothing about that guard.
 func TestCheckerNoticesMissingGuards(t *testing.T) {
 	discardLogs(t)
-	for name, removeGuard := range map[string]func(*world){
-		"conditional writes": func(w *world) { w.ignoreConditions = true },
-		"tokens":             func(w *world) { w.ignoreTokens = true; w.lateCommandShare = 0.5 },
-		// With the cloud away nothing is surely gone but by its lease.
-		"the order of reports":                        func(w *world) { w.freshenCopies = true },
-		"answers about each job, however others fare": func(w *world) { w.unansweredJob = "run-000003" },
+	for name, unguard := range map[string]func(*world){
+		"conditional writes":   func(w *world) { w.ignoreConditions = true },
+		"tokens":               func(w *world) { w.ignoreTokens = true; w.lateCommandShare = 0.5 },
+		"the order of reports": func(w *world) { w.freshenCopies = true },
+		"answers about each job, independent of other jobs": func(w *world) { w.unansweredJob = "run-000003" },
 		"workers' leases": func(w *world) {
+			// While the cloud is unavailable, only an expired lease proves that a machine's
+			// tasks have ended.
 			w.ignoreWorkerLeases = true
 			time.AfterFunc(60*time.Second, func() { w.cloudUnavailable = true })
 		},
@@ -88,22 +90,20 @@
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(60) {
 				found := false
-				synctest.Test(t, func(t *testing.T) {
-					found = len(playRandomDay(t, seed, []string{"a", "b"}, removeGuard).violations) > 0
-				})
+				synctest.Test(t, func(t *testing.T) { found = len(playRandomDay(t, seed, []string{"a", "b"}, unguard).violations) > 0 })
 				if found {
-					t.Logf("noticed on day %d", seed)
+					t.Logf("broken rule reported with seed %d", seed)
 					return
 				}
 			}
-			t.Error("sixty days without this guard, and no rule was seen broken")
+			t.Error("no broken rule was reported in 60 scenarios without this guard")
 		})
 	}
 }
 
-// A machine whose heartbeats arrive while nothing reaches it gets nothing more, is
-// told apart from a slow one, and is terminated; its replicas run elsewhere long before
-// its own lease could be believed to have ended, and no rule is broken.
+// A machine that sends heartbeats but receives nothing gets no more tasks, is distinguished
+// from a slow machine, and is terminated. Its replicas run on other machines long before the
+// owner could assume that the machine's lease has expired, and no rule is broken.
 func TestMachineThatReceivesNothingIsTerminated(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -119,14 +119,14 @@
 		}
 		if notReceiving == nil {
 			w.mu.Unlock()
-			t.Fatal("nothing runs")
+			t.Fatal("no machine runs a task")
 		}
 		notReceiving.receivesNothing = true
 		w.mu.Unlock()
 		time.Sleep(45 * time.Second)
 		w.mu.Lock()
 		if !notReceiving.removed {
-			t.Errorf("%s was not given back", notReceiving.name)
+			t.Errorf("%s was not terminated", notReceiving.name)
 		}
 		if n := w.runningTasks("run-000001"); n != 4 {
 			t.Errorf("%d of 4 replicas run", n)
@@ -136,8 +136,8 @@
 	})
 }
 
-// An owner that reaches its machines while their heartbeats do not reach it transfers
-// its shard before their leases end: answers to its calls renew none.
+// An owner that can call its machines but does not receive their heartbeats transfers its
+// shard before their leases expire. Responses to the owner's calls do not renew a lease.
 func TestOwnerWithoutHeartbeatsTransfersTerm(t *testing.T) {
 	expectNoRestarts(t, 8, 4, func(w *world) {
 		w.mu.Lock()
@@ -147,8 +147,8 @@
 	})
 }
 
-// While the key-value store is away for all, and the controllers reach each other,
-// what runs goes on, for much longer than the workers' lease.
+// While the key-value store is unavailable to all controllers and the controllers reach each
+// other, running tasks continue for much longer than the workers' lease.
 func TestOutageLongerThanLeaseStopsNoTask(t *testing.T) {
 	expectNoRestarts(t, 6, 4, func(w *world) {
 		w.setOutage(true)
@@ -158,9 +158,9 @@
 	})
 }
 
-// A zone that is cut off with its owner, for longer than the workers' lease, runs
-// on: the owner inside tends its machines, and the next one outside, which receives
-// no heartbeat, terminates none.
+// The tasks of a zone that is partitioned together with its owner, for longer than the
+// workers' lease, keep running: the owner inside extends the leases of its machines, and the
+// next owner outside, which receives no heartbeats, terminates no machine.
 func TestPartitionedZoneKeepsRunning(t *testing.T) {
 	expectNoRestarts(t, 8, 12, func(w *world) {
 		isolate := func(z string) { w.mu.Lock(); w.partitionedZone = z; w.mu.Unlock() }
@@ -171,8 +171,9 @@
 	})
 }
 
-// Lease extension for longer than the next owner counts on would let tasks run twice, and
-// the checker sees it; as long as it is counted it does not.
+// If an owner extends leases for longer than the next owner assumes, tasks run twice, and the
+// checker reports it. If the next owner takes the whole extension into account, no rule is
+// broken.
 func TestLeaseExtensionMustBeCounted(t *testing.T) {
 	discardLogs(t)
 	for _, counted := range []bool{true, false} {
@@ -180,12 +181,12 @@
 			w := newWorld(9, []string{"a", "b"}, 3)
 			w.lateCommandShare, w.reliableCloud = 0, true
 			for _, n := range w.controllers {
-				n.set.Deployment.Workers.CancelTimeoutS = 100 // so that much is tended
+				n.set.Deployment.Workers.CancelTimeoutS = 100 // allows a long lease extension
 				n.start()
 			}
 			go w.expireLeases()
 			time.Sleep(5 * time.Second)
-			w.startService("run-000001", 2) // one in each zone: machines with room
+			w.startService("run-000001", 2) // one task in each zone: machines with free capacity
 			time.Sleep(30 * time.Second)
 			j := &simJob{spec: wire.Submission{ID: "run-000002", Class: "c", Team: "free", Kind: wire.KindService, Priority: wire.PriorityProduction,
 				Tasks: 1, CPUs: 4, MemoryGB: 1, Image: "i", ImageGB: 1}, doneTasks: map[int]bool{}}
@@ -203,16 +204,16 @@
 					}
 				}
 			}
-			w.cloudUnavailable, w.partitionedZone = true, zone // nothing is surely gone but by its lease
+			w.cloudUnavailable, w.partitionedZone = true, zone // only an expired lease proves that a task has ended
 			w.mu.Unlock()
 			if !counted {
 				for _, n := range w.controllers {
-					n.set.Deployment.Workers.CancelTimeoutS = 45 // as whoever acquires a term from here on counts
+					n.set.Deployment.Workers.CancelTimeoutS = 45 // the value that a controller assumes when it acquires a term from now on
 				}
 			}
 			time.Sleep(120 * time.Second)
 			if broken := len(w.violations) > 0; broken == counted {
-				t.Errorf("counted %v, in %s: %d broken rules %v", counted, zone, len(w.violations), w.violations)
+				t.Errorf("extension counted by the next owner: %v, zone %s: %d broken rules %v", counted, zone, len(w.violations), w.violations)
 			}
 			w.mu.Lock()
 			w.violations, w.partitionedZone = nil, ""
@@ -222,8 +223,8 @@
 	}
 }
 
-// expectNoRestarts checks that a service runs on through a trouble without a
-// single start.
+// expectNoRestarts checks that a service keeps running during a fault and that no task is
+// started.
 func expectNoRestarts(t *testing.T, seed uint64, tasks int, fault func(*world)) {
 	t.Helper()
 	discardLogs(t)
@@ -237,21 +238,21 @@
 		fault(w)
 		w.mu.Lock()
 		if n := w.runningTasks("run-000001"); n != tasks || w.starts != starts {
-			t.Errorf("%d of %d replicas run, %d starts since", n, tasks, w.starts-starts)
+			t.Errorf("%d of %d replicas run, %d starts since the fault began", n, tasks, w.starts-starts)
 		}
 		w.mu.Unlock()
 		w.checkAndShutdown(t)
 	})
 }
 
-// Without the promise of all others an owner gives no command and falls silent in
-// time: at once if another controller tells it that it has been replaced, and where none
-// can, once it has tended its machines for as long as cancel_s leaves.
+// An owner without lease extensions from all other controllers sends no commands and stops
+// answering heartbeats in time: at once if another controller reports that the owner has been
+// replaced, otherwise when the lease extension that cancel_s allows is over.
 func TestOwnerWithoutExtensionLosesAuthority(t *testing.T) {
 	discardLogs(t)
 	for name, inject := range map[string]func(*world){
 		"refused alone": func(w *world) { w.controllers[0].cutFromStore = true },
-		"a sibling out of reach": func(w *world) {
+		"another controller unreachable": func(w *world) {
 			w.storeOutage = true
 			w.controllers[2].cutFromPeers = true
 		},
@@ -282,13 +283,13 @@
 				time.Sleep(10 * time.Second)
 				for _, z := range w.controllers[0].set.Deployment.Zones {
 					if sendHeartbeat(z, 1) && name == "refused alone" {
-						t.Errorf("answers for %s though it has been replaced", z)
+						t.Errorf("the owner answers heartbeats for %s though it has been replaced", z)
 					}
 				}
 				time.Sleep(w.controllers[0].set.LeaseExtension())
 				for _, z := range w.controllers[0].set.Deployment.Zones {
 					if sendHeartbeat(z, 2) {
-						t.Errorf("answers for %s when its lease extension is over", z)
+						t.Errorf("the owner answers heartbeats for %s after its lease extension has ended", z)
 					}
 				}
 				w.checkAndShutdown(t)
@@ -297,7 +298,8 @@
 	}
 }
 
-// expireLeases ends the key-value store's leases in time.
+// expireLeases expires the key-value store's leases and checks the rules about cancelled and
+// waiting jobs, every 50 ms until shutdown.
 func (w *world) expireLeases() {
 	for {
 		select {
@@ -311,7 +313,7 @@
 	}
 }
 
-// newFaultFreeWorld is a deployment without troubles, all controllers up.
+// newFaultFreeWorld returns a deployment without faults whose controllers are all up.
 func newFaultFreeWorld(seed uint64) *world {
 	w := newWorld(seed, []string{"a", "b"}, 3)
 	w.lateCommandShare, w.reliableCloud = 0, true
@@ -323,7 +325,7 @@
 	return w
 }
 
-// startService submits a service and lets its user poll.
+// startService submits a service, whose user then polls.
 func (w *world) startService(id string, tasks int) {
 	j := &simJob{spec: wire.Submission{ID: id, Class: "c", Team: "free", Kind: wire.KindService, Priority: wire.PriorityProduction,
 		Tasks: tasks, CPUs: 4, MemoryGB: 1, Image: "i", ImageGB: 1, Spread: true}, doneTasks: map[int]bool{}}
@@ -333,7 +335,7 @@
 	go w.runUser(j, 0, 0)
 }
 
-// runningTasks counts a job's tasks that run. The caller holds the lock.
+// runningTasks counts a job's running tasks. The caller holds the lock.
 func (w *world) runningTasks(id string) int {
 	n := 0
 	for _, m := range w.machines {
@@ -346,6 +348,7 @@
 	return n
 }
 
+// checkAndShutdown reports broken rules and shuts the world down.
 func (w *world) checkAndShutdown(t *testing.T) {
 	t.Helper()
 	if len(w.violations) > 0 {
@@ -354,19 +357,19 @@
 	w.shutdown()
 }
 
-// shutdown ends everything that runs in the world.
+// shutdown ends all controllers and goroutines of the world.
 func (w *world) shutdown() {
 	close(w.done)
-	w.locked(func() { w.partitionedZone = "" }) // releases what the partition holds back
+	w.locked(func() { w.partitionedZone = "" }) // releases calls that the partition blocks
 	for _, n := range w.controllers {
 		n.kill()
 	}
 	time.Sleep(2 * time.Minute)
 }
 
-// addOldRecords fills the key-value store with what the version before may leave behind, as
-// large as its limits were: an inventory page of machines that are gone since, and an
-// array in many pieces.
+// addOldRecords fills the key-value store with records that the previous version may have
+// written, as large as its size limits allowed: an inventory page of machines that no longer
+// exist, and an array with many assignments.
 func (w *world) addOldRecords() {
 	put := func(key string, v any) {
 		w.revision++
@@ -391,5 +394,5 @@
 	put(records.KeyJob(s.ID), rec)
 	j := &simJob{spec: s, doneTasks: map[int]bool{}}
 	w.jobs[s.ID] = j
-	go w.runUser(j, 0, 0) // its user asks again and then polls
+	go w.runUser(j, 0, 0) // its user submits again and then polls
 }
--- a/controller/redirects_test.go
+++ b/controller/redirects_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Only a worker that comes back with a newer heartbeat, lately, from the same owner,
-// was not served there.
+// A worker counts as unserved by the owner that it was redirected to only if it returns with a
+// newer heartbeat within the window and the owner is still the same.
 func TestRedirectTracker(t *testing.T) {
 	const window = 6 * time.Second
 	now := time.Unix(0, 0)
@@ -37,7 +37,7 @@
 			t.Errorf("%s: %d", name, got)
 		}
 		if r.countReturned(at.Add(3 * window)); len(r.workers) != 0 {
-			t.Errorf("%s: kept for ever", name)
+			t.Errorf("%s: the worker is never removed", name)
 		}
 	}
 }
--- a/controller/relay_test.go
+++ b/controller/relay_test.go
@@ -12,7 +12,8 @@
 	"ravenport/wire"
 )
 
-// Another controller writes what creates one job and nothing else, whoever asks.
+// A controller executes a relayed transaction only if the transaction creates one job and does
+// nothing else.
 func TestOnlySubmissionsAreRelayed(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -41,13 +42,13 @@
 	})
 }
 
-// A controller that the key-value store refuses, alone, accepts what its users submit:
-// others write it. None of it is forgotten, and all of it runs.
+// A controller that alone cannot reach the key-value store still accepts submissions: other
+// controllers write them. No submission is lost, and all jobs run.
 func TestRefusedControllerStillAccepts(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
 		w := newFaultFreeWorld(4)
-		w.lostAnswerShare, w.lateWriteShare, w.repeatedWriteShare = 0, 0, 0 // those are for the generated days
+		w.lostAnswerShare, w.lateWriteShare, w.repeatedWriteShare = 0, 0, 0 // other tests cover these faults
 		w.locked(func() { w.controllers[1].cutFromStore = true })
 		time.Sleep(500 * time.Millisecond)
 		var jobs []*simJob
@@ -70,10 +71,10 @@
 			time.Sleep(300 * time.Millisecond)
 		}
 		if n := w.observed["relayed written"]; n != len(jobs) {
-			t.Errorf("%d of %d were relayed: the scene shows nothing", n, len(jobs))
+			t.Errorf("%d of %d submissions were relayed: the test proves nothing", n, len(jobs))
 		}
 		for _, j := range jobs {
-			go w.runUser(j, 0, 0) // asks again at any controller, and polls
+			go w.runUser(j, 0, 0) // submits again at any controller, and polls
 		}
 		w.waitAllDone(t, 2*time.Minute, jobs)
 		w.locked(func() { w.controllers[1].cutFromStore = false })
--- a/controller/scale_in_test.go
+++ b/controller/scale_in_test.go
@@ -10,10 +10,10 @@
 	"ravenport/wire"
 )
 
-// runLateScaleIns plays an owner that freezes just as it asks the cloud to scale in
-// an idle machine; its successor has work for all machines; then the first one goes on.
-// It returns how many tasks that the successor had started were ended by the late
-// scale-in, and how many late scale-ins there were.
+// runLateScaleIns freezes an owner just as it requests the scale-in of an idle machine from the
+// cloud. The successor has work for all machines. Then the first owner resumes. It returns the
+// number of tasks of the successor that the late scale-ins ended, and the number of late
+// scale-ins.
 func runLateScaleIns(t *testing.T, seed uint64, closeBeforeScaleIn bool) (ended, late int) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorldWithTimes(seed, []string{"a", "b"}, 3, magnoliaTimes)
@@ -36,7 +36,7 @@
 		w.waitAllDone(t, 2*time.Minute, []*simJob{first})
 		owner := w.controllers[w.owner("a")]
 		w.locked(func() { w.onScaleIn = func(*simController) { owner.frozenUntil = time.Now().Add(25 * time.Second) } })
-		w.waitUntil(t, "a return is on its way", 2*time.Minute, func() bool { return w.eventCount("scale-in requests") > 0 })
+		w.waitUntil(t, "a scale-in was requested", 2*time.Minute, func() bool { return w.eventCount("scale-in requests") > 0 })
 		w.locked(func() { w.onScaleIn = nil })
 		service := &simJob{spec: wire.Submission{ID: "run-000002", Class: "c", Team: "free", Kind: wire.KindService, Priority: wire.PriorityProduction,
 			Tasks: 2, CPUs: 8, MemoryGB: 1, Image: "i", ImageGB: 1, Zone: "a"}, doneTasks: map[int]bool{}}
@@ -51,32 +51,32 @@
 	return ended, late
 }
 
-// A scale-in that an owner decided, and that is carried out after it was replaced, takes
-// nothing that its successor has started, where machines are closed first; without
-// that it does.
+// If an owner writes a machine as terminating before it requests the scale-in, a scale-in that is
+// executed after the owner was replaced ends no task of the successor. Without that write it
+// does.
 func TestLateScaleInEndsNoTask(t *testing.T) {
 	discardLogs(t)
 	endedWithoutClosing, lateWithClosing := 0, 0
 	for seed := range uint64(6) {
 		ended, late := runLateScaleIns(t, seed, true)
 		if ended > 0 {
-			t.Errorf("seed %d: %d tasks of the successor were taken", seed, ended)
+			t.Errorf("seed %d: %d tasks of the successor were ended", seed, ended)
 		}
 		lateWithClosing += late
 		ended, _ = runLateScaleIns(t, seed, false)
 		endedWithoutClosing += ended
 	}
 	if lateWithClosing == 0 || endedWithoutClosing == 0 {
-		t.Errorf("it hardly came about: %d late scale-ins of closed machines, %d tasks ended without closing", lateWithClosing, endedWithoutClosing)
+		t.Errorf("the test proves nothing: %d late scale-ins of machines written as terminating, %d tasks ended without that write", lateWithClosing, endedWithoutClosing)
 	}
 }
 
-// failovers is how many forced failovers TestScaleInUnderForcedFailovers plays.
-var failovers = flag.Int("returns.handovers", 60, "forced failovers to play")
+// failovers is the number of failovers that TestScaleInUnderForcedFailovers forces.
+var failovers = flag.Int("returns.handovers", 60, "number of failovers to force")
 
-// Owners freeze as they request a scale-in, for about a lease or much longer, again and
-// again, under a load that comes and goes. Over many failovers no scale-in that was
-// decided under an earlier term takes anything that came to a machine since.
+// Owners repeatedly freeze as they request a scale-in, for about the duration of a lease or much
+// longer, under varying load. Over many failovers no scale-in that was decided under an earlier
+// term ends a task that was started on the machine since.
 func TestScaleInUnderForcedFailovers(t *testing.T) {
 	discardLogs(t)
 	total := map[string]int{}
@@ -85,14 +85,14 @@
 	}
 	t.Logf("%d failovers, %d scale-in requests, %d of them late, %d tasks ended", total["failovers"], total["scale-in requests"], total["late scale-ins"], total["taken"])
 	if total["taken"] > 0 {
-		t.Errorf("%d tasks that came to a machine after its scale-in was decided were ended by it", total["taken"])
+		t.Errorf("scale-ins ended %d tasks that were started on the machine after the decision", total["taken"])
 	}
 	if total["late scale-ins"] < *failovers/10 {
 		t.Errorf("only %d late scale-ins in %d failovers", total["late scale-ins"], total["failovers"])
 	}
 }
 
-// forceFailovers plays ten minutes of them and adds up what was seen.
+// forceFailovers forces failovers for about ten minutes and adds the counts to total.
 func forceFailovers(t *testing.T, seed uint64, total map[string]int) {
 	w := newWorldWithTimes(seed, []string{"a", "b"}, 3, magnoliaTimes)
 	w.lateCommandShare, w.reliableCloud, w.lateCopyShare = 0, true, 0
--- a/controller/scenario_test.go
+++ b/controller/scenario_test.go
@@ -15,10 +15,10 @@
 	"ravenport/wire"
 )
 
-// A scenario brings a meeting of troubles about, on a quiet deployment of its own
-// times, and says whether it came: one in which the moment never came proves
-// nothing. The world's checker judges every rule over it. guard, if there is one,
-// takes away what the scenario is about, and the rules are then seen broken.
+// A scenario injects a combination of faults into a deployment that has no other faults, with its
+// own times. It fails if the combination does not occur, because it then proves nothing. The
+// world's checker checks every rule during the scenario. unguard, if set, disables the guard
+// that the scenario is about; a rule must then be broken.
 type scenario struct {
 	name           string
 	times          times
@@ -26,14 +26,14 @@
 	seeds          []uint64
 	body           func(*testing.T, *world)
 	unguard        func(*world)
-	wantBrokenRule string // that is broken without the guard; empty: any
+	wantBrokenRule string // the rule that is broken without the guard; empty: any rule
 }
 
-// guardSeeds is over how many seeds a rule is looked for to be seen broken without
-// a guard: which one shows it depends on the order in which goroutines run.
+// guardSeeds is the number of seeds that are tried until a rule is broken without a guard. Which
+// seed breaks the rule depends on the order in which goroutines run.
 const guardSeeds = 24
 
-// runScenarios plays a list of runScenarios, each with its guard and without.
+// runScenarios runs a list of scenarios, each with its guard and, if unguard is set, without.
 func runScenarios(t *testing.T, list []scenario) {
 	t.Helper()
 	discardLogs(t)
@@ -54,17 +54,17 @@
 				}
 				others = append(others, broken...)
 			}
-			t.Errorf("without its guard %s was never seen broken, only %v", s.wantBrokenRule, others[:min(8, len(others))])
+			t.Errorf("without its guard, rule %q was not broken, only %v", s.wantBrokenRule, others[:min(8, len(others))])
 		})
 	}
 }
 
-// run plays a scenario once and returns the broken rules; without a guard taken away
-// there must be none.
+// run runs a scenario once and returns the broken rules. If no guard is disabled, there must be
+// none.
 func (s scenario) run(t *testing.T, seed uint64, unguard func(*world)) []string {
 	w := newWorldWithTimes(seed, s.zones, 3, s.times)
 	w.lateCommandShare, w.reliableCloud = 0, true
-	w.lostAnswerShare, w.lateWriteShare, w.repeatedWriteShare = 0, 0, 0 // but where a scenario is about them
+	w.lostAnswerShare, w.lateWriteShare, w.repeatedWriteShare = 0, 0, 0 // except in scenarios about these faults, which set them
 	for k := range w.capacity {
 		w.capacity[k] = 6
 	}
@@ -93,11 +93,11 @@
 	return slices.Clone(w.violations)
 }
 
-// errScenarioOver ends a scenario whose guard was taken away: what it would have waited for
-// need not come any more.
-var errScenarioOver = errors.New("the scene is over")
+// errScenarioOver ends a scenario whose guard is disabled: a condition that the scenario waits for
+// may then never hold.
+var errScenarioOver = errors.New("scenario ended early without its guard")
 
-// fail fails a scenario, unless its guard was taken away.
+// fail fails a scenario, unless its guard is disabled.
 func (w *world) fail(t *testing.T, format string, args ...any) {
 	t.Helper()
 	if !w.unguarded {
@@ -105,7 +105,7 @@
 	}
 }
 
-// stopScenario fails a scenario that cannot go on.
+// stopScenario ends a scenario that cannot continue. The test fails, unless the guard is disabled.
 func (w *world) stopScenario(t *testing.T, format string, args ...any) {
 	t.Helper()
 	if w.unguarded {
@@ -114,14 +114,14 @@
 	t.Fatalf(format, args...)
 }
 
-// locked changes the world under its lock.
+// locked calls f with the world locked.
 func (w *world) locked(f func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f()
 }
 
-// newArray adds an array whose tasks run for so long.
+// newArray adds an array whose tasks run for runS seconds.
 func (w *world) newArray(id string, tasks int, cpus, runS float64) *simJob {
 	j := &simJob{spec: wire.Submission{ID: id, Class: "c", Team: "free", Kind: wire.KindArray, Priority: wire.PriorityNormal,
 		Tasks: tasks, CPUs: cpus, MemoryGB: 1, Image: "i", ImageGB: 1, Spot: true, EstimateS: runS}, doneTasks: map[int]bool{}}
@@ -129,7 +129,7 @@
 	return j
 }
 
-// cancelAt cancels a job through one controller and says whether that confirmed it.
+// cancelAt cancels a job through one controller and reports whether the controller confirmed it.
 func (w *world) cancelAt(index int, j *simJob) bool {
 	w.locked(func() { j.cancelRequested = true })
 	r := w.requestAt(index, func(q apiserver.Request) any { return apiserver.Cancel{Request: q, JobID: j.spec.ID} })
@@ -138,7 +138,7 @@
 	return r != nil && r.Status == 200 && json.Unmarshal(r.Body, &s) == nil && s.Status == wire.JobCancelled
 }
 
-// termHolder is which controller holds a term, by its number; -1: none.
+// termHolder returns the index of the controller that holds a term, or -1.
 func (w *world) termHolder(key string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -153,7 +153,7 @@
 	return slices.IndexFunc(w.controllers, func(n *simController) bool { return n.set.Controller == v.(*records.Term).Controller })
 }
 
-// tasksOn counts a job's tasks on machines of a zone; "": of any.
+// tasksOn counts a job's tasks on machines of a zone, or of all zones if zone is "".
 func (w *world) tasksOn(zone, job string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -171,7 +171,7 @@
 	return n
 }
 
-// waitUntil waits for something to come about, and fails the test if it does not.
+// waitUntil waits until ok returns true, and stops the scenario if that exceeds the limit.
 func (w *world) waitUntil(t *testing.T, what string, limit time.Duration, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(limit); !ok(); time.Sleep(50 * time.Millisecond) {
@@ -181,7 +181,7 @@
 	}
 }
 
-// lots adds one array for each zone, bound to it, of two tasks that run for so long.
+// boundArrays adds one array for each zone, bound to it, of two tasks that run for runS seconds.
 func (w *world) boundArrays(id int, runS float64) []*simJob {
 	var out []*simJob
 	for i, z := range w.controllers[0].set.Deployment.Zones {
@@ -193,7 +193,7 @@
 	return out
 }
 
-// running waits until all tasks of jobs run.
+// waitAllRunning waits until all tasks of the jobs are on machines.
 func (w *world) waitAllRunning(t *testing.T, batches ...[]*simJob) {
 	t.Helper()
 	w.waitUntil(t, "all tasks run", 90*time.Second, func() bool {
@@ -208,7 +208,7 @@
 	})
 }
 
-// waitAllDone waits until users saw that jobs are done.
+// waitAllDone waits until the users of the jobs have been told that the jobs are done.
 func (w *world) waitAllDone(t *testing.T, limit time.Duration, jobs []*simJob) {
 	t.Helper()
 	w.waitUntil(t, "what was not cancelled is done", limit, func() bool {
@@ -218,7 +218,7 @@
 	})
 }
 
-// ownedShards lists the zones whose shard a controller owns.
+// ownedShards returns the zones whose shard a controller owns.
 func (w *world) ownedShards(index int) []string {
 	var out []string
 	for _, z := range w.controllers[0].set.Deployment.Zones {
@@ -229,10 +229,10 @@
 	return out
 }
 
-// The key-value store refuses one controller alone; another one confirms
-// cancellations; then it is away for all for longer than cancel_s, while the
-// machines send heartbeats to the first one. And once more, straight after, whoever then
-// owns what the first one did.
+// cancelBeforeOutage returns a scenario in which the key-value store refuses one controller only,
+// and another controller confirms cancellations. Then the store is unavailable to all for longer
+// than cancel_s, while the machines send heartbeats to the first controller. The scenario repeats
+// this at once, with the new owner if the first controller has lost its shards.
 func cancelBeforeOutage(refused, other int) func(*testing.T, *world) {
 	return func(t *testing.T, w *world) {
 		cancelWithin := w.times.cancelWithin()
@@ -249,20 +249,20 @@
 			starts := 0
 			w.locked(func() { starts = w.starts })
 			if len(owned) == 0 && w.termHolder(records.KeyLeader) != refused {
-				w.stopScenario(t, "gap %d: %s neither owns nor leads: it is not refused to any purpose", i, n.set.Controller)
+				w.stopScenario(t, "round %d: %s is neither owner nor leader, so refusing it has no effect", i, n.set.Controller)
 			}
 			w.locked(func() { n.cutFromStore = true })
 			time.Sleep(w.randomDuration(100*time.Millisecond, 1200*time.Millisecond))
 			for _, j := range jobs {
 				if !w.cancelAt(other, j) {
-					w.stopScenario(t, "gap %d: %s did not confirm a cancellation", i, w.controllers[other].set.Controller)
+					w.stopScenario(t, "round %d: %s did not confirm a cancellation", i, w.controllers[other].set.Controller)
 				}
 			}
 			confirmed := time.Now()
 			time.Sleep(w.randomDuration(50*time.Millisecond, 400*time.Millisecond))
 			for _, z := range owned {
 				if w.termHolder(records.KeyShard(z)) != refused {
-					w.stopScenario(t, "gap %d: %s lost its shard before the outage", i, n.set.Controller)
+					w.stopScenario(t, "round %d: %s lost its shard before the outage", i, n.set.Controller)
 				}
 			}
 			w.setOutage(true)
@@ -270,12 +270,12 @@
 			time.Sleep(cancelWithin + 12*time.Second)
 			w.mu.Lock()
 			if len(owned) > 0 && !n.heartbeatAnsweredAt.After(confirmed.Add(2*time.Second)) {
-				w.fail(t, "gap %d: no machine reported to %s once the cancellation was confirmed", i, n.set.Controller)
+				w.fail(t, "round %d: no machine sent a heartbeat to %s after the cancellation was confirmed", i, n.set.Controller)
 			}
-			// What was not cancelled runs on: whoever confirmed names it, and so may
-			// promise.
+			// Jobs that were not cancelled keep running: the controller that confirmed the
+			// cancellations lists them in its replies, and so may grant a lease extension.
 			if w.starts != starts {
-				w.fail(t, "gap %d: %d tasks had to start again", i, w.starts-starts)
+				w.fail(t, "round %d: %d tasks were restarted", i, w.starts-starts)
 			}
 			w.mu.Unlock()
 			w.setOutage(false)
@@ -285,9 +285,10 @@
 	}
 }
 
-// TestCancellationBeforeOutage: the tasks of a cancelled job are gone in time though the controller that
-// the machines send heartbeats to can learn of it neither from the key-value store nor by a
-// promise refused. The guard taken away: what the others know of cancellations.
+// TestCancellationBeforeOutage checks that the tasks of a cancelled job end in time although the
+// controller that the machines send heartbeats to learns of the cancellation neither from the
+// key-value store nor by a refused lease extension. The disabled guard is that controllers tell
+// each other of cancellations.
 func TestCancellationBeforeOutage(t *testing.T) {
 	var list []scenario
 	for _, d := range []struct {
--- a/controller/term_renewal_test.go
+++ b/controller/term_renewal_test.go
@@ -9,8 +9,8 @@
 	"ravenport/actor"
 )
 
-// An owner whose term's numbers run out goes on under a new term of its own, and what
-// runs on its machines runs on.
+// An owner whose term's numbers are nearly used up acquires a new term itself, and the tasks on
+// its machines keep running.
 func TestOwnerRenewsExhaustedTerm(t *testing.T) {
 	expectNoRestarts(t, 3, 6, func(w *world) {
 		for range 3 {
@@ -24,12 +24,12 @@
 	})
 }
 
-// messageRecorder notes the messages that an actor is sent.
+// messageRecorder records the messages that an actor receives.
 type messageRecorder []any
 
 func (m *messageRecorder) Receive(_ context.Context, msg any) { *m = append(*m, msg) }
 
-// An owner's actor asks for the new term, and asks again as long as it has none.
+// An owner's actor requests a new term, and repeats the request until it has one.
 func TestOwnerAsksForNewTerm(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -54,7 +54,7 @@
 			}
 		}
 		if asked < 4 {
-			t.Errorf("asked %d times", asked)
+			t.Errorf("the new term was requested %d times, wanted at least 4", asked)
 		}
 	})
 }
--- a/controller/transfer_test.go
+++ b/controller/transfer_test.go
@@ -9,9 +9,9 @@
 	"ravenport/records"
 )
 
-// A leader that the others' calls do not reach, though its own reach them, knows the
-// figures of its own shard alone. It transfers the leadership, and work goes on coming
-// to the machines of the others; see docs/incidents/deaf-leader.md.
+// A leader that cannot be called by the other controllers, although its own calls reach them,
+// knows the figures of its own shard only. It must transfer the leadership, so that the machines
+// of the other shards still get work. See docs/incidents/deaf-leader.md.
 func TestLeaderWithoutPeerStatusTransfersTerm(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -31,12 +31,12 @@
 		w.locked(func() { w.controllers[leader].peerCallsLost, w.controllers[leader].heartbeatsLost = true, true })
 		start := time.Now()
 		w.waitUntil(t, "another leader", 3*constants.PeerSilenceTimeout, func() bool { return w.termHolder(records.KeyLeader) != leader })
-		t.Logf("another one leads after %s", time.Since(start))
+		t.Logf("another controller became leader after %s", time.Since(start))
 		j := w.newArray("run-000100", 4, 2, 5)
 		go w.runUser(j, 0, 0)
 		submittedAt := time.Now()
-		w.waitUntil(t, "new work begins beside the leader that was", 10*time.Second, func() bool { return w.tasksOn("", j.spec.ID) > 0 })
-		t.Logf("new work begins after %s", time.Since(submittedAt))
+		w.waitUntil(t, "a new job starts", 10*time.Second, func() bool { return w.tasksOn("", j.spec.ID) > 0 })
+		t.Logf("the new job started after %s", time.Since(submittedAt))
 		if len(w.violations) > 0 {
 			t.Error(w.violations)
 		}
--- a/controller/unusual_requests_test.go
+++ b/controller/unusual_requests_test.go
@@ -10,10 +10,10 @@
 	"ravenport/wire"
 )
 
-// Jobs that lack a field are refused as malformed and jobs that can never run as
-// such, by every controller, every time, also while controllers end and the state
-// service answers slowly; repeats of jobs that were accepted and cancellations of
-// done ones get the same answer as before.
+// Every controller refuses a job that lacks a field as malformed, and a job that can never run as
+// unprocessable, also while controllers end and while the state service responds slowly or is
+// unavailable. Repeated submissions of accepted jobs and cancellations of done jobs get the same
+// response as before.
 func TestUnusualRequests(t *testing.T) {
 	required := []string{"uid", "lane", "crew", "shape", "rank", "pieces", "cpus", "cards", "mem_gb", "kit", "pull_gb", "one_zone", "scatter", "loaners", "guess_s", "mark_every_s", "stow_s"}
 	unrunnable := map[string]func(map[string]any){
@@ -29,7 +29,7 @@
 			f["pieces"] = 2
 			f["shape"] = wire.KindService
 		},
-		"a service bound and apart": func(f map[string]any) {
+		"a service bound to a zone and spread": func(f map[string]any) {
 			f["yard"] = "a"
 			f["scatter"] = true
 			f["pieces"] = 2
@@ -76,7 +76,7 @@
 				change(f)
 				submit(what, f, 422)
 			}
-			for index := range w.controllers { // of a job that is done
+			for index := range w.controllers { // requests about a job that is done
 				f := fields(done.spec)
 				delete(f, "cpus")
 				for _, r := range []*httpwire.Response{
@@ -87,12 +87,12 @@
 				}
 				r := w.requestAt(index, func(q apiserver.Request) any { return apiserver.Poll{Request: q, JobID: "run-odd"} })
 				if r != nil && r.Status != 404 && r.Status != 503 {
-					w.fail(t, "a job that nobody could submit: status %d", r.Status)
+					w.fail(t, "poll of a job that was never accepted: status %d", r.Status)
 				}
 			}
 		}
 		if answered < 300 {
-			w.fail(t, "only %d odd requests were answered", answered)
+			w.fail(t, "only %d invalid requests were answered", answered)
 		}
 		w.settleAll(t, time.Minute, []*simJob{done})
 	}}})
