--- a/controller/damaged_record_test.go
+++ b/controller/damaged_record_test.go
@@ -56,7 +56,7 @@
 func TestDamagedJobRecordIsIsolated(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := newFaultFreeWorld(3)
+		w := newStartedWorld(3)
 		defer w.shutdown()
 		jobs := w.boundArrays(1, 60)
 		w.waitAllRunning(t, jobs)
--- a/controller/detection_test.go
+++ b/controller/detection_test.go
@@ -253,7 +253,7 @@
 func TestGrayFailurePersistsWithoutDetection(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := newFaultFreeWorld(0)
+		w := newStartedWorld(0)
 		defer w.shutdown()
 		w.startWork(t, 300)
 		owner := w.owner("a")
--- a/controller/lease_end_test.go
+++ b/controller/lease_end_test.go
@@ -39,7 +39,7 @@
 	discardLogs(t)
 	for seed := range uint64(5) {
 		synctest.Test(t, func(t *testing.T) {
-			w := newFaultFreeWorld(seed)
+			w := newStartedWorld(seed)
 			defer w.shutdown()
 			jobs := w.boundArrays(1, 600)
 			w.waitAllRunning(t, jobs)
@@ -64,7 +64,7 @@
 	discardLogs(t)
 	for seed := range uint64(60) {
 		synctest.Test(t, func(t *testing.T) {
-			w := newFaultFreeWorld(seed)
+			w := newStartedWorld(seed)
 			defer w.shutdown()
 			j := w.newArray("run-000001", 2, 8, 600) // each task fills a machine
 			j.spec.Zone = "a"
--- a/controller/random_faults_test.go
+++ b/controller/random_faults_test.go
@@ -107,7 +107,7 @@
 func TestMachineThatReceivesNothingIsTerminated(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := newFaultFreeWorld(5)
+		w := newStartedWorld(5)
 		w.startService("run-000001", 4)
 		time.Sleep(60 * time.Second)
 		w.mu.Lock()
@@ -229,7 +229,7 @@
 	t.Helper()
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := newFaultFreeWorld(seed)
+		w := newStartedWorld(seed)
 		w.startService("run-000001", tasks)
 		time.Sleep(60 * time.Second)
 		w.mu.Lock()
@@ -259,7 +259,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newFaultFreeWorld(7)
+				w := newStartedWorld(7)
 				w.startService("run-000001", 4)
 				time.Sleep(60 * time.Second)
 				w.mu.Lock()
@@ -313,8 +313,9 @@
 	}
 }
 
-// newFaultFreeWorld returns a deployment without faults whose controllers are all up.
-func newFaultFreeWorld(seed uint64) *world {
+// newStartedWorld returns a deployment whose controllers are all up. Its cloud is reliable and no
+// command is late, but the key-value store and the heartbeats have their default random faults.
+func newStartedWorld(seed uint64) *world {
 	w := newWorld(seed, []string{"a", "b"}, 3)
 	w.lateCommandShare, w.reliableCloud = 0, true
 	for _, n := range w.controllers {
--- a/controller/relay_test.go
+++ b/controller/relay_test.go
@@ -17,7 +17,7 @@
 func TestOnlySubmissionsAreRelayed(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := newFaultFreeWorld(3)
+		w := newStartedWorld(3)
 		process := w.controllers[0].running()
 		job := wire.Change{Put: "rv/job/run-000001", Value: []byte(`{}`)}
 		for name, txn := range map[string]wire.Txn{
@@ -47,8 +47,8 @@
 func TestRefusedControllerStillAccepts(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := newFaultFreeWorld(4)
-		w.lostAnswerShare, w.lateWriteShare, w.repeatedWriteShare = 0, 0, 0 // other tests cover these faults
+		w := newStartedWorld(4)
+		w.lostAnswerShare, w.lateWriteShare, w.repeatedWriteShare = 0, 0, 0 // the random scenarios cover these faults
 		w.locked(func() { w.controllers[1].cutFromStore = true })
 		time.Sleep(500 * time.Millisecond)
 		var jobs []*simJob
--- a/controller/scenario_test.go
+++ b/controller/scenario_test.go
@@ -15,10 +15,11 @@
 	"ravenport/wire"
 )
 
-// A scenario injects a combination of faults into a deployment that has no other faults, with its
-// own times. It fails if the combination does not occur, because it then proves nothing. The
-// world's checker checks every rule during the scenario. unguard, if set, disables the guard
-// that the scenario is about; a rule must then be broken.
+// A scenario injects a combination of faults into a deployment with its own times, whose
+// key-value store, cloud and commands have no random faults. It fails if the combination does
+// not occur, because it then proves nothing. The world's checker checks every rule during the
+// scenario. unguard, if set, disables the guard that the scenario is about; a rule must then be
+// broken.
 type scenario struct {
 	name           string
 	times          times
--- a/controller/sim_record_test.go
+++ b/controller/sim_record_test.go
@@ -244,7 +244,7 @@
 func TestViolationTellsItsHistory(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := newFaultFreeWorld(11)
+		w := newStartedWorld(11)
 		w.startService("run-000001", 2)
 		w.startService("run-000002", 2)
 		time.Sleep(60 * time.Second)
