--- a/controller/scale_in_test.go
+++ b/controller/scale_in_test.go
@@ -10,11 +10,11 @@
 	"ravenport/wire"
 )
 
-// playLateScaleIns plays an owner that freezes just as it asks the cloud to scale in
-// an idle machine; its successor has work for all machines; then the first one goes on.
-// It returns how many tasks that the successor had started were ended by the late
-// scale-in, and how many late scale-ins there were.
-func playLateScaleIns(t *testing.T, seed uint64, closeFirst bool) (taken, late int) {
+// runLateScaleIns freezes an owner just as it requests the scale-in of an idle machine from the
+// cloud. The successor has work for all machines. Then the first owner resumes. It returns the
+// number of tasks of the successor that the late scale-ins ended, and the number of late
+// scale-ins.
+func runLateScaleIns(t *testing.T, seed uint64, closeBeforeScaleIn bool) (ended, late int) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorldWithTimes(seed, []string{"a", "b"}, 3, lease26Times)
 		w.lateCommandShare, w.reliableCloud, w.noAnswerLoss, w.lostAnswerShare, w.lateWriteShare, w.repeatedWriteShare, w.lateCopyShare = 0, true, true, 0, 0, 0, 0
@@ -23,7 +23,7 @@
 		}
 		w.capacity["a/on-demand"] = 2
 		for _, n := range w.controllers {
-			n.set.Duties.CloseBeforeScaleIn = closeFirst
+			n.set.Duties.CloseBeforeScaleIn = closeBeforeScaleIn
 			n.start()
 		}
 		go w.expireLeases()
@@ -33,50 +33,50 @@
 		first.spec.Zone = "a"
 		first.spec.Spot = false
 		go w.runUser(first, 0, 0)
-		w.allDone(t, 2*time.Minute, []*simJob{first})
+		w.waitAllDone(t, 2*time.Minute, []*simJob{first})
 		owner := w.controllers[w.owner("a")]
 		w.locked(func() { w.onScaleIn = func(*simController) { owner.frozenUntil = time.Now().Add(25 * time.Second) } })
-		w.waitUntil(t, "a return is on its way", 2*time.Minute, func() bool { return w.eventCount("scale-in requests") > 0 })
+		w.waitUntil(t, "a scale-in was requested", 2*time.Minute, func() bool { return w.eventCount("scale-in requests") > 0 })
 		w.locked(func() { w.onScaleIn = nil })
 		service := &simJob{spec: wire.Submission{ID: "run-000002", Class: "c", Team: "free", Kind: wire.KindService, Priority: wire.PriorityProduction,
 			Tasks: 2, CPUs: 8, MemoryGB: 1, Image: "i", ImageGB: 1, Zone: "a"}, doneTasks: map[int]bool{}}
 		w.locked(func() { w.jobs[service.spec.ID] = service })
 		go w.runUser(service, 0, 0)
 		time.Sleep(60 * time.Second)
-		taken, late = w.eventCount("running tasks ended by a late scale-in"), w.eventCount("late scale-ins")
+		ended, late = w.eventCount("running tasks ended by a late scale-in"), w.eventCount("late scale-ins")
 		if len(w.violations) > 0 {
 			t.Errorf("rules broken: %v", w.violations)
 		}
 	})
-	return taken, late
+	return ended, late
 }
 
-// A scale-in that an owner decided, and that is carried out after it was replaced, takes
-// nothing that its successor has started, where machines are closed first; without
-// that it does.
+// If an owner writes a machine as terminating before it requests the scale-in, a scale-in that is
+// executed after the owner was replaced ends no task of the successor. Without that write it
+// does.
 func TestLateScaleInEndsNoTask(t *testing.T) {
 	discardLogs(t)
-	hitWithout, lateWith := 0, 0
+	endedWithoutClosing, lateWithClosing := 0, 0
 	for seed := range uint64(6) {
-		taken, late := playLateScaleIns(t, seed, true)
-		if taken > 0 {
-			t.Errorf("seed %d: %d tasks of the successor were taken", seed, taken)
+		ended, late := runLateScaleIns(t, seed, true)
+		if ended > 0 {
+			t.Errorf("seed %d: %d tasks of the successor were ended", seed, ended)
 		}
-		lateWith += late
-		taken, _ = playLateScaleIns(t, seed, false)
-		hitWithout += taken
+		lateWithClosing += late
+		ended, _ = runLateScaleIns(t, seed, false)
+		endedWithoutClosing += ended
 	}
-	if lateWith == 0 || hitWithout == 0 {
-		t.Errorf("it hardly came about: %d late scale-ins of closed machines, %d tasks ended without closing", lateWith, hitWithout)
+	if lateWithClosing == 0 || endedWithoutClosing == 0 {
+		t.Errorf("the test proves nothing: %d late scale-ins of machines written as terminating, %d tasks ended without that write", lateWithClosing, endedWithoutClosing)
 	}
 }
 
-// failovers is how many forced failovers TestScaleInUnderForcedFailovers plays.
-var failovers = flag.Int("returns.handovers", 60, "forced failovers to play")
+// failovers is the number of failovers that TestScaleInUnderForcedFailovers forces.
+var failovers = flag.Int("returns.handovers", 60, "number of failovers to force")
 
-// Owners freeze as they request a scale-in, for about a lease or much longer, again and
-// again, under a load that comes and goes. Over many failovers no scale-in that was
-// decided under an earlier term takes anything that came to a machine since.
+// Owners repeatedly freeze as they request a scale-in, for about the duration of a lease or much
+// longer, under varying load. Over many failovers no scale-in that was decided under an earlier
+// term ends a task that was started on the machine since.
 func TestScaleInUnderForcedFailovers(t *testing.T) {
 	discardLogs(t)
 	total := map[string]int{}
@@ -85,14 +85,14 @@
 	}
 	t.Logf("%d failovers, %d scale-in requests, %d of them late, %d tasks ended", total["failovers"], total["scale-in requests"], total["late scale-ins"], total["taken"])
 	if total["taken"] > 0 {
-		t.Errorf("%d tasks that came to a machine after its scale-in was decided were ended by it", total["taken"])
+		t.Errorf("scale-ins ended %d tasks that were started on the machine after the decision", total["taken"])
 	}
 	if total["late scale-ins"] < *failovers/10 {
 		t.Errorf("only %d late scale-ins in %d failovers", total["late scale-ins"], total["failovers"])
 	}
 }
 
-// forceFailovers plays ten minutes of them and adds up what was seen.
+// forceFailovers forces failovers for about ten minutes and adds the counts to total.
 func forceFailovers(t *testing.T, seed uint64, total map[string]int) {
 	w := newWorldWithTimes(seed, []string{"a", "b"}, 3, lease26Times)
 	w.lateCommandShare, w.reliableCloud, w.lateCopyShare = 0, true, 0
--- a/controller/sim_detection_test.go
+++ b/controller/sim_detection_test.go
@@ -124,7 +124,7 @@
 }
 
 // owner returns the index of the controller that owns a zone's shard, or -1 if there is none.
-func (w *world) owner(zone string) int { return w.holder(records.KeyShard(zone)) }
+func (w *world) owner(zone string) int { return w.termHolder(records.KeyShard(zone)) }
 
 // term returns the number of the current term of a zone's shard, or 0 if there is none.
 func (w *world) term(zone string) uint64 {
--- a/controller/sim_record_test.go
+++ b/controller/sim_record_test.go
@@ -246,7 +246,7 @@
 func TestViolationIncludesEventHistory(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := newCalmWorld(11)
+		w := newStartedWorld(11)
 		w.startService("run-000001", 2)
 		w.startService("run-000002", 2)
 		time.Sleep(60 * time.Second)
@@ -264,7 +264,7 @@
 			t.Errorf("the violation contains events of another job:\n%s", violation)
 		}
 		w.violations = nil
-		w.finish(t)
+		w.checkAndShutdown(t)
 		for range 2 * maxRecordedEvents {
 			w.record.add(simEvent{what: "more"})
 		}
--- a/controller/sim_work_test.go
+++ b/controller/sim_work_test.go
@@ -39,7 +39,7 @@
 	w.startService("run-000002", 2)
 	w.locked(func() { b.service = w.jobs["run-000002"] })
 	b.mustFinish = slices.Concat(b.zoneArrays, []*simJob{b.unboundArray}, b.quotaJobs)
-	w.allRun(t, b.zoneArrays, []*simJob{b.unboundArray, b.service})
+	w.waitAllRunning(t, b.zoneArrays, []*simJob{b.unboundArray, b.service})
 	w.waitUntil(t, "the team is at its limit", 60*time.Second, func() bool { return len(w.started(b.quotaJobs)) == 2 })
 	return b
 }
