--- a/apiserver/relay.go
+++ b/apiserver/relay.go
@@ -35,12 +35,13 @@
 }
 
 // isStoreUnreachable reports whether an error means that the store cannot be reached.
-// Other errors, including that of the rate limit, mean that the store decided on the call.
+// Other errors mean that the store decided on the call, or that a rate limit, the store's
+// or this controller's own, refused it.
 func isStoreUnreachable(err error) bool {
 	if errors.Is(err, kvstore.ErrOutcomeUnknown) {
 		return true
 	}
-	return errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrRateLimited)
+	return errors.Is(err, kvstore.ErrNotExecuted) && !errors.Is(err, kvstore.ErrRateLimited)
 }
 
 // writeSubmission creates a submission's record. It writes directly, unless the direct path
--- a/controller/random_faults_test.go
+++ b/controller/random_faults_test.go
@@ -17,11 +17,11 @@
 	"ravenport/wire"
 )
 
-// randomDays and firstSeed let a developer play many more days than CI does.
+// randomDays and firstSeed let a developer run many more random scenarios than CI does.
 var (
-	randomDays = flag.Uint64("sim.days", 12, "generated days to play")
+	randomDays = flag.Uint64("sim.days", 12, "number of random scenarios to run")
 	printLogs  = flag.Bool("sim.log", false, "print the controllers' logs")
-	firstSeed  = flag.Uint64("sim.from", 0, "seed of the first day")
+	firstSeed  = flag.Uint64("sim.from", 0, "seed of the first random scenario")
 )
 
 func discardLogs(t *testing.T) {
@@ -34,14 +34,14 @@
 	t.Cleanup(func() { slog.SetDefault(old) })
 }
 
-// Whatever fails, no rule of the protocol is broken, and once things have
-// calmed down everything accepted comes to its end.
+// Under random faults no rule of the protocol is broken, and every accepted job ends once
+// the faults are over.
 func TestRulesHoldThroughTroubles(t *testing.T) {
 	discardLogs(t)
 	for seed := *firstSeed; seed < *firstSeed+*randomDays; seed++ {
 		zones := []string{"a", "b", "c"}[:2+seed%2]
 		synctest.Test(t, func(t *testing.T) {
-			w := playRandomDay(t, seed, zones, nil)
+			w := runRandomWorkload(t, seed, zones, nil)
 			if len(w.violations) > 0 {
 				t.Fatalf("seed %d: %d broken rules, first: %s", seed, len(w.violations), strings.Join(w.violations[:min(4, len(w.violations))], "; "))
 			}
@@ -53,8 +53,9 @@
 				t.Errorf("seed %d: only %d tasks started", seed, w.starts)
 			}
 			for key, n := range w.oversizedWrites {
-				// Each of a leader and the owners learns it once, if the limits fall
-				// before it is known that all controllers read packed records.
+				// If the size limits are lowered before it is known that all controllers
+				// read packed records, the leader and each owner learn the new limit from
+				// one refused write each.
 				if n > 6 {
 					t.Errorf("seed %d: %d writes of %s were larger than the limits", seed, n, key)
 				}
@@ -70,17 +71,18 @@
 	}
 }
 
-// The checker has teeth: without the guards that the protocol gives, it finds
-// the rules broken. A guard that is never missed would prove nothing.
+// With any one guard of the protocol disabled, the checker must report a broken rule. If it
+// did not, the tests in which no rule is broken would prove nothing about that guard.
 func TestCheckerNoticesMissingGuards(t *testing.T) {
 	discardLogs(t)
-	for name, sabotage := range map[string]func(*world){
-		"conditional writes": func(w *world) { w.ignoreConditions = true },
-		"tokens":             func(w *world) { w.ignoreTokens = true; w.lateCommandShare = 0.5 },
-		// With the cloud away nothing is surely gone but by its lease.
-		"the order of reports":                        func(w *world) { w.freshenCopies = true },
-		"answers about each job, however others fare": func(w *world) { w.unansweredJob = "run-000003" },
+	for name, unguard := range map[string]func(*world){
+		"conditional writes":   func(w *world) { w.ignoreConditions = true },
+		"tokens":               func(w *world) { w.ignoreTokens = true; w.lateCommandShare = 0.5 },
+		"the order of reports": func(w *world) { w.makeCopiesCurrent = true },
+		"answers about each job, independent of other jobs": func(w *world) { w.unansweredJob = "run-000003" },
 		"workers' leases": func(w *world) {
+			// While the cloud is unavailable, only an expired lease proves that a machine's
+			// tasks have ended.
 			w.ignoreWorkerLeases = true
 			time.AfterFunc(60*time.Second, func() { w.cloudUnavailable = true })
 		},
@@ -88,56 +90,58 @@
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(60) {
 				found := false
-				synctest.Test(t, func(t *testing.T) { found = len(playRandomDay(t, seed, []string{"a", "b"}, sabotage).violations) > 0 })
+				synctest.Test(t, func(t *testing.T) {
+					found = len(runRandomWorkload(t, seed, []string{"a", "b"}, unguard).violations) > 0
+				})
 				if found {
-					t.Logf("noticed on day %d", seed)
+					t.Logf("broken rule reported with seed %d", seed)
 					return
 				}
 			}
-			t.Error("sixty days without this guard, and no rule was seen broken")
+			t.Error("no broken rule was reported in 60 scenarios without this guard")
 		})
 	}
 }
 
-// A machine whose heartbeats arrive while nothing reaches it gets nothing more, is
-// told apart from a slow one, and is terminated; its replicas run elsewhere long before
-// its own lease could be believed to have ended, and no rule is broken.
+// A machine that sends heartbeats but receives nothing gets no more tasks, is distinguished
+// from a slow machine, and is terminated. Its replicas run on other machines long before the
+// owner could assume that the machine's lease has expired, and no rule is broken.
 func TestMachineThatReceivesNothingIsTerminated(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := newCalmWorld(5)
+		w := newStartedWorld(5)
 		w.startService("run-000001", 4)
 		time.Sleep(60 * time.Second)
 		w.mu.Lock()
-		var deaf *simWorker
+		var notReceiving *simWorker
 		for _, m := range w.machines {
 			if len(m.tasks) > 0 {
-				deaf = m
+				notReceiving = m
 			}
 		}
-		if deaf == nil {
+		if notReceiving == nil {
 			w.mu.Unlock()
-			t.Fatal("nothing runs")
+			t.Fatal("no machine runs a task")
 		}
-		deaf.receivesNothing = true
+		notReceiving.receivesNothing = true
 		w.mu.Unlock()
 		time.Sleep(45 * time.Second)
 		w.mu.Lock()
-		if !deaf.removed {
-			t.Errorf("%s was not given back", deaf.name)
+		if !notReceiving.removed {
+			t.Errorf("%s was not terminated", notReceiving.name)
 		}
 		if n := w.runningTasks("run-000001"); n != 4 {
 			t.Errorf("%d of 4 replicas run", n)
 		}
 		w.mu.Unlock()
-		w.finish(t)
+		w.checkAndShutdown(t)
 	})
 }
 
-// An owner that reaches its machines while their heartbeats do not reach it transfers
-// its shard before their leases end: answers to its calls renew none.
+// An owner that can call its machines but does not receive their heartbeats transfers its
+// shard before their leases expire. Responses to the owner's calls do not renew a lease.
 func TestOwnerWithoutHeartbeatsTransfersTerm(t *testing.T) {
-	expectUndisturbed(t, 8, 4, func(w *world) {
+	expectNoRestarts(t, 8, 4, func(w *world) {
 		w.mu.Lock()
 		w.controllers[0].heartbeatsLost = true
 		w.mu.Unlock()
@@ -145,10 +149,10 @@
 	})
 }
 
-// While the key-value store is away for all, and the controllers reach each other,
-// what runs goes on, for much longer than the workers' lease.
-func TestOutageLongerThanTheLeaseStopsNothing(t *testing.T) {
-	expectUndisturbed(t, 6, 4, func(w *world) {
+// While the key-value store is unavailable to all controllers and the controllers reach each
+// other, running tasks continue for much longer than the workers' lease.
+func TestOutageLongerThanLeaseStopsNoTask(t *testing.T) {
+	expectNoRestarts(t, 6, 4, func(w *world) {
 		w.setOutage(true)
 		time.Sleep(90 * time.Second)
 		w.setOutage(false)
@@ -156,21 +160,22 @@
 	})
 }
 
-// A zone that is cut off with its owner, for longer than the workers' lease, runs
-// on: the owner inside tends its machines, and the next one outside, which receives
-// no heartbeat, terminates none.
-func TestCutOffZoneRunsOn(t *testing.T) {
-	expectUndisturbed(t, 8, 12, func(w *world) {
-		set := func(z string) { w.mu.Lock(); w.partitionedZone = z; w.mu.Unlock() }
-		set("a")
+// The tasks of a zone that is partitioned together with its owner, for longer than the
+// workers' lease, keep running: the owner inside extends the leases of its machines, and the
+// next owner outside, which receives no heartbeats, terminates no machine.
+func TestPartitionedZoneKeepsRunning(t *testing.T) {
+	expectNoRestarts(t, 8, 12, func(w *world) {
+		isolate := func(z string) { w.mu.Lock(); w.partitionedZone = z; w.mu.Unlock() }
+		isolate("a")
 		time.Sleep(32 * time.Second)
-		set("")
+		isolate("")
 		time.Sleep(15 * time.Second)
 	})
 }
 
-// Lease extension for longer than the next owner counts on would let tasks run twice, and
-// the checker sees it; as long as it is counted it does not.
+// If an owner extends leases for longer than the next owner assumes, tasks run twice, and the
+// checker reports it. If the next owner takes the whole extension into account, no rule is
+// broken.
 func TestLeaseExtensionMustBeCounted(t *testing.T) {
 	discardLogs(t)
 	for _, counted := range []bool{true, false} {
@@ -178,12 +183,12 @@
 			w := newWorld(9, []string{"a", "b"}, 3)
 			w.lateCommandShare, w.reliableCloud = 0, true
 			for _, n := range w.controllers {
-				n.set.Deployment.Workers.CancelTimeoutS = 100 // so that much is tended
+				n.set.Deployment.Workers.CancelTimeoutS = 100 // allows a long lease extension
 				n.start()
 			}
 			go w.expireLeases()
 			time.Sleep(5 * time.Second)
-			w.startService("run-000001", 2) // one in each zone: machines with room
+			w.startService("run-000001", 2) // one task in each zone: machines with free capacity
 			time.Sleep(30 * time.Second)
 			j := &simJob{spec: wire.Submission{ID: "run-000002", Class: "c", Team: "free", Kind: wire.KindService, Priority: wire.PriorityProduction,
 				Tasks: 1, CPUs: 4, MemoryGB: 1, Image: "i", ImageGB: 1}, doneTasks: map[int]bool{}}
@@ -201,73 +206,73 @@
 					}
 				}
 			}
-			w.cloudUnavailable, w.partitionedZone = true, zone // nothing is surely gone but by its lease
+			w.cloudUnavailable, w.partitionedZone = true, zone // only an expired lease proves that a task has ended
 			w.mu.Unlock()
 			if !counted {
 				for _, n := range w.controllers {
-					n.set.Deployment.Workers.CancelTimeoutS = 45 // as whoever acquires a term from here on counts
+					n.set.Deployment.Workers.CancelTimeoutS = 45 // the value that a controller assumes when it acquires a term from now on
 				}
 			}
 			time.Sleep(120 * time.Second)
 			if broken := len(w.violations) > 0; broken == counted {
-				t.Errorf("counted %v, in %s: %d broken rules %v", counted, zone, len(w.violations), w.violations)
+				t.Errorf("extension counted by the next owner: %v, zone %s: %d broken rules %v", counted, zone, len(w.violations), w.violations)
 			}
 			w.mu.Lock()
 			w.violations, w.partitionedZone = nil, ""
 			w.mu.Unlock()
-			w.finish(t)
+			w.checkAndShutdown(t)
 		})
 	}
 }
 
-// expectUndisturbed checks that a service runs on through a trouble without a
-// single start.
-func expectUndisturbed(t *testing.T, seed uint64, tasks int, trouble func(*world)) {
+// expectNoRestarts checks that a service keeps running during a fault and that no task is
+// started.
+func expectNoRestarts(t *testing.T, seed uint64, tasks int, fault func(*world)) {
 	t.Helper()
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := newCalmWorld(seed)
+		w := newStartedWorld(seed)
 		w.startService("run-000001", tasks)
 		time.Sleep(60 * time.Second)
 		w.mu.Lock()
 		starts := w.starts
 		w.mu.Unlock()
-		trouble(w)
+		fault(w)
 		w.mu.Lock()
 		if n := w.runningTasks("run-000001"); n != tasks || w.starts != starts {
-			t.Errorf("%d of %d replicas run, %d starts since", n, tasks, w.starts-starts)
+			t.Errorf("%d of %d replicas run, %d starts since the fault began", n, tasks, w.starts-starts)
 		}
 		w.mu.Unlock()
-		w.finish(t)
+		w.checkAndShutdown(t)
 	})
 }
 
-// Without the promise of all others an owner gives no command and falls silent in
-// time: at once if another controller tells it that it has been replaced, and where none
-// can, once it has tended its machines for as long as cancel_s leaves.
-func TestNoExtensionNoAuthority(t *testing.T) {
+// An owner without lease extensions from all other controllers sends no commands and stops
+// answering heartbeats in time: at once if another controller reports that the owner has been
+// replaced, otherwise when the lease extension that cancel_s allows is over.
+func TestOwnerWithoutExtensionLosesAuthority(t *testing.T) {
 	discardLogs(t)
-	for name, cut := range map[string]func(*world){
+	for name, inject := range map[string]func(*world){
 		"refused alone": func(w *world) { w.controllers[0].cutFromStore = true },
-		"a sibling out of reach": func(w *world) {
+		"another controller unreachable": func(w *world) {
 			w.storeOutage = true
 			w.controllers[2].cutFromPeers = true
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newCalmWorld(7)
+				w := newStartedWorld(7)
 				w.startService("run-000001", 4)
 				time.Sleep(60 * time.Second)
 				w.mu.Lock()
-				cut(w)
+				inject(w)
 				w.mu.Unlock()
-				ask := func(z string, seq uint64) bool {
-					a := &simAnswer{got: make(chan *httpwire.Response, 1)}
+				sendHeartbeat := func(z string, seq uint64) bool {
+					a := &simAnswer{response: make(chan *httpwire.Response, 1)}
 					w.controllers[0].running().control.Tell(workerHeartbeat{a, &wire.Heartbeat{Machine: "m-x", Addr: "m-x", Type: "box", Zone: z, Epoch: 1, Seq: seq,
 						Tasks: []wire.TaskStatus{{Task: "run-000009/0", Attempt: 1, State: wire.TaskRunning}}}})
 					select {
-					case r := <-a.got:
+					case r := <-a.response:
 						var rep wire.HeartbeatReply
 						if r.Status == 200 && (json.Unmarshal(r.Body, &rep) != nil || len(rep.Commands) > 0) {
 							t.Errorf("commands for %s without authority: %s", z, r.Body)
@@ -279,38 +284,40 @@
 				}
 				time.Sleep(10 * time.Second)
 				for _, z := range w.controllers[0].set.Deployment.Zones {
-					if ask(z, 1) && name == "refused alone" {
-						t.Errorf("answers for %s though it has been replaced", z)
+					if sendHeartbeat(z, 1) && name == "refused alone" {
+						t.Errorf("the owner answers heartbeats for %s though it has been replaced", z)
 					}
 				}
 				time.Sleep(w.controllers[0].set.LeaseExtension())
 				for _, z := range w.controllers[0].set.Deployment.Zones {
-					if ask(z, 2) {
-						t.Errorf("answers for %s when its lease extension is over", z)
+					if sendHeartbeat(z, 2) {
+						t.Errorf("the owner answers heartbeats for %s after its lease extension has ended", z)
 					}
 				}
-				w.finish(t)
+				w.checkAndShutdown(t)
 			})
 		})
 	}
 }
 
-// expireLeases ends the key-value store's leases in time.
+// expireLeases expires the key-value store's leases and checks the rules about cancelled and
+// waiting jobs, every 50 ms until shutdown.
 func (w *world) expireLeases() {
 	for {
 		select {
 		case <-w.done:
 			return
 		case <-time.After(50 * time.Millisecond):
-			w.expire()
+			w.expireStoreLeases()
 			w.checkCancelledJobsEnd()
 			w.checkNoJobWaits()
 		}
 	}
 }
 
-// newCalmWorld is a deployment without troubles, all controllers up.
-func newCalmWorld(seed uint64) *world {
+// newStartedWorld returns a deployment whose controllers are all up. Its cloud is reliable and no
+// command is late, but the key-value store and the heartbeats have their default random faults.
+func newStartedWorld(seed uint64) *world {
 	w := newWorld(seed, []string{"a", "b"}, 3)
 	w.lateCommandShare, w.reliableCloud = 0, true
 	for _, n := range w.controllers {
@@ -321,7 +328,7 @@
 	return w
 }
 
-// startService submits a service and lets its user poll.
+// startService submits a service, whose user then polls.
 func (w *world) startService(id string, tasks int) {
 	j := &simJob{spec: wire.Submission{ID: id, Class: "c", Team: "free", Kind: wire.KindService, Priority: wire.PriorityProduction,
 		Tasks: tasks, CPUs: 4, MemoryGB: 1, Image: "i", ImageGB: 1, Spread: true}, doneTasks: map[int]bool{}}
@@ -331,7 +338,7 @@
 	go w.runUser(j, 0, 0)
 }
 
-// runningTasks counts a job's tasks that run. The caller holds the lock.
+// runningTasks counts a job's running tasks. The caller holds the lock.
 func (w *world) runningTasks(id string) int {
 	n := 0
 	for _, m := range w.machines {
@@ -344,7 +351,8 @@
 	return n
 }
 
-func (w *world) finish(t *testing.T) {
+// checkAndShutdown reports broken rules and shuts the world down.
+func (w *world) checkAndShutdown(t *testing.T) {
 	t.Helper()
 	if len(w.violations) > 0 {
 		t.Errorf("rules broken: %s", strings.Join(w.violations, "; "))
@@ -352,23 +360,23 @@
 	w.shutdown()
 }
 
-// shutdown ends everything that runs in the world.
+// shutdown ends all controllers and goroutines of the world.
 func (w *world) shutdown() {
 	close(w.done)
-	w.locked(func() { w.partitionedZone = "" }) // releases what the partition holds back
+	w.locked(func() { w.partitionedZone = "" }) // releases calls that the partition blocks
 	for _, n := range w.controllers {
 		n.kill()
 	}
 	time.Sleep(2 * time.Minute)
 }
 
-// addOldRecords fills the key-value store with what the version before may leave behind, as
-// large as its limits were: an inventory page of machines that are gone since, and an
-// array in many pieces.
+// addOldRecords fills the key-value store with records that the previous version may have
+// written, as large as its size limits allowed: an inventory page of machines that no longer
+// exist, and an array with many assignments.
 func (w *world) addOldRecords() {
 	put := func(key string, v any) {
 		w.revision++
-		w.kv[key] = &entry{value: records.Encode(v), version: w.revision}
+		w.kv[key] = &storeEntry{value: records.Encode(v), version: w.revision}
 		w.storeEvents = append(w.storeEvents, wire.Event{Put: key, Value: records.Encode(v), Version: w.revision})
 	}
 	zones := w.controllers[0].set.Deployment.Zones
@@ -389,5 +397,5 @@
 	put(records.KeyJob(s.ID), rec)
 	j := &simJob{spec: s, doneTasks: map[int]bool{}}
 	w.jobs[s.ID] = j
-	go w.runUser(j, 0, 0) // its user asks again and then polls
+	go w.runUser(j, 0, 0) // its user submits again and then polls
 }
--- a/controller/redirects_test.go
+++ b/controller/redirects_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Only a worker that comes back with a newer heartbeat, lately, from the same owner,
-// was not served there.
+// A worker counts as unserved by the owner that it was redirected to only if it returns with a
+// newer heartbeat within the window and the owner is still the same.
 func TestRedirectTracker(t *testing.T) {
 	const window = 6 * time.Second
 	now := time.Unix(0, 0)
 	for name, c := range map[string]struct {
-		play func(r *redirectTracker)
-		want int
+		record func(r *redirectTracker)
+		want   int
 	}{
 		"came once": {func(r *redirectTracker) { r.record(now, "m", 1, 5, "n-1") }, 0},
 		"came back": {func(r *redirectTracker) { r.record(now, "m", 1, 5, "n-1"); r.record(now.Add(window), "m", 1, 7, "n-1") }, 1},
@@ -31,13 +31,13 @@
 		}, 0},
 	} {
 		r := newRedirectTracker(window)
-		c.play(r)
+		c.record(r)
 		at := now.Add(window)
 		if got := r.countReturned(at)["n-1"]; got != c.want {
 			t.Errorf("%s: %d", name, got)
 		}
 		if r.countReturned(at.Add(3 * window)); len(r.workers) != 0 {
-			t.Errorf("%s: kept for ever", name)
+			t.Errorf("%s: the worker is never removed", name)
 		}
 	}
 }
--- a/controller/sim_gang_test.go
+++ b/controller/sim_gang_test.go
@@ -10,21 +10,22 @@
 	"ravenport/wire"
 )
 
-// How simulated gangs wait and notice, as in the settings of newWorld.
+// Time-outs of the tasks of simulated gangs, as in the settings of newWorld: how long a task
+// waits for the others, and within what time the others notice that a task is gone.
 const (
 	simGangWait = 15 * time.Second
 	simGangPeer = 4 * time.Second
 )
 
-// simGang is one attempt of a gang, as its tasks see it.
+// simGang is the state that the tasks of one attempt of a gang share.
 type simGang struct {
-	startedAt     time.Time // all tasks were there
+	startedAt     time.Time // when all tasks were on their machines
 	ended         bool
 	done          bool
 	checkpointed  bool
-	failAt        time.Time // when the others notice that one is gone
+	failAt        time.Time // when the other tasks notice that a task is gone
 	firstStop     time.Time
-	stopRequested map[int]time.Time // tasks that were requested to checkpoint
+	stopRequested map[int]time.Time // when each task was requested to stop with a checkpoint
 }
 
 // gangTask is one task of an attempt on a machine.
@@ -39,13 +40,13 @@
 	return fmt.Sprintf("%s#%d", job, t.attempt)
 }
 
-// onMachine says whether a task counts as on its machine.
+// onMachine reports whether a task in this state counts as being on its machine.
 func onMachine(state wire.TaskState) bool {
 	return state == wire.TaskRunning || state == wire.TaskWaitingForGang || state == wire.TaskSaving
 }
 
-// playGangs lets the tasks of gangs see each other.
-func (w *world) playGangs() {
+// simulateGangs coordinates the tasks of all gangs until the simulation ends.
+func (w *world) simulateGangs() {
 	for {
 		select {
 		case <-w.done:
@@ -74,14 +75,14 @@
 		}
 		slices.Sort(keys)
 		for _, key := range keys {
-			w.playGang(w.gangs[key], groups[key])
+			w.simulateGang(w.gangs[key], groups[key])
 		}
 		w.mu.Unlock()
 	}
 }
 
-// playGang moves one attempt on. The caller holds the lock.
-func (w *world) playGang(g *simGang, all []gangTask) {
+// simulateGang advances one attempt to the current time. The caller holds the lock.
+func (w *world) simulateGang(g *simGang, all []gangTask) {
 	if len(all) == 0 {
 		g.ended = g.ended || !g.startedAt.IsZero()
 		return
@@ -89,14 +90,14 @@
 	now := time.Now()
 	job, _, _ := wire.ParseTaskName(all[0].t.name)
 	j := w.jobs[job]
-	there := map[int]bool{} // on a machine that carries out its tasks
+	present := map[int]bool{} // tasks on a machine that still runs them
 	for _, x := range all {
 		if onMachine(x.t.state) && !x.m.hung && (w.ignoreWorkerLeases || time.Since(x.m.leaseRenewedAt) < 20*time.Second) {
-			there[x.i] = true
+			present[x.i] = true
 		}
 	}
-	whole := len(there) == j.spec.Tasks
-	if g.startedAt.IsZero() && !g.ended && whole {
+	complete := len(present) == j.spec.Tasks
+	if g.startedAt.IsZero() && !g.ended && complete {
 		g.startedAt = now
 		w.gangStarts++
 		slog.Debug("sim: gang begins", "job", job, "attempt", all[0].t.attempt)
@@ -108,22 +109,22 @@
 		}
 	}
 	if !g.startedAt.IsZero() && !g.ended {
-		w.advanceGang(g, j, now, whole)
+		w.advanceGang(g, j, now, complete)
 	}
 	g.exitTasks(all, now)
 }
 
-// advanceGang decides whether a running attempt goes on, and how it ends. The caller holds
+// advanceGang decides whether a running attempt continues, and how it ends. The caller holds
 // the lock.
-func (w *world) advanceGang(g *simGang, j *simJob, now time.Time, whole bool) {
+func (w *world) advanceGang(g *simGang, j *simJob, now time.Time, complete bool) {
 	end := now
 	if !g.firstStop.IsZero() {
 		end = g.firstStop
 	}
-	progress := j.saved + end.Sub(g.startedAt).Seconds()
-	mark := max(j.saved, math.Floor(progress/max(j.spec.CheckpointIntervalS, 0.1))*j.spec.CheckpointIntervalS)
+	progress := j.savedProgress + end.Sub(g.startedAt).Seconds()
+	lastCheckpoint := max(j.savedProgress, math.Floor(progress/max(j.spec.CheckpointIntervalS, 0.1))*j.spec.CheckpointIntervalS)
 	switch {
-	case whole && !g.firstStop.IsZero() && len(g.stopRequested) == j.spec.Tasks:
+	case complete && !g.firstStop.IsZero() && len(g.stopRequested) == j.spec.Tasks:
 		last := g.firstStop
 		for _, at := range g.stopRequested {
 			if at.After(last) {
@@ -131,18 +132,18 @@
 			}
 		}
 		if now.Sub(last).Seconds() >= j.spec.CheckpointSaveS {
-			g.ended, g.checkpointed, j.saved = true, true, progress
+			g.ended, g.checkpointed, j.savedProgress = true, true, progress
 		}
 	case !g.firstStop.IsZero():
-		if now.Sub(g.firstStop) > simGangPeer || !whole {
-			g.ended, j.saved = true, mark
+		if now.Sub(g.firstStop) > simGangPeer || !complete {
+			g.ended, j.savedProgress = true, lastCheckpoint
 		}
-	case !whole:
+	case !complete:
 		if g.failAt.IsZero() {
 			g.failAt = now.Add(time.Duration(w.rng.Int64N(int64(simGangPeer))))
 		}
 		if !now.Before(g.failAt) {
-			g.ended, j.saved = true, mark
+			g.ended, j.savedProgress = true, lastCheckpoint
 		}
 	case progress >= j.spec.EstimateS:
 		g.ended, g.done = true, true
@@ -154,8 +155,8 @@
 	}
 }
 
-// exitTasks lets the tasks of an attempt that has ended exit, and those that waited too
-// long for the others. The caller holds the lock.
+// exitTasks ends the tasks of an attempt that has ended, and tasks that waited longer than
+// simGangWait for the others. The caller holds the lock.
 func (g *simGang) exitTasks(all []gangTask, now time.Time) {
 	for _, x := range all {
 		if x.m.hung || x.t.state == wire.TaskExited || x.t.state == wire.TaskFetching {
@@ -184,7 +185,7 @@
 	m.changed = true
 }
 
-// stopGangTask carries out a stop of a gang's task. The caller holds the lock.
+// stopGangTask carries out a stop command for a task of a gang. The caller holds the lock.
 func (m *simWorker) stopGangTask(t *simTask, j *simJob, graceS float64) {
 	_, i, _ := wire.ParseTaskName(t.name)
 	g := m.world.gangs[gangKey(t)]
@@ -192,7 +193,7 @@
 		if g.firstStop.IsZero() {
 			g.firstStop = time.Now()
 		}
-		if _, told := g.stopRequested[i]; !told {
+		if _, requested := g.stopRequested[i]; !requested {
 			g.stopRequested[i] = time.Now()
 		}
 		return
--- a/controller/sim_store_test.go
+++ b/controller/sim_store_test.go
@@ -13,81 +13,84 @@
 	"ravenport/wire"
 )
 
-type entry struct {
+// storeEntry is the stored value of a key. The key is deleted when its lease, if any, ends.
+type storeEntry struct {
 	value   json.RawMessage
 	version uint64
 	lease   uint64
 }
 
 type simLease struct {
-	life time.Duration
-	ends time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
+// simStore is one controller's client of the key-value store.
 type simStore struct{ n *simController }
 
-// pass is the way to the key-value store: it takes time, and may be shut.
-func (s *simStore) pass(ctx context.Context) error {
+// reach simulates the connection to the key-value store: it takes time and fails while the
+// store is unavailable to the controller.
+func (s *simStore) reach(ctx context.Context) error {
 	w := s.n.world
-	s.n.waitWhileFrozen() // what it had decided goes out when it moves on, whatever the time
+	s.n.waitWhileFrozen() // a call that was decided before the freeze is sent after it, however late
 	time.Sleep(w.randomDuration(time.Millisecond, 12*time.Millisecond) + w.storeLatency)
 	if ctx.Err() != nil && !w.chance(0.5) {
 		return fmt.Errorf("%w: %w", kvstore.ErrOutcomeUnknown, ctx.Err())
 	}
 	w.mu.Lock()
-	shut := w.storeOutage || s.n.cutFromStore || w.partitionedZone == s.n.set.Zone
+	unavailable := w.storeOutage || s.n.cutFromStore || w.partitionedZone == s.n.set.Zone
 	w.mu.Unlock()
-	if shut {
-		return kvstore.ErrRefused
+	if unavailable {
+		return kvstore.ErrNotExecuted
 	}
 	return nil
 }
 
-func (s *simStore) Commit(ctx context.Context, t wire.Txn) (uint64, error) {
-	if err := s.pass(ctx); err != nil {
+func (s *simStore) Commit(ctx context.Context, txn wire.Txn) (uint64, error) {
+	if err := s.reach(ctx); err != nil {
 		return 0, err
 	}
 	w := s.n.world
 	switch {
-	case w.chance(w.lostAnswerShare): // carried out, the answer lost
+	case w.chance(w.lostAnswerShare): // applied at once, and the answer is lost
 		w.mu.Lock()
-		if _, err := w.apply(t); err == nil {
+		if _, err := w.apply(txn); err == nil {
 			w.observed["lost answers"]++
 		}
 		w.mu.Unlock()
 		time.Sleep(time.Second)
 		return 0, kvstore.ErrOutcomeUnknown
-	case w.chance(w.lateWriteShare): // carried out much later
+	case w.chance(w.lateWriteShare): // applied 1 s to 20 s later
 		go func() {
 			time.Sleep(w.randomDuration(time.Second, 20*time.Second))
 			w.mu.Lock()
 			w.observed["late writes"]++
-			if _, err := w.apply(t); err != nil {
+			if _, err := w.apply(txn); err != nil {
 				w.observed["late writes that failed"]++
 			}
 			w.mu.Unlock()
 		}()
 		time.Sleep(time.Second)
 		return 0, kvstore.ErrOutcomeUnknown
-	case w.chance(w.repeatedWriteShare): // repeated later
+	case w.chance(w.repeatedWriteShare): // applied again 1 s to 20 s later
 		go func() {
 			time.Sleep(w.randomDuration(time.Second, 20*time.Second))
 			w.mu.Lock()
-			w.apply(t)
+			w.apply(txn)
 			w.mu.Unlock()
 		}()
 	}
 	w.mu.Lock()
-	rev, err := w.apply(t)
+	rev, err := w.apply(txn)
 	w.mu.Unlock()
 	s.n.waitWhileFrozen()
 	return rev, err
 }
 
-// apply carries out a transaction. The caller holds the lock.
-func (w *world) apply(t wire.Txn) (uint64, error) {
+// apply applies a transaction. The caller holds the lock.
+func (w *world) apply(txn wire.Txn) (uint64, error) {
 	if !w.ignoreConditions {
-		for _, c := range t.Conditions {
+		for _, c := range txn.Conditions {
 			v := uint64(0)
 			if e := w.kv[c.Key]; e != nil {
 				v = e.version
@@ -97,23 +100,23 @@
 			}
 		}
 	}
-	for _, ch := range t.Changes {
+	for _, ch := range txn.Changes {
 		if ch.Lease != 0 && w.leases[ch.Lease] == nil {
 			return 0, kvstore.ErrLeaseExpired
 		}
 	}
-	kb, ops := 8, 12
+	maxKB, maxOps := 8, 12
 	if w.limitsLowered {
-		kb, ops = 1, 2
+		maxKB, maxOps = 1, 2
 	}
-	for _, ch := range t.Changes {
-		if len(ch.Value) > kb<<10 || len(t.Changes) > ops || len(t.Conditions) > 4*ops {
+	for _, ch := range txn.Changes {
+		if len(ch.Value) > maxKB<<10 || len(txn.Changes) > maxOps || len(txn.Conditions) > 4*maxOps {
 			w.oversizedWrites[ch.Put]++
 			return 0, kvstore.ErrInvalidRequest
 		}
 	}
 	w.revision++
-	for _, ch := range t.Changes {
+	for _, ch := range txn.Changes {
 		w.recordChange(ch, w.revision)
 		if ch.Delete != "" {
 			delete(w.kv, ch.Delete)
@@ -126,7 +129,7 @@
 		if w.skipAuthorityWait {
 			ch.Value = shortenLeaseTTL(ch.Value)
 		}
-		w.kv[ch.Put] = &entry{ch.Value, w.revision, ch.Lease}
+		w.kv[ch.Put] = &storeEntry{ch.Value, w.revision, ch.Lease}
 		w.storeEvents = append(w.storeEvents, wire.Event{Put: ch.Put, Value: ch.Value, Version: w.revision})
 	}
 	close(w.storeChanged)
@@ -135,7 +138,7 @@
 }
 
 func (s *simStore) Get(ctx context.Context, key string) (wire.KeyValue, bool, error) {
-	if err := s.pass(ctx); err != nil {
+	if err := s.reach(ctx); err != nil {
 		return wire.KeyValue{}, false, err
 	}
 	s.n.world.mu.Lock()
@@ -148,7 +151,7 @@
 }
 
 func (s *simStore) Revision(ctx context.Context) (uint64, error) {
-	if err := s.pass(ctx); err != nil {
+	if err := s.reach(ctx); err != nil {
 		return 0, err
 	}
 	s.n.world.mu.Lock()
@@ -157,7 +160,7 @@
 }
 
 func (s *simStore) List(ctx context.Context, prefix string) ([]wire.KeyValue, uint64, error) {
-	if err := s.pass(ctx); err != nil {
+	if err := s.reach(ctx); err != nil {
 		return nil, 0, err
 	}
 	w := s.n.world
@@ -174,7 +177,7 @@
 }
 
 func (s *simStore) Watch(ctx context.Context, prefix string, from uint64, wait time.Duration) (*wire.Events, error) {
-	if err := s.pass(ctx); err != nil {
+	if err := s.reach(ctx); err != nil {
 		return nil, err
 	}
 	w := s.n.world
@@ -184,17 +187,17 @@
 		out := &wire.Events{Revision: w.revision}
 		i := sort.Search(len(w.storeEvents), func(i int) bool { return w.storeEvents[i].Version > from })
 		out.Events = append(out.Events, w.storeEvents[i:]...)
-		changed, shut := w.storeChanged, s.n.cutFromStore
+		changed, unavailable := w.storeChanged, s.n.cutFromStore
 		w.mu.Unlock()
-		if len(out.Events) > 0 && !shut {
+		if len(out.Events) > 0 && !unavailable {
 			return out, nil
 		}
 		select {
 		case <-ctx.Done():
-			return nil, kvstore.ErrRefused
+			return nil, kvstore.ErrNotExecuted
 		case <-end:
-			if shut {
-				return nil, kvstore.ErrRefused
+			if unavailable {
+				return nil, kvstore.ErrNotExecuted
 			}
 			return out, nil
 		case <-changed:
@@ -202,21 +205,21 @@
 	}
 }
 
-func (s *simStore) Grant(ctx context.Context, life time.Duration) (uint64, error) {
-	if err := s.pass(ctx); err != nil {
+func (s *simStore) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
+	if err := s.reach(ctx); err != nil {
 		return 0, err
 	}
 	w := s.n.world
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.leaseSeq++
-	w.leases[w.leaseSeq] = &simLease{life, time.Now().Add(life)}
+	w.leases[w.leaseSeq] = &simLease{ttl, time.Now().Add(ttl)}
 	w.note("store lease granted", s.n.set.Controller, fmt.Sprint(w.leaseSeq))
 	return w.leaseSeq, nil
 }
 
 func (s *simStore) Renew(ctx context.Context, id uint64) error {
-	if err := s.pass(ctx); err != nil {
+	if err := s.reach(ctx); err != nil {
 		return err
 	}
 	w := s.n.world
@@ -226,19 +229,19 @@
 	if l == nil {
 		return kvstore.ErrLeaseExpired
 	}
-	l.ends = time.Now().Add(l.life)
+	l.expiresAt = time.Now().Add(l.ttl)
 	return nil
 }
 
-// expire ends leases whose time is up, never during an outage.
-func (w *world) expire() {
+// expireStoreLeases ends leases whose TTL has passed. No lease ends during an outage.
+func (w *world) expireStoreLeases() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.storeOutage {
 		return
 	}
 	for id, l := range w.leases {
-		if time.Now().Before(l.ends) {
+		if time.Now().Before(l.expiresAt) {
 			continue
 		}
 		delete(w.leases, id)
@@ -257,12 +260,14 @@
 	}
 }
 
+// setOutage starts or ends an outage of the store. In both cases it renews all leases for their
+// full TTL.
 func (w *world) setOutage(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.storeOutage = on
 	w.note("store outage", "", fmt.Sprint(on))
 	for _, l := range w.leases {
-		l.ends = time.Now().Add(l.life)
+		l.expiresAt = time.Now().Add(l.ttl)
 	}
 }
--- a/controller/sim_worker_test.go
+++ b/controller/sim_worker_test.go
@@ -15,6 +15,7 @@
 	"ravenport/worker"
 )
 
+// simWorker is a machine and the worker that runs on it.
 type simWorker struct {
 	world              *world
 	name, zone         string
@@ -23,27 +24,28 @@
 	createdAt, bootsAt time.Time
 	removed            bool
 	hung               bool
-	cutFromControllers bool // it reaches no controller, while direct commands reach it
-	disconnected       bool // nothing reaches it or comes from it
-	receivesNothing    bool // its heartbeats arrive, answers and commands do not reach it
+	cutFromControllers bool // its heartbeats reach no controller, while direct commands reach it
+	disconnected       bool // messages arrive in neither direction
+	receivesNothing    bool // its heartbeats arrive, while answers and commands do not reach it
 	epoch              uint64
 	seq, token         uint64
-	lastAcceptedSeq    uint64    // the last heartbeat of this epoch that was answered 200
+	lastAcceptedSeq    uint64    // the last heartbeat of this epoch that was answered with status 200
 	leaseRenewedAt     time.Time // when the last answered heartbeat was sent
 	tasks              map[string]*simTask
-	changed            bool
-	unansweredCommands []time.Time // when a direct command to it had no answer
-	reclaimAt          time.Time   // when its provider takes it back, of which it tells; zero: never
+	changed            bool        // its state has changed since the last heartbeat
+	unansweredCommands []time.Time // when the answer to a direct command was lost
+	reclaimAt          time.Time   // when the provider reclaims the machine, announced in heartbeats; zero: never
 }
 
+// simTask is one attempt of a task on a machine.
 type simTask struct {
 	name         string
 	attempt      uint64
 	state        wire.TaskState
 	cause        wire.ExitCause
 	checkpointed bool
-	nextChange   time.Time // when its state changes by itself
-	fetchedAt    time.Time // when its image was there
+	nextChange   time.Time // when its next state change is due; zero: none is scheduled
+	fetchedAt    time.Time // when its image had been fetched
 }
 
 func (m *simWorker) heartbeat() *wire.Heartbeat {
@@ -59,15 +61,15 @@
 	return r
 }
 
-// workerLoop is what a worker's loop keeps between two heartbeats.
+// workerLoop is the state that a worker's loop keeps between two heartbeats.
 type workerLoop struct {
 	worker *simWorker
-	target int       // the number of the controller that it sends heartbeats to
+	target int       // index of the controller that receives the heartbeats
 	next   time.Time // when the next heartbeat is due
 	sent   time.Time // when the last one was sent
 }
 
-// run is a worker's life.
+// run runs the worker from the end of its boot until the machine is removed.
 func (m *simWorker) run() {
 	w := m.world
 	for time.Now().Before(m.bootsAt) {
@@ -90,8 +92,8 @@
 	}
 }
 
-// step lets time pass and sends a heartbeat if one is due. It returns whether the worker
-// goes on.
+// step advances the machine to the current time and sends a heartbeat if one is due. It
+// reports whether the worker continues.
 func (l *workerLoop) step() bool {
 	m, w := l.worker, l.worker.world
 	w.mu.Lock()
@@ -130,7 +132,7 @@
 	return true
 }
 
-// heartbeatEvent names a heartbeat in the event record.
+// heartbeatEvent returns the name of a sent heartbeat in the event record.
 func heartbeatEvent(reachable bool) string {
 	if reachable {
 		return "heartbeat sent"
@@ -138,17 +140,17 @@
 	return "heartbeat that reaches nobody"
 }
 
-// tryNext turns to the next controller, a second after a time.
+// tryNext selects the next controller and schedules a heartbeat one second after now.
 func (l *workerLoop) tryNext(now time.Time) {
 	l.target = (l.target + 1) % len(l.worker.world.controllers)
 	l.next = now.Add(time.Second)
 }
 
-// send sends a heartbeat to a controller and waits for the response; nil if there is none.
-// A copy may come later.
+// send sends a heartbeat to a controller and returns the response, or nil if none arrives
+// within 4 s. A copy of the heartbeat may be delivered later.
 func (m *simWorker) send(n *simController, process *Controller, heartbeat *wire.Heartbeat) *httpwire.Response {
 	w := m.world
-	answer := &simAnswer{got: make(chan *httpwire.Response, 1)}
+	answer := &simAnswer{response: make(chan *httpwire.Response, 1)}
 	time.Sleep(w.randomDuration(time.Millisecond, 5*time.Millisecond))
 	w.locked(func() { n.heartbeatReceivedAt = time.Now() })
 	process.control.Tell(workerHeartbeat{answer, heartbeat})
@@ -160,18 +162,18 @@
 	}
 	for end := time.After(4 * time.Second); ; {
 		select {
-		case response := <-answer.got:
+		case response := <-answer.response:
 			time.Sleep(w.randomDuration(time.Millisecond, 5*time.Millisecond))
 			return response
 		case <-end:
 			return nil
 		case <-time.After(cmp.Or(w.workerInterval, 100*time.Millisecond)):
-			w.locked(m.expireLease) // which does not wait for the answer
+			w.locked(m.expireLease) // a pending answer does not delay the end of the lease
 		}
 	}
 }
 
-// deliverLateCopy delivers a copy of a heartbeat to any controller, up to three leases
+// deliverLateCopy delivers a copy of a heartbeat to a random controller, up to three leases
 // later.
 func (w *world) deliverLateCopy(heartbeat *wire.Heartbeat) {
 	time.Sleep(w.randomDuration(time.Second, 3*w.times.lease()))
@@ -183,8 +185,8 @@
 	}
 }
 
-// handleResponse carries out what a controller answered, or turns to another one. The
-// caller holds the lock.
+// handleResponse renews the lease and carries out the commands in a controller's answer, or
+// selects another controller. The caller holds the lock.
 func (l *workerLoop) handleResponse(n *simController, heartbeat *wire.Heartbeat, response *httpwire.Response) {
 	m, w := l.worker, l.worker.world
 	w.recordAnswer(n.set.Controller, heartbeat, response)
@@ -222,13 +224,13 @@
 	}
 }
 
-// dropAnswer loses an answer now and then. The caller holds the lock.
+// dropAnswer reports whether an answer to the worker is lost. The caller holds the lock.
 func (w *world) dropAnswer(m *simWorker) bool {
 	return m.disconnected || m.receivesNothing || !w.noAnswerLoss && w.rng.Float64() < cmp.Or(w.answerLossShare, 0.01)
 }
 
-// expireLease ends all tasks and the epoch if the lease has ended, unless the machine hangs.
-// The caller holds the lock.
+// expireLease ends all tasks and begins a new epoch if the lease has expired, unless the
+// machine hangs. The caller holds the lock.
 func (m *simWorker) expireLease() {
 	now := time.Now()
 	if !m.hung && !m.removed && !m.world.ignoreWorkerLeases && now.Sub(m.leaseRenewedAt) > m.world.times.lease() {
@@ -246,7 +248,7 @@
 	}
 }
 
-// advance lets time pass on the machine. The caller holds the lock.
+// advance makes the state changes that are due on the machine. The caller holds the lock.
 func (m *simWorker) advance() {
 	m.expireLease()
 	now := time.Now()
@@ -271,8 +273,8 @@
 			}
 			if !j.spec.IsService() {
 				t.nextChange = now.Add(settings.Seconds(j.spec.EstimateS))
-				if i < len(j.runs) {
-					t.nextChange = now.Add(settings.Seconds(j.runs[i]))
+				if i < len(j.runTimesS) {
+					t.nextChange = now.Add(settings.Seconds(j.runTimesS[i]))
 				}
 				if j.doneTasks[i] {
 					t.nextChange = now
@@ -287,41 +289,42 @@
 	}
 }
 
-// checkNoJobWaits checks that, once all troubles are over, no job waits for 90 s while a
-// machine that fits has room and its team is under its limit.
+// checkNoJobWaits checks that, after the last fault has ended, no job waits for more than 90 s
+// while a suitable machine has enough free CPUs and the job's team is below its quota.
 func (w *world) checkNoJobWaits() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.calmSince.IsZero() {
+	if w.faultFreeSince.IsZero() {
 		return
 	}
-	here := map[string]int{}
-	used := map[string]float64{}
-	free := map[*simWorker]float64{}
+	activeTasks := map[string]int{}
+	usedCPUs := map[string]float64{}
+	freeCPUs := map[*simWorker]float64{}
 	for _, m := range w.machines {
 		if time.Now().Before(m.bootsAt) || m.hung || m.disconnected || m.receivesNothing || m.cutFromControllers {
 			continue
 		}
-		free[m] = simTypes[0].CPUs
+		freeCPUs[m] = simTypes[0].CPUs
 		for _, x := range m.tasks {
 			if id, _, _ := wire.ParseTaskName(x.name); x.state != wire.TaskExited {
-				here[id]++
-				used[w.jobs[id].spec.Team] += w.jobs[id].spec.CPUs
-				free[m] -= w.jobs[id].spec.CPUs
+				activeTasks[id]++
+				usedCPUs[w.jobs[id].spec.Team] += w.jobs[id].spec.CPUs
+				freeCPUs[m] -= w.jobs[id].spec.CPUs
 			}
 		}
 	}
 	for id, j := range w.jobs {
 		s := &j.spec
-		fits := s.Team != "tight" || used["tight"]+s.CPUs <= 10
+		fits := s.Team != "tight" || usedCPUs["tight"]+s.CPUs <= 10
 		if fits {
 			fits = false
-			for m, f := range free {
+			for m, f := range freeCPUs {
 				fits = fits || f >= s.CPUs && (s.Spot || !m.spot) && (s.Zone == "" || s.Zone == m.zone)
 			}
 		}
-		// One that is bound to its other tasks may fit nowhere else for a reason.
-		if !fits || here[id] > 0 || !j.accepted || j.cancelRequested || len(j.doneTasks) >= s.Tasks || s.AllOrNothing() {
+		// The placement of an all-or-nothing job depends on its other tasks, so one free
+		// machine does not mean that the job can start.
+		if !fits || activeTasks[id] > 0 || !j.accepted || j.cancelRequested || len(j.doneTasks) >= s.Tasks || s.AllOrNothing() {
 			j.idleSince = time.Time{}
 		} else if j.idleSince.IsZero() {
 			j.idleSince = time.Now()
@@ -332,9 +335,9 @@
 	}
 }
 
-// checkCancelledJobsEnd checks that no task of a cancelled job is on any machine past its
-// time, whether the machine runs, hangs or cannot be reached: a task is there until
-// it exits, is killed or the machine is gone.
+// checkCancelledJobsEnd checks that no task of a cancelled job is on any machine after the
+// limit for cancellations, whether the machine runs, hangs or is unreachable. A task is on its
+// machine until it exits or is killed, or until the machine is terminated.
 func (w *world) checkCancelledJobsEnd() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -342,7 +345,7 @@
 		for _, t := range m.tasks {
 			job, _, _ := wire.ParseTaskName(t.name)
 			j := w.jobs[job]
-			if w.hungPastLeaseIsDead && time.Since(m.leaseRenewedAt) > w.times.lease() {
+			if w.ignoreTasksHungPastLease && time.Since(m.leaseRenewedAt) > w.times.lease() {
 				continue
 			}
 			if onMachine(t.state) && !j.cancelled.IsZero() && !j.overran && time.Since(j.cancelled) > w.times.cancelWithin() {
@@ -365,34 +368,34 @@
 	}
 	m.recordTask("task starts", t)
 	slog.Debug("sim: task starts", "task", t.name, "attempt", t.attempt, "machine", m.name, "epoch", m.epoch, "token", m.token)
-	used, inZone := 0.0, 0
+	usedCPUs, inZone := 0.0, 0
 	zones := map[string]bool{}
-	for _, o := range w.machines {
-		if !w.ignoreWorkerLeases && time.Since(o.leaseRenewedAt) > w.times.lease() {
-			continue // hangs beyond its lease: what it held is dead, and it will see to that before anything else
+	for _, other := range w.machines {
+		if !w.ignoreWorkerLeases && time.Since(other.leaseRenewedAt) > w.times.lease() {
+			continue // the machine hung past its lease: the worker ends these tasks before it does anything else
 		}
-		for _, x := range o.tasks {
+		for _, x := range other.tasks {
 			if !onMachine(x.state) {
 				continue
 			}
 			job, _, _ := wire.ParseTaskName(x.name)
-			k := w.jobs[job]
-			if x.name == t.name && o != m {
-				w.violateTask("ran_twice", t.name, m.name, "%s on %s and %s", t.name, m.name, o.name)
+			otherJob := w.jobs[job]
+			if x.name == t.name && other != m {
+				w.violateTask("ran_twice", t.name, m.name, "%s on %s and %s", t.name, m.name, other.name)
 			}
-			if k.spec.Team == j.spec.Team {
-				used += k.spec.CPUs
+			if otherJob.spec.Team == j.spec.Team {
+				usedCPUs += otherJob.spec.CPUs
 			}
-			if k == j {
-				zones[o.zone] = true
-				if o.zone == m.zone {
+			if otherJob == j {
+				zones[other.zone] = true
+				if other.zone == m.zone {
 					inZone++
 				}
 			}
 		}
 	}
-	if j.spec.Team == "tight" && used > 10+1e-6 {
-		w.violateTask("quota", t.name, m.name, "%s: %g CPUs", t.name, used)
+	if j.spec.Team == "tight" && usedCPUs > 10+1e-6 {
+		w.violateTask("quota", t.name, m.name, "%s: %g CPUs", t.name, usedCPUs)
 	}
 	if m.spot && !j.spec.Spot || j.spec.Zone != "" && j.spec.Zone != m.zone ||
 		j.spec.OneZone && len(zones) > 1 || j.spec.Spread && inZone > (j.spec.Tasks+1)/2 {
@@ -425,11 +428,11 @@
 	}
 }
 
-// start carries out a start. The caller holds the lock.
+// start carries out a start command. The caller holds the lock.
 func (m *simWorker) start(key string, c wire.Command, inAnswer bool) {
 	job, _, _ := wire.ParseTaskName(c.Task)
 	if inAnswer {
-		// An answer is never carried out late, so whoever gave it decided the
+		// The commands of an answer are never carried out late. So the owner decided the
 		// start within its authority and without knowing of the cancellation.
 		if j := m.world.jobs[job]; !j.cancelled.IsZero() && time.Since(j.cancelled) > 4*time.Second {
 			m.world.violateTask("started_cancelled", c.Task, m.name, "%s on %s", c.Task, m.name)
@@ -438,21 +441,21 @@
 	t := &simTask{name: c.Task, attempt: c.Attempt, state: wire.TaskFetching}
 	m.tasks[key] = t
 	m.changed = true
-	used := 0.0
+	usedCPUs := 0.0
 	for _, o := range m.tasks {
 		if o == t || o.state == wire.TaskExited {
 			continue
 		}
 		other, _, _ := wire.ParseTaskName(o.name)
-		used += m.world.jobs[other].spec.CPUs
+		usedCPUs += m.world.jobs[other].spec.CPUs
 		if o.name == t.name {
 			t.state, t.cause = wire.TaskExited, wire.CauseOtherAttempt
 		}
 	}
-	if t.state != wire.TaskExited && used+m.world.jobs[job].spec.CPUs > 8+1e-6 {
+	if t.state != wire.TaskExited && usedCPUs+m.world.jobs[job].spec.CPUs > 8+1e-6 {
 		t.state, t.cause = wire.TaskExited, wire.CauseNoCapacity
 	}
-	if _, sound := m.world.soundMachines[m.name]; m.world.soundMachines != nil && !sound && t.state != wire.TaskExited {
+	if _, healthy := m.world.healthyMachines[m.name]; m.world.healthyMachines != nil && !healthy && t.state != wire.TaskExited {
 		t.state, t.cause = wire.TaskExited, wire.CauseError
 	}
 	if t.state == wire.TaskFetching {
@@ -460,7 +463,8 @@
 	}
 }
 
-// stopTask carries out the stop of a task that has not exited. The caller holds the lock.
+// stopTask carries out a stop command for a task that has not exited. The caller holds the
+// lock.
 func (m *simWorker) stopTask(t *simTask, c wire.Command) {
 	job, _, _ := wire.ParseTaskName(c.Task)
 	if t.state == wire.TaskRunning && m.reclaimAt.IsZero() {
@@ -480,7 +484,7 @@
 	m.stopGangTask(t, j, graceS)
 }
 
-// simCommands delivers direct commands, some of them late or twice.
+// simCommands delivers direct commands to workers, some of them late or twice.
 type simCommands struct{ n *simController }
 
 func (c *simCommands) Disconnect(string) {}
@@ -495,13 +499,13 @@
 			w.recordCommands("direct command sent", c.n.set.Controller, addr, req.Epoch, req.FencingToken, req.Commands)
 		})
 		time.Sleep(w.randomDuration(time.Millisecond, 5*time.Millisecond))
-		if w.chance(w.lateCommandShare) { // a late copy
+		if w.chance(w.lateCommandShare) { // a copy is delivered late
 			go func() {
 				time.Sleep(w.randomDuration(time.Second, 30*time.Second))
 				c.deliver(addr, req)
 			}()
 		}
-		if w.chance(w.lateCommandShare) { // held back: the sender gives up, the command arrives all the same
+		if w.chance(w.lateCommandShare) { // the command is delayed: the sender times out, and the command arrives later
 			go func() {
 				time.Sleep(w.randomDuration(time.Second, 30*time.Second))
 				if c.deliver(addr, req).Executed {
@@ -514,9 +518,9 @@
 		}
 		w.mu.Lock()
 		m := w.machines[addr]
-		silent := m == nil || m.disconnected || m.hung || m.receivesNothing || c.n.cutFromWorkers || time.Now().Before(m.bootsAt) || w.isPartitioned(m.zone, c.n)
+		unreachable := m == nil || m.disconnected || m.hung || m.receivesNothing || c.n.cutFromWorkers || time.Now().Before(m.bootsAt) || w.isPartitioned(m.zone, c.n)
 		w.mu.Unlock()
-		if silent {
+		if unreachable {
 			time.Sleep(2 * time.Second)
 			if m != nil && w.chance(0.5) {
 				go func() {
@@ -543,7 +547,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	m := w.machines[addr]
-	for m != nil && w.isPartitioned(m.zone, c.n) { // a partition holds it back
+	for m != nil && w.isPartitioned(m.zone, c.n) { // the command is delayed until the partition ends
 		w.mu.Unlock()
 		time.Sleep(time.Second)
 		w.mu.Lock()
@@ -563,22 +567,22 @@
 	return worker.Result{Executed: true, Heartbeat: m.heartbeat()}
 }
 
-// deliverCopy lets a copy of a heartbeat come to a controller.
+// deliverCopy delivers a copy of a heartbeat to a controller.
 func (w *world) deliverCopy(to *Controller, r *wire.Heartbeat) {
 	w.locked(func() {
 		w.observed["copies"]++
 		w.recordHeartbeat("late copy of a heartbeat", to.name, r)
-		if m := w.machines[r.Machine]; m != nil && w.freshenCopies {
+		if m := w.machines[r.Machine]; m != nil && w.makeCopiesCurrent {
 			fresh := *r
 			fresh.Epoch, fresh.Seq, fresh.FencingToken = m.epoch, m.seq+1, m.token
 			r = &fresh
 		}
 	})
-	to.control.Tell(workerHeartbeat{&simAnswer{got: make(chan *httpwire.Response, 1)}, r})
+	to.control.Tell(workerHeartbeat{&simAnswer{response: make(chan *httpwire.Response, 1)}, r})
 }
 
-// restart is a worker's process that is back at once: it holds nothing of what
-// it held, under a new epoch. The caller holds the lock.
+// restart restarts the worker's process at once, without its tasks and with a new epoch. The
+// caller holds the lock.
 func (m *simWorker) restart() {
 	m.recordState("worker restarts")
 	m.tasks = map[string]*simTask{}
--- a/controller/unusual_requests_test.go
+++ b/controller/unusual_requests_test.go
@@ -10,13 +10,13 @@
 	"ravenport/wire"
 )
 
-// Jobs that lack a field are refused as malformed and jobs that can never run as
-// such, by every controller, every time, also while controllers end and the state
-// service answers slowly; repeats of jobs that were accepted and cancellations of
-// done ones get the same answer as before.
+// Every controller refuses a job that lacks a field as malformed, and a job that can never run as
+// unprocessable, also while controllers end and while the state service responds slowly or is
+// unavailable. Repeated submissions of accepted jobs and cancellations of done jobs get the same
+// response as before.
 func TestUnusualRequests(t *testing.T) {
 	required := []string{"uid", "lane", "crew", "shape", "rank", "pieces", "cpus", "cards", "mem_gb", "kit", "pull_gb", "one_zone", "scatter", "loaners", "guess_s", "mark_every_s", "stow_s"}
-	never := map[string]func(map[string]any){
+	unrunnable := map[string]func(map[string]any){
 		"unknown team":           func(f map[string]any) { f["crew"] = "nobody" },
 		"too many CPUs":          func(f map[string]any) { f["cpus"] = 9.0 },
 		"too much memory":        func(f map[string]any) { f["mem_gb"] = 33.0 },
@@ -29,20 +29,20 @@
 			f["pieces"] = 2
 			f["shape"] = wire.KindService
 		},
-		"a service bound and apart": func(f map[string]any) {
+		"a service bound to a zone and spread": func(f map[string]any) {
 			f["yard"] = "a"
 			f["scatter"] = true
 			f["pieces"] = 2
 			f["shape"] = wire.KindService
 		},
 	}
-	scenarios(t, []scenario{{name: "while controllers end", times: magnoliaTimes, zones: []string{"a", "b", "c"}, seeds: []uint64{1, 2}, play: func(t *testing.T, w *world) {
+	runScenarios(t, []scenario{{name: "while controllers end", times: lease26Times, zones: []string{"a", "b", "c"}, seeds: []uint64{1, 2}, body: func(t *testing.T, w *world) {
 		done := w.newArray("run-000000", 2, 1, 3)
 		go w.runUser(done, 0, 0)
 		w.waitUntil(t, "a job is done", 2*time.Minute, func() bool { return w.hasEnded(done) })
 		sample := w.newArray("run-odd", 2, 1, 5).spec
 		answered := 0
-		ask := func(what string, f map[string]any, want int) {
+		submit := func(what string, f map[string]any, want int) {
 			for index := range w.controllers {
 				r := w.requestAt(index, func(q apiserver.Request) any { return apiserver.Submit{Request: q, Body: records.Encode(f)} })
 				if r == nil || r.Status == 503 {
@@ -58,26 +58,26 @@
 			case 1:
 				w.locked(func() { w.storeLatency = 300 * time.Millisecond })
 			case 2:
-				w.expectNewTerm(t, records.KeyLeader, func() { w.controllers[w.holder(records.KeyLeader)].restart(3 * time.Second) })
+				w.expectNewTerm(t, records.KeyLeader, func() { w.controllers[w.termHolder(records.KeyLeader)].restart(3 * time.Second) })
 			case 3:
 				w.setOutage(true)
 				time.AfterFunc(10*time.Second, func() { w.setOutage(false) })
 			}
 			for _, field := range required {
-				f := fields(sample)
+				f := submissionFields(sample)
 				delete(f, field)
-				ask("without "+field, f, 400)
-				f = fields(sample)
+				submit("without "+field, f, 400)
+				f = submissionFields(sample)
 				f[field] = nil
-				ask("null as "+field, f, 400)
+				submit("null as "+field, f, 400)
 			}
-			for what, change := range never {
-				f := fields(sample)
+			for what, change := range unrunnable {
+				f := submissionFields(sample)
 				change(f)
-				ask(what, f, 422)
+				submit(what, f, 422)
 			}
-			for index := range w.controllers { // of a job that is done
-				f := fields(done.spec)
+			for index := range w.controllers { // requests about a job that is done
+				f := submissionFields(done.spec)
 				delete(f, "cpus")
 				for _, r := range []*httpwire.Response{
 					w.requestAt(index, func(q apiserver.Request) any { return apiserver.Submit{Request: q, Body: records.Encode(f)} }),
@@ -87,13 +87,13 @@
 				}
 				r := w.requestAt(index, func(q apiserver.Request) any { return apiserver.Poll{Request: q, JobID: "run-odd"} })
 				if r != nil && r.Status != 404 && r.Status != 503 {
-					w.fail(t, "a job that nobody could submit: status %d", r.Status)
+					w.fail(t, "poll of a job that was never accepted: status %d", r.Status)
 				}
 			}
 		}
 		if answered < 300 {
-			w.fail(t, "only %d odd requests were answered", answered)
+			w.fail(t, "only %d invalid requests were answered", answered)
 		}
-		w.settleAll(t, time.Minute, []*simJob{done})
+		w.endFaultsAndWait(t, time.Minute, []*simJob{done})
 	}}})
 }
--- a/shard/migration.go
+++ b/shard/migration.go
@@ -23,7 +23,7 @@
 // task's budgets allow the stop. The error says why the task is not stopped.
 func (c *Core) migrateService(now time.Time, number int, t *task) error {
 	d := c.draining
-	spec := &t.job.rec.Spec
+	spec := &t.job.record.Spec
 	budgets := d.budgetsOf(t.job)
 	isAvailable := d.isAvailable(&c.fleetView, now, t)
 	if !isAvailable && d.mayBecomeAvailable(now, t.attempt) {
@@ -53,10 +53,10 @@
 	return nil
 }
 
-// mayBecomeAvailable reports whether an attempt that is not available is not stopped, because
-// it may become available. Stopping the attempt would not raise the owner's count of
-// unavailable tasks, but would extend the task's downtime. After a failover, the attempt may
-// have run for a long time without the new owner's knowledge.
+// mayBecomeAvailable reports whether an attempt that is not available may still become
+// available, and must therefore not be stopped. Stopping the attempt would not raise the
+// owner's count of unavailable tasks, but would extend the task's downtime. After a failover,
+// the attempt may have run for a long time without the new owner's knowledge.
 func (d *draining) mayBecomeAvailable(now time.Time, a *attempt) bool {
 	return a.isRunning() || now.Sub(a.machine.cordon.since) < d.cfg.Policy.ReplacementTimeout
 }
@@ -111,7 +111,7 @@
 		return
 	}
 	for _, t := range c.draining.surgeTasks {
-		s := &t.job.rec.Spec
+		s := &t.job.record.Spec
 		if c.takePendingCapacity(s, 1) == 1 {
 			continue
 		}
@@ -135,13 +135,13 @@
 	for t, m := range d.migrations {
 		j := t.job
 		switch {
-		case v.jobs[j.rec.ID] != j || j.tasks[t.index] != t || j.rec.End != "":
+		case v.jobs[j.record.ID] != j || j.tasks[t.index] != t || j.record.End != "":
 			delete(d.migrations, t) // the job has ended, or the task is assigned to another shard
 		case d.isAvailable(v, now, t):
 			delete(d.migrations, t)
 		case now.Sub(m.startedAt) > d.cfg.Policy.ReplacementTimeout:
 			delete(d.migrations, t)
-			d.recordFailure(m.drain, "a task of "+j.rec.ID+" was not up in time")
+			d.recordFailure(m.drain, "a task of "+j.record.ID+" was not up in time")
 		}
 	}
 }
@@ -153,11 +153,11 @@
 		return
 	}
 	if m := d.migrations[t]; m != nil {
-		d.recordFailure(m.drain, "a task of "+t.job.rec.ID+" failed on "+machine)
+		d.recordFailure(m.drain, "a task of "+t.job.record.ID+" failed on "+machine)
 	}
 }
 
-// recordFailure records a failed replacement for a drain, unless the drain is over.
+// recordFailure records a failed replacement for a drain, unless the drain has ended.
 func (d *draining) recordFailure(number int, reason string) {
 	if s := d.drains[number]; s != nil {
 		s.RecordFailure(reason)
--- a/shard/scale_test.go
+++ b/shard/scale_test.go
@@ -120,7 +120,7 @@
 				j := arrayJob(fmt.Sprintf("run-%d", submitted), 1, "a")
 				j.Spec.CPUs = 0.5
 				if rapid.IntRange(0, 3).Draw(t, "stuck") == 0 {
-					j.Spec.CPUs = 9 // no machine is that large: the job waits for ever, and must not delay others
+					j.Spec.CPUs = 9 // no machine is that large: the job waits forever, and must not delay others
 					unplaceable++
 				}
 				j.AcceptedMS = r.now.UnixMilli() - int64(rapid.IntRange(0, 90).Draw(t, "age"))*1000
@@ -195,9 +195,11 @@
 	}
 }
 
-// A machine that sends heartbeats without the latest token becomes unconfirmed and gets no
-// tasks. Repeating the old token does not confirm the machine; a heartbeat with the next
-// token does, so that a machine of which one answer was lost becomes schedulable again.
+// A machine that sent heartbeats to other controllers, although this owner answered it,
+// becomes unconfirmed and gets no tasks. Repeating the old token does not confirm the machine,
+// and a machine that stays unconfirmed is terminated in the end (see isNotReceiving). A
+// heartbeat with the new token confirms it, so that a machine to which only one reply was
+// lost becomes schedulable again.
 func TestConfirmationNeedsANewToken(t *testing.T) {
 	r := newTestOwner(nil)
 	for i := range 4 {
@@ -278,9 +280,9 @@
 	}
 }
 
-// newFullFleetRig returns the rig of an owner whose machines are full, with thousands of
-// tasks waiting.
-func newFullFleetRig(machines int) *testOwner {
+// newFullFleetTestOwner returns an owner whose machines are full, with thousands of tasks
+// waiting.
+func newFullFleetTestOwner(machines int) *testOwner {
 	r := newTestOwner(nil)
 	r.roundBudget = time.Hour
 	r.bringUpFleet(machines)
@@ -298,7 +300,7 @@
 // BenchmarkFullFleetRound measures a whole placement round on full machines with thousands
 // of tasks waiting.
 func BenchmarkFullFleetRound(b *testing.B) {
-	r := newFullFleetRig(1000)
+	r := newFullFleetTestOwner(1000)
 	b.ReportAllocs()
 	for b.Loop() {
 		r.needsPlacement = true
@@ -356,10 +358,10 @@
 	}
 }
 
-// newSteadyFleetRig returns the rig of an owner with one third of the machines of a small
+// newSteadyFleetTestOwner returns an owner with one third of the machines of a small
 // deployment. All tasks are placed and reported as running: two tasks of a service and two
 // tasks of an array per machine.
-func newSteadyFleetRig(machines int) *testOwner {
+func newSteadyFleetTestOwner(machines int) *testOwner {
 	r := newTestOwner(nil)
 	r.bringUpFleet(machines)
 	r.submit(arrayJob("run-1", 2*machines, "a"))
@@ -405,7 +407,7 @@
 // BenchmarkSteadyFleetSteps measures the steps of one second, at the interval of an owner
 // whose machines send heartbeats all the time, with nothing else to do.
 func BenchmarkSteadyFleetSteps(b *testing.B) {
-	r := newSteadyFleetRig(400)
+	r := newSteadyFleetTestOwner(400)
 	b.ReportAllocs()
 	for b.Loop() {
 		for i := range int(time.Second / constants.MinOwnerStepInterval) {
@@ -453,16 +455,16 @@
 				if r.jobs[id] == nil {
 					continue
 				}
-				rec := r.jobs[id].rec.Clone()
+				record := r.jobs[id].record.Clone()
 				if rapid.Bool().Draw(t, "over") {
-					rec.End = wire.JobCancelled
+					record.End = wire.JobCancelled
 				} else {
-					for i := range rec.Assignments {
-						rec.Assignments[i].Guaranteed = !rec.Assignments[i].Guaranteed
+					for i := range record.Assignments {
+						record.Assignments[i].Guaranteed = !record.Assignments[i].Guaranteed
 					}
 				}
 				r.version++
-				r.Apply(r.now, records.Change{Key: records.KeyJob(id), Version: r.version, Record: rec})
+				r.Apply(r.now, records.Change{Key: records.KeyJob(id), Version: r.version, Record: record})
 			case 2: // a machine reports progress of its attempts, or has restarted
 				name := fmt.Sprintf("m-%d", rapid.IntRange(0, machines-1).Draw(t, "machine"))
 				m := r.machines[name]
@@ -505,7 +507,7 @@
 // written, and the number of allocations is small and does not grow with the fleet.
 func TestIdleSecondCostsLittle(t *testing.T) {
 	cost := func(machines int) float64 {
-		r := newSteadyFleetRig(machines)
+		r := newSteadyFleetTestOwner(machines)
 		for range 5 {
 			r.stepIdleSecond()
 		}
@@ -526,7 +528,7 @@
 // In a round with full machines and hundreds of jobs waiting, the number of allocations grows
 // with the jobs and not with the tasks or the machines.
 func TestFullFleetRoundAllocatesLittle(t *testing.T) {
-	r := newFullFleetRig(400)
+	r := newFullFleetTestOwner(400)
 	n := testing.AllocsPerRun(50, func() {
 		r.needsPlacement = true
 		r.advance(20 * time.Millisecond)
@@ -538,7 +540,7 @@
 }
 
 // A machine whose done tasks wait for their assignment to be closed is sent a higher token
-// once, and not in every answer: each new token makes the machine send a heartbeat
+// once, and not in every reply: each new token makes the machine send a heartbeat
 // immediately.
 func TestDoneTasksRaiseTheTokenOnce(t *testing.T) {
 	r := newTestOwner(nil)
@@ -572,7 +574,7 @@
 // Handling a heartbeat that changes nothing allocates no memory: an owner in a small
 // deployment receives a hundred of them per second.
 func TestUnchangedHeartbeatAllocatesNothing(t *testing.T) {
-	r := newSteadyFleetRig(50)
+	r := newSteadyFleetTestOwner(50)
 	heartbeat := newHeartbeat("m-00000", 1, 1000, r.latestToken("m-00000"))
 	for _, a := range r.machines["m-00000"].attempts {
 		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: a.key.task, Attempt: a.key.number, State: wire.TaskRunning})
--- a/shard/state.go
+++ b/shard/state.go
@@ -66,7 +66,8 @@
 	c.needsPlacement = true
 }
 
-// removeMachine removes a machine from the known state, and ends its direct command.
+// removeMachine removes a machine from the known state. A direct command to the machine no
+// longer counts as in flight.
 func (v *fleetView) removeMachine(q *outbox, m *machine) {
 	delete(v.machines, m.name)
 	q.directCommandDone(m)
@@ -135,7 +136,7 @@
 // run.
 func (k *knownState) isWanted(a *attempt) bool {
 	t := k.taskOf(a)
-	return t != nil && t.attempt == a && !t.done && !a.stopRequested && t.job.rec.End == ""
+	return t != nil && t.attempt == a && !t.done && !a.stopRequested && t.job.record.End == ""
 }
 
 // TaskCounts returns for each job the number of its tasks that run in the shard, and the
--- a/shard/state_test.go
+++ b/shard/state_test.go
@@ -34,7 +34,7 @@
 	m := &machine{lastHeartbeat: start}
 	late := start.Add(l.periods(constants.UnreachablePeriods) + time.Millisecond)
 	if !l.isUnreachable(late, m) || !l.isHeartbeatOverdue(late, m) || l.isUnreachable(late.Add(-time.Millisecond), m) {
-		t.Error("a machine is not unreachable exactly after UnreachablePeriods without a heartbeat")
+		t.Error("want a machine to be unreachable after more than UnreachablePeriods without a heartbeat, and not before")
 	}
 	l.livenessResetAt = late
 	if l.isUnreachable(late, m) || l.sinceHeartbeat(late.Add(time.Second), m) != time.Second {
@@ -127,7 +127,7 @@
 // its task is not assigned to the shard, or while a stop of the attempt is requested.
 func TestKnownStateOfAttempts(t *testing.T) {
 	k := newKnownState()
-	j := &job{rec: &records.Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", CPUs: 3, MemoryGB: 2, Image: "i"}}, tasks: map[int]*task{}}
+	j := &job{record: &records.Job{ID: "run-1", Spec: wire.Submission{ID: "run-1", CPUs: 3, MemoryGB: 2, Image: "i"}}, tasks: map[int]*task{}}
 	k.jobs["run-1"] = j
 	m := k.ensureMachine("m-1")
 	a := &attempt{key: attemptKey{"run-1/0", 7}, jobID: "run-1", machine: m}
