--- a/controller/damaged_record_test.go
+++ b/controller/damaged_record_test.go
@@ -13,7 +13,7 @@
 )
 
 // damagedJobValue is the stored value of a job whose run code has more letters than any shard
-// needs. Before decoding refused such a value, every controller that read it crashed.
+// needs. Before decoding refused such a value, every controller that read it ended.
 var damagedJobValue = json.RawMessage(`[{"spec":{"uid":"","lane":"c","crew":"free","shape":"sweep","pieces":4}},"` + strings.Repeat("Z", 15) + `4",["a"]]`)
 
 // putDamagedJob replaces the stored value of a key with damagedJobValue and returns its version.
--- a/controller/detection_test.go
+++ b/controller/detection_test.go
@@ -170,7 +170,7 @@
 		j := w.newArray("run-000900", 2, 2, 5)
 		j.spec.Zone = "a"
 		go w.runUser(j, 0, 0)
-		w.waitAllDone(t, 90*time.Second, []*simJob{j}) // the new owner uses the machines
+		w.waitAllDone(t, 90*time.Second, []*simJob{j}) // the machines of the shard must not be left idle
 	}},
 	{name: "owner cut from all controllers, not from the state service", fault: func(t *testing.T, w *world, _ *workload) {
 		w.expectSameTerms(t, func() {
@@ -321,12 +321,12 @@
 		})
 	}
 	if revoked < int(*randomDays)/2 || late == 0 {
-		t.Errorf("only %d revocations and %d late heartbeats came about", revoked, late)
+		t.Errorf("only %d revocations and %d late heartbeats occurred", revoked, late)
 	}
 }
 
-// proposeRandomRevocations enables failure detection and, for the first 200 s, lets a random
-// controller propose the revocation of another one every half to whole interval.
+// proposeRandomRevocations enables failure detection. For the first 200 s it makes a random
+// controller propose the revocation of another one, at random intervals from every/2 to every.
 func proposeRandomRevocations(w *world, every time.Duration) {
 	for _, n := range w.controllers {
 		n.enableDetection()
--- a/controller/draining_test.go
+++ b/controller/draining_test.go
@@ -85,7 +85,7 @@
 	w.waitUntil(t, "some replicas were moved", 4*time.Minute, func() bool { return w.disruptionFigures().Replaced > 1 })
 }
 
-// drainScenarios are failures in the middle of a drain. Each scenario ensures that its failure
+// drainScenarios are failures in the middle of a drain. Each scenario checks that its failure
 // takes place.
 var drainScenarios = []drainScenario{
 	{name: "nothing fails", seeds: 2},
--- a/controller/faults_test.go
+++ b/controller/faults_test.go
@@ -370,7 +370,7 @@
 			w.expectNewTerm(t, records.KeyShard("a"), func() {})
 			w.endFaultsAndWait(t, 8*time.Minute, b.mustFinish)
 		}},
-	{name: "a leader ends while machines with long tasks do not receive from the new one", unguard: func(w *world) { w.ignoreWorkerLeases, w.ignoreScaleIn = true, true }, wantBrokenRule: "ran_twice",
+	{name: "a leader ends while machines with long tasks receive nothing from the new one", unguard: func(w *world) { w.ignoreWorkerLeases, w.ignoreScaleIn = true, true }, wantBrokenRule: "ran_twice",
 		body: func(t *testing.T, w *world) {
 			b := w.startWorkload(t, 150)
 			for i, j := range []*simJob{b.zoneArrays[0], b.zoneArrays[1], b.unboundArray} {
--- a/controller/large_fleet_test.go
+++ b/controller/large_fleet_test.go
@@ -30,15 +30,15 @@
 		w := runLargeFleet(t, "", *lossyFleetMachines, *lostAnswerFraction)
 		ended, endedUnresponsive, endedByLease := w.eventCount("tasks ended by a scale-in"), w.eventCount("tasks ended by the scale-in of an unresponsive machine"), w.eventCount("tasks ended by a lease")
 		w.logLiveTerminations(t)
-		t.Logf("%d starts again; %d tasks ended by returns, %d of them on machines that answered nothing, %d by a lease", w.restarts, ended, endedUnresponsive, endedByLease)
+		t.Logf("%d restarts; %d tasks ended by scale-ins, %d of them on machines that answered nothing, %d by a lease", w.restarts, ended, endedUnresponsive, endedByLease)
 		if ended != endedUnresponsive {
-			t.Errorf("%d tasks were ended by the return of a machine that had answered", ended-endedUnresponsive)
+			t.Errorf("%d tasks were ended by the scale-in of a machine that had answered", ended-endedUnresponsive)
 		}
 		if w.restarts > endedUnresponsive+endedByLease {
-			t.Errorf("%d tasks started again, and %d were on machines that were lost", w.restarts, endedUnresponsive+endedByLease)
+			t.Errorf("%d tasks were restarted, but only %d were on machines that were lost", w.restarts, endedUnresponsive+endedByLease)
 		}
 		if endedUnresponsive+endedByLease == 0 {
-			t.Error("no machine was lost: nothing was shown")
+			t.Error("no machine was lost: the test proves nothing")
 		}
 	})
 }
--- a/controller/overload_test.go
+++ b/controller/overload_test.go
@@ -257,15 +257,15 @@
 	}
 }
 
-// runOverload runs eight minutes of sustained overload and returns the jobs that were submitted
-// more than four minutes before the end.
+// runOverload runs eight minutes of sustained overload and returns the jobs that had enough time
+// to start: those that were submitted more than four minutes before the end.
 func runOverload(seed uint64) (*overload, []*overloadJob) {
 	c := newOverload(seed)
 	const capacity = 2 * 10 * 8.0 // CPUs
 	n, load := 0, 0.0
 	for quarter := 0; quarter < 8*60*4; quarter++ {
-		// Submits three times the capacity on average: load counts the CPU seconds that are
-		// submitted in a quarter of a second.
+		// Submits three times the capacity on average: load holds the CPU seconds that are due
+		// for submission, and grows at each step of a quarter of a second.
 		for load += 3 * capacity / 4 * c.rng.Float64() * 2; load > 0; n++ {
 			s := wire.Submission{ID: fmt.Sprintf("run-%06d", n), Class: "arrays", Team: []string{"sure", "tight", "free", "free"}[c.rng.IntN(4)],
 				Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 4 + c.rng.IntN(32), CPUs: float64(1 + c.rng.IntN(3)), MemoryGB: 1,
--- a/controller/random_faults_test.go
+++ b/controller/random_faults_test.go
@@ -17,11 +17,11 @@
 	"ravenport/wire"
 )
 
-// randomDays and firstSeed let a developer run many more random scenarios than CI does.
+// randomDays and firstSeed let a developer simulate many more random runs than CI does.
 var (
-	randomDays = flag.Uint64("sim.days", 12, "number of random scenarios to run")
+	randomDays = flag.Uint64("sim.days", 12, "number of random runs to simulate")
 	printLogs  = flag.Bool("sim.log", false, "print the controllers' logs")
-	firstSeed  = flag.Uint64("sim.from", 0, "seed of the first random scenario")
+	firstSeed  = flag.Uint64("sim.from", 0, "seed of the first random run")
 )
 
 func discardLogs(t *testing.T) {
@@ -98,7 +98,7 @@
 					return
 				}
 			}
-			t.Error("no broken rule was reported in 60 scenarios without this guard")
+			t.Error("no broken rule was reported in 60 random runs without this guard")
 		})
 	}
 }
--- a/controller/redirects_test.go
+++ b/controller/redirects_test.go
@@ -14,16 +14,16 @@
 		record func(r *redirectTracker)
 		want   int
 	}{
-		"came once": {func(r *redirectTracker) { r.record(now, "m", 1, 5, "n-1") }, 0},
-		"came back": {func(r *redirectTracker) { r.record(now, "m", 1, 5, "n-1"); r.record(now.Add(window), "m", 1, 7, "n-1") }, 1},
-		"came back later": {func(r *redirectTracker) {
+		"one heartbeat":          {func(r *redirectTracker) { r.record(now, "m", 1, 5, "n-1") }, 0},
+		"returned in the window": {func(r *redirectTracker) { r.record(now, "m", 1, 5, "n-1"); r.record(now.Add(window), "m", 1, 7, "n-1") }, 1},
+		"returned after the window": {func(r *redirectTracker) {
 			r.record(now, "m", 1, 5, "n-1")
 			r.record(now.Add(window+1), "m", 1, 7, "n-1")
 		}, 0},
-		"a copy":               {func(r *redirectTracker) { r.record(now, "m", 1, 5, "n-1"); r.record(now.Add(1), "m", 1, 5, "n-1") }, 0},
-		"an old copy":          {func(r *redirectTracker) { r.record(now, "m", 2, 5, "n-1"); r.record(now.Add(1), "m", 1, 9, "n-1") }, 0},
-		"the owner is another": {func(r *redirectTracker) { r.record(now, "m", 1, 5, "n-1"); r.record(now.Add(1), "m", 1, 6, "n-2") }, 0},
-		"a new session":        {func(r *redirectTracker) { r.record(now, "m", 1, 5, "n-1"); r.record(now.Add(1), "m", 2, 1, "n-1") }, 1},
+		"a copy":        {func(r *redirectTracker) { r.record(now, "m", 1, 5, "n-1"); r.record(now.Add(1), "m", 1, 5, "n-1") }, 0},
+		"an old copy":   {func(r *redirectTracker) { r.record(now, "m", 2, 5, "n-1"); r.record(now.Add(1), "m", 1, 9, "n-1") }, 0},
+		"another owner": {func(r *redirectTracker) { r.record(now, "m", 1, 5, "n-1"); r.record(now.Add(1), "m", 1, 6, "n-2") }, 0},
+		"a new session": {func(r *redirectTracker) { r.record(now, "m", 1, 5, "n-1"); r.record(now.Add(1), "m", 2, 1, "n-1") }, 1},
 		"forgotten": {func(r *redirectTracker) {
 			r.record(now, "m", 1, 5, "n-1")
 			r.reset()
--- a/controller/relay_test.go
+++ b/controller/relay_test.go
@@ -48,7 +48,7 @@
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
 		w := newStartedWorld(4)
-		w.lostAnswerShare, w.lateWriteShare, w.repeatedWriteShare = 0, 0, 0 // the random scenarios cover these faults
+		w.lostAnswerShare, w.lateWriteShare, w.repeatedWriteShare = 0, 0, 0 // the random runs cover these faults
 		w.locked(func() { w.controllers[1].cutFromStore = true })
 		time.Sleep(500 * time.Millisecond)
 		var jobs []*simJob
--- a/controller/scenario_test.go
+++ b/controller/scenario_test.go
@@ -177,7 +177,7 @@
 	t.Helper()
 	for end := time.Now().Add(limit); !ok(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
-			w.stopScenario(t, "it never came about: %s", what)
+			w.stopScenario(t, "condition not met in time: %s", what)
 		}
 	}
 }
@@ -274,7 +274,8 @@
 				w.fail(t, "round %d: no machine sent a heartbeat to %s after the cancellation was confirmed", i, n.set.Controller)
 			}
 			// Jobs that were not cancelled keep running: the controller that confirmed the
-			// cancellations lists them in its replies, and so may grant a lease extension.
+			// cancellations lists them in its replies to requests for a lease extension, and so
+			// may grant one.
 			if w.starts != starts {
 				w.fail(t, "round %d: %d tasks were restarted", i, w.starts-starts)
 			}
--- a/controller/sim_worker_test.go
+++ b/controller/sim_worker_test.go
@@ -137,7 +137,7 @@
 	if reachable {
 		return "heartbeat sent"
 	}
-	return "heartbeat that reaches nobody"
+	return "heartbeat that reaches no controller"
 }
 
 // tryNext selects the next controller and schedules a heartbeat one second after now.
--- a/controller/unusual_requests_test.go
+++ b/controller/unusual_requests_test.go
@@ -11,8 +11,8 @@
 )
 
 // Every controller refuses a job that lacks a field as malformed, and a job that can never run as
-// unprocessable, also while controllers end and while the state service responds slowly or is
-// unavailable. Repeated submissions of accepted jobs and cancellations of done jobs get the same
+// unprocessable, each time, also while controllers end and while the state service responds
+// slowly or is unavailable. A controller may answer 503, or not at all, instead. Repeated submissions of accepted jobs and cancellations of done jobs get the same
 // response as before.
 func TestUnusualRequests(t *testing.T) {
 	required := []string{"uid", "lane", "crew", "shape", "rank", "pieces", "cpus", "cards", "mem_gb", "kit", "pull_gb", "one_zone", "scatter", "loaners", "guess_s", "mark_every_s", "stow_s"}
--- a/shard/machinefailure_test.go
+++ b/shard/machinefailure_test.go
@@ -11,8 +11,8 @@
 
 // These tests guard against the termination of machines that run. TestLossyFleet showed, in 5
 // of 160 runs, that running tasks ended as "unreachable since failover" or "unreachable"
-// after two unanswered probes. The owner's log had both probes within milliseconds ("direct
-// command unanswered", err "the answer was lost"). The owner repeated a probe at once if it
+// after two unanswered probes. The owner's log had both probes within milliseconds ("worker
+// did not answer a direct command", err "the answer was lost"). The owner repeated a probe at once if it
 // failed at once, so a short moment without replies counted as several unanswered probes.
 // After a failover the heartbeat of such a machine was not even due.
 
