--- a/controller/detection_test.go
+++ b/controller/detection_test.go
@@ -305,7 +305,7 @@
 func TestRulesHoldWithDetection(t *testing.T) {
 	discardLogs(t)
 	revoked, late := 0, 0
-	for seed := *firstSeed; seed < *firstSeed+*randomDays/2; seed++ {
+	for seed := *firstSeed; seed < *firstSeed+*randomRuns/2; seed++ {
 		synctest.Test(t, func(t *testing.T) {
 			w := runRandomWorkload(t, 1000+seed, []string{"a", "b", "c"}[:2+seed%2], func(w *world) { proposeRandomRevocations(w, 20*time.Second) })
 			if len(w.violations) > 0 {
@@ -320,7 +320,7 @@
 			late += w.observed["late heartbeats"]
 		})
 	}
-	if revoked < int(*randomDays)/2 || late == 0 {
+	if revoked < int(*randomRuns)/2 || late == 0 {
 		t.Errorf("only %d revocations and %d late heartbeats occurred", revoked, late)
 	}
 }
--- a/controller/random_faults_test.go
+++ b/controller/random_faults_test.go
@@ -17,9 +17,9 @@
 	"ravenport/wire"
 )
 
-// randomDays and firstSeed let a developer simulate many more random runs than CI does.
+// randomRuns and firstSeed let a developer simulate many more random runs than CI does.
 var (
-	randomDays = flag.Uint64("sim.days", 12, "number of random runs to simulate")
+	randomRuns = flag.Uint64("sim.days", 12, "number of random runs to simulate")
 	printLogs  = flag.Bool("sim.log", false, "print the controllers' logs")
 	firstSeed  = flag.Uint64("sim.from", 0, "seed of the first random run")
 )
@@ -38,7 +38,7 @@
 // the faults are over.
 func TestRulesHoldThroughTroubles(t *testing.T) {
 	discardLogs(t)
-	for seed := *firstSeed; seed < *firstSeed+*randomDays; seed++ {
+	for seed := *firstSeed; seed < *firstSeed+*randomRuns; seed++ {
 		zones := []string{"a", "b", "c"}[:2+seed%2]
 		synctest.Test(t, func(t *testing.T) {
 			w := runRandomWorkload(t, seed, zones, nil)
