--- a/shard/machinefailure_test.go
+++ b/shard/machinefailure_test.go
@@ -12,9 +12,9 @@
 // These tests guard against the termination of machines that run. TestLossyFleet showed, in 5
 // of 160 runs, that running tasks ended as "unreachable since failover" or "unreachable"
 // after two unanswered probes. The owner's log had both probes within milliseconds ("worker
-// did not answer a direct command", err "the answer was lost"). The owner repeated a probe at once if it
-// failed at once, so a short moment without replies counted as several unanswered probes.
-// After a failover the heartbeat of such a machine was not even due.
+// did not answer a direct command", err "the answer was lost"). The owner repeated a probe at
+// once if it failed at once, so a short moment without replies counted as several unanswered
+// probes. After a failover the heartbeat of such a machine was not even due.
 
 // probedFleet is a fleet in which one machine sends no heartbeat and its probes get no reply,
 // while all other machines send a heartbeat every second.
