--- a/controller/unusual_requests_test.go
+++ b/controller/unusual_requests_test.go
@@ -10,10 +10,10 @@
 	"ravenport/wire"
 )
 
-// Every controller refuses a job that lacks a field as malformed, and a job that can never run as
-// unprocessable, each time, also while controllers end and while the state service responds
-// slowly or is unavailable. A controller may answer 503, or not at all, instead. Repeated submissions of accepted jobs and cancellations of done jobs get the same
-// response as before.
+// Every controller refuses a job that lacks a field as malformed, and a job that can never run
+// as unprocessable, each time, also while controllers end and while the state service responds
+// slowly or is unavailable. A controller may answer 503, or not at all, instead. Repeated
+// submissions of accepted jobs and cancellations of done jobs get the same response as before.
 func TestUnusualRequests(t *testing.T) {
 	required := []string{"uid", "lane", "crew", "shape", "rank", "pieces", "cpus", "cards", "mem_gb", "kit", "pull_gb", "one_zone", "scatter", "loaners", "guess_s", "mark_every_s", "stow_s"}
 	unrunnable := map[string]func(map[string]any){
