--- a/cmd/ravenport/drain.go
+++ b/cmd/ravenport/drain.go
@@ -14,15 +14,15 @@
 	"ravenport/settings"
 )
 
-// drainCommand returns the command that holds the drain subcommands. Each of them sends
-// one request to a controller and prints its reply.
+// drainCommand returns the parent command of the drain subcommands. Each subcommand sends a
+// request to a controller and prints the controller's reply.
 func drainCommand() *cobra.Command {
 	var target drainTarget
 	root := &cobra.Command{
 		Use:   "drain",
 		Short: "Drain machines in steps, within the disruption budgets",
-		Long: "Every controller that was started with --draining accepts requests about drains: name one by\n" +
-			"--controller, or by --config the settings file of the controller on this machine.",
+		Long: "Every controller that was started with --draining accepts requests about drains: give its\n" +
+			"address by --controller, or by --config the settings file of the controller on this machine.",
 	}
 	target.addFlags(root)
 	root.AddCommand(
@@ -31,7 +31,7 @@
 		statusCommand(&target),
 		numberCommand(&target, peer.OpPause, "Pause a drain: its machines accept tasks again"),
 		numberCommand(&target, peer.OpResume, "Resume a drain that was paused or has stopped"),
-		numberCommand(&target, peer.OpCancel, "Cancel a drain for good; machines that are already cordoned for their return are still returned"),
+		numberCommand(&target, peer.OpCancel, "Cancel a drain permanently; machines that are already cordoned for their return are still returned"),
 	)
 	return root
 }
@@ -64,15 +64,15 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			number, err := strconv.Atoi(args[0])
 			if err != nil || number < 1 {
-				return settings.Invalid("drain", "%q is no number of a drain", args[0])
+				return settings.Invalid("drain", "%q is not the number of a drain", args[0])
 			}
 			return target.send(cmd, peer.DrainRequest{Op: op, Number: number})
 		},
 	}
 }
 
-// statusCommand returns the subcommand that prints drains and budgets, once or, with
-// --watch, until it is interrupted.
+// statusCommand returns the subcommand that prints drains and budgets: once, or repeatedly
+// with --watch until the user interrupts it.
 func statusCommand(target *drainTarget) *cobra.Command {
 	var watch bool
 	cmd := &cobra.Command{
@@ -87,12 +87,12 @@
 			return target.send(cmd, peer.DrainRequest{Op: peer.OpStatus})
 		},
 	}
-	cmd.Flags().BoolVar(&watch, "watch", false, "print it every second until interrupted")
+	cmd.Flags().BoolVar(&watch, "watch", false, "print the status every second until interrupted")
 	return cmd
 }
 
-// watchStatus prints the status again and again until it is interrupted. An error does
-// not end it: the controller may be away for a moment.
+// watchStatus prints the status repeatedly until the user interrupts it. It prints an error
+// and continues, because the controller may be unreachable for only a moment.
 func watchStatus(cmd *cobra.Command, target *drainTarget) {
 	ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt)
 	defer stop()
--- a/cmd/ravenport/drainselection.go
+++ b/cmd/ravenport/drainselection.go
@@ -10,7 +10,8 @@
 	"ravenport/settings"
 )
 
-// selectionFlags select machines; a machine must match all that are set.
+// selectionFlags holds the flags that select machines. A machine must match all flags that
+// are set.
 type selectionFlags struct {
 	machines []string
 	zones    []string
@@ -31,7 +32,7 @@
 	flags.BoolVar(&f.spot, "spot", false, "spot instances only")
 	flags.BoolVar(&f.onDemand, "ordinary", false, "on-demand instances only")
 	flags.StringVar(&f.rentedBefore, "rented-before", "", "machines created before a time (RFC 3339), or longer ago than a duration (72h)")
-	flags.BoolVar(&f.all, "all", false, "every machine, where nothing else is named")
+	flags.BoolVar(&f.all, "all", false, "all machines, if no other selection flag is given")
 }
 
 // request returns the request that carries the selection.
@@ -42,7 +43,7 @@
 		MatchAll:  f.all,
 	}
 	if f.spot && f.onDemand {
-		return peer.DrainRequest{}, settings.Invalid("spot", "cannot be asked for together with ordinary")
+		return peer.DrainRequest{}, settings.Invalid("spot", "cannot be given together with ordinary")
 	}
 	if f.spot || f.onDemand {
 		request.Selection.Spot = &f.spot
@@ -58,8 +59,7 @@
 	return request, nil
 }
 
-// parseAge returns how long before now a time was, or the duration that is given in its
-// place.
+// parseAge parses an age: a duration, or a time, whose age at now it returns.
 func parseAge(text string, now time.Time) (time.Duration, error) {
 	age, err := time.ParseDuration(text)
 	if err != nil {
--- a/controller/dependencies.go
+++ b/controller/dependencies.go
@@ -41,8 +41,8 @@
 	// Send sends commands to the worker at an address. The function done is called with
 	// the result on another goroutine.
 	Send(ctx context.Context, addr string, req wire.CommandRequest, done func(worker.Result))
-	// Forget drops the connection to a worker whose machine no longer exists.
-	Forget(addr string)
+	// Disconnect closes the connections to the worker at an address.
+	Disconnect(addr string)
 	Close()
 }
 
@@ -73,7 +73,7 @@
 	// Store is the client of the key-value store for users' writes and for reads. The
 	// next three are clients of the same store with other shares of its rate limit.
 	Store       Store
-	Unthrottled Store // for the writes of leases and term acquisitions, which precede all others
+	Unthrottled Store // for the writes of leases, term acquisitions and revocations, which precede all others
 	Background  Store // for writes that have lower priority than users' writes
 	Urgent      Store // for writes whose delay users notice within seconds
 	Cloud       Cloud
--- a/controller/health.go
+++ b/controller/health.go
@@ -8,9 +8,9 @@
 )
 
 // isStoreReachable reports whether the key-value store answered within
-// StoreSilenceTimeout.
+// StoreContactTimeout.
 func (c *controlActor) isStoreReachable(now time.Time) bool {
-	return now.Sub(c.lastStoreContact) < constants.StoreSilenceTimeout
+	return now.Sub(c.lastStoreContact) < constants.StoreContactTimeout
 }
 
 // answerHealth answers whether this controller can serve users. While no controller
@@ -18,7 +18,7 @@
 // healthy: it answers users at once with a time to retry after, and serves them as soon
 // as the store is reachable again.
 func (c *controlActor) answerHealth(now time.Time, m healthRequest) {
-	if !c.isReady() || c.isStoreUnreachableOnlyHere(now) {
+	if !c.isReady() || c.isStoreUnreachableLocally(now) {
 		m.req.Respond(&httpwire.Response{Status: 503, Body: []byte(`{"status":"unready"}`)})
 		return
 	}
@@ -31,10 +31,10 @@
 	return c.feed.synced && len(c.machineTypes.known) > 0 && !c.detection.resigned
 }
 
-// isStoreUnreachableOnlyHere reports whether the key-value store does not answer this
-// controller while at least one other controller reaches it.
-func (c *controlActor) isStoreUnreachableOnlyHere(now time.Time) bool {
-	if now.Sub(c.lastStoreContact) <= constants.StoreSilenceTimeout+constants.WatchTimeout/2 {
+// isStoreUnreachableLocally reports whether the key-value store does not answer this
+// controller while at least one other controller reaches the store.
+func (c *controlActor) isStoreUnreachableLocally(now time.Time) bool {
+	if now.Sub(c.lastStoreContact) <= constants.StoreContactTimeout+constants.WatchTimeout/2 {
 		return false
 	}
 	for _, view := range c.peers {
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -20,7 +20,7 @@
 }
 
 // misroutedHeartbeat is a heartbeat that reached this controller although the owner of the
-// machine's shard does not run here.
+// machine's shard does not run on this controller.
 type misroutedHeartbeat struct {
 	shard.MisroutedHeartbeat
 	receivedAt time.Time
@@ -41,7 +41,7 @@
 		owner.ref.Tell(m)
 		return
 	}
-	if _, known := c.settings.Deployment.Zone(zone); known {
+	if _, known := c.settings.Deployment.ZoneIndex(zone); known {
 		c.heartbeats.misrouted[m.heartbeat.Machine] = misroutedHeartbeat{
 			MisroutedHeartbeat: shard.MisroutedHeartbeat{Machine: m.heartbeat.Machine, Epoch: m.heartbeat.Epoch, Seq: m.heartbeat.Seq},
 			receivedAt:         now,
@@ -91,7 +91,7 @@
 
 // misroutedWindow returns how long a misrouted heartbeat is taken into account.
 func (c *controlActor) misroutedWindow() time.Duration {
-	return time.Duration(constants.MisroutedPeriods * float64(c.settings.HeartbeatPeriod()))
+	return time.Duration(constants.MisroutedHeartbeatPeriods * float64(c.settings.HeartbeatPeriod()))
 }
 
 // recentMisrouted returns the misrouted heartbeats within the window, and discards the
--- a/controller/relay_test.go
+++ b/controller/relay_test.go
@@ -12,11 +12,12 @@
 	"ravenport/wire"
 )
 
-// Another controller writes what creates one job and nothing else, whoever asks.
+// A controller executes a relayed transaction only if the transaction creates one job and does
+// nothing else.
 func TestOnlySubmissionsAreRelayed(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := newCalmWorld(3)
+		w := newStartedWorld(3)
 		process := w.controllers[0].running()
 		job := wire.Change{Put: "rv/job/run-000001", Value: []byte(`{}`)}
 		for name, txn := range map[string]wire.Txn{
@@ -37,46 +38,46 @@
 				t.Errorf("%s was written", name)
 			}
 		}
-		w.finish(t)
+		w.checkAndShutdown(t)
 	})
 }
 
-// A controller that the key-value store refuses, alone, accepts what its users submit:
-// others write it. None of it is forgotten, and all of it runs.
+// A controller that alone cannot reach the key-value store still accepts submissions: other
+// controllers write them. No submission is lost, and all jobs run.
 func TestRefusedControllerStillAccepts(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := newCalmWorld(4)
-		w.lostAnswerShare, w.lateWriteShare, w.repeatedWriteShare = 0, 0, 0 // those are for the generated days
+		w := newStartedWorld(4)
+		w.lostAnswerShare, w.lateWriteShare, w.repeatedWriteShare = 0, 0, 0 // the random runs cover these faults
 		w.locked(func() { w.controllers[1].cutFromStore = true })
 		time.Sleep(500 * time.Millisecond)
 		var jobs []*simJob
 		for i := range 8 {
 			j := w.newArray(fmt.Sprintf("run-%06d", 600+i), 1, 1, 2)
-			body, err := json.Marshal(fields(j.spec))
+			body, err := json.Marshal(submissionFields(j.spec))
 			if err != nil {
 				t.Fatal(err)
 			}
-			began := time.Now()
+			start := time.Now()
 			r := w.requestAt(1, func(req apiserver.Request) any { return apiserver.Submit{Request: req, Body: body} })
 			if r == nil || r.Status != 201 {
 				t.Fatalf("submission %d: %+v", i, r)
 			}
-			if took := time.Since(began); took > time.Second {
-				t.Errorf("submission %d was accepted after %s", i, took)
+			if elapsed := time.Since(start); elapsed > time.Second {
+				t.Errorf("submission %d was accepted after %s", i, elapsed)
 			}
 			w.locked(func() { j.accepted = true })
 			jobs = append(jobs, j)
 			time.Sleep(300 * time.Millisecond)
 		}
 		if n := w.observed["relayed written"]; n != len(jobs) {
-			t.Errorf("%d of %d were relayed: the scene shows nothing", n, len(jobs))
+			t.Errorf("%d of %d submissions were relayed: the test proves nothing", n, len(jobs))
 		}
 		for _, j := range jobs {
-			go w.runUser(j, 0, 0) // asks again at any controller, and polls
+			go w.runUser(j, 0, 0) // submits again at any controller, and polls
 		}
-		w.allDone(t, 2*time.Minute, jobs)
+		w.waitAllDone(t, 2*time.Minute, jobs)
 		w.locked(func() { w.controllers[1].cutFromStore = false })
-		w.finish(t)
+		w.checkAndShutdown(t)
 	})
 }
--- a/controller/transfer.go
+++ b/controller/transfer.go
@@ -13,16 +13,16 @@
 // transferCutOffLeadership transfers the leadership if this controller receives no status
 // from any other controller.
 func (c *controlActor) transferCutOffLeadership(now time.Time) {
-	settled := now.Sub(c.roles.leaderSince) > 2*constants.PeerSilenceTimeout
-	if c.roles.leader != nil && settled && c.lacksPeerStatus(now) {
+	graceElapsed := now.Sub(c.roles.leaderSince) > 2*constants.PeerContactTimeout
+	if c.roles.leader != nil && graceElapsed && c.lacksPeerStatus(now) {
 		c.transferUnusableTerm(now, records.KeyLeader)
 	}
 }
 
 // transferUnreachableShard transfers a shard whose machines became unreachable at the same
 // time. It does so only if this controller appears to be cut off: other controllers
-// receive the machines' heartbeats, or no other controller is in contact with this one.
-// Otherwise the machines themselves may be cut off.
+// receive the machines' heartbeats, or no other controller is in contact with this
+// controller. Otherwise the machines themselves may be cut off.
 func (c *controlActor) transferUnreachableShard(now time.Time, m shardUnreachable) {
 	if c.roles.owners[m.shard] == nil {
 		return
--- a/disruption/ledger.go
+++ b/disruption/ledger.go
@@ -12,13 +12,13 @@
 // Config configures a Ledger.
 type Config struct {
 	Shard       string
-	Shards      []string // all of the deployment, this one included
+	Shards      []string // all shards of the deployment, including this shard
 	Term        uint64   // of the shard's owner
 	Budgets     Budgets
-	StableAfter time.Duration // a task that has run for so long counts as available
-	// SkipClaimProof allows stops without a stored claim that covers them. Tests set it to
+	StableAfter time.Duration // a task that has run for this long counts as available
+	// SkipClaimCheck allows stops without a stored claim that covers them. Tests set it to
 	// show that budgets are violated without claims.
-	SkipClaimProof bool
+	SkipClaimCheck bool
 }
 
 // Ledger is one owner's view of the usage of all budgets, in one term. It is not safe for
@@ -27,7 +27,7 @@
 	cfg        Config
 	population population
 	terms      map[string]uint64      // highest known term, by shard
-	claims     map[string]storedClaim // last known claim, by shard, this shard included
+	claims     map[string]storedClaim // last known claim, by shard, including this shard
 
 	isRebuilt   bool   // the owner knows the state of the shard's tasks
 	unavailable Counts // in this shard: as last observed, plus the stops allowed since
@@ -161,7 +161,7 @@
 		return refusal
 	}
 	for _, k := range keys {
-		if !l.cfg.SkipClaimProof && l.unavailableInShard(now, k)+1 > l.granted[k] {
+		if !l.cfg.SkipClaimCheck && l.unavailableInShard(now, k)+1 > l.granted[k] {
 			l.requestClaim(now, keys)
 			return &RefusalError{Reason: ReasonClaimPending, Budget: k}
 		}
--- a/failover/ranking.go
+++ b/failover/ranking.go
@@ -1,9 +1,9 @@
 // Package failover ranks the controllers for a term that has no live holder, and limits
-// how often one controller takes over a shard. It is pure, and all controllers compute
-// the same ranking from the same records: the first controller acquires the term at
-// once, and each later controller only after the controllers before it had time to do
-// so. If the records of the controllers differ, the compare-and-swap transaction of the
-// acquisition decides.
+// how often one controller takes over a shard. The package does no I/O, and all
+// controllers compute the same ranking from the same records: the first controller
+// acquires the term at once, and each later controller only after the controllers before
+// it had time to do so. If the records of the controllers differ, the compare-and-swap
+// transaction of the acquisition decides.
 package failover
 
 import (
@@ -36,10 +36,12 @@
 }
 
 // Ranked lists the controllers by their preference as holders of a role's term. For a
-// shard, the controllers of its own zone come first, then those that own fewer shards.
-// For the leader, controllers that are not the preferred owner of any shard come first,
-// so that one failure affects one role only. Ties are resolved by name, in an order that
-// differs between shards. Deprioritized controllers come last.
+// shard, the controllers of its own zone come first, and among those the preferred owner.
+// Then come the controllers that own fewer shards, and among equals those that are not the
+// preferred owner of any shard. For the leader, controllers that are not the preferred
+// owner of any shard come first, so that one failure affects one role only. Ties are
+// resolved by name, in an order that differs between shards. Deprioritized controllers
+// come last.
 func (c Candidates) Ranked(role Role) []Controller {
 	var ranked []Controller
 	if role.Leader {
--- a/internal/knownred/entry.go
+++ b/internal/knownred/entry.go
@@ -12,21 +12,22 @@
 
 // Entry describes one known failure of one test.
 type Entry struct {
-	Test    string // the top-level test function
-	Package string // its import path
-	Command string // reproduces the failure, seed included
-	Seen    string // what was seen, and how often
-	Issue   int    // the open issue that the failure belongs to
+	Test     string // the top-level test function
+	Package  string // import path of the test's package
+	Command  string // command that reproduces the failure, with the seed
+	Observed string // what was observed, and how often
+	Issue    int    // number of the open issue for the failure
 
-	// Failure matches the message of the listed failure.
+	// Failure matches the first line of the listed failure's message.
 	Failure *regexp.Regexp
-	// Beside match what the test may print beside it: logs, and what follows from it.
-	Beside []*regexp.Regexp
+	// AllowedMessages match other messages that the test may print in addition: logs, and
+	// consequences of the failure.
+	AllowedMessages []*regexp.Regexp
 }
 
-// EntryError reports an entry that cannot be read.
+// EntryError reports an invalid entry.
 type EntryError struct {
-	Line   int // where the entry begins
+	Line   int // first line of the entry
 	Reason string
 }
 
@@ -34,16 +35,16 @@
 	return fmt.Sprintf("entry in line %d: %s", e.Line, e.Reason)
 }
 
-// fieldSeparator stands between a field's name and its value.
+// fieldSeparator separates the name of a field from its value.
 const fieldSeparator = ": "
 
-// ParseEntries reads the entries of a list. Entries are blocks of "field: value" lines
-// with empty lines between them; a line that begins with # is a comment.
+// ParseEntries parses a list of known failures. An entry is a block of "field: value"
+// lines. Empty lines separate the entries. A line that begins with # is a comment.
 func ParseEntries(list io.Reader) ([]Entry, error) {
 	var entries []Entry
 	var block []string
 	blockLine, line := 0, 0
-	finish := func() error {
+	finishBlock := func() error {
 		if len(block) == 0 {
 			return nil
 		}
@@ -63,7 +64,7 @@
 			continue
 		}
 		if text == "" {
-			if err := finish(); err != nil {
+			if err := finishBlock(); err != nil {
 				return nil, err
 			}
 			continue
@@ -76,13 +77,13 @@
 	if err := scanner.Err(); err != nil {
 		return nil, err
 	}
-	if err := finish(); err != nil {
+	if err := finishBlock(); err != nil {
 		return nil, err
 	}
 	return entries, nil
 }
 
-// parseEntry reads one entry, whose fields are all required but beside.
+// parseEntry parses one entry. All fields except "beside" are required.
 func parseEntry(block []string, line int) (Entry, error) {
 	var entry Entry
 	for _, text := range block {
@@ -91,13 +92,14 @@
 			return Entry{}, &EntryError{line, reason}
 		}
 	}
-	if entry.Test == "" || entry.Package == "" || entry.Command == "" || entry.Seen == "" || entry.Issue == 0 || entry.Failure == nil {
-		return Entry{}, &EntryError{line, "it needs test, package, command, failure, seen and issue"}
+	if entry.Test == "" || entry.Package == "" || entry.Command == "" || entry.Observed == "" || entry.Issue == 0 || entry.Failure == nil {
+		return Entry{}, &EntryError{line, "the fields test, package, command, failure, seen and issue are required"}
 	}
 	return entry, nil
 }
 
-// setField sets one field and returns why it cannot; "" if it can.
+// setField sets one field. If the field is invalid, setField returns the reason, and ""
+// otherwise.
 func (e *Entry) setField(name, value string) (reason string) {
 	if value == "" {
 		return fmt.Sprintf("field %q has no value", name)
@@ -111,15 +113,15 @@
 	case "command":
 		e.Command = value
 	case "seen":
-		e.Seen = value
+		e.Observed = value
 	case "issue":
 		e.Issue, err = strconv.Atoi(value)
 	case "failure":
-		e.Failure, err = compileNarrow(value)
+		e.Failure, err = compileSpecificPattern(value)
 	case "beside":
-		var beside *regexp.Regexp
-		beside, err = compileNarrow(value)
-		e.Beside = append(e.Beside, beside)
+		var allowed *regexp.Regexp
+		allowed, err = compileSpecificPattern(value)
+		e.AllowedMessages = append(e.AllowedMessages, allowed)
 	default:
 		return fmt.Sprintf("unknown field %q", name)
 	}
@@ -129,17 +131,19 @@
 	return ""
 }
 
-// unrelatedMessage is no failure of any test: a pattern that matches it matches anything.
+// unrelatedMessage is a message that no test prints. A pattern that matches it is too
+// general.
 const unrelatedMessage = "1 unrelated message of 2 words"
 
-// compileNarrow compiles a pattern that has to match a whole message, and not any.
-func compileNarrow(pattern string) (*regexp.Regexp, error) {
+// compileSpecificPattern compiles a pattern that has to match the whole of a line. It
+// rejects a pattern that matches any message.
+func compileSpecificPattern(pattern string) (*regexp.Regexp, error) {
 	compiled, err := regexp.Compile("^(?:" + pattern + ")$")
 	if err != nil {
 		return nil, err
 	}
 	if compiled.MatchString(unrelatedMessage) {
-		return nil, errors.New("it matches any message")
+		return nil, errors.New("the pattern matches any message")
 	}
 	return compiled, nil
 }
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -1,5 +1,6 @@
-// Command knownred says whether a failed run of the tests failed in nothing but the ways
-// that a list of known failures describes, and prints the tests that did.
+// Command knownred checks whether all failures in the output of a failed test run are in
+// a list of known failures. It prints the tests that failed as listed, and the failures
+// that are not excused. Its exit status is 0 only if all failures are listed.
 //
 //	go run ./internal/knownred LIST LOG
 package main
@@ -14,37 +15,38 @@
 		fmt.Fprintln(os.Stderr, "usage: knownred LIST LOG")
 		os.Exit(2)
 	}
-	verdict, err := judgeFiles(os.Args[1], os.Args[2])
+	result, err := checkFiles(os.Args[1], os.Args[2])
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "knownred:", err)
 		os.Exit(1)
 	}
-	for _, test := range verdict.Excused {
+	for _, test := range result.Excused {
 		fmt.Println("failed as listed in KNOWN-RED.txt:", test)
 	}
-	for _, fault := range verdict.Faults {
-		fmt.Println("failed, not excused:", fault)
+	for _, reason := range result.Unexcused {
+		fmt.Println("failed, not excused:", reason)
 	}
-	if len(verdict.Faults) > 0 {
+	if len(result.Unexcused) > 0 {
 		os.Exit(1)
 	}
 }
 
-// judgeFiles judges the run whose output is in the file log by the list in the file list.
-func judgeFiles(list, log string) (Verdict, error) {
+// checkFiles checks the test output in the file log against the entries in the file list.
+func checkFiles(list, log string) (Result, error) {
 	entries, err := readEntries(list)
 	if err != nil {
-		return Verdict{}, err
+		return Result{}, err
 	}
 	output, err := os.Open(log)
 	if err != nil {
-		return Verdict{}, err
+		return Result{}, err
 	}
 	defer output.Close()
-	return Judge(output, entries)
+	return CheckOutput(output, entries)
 }
 
-// readEntries reads the entries of a file; none if there is no such file.
+// readEntries reads the entries of a file. If the file does not exist, there are no
+// entries.
 func readEntries(list string) ([]Entry, error) {
 	file, err := os.Open(list)
 	if os.IsNotExist(err) {
--- a/internal/loopback/drain_test.go
+++ b/internal/loopback/drain_test.go
@@ -11,29 +11,30 @@
 	"ravenport/records"
 )
 
-// Flags of the drain tests. The defaults are the short form that CI runs; the long one
-// replaces the fleet again and again, with the default times:
+// Flags of the drain tests. Their defaults give the short run of CI. A long run replaces the
+// fleet repeatedly, with the default times:
 //
 //	go test ./internal/loopback -run TestDrainOfRealProcesses -v -timeout 0 -drain.rounds 5 -drain.slow
 var (
-	drainRounds          = flag.Int("drain.rounds", 1, "how often the whole fleet is replaced")
-	drainShippedTimes    = flag.Bool("drain.slow", false, "the default times instead of short ones")
+	drainRounds          = flag.Int("drain.rounds", 1, "number of replacements of the whole fleet")
+	drainDefaultTimes    = flag.Bool("drain.slow", false, "use the default times instead of short ones")
 	drainBudget          = flag.String("drain.budget", "2", "tasks of the team that may be unavailable")
-	drainWithoutFailures = flag.Bool("drain.quiet", false, "nothing fails: measure the time that a drain takes")
-	drainUnlimited       = flag.Bool("drain.naive", false, "no budget: machines are emptied as fast as they can be")
-	drainServices        = flag.Int("drain.services", 8, "services of three replicas")
+	drainWithoutFailures = flag.Bool("drain.quiet", false, "inject no failures, to measure the time that a drain takes")
+	drainUnlimited       = flag.Bool("drain.naive", false, "use no disruption budget: machines are drained as fast as possible")
+	drainServices        = flag.Int("drain.services", 8, "number of services, each with three replicas")
 )
 
-// shortDraining are settings of drains under which steps take seconds.
+// shortDraining has settings of drains with which each step takes seconds.
 const shortDraining = `disruption.stable.ms = 2000
 drain.parallel.percent = 34
 drain.array.wait.ms = 5000
 drain.replace.within.ms = 30000
 `
 
-// drainDeployment returns a deployment that can spare a third of its machines.
+// drainDeployment returns a deployment that can run its jobs while a third of its machines
+// are drained.
 func drainDeployment() deployment {
-	d := deployment{
+	deployment := deployment{
 		zones:           []string{"a", "b", "c"},
 		machines:        36,
 		cpu:             0.5,
@@ -54,68 +55,69 @@
 		controllerLeaseTTL: 2 * time.Second,
 		canPartition:       true,
 	}
-	if *drainShippedTimes {
-		d.useDefaultTimes()
-		d.drainingProperties = "drain.parallel.percent = 34\n"
+	if *drainDefaultTimes {
+		deployment.useDefaultTimes()
+		deployment.drainingProperties = "drain.parallel.percent = 34\n"
 	}
 	budget := *drainBudget
 	if *drainUnlimited {
 		budget = "unlimited"
 	}
-	d.drainingProperties += "disruption.budget.* = " + budget + "\n"
-	return d
+	deployment.drainingProperties += "disruption.budget.* = " + budget + "\n"
+	return deployment
 }
 
-// TestDrainOfRealProcesses replaces the whole fleet of a deployment at work through the
-// command line, while controllers and machines fail. By what the workers see, no voluntary
-// stop exceeds the disruption budget, no task runs twice and none is lost.
+// TestDrainOfRealProcesses replaces the whole fleet with the drain command while jobs run
+// and controllers and machines fail. The test checks the workers' view: no voluntary stop
+// exceeds the disruption budget, no task runs twice and no task is lost.
 func TestDrainOfRealProcesses(t *testing.T) {
-	f := newFleet(t, drainDeployment())
-	stableAfter := f.checkDisruptions(t)
-	jobs := f.startWorkload(t)
-	replicas := f.services * f.replicas
-	f.awaitServiceTasks(t, replicas, time.Minute)
+	fleet := newFleet(t, drainDeployment())
+	stableAfter := fleet.checkDisruptions(t)
+	jobs := fleet.startWorkload(t)
+	replicas := fleet.services * fleet.replicas
+	fleet.awaitServiceTasks(t, replicas, time.Minute)
 	time.Sleep(2 * stableAfter)
-	f.checkRefusals(t)
-	before := f.disruptionFigures()
+	fleet.checkRefusals(t)
+	before := fleet.disruptionFigures()
 	for round := range *drainRounds {
 		var failures []drainFailure
 		if !*drainWithoutFailures {
-			failures = f.usualDrainFailures()
+			failures = fleet.defaultDrainFailures()
 		}
-		replacement := f.replaceFleet(t, failures)
+		replacement := fleet.replaceFleet(t, failures)
 		t.Logf("round %d: %+v", round, replacement)
-		f.awaitServiceTasks(t, replicas, time.Minute)
+		fleet.awaitServiceTasks(t, replicas, time.Minute)
 		if !replacement.waitedForBudget && !*drainUnlimited {
-			t.Errorf("round %d never waited for its budget", round)
+			t.Errorf("round %d: the drain never waited for the disruption budget", round)
 		}
 	}
-	after := f.disruptionFigures()
-	t.Logf("%d stops by choice, %d replaced, %d tasks failed, at most %d down by choice",
+	after := fleet.disruptionFigures()
+	t.Logf("%d voluntary stops, %d tasks replaced, %d tasks failed, at most %d tasks voluntarily unavailable",
 		after.Stops-before.Stops, after.Replaced-before.Replaced, after.Failed-before.Failed, after.MaxVoluntary)
 	if after.Replaced == before.Replaced || !*drainWithoutFailures && after.Failed == before.Failed {
-		t.Error("nothing was moved, or nothing failed")
+		t.Error("no task was replaced, or no task failed")
 	}
-	jobs.awaitArrays(t, f)
-	f.checkNoViolations(t)
-	f.saveEvidence(t, nil)
+	jobs.awaitArrays(t, fleet)
+	fleet.checkNoViolations(t)
+	fleet.saveEvidence(t, nil)
 }
 
 // fleetReplacement holds the figures of one replacement of the whole fleet.
 type fleetReplacement struct {
 	machines        int
 	duration        time.Duration
-	waitedForBudget bool          // a step waited because a disruption budget was used up
-	maxDown         int           // most tasks of services that did not run, in any second
-	downTaskSeconds int           // sum of those tasks over all seconds
-	storeChanges    int           // revisions of the store, also for the job arrays
+	waitedForBudget bool          // a step waited for a disruption budget that was used up
+	maxDown         int           // maximum number of tasks of services that did not run, over all seconds
+	downTaskSeconds int           // sum of the tasks of services that did not run, over all seconds
+	storeChanges    int           // number of store revisions, including those for job arrays
 	processorTime   time.Duration // of all controllers
 }
 
-// replacementTimeout bounds one replacement of the whole fleet.
+// replacementTimeout is the time limit for one replacement of the whole fleet.
 const replacementTimeout = 10 * time.Minute
 
-// replaceFleet drains all machines that there are, while failures are injected.
+// replaceFleet drains all current machines and injects the failures meanwhile. It checks
+// that each machine was replaced.
 func (f *fleet) replaceFleet(t *testing.T, failures []drainFailure) fleetReplacement {
 	t.Helper()
 	isOld := map[string]bool{}
@@ -127,10 +129,10 @@
 	processorTimeBefore := f.processorTime()
 	figuresBefore := f.disruptionFigures()
 	number := f.startDrain(t)
-	began := time.Now()
-	nextSample, nextStatus := began, began
+	startedAt := time.Now()
+	nextSample, nextStatus := startedAt, startedAt
 	for ; ; time.Sleep(pointPollInterval) {
-		if len(failures) > 0 && failures[0].isDue(number, time.Since(began), figuresBefore) {
+		if len(failures) > 0 && failures[0].isDue(number, time.Since(startedAt), figuresBefore) {
 			t.Logf("%s", failures[0].name)
 			failures[0].inject()
 			failures = failures[1:]
@@ -149,32 +151,33 @@
 		if view.State == records.DrainFinished {
 			break
 		}
-		if time.Since(began) > replacementTimeout || view.State == records.DrainStopped {
-			t.Fatalf("the drain does not come to its end: %+v", view)
+		if time.Since(startedAt) > replacementTimeout || view.State == records.DrainStopped {
+			t.Fatalf("the drain did not finish: %+v", view)
 		}
 	}
-	replacement.duration = time.Since(began)
+	replacement.duration = time.Since(startedAt)
 	_, revision := f.store.unassignedTasks()
 	replacement.storeChanges = int(revision - revisionBefore)
 	replacement.processorTime = f.processorTime() - processorTimeBefore
 	for _, m := range f.cloud.allMachines() {
 		if isOld[m.name] {
-			t.Errorf("%s is still there", m.name)
+			t.Errorf("machine %s was not terminated", m.name)
 		}
 	}
 	if len(failures) > 0 {
-		t.Errorf("it ended before %s", failures[0].name)
+		t.Errorf("the drain finished before this failure was due: %s", failures[0].name)
 	}
 	return replacement
 }
 
-// addDown adds the number of tasks of services that do not run in one second.
+// addDown adds the number of tasks of services that did not run in one second.
 func (r *fleetReplacement) addDown(down int) {
 	r.maxDown = max(r.maxDown, down)
 	r.downTaskSeconds += down
 }
 
-// waitsForBudget reports whether a drain waits in a shard for a disruption budget.
+// waitsForBudget reports whether a drain waits in a shard because a disruption budget is
+// used up.
 func waitsForBudget(progress drain.ShardProgress) bool {
 	return strings.Contains(progress.WaitingFor, "used up")
 }
--- a/leader/assign.go
+++ b/leader/assign.go
@@ -25,8 +25,8 @@
 type plannedAssignment struct {
 	shard string
 	tasks int
-	// keepWaiting: the shard's owner queues tasks that do not fit now instead of sending
-	// them back to the leader.
+	// keepWaiting: the shard's owner queues tasks that do not fit now instead of
+	// offloading them to the leader.
 	keepWaiting bool
 }
 
@@ -54,11 +54,11 @@
 	plan, guaranteed := c.planJob(now, job, admitted, unassigned)
 	update := assignRanges(job.record, plan, guaranteed)
 	if update.tasks == 0 {
-		job.retryAt = now.Add(constants.LeaderTick)
+		job.retryAt = now.Add(constants.LeaderTickInterval)
 		return Commit{}, notAssigned
 	}
 	if update.tasks < unassigned {
-		job.retryAt = now.Add(constants.PartialAssignmentGap)
+		job.retryAt = now.Add(constants.MinPartialAssignmentInterval)
 	}
 	value, fitsStore := c.sizeLimits.EncodeWithHeadroom(update.record, job.record)
 	if !fitsStore {
--- a/member/acquisition.go
+++ b/member/acquisition.go
@@ -45,7 +45,7 @@
 		}
 		// A shard is not failed back to a revoked owner during the failback cooldown.
 		// Leadership is never failed back, and the cooldown must not prevent the next
-		// leader from transferring it if that leader is cut off as well.
+		// leader from transferring it if that leader is partitioned as well.
 		previousUnreachable := isShardKey(key) && c.revokedAuthorityEnded(now, key)
 		due = append(due, c.acquisition(key, c.self, previousUnreachable))
 		if isShardKey(key) {
@@ -95,8 +95,10 @@
 }
 
 // acquisition returns the transaction that gives a term to a new holder. The transaction
-// succeeds only while the term and the new holder's registration are as known here, and
-// the previous holder's lease has ended or its revocation is as known here.
+// succeeds only if the term and the new holder's registration have not changed since this
+// controller read them. If the previous holder is another controller whose lease has
+// ended, that controller must still be unregistered. If the previous holder is registered
+// but was revoked, its revocation must not have changed either.
 func (c *Core) acquisition(key, newHolder string, previousUnreachable bool) TermAcquisition {
 	current := c.terms[key]
 	registered := c.registrations[newHolder]
--- a/server/connections.go
+++ b/server/connections.go
@@ -13,8 +13,8 @@
 
 // connState is the event loop's state of one connection.
 type connState struct {
-	busy        bool // a request waits for its response
-	lastEventAt time.Time
+	busy        bool      // a request waits for its response
+	lastEventAt time.Time // when the connection was opened, or its latest complete request or response
 }
 
 // OnOpen implements gnet.EventHandler.
@@ -41,12 +41,13 @@
 }
 
 func (s *Server) updateNearlyFull() {
-	s.nearlyFull.Store(len(s.conns) > s.maxConns*constants.ServerCrowdedEighths/8+1)
+	s.nearlyFull.Store(len(s.conns) > s.maxConns*constants.ServerNearlyFullEighths/8+1)
 }
 
-// reclaimConn closes the connection that has been idle longest, provided that it has been
-// idle for so long (reclaimIdle) that its client cannot be using it. Otherwise abandoned
-// connections would shut out users and health checks. It reports whether it closed one.
+// reclaimConn closes the connection that has been idle longest, if it has been idle for
+// longer than reclaimIdle, so that its client cannot be using it. Without reclaimConn,
+// abandoned connections could keep users and health checks from connecting. It reports
+// whether it closed a connection.
 func (s *Server) reclaimConn() bool {
 	var longestIdle gnet.Conn
 	idleSince := time.Now().Add(-s.reclaimIdle)
--- a/settings/check.go
+++ b/settings/check.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// longestName bounds the name of a controller or zone (bytes).
-const longestName = 64
+// maxNameBytes is the maximum length of the name of a controller or a zone.
+const maxNameBytes = 64
 
 // Check checks the fields of the platform's settings file and returns a FieldError for
 // the first one that is invalid.
 func (s *Settings) Check() error {
 	checks := []func() error{
 		s.checkSelf, s.checkPeers,
-		s.Deployment.checkAmounts, s.Deployment.checkNextLimits, s.Deployment.checkTeams,
+		s.Deployment.checkPositiveAmounts, s.Deployment.checkNextLimits, s.Deployment.checkTeams,
 	}
 	for _, check := range checks {
 		if err := check(); err != nil {
@@ -44,7 +44,7 @@
 			return err
 		}
 	}
-	if _, known := s.Deployment.Zone(s.Zone); !known {
+	if _, known := s.Deployment.ZoneIndex(s.Zone); !known {
 		return Invalid("domain", "%q is not one of facts.zones", s.Zone)
 	}
 	return checkName("node", s.Controller)
@@ -68,8 +68,9 @@
 	return nil
 }
 
-// checkAmounts checks the amounts that must be set, and so be positive.
-func (d *Deployment) checkAmounts() error {
+// checkPositiveAmounts checks the amounts that are required: each must be
+// larger than 0.
+func (d *Deployment) checkPositiveAmounts() error {
 	for _, f := range []struct {
 		field  string
 		amount float64
@@ -92,8 +93,8 @@
 	return nil
 }
 
-// checkNextLimits checks the store's later limits, which may be absent, and the lag of
-// the cloud's list, which may be 0.
+// checkNextLimits checks the store's later limits, each of which is optional, and the lag
+// of the cloud's list, which may be 0.
 func (d *Deployment) checkNextLimits() error {
 	next := &d.Store.Next
 	for _, f := range []struct {
@@ -152,10 +153,10 @@
 	return nil
 }
 
-// checkName accepts what can be part of a key of the key-value store.
+// checkName accepts a name that can be part of a key in the key-value store.
 func checkName(field, name string) error {
-	if name == "" || len(name) > longestName {
-		return Invalid(field, "must have 1 to %d bytes", longestName)
+	if name == "" || len(name) > maxNameBytes {
+		return Invalid(field, "must have 1 to %d bytes", maxNameBytes)
 	}
 	for _, r := range name {
 		if !isNameRune(r) {
--- a/shard/attempt.go
+++ b/shard/attempt.go
@@ -15,11 +15,11 @@
 	jobID          string
 	taskIndex      int
 	machine        *machine
-	state          wire.TaskState // state in the last heartbeat that listed the attempt, or stateSent
+	state          wire.TaskState // state in the last heartbeat or reply that listed the attempt, or stateSent
 	cause          wire.ExitCause
 	resources      resources
 	image          string
-	reported       bool   // a heartbeat of this epoch has listed the attempt
+	reported       bool   // a heartbeat or reply of this epoch has listed the attempt
 	lastReconcile  uint64 // knownState.reconcileCount at the last heartbeat or reply that listed the attempt
 	adopted        bool   // the attempt was running when this owner first learned of it
 	sentDirectly   bool   // a direct command may have carried the start, and a late copy of that command may arrive
@@ -39,7 +39,7 @@
 }
 
 // stateSent is the state of an attempt whose start was decided and may have been sent, and
-// which no heartbeat has listed yet.
+// which no heartbeat or reply to a direct command has listed yet.
 const stateSent wire.TaskState = "sent"
 
 func (a *attempt) hasExited() bool { return a.state == wire.TaskExited }
@@ -48,7 +48,7 @@
 
 // applySpec copies the properties of the job's tasks from its specification to an attempt.
 func (a *attempt) applySpec(j *job) {
-	s := &j.rec.Spec
+	s := &j.record.Spec
 	a.resources, a.image = taskResources(s), s.Image
 	a.stopsInstantly = s.CheckpointIntervalS == 0
 	a.machine.usageStale = true
@@ -56,13 +56,13 @@
 
 // adoptAttempts matches a new task with the known attempts of that task on machines.
 func (c *Core) adoptAttempts(t *task) {
-	for _, a := range c.attemptsByTask[taskKey{t.job.rec.ID, t.index}] {
+	for _, a := range c.attemptsByTask[taskKey{t.job.record.ID, t.index}] {
 		a.applySpec(t.job)
 		c.matchAttempt(t, a)
 	}
 }
 
-// matchAttempt updates a task from one of its attempts that a heartbeat listed.
+// matchAttempt updates a task from one of its attempts that a heartbeat or reply listed.
 func (c *Core) matchAttempt(t *task, a *attempt) {
 	a.machine.usageStale = true
 	c.markWaitingStale(t.job)
@@ -71,7 +71,7 @@
 		return
 	}
 	if a.hasExited() {
-		if a.cause == wire.CauseDone && !t.job.rec.Spec.IsService() {
+		if a.cause == wire.CauseDone && !t.job.record.Spec.IsService() {
 			t.done = true
 			t.possiblyRunning = false
 		}
@@ -101,7 +101,7 @@
 		if t := j.tasks[a.taskIndex]; t != nil && t.attempt == a {
 			t.attempt = nil
 			t.waitingSince = now
-			t.keepWaiting = false // the task has lost its machine: if it does not fit here, it is offloaded to the leader at once
+			t.keepWaiting = false // the task has lost its attempt, usually with its machine: if the task does not fit in this shard, it is offloaded to the leader at once
 			if j.gang != nil {
 				c.handleLostGangTask(j, a)
 			}
@@ -138,10 +138,10 @@
 			a.machine.avoidUntil = now.Add(constants.FaultyMachinePause)
 		}
 		wait := time.Second << min(t.failures, 5)
-		t.notBefore = now.Add(min(wait, constants.MaxFailedTaskRetry))
+		t.notBefore = now.Add(min(wait, constants.MaxFailedTaskRetryDelay))
 		c.draining.migrationFailed(t, a.machine.name)
 	default: // the machine refused the start for lack of resources or because it was busy
 		slog.Warn("start refused", logkey.TaskID, a.key.task, logkey.Machine, a.machine.name, "cause", a.cause)
-		t.notBefore = now.Add(constants.RefusedStartRetry)
+		t.notBefore = now.Add(constants.RefusedStartRetryDelay)
 	}
 }
--- a/shard/cloudlist.go
+++ b/shard/cloudlist.go
@@ -47,11 +47,11 @@
 	c.countMissedLists(now, listed)
 }
 
-// forgetTerminated removes machines that were terminated more than constants.TerminatedMemory
-// ago.
+// forgetTerminated deletes the termination times of machines that were terminated more than
+// constants.TerminatedMachineRetention ago.
 func (l *liveness) forgetTerminated(now time.Time) {
 	for name, at := range l.terminated {
-		if now.Sub(at) > constants.TerminatedMemory {
+		if now.Sub(at) > constants.TerminatedMachineRetention {
 			delete(l.terminated, name)
 		}
 	}
@@ -84,6 +84,6 @@
 }
 
 // isDelisted reports whether the cloud has stopped listing a machine, which was most likely
-// terminated. That is no proof, since a list may be old; but an unreachable machine that is
-// still listed is more likely partitioned.
+// terminated. This is not proof, because a list may be outdated. An unreachable machine
+// that is still listed is more likely partitioned.
 func (m *machine) isDelisted() bool { return m.missedLists >= constants.DelistedAfterLists }
--- a/shard/core_test.go
+++ b/shard/core_test.go
@@ -62,11 +62,11 @@
 		r.version++
 		r.CommitResult(r.now, cm.ID, r.version)
 		for _, ch := range cm.Txn.Changes {
-			rec, err := records.Decode(ch.Put, ch.Value)
+			record, err := records.Decode(ch.Put, ch.Value)
 			if err != nil {
 				panic(err)
 			}
-			r.Apply(r.now, records.Change{Key: ch.Put, Version: r.version, Record: rec})
+			r.Apply(r.now, records.Change{Key: ch.Put, Version: r.version, Record: record})
 		}
 	}
 }
@@ -137,7 +137,7 @@
 }
 
 // A task that existed before the term is placed only after every inherited machine has
-// reported a token of the owner or the machine's lease has surely expired. A task
+// reported a token of the owner or the machine's lease has expired for certain. A task
 // assigned during the term starts at once.
 func TestFailoverWaitsForInheritedMachines(t *testing.T) {
 	old := arrayJob("run-1", 1, "a")
@@ -150,7 +150,7 @@
 	r.submit(arrayJob("run-2", 1, "a"))
 	actions = r.advance(time.Second)
 	if s := directStarts(actions, "m-2"); len(s) != 1 || s[0].Task != "run-2/0" {
-		t.Fatalf("started %v, wanted only the new task", s)
+		t.Fatalf("started %v, want only the new task", s)
 	}
 	for d := 2 * time.Second; d < leaseTimeout; d += time.Second {
 		if s := directStarts(r.advance(time.Second), "m-2"); len(s) > 0 && s[0].Task == "run-1/0" {
@@ -201,8 +201,8 @@
 	}
 }
 
-// The owner has a worker forget an exited attempt that a direct command started only
-// under a higher token. Otherwise a late copy of the start command would start the
+// An exited attempt that a direct command started is forgotten by its worker only on a
+// command with a higher token. Otherwise a late copy of the start command would start the
 // attempt again.
 func TestDirectStartIsForgottenOnlyUnderHigherToken(t *testing.T) {
 	r := newTestOwner(nil)
@@ -227,10 +227,10 @@
 	}
 }
 
-// Guards against two failures that generated days found: a reply renewed a lease, and
-// the owner did not count the renewal. The first was for a machine whose termination was
-// requested, the second for an epoch that the owner learned from the reply to a direct
-// command.
+// Guards against two faults that randomly generated scenarios found: a reply renewed a
+// lease, and the owner did not count the renewal. The first was for a machine whose
+// termination was requested, the second for an epoch that the owner learned from the
+// reply to a direct command.
 func TestLeaseIsCountedFromEveryReply(t *testing.T) {
 	t.Run("returning", func(t *testing.T) {
 		r := newTestOwner(nil)
@@ -324,9 +324,9 @@
 		r.now = r.now.Add(time.Second)
 		seq++
 		for i := 1; i < 4; i++ {
-			rep := newHeartbeat(fmt.Sprintf("m-%d", i), 1, seq, r.latestToken(fmt.Sprintf("m-%d", i)))
-			rep.Spot = true // idle on-demand machines would be terminated
-			r.Heartbeat(r.now, rep)
+			heartbeat := newHeartbeat(fmt.Sprintf("m-%d", i), 1, seq, r.latestToken(fmt.Sprintf("m-%d", i)))
+			heartbeat.Spot = true // idle on-demand machines would be terminated
+			r.Heartbeat(r.now, heartbeat)
 		}
 		for _, a := range r.Step(r.now) {
 			switch a := a.(type) {
@@ -342,7 +342,7 @@
 		}
 	}
 	if !terminated["m-0"] || len(terminated) != 1 {
-		t.Fatalf("terminated %v, wanted m-0 alone", terminated)
+		t.Fatalf("terminated %v, want m-0 alone", terminated)
 	}
 	for range 80 {
 		r.advance(100 * time.Millisecond)
@@ -356,8 +356,8 @@
 		t.Fatalf("isolated %v, misrouted %v: the owner does not detect its isolation", isolated, misrouted)
 	}
 	for _, a := range r.Step(r.now) {
-		if ret, ok := a.(ScaleIn); ok {
-			t.Fatalf("terminated %v although they send heartbeats to other controllers", ret.Names)
+		if scaleIn, ok := a.(ScaleIn); ok {
+			t.Fatalf("terminated %v although they send heartbeats to other controllers", scaleIn.Names)
 		}
 	}
 }
@@ -383,11 +383,11 @@
 	noticed := r.now
 	for seq := uint64(10); r.now.Sub(noticed) < 20*time.Second; seq++ {
 		r.now = r.now.Add(time.Second)
-		rep := newHeartbeat("m-1", 1, seq, token(r.term, 0), running)
+		heartbeat := newHeartbeat("m-1", 1, seq, token(r.term, 0), running)
 		left := 20 - r.now.Sub(noticed).Seconds()
-		rep.NoticeS = &left
+		heartbeat.NoticeS = &left
 		r.Step(r.now)
-		reply, _ := r.Heartbeat(r.now, rep)
+		reply, _ := r.Heartbeat(r.now, heartbeat)
 		for _, c := range reply.Commands {
 			if c.Op != wire.OpStop {
 				continue
@@ -440,7 +440,7 @@
 	status.State, status.Cause, status.Checkpointed = wire.TaskExited, wire.CauseStopped, true
 	r.CommandResult(r.now, "m-1", newHeartbeat("m-1", 1, 11, token(r.term, 0), status))
 	if s := directStarts(r.advance(time.Second), "m-1"); len(s) != 1 || s[0].Task != "run-2/0" {
-		t.Fatalf("started %v, wanted run-2/0", s)
+		t.Fatalf("started %v, want run-2/0", s)
 	}
 }
 
@@ -481,8 +481,8 @@
 
 // Without authority an owner extends its machines' leases for the lease extension and
 // sends no commands. Its successor counts a machine's lease from the end of that
-// extension, unless the machine has reported the successor's token and so drops old
-// replies.
+// extension, unless the machine has reported the successor's token and therefore ignores
+// older replies.
 func TestLeaseExtensionIsCountedByTheNextOwner(t *testing.T) {
 	const leaseExtension = 15 * time.Second
 	old := newTestOwner(map[string]*records.Job{"run-1": arrayJob("run-1", 2, "a")})
@@ -505,7 +505,7 @@
 		last = old.now
 	}
 	if d := last.Sub(authorityEnd); d < leaseExtension-3*time.Second || d > leaseExtension {
-		t.Fatalf("leases extended for %s, wanted about %s", d, leaseExtension)
+		t.Fatalf("leases extended for %s, want about %s", d, leaseExtension)
 	}
 	for name, showsNewToken := range map[string]bool{"unreachable": false, "shows the new token": true} {
 		t.Run(name, func(t *testing.T) {
@@ -523,7 +523,7 @@
 			m := next.machines["m-0"]
 			ends := m.leaseExpiresAt.Sub(authorityEnd)
 			if showsNewToken && ends != leaseTimeout || !showsNewToken && (ends < leaseExtension+leaseTimeout || m.leaseExpiresAt.Before(last.Add(leaseTimeout))) {
-				t.Fatalf("its lease counts as expired %s after the term was acquired", ends)
+				t.Fatalf("the machine's lease counts as expired %s after the term was acquired", ends)
 			}
 		})
 	}
@@ -558,9 +558,9 @@
 	}
 	for i := range 20 {
 		name := fmt.Sprintf("m-%05d", i)
-		rep := newHeartbeat(name, 1, 100, r.latestToken(name))
-		rep.Spot = true
-		r.Heartbeat(r.now, rep)
+		heartbeat := newHeartbeat(name, 1, 100, r.latestToken(name))
+		heartbeat.Spot = true
+		r.Heartbeat(r.now, heartbeat)
 	}
 	advanceFor(2 * time.Second)
 	if r.partitioned || len(terminated) > 0 {
@@ -600,7 +600,7 @@
 // A task was kept in its shard because no shard had capacity. Once the task has waited
 // for long and another shard has capacity for a single task, the owner offloads the task
 // to the leader. That holds even if the shard may still scale out, because the cloud may
-// refuse machines for ever.
+// refuse machines forever.
 func TestLongWaitGoesToShardWithCapacity(t *testing.T) {
 	for _, freeCPUs := range []float64{0, 4} {
 		j := arrayJob("run-1", 2, "a")
@@ -613,8 +613,8 @@
 				case ScaleOut: // the cloud refuses each request
 					r.ScaleOutResult(r.now, a.Request.RequestID, nil, true)
 				case Commit:
-					if rec, err := records.Decode(a.Txn.Changes[0].Put, a.Txn.Changes[0].Value); err == nil {
-						if j, ok := rec.(*records.Job); ok {
+					if record, err := records.Decode(a.Txn.Changes[0].Put, a.Txn.Changes[0].Value); err == nil {
+						if j, ok := record.(*records.Job); ok {
 							offloaded += len(j.Unassigned())
 						}
 					}
@@ -651,12 +651,12 @@
 		t.Error("the feed's record was changed")
 	}
 	statuses := []wire.TaskStatus{}
-	for _, att := range r.machines["m-1"].attempts {
-		statuses = append(statuses, wire.TaskStatus{Task: att.key.task, Attempt: att.key.number, State: wire.TaskRunning})
+	for _, attempt := range r.machines["m-1"].attempts {
+		statuses = append(statuses, wire.TaskStatus{Task: attempt.key.task, Attempt: attempt.key.number, State: wire.TaskRunning})
 	}
 	reply, err := r.Heartbeat(r.now, newHeartbeat("m-1", 1, 3, r.latestToken("m-1"), statuses...))
 	if err != nil || len(reply.Commands) != 2 || reply.Commands[0].Op != wire.OpStop {
-		t.Fatalf("answered %+v, wanted two stops", reply.Commands)
+		t.Fatalf("answered %+v, want two stops", reply.Commands)
 	}
 	for i := range statuses {
 		statuses[i].State, statuses[i].Cause = wire.TaskExited, wire.CauseStopped
@@ -711,7 +711,7 @@
 			}
 		})
 		if want := map[bool]int{true: 0, false: 2}[copied]; len(terminated) != want {
-			t.Errorf("copied %v: terminated %v, wanted %d", copied, terminated, want)
+			t.Errorf("copied %v: terminated %v, want %d", copied, terminated, want)
 		}
 	}
 }
--- a/shard/directcommands.go
+++ b/shard/directcommands.go
@@ -93,8 +93,8 @@
 }
 
 // needsProbe reports whether a machine has to be probed: an inherited machine to learn its
-// attempts, once the machine has had the time to send a heartbeat by itself; a machine with
-// an overdue heartbeat, or whose lease expired without a heartbeat, to learn whether it runs;
+// attempts, once the machine has had time to send a heartbeat unprompted; a machine with an
+// overdue heartbeat, or whose lease expired without a heartbeat, to learn whether it runs;
 // and an unconfirmed machine to learn whether it receives commands.
 func (v *fleetView) needsProbe(now time.Time, m *machine) bool {
 	switch {
@@ -171,7 +171,8 @@
 	c.reconcile(now, m, status, viaDirectCommand)
 	c.needsPlacement = c.needsPlacement || c.attemptEnded
 	// The reply proves that commands reach the machine. It does not count as a heartbeat,
-	// because only a heartbeat renews the machine's lease. The first reply is the exception.
+	// because only a heartbeat renews the machine's lease. The exception is the first reply
+	// of a machine from which no heartbeat was received yet.
 	m.unansweredProbes, m.unansweredUnconfirmed = 0, 0
 	if m.lastHeartbeat.IsZero() {
 		m.lastHeartbeat = now
--- a/shard/forecast.go
+++ b/shard/forecast.go
@@ -24,7 +24,7 @@
 		}
 	}
 	c.assignedSinceForecast = newer
-	if len(f.TeamsAtLimit) > 0 && now.Sub(c.limitsCheckedAt) >= constants.CloseDelay {
+	if len(f.TeamsAtLimit) > 0 && now.Sub(c.limitsCheckedAt) >= constants.AssignmentCloseDelay {
 		c.limitsCheckedAt = now
 		for _, j := range c.jobs {
 			if c.blocksTeamAtLimit(now, j) {
@@ -38,10 +38,10 @@
 // tasks count against the quota until their assignment is closed, so the job's open
 // assignments may keep other tasks of the team waiting.
 func (c *scaleOutState) blocksTeamAtLimit(now time.Time, j *job) bool {
-	if j.gang != nil || j.rec.End != "" || now.Sub(c.forecastReceivedAt) > constants.ForecastTTL {
+	if j.gang != nil || j.record.End != "" || now.Sub(c.forecastReceivedAt) > constants.ForecastTTL {
 		return false
 	}
-	return slices.Contains(c.forecast.TeamsAtLimit, j.rec.Spec.Team)
+	return slices.Contains(c.forecast.TeamsAtLimit, j.record.Spec.Team)
 }
 
 // scaleOutForForecast adds machines for the forecast work that exceeds the free and the
--- a/shard/heartbeat.go
+++ b/shard/heartbeat.go
@@ -10,7 +10,7 @@
 )
 
 // Heartbeat handles a worker's heartbeat and returns the reply to it. An error is the reason
-// why the owner must not answer the heartbeat, or why the heartbeat proves nothing:
+// why the owner must not answer the heartbeat, or why it ignores the heartbeat as outdated:
 // ErrUnknownShard, ErrFenced, ErrNoAuthority, ErrMachineTerminated or ErrStaleHeartbeat.
 func (c *Core) Heartbeat(now time.Time, heartbeat *wire.Heartbeat) (reply wire.HeartbeatReply, err error) {
 	if heartbeat.Zone != c.cfg.Shard {
@@ -28,9 +28,10 @@
 	if _, terminated := c.terminated[heartbeat.Machine]; terminated {
 		return reply, ErrMachineTerminated // the heartbeat was delayed in the network: a terminated machine does not return
 	}
-	// A machine whose termination was requested is answered like any other until the cloud
-	// confirms the termination. Otherwise a reply could renew the machine's lease while the
-	// owner does not count the reply and assumes that the lease has expired.
+	// The heartbeats of a machine whose termination was requested are answered as before
+	// until the cloud confirms the termination. Otherwise a reply could renew the machine's
+	// lease while the owner does not count the reply and assumes that the lease has
+	// expired.
 	m := c.ensureMachine(heartbeat.Machine)
 	if !m.isNewer(heartbeat) {
 		return reply, ErrStaleHeartbeat // a late or duplicate heartbeat: its content is ignored
@@ -77,11 +78,12 @@
 
 // recordHeartbeat records that a machine is alive, and checks whether the machine receives
 // replies. If its heartbeats arrive while replies and commands do not reach it, its lease
-// expires without notice to the owner. A machine becomes unconfirmed if it does not report
-// the fencing token of the last reply, if it sent heartbeats to other controllers although
-// this owner answered it, or if it leaves a direct command unanswered. It stays unconfirmed
-// until it reports a token that is first sent to it after that. A late copy of a heartbeat
-// cannot contain such a token, because the copy is older than the token.
+// expires although the owner assumes that each reply renews it. A machine becomes
+// unconfirmed if it does not report the fencing token of the last reply, if it sent
+// heartbeats to other controllers although this owner answered it, or if it leaves a direct
+// command unanswered. It stays unconfirmed until it reports a token that is first sent to
+// it after that. A late copy of a heartbeat cannot contain such a token, because the copy
+// is older than the token.
 func (p *placement) recordHeartbeat(v *fleetView, now time.Time, m *machine) {
 	if v.isUnreachable(now, m) {
 		m.unansweredUnconfirmed = 0 // commands that were unanswered while the machine was unreachable do not count
--- a/shard/partition.go
+++ b/shard/partition.go
@@ -12,7 +12,7 @@
 	reporting          int  // expected machines that have sent a heartbeat or a reply in this term and epoch
 	unreachable        int  // reporting machines that are unreachable now
 	misrouted          int  // expected machines that have recently sent heartbeats to another controller
-	small              bool // fewer than constants.SmallFleet machines are expected
+	small              bool // fewer than constants.SmallShardMachines machines are expected
 	noRecentHeartbeats bool // a small shard of more than two machines from which no recent heartbeat was received
 	receiving          bool // the owner has received enough recent heartbeats
 }
@@ -49,22 +49,24 @@
 			health.unreachable++
 		}
 	}
-	health.small = health.expected < constants.SmallFleet
+	health.small = health.expected < constants.SmallShardMachines
 	if health.small {
 		health.receiving = current*2 > health.expected
 		health.noRecentHeartbeats = health.expected > constants.MaxCoincidentFailures && current == 0
 	} else {
-		health.receiving = recent*constants.RecentHeartbeatShare >= health.expected
+		health.receiving = recent*constants.RecentHeartbeatDivisor >= health.expected
 	}
 	return health
 }
 
-// isIsolatedFailure reports whether an unreachable machine has failed by itself. That is the
-// case if the owner receives heartbeats of other machines. In a small shard it is also the
+// isIsolatedFailure reports whether an unreachable machine has failed individually. That is
+// the case if the cloud no longer lists the machine, or if the owner receives heartbeats of
+// other machines. In a small shard (but not with health.noRecentHeartbeats) it is also the
 // case if the machine has been unreachable for so long that another controller would have
 // received its heartbeat, all controllers have reported recently, and none has received one.
-// Otherwise the owner or the whole shard is partitioned, and to terminate machines would end
-// everything that runs on them.
+// If another controller has recently received a heartbeat of the machine, the machine has
+// not failed. Otherwise the owner or the whole shard is partitioned, and terminating
+// machines would end all tasks that run on them.
 func (l *liveness) isIsolatedFailure(now time.Time, m *machine, health fleetHealth) bool {
 	if now.Sub(m.misroutedAt) < l.misroutedWindow() {
 		return false
@@ -76,7 +78,7 @@
 	if last.Before(l.startedAt) {
 		last = l.startedAt
 	}
-	peerReportDelay := l.periods(constants.MaxHeartbeatDelayPeriods) + constants.ControllerSwitchTime + 2*constants.MaxPushInterval
+	peerReportDelay := l.periods(constants.MaxHeartbeatIntervalPeriods) + constants.ControllerSwitchTime + 2*constants.MaxPushInterval
 	if health.receiving {
 		return true
 	}
@@ -89,7 +91,9 @@
 }
 
 // misroutedWindow returns for how long a heartbeat to another controller counts.
-func (l *liveness) misroutedWindow() time.Duration { return l.periods(constants.MisroutedPeriods) }
+func (l *liveness) misroutedWindow() time.Duration {
+	return l.periods(constants.MisroutedHeartbeatPeriods)
+}
 
 // IsIsolated reports whether the owner no longer receives the heartbeats of its machines, and
 // whether the machines have sent them to other controllers. If both are true, the machines
@@ -101,10 +105,10 @@
 	if health.small {
 		return health.unreachable*2 > health.expected, health.misrouted*2 > health.expected
 	}
-	if now.Sub(v.acquiredAt) < v.periods(constants.MaxHeartbeatDelayPeriods) {
-		return false, false // some heartbeats may still be on their way
+	if now.Sub(v.acquiredAt) < v.periods(constants.MaxHeartbeatIntervalPeriods) {
+		return false, false // some machines may not have had to send a heartbeat in this term yet
 	}
-	misrouted = health.misrouted*constants.RecentHeartbeatShare > health.expected
+	misrouted = health.misrouted*constants.RecentHeartbeatDivisor > health.expected
 	// If no controller ever received a heartbeat of the machines, the side that has failed is
 	// unknown.
 	return !health.receiving && (health.reporting > 0 || misrouted), misrouted
@@ -118,9 +122,9 @@
 // case the owner requests no more machines, because they would be unreachable too, and the
 // leader assigns no task to the shard that may run in another shard.
 func (l *liveness) detectPartition(now time.Time, health fleetHealth) bool {
-	delay := l.periods(constants.MaxHeartbeatDelayPeriods)
-	// If all controllers had ended, a worker may return to this controller only after it has
-	// tried the others and its next heartbeat is due.
+	delay := l.periods(constants.MaxHeartbeatIntervalPeriods)
+	// After all controllers were down, a worker may send its heartbeat to this controller
+	// only after it has tried the others and its next heartbeat is due.
 	return (!health.small && !health.receiving || health.noRecentHeartbeats) &&
 		now.Sub(l.startedAt) > delay+constants.ControllerSwitchTime && now.Sub(l.livenessResetAt) > delay
 }
