--- a/controller/random_faults_test.go
+++ b/controller/random_faults_test.go
@@ -17,11 +17,11 @@
 	"ravenport/wire"
 )
 
-// randomDays and firstSeed let a developer run many more random scenarios than CI does.
+// randomRuns and firstSeed let a developer simulate many more random runs than CI does.
 var (
-	randomDays = flag.Uint64("sim.days", 12, "number of random scenarios to run")
+	randomRuns = flag.Uint64("sim.days", 12, "number of random runs to simulate")
 	printLogs  = flag.Bool("sim.log", false, "print the controllers' logs")
-	firstSeed  = flag.Uint64("sim.from", 0, "seed of the first random scenario")
+	firstSeed  = flag.Uint64("sim.from", 0, "seed of the first random run")
 )
 
 func discardLogs(t *testing.T) {
@@ -38,7 +38,7 @@
 // the faults are over.
 func TestRulesHoldThroughTroubles(t *testing.T) {
 	discardLogs(t)
-	for seed := *firstSeed; seed < *firstSeed+*randomDays; seed++ {
+	for seed := *firstSeed; seed < *firstSeed+*randomRuns; seed++ {
 		zones := []string{"a", "b", "c"}[:2+seed%2]
 		synctest.Test(t, func(t *testing.T) {
 			w := runRandomWorkload(t, seed, zones, nil)
@@ -98,7 +98,7 @@
 					return
 				}
 			}
-			t.Error("no broken rule was reported in 60 scenarios without this guard")
+			t.Error("no broken rule was reported in 60 random runs without this guard")
 		})
 	}
 }
