--- a/detector/message.go
+++ b/detector/message.go
@@ -32,7 +32,7 @@
 
 // Reasons for which messages are dropped.
 var (
-	ErrUnknownController = errors.New("detector: message from an unknown controller")
+	ErrUnknownController = errors.New("detector: message of an unknown controller")
 	ErrMalformedMessage  = errors.New("detector: malformed message")
 )
 
@@ -58,19 +58,19 @@
 // controllers.
 func (m Message) validate(controllers int) error {
 	if len(m.Accusations) > controllers {
-		return fmt.Errorf("%w: %d accusations in a deployment of %d controllers", ErrMalformedMessage, len(m.Accusations), controllers)
+		return fmt.Errorf("%w: %d accusations among %d controllers", ErrMalformedMessage, len(m.Accusations), controllers)
 	}
 	if len(m.Heartbeat.Stalled) > maxStalled {
-		return fmt.Errorf("%w: too many stalled actors: %d", ErrMalformedMessage, len(m.Heartbeat.Stalled))
+		return fmt.Errorf("%w: %d stalled actors", ErrMalformedMessage, len(m.Heartbeat.Stalled))
 	}
 	for _, name := range m.Heartbeat.Stalled {
 		if len(name) > maxActorName {
-			return fmt.Errorf("%w: an actor's name is too long: %d bytes", ErrMalformedMessage, len(name))
+			return fmt.Errorf("%w: an actor's name has %d bytes", ErrMalformedMessage, len(name))
 		}
 	}
 	for _, a := range m.Accusations {
 		if a.Incarnation == 0 || len(a.Evidence) == 0 {
-			return fmt.Errorf("%w: an accusation of %q without incarnation or evidence", ErrMalformedMessage, a.Controller)
+			return fmt.Errorf("%w: an accusation of %q without process or evidence", ErrMalformedMessage, a.Controller)
 		}
 	}
 	return nil
--- a/kvstore/errors.go
+++ b/kvstore/errors.go
@@ -11,7 +11,7 @@
 	// ErrNotExecuted means that the store did not execute the request and never will, so a
 	// retry is safe: the request could not be sent, or the store refused it. A failed watch
 	// is reported in this way as well, because a watch changes nothing.
-	ErrNotExecuted = errors.New("kvstore: request not executed")
+	ErrNotExecuted = errors.New("kvstore: refused")
 	// ErrRateLimited means that the request was not executed because it exceeds the
 	// store's rate limit or this controller's share of it. [Client] always returns it
 	// together with ErrNotExecuted.
